--- a/crates/qh-lab/src/capacity/counted.rs
+++ b/crates/capacity/src/counted.rs
@@ -2,15 +2,16 @@
 //! not hang on the machine.
 use super::port::Hollow;
 use super::{COPIES, blueprint, settings, standing};
-use crate::sim::core::{Core, Pid};
-use crate::sim::keeper::{self, Disk, Keepers};
-use crate::sim::net::OnFrame;
-use qh_core::wire::{Call, Incoming, LENGTH_BYTES, RequestHeader};
-use qh_core::{Name, rt};
-use qh_mesh::{GossipMessage, NodeQuery, NodeRequest};
-use qh_state::keeper::RecoveredState;
-use qh_state::{Command, KeeperRequest, Machine, Request, View};
-use qhd::{Fleet, mesh_driver};
+use quincehatch_core::Name;
+use quincehatch_gossip::{GossipMessage, NodeQuery, NodeRequest};
+use quincehatch_node::{Fleet, mesh_driver};
+use quincehatch_runtime::rt;
+use quincehatch_simulator::fleet::core::{Core, Pid};
+use quincehatch_simulator::fleet::keeper::{self, Disk, Keepers};
+use quincehatch_simulator::fleet::net::OnFrame;
+use quincehatch_store::keeper::RecoveredState;
+use quincehatch_store::{Command, KeeperRequest, Machine, Request, View};
+use quincehatch_wire::{Call, Incoming, LENGTH_BYTES, RequestHeader};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
--- a/crates/qh-lab/src/capacity/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -2,12 +2,13 @@
 //! the kernel's account tells the roles apart (§9.6).
 use super::port::Hollow;
 use super::{COPIES, blueprint, resident_kib, settings, standing, this_thread, used_ms};
-use qh_core::{Name, now, rt};
-use qh_state::disk::Disk;
-use qh_state::host::KeeperHost;
-use qh_state::{Command, Keeper, Machine, View, driver};
-use qhd::chain_client::Chain;
-use qhd::{Fleet, mesh_driver};
+use quincehatch_core::Name;
+use quincehatch_node::chain_client::Chain;
+use quincehatch_node::{Fleet, mesh_driver};
+use quincehatch_runtime::{now, rt};
+use quincehatch_store::disk::Disk;
+use quincehatch_store::host::KeeperHost;
+use quincehatch_store::{Command, Keeper, Machine, View, driver};
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::Ordering;
@@ -153,7 +154,10 @@
             n += 1;
             let due = began + n * 1_000 / s.changes as u64;
             tokio::time::sleep(Duration::from_millis(due.saturating_sub(now()))).await;
-            let at = qh_core::ServerRecord { slots: 5 + (n % 2) as u32, ..standing(n as usize % 3, 10 + n) };
+            let at = quincehatch_core::ServerRecord {
+                slots: 5 + (n % 2) as u32,
+                ..standing(n as usize % 3, 10 + n)
+            };
             write(&chain, format!("beat/c/{n}"), Command::RegisterServer { at }).await?;
         }
         let (b, took) = (used(), (now() - began) as f64 / 1_000.0);
--- a/crates/qh-lab/src/capacity/mod.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,4 +1,4 @@
-//! What `qhlab bench capacity` measures with (§9.6, docs/CAPACITY.md): hollow nodes, which run the real control code
+//! What `quincehatch-lab bench capacity` measures with (§9.6, docs/CAPACITY.md): hollow nodes, which run the real control code
 //! and take no traffic, and parts of it alone at sizes that no one machine holds as a fleet.
 pub mod counted;
 pub mod fit;
@@ -8,8 +8,8 @@
 pub mod sessions;
 pub mod tail;
 
-use qh_core::settings::NodeSettings;
-use qh_core::{Name, Role, ServerRecord};
+use quincehatch_config::settings::NodeSettings;
+use quincehatch_core::{Name, Role, ServerRecord};
 use std::path::{Path, PathBuf};
 
 /// Servers of one group.
@@ -48,7 +48,7 @@
     let (mut places, mut rules, mut gs) = (Vec::new(), Vec::new(), Vec::new());
     for g in 0..groups.max(1) {
         // Names that do not pack too well.
-        let tag = qh_core::hash64(&[&g.to_le_bytes()]) >> 20;
+        let tag = quincehatch_core::hash64(&[&g.to_le_bytes()]) >> 20;
         places.push(format!(r#"{{"name":"p{tag:x}","select":{{"group":["g{g:04}"]}}}}"#));
         let ms = if g == groups / 2 { 2_000 + turn } else { 2_000 };
         let aims = format!(r#""timeout_ms":{ms},"fresh_ms":1200,"aim_ms":800,"priority":1"#);
--- a/crates/qh-lab/src/capacity/parts.rs
+++ b/crates/capacity/src/parts.rs
@@ -1,12 +1,12 @@
 //! Parts of a node alone, at the planned size itself: one pass of each, without a fleet around it.
 use super::{blueprint, cost, names, standing};
-use qh_core::wire::{ANSWER_HEADER_BYTES, LENGTH_BYTES};
-use qh_core::{Lead, Name};
-use qh_data::board::Plan;
-use qh_mesh::{Life, Mesh, Rumor, duty};
-use qh_state::patch::Packed;
-use qh_state::store::{ANSWERS, duty_of};
-use qh_state::{Answer, Command, Entry, FeedSnapshot, FeedState, KeeperResponse, Reply, Store};
+use quincehatch_core::{Lead, Name};
+use quincehatch_gossip::{Life, Mesh, Rumor, duty};
+use quincehatch_proxy::board::Plan;
+use quincehatch_store::patch::Packed;
+use quincehatch_store::store::{ANSWERS, duty_of};
+use quincehatch_store::{Answer, Command, Entry, FeedSnapshot, FeedState, KeeperResponse, Reply, Store};
+use quincehatch_wire::{ANSWER_HEADER_BYTES, LENGTH_BYTES};
 
 fn rumor(i: usize) -> Rumor {
     let (name, addr) = (format!("n{i:04}").into(), format!("10.1.{}.{}:20000", i / 250, i % 250).into());
@@ -28,20 +28,20 @@
     for r in peers.values() {
         m.take(
             0,
-            qh_mesh::GossipEnvelope {
+            quincehatch_gossip::GossipEnvelope {
                 from: r.clone(),
                 rumors: vec![],
-                m: qh_mesh::GossipMessage::Pong { seq: 0 },
+                m: quincehatch_gossip::GossipMessage::Pong { seq: 0 },
             },
         );
     }
-    let answer = |m: &mut Mesh, now: u64, outs: Vec<qh_mesh::member::Out>| {
+    let answer = |m: &mut Mesh, now: u64, outs: Vec<quincehatch_gossip::member::Out>| {
         for o in outs {
-            let qh_mesh::member::Out::Send(to, l) = o else { continue };
-            let qh_mesh::GossipMessage::Ping { seq } = l.m else { continue };
+            let quincehatch_gossip::member::Out::Send(to, l) = o else { continue };
+            let quincehatch_gossip::GossipMessage::Ping { seq } = l.m else { continue };
             if let Some(from) = peers.get(&to).cloned() {
-                let m2 = qh_mesh::GossipMessage::Pong { seq };
-                m.take(now, qh_mesh::GossipEnvelope { from, rumors: vec![], m: m2 });
+                let m2 = quincehatch_gossip::GossipMessage::Pong { seq };
+                m.take(now, quincehatch_gossip::GossipEnvelope { from, rumors: vec![], m: m2 });
             }
         }
     };
@@ -64,7 +64,7 @@
 /// A blueprint's text, and what it takes to read and check it: milliseconds and bytes.
 pub fn read_blueprint(groups: usize) -> (f64, f64) {
     let text = blueprint(groups, 0);
-    let (ms, got) = cost(|| qh_core::blueprint::Blueprint::read(&text));
+    let (ms, got) = cost(|| quincehatch_config::blueprint::Blueprint::read(&text));
     assert!(got.is_ok(), "{got:?}");
     (ms, text.len() as f64)
 }
@@ -114,7 +114,7 @@
     [frame(whole), frame(told), frame(Reply::Changes { changes, lease_ms: 4_000 })]
 }
 
-fn adopt(s: &mut Store, groups: usize, number: u64) -> qh_state::Change {
+fn adopt(s: &mut Store, groups: usize, number: u64) -> quincehatch_store::Change {
     let (text, source, by) = (blueprint(groups, number), blueprint(groups, number), "operator".into());
     let e = Entry {
         n: s.n + 1,
@@ -122,7 +122,7 @@
         cmd: Command::Adopt { number, text, source, by },
     };
     let news = s.apply_told(&e).map(|a| a.1);
-    qh_state::Change { n: e.n, news: news.expect("it is the next") }
+    quincehatch_store::Change { n: e.n, news: news.expect("it is the next") }
 }
 
 /// What a node does with one change, in milliseconds: a configuration of which a rule changed, and a standing.
@@ -130,17 +130,17 @@
     let mut s = store(groups, 2);
     let text = Packed::of(s.blueprint().map_or("", |k| &k.text));
     let mut k = FeedState::of(FeedSnapshot::of(&s, text)).expect("what was packed");
-    let had = qhd::feed::plan_of(&k, &Plan::default());
+    let had = quincehatch_node::feed::plan_of(&k, &Plan::default());
     let c = adopt(&mut s, groups, 9);
     let (adopted, plan) = cost(|| {
         assert!(k.apply(&c));
-        qhd::feed::plan_of(&k, &had)
+        quincehatch_node::feed::plan_of(&k, &had)
     });
-    let news = qh_state::FeedEvent::RegisterServer { at: standing(1, 9_999) };
-    let c = qh_state::Change { n: k.n + 1, news };
+    let news = quincehatch_store::FeedEvent::RegisterServer { at: standing(1, 9_999) };
+    let c = quincehatch_store::Change { n: k.n + 1, news };
     let (stood, _) = cost(|| {
         assert!(k.apply(&c));
-        qhd::feed::plan_of(&k, &plan)
+        quincehatch_node::feed::plan_of(&k, &plan)
     });
     [adopted, stood]
 }
@@ -150,12 +150,15 @@
     let rt = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     let _in = rt.enter();
     let set = super::settings(0, "127.0.0.1:1".into(), vec![], vec!["127.0.0.1:1".into()]);
-    let node =
-        qh_data::Node::new(set, Box::new(qh_data::alone::Alone::default()), qh_core::rt::Spawner::here());
+    let node = quincehatch_proxy::Node::new(
+        set,
+        Box::new(quincehatch_proxy::alone::Alone::default()),
+        quincehatch_runtime::rt::Spawner::here(),
+    );
     for i in 0..n {
         let at = standing(i, 1);
         let labels = [("group".into(), at.group.clone()), ("district".into(), at.district.clone())].into();
-        let beat = qh_core::Beat {
+        let beat = quincehatch_core::Beat {
             server: at.server,
             addr: at.addr,
             seq: 1,
@@ -166,6 +169,6 @@
         node.board.beat(beat);
     }
     // Ten looks a second by the judges; the loop over duties looks at each server's verdict four times (§6.3).
-    let (ms, _) = cost(|| (0..10).for_each(|_| qh_data::probe::judge(&node)));
+    let (ms, _) = cost(|| (0..10).for_each(|_| quincehatch_proxy::probe::judge(&node)));
     (node.board.rows().len() as f64, ms)
 }
--- a/crates/qh-lab/src/capacity/port.rs
+++ b/crates/capacity/src/port.rs
@@ -1,9 +1,9 @@
 //! Servers that answer at once and take no work: what a hollow node meets over its ports (§3.6).
 use bytes::Bytes;
-use qh_core::http::Watch;
-use qh_core::rt::Fut;
-use qh_core::{Fence, Name, Position, Role};
-use qh_data::port::{Call, Line, Look, Opened, Ports, Promoted, Promoter, Said, Servers};
+use quincehatch_core::{Fence, Name, Position, Role};
+use quincehatch_proxy::port::{Call, Line, Look, Opened, Ports, Promoted, Promoter, Said, Servers};
+use quincehatch_runtime::rt::Fut;
+use quincehatch_wire::http::Watch;
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/qh-lab/src/capacity/sessions.rs
+++ b/crates/capacity/src/sessions.rs
@@ -2,12 +2,13 @@
 use super::port::Hollow;
 use super::{blueprint, resident_kib, settings, used_ms};
 use bytes::{Bytes, BytesMut};
-use qh_core::blueprint::Blueprint;
-use qh_core::{Beat, Lead, now};
-use qh_data::Node;
-use qh_data::alone::Alone;
-use qh_data::board::Plan;
-use qh_data::held::{Ask, Held, HeldSession, Wish};
+use quincehatch_config::blueprint::Blueprint;
+use quincehatch_core::{Beat, Lead};
+use quincehatch_proxy::Node;
+use quincehatch_proxy::alone::Alone;
+use quincehatch_proxy::board::Plan;
+use quincehatch_proxy::held::{Ask, Held, HeldSession, Wish};
+use quincehatch_runtime::now;
 use std::path::Path;
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +17,7 @@
 
 fn held() -> Arc<Held> {
     let set = settings(0, "127.0.0.1:1".into(), vec![], vec!["127.0.0.1:1".into()]);
-    let node = Node::new(set, Box::new(Alone::default()), qh_core::rt::Spawner::here());
+    let node = Node::new(set, Box::new(Alone::default()), quincehatch_runtime::rt::Spawner::here());
     for k in 0..3 {
         let at = super::standing(k, 1);
         let labels = [("group".into(), at.group), ("district".into(), at.district)].into();
--- a/crates/qh-lab/src/capacity/tail.rs
+++ b/crates/capacity/src/tail.rs
@@ -1,13 +1,13 @@
 //! A tail alone before the polls of many nodes, in virtual time: its processor time and its answers' bytes (§5.2).
 use super::{cost, names, standing};
-use qh_core::Name;
-use qh_core::wire::{LENGTH_BYTES, REQUEST_HEADER_BYTES};
-use qh_state::entry_log::{EntryLog, PackedEntry};
-use qh_state::keeper::{Input, Output, RecoveredState};
-use qh_state::terms::TRANSFER_BYTES;
-use qh_state::{
+use quincehatch_core::Name;
+use quincehatch_store::entry_log::{EntryLog, PackedEntry};
+use quincehatch_store::keeper::{Input, Output, RecoveredState};
+use quincehatch_store::terms::TRANSFER_BYTES;
+use quincehatch_store::{
     Command, Entry, Keeper, KeeperRequest, KeeperResponse, Machine, PeerMessage, Reply, Request, View,
 };
+use quincehatch_wire::{LENGTH_BYTES, REQUEST_HEADER_BYTES};
 use std::collections::BTreeMap;
 
 /// What a second at a tail costs, without the kernel's part.
@@ -41,7 +41,7 @@
         let ask = Request::Write { key: format!("enroll/{i}").into(), cmd };
         let outs = k.step(t, Input::Request { token: u64::MAX - i as u64, ask });
         let said = outs.into_iter().find_map(|o| match o {
-            Output::Reply(_, Reply::Answer { answer: qh_state::Answer::Enrolled(n), .. }) => Some(n),
+            Output::Reply(_, Reply::Answer { answer: quincehatch_store::Answer::Enrolled(n), .. }) => Some(n),
             _ => None,
         });
         said.expect("enrolled")
@@ -80,7 +80,8 @@
                 seq += u64::from(news);
                 let at = standing((seq % 30) as usize, if news { seq } else { 1 });
                 // What is news differs in something beside its number.
-                let at = qh_core::ServerRecord { slots: if news { seq as u32 } else { at.slots }, ..at };
+                let at =
+                    quincehatch_core::ServerRecord { slots: if news { seq as u32 } else { at.slots }, ..at };
                 let (key, cmd) = (Name::from(format!("w{token}")), Command::RegisterServer { at });
                 ins.push((Input::Request { token, ask: Request::Write { key, cmd } }, None));
             }
--- a/crates/qh-lab/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -1,7 +1,7 @@
 //! docs/CAPACITY.md does not drift (§9.6): its sums follow from its slopes and sizes, what it says of bytes and bounds is
 //! what the code has, and its last table says what its sums say.
-use qh_lab::capacity::fit::fit;
-use qh_lab::capacity::{parts, tail};
+use quincehatch_capacity::fit::fit;
+use quincehatch_capacity::{parts, tail};
 use std::collections::BTreeMap;
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
@@ -136,11 +136,11 @@
     same("news_bytes", k["news_bytes"], news);
     same("pass_bytes", k["pass_bytes"], tail::passed_bytes(dbs, 1) as f64);
     same("text_bytes", k["text_bytes"], parts::read_blueprint(dbs).1);
-    same("board_rows", k["board_rows"], parts::judges(dbs * qh_lab::capacity::COPIES).0);
-    same("frame_max", k["frame_max"], qh_core::wire::FRAME_MAX as f64);
-    same("node_lease_ms", k["node_lease_ms"], qh_state::terms::NODE_LEASE as f64);
-    assert_eq!(qh_state::terms::LOG_KEEP, 512, "as the page says");
-    same("transfer_max", k["transfer_max"], qh_state::terms::TRANSFER_BYTES as f64);
+    same("board_rows", k["board_rows"], parts::judges(dbs * quincehatch_capacity::COPIES).0);
+    same("frame_max", k["frame_max"], quincehatch_wire::FRAME_MAX as f64);
+    same("node_lease_ms", k["node_lease_ms"], quincehatch_store::terms::NODE_LEASE as f64);
+    assert_eq!(quincehatch_store::terms::LOG_KEEP, 512, "as the page says");
+    same("transfer_max", k["transfer_max"], quincehatch_store::terms::TRANSFER_BYTES as f64);
     for adoptions in [10, 11, 100] {
         let passed = tail::passed_bytes(dbs, adoptions) as f64;
         assert!(passed < k["transfer_max"] + k["pass_bytes"], "{adoptions} adoptions in {passed} bytes");
--- a/crates/qh-core/src/blueprint.rs
+++ b/crates/config/src/blueprint.rs
@@ -1,5 +1,5 @@
 //! The blueprint: placements, rules, judges, links, holding (§7). Reading is `schematic`'s; whole checks ours.
-use crate::{Code, Error, Labels};
+use quincehatch_core::{Code, Error, Labels};
 use schematic::{Config, ConfigLoader};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/qh-core/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,7 +1,7 @@
 //! Whole checks of a blueprint (§7.3): they refer to nothing but the blueprint itself.
 use crate::blueprint::{Blueprint, Selector};
 use crate::shadow::Earlier;
-use crate::{Ms, Name};
+use quincehatch_core::{Ms, Name};
 use std::collections::BTreeSet;
 
 impl Blueprint {
@@ -172,8 +172,8 @@
 
 #[cfg(test)]
 mod tests {
-    use crate::Code;
     use crate::blueprint::Blueprint;
+    use quincehatch_core::Code;
 
     const GOOD: &str = "[[placements]]\nname=\"p\"\nselect={group=[\"g\"]}\n[[rules]]\nname=\"r\"\n\
                         class=\"order\"\nplacement=\"p\"\n";
--- a/crates/qh-core/src/objects.rs
+++ b/crates/config/src/objects.rs
@@ -1,5 +1,5 @@
 //! Kubernetes-style objects as a blueprint (§7.4): a small door to the same reading and checks.
-use crate::{Code, Error};
+use quincehatch_core::{Code, Error};
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value, json};
 
@@ -187,7 +187,10 @@
             ("kind: Placement", "kind: [", "document 1"),
         ] {
             let b = Blueprint::read(&GOOD.replace(from, to)).expect_err(to);
-            assert!(b.is(crate::Code::BlueprintInvalid) && b.text.contains(want), "{b} lacks {want:?}");
+            assert!(
+                b.is(quincehatch_core::Code::BlueprintInvalid) && b.text.contains(want),
+                "{b} lacks {want:?}"
+            );
         }
     }
 }
--- a/crates/qh-core/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,5 +1,5 @@
 //! Settings files of the daemons (§8.1): read by `schematic`, every mistake listed before anything serves.
-use crate::{Code, Error};
+use quincehatch_core::{Code, Error};
 use schematic::{Config, ConfigError, ConfigLoader};
 use serde::{Deserialize, Serialize};
 
--- a/crates/qh-core/tests/shadow.rs
+++ b/crates/config/tests/shadow.rs
@@ -1,6 +1,6 @@
 //! Which rules an earlier one leaves nothing (§7.3), however many there are.
-use qh_core::blueprint::{Blueprint, Rule};
-use qh_core::rng::Rng;
+use quincehatch_config::blueprint::{Blueprint, Rule};
+use quincehatch_runtime::rng::Rng;
 
 fn covers(e: &Rule, r: &Rule) -> bool {
     e.class == r.class
--- a/crates/qh-core/src/words.rs
+++ b/crates/core/src/words.rs
@@ -98,13 +98,3 @@
     v.sort_by(|a, b| b.0.cmp(&a.0).then_with(|| a.1.as_ref().cmp(b.1.as_ref())));
     v.into_iter().map(|(_, n)| n).collect()
 }
-
-/// The local monotonic clock, in milliseconds since the process began (§2.2).
-pub fn now() -> Ms {
-    use std::sync::OnceLock;
-    if let Some(w) = crate::rt::world() {
-        return w.now();
-    }
-    static T0: OnceLock<std::time::Instant> = OnceLock::new();
-    T0.get_or_init(std::time::Instant::now).elapsed().as_millis() as Ms + 1
-}
--- a/crates/qh/src/args.rs
+++ b/crates/ctl/src/args.rs
@@ -1,9 +1,9 @@
-//! Flags of qh.
+//! Flags of quincehatchctl.
 use serde_json::{Value, json};
 
-const HELP: &str = "qh: looks after a quincehatch fleet
+const HELP: &str = "quincehatchctl: looks after a quincehatch fleet
 
-usage: qh [--node IP:PORT] [--token WORD] [--json] COMMAND ...
+usage: quincehatchctl [--node IP:PORT] [--token WORD] [--json] COMMAND ...
 
   status                       the fleet at a glance: chain, leads, nodes
   nodes                        every node's account of itself
@@ -52,7 +52,7 @@
                 return Ok(None);
             }
             Short('V') | Long("version") => {
-                println!("qh {}", env!("CARGO_PKG_VERSION"));
+                println!("quincehatchctl {}", env!("CARGO_PKG_VERSION"));
                 return Ok(None);
             }
             Long("node") => node = val(&mut p)?,
@@ -112,7 +112,7 @@
         // Of this one run: asked again within it under the same key, a push is taken once.
         let at =
             std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).map_or(0, |d| d.as_nanos());
-        body["key"] = json!(format!("qh-{}-{at:x}", std::process::id()));
+        body["key"] = json!(format!("quincehatchctl-{}-{at:x}", std::process::id()));
     }
     Ok(Some(Args { node, token, json: json_out, cmd: cmd.into(), body }))
 }
--- a/crates/qh/src/call.rs
+++ b/crates/ctl/src/call.rs
@@ -1,7 +1,7 @@
 //! One call to a node's desk.
 use crate::args::Args;
-use qh_core::http::{Call, once};
-use qh_core::{Code, Error};
+use quincehatch_core::{Code, Error};
+use quincehatch_wire::http::{Call, once};
 use serde_json::Value;
 use std::time::Duration;
 
--- a/crates/qh/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! qh: the operators' command line over the whole fleet (§8.2).
+//! quincehatchctl: the operators' command line over the whole fleet (§8.2).
 mod args;
 mod call;
 mod show;
@@ -8,7 +8,7 @@
         Ok(Some(a)) => a,
         Ok(None) => return,
         Err(e) => {
-            eprintln!("qh: {e}\ntry `qh --help`");
+            eprintln!("quincehatchctl: {e}\ntry `quincehatchctl --help`");
             std::process::exit(2);
         }
     };
@@ -24,7 +24,7 @@
             if a.json {
                 println!("{:#}", serde_json::json!({"error": {"code": b.code, "text": b.text.as_str()}}));
             }
-            eprintln!("qh: {b}");
+            eprintln!("quincehatchctl: {b}");
             std::process::exit(i32::from(b.code / 100));
         }
     }
--- a/crates/qh/src/show.rs
+++ b/crates/ctl/src/show.rs
@@ -217,7 +217,7 @@
             )
         }
         "promote" => format!(
-            "node {} hands the lead of {} over; see `qh explain promotions`\n",
+            "node {} hands the lead of {} over; see `quincehatchctl explain promotions`\n",
             s(&v["asked"]),
             s(&v["group"])
         ),
--- a/crates/qh-control/src/promotion.rs
+++ b/crates/failover/src/promotion.rs
@@ -1,6 +1,6 @@
 //! Promotion of one group under one fence (§5.5). Sans-IO: the same steps run in a node and in the simulator.
 pub use crate::words::{In, Out, Phase, Plan};
-use qh_core::{Fence, Lead, Ms, Name, Position};
+use quincehatch_core::{Fence, Lead, Ms, Name, Position};
 use std::collections::{BTreeMap, BTreeSet};
 
 mod synced;
@@ -223,14 +223,15 @@
             return;
         }
         let ends = may.iter().map(|(_, p)| **p);
-        let top = if qh_core::rt::broken("short-log") { ends.min() } else { ends.max() }.unwrap_or_default();
+        let top = if quincehatch_runtime::rt::broken("short-log") { ends.min() } else { ends.max() }
+            .unwrap_or_default();
         let best: Vec<Name> = may.iter().filter(|(_, p)| **p == top).map(|(n, _)| (*n).clone()).collect();
         let wanted = self.plan.want.as_ref().filter(|w| best.contains(w));
         self.chosen = wanted.or(best.first()).cloned();
         let s = self.chosen.clone().unwrap_or_default();
         self.say(&format!("chose {s} at {}.{} of {} fenced", top.fence, top.n, self.fenced.len()));
         // The server is told of no list that the chain does not have (§5.5).
-        let listed = self.lists.last() == Some(&self.counts()) || qh_core::rt::broken("unlisted");
+        let listed = self.lists.last() == Some(&self.counts()) || quincehatch_runtime::rt::broken("unlisted");
         self.turn(now, if listed { Phase::Promoting } else { Phase::Listing });
     }
 }
--- a/crates/qh-control/src/promotion/synced.rs
+++ b/crates/failover/src/promotion/synced.rs
@@ -1,7 +1,7 @@
 //! The choosing step where commits go by receiving replicas (§5.5).
 use super::{Phase, Promotion};
 use crate::sync::{Case, WAIT};
-use qh_core::Ms;
+use quincehatch_core::Ms;
 
 impl Promotion {
     pub(super) fn choose_synced(&mut self, now: Ms) {
--- a/crates/qh-control/src/sync.rs
+++ b/crates/failover/src/sync.rs
@@ -12,7 +12,7 @@
 //! Otherwise nobody is promoted. Without sync replicas nothing is known of any log but the old lead's own: the highest
 //! that can be had is taken after a while.
 use crate::watch::{Need, Sight};
-use qh_core::{Fence, Ms, Name, Position};
+use quincehatch_core::{Fence, Ms, Name, Position};
 use std::collections::BTreeMap;
 
 /// The lead's STATUS unanswered this long is a silence.
@@ -60,7 +60,7 @@
     /// The end that holds all that was acknowledged, if any is known to.
     pub fn reach(&self) -> Option<Position> {
         let Group { n, holders, .. } = self.group;
-        if qh_core::rt::broken("sync-any") {
+        if quincehatch_runtime::rt::broken("sync-any") {
             return Some(Position::default());
         }
         let by_old = self.old.and_then(|o| self.still.get(o)).copied();
--- a/crates/qh-control/src/watch.rs
+++ b/crates/failover/src/watch.rs
@@ -1,5 +1,5 @@
 //! When a group needs a promotion (§5.5): the wanted state against what is seen. Sans-IO.
-use qh_core::{Lead, Ms, Name};
+use quincehatch_core::{Lead, Ms, Name};
 
 /// STATUS unanswered this long, and others see the same: the breakdown is final.
 pub const SILENT: Ms = 2_500;
--- a/crates/qh-control/src/words.rs
+++ b/crates/failover/src/words.rs
@@ -1,5 +1,5 @@
 //! What goes into a promotion's steps and what comes out of them (§5.5).
-use qh_core::{Fence, Lead, Name, Position, messages};
+use quincehatch_core::{Fence, Lead, Name, Position, messages};
 
 messages! {
     #[derive(Copy, Eq)]
--- a/crates/qh-control/tests/promotion.rs
+++ b/crates/failover/tests/promotion.rs
@@ -1,6 +1,6 @@
 //! A promotion's steps: what it writes before it tells a server anything, and of whom it chooses (§5.5).
-use qh_control::promotion::{In, Out, Phase, Plan, Promotion};
-use qh_core::{Lead, Name, Position};
+use quincehatch_core::{Lead, Name, Position};
+use quincehatch_failover::promotion::{In, Out, Phase, Plan, Promotion};
 
 fn names(of: &str) -> Vec<Name> {
     of.chars().map(|c| c.to_string().into()).collect()
--- a/crates/qh-control/tests/sync.rs
+++ b/crates/failover/tests/sync.rs
@@ -1,7 +1,7 @@
 //! Whom to promote by receiving replicas (§5.5), over every small case, against what could have been acknowledged.
-use qh_control::sync::{Case, Group, Mark, dead, need};
-use qh_control::watch::{Need, Sight};
-use qh_core::{Lead, Name, Position};
+use quincehatch_core::{Lead, Name, Position};
+use quincehatch_failover::sync::{Case, Group, Mark, dead, need};
+use quincehatch_failover::watch::{Need, Sight};
 use std::collections::BTreeMap;
 
 fn at(n: u64) -> Position {
--- a/crates/qh-control/tests/watch.rs
+++ b/crates/failover/tests/watch.rs
@@ -1,7 +1,7 @@
 //! When a node waits for another's change of hands (§5.5): two nodes may look after one group for a while.
-use qh_control::watch::{Need, SILENT, STUCK, Sight, need};
-use qh_control::{sync, watch};
-use qh_core::Lead;
+use quincehatch_core::Lead;
+use quincehatch_failover::watch::{Need, SILENT, STUCK, Sight, need};
+use quincehatch_failover::{sync, watch};
 
 fn silent_lead() -> Sight {
     let lead = Lead { fence: 3, server: Some("a".into()), ..Default::default() };
--- a/crates/qh-mesh/src/calls.rs
+++ b/crates/gossip/src/calls.rs
@@ -1,6 +1,6 @@
 //! Which calls between nodes may be sent again, and what they are recognized by then (§2.6).
 use crate::messages::{NodeQuery, NodeRequest, NodeResponse};
-use qh_core::wire::{Call, Key, Repeat};
+use quincehatch_wire::{Call, Key, Repeat};
 
 impl Call for NodeRequest {
     type Answer = NodeResponse;
--- a/crates/qh-mesh/src/copies.rs
+++ b/crates/gossip/src/copies.rs
@@ -1,7 +1,7 @@
 //! Copies of session contexts, compared by digests over ranges and mended from the newer (§6.4). Sans-IO.
 use crate::duty::owners;
-use qh_core::{Ms, Name, Version, hash64};
-use qh_data::session::Context;
+use quincehatch_core::{Ms, Name, Version, hash64};
+use quincehatch_proxy::session::Context;
 use std::collections::BTreeMap;
 
 pub const RANGES: usize = 16;
--- a/crates/qh-mesh/src/duty.rs
+++ b/crates/gossip/src/duty.rs
@@ -1,5 +1,5 @@
 //! Duties are cut by key over the live nodes; whoever takes one over needs a higher fence (§6.3).
-use qh_core::{Name, rendezvous};
+use quincehatch_core::{Name, rendezvous};
 
 /// Who looks after `key`, of these live nodes.
 pub fn owner<'a>(key: &str, live: &'a [Name]) -> Option<&'a Name> {
--- a/crates/qh-mesh/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -2,8 +2,8 @@
 //! Sans-IO.
 use crate::messages::{GossipEnvelope, GossipMessage, Life, Rumor};
 use crate::probe::Relay;
-use qh_core::rng::Rng;
-use qh_core::{Beat, Ms, Name};
+use quincehatch_core::{Beat, Ms, Name};
+use quincehatch_runtime::rng::Rng;
 use std::collections::BTreeMap;
 
 /// Nodes remembered at most.
--- a/crates/qh-mesh/src/messages.rs
+++ b/crates/gossip/src/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between nodes (§6).
 use crate::short;
-use qh_core::{Beat, Fence, Name, Position, Version, messages};
-use qh_data::session::Context;
+use quincehatch_core::{Beat, Fence, Name, Position, Version, messages};
+use quincehatch_proxy::session::Context;
 
 messages! {
     #[derive(Copy, Eq, Hash, PartialOrd, Ord, Default)]
--- a/crates/qh-mesh/src/probe.rs
+++ b/crates/gossip/src/probe.rs
@@ -1,7 +1,7 @@
 //! Asking, suspecting, burying, shuffling, and passing beats on: what the mesh does as time passes (§6.2).
 use crate::member::{INDIRECT_WITHIN, Mesh, NO_PROBE, Out, Probe, VIEW};
 use crate::messages::{GossipEnvelope, GossipMessage, Life, Rumor};
-use qh_core::{Beat, Ms, Name};
+use quincehatch_core::{Beat, Ms, Name};
 
 const PONG_WITHIN: Ms = 250;
 const SUSPECT_FOR: Ms = 1_200;
--- a/crates/qh-mesh/src/short.rs
+++ b/crates/gossip/src/short.rs
@@ -1,7 +1,7 @@
 //! Names in the messages that nodes send most: one byte of length where a name is short, as nearly all are.
 use borsh::io::{Error, ErrorKind, Read, Result, Write};
 use borsh::{BorshDeserialize, BorshSerialize};
-use qh_core::Name;
+use quincehatch_core::Name;
 
 /// Stands for a longer name, which follows with borsh's own length.
 const LONG: u8 = u8::MAX;
--- a/crates/qh-mesh/tests/member.rs
+++ b/crates/gossip/tests/member.rs
@@ -1,8 +1,8 @@
 //! Who is held to be alive comes to the same at every node once all can reach each other (§6.2): duties rest on it.
-use qh_core::{Ms, Name};
-use qh_mesh::duty::owner;
-use qh_mesh::member::Out;
-use qh_mesh::{GossipEnvelope, Life, Mesh, Rumor};
+use quincehatch_core::{Ms, Name};
+use quincehatch_gossip::duty::owner;
+use quincehatch_gossip::member::Out;
+use quincehatch_gossip::{GossipEnvelope, Life, Mesh, Rumor};
 use std::collections::{BTreeMap, BTreeSet};
 
 const TICK: Ms = 50;
--- a/crates/qh-mesh/tests/probes.rs
+++ b/crates/gossip/tests/probes.rs
@@ -1,7 +1,7 @@
 //! An answer to a probe counts for the node that was probed, in this life of the prober (§6.2).
-use qh_core::{Ms, Name};
-use qh_mesh::member::Out;
-use qh_mesh::{GossipEnvelope, GossipMessage, Life, Mesh, Rumor};
+use quincehatch_core::{Ms, Name};
+use quincehatch_gossip::member::Out;
+use quincehatch_gossip::{GossipEnvelope, GossipMessage, Life, Mesh, Rumor};
 
 fn node(name: &str, addr: &str, inc: u64) -> Rumor {
     Rumor { name: name.into(), addr: addr.into(), district: "d".into(), inc, life: Life::Alive }
--- a/crates/qh-mesh/tests/sessions.rs
+++ b/crates/gossip/tests/sessions.rs
@@ -1,9 +1,9 @@
 //! A session's promises under moves, cut-off owners and mending (§6.4): it is whole, or it is lost; never less.
-use qh_core::Name;
-use qh_core::rng::Rng;
-use qh_data::session::Context;
-use qh_mesh::copies::{RANGES, Table};
-use qh_mesh::duty::owners;
+use quincehatch_core::Name;
+use quincehatch_gossip::copies::{RANGES, Table};
+use quincehatch_gossip::duty::owners;
+use quincehatch_proxy::session::Context;
+use quincehatch_runtime::rng::Rng;
 use std::collections::BTreeMap;
 
 const NODES: usize = 7;
--- a/crates/qhk/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -1,17 +1,18 @@
-//! qhk: a chain keeper, on a machine with a disk (§5).
-use qh_core::settings::{KeeperSettings, read};
-use qh_core::{Code, Error, Name, now};
-use qh_state::disk::Disk;
-use qh_state::host::KeeperHost;
-use qh_state::{Keeper, Machine, View, driver};
+//! quincehatch-keeper: a chain keeper, on a machine with a disk (§5).
+use quincehatch_config::settings::{KeeperSettings, read};
+use quincehatch_core::{Code, Error, Name};
+use quincehatch_runtime::now;
+use quincehatch_store::disk::Disk;
+use quincehatch_store::host::KeeperHost;
+use quincehatch_store::{Keeper, Machine, View, driver};
 
-const HELP: &str = "qhk: a chain keeper of quincehatch
+const HELP: &str = "quincehatch-keeper: a chain keeper of quincehatch
 
-usage: qhk --settings FILE [--init | --join | --check]
+usage: quincehatch-keeper --settings FILE [--init | --join | --check]
 
   --settings FILE   the settings file (TOML)
   --init            first start of the whole chain: make the data folder
-  --join            first start of a machine that `qh members --add` brings in
+  --join            first start of a machine that `quincehatchctl members --add` brings in
   --check           check the settings and end
   --log SPEC        like info, or debug,chain=trace; wins over the file
   -h, --help        this text
@@ -41,7 +42,7 @@
                 return Ok(None);
             }
             Short('V') | Long("version") => {
-                println!("qhk {}", env!("CARGO_PKG_VERSION"));
+                println!("quincehatch-keeper {}", env!("CARGO_PKG_VERSION"));
                 return Ok(None);
             }
             Long("settings") => a.file = Some(p.value().and_then(|v| v.string()).map_err(bad)?),
@@ -84,14 +85,14 @@
         Ok(Some(a)) => a,
         Ok(None) => return,
         Err(b) => {
-            eprintln!("qhk: {b}");
+            eprintln!("quincehatch-keeper: {b}");
             std::process::exit(2);
         }
     };
     let set = match settings(&a) {
         Ok(s) => s,
         Err(b) => {
-            eprintln!("qhk: {b}");
+            eprintln!("quincehatch-keeper: {b}");
             std::process::exit(2);
         }
     };
@@ -101,13 +102,13 @@
     }
     let rt = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     if let Err(b) = rt.map_err(bad).and_then(|rt| rt.block_on(serve(&a, &set))) {
-        eprintln!("qhk: {b}");
+        eprintln!("quincehatch-keeper: {b}");
         std::process::exit(1);
     }
 }
 
 async fn serve(a: &Args, set: &KeeperSettings) -> Result<(), Error> {
-    let _log = qh_core::logs::start(&set.log).map_err(bad)?;
+    let _log = quincehatch_runtime::logs::start(&set.log).map_err(bad)?;
     let (disk, found) = Disk::open(std::path::Path::new(&set.data), &set.name, first(a, set))?;
     let lst = tokio::net::TcpListener::bind(&set.addr)
         .await
--- a/crates/qhlab/src/args.rs
+++ b/crates/lab/src/args.rs
@@ -1,21 +1,21 @@
-//! Flags of qhlab.
+//! Flags of quincehatch-lab.
 use crate::capacity::One;
-use qh_lab::capacity::hollow;
-use qh_lab::control_sim::Allowed;
-use qh_lab::{fleet, stand};
+use quincehatch_capacity::hollow;
+use quincehatch_simulator::control::Allowed;
+use quincehatch_testbed::{fleet, stand};
 
-const HELP: &str = "qhlab: the lab of quincehatch
+const HELP: &str = "quincehatch-lab: the lab of quincehatch
 
-usage: qhlab fleet up [--shape thin|small|scripwell|lensbridge|nodes:N] [--dir DIR] [--port N]
-       qhlab try [--scenario NAME|all] [--shape ...] [--seconds N] [--callers N] [--pause-ms N] [--seed N]
+usage: quincehatch-lab fleet up [--shape thin|small|scripwell|lensbridge|nodes:N] [--dir DIR] [--port N]
+       quincehatch-lab try [--scenario NAME|all] [--shape ...] [--seconds N] [--callers N] [--pause-ms N] [--seed N]
                  [--untimed]
-       qhlab sim [--seeds N] [--from SEED] [--keepers N] [--nodes N] [--bug NAME] [--final|--hands|--held]
-       qhlab sim --control [--allow LIST] [--seeds N] [--from SEED] [--bug NAME]
-       qhlab bench front|judges|push|mesh|long|all-bad|faults [--rounds N] [--shape ...]
-       qhlab bench capacity [--rounds N] [--part parts|sessions|fleet|changes|counted|all]
-       qhlab stand --name NAME --addr IP:PORT [--label K=V] [--peer IP:PORT] [--desk IP:PORT] [--data DIR]
+       quincehatch-lab sim [--seeds N] [--from SEED] [--keepers N] [--nodes N] [--bug NAME] [--final|--hands|--held]
+       quincehatch-lab sim --control [--allow LIST] [--seeds N] [--from SEED] [--bug NAME]
+       quincehatch-lab bench front|judges|push|mesh|long|all-bad|faults [--rounds N] [--shape ...]
+       quincehatch-lab bench capacity [--rounds N] [--part parts|sessions|fleet|changes|counted|all]
+       quincehatch-lab stand --name NAME --addr IP:PORT [--label K=V] [--peer IP:PORT] [--desk IP:PORT] [--data DIR]
                    [--relay IP:PORT]
-       qhlab platform --addr IP:PORT --door DISTRICT=IP:PORT ...
+       quincehatch-lab platform --addr IP:PORT --door DISTRICT=IP:PORT ...
 
   fleet up    starts a whole fleet on loopback, pushes a blueprint, and runs until Enter or a signal
   try         starts a fleet, runs callers and a script of faults, and checks that no must-never happened
@@ -34,7 +34,7 @@
     Capacity(String, usize),
     /// One fleet of hollow nodes, or sessions that rest, measured in this process.
     Hollow(crate::capacity::One),
-    Try(Up, qh_lab::scenario::Opts),
+    Try(Up, quincehatch_testbed::scenario::Opts),
     Stand(stand::Args),
     Platform {
         addr: String,
@@ -120,7 +120,7 @@
                 return Ok(None);
             }
             Short('V') | Long("version") => {
-                println!("qhlab {}", env!("CARGO_PKG_VERSION"));
+                println!("quincehatch-lab {}", env!("CARGO_PKG_VERSION"));
                 return Ok(None);
             }
             Long(k @ ("untimed" | "final" | "hands" | "held" | "control")) => {
@@ -180,7 +180,7 @@
         })))),
         ["bench", what] => Ok(Some(Cmd::Bench(up(&b)?, (*what).to_owned(), b.num("rounds", 5)?))),
         ["try"] => {
-            let o = qh_lab::scenario::Opts {
+            let o = quincehatch_testbed::scenario::Opts {
                 scenario: b.one("scenario").unwrap_or_else(|| "mixed".into()),
                 seconds: b.num("seconds", 24)?,
                 callers: b.num("callers", 60)?,
--- a/crates/qhlab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -1,10 +1,10 @@
-//! `qhlab bench` (§9.5): ratios, counts and pairs in turn; results go to docs/measurements.md by hand.
+//! `quincehatch-lab bench` (§9.5): ratios, counts and pairs in turn; results go to docs/measurements.md by hand.
 use crate::args::Up;
 use crate::up;
-use qh_core::http::{Call, Wire};
-use qh_core::now;
-use qh_lab::running::Running;
-use qh_lab::scenario::op;
+use quincehatch_runtime::now;
+use quincehatch_testbed::running::Running;
+use quincehatch_testbed::scenario::op;
+use quincehatch_wire::http::{Call, Wire};
 use serde_json::{Value, json};
 use std::time::Duration;
 
@@ -130,14 +130,16 @@
                     tokio::spawn(async move {
                         let text = if fastrand::u64(..1_000) < long_pm { "sleep 4000" } else { "get x" };
                         let b = json!({"text": text, "labels": {"db": "g1"}});
-                        let _ = qh_core::http::post(&door, "/v1/lookup", &b, Duration::from_secs(4)).await;
+                        let _ = quincehatch_wire::http::post(&door, "/v1/lookup", &b, Duration::from_secs(4))
+                            .await;
                     });
                     tokio::time::sleep(Duration::from_millis(25)).await;
                 }
             });
             tokio::time::sleep(Duration::from_millis(1_500)).await;
             let began = now();
-            let _ = qh_core::http::post(&victim.addr, "/lab/fault", &wish, Duration::from_secs(1)).await;
+            let _ =
+                quincehatch_wire::http::post(&victim.addr, "/lab/fault", &wish, Duration::from_secs(1)).await;
             while verdict(&r, 0, &victim.name).await.as_deref() != Some("set-aside") && now() < began + 40_000
             {
                 tokio::time::sleep(Duration::from_millis(5)).await;
@@ -157,7 +159,8 @@
         let text = std::fs::read_to_string(&r.plan.blueprint).map_err(|e| e.to_string())?;
         let mut figures = Vec::new();
         for i in 0..rounds {
-            let body = json!({"text": qh_lab::script::marked(&text, i as u64), "key": format!("b{i}")});
+            let body =
+                json!({"text": quincehatch_testbed::script::marked(&text, i as u64), "key": format!("b{i}")});
             let began = now();
             let got = op(&r.plan.nodes[i % nodes].desk, "push", &body, 14_000).await;
             got.filter(|g| g.0 == 200).ok_or("a push was declined")?;
--- a/crates/qhlab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -1,7 +1,7 @@
-//! `qhlab bench capacity` (§9.6): the slopes of docs/CAPACITY.md. Each fleet runs in a process of its own.
+//! `quincehatch-lab bench capacity` (§9.6): the slopes of docs/CAPACITY.md. Each fleet runs in a process of its own.
 use crate::bench::spread;
-use qh_lab::capacity::fit::{fit, spread as of};
-use qh_lab::capacity::{counted, hollow, parts, sessions, tail, this_thread};
+use quincehatch_capacity::fit::{fit, spread as of};
+use quincehatch_capacity::{counted, hollow, parts, sessions, tail, this_thread};
 use serde_json::{Value, json};
 use std::process::{Command, Stdio};
 
@@ -21,7 +21,7 @@
 pub fn one(w: &One) -> Result<(), String> {
     let said = match w {
         One::Fleet(s) => {
-            let dir = std::env::temp_dir().join(format!("qhlab-capacity-{}", std::process::id()));
+            let dir = std::env::temp_dir().join(format!("quincehatch-capacity-{}", std::process::id()));
             let got = hollow::run(s, &dir);
             let _ = std::fs::remove_dir_all(&dir);
             got?
--- a/crates/qhlab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! qhlab: stand-ins, a whole fleet on one machine, load, faults, checks (§9).
+//! quincehatch-lab: stand-ins, a whole fleet on one machine, load, faults, checks (§9).
 mod args;
 mod bench;
 mod bench_fleet;
@@ -9,14 +9,14 @@
 mod simulate_held;
 mod up;
 
-use qh_lab::{platform, stand};
+use quincehatch_testbed::{platform, stand};
 
 fn main() {
     let cmd = match args::read() {
         Ok(Some(c)) => c,
         Ok(None) => return,
         Err(e) => {
-            eprintln!("qhlab: {e}\ntry `qhlab --help`");
+            eprintln!("quincehatch-lab: {e}\ntry `quincehatch-lab --help`");
             std::process::exit(2);
         }
     };
@@ -37,7 +37,7 @@
     let done = rt.block_on(async {
         match cmd {
             args::Cmd::Stand(a) => {
-                let _log = qh_core::logs::start("info")?;
+                let _log = quincehatch_runtime::logs::start("info")?;
                 stand::run(a).await.map_err(|e| e.to_string())
             }
             args::Cmd::Platform { addr, doors } => {
@@ -57,7 +57,7 @@
 
 fn end(done: Result<(), String>) -> ! {
     if let Err(e) = done {
-        eprintln!("qhlab: {e}");
+        eprintln!("quincehatch-lab: {e}");
         std::process::exit(1);
     }
     std::process::exit(0);
--- a/crates/qhlab/src/simulate.rs
+++ b/crates/lab/src/simulate.rs
@@ -1,7 +1,7 @@
-//! `qhlab sim`: many seeds, side by side (§9.1).
+//! `quincehatch-lab sim`: many seeds, side by side (§9.1).
 use crate::args::Sim;
 use crate::breaches;
-use qh_lab::sim;
+use quincehatch_simulator::fleet;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 
@@ -38,10 +38,10 @@
     (all, lost)
 }
 
-fn one(s: &Sim, seed: u64) -> sim::Report {
+fn one(s: &Sim, seed: u64) -> fleet::Report {
     let groups = if seed.is_multiple_of(8) { 3 } else { 1 };
     let (keepers, nodes, bug) = (s.keepers, s.nodes, s.bug.clone());
-    sim::run(&sim::Sim {
+    fleet::run(&fleet::Sim {
         seed,
         keepers,
         nodes,
@@ -56,7 +56,7 @@
 pub fn run(s: &Sim) -> Result<(), String> {
     let (mut all, lost) = each(s, 8, one);
     all.sort_by_key(|r| r.seed);
-    let sum = |f: &dyn Fn(&sim::Report) -> usize| all.iter().map(f).sum::<usize>();
+    let sum = |f: &dyn Fn(&fleet::Report) -> usize| all.iter().map(f).sum::<usize>();
     let failed = breaches::report(all.iter().map(|r| (r.seed, r.breaches.as_slice())), REPORTED);
     let worst = all.iter().map(|r| r.back_ms).max().unwrap_or(0);
     println!(
--- a/crates/qhlab/src/simulate_control.rs
+++ b/crates/lab/src/simulate_control.rs
@@ -1,8 +1,8 @@
-//! `qhlab sim --control`: many seeds of the simulated control plane (§9.8).
+//! `quincehatch-lab sim --control`: many seeds of the simulated control plane (§9.8).
 use crate::args::Sim;
 use crate::breaches;
 use crate::simulate::each;
-use qh_lab::control_sim::{ControlSim, Report, run as run_one};
+use quincehatch_simulator::control::{ControlSim, Report, run as run_one};
 
 const THREADS: usize = 8;
 const REPORTED: usize = 6;
--- a/crates/qhlab/src/simulate_held.rs
+++ b/crates/lab/src/simulate_held.rs
@@ -1,8 +1,8 @@
-//! `qhlab sim --held`: many seeds of fleets whose servers are met over held links (§9.1).
+//! `quincehatch-lab sim --held`: many seeds of fleets whose servers are met over held links (§9.1).
 use crate::args::Sim;
 use crate::breaches;
 use crate::simulate::{REPORTED, each};
-use qh_lab::sim::held::{HeldReport, HeldSim, run as run_one};
+use quincehatch_simulator::direct::{HeldReport, HeldSim, run as run_one};
 
 fn one(s: &Sim, seed: u64) -> HeldReport {
     let (keepers, nodes, bug) = (s.keepers, s.nodes, s.bug.clone());
--- a/crates/qhlab/src/up.rs
+++ b/crates/lab/src/up.rs
@@ -1,8 +1,8 @@
-//! `qhlab fleet up`: a fleet to try things on (§9.1).
+//! `quincehatch-lab fleet up`: a fleet to try things on (§9.1).
 use crate::args::Up;
-use qh_core::http::{Call, once};
-use qh_lab::fleet::{Plan, Shape, TOKEN, plan};
-use qh_lab::running::Running;
+use quincehatch_testbed::fleet::{Plan, Shape, TOKEN, plan};
+use quincehatch_testbed::running::Running;
+use quincehatch_wire::http::{Call, once};
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
@@ -22,7 +22,7 @@
 
 async fn push(p: &Plan, within: Duration) -> Result<(), String> {
     let text = std::fs::read_to_string(&p.blueprint).map_err(|e| e.to_string())?;
-    let body = json!({"text": text, "key": "first", "base": 0, "by": "qhlab"});
+    let body = json!({"text": text, "key": "first", "base": 0, "by": "quincehatch-lab"});
     let until = Instant::now() + within;
     loop {
         let c = Call { method: "POST", path: "/op/push", body: &body, token: Some(TOKEN) };
@@ -64,7 +64,7 @@
         println!("node {} in {}: origins at http://{}, desk at {}", n.name, n.district, n.door, n.desk);
     }
     println!("platform at {}", r.plan.platform);
-    println!("try: qh --node {} --token {TOKEN} status", r.plan.nodes[0].desk);
+    println!("try: quincehatchctl --node {} --token {TOKEN} status", r.plan.nodes[0].desk);
     println!("stop with Ctrl-C");
     use tokio::signal::unix::{SignalKind, signal};
     let mut term = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
@@ -74,8 +74,8 @@
 }
 
 /// Runs one scenario or all, each on a fleet of its own; any breach fails.
-pub async fn tried(u: Up, o: qh_lab::scenario::Opts) -> Result<(), String> {
-    use qh_lab::{scenario, script};
+pub async fn tried(u: Up, o: quincehatch_testbed::scenario::Opts) -> Result<(), String> {
+    use quincehatch_testbed::{scenario, script};
     let names: Vec<&str> = if o.scenario == "all" { script::ALL.to_vec() } else { vec![o.scenario.as_str()] };
     let mut bad = 0;
     for n in names {
--- a/crates/qhd/src/acknowledged.rs
+++ b/crates/node/src/acknowledged.rs
@@ -2,10 +2,11 @@
 //! (§5.5): what a choice by nodes' word rests on.
 use crate::Fleet;
 use crate::server_queries::ask;
-use qh_core::{Fence, Name, Position, rt};
-use qh_data::port::Call;
-use qh_mesh::{NodeQuery, NodeReply};
-use qh_state::{Reply, Request};
+use quincehatch_core::{Fence, Name, Position};
+use quincehatch_gossip::{NodeQuery, NodeReply};
+use quincehatch_proxy::port::Call;
+use quincehatch_runtime::rt;
+use quincehatch_store::{Reply, Request};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
--- a/crates/qhd/src/args.rs
+++ b/crates/node/src/args.rs
@@ -1,13 +1,13 @@
-//! Flags and settings of qhd (§8.1). A flag wins over the file.
-use qh_core::logs::Log;
-use qh_core::settings::{NodeSettings, read as read_file};
-use qh_core::{Code, Error};
+//! Flags and settings of quincehatch-node (§8.1). A flag wins over the file.
+use quincehatch_config::settings::{NodeSettings, read as read_file};
+use quincehatch_core::{Code, Error};
+use quincehatch_runtime::logs::Log;
 use std::time::{Duration, SystemTime};
 
-pub const HELP: &str = "qhd: a node of quincehatch
+pub const HELP: &str = "quincehatch-node: a node of quincehatch
 
-usage: qhd --settings FILE [flags]
-       qhd --check --settings FILE
+usage: quincehatch-node --settings FILE [flags]
+       quincehatch-node --check --settings FILE
 
   --settings FILE   the settings file (TOML); flags below win over it
   --check           check the settings and end
@@ -45,7 +45,7 @@
                 return Ok(None);
             }
             Short('V') | Long("version") => {
-                println!("qhd {}", env!("CARGO_PKG_VERSION"));
+                println!("quincehatch-node {}", env!("CARGO_PKG_VERSION"));
                 return Ok(None);
             }
             Long("settings") => file = Some(p.value().and_then(|v| v.string()).map_err(bad)?),
--- a/crates/qhd/src/chain_client.rs
+++ b/crates/node/src/chain_client.rs
@@ -1,10 +1,11 @@
 //! Writes to the chain's head, sent again under the same key until they are answered (§5.2).
-use qh_core::rt;
-use qh_core::wire::{Caller, Destination, Identity};
-use qh_core::{Code, Error, Name, now};
-use qh_state::{
+use quincehatch_core::{Code, Error, Name};
+use quincehatch_runtime::now;
+use quincehatch_runtime::rt;
+use quincehatch_store::{
     Adopted, Answer, Command, KeeperRequest, KeeperResponse, KeeperStatus, Reply, Request, Store, View,
 };
+use quincehatch_wire::{Caller, Destination, Identity};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
--- a/crates/qhd/src/commit_lists.rs
+++ b/crates/node/src/commit_lists.rs
@@ -1,14 +1,15 @@
 //! Which servers count towards a group's commits (§5.5).
 use crate::Fleet;
-use qh_control::watch::{Seen, Sight};
-use qh_core::{Name, State, now, rt};
-use qh_state::store::duty_of;
+use quincehatch_core::{Name, State};
+use quincehatch_failover::watch::{Seen, Sight};
+use quincehatch_runtime::{now, rt};
+use quincehatch_store::store::duty_of;
 use std::sync::Arc;
 use std::time::Duration;
 
 /// How the group's servers look from here.
 pub fn seen(f: &Fleet, g: &Name) -> Vec<Seen> {
-    let of = |r: &Arc<qh_data::board::ServerRow>| {
+    let of = |r: &Arc<quincehatch_proxy::board::ServerRow>| {
         let st = r.status.lock().unwrap();
         let failing = st.failing.map(|at| now().saturating_sub(at)).or((st.answered == 0).then_some(0));
         Seen { name: r.name.clone(), leaving: st.left.is_some(), failing }
@@ -22,11 +23,11 @@
     let row = lead.server.as_ref().and_then(|n| f.node.board.row(n));
     let shows = row.is_some_and(|r| {
         let b = r.beat.read().unwrap();
-        b.role == qh_core::Role::Primary && b.fence == lead.fence && b.state == State::Up
+        b.role == quincehatch_core::Role::Primary && b.fence == lead.fence && b.state == State::Up
     });
     if shows {
         let (f, g, key) = (f.clone(), g.clone(), format!("{}/lists/{}", duty_of(g), lead.fence));
-        let cmd = qh_state::Command::Settle { group: g, fence: lead.fence };
+        let cmd = quincehatch_store::Command::Settle { group: g, fence: lead.fence };
         rt::spawn(async move { drop(f.chain.write(&key, cmd, Duration::from_secs(3)).await) });
     }
 }
--- a/crates/qhd/src/copies.rs
+++ b/crates/node/src/copies.rs
@@ -1,11 +1,12 @@
 //! Sessions' copies over the mesh: placed before they are promised, mended by digests (§6.4).
 use crate::Fleet;
 use crate::mesh_driver::Net;
-use qh_core::{Code, Error, Name, Version, now};
-use qh_data::node::{Copies, Fut};
-use qh_data::session::Context;
-use qh_mesh::duty::owners;
-use qh_mesh::{NodeQuery, NodeReply};
+use quincehatch_core::{Code, Error, Name, Version};
+use quincehatch_gossip::duty::owners;
+use quincehatch_gossip::{NodeQuery, NodeReply};
+use quincehatch_proxy::node::{Copies, Fut};
+use quincehatch_proxy::session::Context;
+use quincehatch_runtime::now;
 use std::sync::Arc;
 
 /// Copies are compared with one other owner by digests over ranges and mended from the newer; copies whose
--- a/crates/qhd/src/duties.rs
+++ b/crates/node/src/duties.rs
@@ -3,11 +3,12 @@
 pub use crate::duty_state::Asked;
 use crate::group::Group;
 use crate::{Fleet, held_duty, held_watch, promoting};
-use qh_control::watch::{Count, Eye, Need, Sight, dead, need, strange, to_count};
-use qh_core::rt;
-use qh_core::{Ms, Name, State, now};
-use qh_mesh::{NodeQuery, NodeReply};
-use qh_state::store::duty_of;
+use quincehatch_core::{Ms, Name, State};
+use quincehatch_failover::watch::{Count, Eye, Need, Sight, dead, need, strange, to_count};
+use quincehatch_gossip::{NodeQuery, NodeReply};
+use quincehatch_runtime::now;
+use quincehatch_runtime::rt;
+use quincehatch_store::store::duty_of;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -52,7 +53,7 @@
             let st = groups.entry(g.clone()).or_default();
             let leadership = f.known.lock().unwrap().leadership(&g);
             st.look(leadership, f.duty.own_fence(&g));
-            let owner = qh_mesh::duty::owner(&duty_of(&g), &live);
+            let owner = quincehatch_gossip::duty::owner(&duty_of(&g), &live);
             mine |= owner == Some(&f.mesh.me);
             f.duty.keep_settled(&g, st.lead.as_ref().filter(|_| owner == Some(&f.mesh.me)));
             if owner != Some(&f.mesh.me) {
@@ -117,7 +118,7 @@
     s.leaving = row.leaving();
     s.stalled = f.duty.suspected(g, &row.name).max(row.health.lock().unwrap().stalled(now()));
     let b = row.beat.read().unwrap().clone();
-    let leads = b.role == qh_core::Role::Primary && b.fence == fence && b.state != State::Starting;
+    let leads = b.role == quincehatch_core::Role::Primary && b.fence == fence && b.state != State::Starting;
     let wrong_now = !leads && status.failing.is_none() && status.answered > 0;
     st.wrong = if wrong_now { st.wrong.or(Some(now())) } else { None };
     s.wrong = st.wrong.map(|at| now().saturating_sub(at));
@@ -148,7 +149,7 @@
     let want = if stays { old.clone() } else { want };
     let last = s.lead.as_ref().map_or_else(Vec::new, |l| l.counts.clone());
     let counts = to_count(s.copies, &seen(f, g), &last);
-    let plan = qh_control::promotion::Plan {
+    let plan = quincehatch_failover::promotion::Plan {
         group: g.clone(),
         by: f.mesh.me.clone(),
         attempt: format!("{}/{}/{:x}", duty_of(g), f.mesh.me, fastrand::u64(..)).into(),
@@ -201,7 +202,7 @@
     {
         let low = r.beat.read().unwrap().fence < lead.fence;
         if low && r.status.lock().unwrap().failing.is_none() {
-            let (path, body) = qh_data::server::call::fence(lead.fence);
+            let (path, body) = quincehatch_proxy::server::call::fence(lead.fence);
             let _ = f.node.once(&r.addr(), path, body, Duration::from_millis(500)).await;
         }
     }
--- a/crates/qhd/src/duty_state.rs
+++ b/crates/node/src/duty_state.rs
@@ -1,5 +1,6 @@
 //! What the duties of this node keep beside the blackboard: wishes, suspicions, answers, words for operators (§5.5).
-use qh_core::{Fence, Lead, Ms, Name, now, rt};
+use quincehatch_core::{Fence, Lead, Ms, Name};
+use quincehatch_runtime::{now, rt};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
@@ -18,7 +19,7 @@
     /// The newest fence that this process took for each group.
     own_fences: Mutex<BTreeMap<Name, Fence>>,
     pub life: Life,
-    /// The last promotions, newest last, for `qh explain`.
+    /// The last promotions, newest last, for `quincehatchctl explain`.
     pub told: Mutex<Vec<String>>,
 }
 
--- a/crates/qhd/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -1,11 +1,12 @@
 //! Follows the numbered feed from the tail and holds the node's lease along it (§5.2, §5.6).
 use crate::Fleet;
-use qh_core::blueprint::Blueprint;
-use qh_core::rt;
-use qh_core::{Beat, ChangeNo, Name, ServerRecord, State, now};
-use qh_data::board::Plan;
-use qh_state::terms::safe;
-use qh_state::{Answer, Command, FeedState, Reply, Request};
+use quincehatch_config::blueprint::Blueprint;
+use quincehatch_core::{Beat, ChangeNo, Name, ServerRecord, State};
+use quincehatch_proxy::board::Plan;
+use quincehatch_runtime::now;
+use quincehatch_runtime::rt;
+use quincehatch_store::terms::safe;
+use quincehatch_store::{Answer, Command, FeedState, Reply, Request};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
--- a/crates/qhd/src/fencing.rs
+++ b/crates/node/src/fencing.rs
@@ -1,7 +1,7 @@
 //! Takes the fence of a group's duty, over the leadership that was planned for and no other (§5.4).
 use crate::Fleet;
-use qh_core::{Code, Fence, Name};
-use qh_state::{Answer, Command, Leadership};
+use quincehatch_core::{Code, Fence, Name};
+use quincehatch_store::{Answer, Command, Leadership};
 use std::time::Duration;
 
 /// How the try for a fence went.
--- a/crates/qhd/src/group.rs
+++ b/crates/node/src/group.rs
@@ -1,7 +1,8 @@
 //! What a node keeps of one group whose lead it may have to look after (§5.5).
 use crate::Fleet;
-use qh_core::{Fence, Lead, Ms, Name, now, rt};
-use qh_state::Leadership;
+use quincehatch_core::{Fence, Lead, Ms, Name};
+use quincehatch_runtime::{now, rt};
+use quincehatch_store::Leadership;
 
 /// A promotion is not begun again sooner.
 const REST: Ms = 3_000;
--- a/crates/qhd/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -4,10 +4,11 @@
 use crate::fencing::{Taken, next_fence};
 use crate::held_promotion::follow;
 use crate::server_queries::{self, ask};
-use qh_control::promotion::Plan;
-use qh_core::{Fence, Lead, Ms, Name, Position, Role, now, rt};
-use qh_data::port::{Call, Promoted};
-use qh_state::{Command, Leadership};
+use quincehatch_core::{Fence, Lead, Ms, Name, Position, Role};
+use quincehatch_failover::promotion::Plan;
+use quincehatch_proxy::port::{Call, Promoted};
+use quincehatch_runtime::{now, rt};
+use quincehatch_store::{Command, Leadership};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -73,7 +74,7 @@
     let leaving = plan.sync.as_ref().map_or(&[][..], |s| &s.leaving);
     let may: Vec<&Name> = plan.servers.iter().filter(|s| *s != old && !leaving.contains(s)).collect();
     let looks = rt::all(may.iter().map(|s| ask(f, s, Call::Status))).await;
-    let of = |(s, l): (&&Name, Option<qh_data::port::Look>)| l.map(|l| (l.received, (*s).clone()));
+    let of = |(s, l): (&&Name, Option<quincehatch_proxy::port::Look>)| l.map(|l| (l.received, (*s).clone()));
     let all: Vec<(Position, Name)> = may.iter().zip(looks).filter_map(of).collect();
     let wanted = plan.want.as_ref().and_then(|w| all.iter().find(|(_, s)| s == w));
     wanted.or_else(|| all.iter().max_by_key(|(end, _)| *end)).map(|(_, s)| s.clone())
--- a/crates/qhd/src/held_promotion.rs
+++ b/crates/node/src/held_promotion.rs
@@ -1,9 +1,10 @@
 //! One promotion's questions where servers are met over held links (§3.6, §5.5).
 use crate::Fleet;
 use crate::server_queries::{self, ask};
-use qh_control::promotion::{In, Plan};
-use qh_core::{Fence, Name, Role, now, rt};
-use qh_data::port::{Call, Promoted};
+use quincehatch_core::{Fence, Name, Role};
+use quincehatch_failover::promotion::{In, Plan};
+use quincehatch_proxy::port::{Call, Promoted};
+use quincehatch_runtime::{now, rt};
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/qhd/src/held_watch.rs
+++ b/crates/node/src/held_watch.rs
@@ -2,11 +2,12 @@
 use crate::group::Group;
 use crate::server_queries::ask;
 use crate::{Fleet, held_promotion};
-use qh_control::sync::Mark;
-use qh_core::{Ms, Name, Role, now, rt};
-use qh_data::board::ServerRow;
-use qh_data::port::Call;
-use qh_data::verdict::Verdict;
+use quincehatch_core::{Ms, Name, Role};
+use quincehatch_failover::sync::Mark;
+use quincehatch_proxy::board::ServerRow;
+use quincehatch_proxy::port::Call;
+use quincehatch_proxy::verdict::Verdict;
+use quincehatch_runtime::{now, rt};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/qhd/src/lease_roll.rs
+++ b/crates/node/src/lease_roll.rs
@@ -1,8 +1,9 @@
 //! The roll of nodes that may hold leases (§5.6): whoever is gone for good is struck off it, so that no new tail waits
 //! for a lease that nobody holds.
 use crate::Fleet;
-use qh_core::{Ms, Name, now, rt};
-use qh_state::Command;
+use quincehatch_core::{Ms, Name};
+use quincehatch_runtime::{now, rt};
+use quincehatch_store::Command;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +23,7 @@
         for n in nodes.keys().filter(|n| !live.contains(*n)) {
             missed.entry(n.clone()).or_insert(now());
         }
-        let mine = qh_mesh::duty::owner("nodes", &live) == Some(&f.mesh.me);
+        let mine = quincehatch_gossip::duty::owner("nodes", &live) == Some(&f.mesh.me);
         if !mine || !f.node.board.has_lease() {
             continue;
         }
--- a/crates/qhd/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -20,9 +20,9 @@
 pub mod report;
 pub mod server_queries;
 
-use qh_core::rt;
-use qh_core::settings::NodeSettings;
-use qh_data::Node;
+use quincehatch_config::settings::NodeSettings;
+use quincehatch_proxy::Node;
+use quincehatch_runtime::rt;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -31,20 +31,20 @@
     pub node: Arc<Node>,
     pub mesh: Arc<mesh_driver::Net>,
     pub chain: chain_client::Chain,
-    pub known: std::sync::Mutex<qh_state::FeedState>,
+    pub known: std::sync::Mutex<quincehatch_store::FeedState>,
     pub duty: duties::Asked,
     /// The entry that enrolled this process (§5.6), and whether it has left in order.
     pub enrolled: std::sync::atomic::AtomicU64,
     pub left: std::sync::atomic::AtomicBool,
     /// Where servers are met over held links (§3.6); none: over their own HTTP contract (§3.1).
-    pub ports: Option<qh_data::port::Ports>,
+    pub ports: Option<quincehatch_proxy::port::Ports>,
 }
 
 impl Fleet {
     pub fn new(set: &NodeSettings) -> Arc<Fleet> {
         Fleet::with(set, None)
     }
-    pub fn with(set: &NodeSettings, ports: Option<qh_data::port::Ports>) -> Arc<Fleet> {
+    pub fn with(set: &NodeSettings, ports: Option<quincehatch_proxy::port::Ports>) -> Arc<Fleet> {
         let mesh = mesh_driver::Net::new(set);
         let copies = Box::new(copies::MeshCopies(mesh.clone()));
         Arc::new(Fleet {
@@ -65,8 +65,8 @@
         rt::spawn(feed::run(f.clone()));
         rt::spawn(lease_roll::run(f.clone()));
         match f.ports {
-            None => rt::spawn(qh_data::probe::run(f.node.clone())),
-            Some(_) => rt::spawn(qh_data::probe::judge_on(f.node.clone())),
+            None => rt::spawn(quincehatch_proxy::probe::run(f.node.clone())),
+            Some(_) => rt::spawn(quincehatch_proxy::probe::judge_on(f.node.clone())),
         };
         rt::spawn(duties::run(f.clone()));
         rt::spawn(sweep(f.node.clone()));
@@ -82,7 +82,7 @@
     loop {
         rt::sleep(Duration::from_millis(250)).await;
         let idle = n.board.plan().blueprint.as_ref().map_or(10_000, |b| b.holding.txn_idle_ms);
-        qh_data::txn::sweep(&n, idle);
+        quincehatch_proxy::txn::sweep(&n, idle);
         n.forget_idle();
     }
 }
--- a/crates/qhd/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,9 +1,10 @@
-//! qhd: a node. Opens its doors, runs until it is told to stop (§2, §4, §6).
+//! quincehatch-node: a node. Opens its doors, runs until it is told to stop (§2, §4, §6).
 mod args;
 
-use qh_core::settings::NodeSettings;
-use qh_core::{Code, Error, now};
-use qhd::{Fleet, mesh_driver, open_txns, operator_api};
+use quincehatch_config::settings::NodeSettings;
+use quincehatch_core::{Code, Error};
+use quincehatch_node::{Fleet, mesh_driver, open_txns, operator_api};
+use quincehatch_runtime::now;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -16,14 +17,14 @@
         Ok(Some(s)) => s,
         Ok(None) => return,
         Err(b) => {
-            eprintln!("qhd: {b}");
+            eprintln!("quincehatch-node: {b}");
             std::process::exit(2);
         }
     };
     let rt = tokio::runtime::Builder::new_multi_thread().worker_threads(set.threads).enable_all().build();
     let done = rt.map_err(|e| Code::BadSettings.because(e)).and_then(|rt| rt.block_on(run(set, rt.handle())));
     if let Err(b) = done {
-        eprintln!("qhd: {b}");
+        eprintln!("quincehatch-node: {b}");
         std::process::exit(1);
     }
     // Doors run on threads of their own; all that matters is done.
@@ -31,23 +32,23 @@
 }
 
 async fn run(set: NodeSettings, rt: &tokio::runtime::Handle) -> Result<(), Error> {
-    let handle = qh_core::logs::start(&set.log).map_err(|e| Code::BadSettings.because(e))?;
+    let handle = quincehatch_runtime::logs::start(&set.log).map_err(|e| Code::BadSettings.because(e))?;
     let in_use = |e| Code::PortInUse.because(format_args!("{}: {e}", set.mesh));
     let lst = tokio::net::TcpListener::bind(&set.mesh).await.map_err(in_use)?;
     let fleet = Fleet::new(&set);
     let (node, mesh) = (fleet.node.clone(), fleet.mesh.clone());
     let n = node.clone();
-    let door: qh_data::door::Answerer = Arc::new(move |k| {
+    let door: quincehatch_proxy::door::Answerer = Arc::new(move |k| {
         let n = n.clone();
         Box::pin(async move { operator_api::origin(&n, k).await })
     });
-    let door = qh_data::door::open(&set.door, set.threads, door, rt)?;
+    let door = quincehatch_proxy::door::open(&set.door, set.threads, door, rt)?;
     let f = fleet.clone();
-    let at_desk: qh_data::door::Answerer = Arc::new(move |k| {
+    let at_desk: quincehatch_proxy::door::Answerer = Arc::new(move |k| {
         let f = f.clone();
         Box::pin(async move { operator_api::answer(&f, k).await })
     });
-    let desk = qh_data::door::open(&set.desk, 1, at_desk, rt)?;
+    let desk = quincehatch_proxy::door::open(&set.desk, 1, at_desk, rt)?;
     log::info!(target: "node", "node {} in {} listens on {}", set.name, set.district, set.door);
     rt.spawn(mesh_driver::serve(fleet.clone(), lst));
     fleet.go();
@@ -60,7 +61,7 @@
     while now() < until && (node.in_hand.load(Ordering::SeqCst) > 0 || open_txns(&node) > 0) {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    qhd::feed::leave(&fleet).await;
+    quincehatch_node::feed::leave(&fleet).await;
     mesh.leave().await;
     door.close();
     desk.close();
--- a/crates/qhd/src/mesh_driver.rs
+++ b/crates/node/src/mesh_driver.rs
@@ -1,12 +1,15 @@
 //! Runs the mesh under tokio, and keeps sessions' copies over it (§6).
 use crate::{Fleet, report};
-use qh_core::rt;
-use qh_core::settings::NodeSettings;
-use qh_core::wire::{self, Caller, Destination, Identity, Received};
-use qh_core::{Code, Error, Name, now};
-use qh_mesh::copies::Table;
-use qh_mesh::member::Out;
-use qh_mesh::{GossipEnvelope, Life, Mesh, NodeQuery, NodeReply, NodeRequest, NodeResponse, Rumor};
+use quincehatch_config::settings::NodeSettings;
+use quincehatch_core::{Code, Error, Name};
+use quincehatch_gossip::copies::Table;
+use quincehatch_gossip::member::Out;
+use quincehatch_gossip::{
+    GossipEnvelope, Life, Mesh, NodeQuery, NodeReply, NodeRequest, NodeResponse, Rumor,
+};
+use quincehatch_runtime::now;
+use quincehatch_runtime::rt;
+use quincehatch_wire::{Caller, Destination, Identity, Received};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -101,7 +104,7 @@
 }
 
 /// A server's beat, from itself or over the mesh: news is put on the blackboard and spread on.
-pub fn heard_beat(f: &Fleet, b: qh_core::Beat) -> bool {
+pub fn heard_beat(f: &Fleet, b: quincehatch_core::Beat) -> bool {
     let news = f.node.board.beat(b.clone());
     if news {
         f.mesh.mesh.lock().unwrap().spread(b);
@@ -133,15 +136,15 @@
 
 /// The answer to a frame of another process; none where it is no frame of this protocol.
 pub async fn respond(f: &Arc<Fleet>, frame: &[u8]) -> Option<Vec<u8>> {
-    wire::respond(&f.mesh.identity, frame, |k: NodeRequest| knock_held(f, k)).await.ok()
+    quincehatch_wire::respond(&f.mesh.identity, frame, |k: NodeRequest| knock_held(f, k)).await.ok()
 }
 
 /// The same where no server is looked at before, so that nothing is waited for.
 pub fn respond_at_once(f: &Arc<Fleet>, frame: &[u8]) -> Option<Vec<u8>> {
     let me = &f.mesh.identity;
-    match wire::receive::<NodeRequest>(me, frame).ok()? {
+    match quincehatch_wire::receive::<NodeRequest>(me, frame).ok()? {
         Received::Request { call, request } => {
-            wire::answer_to::<NodeRequest>(me, call, &knock(f, request)).ok()
+            quincehatch_wire::answer_to::<NodeRequest>(me, call, &knock(f, request)).ok()
         }
         Received::Declined(frame) => Some(frame),
     }
@@ -150,7 +153,7 @@
 /// Answers other processes on the mesh address.
 pub async fn serve(f: Arc<Fleet>, lst: TcpListener) {
     let me = f.mesh.identity.clone();
-    wire::serve(lst, LINKS, me, move |k: NodeRequest| {
+    quincehatch_wire::serve(lst, LINKS, me, move |k: NodeRequest| {
         let f = f.clone();
         async move { knock_held(&f, k).await }
     })
--- a/crates/qhd/src/operator_api.rs
+++ b/crates/node/src/operator_api.rs
@@ -1,9 +1,9 @@
 //! What comes to the doors: origins' visits, the platform's question, beats, operators (§4.1, §8).
 use crate::{Fleet, mesh_driver, ops};
-use qh_core::{Beat, Code, Error};
-use qh_data::Node;
-use qh_data::door::Knock;
-use qh_data::visit::breakdown_json;
+use quincehatch_core::{Beat, Code, Error};
+use quincehatch_proxy::Node;
+use quincehatch_proxy::door::Knock;
+use quincehatch_proxy::visit::breakdown_json;
 use serde_json::{Value, json};
 use std::sync::Arc;
 
--- a/crates/qhd/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -1,10 +1,10 @@
 //! Operators' calls at a node's desk, answered for the whole fleet (§8.2).
 use crate::{Fleet, report};
-use qh_core::blueprint::Blueprint;
-use qh_core::rt;
-use qh_core::{Code, Error, Name};
-use qh_mesh::{NodeQuery, NodeReply};
-use qh_state::{Answer, Command, FeedState, Machine, Reply, Request};
+use quincehatch_config::blueprint::Blueprint;
+use quincehatch_core::{Code, Error, Name};
+use quincehatch_gossip::{NodeQuery, NodeReply};
+use quincehatch_runtime::rt;
+use quincehatch_store::{Answer, Command, FeedState, Machine, Reply, Request};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::time::Duration;
@@ -39,7 +39,8 @@
             let ask = to.as_ref().map_or_else(String::new, |t| t.to_string());
             let key = format!("{g}={ask}").into();
             let live: Vec<Name> = f.mesh.live().into_iter().map(|(n, _)| n).collect();
-            let owner = qh_mesh::duty::owner(&qh_state::store::duty_of(&g), &live).cloned();
+            let owner =
+                quincehatch_gossip::duty::owner(&quincehatch_store::store::duty_of(&g), &live).cloned();
             let owner = owner.ok_or_else(|| Code::NoMajority.bare())?;
             f.mesh.ask(&owner, NodeQuery::Report { what: "ask-promote".into(), key }).await?;
             Ok(json!({"asked": owner, "group": g}))
@@ -105,7 +106,7 @@
 fn placements(f: &Fleet) -> Result<Value, Error> {
     let plan = f.node.board.plan();
     let bp = plan.blueprint.clone().ok_or_else(|| Code::NoBlueprint.bare())?;
-    let of = |p: &qh_core::blueprint::Placement| -> Vec<Name> {
+    let of = |p: &quincehatch_config::blueprint::Placement| -> Vec<Name> {
         f.node.board.placed(&bp, p).iter().map(|r| r.name.clone()).collect()
     };
     let rows: Vec<Value> = bp
@@ -245,5 +246,7 @@
             return Err(Code::MemberChange.because("the view changed meanwhile; ask again"));
         }
     }
-    Err(Code::MemberChange.because("the view did not change in time; look at `qh members`").unknown())
+    Err(Code::MemberChange
+        .because("the view did not change in time; look at `quincehatchctl members`")
+        .unknown())
 }
--- a/crates/qhd/src/promoting.rs
+++ b/crates/node/src/promoting.rs
@@ -1,14 +1,15 @@
 //! Drives one promotion's steps against chain, servers and platform (§5.5).
 use crate::fencing::{Taken, next_fence};
 use crate::{Fleet, held_promotion};
-use qh_control::promotion::{In, Out, Plan, Promotion};
-use qh_core::http::post;
-use qh_core::rt;
-use qh_core::{Code, Fence, Name, now};
-use qh_data::platform::{self, Promoted};
-use qh_mesh::{NodeQuery, NodeReply};
-use qh_state::store::duty_of;
-use qh_state::{Answer, Command, Leadership};
+use quincehatch_core::{Code, Fence, Name};
+use quincehatch_failover::promotion::{In, Out, Plan, Promotion};
+use quincehatch_gossip::{NodeQuery, NodeReply};
+use quincehatch_proxy::platform::{self, Promoted};
+use quincehatch_runtime::now;
+use quincehatch_runtime::rt;
+use quincehatch_store::store::duty_of;
+use quincehatch_store::{Answer, Command, Leadership};
+use quincehatch_wire::http::post;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
@@ -124,9 +125,9 @@
     if rt::broken("unfenced") {
         return In::Fenced(server, row.beat.read().unwrap().log_end);
     }
-    let (path, body) = qh_data::server::call::fence(fence);
+    let (path, body) = quincehatch_proxy::server::call::fence(fence);
     let Some(r) = f.node.once(&row.addr(), path, body, CALL).await else { return In::Tick };
-    if r.is(qh_data::server::FENCE_LOW) {
+    if r.is(quincehatch_proxy::server::FENCE_LOW) {
         return In::Overtaken;
     }
     match r.status().filter(|s| s.stamp.server == server && s.stamp.fence == fence) {
--- a/crates/qhd/src/report.rs
+++ b/crates/node/src/report.rs
@@ -1,8 +1,8 @@
 //! A node's accounts of itself, as JSON for operators (§8.2). Never statement text, parameters or rows.
 use crate::Fleet;
-use qh_core::now;
-use qh_data::board::ServerRow;
-use qh_data::lookup::word;
+use quincehatch_proxy::board::ServerRow;
+use quincehatch_proxy::lookup::word;
+use quincehatch_runtime::now;
 use serde_json::{Value, json};
 use std::sync::atomic::Ordering;
 
@@ -15,7 +15,7 @@
         "promotions" => json!(*f.duty.told.lock().unwrap()),
         "ask-promote" => {
             let (g, to) = key.split_once('=').unwrap_or((key, ""));
-            let to = Some(qh_core::Name::from(to)).filter(|t| !t.is_empty());
+            let to = Some(quincehatch_core::Name::from(to)).filter(|t| !t.is_empty());
             f.duty.wants.lock().unwrap().insert(g.into(), to);
             json!(true)
         }
--- a/crates/qhd/src/server_queries.rs
+++ b/crates/node/src/server_queries.rs
@@ -1,8 +1,9 @@
 //! Questions of the control plane to servers met over held links: one kept link a server (§3.6, §5.5).
 use crate::Fleet;
-use qh_core::http::Watch;
-use qh_core::{Ms, Name, Position, Role, now, rt};
-use qh_data::port::{Call, Line, Look, No, Said};
+use quincehatch_core::{Ms, Name, Position, Role};
+use quincehatch_proxy::port::{Call, Line, Look, No, Said};
+use quincehatch_runtime::{now, rt};
+use quincehatch_wire::http::Watch;
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::Mutex;
--- a/crates/qhd/tests/calls.rs
+++ b/crates/node/tests/calls.rs
@@ -1,8 +1,8 @@
 //! What a node does when a keeper takes a call and says nothing (§2.6).
-use qh_core::wire::{Identity, Incoming, RequestHeader, answer_to, read_frame, write_frame};
-use qh_core::{Code, End, Error, Name};
-use qh_state::{KeeperRequest, KeeperResponse, KeeperStatus, Machine, Reply, Request, View};
-use qhd::chain_client::Chain;
+use quincehatch_core::{Code, End, Error, Name};
+use quincehatch_node::chain_client::Chain;
+use quincehatch_store::{KeeperRequest, KeeperResponse, KeeperStatus, Machine, Reply, Request, View};
+use quincehatch_wire::{Identity, Incoming, RequestHeader, answer_to, read_frame, write_frame};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/qhd/tests/frozen_reader.rs
+++ b/crates/node/tests/frozen_reader.rs
@@ -1,8 +1,8 @@
 //! A reader that stood still hands out no answer of before (§5.2, docs/design-control.md).
-use qh_core::Code;
-use qh_core::wire::{Identity, serve};
-use qh_state::{Adopted, KeeperRequest, KeeperResponse, Reply};
-use qhd::chain_client::Chain;
+use quincehatch_core::Code;
+use quincehatch_node::chain_client::Chain;
+use quincehatch_store::{Adopted, KeeperRequest, KeeperResponse, Reply};
+use quincehatch_wire::{Identity, serve};
 use std::sync::mpsc;
 use std::time::Duration;
 
--- a/crates/qhd/tests/settled.rs
+++ b/crates/node/tests/settled.rs
@@ -1,6 +1,6 @@
 //! What nodes' words about acknowledged commits are worth (§5.5).
-use qh_core::{Name, Position};
-use qhd::acknowledged::{Settled, Told, reach};
+use quincehatch_core::{Name, Position};
+use quincehatch_node::acknowledged::{Settled, Told, reach};
 
 fn at(n: u64) -> Position {
     Position { fence: 1, n }
--- a/crates/qh-data/src/alone.rs
+++ b/crates/proxy/src/alone.rs
@@ -1,8 +1,8 @@
 //! Copies of a node that runs without others (§6.4).
 use crate::node::Copies;
 use crate::session::Context;
-use qh_core::rt::Fut;
-use qh_core::{Error, Name, Version};
+use quincehatch_core::{Error, Name, Version};
+use quincehatch_runtime::rt::Fut;
 use std::sync::Mutex;
 
 /// Copies kept on this node alone: for tests, and while a node runs without others.
--- a/crates/qh-data/src/board.rs
+++ b/crates/proxy/src/board.rs
@@ -3,11 +3,12 @@
 use crate::newest::{Newest, Numbered};
 use crate::pool::Pool;
 use crate::verdict::Health;
-use qh_core::blueprint::{Blueprint, Placement};
-use qh_core::http::OnBreak;
-use qh_core::index::{Ix, Names};
-use qh_core::rt;
-use qh_core::{Beat, ChangeNo, Lead, Ms, Name, Version, now};
+use quincehatch_config::blueprint::{Blueprint, Placement};
+use quincehatch_core::index::{Ix, Names};
+use quincehatch_core::{Beat, ChangeNo, Lead, Ms, Name, Version};
+use quincehatch_runtime::now;
+use quincehatch_runtime::rt;
+use quincehatch_wire::http::OnBreak;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, RwLock};
@@ -59,7 +60,7 @@
     /// When it last said that it does not lead.
     pub not_lead: Option<Ms>,
     /// The boot and the fence under which it last said that it leads and shows all of its log.
-    pub whole: Option<(u64, qh_core::Fence)>,
+    pub whole: Option<(u64, quincehatch_core::Fence)>,
 }
 
 pub struct Board {
@@ -153,7 +154,7 @@
             return false;
         }
         let (moved, reborn) = (cur.addr != b.addr, cur.boot != b.boot);
-        let leaving = b.state == qh_core::State::Leaving;
+        let leaving = b.state == quincehatch_core::State::Leaving;
         *cur = b;
         drop(cur);
         if moved || reborn {
@@ -201,7 +202,7 @@
     }
     /// What the primary was seen to hold. It still proves something when another leads, as no other acknowledges a
     /// commit while this node holds its lease and has not heard of the change (§4.8); without a lease it may.
-    pub fn note_seen(&self, group: &str, asked: Ms, pos: qh_core::Position) {
+    pub fn note_seen(&self, group: &str, asked: Ms, pos: quincehatch_core::Position) {
         if self.has_lease() {
             self.seen(group, |s| s.note(asked, pos));
         }
--- a/crates/qh-data/src/choose.rs
+++ b/crates/proxy/src/choose.rs
@@ -2,7 +2,8 @@
 use crate::board::ServerRow;
 use crate::node::Node;
 use crate::visit::Visit;
-use qh_core::{Ms, Name, Role, now};
+use quincehatch_core::{Ms, Name, Role};
+use quincehatch_runtime::now;
 use std::sync::Arc;
 
 /// One server to ask, and why it may be asked.
--- a/crates/qh-data/src/door.rs
+++ b/crates/proxy/src/door.rs
@@ -1,6 +1,6 @@
 //! The HTTP doors, on xitca-web: one for origins and platform, one for servers' beats and operators (§4.1).
 use crate::visit::breakdown_json as visit_json;
-use qh_core::{Code, Error};
+use quincehatch_core::{Code, Error};
 use serde_json::Value;
 use std::net::TcpListener;
 use std::pin::Pin;
--- a/crates/qh-data/src/filters.rs
+++ b/crates/proxy/src/filters.rs
@@ -2,7 +2,8 @@
 use crate::node::Node;
 use crate::visit::{Answer, Good, Visit, What};
 use crate::{lookup, order, outcome, session, txn};
-use qh_core::{Code, Error, Ms, now};
+use quincehatch_core::{Code, Error, Ms};
+use quincehatch_runtime::now;
 use std::future::Future;
 use std::pin::Pin;
 use std::sync::Arc;
--- a/crates/qh-data/src/fresh.rs
+++ b/crates/proxy/src/fresh.rs
@@ -1,5 +1,5 @@
 //! Freshness without shared clocks (§4.8): a lookup's stamp must reach what this node saw the primary hold.
-use qh_core::{Ms, Position};
+use quincehatch_core::{Ms, Position};
 use std::collections::VecDeque;
 
 /// Part of the bound that is left for the way back to the origin.
--- a/crates/qh-data/src/held/choose.rs
+++ b/crates/proxy/src/held/choose.rs
@@ -1,8 +1,9 @@
 //! Which server a held visit goes to (§4.7, §4.10).
 use crate::board::{Board, ServerRow};
 use crate::held::{Held, Way};
-use qh_core::rt;
-use qh_core::{Code, Error, Fence, Ms, Position, now};
+use quincehatch_core::{Code, Error, Fence, Ms, Position};
+use quincehatch_runtime::now;
+use quincehatch_runtime::rt;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/qh-data/src/held/run.rs
+++ b/crates/proxy/src/held/run.rs
@@ -5,7 +5,8 @@
 use crate::overdue::Owe;
 use crate::port::{Call, No, Said};
 use bytes::Bytes;
-use qh_core::{Code, Error, Fence, Ms, Name, Position, now, rt};
+use quincehatch_core::{Code, Error, Fence, Ms, Name, Position};
+use quincehatch_runtime::{now, rt};
 use std::sync::Arc;
 
 /// A read or a write as the origin gave it.
--- a/crates/qh-data/src/held/txn.rs
+++ b/crates/proxy/src/held/txn.rs
@@ -8,7 +8,8 @@
 use crate::port::{Call, No, Said, Stage};
 use crate::work::Work;
 use bytes::Bytes;
-use qh_core::{Code, Error, Fence, Ms, now};
+use quincehatch_core::{Code, Error, Fence, Ms};
+use quincehatch_runtime::now;
 
 pub enum Txn {
     /// Begun, but nothing was sent yet.
@@ -201,7 +202,7 @@
 
     /// Rolls back in the background; the origin need not wait for it.
     pub fn rollback(mut self: Box<Self>, held: std::sync::Arc<Held>) {
-        qh_core::rt::spawn(async move {
+        quincehatch_runtime::rt::spawn(async move {
             let row = self.lent.row.clone();
             let w = watched(&held, &row, &self.way);
             let within = self.way.timeout;
--- a/crates/qh-data/src/held/wish.rs
+++ b/crates/proxy/src/held/wish.rs
@@ -1,7 +1,7 @@
 //! What an origin asks on a held session and what it is told (§4.10).
 use crate::port::{No, Stage};
 use bytes::Bytes;
-use qh_core::{Code, Error, Position};
+use quincehatch_core::{Code, Error, Position};
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Wish {
--- a/crates/qh-data/src/judge.rs
+++ b/crates/proxy/src/judge.rs
@@ -1,5 +1,5 @@
 //! The judges (§4.5): small, independent, each looking at one sign of a server's health. Sans-IO.
-use qh_core::{Ms, messages};
+use quincehatch_core::{Ms, messages};
 
 messages! {
     #[derive(Copy, Eq, Hash)]
--- a/crates/qh-data/src/link.rs
+++ b/crates/proxy/src/link.rs
@@ -1,9 +1,10 @@
 //! One link to one server: one connection, one server-side context (§4.3).
 use crate::server::{Reply, call};
 use crate::session::{Context, Texts};
-use qh_core::http::{Call, OnBreak, Ours, Watch, Wire};
-use qh_core::rt;
-use qh_core::{Code, Ms, Name, now};
+use quincehatch_core::{Code, Ms, Name};
+use quincehatch_runtime::now;
+use quincehatch_runtime::rt;
+use quincehatch_wire::http::{Call, OnBreak, Ours, Watch, Wire};
 use serde_json::Value;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -75,7 +76,9 @@
 
     async fn change(&mut self, ctx: &Context) -> Result<Option<Reply>, LinkBroke> {
         let want = ctx.texts();
-        if self.wears(&want) || (qh_core::rt::broken("no-reset") && !self.wears(&Texts::default())) {
+        if self.wears(&want)
+            || (quincehatch_runtime::rt::broken("no-reset") && !self.wears(&Texts::default()))
+        {
             return Ok(None);
         }
         let id = self.id.clone();
@@ -98,7 +101,7 @@
 }
 
 impl LinkBroke {
-    pub fn breakdown(&self) -> qh_core::Error {
+    pub fn breakdown(&self) -> quincehatch_core::Error {
         match self {
             LinkBroke::Io(e) => Code::ServerBroke.because(e.kind()),
             LinkBroke::Bad => Code::BadReply.bare(),
--- a/crates/qh-data/src/lookup.rs
+++ b/crates/proxy/src/lookup.rs
@@ -7,9 +7,10 @@
 use crate::shard::Use;
 use crate::verdict::Verdict;
 use crate::visit::{Answer, Visit};
-use qh_core::blueprint::{Blueprint, Rule};
-use qh_core::rt;
-use qh_core::{Code, Ms, Name, Role, now};
+use quincehatch_config::blueprint::{Blueprint, Rule};
+use quincehatch_core::{Code, Ms, Name, Role};
+use quincehatch_runtime::now;
+use quincehatch_runtime::rt;
 use std::sync::Arc;
 
 pub fn owe(bp: &Blueprint, r: &Rule) -> Owe {
@@ -131,7 +132,7 @@
 }
 
 /// Proof that the rows are no further behind than the rule allows, on this node's clock alone (§4.8).
-fn fresh_enough(n: &Node, c: &Choice, s: &qh_core::Stamp, fresh: Ms, asked: Ms) -> bool {
+fn fresh_enough(n: &Node, c: &Choice, s: &quincehatch_core::Stamp, fresh: Ms, asked: Ms) -> bool {
     if rt::broken("stale-lookup") {
         return true;
     }
@@ -152,7 +153,7 @@
 
 /// The server's own no, in its words' kind only: its text may hold what must not be logged, so it goes to the
 /// origin alone.
-pub fn declined(r: &crate::server::Reply) -> qh_core::Error {
+pub fn declined(r: &crate::server::Reply) -> quincehatch_core::Error {
     // What was not run, as the server does not lead or not yet, says nothing of the statement.
     let not_run = [server::STARTING, server::FENCE_LOW, server::NOT_PRIMARY].iter().any(|c| r.is(c));
     if not_run {
--- a/crates/qh-data/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -4,11 +4,12 @@
 use crate::server::Reply;
 use crate::session::{Context, Session, Sessions};
 use crate::visit::{Answer, Body, Good, Ran, Visit, What, read_body};
-use qh_core::blueprint::Judges;
-use qh_core::http::post;
-use qh_core::rt;
-use qh_core::settings::NodeSettings;
-use qh_core::{Code, End, Error, Name, Version, now};
+use quincehatch_config::blueprint::Judges;
+use quincehatch_config::settings::NodeSettings;
+use quincehatch_core::{Code, End, Error, Name, Version};
+use quincehatch_runtime::now;
+use quincehatch_runtime::rt;
+use quincehatch_wire::http::post;
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -25,7 +26,7 @@
     fn find<'a>(&'a self, id: &'a str, knows: Version) -> Fut<'a, Result<Option<Context>, Error>>;
 }
 
-/// One visit's path, kept for `qh explain`.
+/// One visit's path, kept for `quincehatchctl explain`.
 #[derive(Clone, Debug)]
 pub struct PathRow {
     pub id: u64,
@@ -82,7 +83,7 @@
         self.next.fetch_add(1, Ordering::Relaxed)
     }
     pub fn judges(&self) -> Judges {
-        let default = || qh_core::blueprint::default_judges().clone();
+        let default = || quincehatch_config::blueprint::default_judges().clone();
         self.board.plan().blueprint.as_ref().map_or_else(default, |b| b.judges.clone())
     }
 
--- a/crates/qh-data/src/noted.rs
+++ b/crates/proxy/src/noted.rs
@@ -1,6 +1,7 @@
 //! What words and answers of servers leave on the blackboard (§4.9, §5.5).
 use crate::board::{Board, ServerRow};
-use qh_core::{Fence, Ms, Position, now, rt};
+use quincehatch_core::{Fence, Ms, Position};
+use quincehatch_runtime::{now, rt};
 
 /// A server that has not answered STATUS for so long gets no new work: it may be leaving.
 const HEARD: Ms = 3_000;
--- a/crates/qh-data/src/outcome.rs
+++ b/crates/proxy/src/outcome.rs
@@ -4,7 +4,8 @@
 use crate::order::{LAST, primary, unknown};
 use crate::server::{Reply, call};
 use crate::visit::{Answer, Visit};
-use qh_core::{Code, Fence, Name, Role, rt};
+use quincehatch_core::{Code, Fence, Name, Role};
+use quincehatch_runtime::rt;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/qh-data/src/overdue.rs
+++ b/crates/proxy/src/overdue.rs
@@ -1,5 +1,5 @@
 //! The judge of replies that are owed (§4.5): sees a stall in storage, and tells it from a long query. Sans-IO.
-use qh_core::Ms;
+use quincehatch_core::Ms;
 use std::collections::BTreeMap;
 
 /// A reply that is owed.
--- a/crates/qh-data/src/port.rs
+++ b/crates/proxy/src/port.rs
@@ -1,9 +1,9 @@
 //! The ports of held links (§3.6): what a database server can be asked over one, and who promotes. The platform's
 //! adapter is one implementation, the simulator's another; decisions stand above them.
 use bytes::Bytes;
-use qh_core::http::Watch;
-use qh_core::rt::Fut;
-use qh_core::{Fence, Name, Position, Role};
+use quincehatch_core::{Fence, Name, Position, Role};
+use quincehatch_runtime::rt::Fut;
+use quincehatch_wire::http::Watch;
 use std::io;
 use std::sync::Arc;
 
--- a/crates/qh-data/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -4,9 +4,10 @@
 use crate::node::Node;
 use crate::server::{Reply, call};
 use crate::verdict::Verdict;
-use qh_core::http::{Call, Wire};
-use qh_core::rt;
-use qh_core::{Beat, Ms, Role, State, now};
+use quincehatch_core::{Beat, Ms, Role, State};
+use quincehatch_runtime::now;
+use quincehatch_runtime::rt;
+use quincehatch_wire::http::{Call, Wire};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +22,7 @@
 
 /// Asks for ever; one task a server.
 pub async fn run(n: Arc<Node>) {
-    let mut tasks: BTreeMap<qh_core::Name, rt::Task> = BTreeMap::new();
+    let mut tasks: BTreeMap<quincehatch_core::Name, rt::Task> = BTreeMap::new();
     loop {
         for row in n.board.rows() {
             tasks.entry(row.name.clone()).or_insert_with(|| n.rt.spawn(watch(n.clone(), row.clone())));
@@ -64,7 +65,7 @@
 }
 
 async fn watch(n: Arc<Node>, row: Arc<ServerRow>) {
-    let mut wire: Option<(Wire, qh_core::Name)> = None;
+    let mut wire: Option<(Wire, quincehatch_core::Name)> = None;
     loop {
         let lead = n.board.lead(&row.group());
         let leads = lead.as_ref().is_some_and(|l| l.server.as_ref() == Some(&row.name));
@@ -80,7 +81,10 @@
     }
 }
 
-async fn one(row: &Arc<ServerRow>, wire: &mut Option<(Wire, qh_core::Name)>) -> std::io::Result<Reply> {
+async fn one(
+    row: &Arc<ServerRow>,
+    wire: &mut Option<(Wire, quincehatch_core::Name)>,
+) -> std::io::Result<Reply> {
     let addr = row.addr();
     let (path, body) = call::status();
     let c = Call { method: "POST", path, body: &body, token: None };
--- a/crates/qh-data/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -1,5 +1,5 @@
 //! Sessions (§4.2): what an origin was promised, verbatim, under a rising version.
-use qh_core::{Ms, Name, Version, hash64, messages};
+use quincehatch_core::{Ms, Name, Version, hash64, messages};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
--- a/crates/qh-data/src/txn.rs
+++ b/crates/proxy/src/txn.rs
@@ -8,9 +8,10 @@
 use crate::session::Session;
 use crate::shard::Use;
 use crate::visit::{Answer, Visit, content_sum};
-use qh_core::blueprint::Rule;
-use qh_core::rt;
-use qh_core::{Code, Error, Fence, Ms, Name, now};
+use quincehatch_config::blueprint::Rule;
+use quincehatch_core::{Code, Error, Fence, Ms, Name};
+use quincehatch_runtime::now;
+use quincehatch_runtime::rt;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/qh-data/src/verdict.rs
+++ b/crates/proxy/src/verdict.rs
@@ -1,13 +1,13 @@
 //! The verdict on one server (§4.5): judges' evidence is weighed into in rotation, set aside, on trial.
 use crate::judge::{Ending, Evidence, Sign};
 use crate::overdue::{Found, Overdue};
-use qh_core::blueprint::Judges;
-use qh_core::{Ms, messages};
+use quincehatch_config::blueprint::Judges;
+use quincehatch_core::{Ms, messages};
 use std::collections::VecDeque;
 
 /// A stall is held against a lead this long.
 const STALLED_FOR: Ms = 10_000;
-/// Turns kept for `qh explain`.
+/// Turns kept for `quincehatchctl explain`.
 const TURNS: usize = 64;
 
 messages! {
@@ -183,7 +183,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use qh_core::blueprint::Blueprint;
+    use quincehatch_config::blueprint::Blueprint;
 
     fn judges() -> Judges {
         Blueprint::read("[[placements]]\nname=\"a\"\nselect={group=[\"g\"]}\n").unwrap().judges
--- a/crates/qh-data/src/visit.rs
+++ b/crates/proxy/src/visit.rs
@@ -1,5 +1,6 @@
 //! A visit and its answer: the shapes origins see (§4.1, docs/origin.md).
-use qh_core::{Code, End, Error, Labels, Ms, Name, Stamp, Version, now};
+use quincehatch_core::{Code, End, Error, Labels, Ms, Name, Stamp, Version};
+use quincehatch_runtime::now;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
@@ -87,12 +88,12 @@
     pub body: Body,
     pub began: Ms,
     pub until: Ms,
-    pub rule: Option<qh_core::blueprint::Rule>,
+    pub rule: Option<quincehatch_config::blueprint::Rule>,
     pub plan: std::sync::Arc<crate::board::Plan>,
     pub held: Option<tokio::sync::OwnedMutexGuard<crate::session::Session>>,
     pub group: Name,
     pub ran: Ran,
-    /// The filters and carries it passed, for `qh explain`.
+    /// The filters and carries it passed, for `quincehatchctl explain`.
     pub path: Vec<String>,
 }
 
@@ -118,7 +119,7 @@
     pub fn reply(&self, a: &Answer) -> (u16, Value) {
         let mut v = match a {
             Ok(Good::Kept { rows, stamp })
-                if qh_core::rt::broken("foreign-stamp") && self.id.is_multiple_of(50) =>
+                if quincehatch_runtime::rt::broken("foreign-stamp") && self.id.is_multiple_of(50) =>
             {
                 json!({"end": "kept", "rows": rows, "stamp": Stamp { server: "g1s9".into(), ..stamp.clone() }})
             }
--- a/crates/qh-data/src/work.rs
+++ b/crates/proxy/src/work.rs
@@ -1,5 +1,5 @@
 //! Work of a group that is under way here: transactions and orders that may still change its servers (§5.5).
-use qh_core::Name;
+use quincehatch_core::Name;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
--- a/crates/qh-data/tests/fake/mod.rs
+++ b/crates/proxy/tests/fake/mod.rs
@@ -1,16 +1,17 @@
 //! A group of servers behind the port of held links, whose faults come as a test orders them.
 use bytes::Bytes;
-use qh_core::blueprint::Blueprint;
-use qh_core::http::Watch;
-use qh_core::rt::Fut;
-use qh_core::settings::NodeSettings;
-use qh_core::{Beat, Lead, Name, Position, now};
-use qh_data::Node;
-use qh_data::alone::Alone;
-use qh_data::board::Plan;
-use qh_data::held::wish::{Ask, Told, Wish};
-use qh_data::held::{Held, HeldSession};
-use qh_data::port::{Call, Line, No, Opened, Said, Servers, Stage};
+use quincehatch_config::blueprint::Blueprint;
+use quincehatch_config::settings::NodeSettings;
+use quincehatch_core::{Beat, Lead, Name, Position};
+use quincehatch_proxy::Node;
+use quincehatch_proxy::alone::Alone;
+use quincehatch_proxy::board::Plan;
+use quincehatch_proxy::held::wish::{Ask, Told, Wish};
+use quincehatch_proxy::held::{Held, HeldSession};
+use quincehatch_proxy::port::{Call, Line, No, Opened, Said, Servers, Stage};
+use quincehatch_runtime::now;
+use quincehatch_runtime::rt::Fut;
+use quincehatch_wire::http::Watch;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -203,7 +204,7 @@
             log: "off".into(),
             threads: 1,
         };
-        let node = Node::new(set, Box::new(Alone::default()), qh_core::rt::Spawner::here());
+        let node = Node::new(set, Box::new(Alone::default()), quincehatch_runtime::rt::Spawner::here());
         let group = Group::default();
         for s in ["s1", "s2", "s3"] {
             let labels = [("group".into(), "g1".into()), ("district".into(), "d1".into())].into();
--- a/crates/qh-data/tests/held.rs
+++ b/crates/proxy/tests/held.rs
@@ -3,10 +3,11 @@
 use assert_matches::assert_matches;
 use bytes::Bytes;
 use fake::{Fault, Kit, ask, read, write};
-use qh_core::{Code, End, Position, now};
-use qh_data::held::HeldSession;
-use qh_data::held::wish::{Gone, Told, Wish};
-use qh_data::port::{No, Stage};
+use quincehatch_core::{Code, End, Position};
+use quincehatch_proxy::held::HeldSession;
+use quincehatch_proxy::held::wish::{Gone, Told, Wish};
+use quincehatch_proxy::port::{No, Stage};
+use quincehatch_runtime::now;
 
 fn ours(t: &Told) -> (u16, End) {
     match &t.ended {
--- a/crates/qh-data/tests/held_calls.rs
+++ b/crates/proxy/tests/held_calls.rs
@@ -5,10 +5,10 @@
 
 use bytes::Bytes;
 use fake::{Fault, Kit, ask, read, write};
-use qh_core::End;
-use qh_data::held::HeldSession;
-use qh_data::held::wish::{Gone, Told, Wish};
-use qh_data::port::{No, Stage};
+use quincehatch_core::End;
+use quincehatch_proxy::held::HeldSession;
+use quincehatch_proxy::held::wish::{Gone, Told, Wish};
+use quincehatch_proxy::port::{No, Stage};
 use std::cell::Cell;
 use virtual_time::Virtual;
 
--- a/crates/qh-data/tests/held_links.rs
+++ b/crates/proxy/tests/held_links.rs
@@ -3,9 +3,9 @@
 mod fake;
 
 use fake::{Fault, Kit, ask, read, write};
-use qh_core::{now, rt};
-use qh_data::held::pool;
-use qh_data::held::wish::Wish;
+use quincehatch_proxy::held::pool;
+use quincehatch_proxy::held::wish::Wish;
+use quincehatch_runtime::{now, rt};
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
@@ -50,7 +50,7 @@
 #[tokio::test]
 async fn a_read_that_was_answered_elsewhere_is_owed_by_nobody() {
     let k = Kit::new();
-    k.held.node.board.note_seen("g1", qh_core::now(), Default::default());
+    k.held.node.board.note_seen("g1", quincehatch_runtime::now(), Default::default());
     let mut s = k.session("looks").await;
     for server in ["s2", "s3"] {
         (0..4).for_each(|_| k.held.node.carries.earn());
--- a/crates/qh-data/tests/loom.rs
+++ b/crates/proxy/tests/loom.rs
@@ -2,8 +2,8 @@
 #![cfg(qh_loom)]
 use loom::sync::Arc;
 use loom::thread;
-use qh_data::newest::{Newest, Numbered};
-use qh_data::shard::{Grant, Shard, Use};
+use quincehatch_proxy::newest::{Newest, Numbered};
+use quincehatch_proxy::shard::{Grant, Shard, Use};
 
 fn take(s: &Shard<u32>, u: Use, cap: usize, share: usize) -> Option<u32> {
     match s.take(u, cap, share, |_| true) {
--- a/crates/qh-data/tests/noted.rs
+++ b/crates/proxy/tests/noted.rs
@@ -1,6 +1,7 @@
 //! What a node passed on as acknowledged, told to whoever chooses a lead (§5.5).
-use qh_core::{Lead, Position, now};
-use qh_data::board::{Board, Plan};
+use quincehatch_core::{Lead, Position};
+use quincehatch_proxy::board::{Board, Plan};
+use quincehatch_runtime::now;
 
 #[test]
 fn nothing_of_an_older_lead_is_passed_on_once_its_end_was_told() {
--- a/crates/qh-data/tests/stall.rs
+++ b/crates/proxy/tests/stall.rs
@@ -1,7 +1,7 @@
 //! What counts as a lead's stall (§4.5, §5.5).
-use qh_core::blueprint::{Blueprint, Judges};
-use qh_data::overdue::Owe;
-use qh_data::verdict::{Health, Verdict};
+use quincehatch_config::blueprint::{Blueprint, Judges};
+use quincehatch_proxy::overdue::Owe;
+use quincehatch_proxy::verdict::{Health, Verdict};
 
 fn judges() -> Judges {
     Blueprint::read("[[placements]]\nname=\"a\"\nselect={group=[\"g\"]}\n").unwrap().judges
--- a/crates/qh-data/tests/starting.rs
+++ b/crates/proxy/tests/starting.rs
@@ -1,6 +1,6 @@
 //! Which primaries prove positions (§4.8).
-use qh_core::{Beat, Role, State};
-use qh_data::board::StatusRow;
+use quincehatch_core::{Beat, Role, State};
+use quincehatch_proxy::board::StatusRow;
 
 fn beat(boot: u64, fence: u64, role: Role, state: State) -> Beat {
     Beat { boot, fence, role, state, ..Default::default() }
--- a/crates/qh-data/tests/virtual_time/mod.rs
+++ b/crates/proxy/tests/virtual_time/mod.rs
@@ -1,6 +1,6 @@
 //! A world of virtual time for one test: tasks run in turn, and the clock moves when all of them wait.
-use qh_core::Ms;
-use qh_core::rt::{Fut, OnBreak, Pipe, World, within};
+use quincehatch_core::Ms;
+use quincehatch_runtime::rt::{Fut, OnBreak, Pipe, World, within};
 use std::collections::BTreeMap;
 use std::io;
 use std::pin::Pin;
--- /dev/null
+++ b/crates/runtime/src/clock.rs
@@ -0,0 +1,12 @@
+//! The local monotonic clock.
+use quincehatch_core::Ms;
+
+/// The local monotonic clock, in milliseconds since the process began (§2.2).
+pub fn now() -> Ms {
+    use std::sync::OnceLock;
+    if let Some(w) = crate::rt::world() {
+        return w.now();
+    }
+    static T0: OnceLock<std::time::Instant> = OnceLock::new();
+    T0.get_or_init(std::time::Instant::now).elapsed().as_millis() as Ms + 1
+}
--- a/crates/qh-core/src/rt.rs
+++ b/crates/runtime/src/rt.rs
@@ -1,6 +1,6 @@
 //! The seam between the protocols and what runs them (§5.8): time, tasks, links and frames. Under tokio they are
 //! tokio's; in a [`World`], as the simulator has one for each process, they are virtual. The code above is the same.
-use crate::Ms;
+use quincehatch_core::Ms;
 use std::cell::RefCell;
 use std::future::Future;
 use std::hash::{BuildHasher, Hasher};
--- a/crates/qh-lab/src/control_sim/budget.rs
+++ b/crates/simulator/src/control/budget.rs
@@ -1,5 +1,5 @@
 //! Which machines count as lost, and when the core was troubled.
-use qh_core::Ms;
+use quincehatch_core::Ms;
 use std::collections::BTreeMap;
 
 /// Until when a place of the deployment counts as lost.
--- a/crates/qh-lab/src/control_sim/call_kind.rs
+++ b/crates/simulator/src/control/call_kind.rs
@@ -1,5 +1,5 @@
 //! Which kind of reply a keeper's caller expects (C5).
-use qh_state::{Reply, Request};
+use quincehatch_store::{Reply, Request};
 
 /// Which kind of answer a call expects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/qh-lab/src/control_sim/checks.rs
+++ b/crates/simulator/src/control/checks.rs
@@ -1,7 +1,7 @@
 //! The checks of a finished run's history. Each breach begins with its check's number.
 use super::history::{Document, History, Order};
 use super::parameters::Parameters;
-use qh_core::Ms;
+use quincehatch_core::Ms;
 use std::collections::BTreeMap;
 
 /// Breaches of one check that are reported at most.
--- a/crates/qh-lab/src/control_sim/cluster.rs
+++ b/crates/simulator/src/control/cluster.rs
@@ -5,10 +5,10 @@
 use super::invariants::Invariants;
 use super::machine::{self, Process};
 use super::parameters::Parameters;
-use crate::sim::core::{Core, Pid};
-use qh_core::{Ms, Name};
-use qh_state::View;
-use qh_state::keeper::RecoveredState;
+use crate::fleet::core::{Core, Pid};
+use quincehatch_core::{Ms, Name};
+use quincehatch_store::View;
+use quincehatch_store::keeper::RecoveredState;
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
 
--- a/crates/qh-lab/src/control_sim/disk.rs
+++ b/crates/simulator/src/control/disk.rs
@@ -1,7 +1,7 @@
 //! A simulated disk: what is synced outlives the process, what waits for its sync may not.
-use qh_core::{Code, Error, Ms};
-use qh_state::keeper::{Record, RecoveredState};
-use qh_state::terms::SNAP_EVERY;
+use quincehatch_core::{Code, Error, Ms};
+use quincehatch_store::keeper::{Record, RecoveredState};
+use quincehatch_store::terms::SNAP_EVERY;
 
 #[derive(Debug, Default)]
 pub struct Disk {
--- a/crates/qh-lab/src/control_sim/door.rs
+++ b/crates/simulator/src/control/door.rs
@@ -1,12 +1,12 @@
 //! The control door of a machine: what the platform's control calls come to, over the real chain client.
 use super::cluster::Cluster;
 use super::history::Document;
-use crate::sim::core::Pid;
-use qh_core::rt::{self, Fut};
-use qh_core::{Code, Error, Name, messages};
-use qh_state::Command;
-use qh_state::documents::document_digest;
-use qhd::chain_client::Chain;
+use crate::fleet::core::Pid;
+use quincehatch_core::{Code, Error, Name, messages};
+use quincehatch_node::chain_client::Chain;
+use quincehatch_runtime::rt::{self, Fut};
+use quincehatch_store::Command;
+use quincehatch_store::documents::document_digest;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/qh-lab/src/control_sim/effects.rs
+++ b/crates/simulator/src/control/effects.rs
@@ -1,8 +1,8 @@
 //! What each fault does to machines, links and disks, and how it ends.
 use super::cluster::{Cluster, Machine};
 use super::machine;
-use crate::sim::core::Pid;
-use qh_core::{Ms, Name};
+use crate::fleet::core::Pid;
+use quincehatch_core::{Ms, Name};
 use std::sync::Arc;
 
 /// How often an orderly stop that has to wait is tried again.
--- a/crates/qh-lab/src/control_sim/faults.rs
+++ b/crates/simulator/src/control/faults.rs
@@ -1,6 +1,6 @@
 //! The faults of a run, drawn from its seed.
 use super::cluster::Cluster;
-use qh_core::Ms;
+use quincehatch_core::Ms;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
--- a/crates/qh-lab/src/control_sim/history.rs
+++ b/crates/simulator/src/control/history.rs
@@ -1,5 +1,5 @@
 //! What operators, readers and nodes saw during a run.
-use qh_core::{Ms, Name};
+use quincehatch_core::{Ms, Name};
 use std::collections::BTreeMap;
 
 /// A configuration document: its number, and which of the texts sent under that number it is.
--- a/crates/qh-lab/src/control_sim/inject.rs
+++ b/crates/simulator/src/control/inject.rs
@@ -5,8 +5,8 @@
     stop_when_allowed, trouble, turn_seeds,
 };
 use super::faults::{self, Cost, Fault};
-use crate::sim::core::Core;
-use qh_core::Ms;
+use crate::fleet::core::Core;
+use quincehatch_core::Ms;
 use std::sync::Arc;
 
 /// How often a fault that has to wait is tried again.
--- a/crates/qh-lab/src/control_sim/intake.rs
+++ b/crates/simulator/src/control/intake.rs
@@ -2,12 +2,12 @@
 use super::call_kind::CallKind;
 use super::cluster::Cluster;
 use super::machine::{Call, Process, input};
-use crate::sim::core::Pid;
-use qh_core::Name;
-use qh_core::rt::Fut;
-use qh_core::wire::{self, Identity, Received};
-use qh_state::keeper::Input;
-use qh_state::{KeeperRequest, KeeperResponse, Reply, Request};
+use crate::fleet::core::Pid;
+use quincehatch_core::Name;
+use quincehatch_runtime::rt::Fut;
+use quincehatch_store::keeper::Input;
+use quincehatch_store::{KeeperRequest, KeeperResponse, Reply, Request};
+use quincehatch_wire::{Identity, Received};
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
@@ -15,7 +15,7 @@
 pub fn listen(cluster: &Arc<Cluster>, process: &Process, address: &Name, pid: Pid, me: Identity) {
     let process = process.clone();
     let on_frame = move |bytes: Vec<u8>| {
-        let received = wire::receive::<KeeperRequest>(&me, &bytes);
+        let received = quincehatch_wire::receive::<KeeperRequest>(&me, &bytes);
         let (call, waiting) = match received {
             Ok(Received::Request { call, request }) => (call, take(&process, request)),
             Ok(Received::Declined(frame)) => return Box::pin(async { Some(frame) }) as Fut<'static, _>,
@@ -27,7 +27,7 @@
                 None => KeeperResponse::Taken,
                 Some(reply) => KeeperResponse::Reply { rep: reply.await.ok()? },
             };
-            wire::answer_to::<KeeperRequest>(&me, call, &answer).ok()
+            quincehatch_wire::answer_to::<KeeperRequest>(&me, call, &answer).ok()
         }) as Fut<'static, Option<Vec<u8>>>
     };
     cluster.core.listen_frames(address, pid, Arc::new(on_frame));
--- a/crates/qh-lab/src/control_sim/invariants.rs
+++ b/crates/simulator/src/control/invariants.rs
@@ -1,6 +1,6 @@
 //! What must hold between the keepers at every moment of a run.
-use qh_core::{ChangeNo, Ms, Name, Version};
-use qh_state::{Keeper, View};
+use quincehatch_core::{ChangeNo, Ms, Name, Version};
+use quincehatch_store::{Keeper, View};
 use std::collections::BTreeMap;
 
 const REPORTED: usize = 20;
--- a/crates/qh-lab/src/control_sim/node.rs
+++ b/crates/simulator/src/control/node.rs
@@ -1,10 +1,11 @@
 //! Nodes that follow the tail's feed and hold a lease along it, as the daemon's feed task does.
 use super::cluster::Cluster;
 use super::history::{Applied, Document};
-use qh_core::{ChangeNo, Ms, Name, now, rt};
-use qh_state::terms::safe;
-use qh_state::{Answer, Command, FeedState, Reply, Request};
-use qhd::chain_client::Chain;
+use quincehatch_core::{ChangeNo, Ms, Name};
+use quincehatch_node::chain_client::Chain;
+use quincehatch_runtime::{now, rt};
+use quincehatch_store::terms::safe;
+use quincehatch_store::{Answer, Command, FeedState, Reply, Request};
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/qh-lab/src/control_sim/operator.rs
+++ b/crates/simulator/src/control/operator.rs
@@ -2,7 +2,8 @@
 use super::cluster::Cluster;
 use super::door::{DoorAnswer, DoorCall, door_of};
 use super::history::{Document, Read};
-use qh_core::{Ms, Name, rt};
+use quincehatch_core::{Ms, Name};
+use quincehatch_runtime::rt;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/qh-lab/src/control_sim/parameters.rs
+++ b/crates/simulator/src/control/parameters.rs
@@ -1,5 +1,5 @@
 //! Every figure of the simulated control plane in one place: shapes, terms, and which faults are drawn.
-use qh_core::Ms;
+use quincehatch_core::Ms;
 
 /// How many machines with a disk there are, how many of them vote, and how many may be lost at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/qh-lab/src/control_sim/recovery.rs
+++ b/crates/simulator/src/control/recovery.rs
@@ -1,10 +1,11 @@
 //! A keeper from what its disk holds, set up as the platform does.
 use super::cluster::Cluster;
 use super::disk::Disk;
-use qh_core::{Name, now, rt};
-use qh_state::host::KeeperHost;
-use qh_state::keeper::RecoveredState;
-use qh_state::{DiscoverySettings, Keeper, View, terms};
+use quincehatch_core::Name;
+use quincehatch_runtime::{now, rt};
+use quincehatch_store::host::KeeperHost;
+use quincehatch_store::keeper::RecoveredState;
+use quincehatch_store::{DiscoverySettings, Keeper, View, terms};
 use std::sync::Mutex;
 
 /// Two deliberate bugs are here: a start from an older snapshot, and one with an empty disk under a voter's old name.
--- a/crates/qh-lab/src/control_sim/run.rs
+++ b/crates/simulator/src/control/run.rs
@@ -5,8 +5,8 @@
 use super::history::{Document, History};
 use super::parameters::{Allowed, Parameters};
 use super::{inject, node, operator};
-use crate::sim::core::Core;
-use qh_core::Ms;
+use crate::fleet::core::Core;
+use quincehatch_core::Ms;
 use std::sync::Arc;
 
 /// What is simulated.
@@ -108,7 +108,7 @@
     core.run_until(end + 1_000);
     let reader = cluster.others().last().copied().unwrap_or_default();
     let shared = cluster.clone();
-    core.within(reader, || qh_core::rt::spawn(operator::read_back(shared)));
+    core.within(reader, || quincehatch_runtime::rt::spawn(operator::read_back(shared)));
     let limit = core.now() + READ_BACK;
     while !cluster.history.lock().unwrap().read_back && core.now() < limit {
         core.run_until(core.now() + SLICE);
--- a/crates/qh-lab/src/sim/held/book.rs
+++ b/crates/simulator/src/direct/book.rs
@@ -1,7 +1,7 @@
 //! What origins asked and were told, and what servers ran: each breach is seen by call where it happens, or at the end.
 use super::site::{Entry, Link, Server};
 use bytes::Bytes;
-use qh_core::Ms;
+use quincehatch_core::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/qh-lab/src/sim/held/conn.rs
+++ b/crates/simulator/src/direct/conn.rs
@@ -2,9 +2,10 @@
 use super::book::Asked;
 use super::laid::{Laid, NodeAt};
 use bytes::Bytes;
-use qh_core::{Code, End, Ms, rt};
-use qh_data::held::{Ask, Held, HeldSession, Told, Wish, wish::Gone};
-use qh_data::port::No;
+use quincehatch_core::{Code, End, Ms};
+use quincehatch_proxy::held::{Ask, Held, HeldSession, Told, Wish, wish::Gone};
+use quincehatch_proxy::port::No;
+use quincehatch_runtime::rt;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/qh-lab/src/sim/held/exec.rs
+++ b/crates/simulator/src/direct/exec.rs
@@ -2,10 +2,10 @@
 use super::server::{Done, number};
 use super::site::{Reply, SLOTS, Site, State};
 use super::trip::{Trip, carry};
-use crate::sim::core::Core;
+use crate::fleet::core::Core;
 use bytes::Bytes;
-use qh_core::Ms;
-use qh_data::port::{Call, No, Said};
+use quincehatch_core::Ms;
+use quincehatch_proxy::port::{Call, No, Said};
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
--- a/crates/qh-lab/src/sim/held/faults.rs
+++ b/crates/simulator/src/direct/faults.rs
@@ -2,8 +2,9 @@
 use super::laid::{Laid, SERVERS};
 use super::operator::leave;
 use super::site::Server;
-use crate::sim::core::{Pid, Snare};
-use qh_core::{Ms, rt};
+use crate::fleet::core::{Pid, Snare};
+use quincehatch_core::Ms;
+use quincehatch_runtime::rt;
 use std::sync::Arc;
 
 #[derive(Clone, Debug)]
--- a/crates/qh-lab/src/sim/held/laid.rs
+++ b/crates/simulator/src/direct/laid.rs
@@ -1,14 +1,15 @@
 //! Lays a held fleet out: keepers, nodes, a group's servers, the promoter, and the origins' process.
 use super::ports;
 use super::site::{Server, Site};
-use crate::sim::core::{Core, Pid, Start};
-use crate::sim::keeper::{self, Disk, Keepers};
-use qh_core::settings::NodeSettings;
-use qh_core::{Name, Role, rt};
-use qh_data::held::Held;
-use qh_state::keeper::RecoveredState;
-use qh_state::{Machine, View};
-use qhd::{Fleet, mesh_driver};
+use crate::fleet::core::{Core, Pid, Start};
+use crate::fleet::keeper::{self, Disk, Keepers};
+use quincehatch_config::settings::NodeSettings;
+use quincehatch_core::{Name, Role};
+use quincehatch_node::{Fleet, mesh_driver};
+use quincehatch_proxy::held::Held;
+use quincehatch_runtime::rt;
+use quincehatch_store::keeper::RecoveredState;
+use quincehatch_store::{Machine, View};
 use std::sync::{Arc, Mutex};
 
 pub const GROUP: &str = "g";
--- a/crates/qh-lab/src/sim/held/operator.rs
+++ b/crates/simulator/src/direct/operator.rs
@@ -1,9 +1,10 @@
 //! The words that reach the chain from outside: servers' standings, blueprints; and what nodes have in force of them.
 use super::conn::TXN_IDLE;
 use super::laid::{GROUP, Laid, SERVERS};
-use qh_core::{Ms, Role, ServerRecord, rt};
-use qh_state::Command;
-use qhd::chain_client::Chain;
+use quincehatch_core::{Ms, Role, ServerRecord};
+use quincehatch_node::chain_client::Chain;
+use quincehatch_runtime::rt;
+use quincehatch_store::Command;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/qh-lab/src/sim/held/origin.rs
+++ b/crates/simulator/src/direct/origin.rs
@@ -3,9 +3,10 @@
 use super::book::Asked;
 use super::conn::{Conn, Ended, connect};
 use super::laid::Laid;
-use qh_core::{Ms, now, rt};
-use qh_data::held::Wish;
-use qh_data::port::Stage;
+use quincehatch_core::Ms;
+use quincehatch_proxy::held::Wish;
+use quincehatch_proxy::port::Stage;
+use quincehatch_runtime::{now, rt};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
--- a/crates/qh-lab/src/sim/held/ports.rs
+++ b/crates/simulator/src/direct/ports.rs
@@ -1,12 +1,12 @@
 //! The ports of held links as a simulated node has them (§3.6).
 use super::site::{LINKS, Link, Site};
 use super::trip::{Trip, carry};
-use crate::sim::core::Pid;
+use crate::fleet::core::Pid;
 use bytes::Bytes;
-use qh_core::http::Watch;
-use qh_core::rt::{self, Fut};
-use qh_core::{Fence, Name, Position};
-use qh_data::port::{Call, Line, No, Opened, Ports, Promoted, Promoter, Said, Servers};
+use quincehatch_core::{Fence, Name, Position};
+use quincehatch_proxy::port::{Call, Line, No, Opened, Ports, Promoted, Promoter, Said, Servers};
+use quincehatch_runtime::rt::{self, Fut};
+use quincehatch_wire::http::Watch;
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/qh-lab/src/sim/held/power.rs
+++ b/crates/simulator/src/direct/power.rs
@@ -1,6 +1,6 @@
 //! Ending and starting what a held fleet is made of, and healing it.
 use super::laid::{Laid, SERVERS};
-use crate::sim::core::Pid;
+use crate::fleet::core::Pid;
 use std::sync::Arc;
 
 /// A server drops a link whose far end went dark after so long.
--- a/crates/qh-lab/src/sim/held/promote.rs
+++ b/crates/simulator/src/direct/promote.rs
@@ -1,8 +1,8 @@
 //! The promoter's stand-in, and what servers do when they come back.
 use super::site::{Site, State, Waiting};
-use crate::sim::core::Core;
-use qh_core::{Fence, Ms, Role};
-use qh_data::port::Promoted;
+use crate::fleet::core::Core;
+use quincehatch_core::{Fence, Ms, Role};
+use quincehatch_proxy::port::Promoted;
 use std::sync::Arc;
 
 /// A replica that was cut back declines everything for so long.
--- a/crates/qh-lab/src/sim/held/replicate.rs
+++ b/crates/simulator/src/direct/replicate.rs
@@ -1,10 +1,10 @@
 //! Commits at a simulated server, and how its replicas get them.
 use super::site::{Entry, Reply, Site, State, Waiting};
 use super::trip::{Trip, carry};
-use crate::sim::core::Core;
+use crate::fleet::core::Core;
 use bytes::Bytes;
-use qh_core::{Ms, Position, Role};
-use qh_data::port::{Call, Look, No, Said};
+use quincehatch_core::{Ms, Position, Role};
+use quincehatch_proxy::port::{Call, Look, No, Said};
 use std::sync::Arc;
 
 /// How often a lead sends its replicas what they lack.
--- a/crates/qh-lab/src/sim/held/run.rs
+++ b/crates/simulator/src/direct/run.rs
@@ -1,7 +1,8 @@
 //! One seed of a held fleet from start to end: a quiet start, a time of faults, healing, and the checks.
 use super::laid::{Laid, lay_out};
 use super::{operator, origin};
-use qh_core::{Ms, rt};
+use quincehatch_core::Ms;
+use quincehatch_runtime::rt;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
--- a/crates/qh-lab/src/sim/held/server.rs
+++ b/crates/simulator/src/direct/server.rs
@@ -1,8 +1,8 @@
 //! What a simulated server does with a question on a held link.
 use super::site::{Link, State, Txn};
 use bytes::Bytes;
-use qh_core::{Ms, Position, Role};
-use qh_data::port::{Call, No, Said, Stage};
+use quincehatch_core::{Ms, Position, Role};
+use quincehatch_proxy::port::{Call, No, Said, Stage};
 
 /// What an executed question comes to.
 pub enum Done {
--- a/crates/qh-lab/src/sim/held/site.rs
+++ b/crates/simulator/src/direct/site.rs
@@ -1,9 +1,9 @@
 //! What the servers of a simulated group are and hold: one thread's state, changed by events in the order of time.
 use super::book::Book;
-use crate::sim::core::{Core, Pid};
+use crate::fleet::core::{Core, Pid};
 use bytes::Bytes;
-use qh_core::{Fence, Ms, Name, Position, Role};
-use qh_data::port::{Look, Said};
+use quincehatch_core::{Fence, Ms, Name, Position, Role};
+use quincehatch_proxy::port::{Look, Said};
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 use std::sync::atomic::AtomicBool;
--- a/crates/qh-lab/src/sim/held/trip.rs
+++ b/crates/simulator/src/direct/trip.rs
@@ -1,7 +1,7 @@
 //! A trip of one message between two simulated processes: cuts delay it, standing still holds it, and after four
 //! seconds without an acknowledgement the kernel gives it up (§9.1).
-use crate::sim::core::{Core, Pid};
-use qh_core::Ms;
+use crate::fleet::core::{Core, Pid};
+use quincehatch_core::Ms;
 use std::sync::Arc;
 
 const RESEND: Ms = 250;
--- a/crates/qh-lab/src/sim/arrive.rs
+++ b/crates/simulator/src/fleet/arrive.rs
@@ -1,7 +1,7 @@
 //! What happens when something arrives at a simulated process (§9.1).
 use super::core::{Core, Ev, Pid};
 use super::net::{FRAME, Net, RESEND, USER_TIMEOUT, Visit};
-use qh_core::Ms;
+use quincehatch_core::Ms;
 use std::io::{Error, ErrorKind};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -73,7 +73,7 @@
                             None => m.reset(id),
                         }
                     };
-                    qh_core::rt::spawn(work)
+                    quincehatch_runtime::rt::spawn(work)
                 });
             }
             Net::Answer(id, r) => {
@@ -99,7 +99,7 @@
                 drop(m);
                 self.within(to, || {
                     let (core, fut) = (self.clone(), f(bytes));
-                    qh_core::rt::spawn(async move {
+                    quincehatch_runtime::rt::spawn(async move {
                         let got = fut.await;
                         core.lock().send(to, from, Net::FrameBack { rid, got });
                     })
--- a/crates/qh-lab/src/sim/core.rs
+++ b/crates/simulator/src/fleet/core.rs
@@ -1,8 +1,8 @@
 //! Virtual time, processes and their tasks (§9.1): one thread, everything in the order of one queue.
 use super::net::{Links, Net};
-use qh_core::Ms;
-use qh_core::rng::Rng;
-use qh_core::rt::{self, Fut, World};
+use quincehatch_core::Ms;
+use quincehatch_runtime::rng::Rng;
+use quincehatch_runtime::rt::{self, Fut, World};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::task::Waker;
--- a/crates/qh-lab/src/sim/exec.rs
+++ b/crates/simulator/src/fleet/exec.rs
@@ -1,7 +1,7 @@
 //! Runs the tasks of all simulated processes in one order (§9.1).
 use super::core::{Core, Ev, Inner, Pid, Task};
-use qh_core::Ms;
-use qh_core::rt::Fut;
+use quincehatch_core::Ms;
+use quincehatch_runtime::rt::Fut;
 use std::sync::{Arc, Weak};
 use std::task::{Context, Wake, Waker};
 
--- a/crates/qh-lab/src/sim/faults.rs
+++ b/crates/simulator/src/fleet/faults.rs
@@ -1,8 +1,8 @@
 //! What goes wrong in a simulated fleet, drawn from the seed (§9.1).
 use super::core::{Pid, Snare};
 use super::procs::Laid;
-use crate::stand::faults::Wish;
-use qh_core::{Ms, State};
+use quincehatch_core::{Ms, State};
+use quincehatch_testbed::stand::faults::Wish;
 use std::sync::Arc;
 
 #[derive(Clone, Debug)]
@@ -167,7 +167,7 @@
         let srv = &self.servers[s];
         if let Some(s) = srv.live.lock().unwrap().clone() {
             let st = if leaves { State::Leaving } else { State::Up };
-            self.core.within(srv.pid, || *s.state.lock().unwrap() = (st, qh_core::now()));
+            self.core.within(srv.pid, || *s.state.lock().unwrap() = (st, quincehatch_runtime::now()));
         }
     }
     /// All that is broken is made whole; from here the bound of the BRIEF counts.
--- a/crates/qh-lab/src/sim/host.rs
+++ b/crates/simulator/src/fleet/host.rs
@@ -1,8 +1,8 @@
 //! What a simulated process has in place of tokio and the kernel (§5.8, §9.1).
 use super::core::{Core, Pid};
 use super::net::{Link, Net, Visit};
-use qh_core::rt::{Fut, OnBreak, Pipe, World};
-use qh_core::{Ms, hash64};
+use quincehatch_core::{Ms, hash64};
+use quincehatch_runtime::rt::{Fut, OnBreak, Pipe, World};
 use serde_json::Value;
 use std::io::{Error, ErrorKind, Result};
 use std::sync::Arc;
--- a/crates/qh-lab/src/sim/keeper.rs
+++ b/crates/simulator/src/fleet/keeper.rs
@@ -1,11 +1,12 @@
 //! A keeper in the simulator: the real [`Keeper`] with a disk that is what was synced (§5.7).
 use super::core::{Core, Pid};
 use super::net::Net;
-use qh_core::wire::{self, Identity, Received};
-use qh_core::{Ms, Name, now, rt};
-use qh_state::keeper::{Input, Output, Record, RecoveredState};
-use qh_state::patch::Packed;
-use qh_state::{FeedSnapshot, Keeper, KeeperRequest, KeeperResponse, Reply, Request};
+use quincehatch_core::{Ms, Name};
+use quincehatch_runtime::{now, rt};
+use quincehatch_store::keeper::{Input, Output, Record, RecoveredState};
+use quincehatch_store::patch::Packed;
+use quincehatch_store::{FeedSnapshot, Keeper, KeeperRequest, KeeperResponse, Reply, Request};
+use quincehatch_wire::{Identity, Received};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -55,7 +56,7 @@
         addr,
         pid,
         Arc::new(move |bytes| {
-            let (call, ask) = match wire::receive::<KeeperRequest>(&me, &bytes) {
+            let (call, ask) = match quincehatch_wire::receive::<KeeperRequest>(&me, &bytes) {
                 Ok(Received::Request { call, request: KeeperRequest::Node { ask } }) => (call, ask),
                 Ok(Received::Declined(frame)) => return Box::pin(async { Some(frame) }),
                 _ => return Box::pin(async { None }),
@@ -81,7 +82,7 @@
             let me = me.clone();
             Box::pin(async move {
                 let answer = KeeperResponse::Reply { rep: rx.await.ok()? };
-                wire::answer_to::<KeeperRequest>(&me, call, &answer).ok()
+                quincehatch_wire::answer_to::<KeeperRequest>(&me, call, &answer).ok()
             })
         }),
     );
--- a/crates/qh-lab/src/sim/last.rs
+++ b/crates/simulator/src/fleet/last.rs
@@ -14,8 +14,9 @@
         .find(|s| lead.as_deref() == Some(s.at.name.as_str()))
         .map_or(l.servers[0].pid, |s| s.pid);
     let view = fleet.map(|f| f.chain.view()).unwrap_or_default();
-    let at =
-        |n: Option<&qh_core::Name>| n.and_then(|n| l.all_keepers.by_name.lock().unwrap().get(n).copied());
+    let at = |n: Option<&quincehatch_core::Name>| {
+        n.and_then(|n| l.all_keepers.by_name.lock().unwrap().get(n).copied())
+    };
     let (head, tail) = (at(view.head()).unwrap_or(l.keepers[0]), at(view.tail()).unwrap_or(l.keepers[0]));
     let draw = |n: usize| l.core.lock().rng.below(n as u64) as usize;
     let node = l.nodes[draw(l.nodes.len())];
--- a/crates/qh-lab/src/sim/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -5,7 +5,7 @@
 mod exec;
 pub mod faults;
 mod hands;
-pub mod held;
+
 mod host;
 pub mod keeper;
 mod last;
--- a/crates/qh-lab/src/sim/net.rs
+++ b/crates/simulator/src/fleet/net.rs
@@ -1,9 +1,9 @@
 //! Links and frames between simulated processes (§9.1). A link is a stream: what is lost on it is sent again, a cut
 //! delays it, and after four seconds without an acknowledgement the kernel gives it up (§4.4).
 use super::core::{Core, Ev, Inner, Pid};
-use qh_core::Ms;
-use qh_core::rt::{Fut, OnBreak};
-use qh_state::PeerMessage;
+use quincehatch_core::Ms;
+use quincehatch_runtime::rt::{Fut, OnBreak};
+use quincehatch_store::PeerMessage;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::io::Result;
--- a/crates/qh-lab/src/sim/power.rs
+++ b/crates/simulator/src/fleet/power.rs
@@ -1,6 +1,6 @@
 //! Cutting, pausing, killing and starting simulated processes (§9.1).
 use super::core::{Core, Ev, Pid};
-use qh_core::Ms;
+use quincehatch_core::Ms;
 use std::sync::Arc;
 
 impl Core {
--- a/crates/qh-lab/src/sim/procs.rs
+++ b/crates/simulator/src/fleet/procs.rs
@@ -3,17 +3,18 @@
 use super::core::{Core, Pid, Start};
 use super::keeper::{self, Disk, Keepers};
 use super::net::OnHttp;
-use crate::fleet::{ServerAt, Shape, TOKEN, blueprint_of};
-use crate::platform::{Platform, ask_ready};
-use crate::stand::{self, Stand, calls, repl};
-use crate::stmt::Ctx;
 use bytes::Bytes;
-use qh_core::settings::NodeSettings;
-use qh_core::{Name, rt};
-use qh_data::door::Knock;
-use qh_state::keeper::RecoveredState;
-use qh_state::{Machine, View};
-use qhd::{Fleet, mesh_driver, operator_api};
+use quincehatch_config::settings::NodeSettings;
+use quincehatch_core::Name;
+use quincehatch_node::{Fleet, mesh_driver, operator_api};
+use quincehatch_proxy::door::Knock;
+use quincehatch_runtime::rt;
+use quincehatch_store::keeper::RecoveredState;
+use quincehatch_store::{Machine, View};
+use quincehatch_testbed::fleet::{ServerAt, Shape, TOKEN, blueprint_of};
+use quincehatch_testbed::platform::{Platform, ask_ready};
+use quincehatch_testbed::stand::{self, Stand, calls, repl};
+use quincehatch_testbed::stmt::Ctx;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
@@ -172,7 +173,7 @@
             let args = stand::Args {
                 name: name.clone(),
                 addr: a.clone(),
-                labels: crate::fleet::labels(&labels),
+                labels: quincehatch_testbed::fleet::labels(&labels),
                 peers: addrs.iter().filter(|x| *x != a).cloned().collect(),
                 desks: desks.clone(),
                 disk: Some(disk.clone()),
--- a/crates/qh-lab/src/sim/run.rs
+++ b/crates/simulator/src/fleet/run.rs
@@ -1,13 +1,14 @@
 //! One seed from start to end (§9.1).
 use super::procs::{Laid, lay_out};
 use super::{faults, hands};
-use crate::aftermath::{facts, settle};
-use crate::fleet::Shape;
-use crate::history::{End, Facts, check, gap_after};
-use crate::load::{Caller, World};
-use crate::pushing::pushes;
-use crate::scenario::op;
-use qh_core::{Ms, rt};
+use quincehatch_core::Ms;
+use quincehatch_runtime::rt;
+use quincehatch_testbed::aftermath::{facts, settle};
+use quincehatch_testbed::fleet::Shape;
+use quincehatch_testbed::history::{End, Facts, check, gap_after};
+use quincehatch_testbed::load::{Caller, World};
+use quincehatch_testbed::pushing::pushes;
+use quincehatch_testbed::scenario::op;
 use serde_json::json;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
--- a/crates/qh-lab/tests/control_history.rs
+++ b/crates/simulator/tests/control_history.rs
@@ -1,8 +1,8 @@
 //! Each check of the simulated control plane's history, seen to fail on a history that is spoilt in its way (§9.8).
-use qh_core::Ms;
-use qh_lab::control_sim::checks::check;
-use qh_lab::control_sim::history::{Applied, Document, History, Read};
-use qh_lab::control_sim::{Allowed, Parameters};
+use quincehatch_core::Ms;
+use quincehatch_simulator::control::checks::check;
+use quincehatch_simulator::control::history::{Applied, Document, History, Read};
+use quincehatch_simulator::control::{Allowed, Parameters};
 
 fn document(number: u64, variant: u64) -> Document {
     Document { number, variant }
@@ -73,7 +73,7 @@
 
 #[test]
 fn c10_sees_a_leased_node_that_is_behind() {
-    let node = qh_core::Name::from("node-0");
+    let node = quincehatch_core::Name::from("node-0");
     let applied = Applied { node, at: 9_000, document: Some(document(1, 0)) };
     fails("C10", |history| history.applied.push(applied));
 }
--- a/crates/qh-lab/tests/control_sim.rs
+++ b/crates/simulator/tests/control_sim.rs
@@ -1,5 +1,5 @@
 //! The simulated control plane on fixed seeds (§9.8): the same verdict every run, and each check seen to catch a bug.
-use qh_lab::control_sim::{Allowed, ControlSim, Report, run};
+use quincehatch_simulator::control::{Allowed, ControlSim, Report, run};
 
 const NONE: Allowed = Allowed { moved_machines: false };
 /// A bug must be seen within so many seeds.
--- a/crates/qh-lab/tests/held/fleet.rs
+++ b/crates/simulator/tests/held/fleet.rs
@@ -1,12 +1,13 @@
 //! Keepers and nodes in virtual time, over a group behind held links.
 use crate::group::Group;
-use qh_core::settings::NodeSettings;
-use qh_core::{Lead, Name, Role, ServerRecord, rt};
-use qh_lab::sim::core::{Core, Pid};
-use qh_lab::sim::keeper::{self, Disk, Keepers};
-use qh_state::keeper::RecoveredState;
-use qh_state::{Command, Machine, View};
-use qhd::{Fleet, mesh_driver};
+use quincehatch_config::settings::NodeSettings;
+use quincehatch_core::{Lead, Name, Role, ServerRecord};
+use quincehatch_node::{Fleet, mesh_driver};
+use quincehatch_runtime::rt;
+use quincehatch_simulator::fleet::core::{Core, Pid};
+use quincehatch_simulator::fleet::keeper::{self, Disk, Keepers};
+use quincehatch_store::keeper::RecoveredState;
+use quincehatch_store::{Command, Machine, View};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
--- a/crates/qh-lab/tests/held/group.rs
+++ b/crates/simulator/tests/held/group.rs
@@ -1,8 +1,8 @@
 //! A group of servers behind held links, and who promotes them, as the ports show them (§3.6).
-use qh_core::http::Watch;
-use qh_core::rt::{self, Fut};
-use qh_core::{Fence, Name, Position, Role};
-use qh_data::port::{Call, Line, Look, Opened, Ports, Promoted, Promoter, Said, Servers};
+use quincehatch_core::{Fence, Name, Position, Role};
+use quincehatch_proxy::port::{Call, Line, Look, Opened, Ports, Promoted, Promoter, Said, Servers};
+use quincehatch_runtime::rt::{self, Fut};
+use quincehatch_wire::http::Watch;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::sync::{Arc, Mutex};
--- a/crates/qh-lab/tests/sim.rs
+++ b/crates/simulator/tests/sim.rs
@@ -1,6 +1,6 @@
 //! The simulator on fixed seeds (§9.1): the same verdict every run, and each check seen to catch a bug in the
 //! product's own code.
-use qh_lab::sim::{Report, Sim, run};
+use quincehatch_simulator::fleet::{Report, Sim, run};
 
 fn one(seed: u64, keepers: usize, nodes: usize, groups: usize, bug: Option<&str>) -> Report {
     run(&Sim {
@@ -23,7 +23,7 @@
     }
 }
 
-/// Every eighth seed has three groups, as with `qhlab sim`.
+/// Every eighth seed has three groups, as with `quincehatch-lab sim`.
 fn groups(seed: u64) -> usize {
     if seed.is_multiple_of(8) { 3 } else { 1 }
 }
--- a/crates/qh-lab/tests/sim_held.rs
+++ b/crates/simulator/tests/sim_held.rs
@@ -1,6 +1,6 @@
 //! The simulator of held fleets on fixed seeds (§9.1): the same verdict every run, and each check seen to catch a bug in
 //! the product's own code.
-use qh_lab::sim::held::{HeldReport, HeldSim, run};
+use quincehatch_simulator::direct::{HeldReport, HeldSim, run};
 
 fn one(seed: u64, bug: Option<&str>) -> HeldReport {
     run(&HeldSim { seed, keepers: 3, nodes: 5, bug: bug.map(str::to_owned), tell: false })
--- a/crates/qh-state/src/calls.rs
+++ b/crates/store/src/calls.rs
@@ -1,6 +1,6 @@
 //! Which calls to a keeper may be sent again, and what they are recognized by then (§2.6).
 use crate::messages::{KeeperRequest, KeeperResponse, PeerMessage, Request};
-use qh_core::wire::{Call, Key, Repeat};
+use quincehatch_wire::{Call, Key, Repeat};
 
 impl Call for KeeperRequest {
     type Answer = KeeperResponse;
--- a/crates/qh-state/src/chain.rs
+++ b/crates/store/src/chain.rs
@@ -4,7 +4,7 @@
 use crate::messages::{Answer, Command, Entry, PeerMessage, View};
 use crate::snapshot::SnapshotProgress;
 use crate::terms::{NODE_LEASE, TRANSFER_BYTES, VIEW_LEASE, outlast};
-use qh_core::{ChangeNo, Name, Version};
+use quincehatch_core::{ChangeNo, Name, Version};
 
 impl Keeper {
     /// Takes a newer agreed view.
--- a/crates/qh-state/src/contact.rs
+++ b/crates/store/src/contact.rs
@@ -7,7 +7,7 @@
 use crate::keeper::Keeper;
 use crate::messages::{Answer, Command};
 use crate::store::RecordedAnswer;
-use qh_core::{Code, Ms};
+use quincehatch_core::{Code, Ms};
 
 /// How long a question that alters nothing waits for others, so that one heartbeat serves them all.
 const CONTACT_WAIT: Ms = 60;
--- a/crates/qh-state/src/discovery.rs
+++ b/crates/store/src/discovery.rs
@@ -2,7 +2,7 @@
 use crate::keeper::Keeper;
 use crate::messages::{Machine, PeerMessage, View};
 use crate::terms::SILENT;
-use qh_core::{Ms, Name};
+use quincehatch_core::{Ms, Name};
 use std::collections::BTreeMap;
 
 /// Least time between two askings of one that stands outside.
--- a/crates/qh-state/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -4,7 +4,7 @@
 use crate::messages::View;
 use crate::step::{Record, RecoveredState};
 use crate::store::Store;
-use qh_core::Error;
+use quincehatch_core::Error;
 use redb::{Database, Durability, ReadableDatabase, WriteTransaction};
 use std::path::{Path, PathBuf};
 
--- a/crates/qh-state/src/disk_port.rs
+++ b/crates/store/src/disk_port.rs
@@ -2,7 +2,7 @@
 use crate::step::{Record, RecoveredState};
 use crate::store::Store;
 use crate::terms::LOG_BYTES;
-use qh_core::{Error, messages};
+use quincehatch_core::{Error, messages};
 
 /// Allowed size of a data folder where the settings name none.
 pub const DEFAULT_ALLOWED: u64 = 64 << 20;
--- a/crates/qh-state/src/disk_records.rs
+++ b/crates/store/src/disk_records.rs
@@ -8,7 +8,7 @@
 use crate::store::Store;
 use crate::terms::{LOG_KEEP, SNAP_EVERY};
 use borsh::{BorshDeserialize, BorshSerialize};
-use qh_core::{ChangeNo, Code, Error};
+use quincehatch_core::{ChangeNo, Code, Error};
 use redb::{ReadTransaction, ReadableTable, Table, TableDefinition, WriteTransaction};
 use std::collections::VecDeque;
 
--- a/crates/qh-state/src/documents.rs
+++ b/crates/store/src/documents.rs
@@ -1,6 +1,6 @@
 //! Which document of the operator took which number (§5.2).
 use crate::messages::Answer;
-use qh_core::{ChangeNo, Code, Version, hash64, messages};
+use quincehatch_core::{ChangeNo, Code, Version, hash64, messages};
 use std::collections::BTreeMap;
 
 /// Numbers whose document is remembered; of more, the lowest are forgotten first.
--- a/crates/qh-state/src/entry_log.rs
+++ b/crates/store/src/entry_log.rs
@@ -2,7 +2,7 @@
 use crate::messages::Entry;
 use crate::packed::PackedBytes;
 use crate::terms::{LOG_BYTES, LOG_KEEP};
-use qh_core::{ChangeNo, messages};
+use quincehatch_core::{ChangeNo, messages};
 use std::collections::VecDeque;
 
 messages! {
--- a/crates/qh-state/src/feed.rs
+++ b/crates/store/src/feed.rs
@@ -5,7 +5,7 @@
 use crate::patch::{Packed, Patch};
 use crate::store::{Store, duty_of, stand};
 use crate::terms::{LOG_KEEP, NEWS_BYTES};
-use qh_core::{ChangeNo, Fence, Lead, Ms, Name, ServerRecord, Version, messages};
+use quincehatch_core::{ChangeNo, Fence, Lead, Ms, Name, ServerRecord, Version, messages};
 use std::collections::{BTreeMap, VecDeque};
 
 messages! {
--- a/crates/qh-state/src/heartbeat.rs
+++ b/crates/store/src/heartbeat.rs
@@ -2,7 +2,7 @@
 use crate::keeper::Keeper;
 use crate::messages::PeerMessage;
 use crate::terms::{BEAT, VIEW_LEASE, safe};
-use qh_core::Name;
+use quincehatch_core::Name;
 
 impl Keeper {
     /// Heartbeat to every disk machine; it asks for the view lease too.
--- a/crates/qh-state/src/host.rs
+++ b/crates/store/src/host.rs
@@ -5,7 +5,7 @@
 use crate::messages::{KeeperStatus, Reply, Request, View};
 use crate::stale_reply;
 use crate::step::{Input, Output, Record, RecoveredState};
-use qh_core::{Code, Error, Ms, Name};
+use quincehatch_core::{Code, Error, Ms, Name};
 use std::collections::BTreeSet;
 
 /// Time between two attempts to open the folder of a suspended keeper.
--- a/crates/qh-state/src/keeper.rs
+++ b/crates/store/src/keeper.rs
@@ -13,7 +13,8 @@
 pub use crate::step::{Input, Output, Record, RecoveredState};
 use crate::store::Store;
 use crate::terms::{NODE_LEASE, SILENT, VIEW_LEASE, outlast};
-use qh_core::{ChangeNo, Ms, Name, Version, hash64, rt};
+use quincehatch_core::{ChangeNo, Ms, Name, Version, hash64};
+use quincehatch_runtime::rt;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 #[derive(Clone, Debug)]
--- a/crates/qh-state/src/lease.rs
+++ b/crates/store/src/lease.rs
@@ -1,7 +1,7 @@
 //! Node leases at the tail (§5.6): an acknowledged write is in force at every node that may still act.
 use crate::messages::LeaseRow;
 use crate::terms::{NODE_LEASE, outlast};
-use qh_core::{ChangeNo, Ms, Name};
+use quincehatch_core::{ChangeNo, Ms, Name};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
@@ -44,7 +44,7 @@
     }
     /// All up to this number is applied by whoever may still act; `committed` when nobody may.
     pub fn in_force(&mut self, now: Ms, committed: ChangeNo) -> ChangeNo {
-        if qh_core::rt::broken("early-push") {
+        if quincehatch_runtime::rt::broken("early-push") {
             return committed;
         }
         self.held.retain(|_, h| h.until > now);
--- a/crates/qh-state/src/lease_handover.rs
+++ b/crates/store/src/lease_handover.rs
@@ -1,7 +1,7 @@
 //! Node leases from the tail of one view to the tail of the next (§5.11).
 use crate::keeper::Keeper;
 use crate::messages::{LeaseRow, PeerMessage};
-use qh_core::{Ms, Name, Version};
+use quincehatch_core::{Ms, Name, Version};
 
 impl Keeper {
     /// Tells the tail which leases this keeper granted when it was the tail of the view before. It grants and serves
--- a/crates/qh-state/src/membership.rs
+++ b/crates/store/src/membership.rs
@@ -7,7 +7,7 @@
 use crate::keeper::{Keeper, Output};
 use crate::messages::{Machine, PeerMessage, View};
 use crate::terms::{PROPOSE_GAP, SILENT};
-use qh_core::{Ms, Name};
+use quincehatch_core::{Ms, Name};
 
 /// Time that a leaving keeper keeps for leaving the chain without handing its vote over. Until then it tries to: where
 /// another voter is lost at the same moment, the chain is repaired and served again first (2.3 s, `terms`).
--- a/crates/qh-state/src/messages.rs
+++ b/crates/store/src/messages.rs
@@ -4,7 +4,7 @@
 use crate::feed::{Change, FeedSnapshot};
 use crate::snapshot::{SnapshotPart, SnapshotProgress};
 use crate::store::{Adopted, Store};
-use qh_core::{ChangeNo, Error, Fence, Lead, Ms, Name, ServerRecord, Version, messages};
+use quincehatch_core::{ChangeNo, Error, Fence, Lead, Ms, Name, ServerRecord, Version, messages};
 
 messages! {
     /// The agreed view: who is in the chain, in order, and which disk machines vote (§5.3).
--- a/crates/qh-state/src/packed.rs
+++ b/crates/store/src/packed.rs
@@ -1,7 +1,7 @@
 //! Byte strings that are kept and sent compressed when that is worth it (§5.7).
 use miniz_oxide::deflate::compress_to_vec;
 use miniz_oxide::inflate::decompress_to_vec_with_limit;
-use qh_core::messages;
+use quincehatch_core::messages;
 
 /// Longest byte string that is unpacked: a message that claims more is not believed.
 const UNPACKED_MAX: usize = 32 << 20;
--- a/crates/qh-state/src/patch.rs
+++ b/crates/store/src/patch.rs
@@ -1,7 +1,7 @@
 //! Texts on their way to many: packed, and as what changed of the one before (§5.10).
 use miniz_oxide::deflate::compress_to_vec;
 use miniz_oxide::inflate::decompress_to_vec_with_limit;
-use qh_core::messages;
+use quincehatch_core::messages;
 use std::collections::HashMap;
 
 /// Longest text taken.
--- a/crates/qh-state/src/peer_messages.rs
+++ b/crates/store/src/peer_messages.rs
@@ -1,7 +1,7 @@
 //! What a keeper does with each message of its peers (§5.2, §5.3).
 use crate::keeper::Keeper;
 use crate::messages::PeerMessage;
-use qh_core::Name;
+use quincehatch_core::Name;
 
 impl Keeper {
     pub(crate) fn peer(&mut self, from: &Name, m: PeerMessage) {
--- a/crates/qh-state/src/peers.rs
+++ b/crates/store/src/peers.rs
@@ -1,7 +1,7 @@
 //! Connections from one keeper to the others.
 use crate::messages::{KeeperRequest, PeerMessage};
-use qh_core::Name;
-use qh_core::wire::{Caller, Destination, Identity};
+use quincehatch_core::Name;
+use quincehatch_wire::{Caller, Destination, Identity};
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::sync::mpsc;
--- a/crates/qh-state/src/register.rs
+++ b/crates/store/src/register.rs
@@ -6,7 +6,7 @@
 //! declines an older one, so an instance takes no votes of a machine that knows its outcome, and what an acceptor has
 //! accepted is never overwritten by a proposal for an earlier version.
 use crate::messages::{Ballot, PeerMessage, View};
-use qh_core::{Ms, Name, Version, messages};
+use quincehatch_core::{Ms, Name, Version, messages};
 use std::collections::{BTreeMap, BTreeSet};
 
 messages! {
@@ -185,7 +185,7 @@
 
 /// A majority of the old set must take part in every change of the register.
 fn old_majority<'a>(base: &View, who: impl Iterator<Item = &'a Name>) -> bool {
-    base.majority(who) || qh_core::rt::broken("no-old-majority")
+    base.majority(who) || quincehatch_runtime::rt::broken("no-old-majority")
 }
 
 /// Who votes on a change: the machines of both views.
--- a/crates/qh-state/src/repair.rs
+++ b/crates/store/src/repair.rs
@@ -2,7 +2,7 @@
 use crate::keeper::{Keeper, Output};
 use crate::messages::View;
 use crate::terms::{PROPOSE_GAP, SILENT};
-use qh_core::Name;
+use quincehatch_core::Name;
 
 impl Keeper {
     pub(crate) fn propose(&mut self, want: View) {
--- a/crates/qh-state/src/requests.rs
+++ b/crates/store/src/requests.rs
@@ -5,7 +5,7 @@
 use crate::lease::Leases;
 use crate::messages::{Answer, Command, Entry, Machine, Reply, Request, View};
 use crate::terms::{ADOPT_WAIT, FEED, NODE_LEASE};
-use qh_core::{ChangeNo, Code, Ms, Name, Version};
+use quincehatch_core::{ChangeNo, Code, Ms, Name, Version};
 
 /// Writers that may wait at the head.
 const WAITERS: usize = 1024;
--- a/crates/qh-state/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -2,7 +2,7 @@
 use crate::packed::PackedBytes;
 use crate::store::Store;
 use crate::terms::TRANSFER_BYTES;
-use qh_core::{ChangeNo, Name, hash64, messages};
+use quincehatch_core::{ChangeNo, Name, hash64, messages};
 
 /// Longest packed snapshot that a member takes.
 const SNAPSHOT_MAX: u64 = 32 << 20;
--- a/crates/qh-state/src/stale_reply.rs
+++ b/crates/store/src/stale_reply.rs
@@ -1,7 +1,7 @@
 //! Replies that rested on a lease which has ended before they left (§5.7).
 use crate::host::RETRY_PENDING;
 use crate::messages::{Reply, View};
-use qh_core::Code;
+use quincehatch_core::Code;
 
 /// A reply as it may still be given by a tail whose lease has ended: reads and leases are to be asked for elsewhere, and
 /// a write that was committed under that lease is to be asked for again.
--- a/crates/qh-state/src/step.rs
+++ b/crates/store/src/step.rs
@@ -3,7 +3,7 @@
 use crate::messages::{PeerMessage, Reply, Request, View};
 use crate::register::Acceptor;
 use crate::store::Store;
-use qh_core::{Ms, Name, Version, messages};
+use quincehatch_core::{Ms, Name, Version, messages};
 
 messages! {
     /// What must be on disk before anything of the same step is sent.
--- a/crates/qh-state/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,7 +1,7 @@
 //! What the chain's entries add up to; keepers and nodes apply the same entries to the same store (§5.2).
 use crate::documents::{DocumentOutcome, DocumentRegister, TakenNumber, document_digest};
 use crate::messages::{Answer, Command, Entry, Leadership};
-use qh_core::{ChangeNo, Code, Fence, Lead, Name, ServerRecord, Version, hash64, messages};
+use quincehatch_core::{ChangeNo, Code, Fence, Lead, Name, ServerRecord, Version, hash64, messages};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Blueprints kept for history and rollback.
@@ -214,7 +214,7 @@
         }
         let mut lists = now.map_or_else(Vec::new, Lead::lists);
         if !lead.counts.is_empty() {
-            lists.retain(|l| *l != lead.counts && !qh_core::rt::broken("old-list"));
+            lists.retain(|l| *l != lead.counts && !quincehatch_runtime::rt::broken("old-list"));
             lists.push(lead.counts.clone());
         }
         let counts = lists.pop().unwrap_or_default();
--- a/crates/qh-state/src/terms.rs
+++ b/crates/store/src/terms.rs
@@ -1,6 +1,6 @@
 //! The times of the state plane and the sums that tie them together (§5.6).
-use qh_core::Ms;
-use qh_core::wire::FRAME_MAX;
+use quincehatch_core::Ms;
+use quincehatch_wire::FRAME_MAX;
 
 /// Two local clocks may run apart by this many parts in a thousand; every wait on another's term adds it.
 pub const DRIFT_PM: Ms = 20;
--- a/crates/qh-state/src/transfer.rs
+++ b/crates/store/src/transfer.rs
@@ -3,7 +3,7 @@
 use crate::messages::PeerMessage;
 use crate::snapshot::{OutgoingSnapshot, SnapshotPart, SnapshotProgress};
 use crate::store::Store;
-use qh_core::{Ms, Name, Version};
+use quincehatch_core::{Ms, Name, Version};
 
 impl Keeper {
     /// Asks the forerunner for what comes next.
--- a/crates/qh-state/src/voting.rs
+++ b/crates/store/src/voting.rs
@@ -2,7 +2,7 @@
 use crate::keeper::{Keeper, Output, Record};
 use crate::messages::{PeerMessage, View};
 use crate::register::ProposerAction;
-use qh_core::Name;
+use quincehatch_core::Name;
 
 impl Keeper {
     /// Answers a proposer whose base is known here by now.
--- a/crates/qh-state/tests/behind.rs
+++ b/crates/store/tests/behind.rs
@@ -3,9 +3,9 @@
 mod samples;
 
 use kit::Net;
-use qh_core::{ChangeNo, Name};
-use qh_state::terms::{LOG_BYTES, LOG_KEEP, TRANSFER_BYTES};
-use qh_state::{Answer, Command, Reply, Request};
+use quincehatch_core::{ChangeNo, Name};
+use quincehatch_store::terms::{LOG_BYTES, LOG_KEEP, TRANSFER_BYTES};
+use quincehatch_store::{Answer, Command, Reply, Request};
 use samples::{adopt, document, noise};
 use std::time::Instant;
 
@@ -136,7 +136,7 @@
     caught_up(&net, "c");
 }
 
-/// `cargo test --release -p qh-state --test behind -- --ignored --nocapture` prints the rows of docs/measurements.md.
+/// `cargo test --release -p quincehatch-store --test behind -- --ignored --nocapture` prints the rows of docs/measurements.md.
 #[test]
 #[ignore = "prints a table of measurements; the tests above decide"]
 fn cost_of_catching_up_by_number_of_changes() {
--- a/crates/qh-state/tests/chain.rs
+++ b/crates/store/tests/chain.rs
@@ -3,8 +3,8 @@
 
 use assert_matches::assert_matches;
 use kit::{Net, machine};
-use qh_core::Code;
-use qh_state::{Answer, Command, Machine, Reply, Request, View};
+use quincehatch_core::Code;
+use quincehatch_store::{Answer, Command, Machine, Reply, Request, View};
 
 fn push(base: u64, text: &str) -> Command {
     Command::Push { base, text: text.into(), by: "t".into() }
--- a/crates/qh-state/tests/cut_off.rs
+++ b/crates/store/tests/cut_off.rs
@@ -3,8 +3,8 @@
 mod kit;
 
 use kit::Net;
-use qh_core::{Name, Role, ServerRecord};
-use qh_state::{Answer, Command, Reply, Request};
+use quincehatch_core::{Name, Role, ServerRecord};
+use quincehatch_store::{Answer, Command, Reply, Request};
 
 const CUT_MS: u64 = 20_000;
 const STEP_MS: u64 = 100;
--- a/crates/qh-state/tests/disk.rs
+++ b/crates/store/tests/disk.rs
@@ -1,17 +1,17 @@
 //! The keeper's data folder (§5.7): what it keeps, and what it declines to serve from.
-use qh_core::{Code, hash64};
-use qh_state::disk::Disk;
-use qh_state::disk_port::DiskPort;
-use qh_state::entry_log::PackedEntry;
-use qh_state::keeper::Record;
-use qh_state::{Command, Entry, Store, View};
+use quincehatch_core::{Code, hash64};
+use quincehatch_store::disk::Disk;
+use quincehatch_store::disk_port::DiskPort;
+use quincehatch_store::entry_log::PackedEntry;
+use quincehatch_store::keeper::Record;
+use quincehatch_store::{Command, Entry, Store, View};
 use std::path::PathBuf;
 
 struct Dir(PathBuf);
 
 impl Dir {
     fn new(name: &str) -> Dir {
-        let d = std::env::temp_dir().join(format!("qh-disk-{name}-{}", std::process::id()));
+        let d = std::env::temp_dir().join(format!("quincehatch-disk-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&d);
         Dir(d)
     }
--- a/crates/qh-state/tests/documents.rs
+++ b/crates/store/tests/documents.rs
@@ -4,11 +4,11 @@
 
 use assert_matches::assert_matches;
 use kit::{Net, machine};
-use qh_core::{Code, Name};
-use qh_state::documents::DOCUMENTS;
-use qh_state::store::ANSWERS;
-use qh_state::terms::LOG_KEEP;
-use qh_state::{Answer, Command, Entry, Machine, Reply, Request, Store, View};
+use quincehatch_core::{Code, Name};
+use quincehatch_store::documents::DOCUMENTS;
+use quincehatch_store::store::ANSWERS;
+use quincehatch_store::terms::LOG_KEEP;
+use quincehatch_store::{Answer, Command, Entry, Machine, Reply, Request, Store, View};
 
 const THREE: [&str; 3] = ["k1", "k2", "k3"];
 /// First token of the writes that fill log and answers.
--- a/crates/qh-state/tests/explorer/attempt.rs
+++ b/crates/store/tests/explorer/attempt.rs
@@ -1,7 +1,7 @@
 //! An attempt to change the view, and which of its messages are under way.
-use qh_core::Name;
-use qh_state::register::Proposer;
-use qh_state::{PeerMessage, View};
+use quincehatch_core::Name;
+use quincehatch_store::register::Proposer;
+use quincehatch_store::{PeerMessage, View};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One proposer's attempt. Promises are asked of one smallest majority: more of them would only stop other attempts.
--- a/crates/qh-state/tests/explorer/mod.rs
+++ b/crates/store/tests/explorer/mod.rs
@@ -7,9 +7,9 @@
 mod subsets;
 
 use attempt::Attempt;
-use qh_core::{Name, hash64};
-use qh_state::register::{Acceptor, Proposer, ProposerAction};
-use qh_state::{Machine, PeerMessage, View};
+use quincehatch_core::{Name, hash64};
+use quincehatch_store::register::{Acceptor, Proposer, ProposerAction};
+use quincehatch_store::{Machine, PeerMessage, View};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use subsets::subsets;
 
--- a/crates/qh-state/tests/explorer/subsets.rs
+++ b/crates/store/tests/explorer/subsets.rs
@@ -1,5 +1,5 @@
 //! Subsets of a given size.
-use qh_core::Name;
+use quincehatch_core::Name;
 
 /// All sets of `size` out of `names`.
 pub fn subsets(names: &[Name], size: usize) -> Vec<Vec<Name>> {
--- a/crates/qh-state/tests/grow.rs
+++ b/crates/store/tests/grow.rs
@@ -3,8 +3,8 @@
 
 use assert_matches::assert_matches;
 use kit::Net;
-use qh_core::Name;
-use qh_state::{Adopted, Answer, Command, Reply, Request, View};
+use quincehatch_core::Name;
+use quincehatch_store::{Adopted, Answer, Command, Reply, Request, View};
 
 const SEEDS: [&str; 3] = ["a:1", "b:1", "c:1"];
 const SPARE: [(&str, &str); 5] =
--- a/crates/qh-state/tests/hosts/mod.rs
+++ b/crates/store/tests/hosts/mod.rs
@@ -1,10 +1,10 @@
 //! Keepers with disks that refuse or stall, in virtual time (§5.7).
 #![allow(dead_code)]
-use qh_core::{Code, Error, Ms, Name};
-use qh_state::disk_port::{DiskPort, DiskUsage};
-use qh_state::host::{Batch, KeeperHost};
-use qh_state::keeper::{Input, Output, Record, RecoveredState};
-use qh_state::{Keeper, Machine, PeerMessage, Reply, Request, Store, View};
+use quincehatch_core::{Code, Error, Ms, Name};
+use quincehatch_store::disk_port::{DiskPort, DiskUsage};
+use quincehatch_store::host::{Batch, KeeperHost};
+use quincehatch_store::keeper::{Input, Output, Record, RecoveredState};
+use quincehatch_store::{Keeper, Machine, PeerMessage, Reply, Request, Store, View};
 use std::collections::{BTreeMap, VecDeque};
 
 const TICK: Ms = 20;
--- a/crates/qh-state/tests/incarnation.rs
+++ b/crates/store/tests/incarnation.rs
@@ -1,8 +1,8 @@
 //! Messages to an earlier life of a keeper count for nothing in a later one (§5.3), whatever the wall clock says.
-use qh_core::rt::{Fut, OnBreak, Pipe, World, within};
-use qh_core::{Ms, Name};
-use qh_state::keeper::{Input, Output, RecoveredState};
-use qh_state::{Keeper, Machine, PeerMessage, View};
+use quincehatch_core::{Ms, Name};
+use quincehatch_runtime::rt::{Fut, OnBreak, Pipe, World, within};
+use quincehatch_store::keeper::{Input, Output, RecoveredState};
+use quincehatch_store::{Keeper, Machine, PeerMessage, View};
 use std::io;
 use std::sync::Arc;
 use std::task::Waker;
@@ -87,7 +87,7 @@
         for step in 0..60 {
             for output in keeper.step(1_000 + step * 100, Input::Tick) {
                 match output {
-                    Output::Persist(qh_state::keeper::Record::Acceptor { acceptor }) => {
+                    Output::Persist(quincehatch_store::keeper::Record::Acceptor { acceptor }) => {
                         recovered.acceptor = acceptor
                     }
                     Output::Send(_, PeerMessage::Prepare { ballot, .. })
--- a/crates/qh-state/tests/interleavings.rs
+++ b/crates/store/tests/interleavings.rs
@@ -6,8 +6,8 @@
 
 use kit::fleet::{adopted, is_acknowledged, write};
 use kit::{CATCH_UP, Net};
-use qh_core::{Ms, Name};
-use qh_state::View;
+use quincehatch_core::{Ms, Name};
+use quincehatch_store::View;
 use std::collections::BTreeMap;
 
 const SEEDS: [&str; 3] = ["a:1", "b:1", "c:1"];
--- a/crates/qh-state/tests/join.rs
+++ b/crates/store/tests/join.rs
@@ -3,8 +3,8 @@
 
 use assert_matches::assert_matches;
 use kit::{CATCH_UP, Net};
-use qh_core::{Name, Role, ServerRecord};
-use qh_state::{Adopted, Answer, Command, Reply, Request, View, terms};
+use quincehatch_core::{Name, Role, ServerRecord};
+use quincehatch_store::{Adopted, Answer, Command, Reply, Request, View, terms};
 
 const SEEDS: [&str; 3] = ["a:1", "b:1", "c:1"];
 
--- a/crates/qh-state/tests/join_as_voter.rs
+++ b/crates/store/tests/join_as_voter.rs
@@ -2,10 +2,10 @@
 mod kit;
 
 use kit::{Net, machine};
-use qh_core::Name;
-use qh_state::keeper::Input;
-use qh_state::snapshot::SnapshotProgress;
-use qh_state::{PeerMessage, View};
+use quincehatch_core::Name;
+use quincehatch_store::keeper::Input;
+use quincehatch_store::snapshot::SnapshotProgress;
+use quincehatch_store::{PeerMessage, View};
 
 /// `c:1` was cut off, and `d:1` took its place. The answer to what it asked of the tail before that comes late.
 #[test]
--- a/crates/qh-state/tests/kit/fleet.rs
+++ b/crates/store/tests/kit/fleet.rs
@@ -1,9 +1,9 @@
 //! Three keepers that find their places by themselves, and what may happen to them (§5.9).
 use super::Net;
 use assert_matches::assert_matches;
-use qh_core::{Ms, Name};
-use qh_state::keeper::Input;
-use qh_state::{Adopted, Answer, Command, Reply, Request, View};
+use quincehatch_core::{Ms, Name};
+use quincehatch_store::keeper::Input;
+use quincehatch_store::{Adopted, Answer, Command, Reply, Request, View};
 
 pub const SEEDS: [&str; 3] = ["a:1", "b:1", "c:1"];
 
--- a/crates/qh-state/tests/kit/mod.rs
+++ b/crates/store/tests/kit/mod.rs
@@ -2,9 +2,9 @@
 #![allow(dead_code)]
 pub mod fleet;
 
-use qh_core::{ChangeNo, Ms, Name};
-use qh_state::keeper::{Input, Output, Record, RecoveredState};
-use qh_state::{
+use quincehatch_core::{ChangeNo, Ms, Name};
+use quincehatch_store::keeper::{Input, Output, Record, RecoveredState};
+use quincehatch_store::{
     Answer, Command, DiscoverySettings, Keeper, KeeperRequest, Machine, PeerMessage, Reply, Request, View,
     terms,
 };
--- a/crates/qh-state/tests/leads.rs
+++ b/crates/store/tests/leads.rs
@@ -1,7 +1,7 @@
 //! Which lists of counting servers hold is kept by the chain, whoever writes what (§5.5).
-use qh_core::{Code, Fence, Lead, Name};
-use qh_state::store::duty_of;
-use qh_state::{Answer, Command, Entry, Leadership, Store};
+use quincehatch_core::{Code, Fence, Lead, Name};
+use quincehatch_store::store::duty_of;
+use quincehatch_store::{Answer, Command, Entry, Leadership, Store};
 
 #[derive(Default)]
 struct Chain(Store);
--- a/crates/qh-state/tests/leave.rs
+++ b/crates/store/tests/leave.rs
@@ -3,7 +3,7 @@
 
 use assert_matches::assert_matches;
 use kit::fleet::*;
-use qh_state::{Command, Reply, Request, View};
+use quincehatch_store::{Command, Reply, Request, View};
 
 /// A leave is a change of view and no silence; the new tail need not wait the old one's lease out.
 #[test]
--- a/crates/qh-state/tests/news.rs
+++ b/crates/store/tests/news.rs
@@ -3,9 +3,9 @@
 
 use assert_matches::assert_matches;
 use kit::Net;
-use qh_core::{Lead, Role, ServerRecord};
-use qh_state::patch::{Packed, Patch};
-use qh_state::{Command, FeedSnapshot, FeedState, Reply, Request};
+use quincehatch_core::{Lead, Role, ServerRecord};
+use quincehatch_store::patch::{Packed, Patch};
+use quincehatch_store::{Command, FeedSnapshot, FeedState, Reply, Request};
 
 /// A blueprint as long as those of hundreds of databases are.
 fn blueprint(rules: usize, timeout: usize) -> String {
@@ -127,8 +127,9 @@
     (1..=12).for_each(|i| f.write(adopt(i, blueprint(900, i as usize))));
     // All keepers begin anew: their logs reach back, the news do not.
     for (n, k) in std::mem::take(&mut f.net.ks) {
-        let found = qh_state::keeper::RecoveredState { view: k.view, store: k.store, ..Default::default() };
-        f.net.ks.insert(n.clone(), qh_state::Keeper::new(n, f.net.now, found));
+        let found =
+            quincehatch_store::keeper::RecoveredState { view: k.view, store: k.store, ..Default::default() };
+        f.net.ks.insert(n.clone(), quincehatch_store::Keeper::new(n, f.net.now, found));
     }
     f.net.run(8_000);
     let rep = f.poll(0);
--- a/crates/qh-state/tests/reserve.rs
+++ b/crates/store/tests/reserve.rs
@@ -4,9 +4,9 @@
 
 use assert_matches::assert_matches;
 use kit::Net;
-use qh_core::Code;
-use qh_state::disk_port::DiskUsage;
-use qh_state::{Command, Reply, Request};
+use quincehatch_core::Code;
+use quincehatch_store::disk_port::DiskUsage;
+use quincehatch_store::{Command, Reply, Request};
 use samples::{adopt, document};
 
 fn write(net: &mut Net, token: u64, key: &str, cmd: Command) -> Option<Reply> {
--- a/crates/qh-state/tests/restart.rs
+++ b/crates/store/tests/restart.rs
@@ -2,8 +2,8 @@
 mod kit;
 
 use kit::Net;
-use qh_core::Name;
-use qh_state::View;
+use quincehatch_core::Name;
+use quincehatch_store::View;
 
 const SEEDS: [&str; 3] = ["a:1", "b:1", "c:1"];
 
--- a/crates/qh-state/tests/roll.rs
+++ b/crates/store/tests/roll.rs
@@ -3,9 +3,9 @@
 
 use assert_matches::assert_matches;
 use kit::Net;
-use qh_core::{Lead, Ms, Name};
-use qh_state::terms::NODE_LEASE;
-use qh_state::{Answer, Command, Reply, Request};
+use quincehatch_core::{Lead, Ms, Name};
+use quincehatch_store::terms::NODE_LEASE;
+use quincehatch_store::{Answer, Command, Reply, Request};
 
 fn close(net: &mut Net, token: u64) {
     let head = net.tail().and_then(|t| net.view(&t).head().cloned()).unwrap();
--- a/crates/qh-state/tests/samples/mod.rs
+++ b/crates/store/tests/samples/mod.rs
@@ -1,6 +1,6 @@
 //! Configurations of the size that large fleets have.
 #![allow(dead_code)]
-use qh_state::{Command, Entry};
+use quincehatch_store::{Command, Entry};
 
 pub const DOCUMENT_BYTES: usize = 150_000;
 
--- a/crates/qh-state/tests/space.rs
+++ b/crates/store/tests/space.rs
@@ -1,11 +1,11 @@
 //! The data folder stays small, however many documents were taken (§5.7).
 mod samples;
 
-use qh_state::disk::Disk;
-use qh_state::disk_port::DiskPort;
-use qh_state::entry_log::PackedEntry;
-use qh_state::keeper::{Record, RecoveredState};
-use qh_state::{Store, View};
+use quincehatch_store::disk::Disk;
+use quincehatch_store::disk_port::DiskPort;
+use quincehatch_store::entry_log::PackedEntry;
+use quincehatch_store::keeper::{Record, RecoveredState};
+use quincehatch_store::{Store, View};
 use samples::{document, entry, noise};
 use std::path::PathBuf;
 use std::time::Instant;
@@ -16,7 +16,7 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("qh-space-{name}-{}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("quincehatch-space-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
         Folder(path)
     }
@@ -94,7 +94,7 @@
     assert!(disk.is_snapshot_due());
 }
 
-/// `cargo test --release -p qh-state --test space -- --ignored --nocapture` prints the rows of docs/measurements.md.
+/// `cargo test --release -p quincehatch-store --test space -- --ignored --nocapture` prints the rows of docs/measurements.md.
 #[test]
 #[ignore = "prints a table of measurements; the tests above decide"]
 fn sizes_by_number_of_changes() {
--- a/crates/qh-state/tests/suspended.rs
+++ b/crates/store/tests/suspended.rs
@@ -3,11 +3,11 @@
 
 use assert_matches::assert_matches;
 use hosts::Hosts;
-use qh_core::{Code, End};
-use qh_state::host::Batch;
-use qh_state::keeper::{Input, Output};
-use qh_state::terms::VIEW_LEASE;
-use qh_state::{Answer, Command, Reply, Request};
+use quincehatch_core::{Code, End};
+use quincehatch_store::host::Batch;
+use quincehatch_store::keeper::{Input, Output};
+use quincehatch_store::terms::VIEW_LEASE;
+use quincehatch_store::{Answer, Command, Reply, Request};
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 const HEAD: &str = "a";
--- a/crates/qh-lab/src/aftermath.rs
+++ b/crates/testbed/src/aftermath.rs
@@ -4,14 +4,14 @@
 use crate::load::{Caller, World};
 use crate::scenario::{lab, status};
 use crate::stand::journal;
-use qh_core::rt;
+use quincehatch_runtime::rt;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
 /// Every try in doubt is asked after until it is settled, so that the check can be strict.
-pub(crate) async fn settle(w: &Arc<World>, seed: u64) {
+pub async fn settle(w: &Arc<World>, seed: u64) {
     let doubt: Vec<(String, usize)> = {
         let h = w.book.lock().unwrap();
         let last =
@@ -34,7 +34,7 @@
 }
 
 /// What the servers hold, as the named lead tells it, how far the others agree, and what each of them did.
-pub(crate) async fn facts(desks: &[String], servers: &[ServerAt]) -> Result<Facts, String> {
+pub async fn facts(desks: &[String], servers: &[ServerAt]) -> Result<Facts, String> {
     let mut f = Facts::default();
     let leads = status(desks).await["leads"].clone();
     for g in servers.iter().map(|s| s.group.clone()).collect::<BTreeSet<_>>() {
@@ -67,7 +67,7 @@
 }
 
 /// What each stand-in of a fleet did, from the files beside its data.
-pub(crate) fn journals(p: &Plan) -> BTreeMap<String, Vec<journal::Entry>> {
+pub fn journals(p: &Plan) -> BTreeMap<String, Vec<journal::Entry>> {
     let path = |s: &ServerAt| p.dir.join("servers").join(format!("{}.journal", s.name));
     p.servers.iter().map(|s| (s.name.clone(), journal::read(&path(s)))).collect()
 }
--- a/crates/qh-lab/src/calls.rs
+++ b/crates/testbed/src/calls.rs
@@ -1,8 +1,8 @@
 //! What a caller does (§9.2): orders in one step or several, asks after them, looks its orders up.
 use crate::history::{End, ReadRow};
 use crate::load::{Caller, ORDER_MS};
-use qh_core::now;
-use qh_core::rt;
+use quincehatch_runtime::now;
+use quincehatch_runtime::rt;
 use serde_json::{Value, json};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
--- a/crates/qh-lab/src/db.rs
+++ b/crates/testbed/src/db.rs
@@ -1,6 +1,6 @@
 //! A stand-in's data: a log under fences, kept on two of three, tries and seals in it (§3). Sans-IO; the
 //! simulator runs this same code.
-use qh_core::{Fence, Name, Position, Role};
+use quincehatch_core::{Fence, Name, Position, Role};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
--- a/crates/qh-lab/src/db_repl.rs
+++ b/crates/testbed/src/db_repl.rs
@@ -1,6 +1,6 @@
 //! Replication of a stand-in's log (§3.2): what a primary gives and a replica takes.
 use crate::db::{Db, Line, Pull, Pulled, Rec};
-use qh_core::{Position, Role};
+use quincehatch_core::{Position, Role};
 
 impl Db {
     /// A replica asks for more; what it holds is matched and counts towards commits (§3.2).
--- a/crates/qh-lab/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,5 +1,5 @@
 //! Lays out and runs a whole fleet on this machine's loopback (§9.1).
-use qh_core::Labels;
+use quincehatch_core::Labels;
 use std::path::{Path, PathBuf};
 
 /// How big a fleet is.
@@ -108,7 +108,7 @@
         let again = vec!["--settings".into(), file.display().to_string()];
         let mut args = again.clone();
         args.push("--init".into());
-        procs.push(Proc { name: n.clone(), exe: "qhk".into(), args, again });
+        procs.push(Proc { name: n.clone(), exe: "quincehatch-keeper".into(), args, again });
     }
     let seeds: Vec<String> = nodes.iter().take(3).map(|(_, m)| format!("\"{m}\"")).collect();
     for (n, mesh) in &nodes {
@@ -125,7 +125,7 @@
         );
         std::fs::write(&file, text)?;
         let args = vec!["--settings".to_owned(), file.display().to_string()];
-        procs.push(Proc { name: n.name.clone(), exe: "qhd".into(), again: args.clone(), args });
+        procs.push(Proc { name: n.name.clone(), exe: "quincehatch-node".into(), again: args.clone(), args });
     }
     let desks: Vec<String> = nodes.iter().map(|(n, _)| n.desk.clone()).collect();
     let mut servers = Vec::new();
@@ -144,13 +144,13 @@
             desks.iter().for_each(|p| args.extend(["--desk".into(), p.clone()]));
             args.extend(["--data".into(), dir.join("servers").display().to_string()]);
             args.extend(["--relay".into(), next()]);
-            procs.push(Proc { name: name.clone(), exe: "qhlab".into(), again: args.clone(), args });
+            procs.push(Proc { name: name.clone(), exe: "quincehatch-lab".into(), again: args.clone(), args });
             servers.push(ServerAt { name, group: group.clone(), addr: addr.clone() });
         }
     }
     let mut args = vec!["platform".into(), "--addr".into(), platform.clone()];
     nodes.iter().for_each(|(n, _)| args.extend(["--door".into(), format!("{}={}", n.district, n.door)]));
-    procs.push(Proc { name: "platform".into(), exe: "qhlab".into(), again: args.clone(), args });
+    procs.push(Proc { name: "platform".into(), exe: "quincehatch-lab".into(), again: args.clone(), args });
     let blueprint = dir.join("blueprint.toml");
     std::fs::write(&blueprint, blueprint_of(shape))?;
     Ok(Plan {
--- a/crates/qh-lab/src/history/pushed.rs
+++ b/crates/testbed/src/history/pushed.rs
@@ -1,6 +1,6 @@
 //! Pushes against what their operators were told (§1 N11).
 use super::{History, PUSHED, PushEnd, PushTry};
-use qh_core::Code;
+use quincehatch_core::Code;
 use std::collections::{BTreeMap, BTreeSet};
 
 pub(super) fn pushes(h: &History, bad: &mut Vec<String>) {
--- a/crates/qh-lab/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,10 +1,10 @@
 //! Callers (§9.2): many sessions that order, ask after orders, look up, and remember what they were told.
 use crate::history::{AllSent, Book, End, SaidRow, Sent, Served, TryRow, VersionRow};
 use crate::stand::journal::id_of;
-use qh_core::http::{Call, Wire, post};
-use qh_core::now;
-use qh_core::rng::Rng;
-use qh_core::rt;
+use quincehatch_runtime::now;
+use quincehatch_runtime::rng::Rng;
+use quincehatch_runtime::rt;
+use quincehatch_wire::http::{Call, Wire, post};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/crates/qh-lab/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,7 +1,7 @@
 //! A relay before a server (§9.2): it delays, loses (as a stream sees loss: a wait for the resend), resets and
 //! swallows what passes between nodes and the server.
 use crate::stand::faults::Faults;
-use qh_core::rng::Rng;
+use quincehatch_runtime::rng::Rng;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
--- a/crates/qh-lab/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -6,9 +6,9 @@
 use crate::pushing::pushes;
 use crate::running::Running;
 use crate::script::{Act, Step, Who};
-use qh_core::http::{Call, once, post};
-use qh_core::now;
-use qh_core::rt;
+use quincehatch_runtime::now;
+use quincehatch_runtime::rt;
+use quincehatch_wire::http::{Call, once, post};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -44,7 +44,7 @@
 }
 
 /// The fleet's status, from whichever node answers.
-pub(crate) async fn status(desks: &[String]) -> Value {
+pub async fn status(desks: &[String]) -> Value {
     for d in desks {
         if let Some((200, v)) = op(d, "status", &json!({}), 1_500).await {
             return v;
@@ -78,7 +78,7 @@
     }
 }
 
-pub(crate) async fn lab(servers: &[ServerAt], server: &str, path: &str, body: &Value) -> Option<Value> {
+pub async fn lab(servers: &[ServerAt], server: &str, path: &str, body: &Value) -> Option<Value> {
     let addr = servers.iter().find(|s| s.name == server)?.addr.clone();
     post(&addr, path, body, Duration::from_secs(5)).await.ok().map(|(_, v)| v)
 }
--- a/crates/qh-lab/src/stand/calls.rs
+++ b/crates/testbed/src/stand/calls.rs
@@ -4,8 +4,8 @@
 use super::net::Cut;
 use super::{Stand, repl};
 use crate::stmt::{self, Ctx, Txn};
-use qh_core::Fence;
-use qh_core::rt;
+use quincehatch_core::Fence;
+use quincehatch_runtime::rt;
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -60,7 +60,7 @@
         "/v1/promote" => {
             let counts =
                 b["counts"].as_array().into_iter().flatten().filter_map(|n| n.as_str().map(Into::into));
-            let counts: Vec<qh_core::Name> = counts.collect();
+            let counts: Vec<quincehatch_core::Name> = counts.collect();
             let ok = s.with(|d| d.promote(num(&b, "fence"), counts));
             Ok(if ok { s.good(json!([])) } else { s.bad("fence-low", "") })
         }
@@ -155,7 +155,7 @@
         Err(e) => return Ok(s.bad("statement", e)),
     };
     if ran.sleep_ms > 0 {
-        let (link, stop) = (qh_core::Name::from(txt(b, "link")), Arc::new(Notify::new()));
+        let (link, stop) = (quincehatch_core::Name::from(txt(b, "link")), Arc::new(Notify::new()));
         s.running.lock().unwrap().insert(link.clone(), stop.clone());
         let over = rt::first(rt::sleep(Duration::from_millis(ran.sleep_ms)), stop.notified()).await;
         s.running.lock().unwrap().remove(&link);
--- a/crates/qh-lab/src/stand/faults.rs
+++ b/crates/testbed/src/stand/faults.rs
@@ -1,5 +1,5 @@
 //! What can be made to go wrong inside a stand-in (§9.2).
-use qh_core::rt;
+use quincehatch_runtime::rt;
 use serde::{Deserialize, Serialize};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/crates/qh-lab/src/stand/journal.rs
+++ b/crates/testbed/src/stand/journal.rs
@@ -1,5 +1,5 @@
 //! What a stand-in did, kept beside its data so that the history checker can read it after a crash (§9.4).
-use qh_core::Name;
+use quincehatch_core::Name;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::io::Write as _;
--- a/crates/qh-lab/src/stand/keep.rs
+++ b/crates/testbed/src/stand/keep.rs
@@ -3,7 +3,8 @@
 use super::calls::{leads, num, txt};
 use super::net::Cut;
 use crate::db::Outcome;
-use qh_core::{Fence, now, rt};
+use quincehatch_core::Fence;
+use quincehatch_runtime::{now, rt};
 use serde_json::{Value, json};
 use std::time::Duration;
 
--- a/crates/qh-lab/src/stand/lab.rs
+++ b/crates/testbed/src/stand/lab.rs
@@ -1,6 +1,7 @@
 //! The lab's own calls to a stand-in: faults, leaving, and what it holds (§9.2).
 use super::Stand;
-use qh_core::{State, now};
+use quincehatch_core::State;
+use quincehatch_runtime::now;
 use serde_json::{Value, json};
 
 pub fn answer(s: &Stand, path: &str, b: Value) -> Value {
--- a/crates/qh-lab/src/stand/mod.rs
+++ b/crates/testbed/src/stand/mod.rs
@@ -10,8 +10,9 @@
 use crate::db::{Db, Line};
 use faults::Faults;
 use journal::{Entry, Journal};
-use qh_core::rt;
-use qh_core::{Beat, Labels, Position, Role, Stamp, State, now};
+use quincehatch_core::{Beat, Labels, Position, Role, Stamp, State};
+use quincehatch_runtime::now;
+use quincehatch_runtime::rt;
 use serde_json::{Value, json};
 use std::io::Write as _;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -55,7 +56,7 @@
     pub journal: Arc<Journal>,
     pub declined: AtomicU64,
     /// Long statements that run, by link, so that they can be cancelled.
-    pub running: Mutex<std::collections::BTreeMap<qh_core::Name, Arc<tokio::sync::Notify>>>,
+    pub running: Mutex<std::collections::BTreeMap<quincehatch_core::Name, Arc<tokio::sync::Notify>>>,
     pub links: AtomicU64,
     boot: u64,
     seq: AtomicU64,
--- a/crates/qh-lab/src/stand/repl.rs
+++ b/crates/testbed/src/stand/repl.rs
@@ -1,8 +1,8 @@
 //! Replication and beats of a stand-in (§3.2, §3.3).
 use super::Stand;
 use crate::db::{Pull, Pulled};
-use qh_core::http::{Call, Wire, post};
-use qh_core::rt;
+use quincehatch_runtime::rt;
+use quincehatch_wire::http::{Call, Wire, post};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
--- a/crates/qh-lab/tests/choice/main.rs
+++ b/crates/testbed/tests/choice/main.rs
@@ -3,8 +3,8 @@
 mod net;
 
 use net::{Act, Net, Size};
-use qh_core::Ms;
-use qh_core::rt::{self, Fut, OnBreak, Pipe, World};
+use quincehatch_core::Ms;
+use quincehatch_runtime::rt::{self, Fut, OnBreak, Pipe, World};
 use std::collections::HashSet;
 use std::sync::Arc;
 use std::task::Waker;
--- a/crates/qh-lab/tests/choice/net.rs
+++ b/crates/testbed/tests/choice/net.rs
@@ -1,10 +1,11 @@
 //! A small world of one group: the chain's store, promotions' steps and servers' logs as they ship, and every act that
 //! the network and the processes may do next (§5.5).
-use qh_control::promotion::{In, Out, Phase, Plan, Promotion};
-use qh_core::{Fence, Lead, Name, Position, Role, rt};
-use qh_lab::db::{Db, Pull, Pulled};
-use qh_state::store::duty_of;
-use qh_state::{Answer, Command, Entry, Store};
+use quincehatch_core::{Fence, Lead, Name, Position, Role};
+use quincehatch_failover::promotion::{In, Out, Phase, Plan, Promotion};
+use quincehatch_runtime::rt;
+use quincehatch_store::store::duty_of;
+use quincehatch_store::{Answer, Command, Entry, Store};
+use quincehatch_testbed::db::{Db, Pull, Pulled};
 use serde_json::Value;
 use std::sync::Arc;
 
--- a/crates/qh-lab/tests/choice/net/look.rs
+++ b/crates/testbed/tests/choice/net/look.rs
@@ -1,8 +1,8 @@
 //! What tells one world from another, and what must be true in each.
 use super::{At, Net};
-use qh_control::promotion::{Out, Phase};
-use qh_core::{Position, Role};
-use qh_lab::db::{Db, Kind};
+use quincehatch_core::{Position, Role};
+use quincehatch_failover::promotion::{Out, Phase};
+use quincehatch_testbed::db::{Db, Kind};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 fn log(d: &Db) -> Vec<(Position, bool)> {
--- a/crates/qh-lab/tests/history.rs
+++ b/crates/testbed/tests/history.rs
@@ -1,6 +1,6 @@
 //! The lab's history checker is shown to catch a breach of each must-never (§9.4).
-use qh_lab::history::*;
-use qh_lab::stand::journal::Entry;
+use quincehatch_testbed::history::*;
+use quincehatch_testbed::stand::journal::Entry;
 use serde_json::{Value, json};
 
 type Run = (History, Facts, AllSent);
--- a/crates/qh-lab/tests/kit/mod.rs
+++ b/crates/testbed/tests/kit/mod.rs
@@ -1,13 +1,14 @@
 //! Three stand-ins and a node in one process; the plan is put on the blackboard by hand.
-use qh_core::blueprint::Blueprint;
-use qh_core::settings::NodeSettings;
-use qh_core::{Lead, now};
-use qh_data::alone::Alone;
-use qh_data::board::Plan;
-use qh_data::judge::{Ending, Sign};
-use qh_data::verdict::Verdict;
-use qh_data::{Node, probe};
-use qh_lab::stand::{Args, Stand, net, repl};
+use quincehatch_config::blueprint::Blueprint;
+use quincehatch_config::settings::NodeSettings;
+use quincehatch_core::Lead;
+use quincehatch_proxy::alone::Alone;
+use quincehatch_proxy::board::Plan;
+use quincehatch_proxy::judge::{Ending, Sign};
+use quincehatch_proxy::verdict::Verdict;
+use quincehatch_proxy::{Node, probe};
+use quincehatch_runtime::now;
+use quincehatch_testbed::stand::{Args, Stand, net, repl};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -34,7 +35,11 @@
         let addrs: Vec<String> = lsts.iter().map(|l| l.local_addr().unwrap().to_string()).collect();
         let mut stands = Vec::new();
         for (i, lst) in lsts.into_iter().enumerate() {
-            let labels = qh_lab::fleet::labels(&["group=g1".into(), "district=d1".into(), "copies=3".into()]);
+            let labels = quincehatch_testbed::fleet::labels(&[
+                "group=g1".into(),
+                "district=d1".into(),
+                "copies=3".into(),
+            ]);
             let peers = addrs.iter().filter(|a| **a != addrs[i]).cloned().collect();
             let (name, addr) = (format!("s{}", i + 1), addrs[i].clone());
             let s = Stand::open(Args { name, addr, labels, peers, ..Default::default() }).unwrap();
@@ -57,7 +62,7 @@
             log: "off".into(),
             threads: 1,
         };
-        let node = Node::new(set, Box::new(Alone::default()), qh_core::rt::Spawner::here());
+        let node = Node::new(set, Box::new(Alone::default()), quincehatch_runtime::rt::Spawner::here());
         for s in &stands {
             node.board.beat(s.beat());
         }
@@ -104,7 +109,7 @@
         self.stands[i].faults.wish(&serde_json::from_value(wish).unwrap());
     }
     pub fn leave(&self, i: usize) {
-        *self.stands[i].state.lock().unwrap() = (qh_core::State::Leaving, now());
+        *self.stands[i].state.lock().unwrap() = (quincehatch_core::State::Leaving, now());
     }
     /// A primary that does not show all of its log.
     pub fn starting(&self, i: usize, on: bool) {
--- a/crates/qh-lab/tests/node.rs
+++ b/crates/testbed/tests/node.rs
@@ -1,8 +1,8 @@
 //! A node before stand-ins, in one process: what the data plane promises when servers misbehave (§4).
 mod kit;
 use kit::{Kit, body};
-use qh_data::judge::Sign;
-use qh_data::verdict::Verdict;
+use quincehatch_proxy::judge::Sign;
+use quincehatch_proxy::verdict::Verdict;
 use serde_json::json;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
--- a/crates/qh-lab/tests/repl.rs
+++ b/crates/testbed/tests/repl.rs
@@ -1,5 +1,5 @@
 //! A stand-in's replication, step by step (docs/server.md).
-use qh_lab::db::{Db, Pull, Write};
+use quincehatch_testbed::db::{Db, Pull, Write};
 use serde_json::Value;
 
 fn ask(r: &Db) -> Pull {
--- a/crates/qh-core/src/wire/call.rs
+++ b/crates/wire/src/call.rs
@@ -27,7 +27,7 @@
     Read,
     /// Yes: the receiver recognizes it, and two arrivals have the effect of one.
     Recognized(Key),
-    /// No: it ends with [`crate::wire::CallError::OutcomeUnknown`].
+    /// No: it ends with [`crate::CallError::OutcomeUnknown`].
     Never,
 }
 
--- a/crates/qh-core/src/wire/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -1,10 +1,10 @@
 //! The calling side: one request at a time on a connection, a few idle connections kept for each address.
-use crate::rt::{self, World};
-use crate::wire::frame::{
+use crate::frame::{
     AnswerHeader, FrameKind, Incoming, RequestHeader, encode, invalid, read_frame, write_frame,
 };
-use crate::wire::{Call, CallError, Destination, Identity, ProcessId, Repeat};
+use crate::{Call, CallError, Destination, Identity, ProcessId, Repeat};
 use compact_str::format_compact;
+use quincehatch_runtime::rt::{self, World};
 use std::collections::HashMap;
 use std::future::Future;
 use std::io;
--- a/crates/qh-core/src/wire/destination.rs
+++ b/crates/wire/src/destination.rs
@@ -1,6 +1,6 @@
 //! Whom a call is meant for.
-use crate::wire::ProcessId;
-use crate::wire::identity::{ANY_RECEIVER, name_tag};
+use crate::ProcessId;
+use crate::identity::{ANY_RECEIVER, name_tag};
 
 /// Whom a call is meant for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/qh-core/src/wire/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,7 +1,7 @@
 //! How a call fails, and what is known of its effect then.
-use crate::wire::{ProcessId, Repeat};
-use crate::{Code, Error};
+use crate::{ProcessId, Repeat};
 use compact_str::{CompactString, format_compact};
+use quincehatch_core::{Code, Error};
 
 /// Why a call brought no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/qh-core/src/wire/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,5 +1,5 @@
 //! The layout of frames: a length of three bytes, one byte for version and kind, a header, then the message in borsh.
-use crate::wire::ProcessId;
+use crate::ProcessId;
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
--- a/crates/qh-core/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -1,10 +1,10 @@
 //! One HTTP/1.1+JSON call at the connection level, so that a link's identity is ours (§4.3).
-pub use crate::rt::OnBreak;
-use crate::rt::Pipe;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::client::conn::http1::SendRequest;
 use hyper_util::rt::TokioIo;
+pub use quincehatch_runtime::rt::OnBreak;
+use quincehatch_runtime::rt::Pipe;
 use serde_json::Value;
 use socket2::{SockRef, TcpKeepalive};
 use std::sync::Arc;
@@ -103,7 +103,7 @@
                 on_break(e);
             }
         });
-        if let Some(world) = crate::rt::world() {
+        if let Some(world) = quincehatch_runtime::rt::world() {
             let way = Way::Virtual(world.open(addr, on_break).await?);
             return Ok(Self { way, flags });
         }
@@ -209,7 +209,7 @@
 
 /// A single call over a link of its own.
 pub async fn once(addr: &str, call: &Call<'_>, within: Duration) -> std::io::Result<(u16, Value)> {
-    crate::rt::timeout(within, async { Wire::open(addr, None).await?.ask(call).await })
+    quincehatch_runtime::rt::timeout(within, async { Wire::open(addr, None).await?.ask(call).await })
         .await
         .unwrap_or_else(|_| Err(std::io::Error::new(std::io::ErrorKind::TimedOut, "no answer in time")))
 }
@@ -222,7 +222,7 @@
     within: Duration,
 ) -> std::io::Result<u16> {
     let work = async { Wire::open(addr, None).await?.send(call, more).await };
-    match crate::rt::timeout(within, work).await {
+    match quincehatch_runtime::rt::timeout(within, work).await {
         Ok(got) => got.map(|r| r.0),
         Err(_) => Err(std::io::ErrorKind::TimedOut.into()),
     }
--- a/crates/qh-core/src/wire/identity.rs
+++ b/crates/wire/src/identity.rs
@@ -1,6 +1,7 @@
 //! Who is at one end of a call: a process's name and its incarnation, as short numbers.
-use crate::{Name, hash64, rt};
 use borsh::{BorshDeserialize, BorshSerialize};
+use quincehatch_core::{Name, hash64};
+use quincehatch_runtime::rt;
 
 /// A receiver tag of requests to whichever process listens at the address.
 pub const ANY_RECEIVER: u32 = 0;
--- a/crates/qh-core/src/wire/mod.rs
+++ b/crates/wire/src/lib.rs
@@ -8,6 +8,7 @@
 mod destination;
 mod error;
 mod frame;
+pub mod http;
 mod identity;
 mod server;
 
--- a/crates/qh-core/src/wire/server.rs
+++ b/crates/wire/src/server.rs
@@ -1,8 +1,8 @@
 //! The answering side.
-use crate::wire::frame::{
+use crate::frame::{
     AnswerHeader, FrameKind, Incoming, RequestHeader, encode, invalid, read_frame, write_frame,
 };
-use crate::wire::{Call, Identity};
+use crate::{Call, Identity};
 use std::future::Future;
 use std::io;
 use std::sync::Arc;
--- a/crates/qh-core/tests/wire/layout.rs
+++ b/crates/wire/tests/wire/layout.rs
@@ -1,6 +1,6 @@
 //! Bytes before each message: they are priced, and the capacity page reckons with them.
 use crate::Ask;
-use qh_core::wire::{
+use quincehatch_wire::{
     ANSWER_HEADER_BYTES, AnswerHeader, FrameKind, Identity, REQUEST_HEADER_BYTES, RequestHeader, encode,
 };
 
--- a/crates/qh-core/tests/wire/main.rs
+++ b/crates/wire/tests/wire/main.rs
@@ -5,7 +5,7 @@
 mod sockets;
 
 use borsh::{BorshDeserialize, BorshSerialize};
-use qh_core::wire::{Call, Key, Repeat};
+use quincehatch_wire::{Call, Key, Repeat};
 
 /// One request of each kind; the answer to each is its own number.
 #[derive(Clone, Copy, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
--- a/crates/qh-core/tests/wire/model.rs
+++ b/crates/wire/tests/wire/model.rs
@@ -2,7 +2,7 @@
 //! faults in a run.
 use crate::Ask;
 use crate::network::{Event, Network};
-use qh_core::wire::{CallError, Caller, Destination, Identity};
+use quincehatch_wire::{CallError, Caller, Destination, Identity};
 use std::pin::Pin;
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll, Waker};
--- a/crates/qh-core/tests/wire/network.rs
+++ b/crates/wire/tests/wire/network.rs
@@ -1,6 +1,6 @@
 //! A network of the model: connections whose requests are answered only as the explorer chooses.
 use crate::Ask;
-use qh_core::wire::{
+use quincehatch_wire::{
     AnswerHeader, Connector, FrameKind, Identity, Incoming, LENGTH_BYTES, RequestHeader, encode, respond,
 };
 use std::collections::VecDeque;
--- a/crates/qh-core/tests/wire/sockets.rs
+++ b/crates/wire/tests/wire/sockets.rs
@@ -1,6 +1,6 @@
 //! Stand-in servers over loopback sockets; what they do with each frame is a list, and no step waits for a clock.
 use crate::Ask;
-use qh_core::wire::{
+use quincehatch_wire::{
     AnswerHeader, CallError, Caller, Destination, FrameKind, Identity, Incoming, RequestHeader, encode,
     read_frame, respond, serve, write_frame,
 };
