--- a/crates/capacity/src/counted.rs
+++ b/crates/capacity/src/counted.rs
@@ -10,7 +10,7 @@
 use quincehatch_simulator::fleet::keeper::{self, Disk, Keepers};
 use quincehatch_simulator::fleet::net::OnFrame;
 use quincehatch_store::keeper::RecoveredState;
-use quincehatch_store::{Command, KeeperRequest, Machine, Request, View};
+use quincehatch_store::{Command, KeeperRequest, Voter, Request, View};
 use quincehatch_wire::{Call, Incoming, LENGTH_BYTES, RequestHeader};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -41,9 +41,9 @@
 
 fn to_keeper(b: &[u8]) -> &'static str {
     match asked(b) {
-        Some(KeeperRequest::Node { ask: Request::Feed { .. } }) => "feed",
-        Some(KeeperRequest::Node { ask: Request::Write { .. } }) => "write",
-        Some(KeeperRequest::Node { ask: Request::Status }) => "status",
+        Some(KeeperRequest::Node { request: Request::Feed { .. } }) => "feed",
+        Some(KeeperRequest::Node { request: Request::Write { .. } }) => "write",
+        Some(KeeperRequest::Node { request: Request::Status }) => "status",
         Some(KeeperRequest::Node { .. }) => "other",
         _ => "none",
     }
@@ -88,8 +88,8 @@
 
 fn keepers(core: &Arc<Core>, to: &Shared) {
     let names: Vec<Name> = (0..KEEPERS).map(|i| format!("k{i}").into()).collect();
-    let machines = names.iter().enumerate().map(|(i, n)| Machine { name: n.clone(), addr: at(1, i).into() });
-    let view = View { version: 1, members: names.clone(), machines: machines.collect() };
+    let machines = names.iter().enumerate().map(|(i, n)| Voter { name: n.clone(), addr: at(1, i).into() });
+    let view = View { version: 1, members: names.clone(), voters: machines.collect() };
     let all = Arc::new(Keepers { by_name: Mutex::default(), watch: Mutex::default() });
     for (i, n) in names.into_iter().enumerate() {
         let disk: Disk = Arc::new(Mutex::new(RecoveredState { view: view.clone(), ..Default::default() }));
@@ -131,7 +131,7 @@
     let told = done.clone();
     core.within(pid, || {
         rt::spawn(async move {
-            let cmd = Command::Push { base, text: blueprint(1, base), by: "operator".into() };
+            let cmd = Command::PushConfiguration { base, text: blueprint(1, base), by: "operator".into() };
             let _ = f.chain.write(&format!("push/{base}"), cmd, Duration::from_secs(8)).await;
             *told.lock().unwrap() = Some(());
         })
@@ -154,7 +154,7 @@
     core.within(pid, || {
         rt::spawn(async move {
             let (text, by) = (blueprint(groups, 0), Name::from("operator"));
-            let _ = f.chain.write("plan", Command::Push { base: 0, text, by }, Duration::from_secs(8)).await;
+            let _ = f.chain.write("plan", Command::PushConfiguration { base: 0, text, by }, Duration::from_secs(8)).await;
             for i in 0..groups * COPIES {
                 let cmd = Command::RegisterServer { at: standing(i, 1) };
                 let _ = f.chain.write(&format!("beat/{i}/1"), cmd, Duration::from_secs(8)).await;
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -8,7 +8,7 @@
 use quincehatch_runtime::{now, rt};
 use quincehatch_store::disk::Disk;
 use quincehatch_store::host::KeeperHost;
-use quincehatch_store::{Command, Keeper, Machine, View, driver};
+use quincehatch_store::{Command, Keeper, Voter, View, driver};
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::Ordering;
@@ -97,7 +97,7 @@
 /// The fleet as it is in service: blueprint in force, servers known, leads named, everyone known to everyone.
 async fn begin(s: &Spec, c: &Arc<Chain>, fleets: &Fleets) -> Result<(), String> {
     let (text, by) = (blueprint(s.groups, 0), Name::from("operator"));
-    write(c, "plan".into(), Command::Push { base: 0, text, by }).await?;
+    write(c, "plan".into(), Command::PushConfiguration { base: 0, text, by }).await?;
     let all: Vec<usize> = (0..s.groups * COPIES).collect();
     for some in all.chunks(16) {
         let one = |i: usize| {
@@ -129,8 +129,8 @@
     let at = (0..s.keepers).map(|_| bind()).collect::<std::io::Result<Vec<_>>>().map_err(said)?;
     let name = |i: usize| Name::from(format!("k{i}"));
     let machines =
-        at.iter().enumerate().map(|(i, a)| Machine { name: name(i), addr: a.0.as_str().into() }).collect();
-    let view = View { version: 1, members: (0..s.keepers).map(name).collect(), machines };
+        at.iter().enumerate().map(|(i, a)| Voter { name: name(i), addr: a.0.as_str().into() }).collect();
+    let view = View { version: 1, members: (0..s.keepers).map(name).collect(), voters: machines };
     let addrs: Vec<String> = at.iter().map(|a| a.0.clone()).collect();
     let ks: Vec<PathBuf> =
         at.into_iter().enumerate().map(|(i, a)| keeper(dir, &name(i), &view, a.1)).collect();
--- a/crates/capacity/src/parts.rs
+++ b/crates/capacity/src/parts.rs
@@ -74,23 +74,23 @@
     let mut s = Store::default();
     let mut put = |key: String, cmd: Command| {
         let n = s.n + 1;
-        s.apply(&Entry { n, key: key.into(), cmd })
+        s.apply(&Entry { number: n, key: key.into(), command: cmd })
     };
     for i in 0..groups * super::COPIES {
         put(format!("beat/{i}/1"), Command::RegisterServer { at: standing(i, 1) });
     }
     for g in 0..groups {
         let (group, by) = (Name::from(format!("g{g:04}")), Name::from("n0001"));
-        let at = put(format!("f{g}"), Command::TakeFence { duty: duty_of(&group), by: by.clone() });
+        let at = put(format!("f{g}"), Command::AcquireFence { duty: duty_of(&group), by: by.clone() });
         let Some(Answer::Fence(fence)) = at else { continue };
         let counts = (0..3).map(|k| standing(g * 3 + k, 1).server).collect::<Vec<_>>();
         let server = counts.first().cloned();
         let lead = Lead { fence, server, by, counts, ..Default::default() };
-        put(format!("l{g}"), Command::SetLead { group, lead });
+        put(format!("l{g}"), Command::AssignPrimary { group, primary: lead });
     }
     for n in 1..=adopted {
         let (text, source, by) = (blueprint(groups, n), blueprint(groups, n), "operator".into());
-        put(format!("adopt/{n}/{:016x}", n), Command::Adopt { number: n, text, source, by });
+        put(format!("adopt/{n}/{:016x}", n), Command::AdoptDocument { number: n, text, source, by });
     }
     for n in 0..ANSWERS as u64 {
         put(format!("beat/s0000-0/{}", n + 2), Command::RegisterServer { at: standing(0, n + 2) });
@@ -99,7 +99,7 @@
 }
 
 fn frame(rep: Reply) -> f64 {
-    borsh::to_vec(&KeeperResponse::Reply { rep }).map_or(0, |b| b.len() + LENGTH_BYTES + ANSWER_HEADER_BYTES)
+    borsh::to_vec(&KeeperResponse::Reply { reply: rep }).map_or(0, |b| b.len() + LENGTH_BYTES + ANSWER_HEADER_BYTES)
         as f64
 }
 
@@ -117,12 +117,12 @@
 fn adopt(s: &mut Store, groups: usize, number: u64) -> quincehatch_store::Change {
     let (text, source, by) = (blueprint(groups, number), blueprint(groups, number), "operator".into());
     let e = Entry {
-        n: s.n + 1,
+        number: s.n + 1,
         key: format!("adopt/{number}").into(),
-        cmd: Command::Adopt { number, text, source, by },
+        command: Command::AdoptDocument { number, text, source, by },
     };
     let news = s.apply_told(&e).map(|a| a.1);
-    quincehatch_store::Change { n: e.n, news: news.expect("it is the next") }
+    quincehatch_store::Change { n: e.number, news: news.expect("it is the next") }
 }
 
 /// What a node does with one change, in milliseconds: a configuration of which a rule changed, and a standing.
--- a/crates/capacity/src/tail.rs
+++ b/crates/capacity/src/tail.rs
@@ -3,9 +3,9 @@
 use quincehatch_core::Name;
 use quincehatch_store::entry_log::{EntryLog, PackedEntry};
 use quincehatch_store::keeper::{Input, Output, RecoveredState};
-use quincehatch_store::terms::TRANSFER_BYTES;
+use quincehatch_store::terms::TRANSFER_MAX_BYTES;
 use quincehatch_store::{
-    Command, Entry, Keeper, KeeperRequest, KeeperResponse, Machine, PeerMessage, Reply, Request, View,
+    Command, Entry, Keeper, KeeperRequest, KeeperResponse, Voter, PeerMessage, Reply, Request, View,
 };
 use quincehatch_wire::{LENGTH_BYTES, REQUEST_HEADER_BYTES};
 use std::collections::BTreeMap;
@@ -24,22 +24,22 @@
 
 fn alone() -> Keeper {
     let me: Name = "k0".into();
-    let machines = vec![Machine { name: me.clone(), addr: me.clone() }];
-    let view = View { version: 1, members: vec![me.clone()], machines };
+    let machines = vec![Voter { name: me.clone(), addr: me.clone() }];
+    let view = View { version: 1, members: vec![me.clone()], voters: machines };
     Keeper::new(me, 0, RecoveredState { view, ..Default::default() })
 }
 
 /// Enrolls all nodes; the number of each one's entry, and when it was done.
 fn enroll(k: &mut Keeper, all: &[Name]) -> (Vec<u64>, u64) {
     let mut t = 0;
-    while !k.serving() {
+    while !k.is_serving() {
         k.step(t, Input::Tick);
         t += 20;
     }
     let mut number = |i: usize, node: &Name| {
-        let cmd = Command::Enroll { node: node.clone(), life: 1 };
-        let ask = Request::Write { key: format!("enroll/{i}").into(), cmd };
-        let outs = k.step(t, Input::Request { token: u64::MAX - i as u64, ask });
+        let cmd = Command::EnrollNode { node: node.clone(), incarnation: 1 };
+        let ask = Request::Write { key: format!("enroll/{i}").into(), command: cmd };
+        let outs = k.step(t, Input::Request { token: u64::MAX - i as u64, request: ask });
         let said = outs.into_iter().find_map(|o| match o {
             Output::Reply(_, Reply::Answer { answer: quincehatch_store::Answer::Enrolled(n), .. }) => Some(n),
             _ => None,
@@ -71,8 +71,8 @@
         for i in due.remove(&t).unwrap_or_default() {
             token += 1;
             let (node, addr) = (all[i].clone(), Name::from("127.0.0.1:20000"));
-            let ask = Request::Feed { node, addr, have: have[i], applied: 1, enrolled: enrolled[i] };
-            ins.push((Input::Request { token, ask }, Some(i)));
+            let ask = Request::Feed { node, addr, last_change: have[i], applied: 1, enrolled: enrolled[i] };
+            ins.push((Input::Request { token, request: ask }, Some(i)));
         }
         let mut write = |n: u64, news: bool| {
             for _ in 0..n {
@@ -83,7 +83,7 @@
                 let at =
                     quincehatch_core::ServerRecord { slots: if news { seq as u32 } else { at.slots }, ..at };
                 let (key, cmd) = (Name::from(format!("w{token}")), Command::RegisterServer { at });
-                ins.push((Input::Request { token, ask: Request::Write { key, cmd } }, None));
+                ins.push((Input::Request { token, request: Request::Write { key, command: cmd } }, None));
             }
         };
         if t >= 2_400 {
@@ -136,7 +136,7 @@
                     Reply::Snapshot { snapshot, .. } => snapshot.n,
                     _ => 0,
                 };
-                let len = borsh::to_vec(&KeeperResponse::Reply { rep }).map_or(0, |b| b.len() + 4);
+                let len = borsh::to_vec(&KeeperResponse::Reply { reply: rep }).map_or(0, |b| b.len() + 4);
                 out.push((n, len, top));
             }
         }
@@ -151,11 +151,11 @@
     let (enrolled, t) = enroll(&mut k, &all);
     let adopt = |k: &mut Keeper, t: u64, number: u64| {
         let (text, source) = (super::blueprint(groups, number), super::blueprint(groups, number));
-        let cmd = Command::Adopt { number, text, source, by: "operator".into() };
-        let ask = Request::Write { key: format!("adopt/{number}").into(), cmd };
-        let outs = k.step(t, Input::Request { token: 0, ask });
+        let cmd = Command::AdoptDocument { number, text, source, by: "operator".into() };
+        let ask = Request::Write { key: format!("adopt/{number}").into(), command: cmd };
+        let outs = k.step(t, Input::Request { token: 0, request: ask });
         let reps = outs.into_iter().filter_map(|o| match o {
-            Output::Reply(token, rep) if token > 0 => borsh::to_vec(&KeeperResponse::Reply { rep }).ok(),
+            Output::Reply(token, rep) if token > 0 => borsh::to_vec(&KeeperResponse::Reply { reply: rep }).ok(),
             _ => None,
         });
         reps.map(|b| b.len() + 4).sum::<usize>()
@@ -163,8 +163,8 @@
     adopt(&mut k, t, 1);
     for (i, node) in all.into_iter().enumerate() {
         let (addr, have) = ("127.0.0.1:20000".into(), k.store.n);
-        let ask = Request::Feed { node, addr, have, applied: 1, enrolled: enrolled[i] };
-        k.step(t, Input::Request { token: i as u64 + 1, ask });
+        let ask = Request::Feed { node, addr, last_change: have, applied: 1, enrolled: enrolled[i] };
+        k.step(t, Input::Request { token: i as u64 + 1, request: ask });
     }
     let (ms, bytes) = cost(|| adopt(&mut k, t + 1, 2));
     (ms, bytes as f64)
@@ -174,13 +174,13 @@
 pub fn passed_bytes(groups: usize, n: u64) -> usize {
     let one = |n| {
         let (text, source) = (super::blueprint(groups, n), super::blueprint(groups, n));
-        let cmd = Command::Adopt { number: n, text, source, by: "operator".into() };
-        Entry { n, key: format!("adopt/{n}/{:016x}", 1).into(), cmd }
+        let cmd = Command::AdoptDocument { number: n, text, source, by: "operator".into() };
+        Entry { number: n, key: format!("adopt/{n}/{:016x}", 1).into(), command: cmd }
     };
     let mut log = EntryLog::default();
     (1..=n).for_each(|n| log.push_back(PackedEntry::of(&one(n))));
-    let entries = log.after(0, TRANSFER_BYTES).unwrap_or_default();
-    let m = PeerMessage::Pass { version: 1, prev: 0, entries, end: n };
+    let entries = log.after(0, TRANSFER_MAX_BYTES).unwrap_or_default();
+    let m = PeerMessage::AppendEntries { version: 1, previous_change: 0, entries, last_change: n };
     let before = LENGTH_BYTES + REQUEST_HEADER_BYTES;
-    borsh::to_vec(&KeeperRequest::Peer { from: "k0".into(), m }).map_or(0, |b| b.len() + before)
+    borsh::to_vec(&KeeperRequest::Peer { from: "k0".into(), message: m }).map_or(0, |b| b.len() + before)
 }
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -4,7 +4,7 @@
 use quincehatch_runtime::now;
 use quincehatch_store::disk::Disk;
 use quincehatch_store::host::KeeperHost;
-use quincehatch_store::{Keeper, Machine, View, driver};
+use quincehatch_store::{Keeper, Voter, View, driver};
 
 const HELP: &str = "quincehatch-keeper: a chain keeper of quincehatch
 
@@ -70,11 +70,11 @@
 
 /// The view a fresh folder begins with: all machines at first, none for one that joins.
 fn first(a: &Args, s: &KeeperSettings) -> Option<View> {
-    let machines: Vec<Machine> =
-        s.machines().into_iter().map(|(n, ad)| Machine { name: n.into(), addr: ad.into() }).collect();
+    let machines: Vec<Voter> =
+        s.machines().into_iter().map(|(n, ad)| Voter { name: n.into(), addr: ad.into() }).collect();
     let members = machines.iter().map(|m| m.name.clone()).collect();
     match (a.init, a.join) {
-        (true, _) => Some(View { version: 1, members, machines }),
+        (true, _) => Some(View { version: 1, members, voters: machines }),
         (_, true) => Some(View::default()),
         _ => None,
     }
--- a/crates/node/src/chain_client.rs
+++ b/crates/node/src/chain_client.rs
@@ -42,15 +42,15 @@
             // Who is there, and which view it knows, is what is asked.
             _ => Destination::address(addr),
         };
-        match self.caller.call(to, &KeeperRequest::Node { ask }, within).await? {
-            KeeperResponse::Reply { rep } => Ok(rep),
-            KeeperResponse::Taken => Err(Code::ChainDown.because("an answer that is none")),
+        match self.caller.call(to, &KeeperRequest::Node { request: ask }, within).await? {
+            KeeperResponse::Reply { reply } => Ok(reply),
+            KeeperResponse::Delivered => Err(Code::ChainDown.because("an answer that is none")),
         }
     }
     /// The keeper that the view knows at an address.
     fn name_at(&self, addr: &str) -> Option<Name> {
         let view = self.view.lock().unwrap();
-        view.machines.iter().find(|machine| machine.addr == addr).map(|machine| machine.name.clone())
+        view.voters.iter().find(|machine| machine.addr == addr).map(|machine| machine.name.clone())
     }
     pub fn view(&self) -> View {
         self.view.lock().unwrap().clone()
@@ -66,8 +66,8 @@
         let mut at = self.at.lock().unwrap();
         *at += 1;
         let v = self.view();
-        let n = v.machines.len().max(1);
-        let known = v.machines.get(*at % n).map(|m| m.addr.to_string());
+        let n = v.voters.len().max(1);
+        let known = v.voters.get(*at % n).map(|m| m.addr.to_string());
         // The settings' keepers and those of the view take turns: either list may be out of date.
         known.filter(|_| at.is_multiple_of(2)).unwrap_or_else(|| {
             let told = self.keepers.lock().unwrap();
@@ -88,7 +88,7 @@
         let until = now() + within.as_millis() as u64;
         let mut to = self.head();
         loop {
-            let ask = Request::Write { key: Name::from(key), cmd: cmd.clone() };
+            let ask = Request::Write { key: Name::from(key), command: cmd.clone() };
             let left = Duration::from_millis(until.saturating_sub(now()).clamp(1, 9_000));
             // A head that went dark does not even decline: whoever waits on it looks where the head is by now.
             let got = match rt::first(self.ask(&to, ask, left), self.headed_elsewhere(&to)).await {
@@ -99,17 +99,17 @@
                 }
             };
             let why = match got {
-                Ok(Reply::Answer { answer: Answer::Declined(b), .. }) => return Err(b),
+                Ok(Reply::Answer { answer: Answer::Rejected(b), .. }) => return Err(b),
                 Ok(Reply::Answer { answer, .. }) => return Ok(answer),
-                Ok(Reply::Elsewhere { view }) => {
+                Ok(Reply::Redirect { view }) => {
                     self.learn(view);
                     if self.head() == to {
                         self.look().await;
                     }
                     Code::ChainDown.because("the chain is being mended")
                 }
-                Ok(Reply::Declined { why }) if why.is(Code::BlueprintInvalid) => return Err(why),
-                Ok(Reply::Declined { why }) => {
+                Ok(Reply::Rejected { error: why }) if why.is(Code::BlueprintInvalid) => return Err(why),
+                Ok(Reply::Rejected { error: why }) => {
                     // A head whose disk refuses declines at once: others may go on without it by now.
                     if why.is(Code::ChainDown) {
                         self.look().await;
@@ -150,7 +150,7 @@
     pub async fn look(&self) {
         let had = self.view();
         let told = self.keepers.lock().unwrap().clone();
-        let mut all: Vec<String> = had.machines.iter().map(|m| m.addr.to_string()).chain(told).collect();
+        let mut all: Vec<String> = had.voters.iter().map(|m| m.addr.to_string()).chain(told).collect();
         all.sort();
         all.dedup();
         let asks = all.into_iter().map(|k| async move {
@@ -176,7 +176,7 @@
     }
     /// All that the chain holds, from the tail alone.
     pub async fn read(&self, within: Duration) -> Result<Store, Error> {
-        match self.at_tail(Request::Read, within).await? {
+        match self.at_tail(Request::ReadStore, within).await? {
             Reply::Store { store } => Ok(*store),
             _ => Err(Code::ChainDown.because("an answer that is none")),
         }
@@ -188,10 +188,10 @@
             let left = Duration::from_millis(until.saturating_sub(asked).clamp(1, 400));
             let to = self.tail();
             match self.ask(&to, ask.clone(), left).await {
-                Ok(Reply::Elsewhere { view }) => self.learn(view),
+                Ok(Reply::Redirect { view }) => self.learn(view),
                 // A process that stood still finds the answer and the end of its patience together: that answer is old.
                 Ok(reply)
-                    if now() > asked + left.as_millis() as u64 || matches!(reply, Reply::Declined { .. }) => {
+                    if now() > asked + left.as_millis() as u64 || matches!(reply, Reply::Rejected { .. }) => {
                 }
                 Ok(reply) => return Ok(reply),
                 Err(_) => {}
@@ -206,13 +206,13 @@
 
     /// Every keeper's own account, asked side by side.
     pub async fn all(&self) -> Vec<(Name, Name, Option<KeeperStatus>)> {
-        if self.view().machines.is_empty() {
+        if self.view().voters.is_empty() {
             let told = self.keepers.lock().unwrap().clone();
             for k in &told {
                 self.learn_from(k).await;
             }
         }
-        let asks = self.view().machines.into_iter().map(|m| async move {
+        let asks = self.view().voters.into_iter().map(|m| async move {
             let r = self.ask(&m.addr, Request::Status, Duration::from_millis(700)).await;
             let st = r.ok().and_then(|r| match r {
                 Reply::Status { status } => Some(status),
--- a/crates/node/src/commit_lists.rs
+++ b/crates/node/src/commit_lists.rs
@@ -27,7 +27,7 @@
     });
     if shows {
         let (f, g, key) = (f.clone(), g.clone(), format!("{}/lists/{}", duty_of(g), lead.fence));
-        let cmd = quincehatch_store::Command::Settle { group: g, fence: lead.fence };
+        let cmd = quincehatch_store::Command::DropPreviousVoters { group: g, fence: lead.fence };
         rt::spawn(async move { drop(f.chain.write(&key, cmd, Duration::from_secs(3)).await) });
     }
 }
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -5,7 +5,7 @@
 use quincehatch_proxy::board::Plan;
 use quincehatch_runtime::now;
 use quincehatch_runtime::rt;
-use quincehatch_store::terms::safe;
+use quincehatch_store::terms::minus_clock_drift;
 use quincehatch_store::{Answer, Command, FeedState, Reply, Request};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -36,7 +36,7 @@
         };
         // The lease is counted from before the question left.
         let asked = now();
-        let ask = Request::Feed { node: name.into(), addr: addr.into(), have, applied, enrolled };
+        let ask = Request::Feed { node: name.into(), addr: addr.into(), last_change: have, applied, enrolled };
         let news = match f.chain.ask(&to, ask, WITHIN).await {
             Ok(Reply::Changes { changes, lease_ms }) => {
                 let mut k = f.known.lock().unwrap();
@@ -53,12 +53,12 @@
                     lease_ms
                 })
             }
-            Ok(Reply::Elsewhere { view }) => {
+            Ok(Reply::Redirect { view }) => {
                 f.chain.learn(view);
                 to = f.chain.tail_after(&to).await;
                 None
             }
-            Ok(Reply::Enroll) => {
+            Ok(Reply::NotEnrolled) => {
                 enrolled = 0;
                 None
             }
@@ -73,7 +73,7 @@
             publish(&f, &mut stood);
         }
         if let Some(lease_ms) = news.filter(|_| !f.left.load(Ordering::SeqCst)) {
-            f.node.board.renew_lease(asked + safe(lease_ms));
+            f.node.board.renew_lease(asked + minus_clock_drift(lease_ms));
         }
         let has = f.node.board.has_lease();
         if has != had {
@@ -94,7 +94,7 @@
 async fn enroll(f: &Fleet, tried: u64) -> ChangeNo {
     let (node, life) = (Name::from(f.node.set.name.as_str()), rt::incarnation());
     let key = format!("enroll/{node}/{life:x}/{tried}");
-    match f.chain.write(&key, Command::Enroll { node, life }, ENROLL).await {
+    match f.chain.write(&key, Command::EnrollNode { node, incarnation: life }, ENROLL).await {
         Ok(Answer::Enrolled(n)) => n,
         _ => {
             rt::sleep(Duration::from_millis(50)).await;
@@ -111,7 +111,7 @@
     if enrolled > 0 {
         let node = Name::from(f.node.set.name.as_str());
         let key = format!("dismiss/{node}/{enrolled}");
-        let _ = f.chain.write(&key, Command::Dismiss { node, enrolled }, BYE).await;
+        let _ = f.chain.write(&key, Command::DismissNode { node, enrolled }, BYE).await;
     }
 }
 
--- a/crates/node/src/fencing.rs
+++ b/crates/node/src/fencing.rs
@@ -1,7 +1,7 @@
 //! Takes the fence of a group's duty, over the leadership that was planned for and no other (§5.4).
 use crate::Fleet;
 use quincehatch_core::{Code, Fence, Name};
-use quincehatch_store::{Answer, Command, Leadership};
+use quincehatch_store::{Answer, Command, PrimaryState};
 use std::time::Duration;
 
 /// How the try for a fence went.
@@ -21,10 +21,10 @@
     key: &str,
     group: &Name,
     by: &Name,
-    over: Leadership,
+    over: PrimaryState,
     within: Duration,
 ) -> Taken {
-    let cmd = Command::NextFence { group: group.clone(), by: by.clone(), over };
+    let cmd = Command::AcquireFenceIfUnchanged { group: group.clone(), by: by.clone(), expected: over };
     match f.chain.write(key, cmd, within).await {
         Ok(Answer::Fence(fence)) => {
             f.duty.note_own_fence(group, fence);
--- a/crates/node/src/group.rs
+++ b/crates/node/src/group.rs
@@ -2,7 +2,7 @@
 use crate::Fleet;
 use quincehatch_core::{Fence, Lead, Ms, Name};
 use quincehatch_runtime::{now, rt};
-use quincehatch_store::Leadership;
+use quincehatch_store::PrimaryState;
 
 /// A promotion is not begun again sooner.
 const REST: Ms = 3_000;
@@ -34,16 +34,16 @@
 
 impl Group {
     /// Takes what the chain says of the group now.
-    pub fn look(&mut self, leadership: Leadership, own_fence: Fence) {
-        let Leadership { fence, lead } = leadership;
-        let written = lead.as_ref().map_or(0, |l| l.fence);
+    pub fn look(&mut self, leadership: PrimaryState, own_fence: Fence) {
+        let PrimaryState { fence, primary } = leadership;
+        let written = primary.as_ref().map_or(0, |l| l.fence);
         if fence <= written || fence == own_fence {
             self.begun = None;
         } else if self.begun.is_none_or(|(seen, _)| seen != fence) {
             self.begun = Some((fence, now()));
         }
-        if self.lead != lead || self.since == 0 {
-            (self.lead, self.since) = (lead, now());
+        if self.lead != primary || self.since == 0 {
+            (self.lead, self.since) = (primary, now());
         }
         self.over = fence;
     }
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -8,7 +8,7 @@
 use quincehatch_failover::promotion::Plan;
 use quincehatch_proxy::port::{Call, Promoted};
 use quincehatch_runtime::{now, rt};
-use quincehatch_store::{Command, Leadership};
+use quincehatch_store::{Command, PrimaryState};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -83,7 +83,7 @@
 /// Under a key of its own: a promotion that goes on where this came to no end takes another fence, as the platform may
 /// have been told of the heir under this one.
 async fn take_fence(f: &Fleet, plan: &Plan) -> Option<Fence> {
-    let over = Leadership { fence: plan.over, lead: plan.lead.clone() };
+    let over = PrimaryState { fence: plan.over, primary: plan.lead.clone() };
     match next_fence(f, &format!("{}/hand", plan.attempt), &plan.group, &plan.by, over, WRITE).await {
         Taken::Fence(fence) => Some(fence),
         Taken::TooLate | Taken::InDoubt => None,
@@ -91,7 +91,7 @@
 }
 
 async fn set(f: &Fleet, plan: &Plan, what: &str, lead: Lead) -> bool {
-    let cmd = Command::SetLead { group: plan.group.clone(), lead };
+    let cmd = Command::AssignPrimary { group: plan.group.clone(), primary: lead };
     f.chain.write(&format!("{}/{what}", plan.attempt), cmd, WRITE).await.is_ok()
 }
 
--- a/crates/node/src/held_duty.rs
+++ b/crates/node/src/held_duty.rs
@@ -11,7 +11,7 @@
 use quincehatch_proxy::board::ServerRow;
 use quincehatch_runtime::{now, rt};
 use quincehatch_store::store::duty_of;
-use quincehatch_store::{Command, Leadership};
+use quincehatch_store::{Command, PrimaryState};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -189,7 +189,7 @@
     let others = rows.iter().map(|r| r.name.clone()).filter(|n| *n != server).collect::<Vec<_>>();
     st.minded.settling = Some(rt::spawn(async move {
         if acknowledged::settle(&f, &g, fence, &server, &others).await.is_some() && lists {
-            let (key, cmd) = (format!("{}/lists/{fence}", duty_of(&g)), Command::Settle { group: g, fence });
+            let (key, cmd) = (format!("{}/lists/{fence}", duty_of(&g)), Command::DropPreviousVoters { group: g, fence });
             let _ = f.chain.write(&key, cmd, WRITE).await;
         }
     }));
@@ -220,10 +220,10 @@
 async fn adopt(f: Arc<Fleet>, g: Name, server: Name, counts: Vec<Name>, over: Fence) {
     let by = f.mesh.me.clone();
     let key = format!("{}/{by}/first/{:x}", duty_of(&g), fastrand::u64(..));
-    let over = Leadership { fence: over, lead: None };
+    let over = PrimaryState { fence: over, primary: None };
     let Taken::Fence(fence) = next_fence(&f, &key, &g, &by, over, WRITE).await else { return };
     let lead = Lead { fence, server: Some(server.clone()), by, counts, ..Default::default() };
     let named =
-        f.chain.write(&format!("{key}/name"), Command::SetLead { group: g.clone(), lead }, WRITE).await;
+        f.chain.write(&format!("{key}/name"), Command::AssignPrimary { group: g.clone(), primary: lead }, WRITE).await;
     f.duty.tell(format!("server {server} leads {g} and is named under fence {fence}: {}", named.is_ok()));
 }
--- a/crates/node/src/lease_roll.rs
+++ b/crates/node/src/lease_roll.rs
@@ -31,7 +31,7 @@
         for node in gone.collect::<Vec<_>>() {
             let Some(enrolled) = nodes.get(&node).copied() else { continue };
             let key = format!("dismiss/{node}/{enrolled}");
-            let done = f.chain.write(&key, Command::Dismiss { node: node.clone(), enrolled }, WRITE).await;
+            let done = f.chain.write(&key, Command::DismissNode { node: node.clone(), enrolled }, WRITE).await;
             log::info!(target: "lease", "node {node} is struck off the roll: {}", done.is_ok());
         }
     }
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -4,7 +4,7 @@
 use quincehatch_core::{Code, Error, Name};
 use quincehatch_gossip::{NodeQuery, NodeReply};
 use quincehatch_runtime::rt;
-use quincehatch_store::{Answer, Command, FeedState, Machine, Reply, Request};
+use quincehatch_store::{Answer, Command, FeedState, Voter, Reply, Request};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::time::Duration;
@@ -84,7 +84,7 @@
             st.map_or_else(
                 || json!({"name": name, "addr": addr, "silent": true}),
                 |s| {
-                    json!({"name": name, "addr": addr, "why": s.why, "view": s.view.version, "n": s.n,
+                    json!({"name": name, "addr": addr, "why": s.reason, "view": s.view.version, "n": s.last_change,
                     "committed": s.committed, "in_force": s.in_force, "leases": s.leases.len(),
                     "disk": s.disk, "log": s.log})
                 },
@@ -175,7 +175,7 @@
     let key = b.get("key").and_then(Value::as_str).filter(|k| !k.is_empty() && k.len() <= 128);
     let key = key.ok_or_else(|| Code::Malformed.because("a push needs a key of 1 to 128 bytes"))?;
     let by = b.get("by").and_then(Value::as_str).unwrap_or("operator").into();
-    let cmd = Command::Push { base, text: json, by };
+    let cmd = Command::PushConfiguration { base, text: json, by };
     match f.chain.write(&format!("push/{key}"), cmd, PUSH).await? {
         Answer::Version(e) => Ok(json!({"version": e, "diff": diff, "no_server_yet": empty})),
         _ => Err(Code::ChainDown.because("an answer that is none")),
@@ -210,15 +210,15 @@
     let v = f.chain.view();
     let add = b.get("add").and_then(Value::as_str).and_then(|a| a.split_once('='));
     let gone = b.get("remove").and_then(Value::as_str);
-    let mut machines = v.machines.clone();
+    let mut machines = v.voters.clone();
     if let Some((n, a)) = add {
         a.parse::<std::net::SocketAddr>().map_err(|_| Code::Malformed.because("add takes name=ip:port"))?;
-        machines.push(Machine { name: n.into(), addr: a.into() });
+        machines.push(Voter { name: n.into(), addr: a.into() });
     }
     if let Some(n) = gone {
         machines.retain(|m| m.name != n);
     }
-    if machines == v.machines {
+    if machines == v.voters {
         return Ok(json!({"view": v}));
     }
     // A machine that does not answer would count towards the majorities and hold the chain up.
@@ -230,8 +230,8 @@
         }
     }
     for _ in 0..12 {
-        let ask = Request::Machines { version: v.version, machines: machines.clone() };
-        if let Ok(Reply::Declined { why }) = f.chain.ask(&f.chain.head(), ask, Duration::from_secs(1)).await
+        let ask = Request::ChangeVoters { version: v.version, voters: machines.clone() };
+        if let Ok(Reply::Rejected { error: why }) = f.chain.ask(&f.chain.head(), ask, Duration::from_secs(1)).await
             && !why.is(Code::MemberChange)
         {
             return Err(why);
@@ -239,7 +239,7 @@
         rt::sleep(Duration::from_millis(400)).await;
         f.chain.learn_from(&f.chain.head()).await;
         let now = f.chain.view();
-        if now.machines == machines {
+        if now.voters == machines {
             return Ok(json!({"view": now}));
         }
         if now.version != v.version {
--- a/crates/node/src/promoting.rs
+++ b/crates/node/src/promoting.rs
@@ -8,7 +8,7 @@
 use quincehatch_runtime::now;
 use quincehatch_runtime::rt;
 use quincehatch_store::store::duty_of;
-use quincehatch_store::{Answer, Command, Leadership};
+use quincehatch_store::{Answer, Command, PrimaryState};
 use quincehatch_wire::http::post;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -86,7 +86,7 @@
         }
         Out::AskAcked => held_promotion::acked(f, plan).await,
         Out::TakeFence { key } => {
-            let over = Leadership { fence: plan.over, lead: plan.lead.clone() };
+            let over = PrimaryState { fence: plan.over, primary: plan.lead.clone() };
             match next_fence(f, &key, &plan.group, &plan.by, over, WRITE).await {
                 Taken::Fence(fence) => In::Fence(fence),
                 Taken::TooLate => In::Overtaken,
@@ -95,7 +95,7 @@
         }
         Out::SetLead { key, lead } => {
             let (named, list) = (lead.server.is_some(), !lead.counts.is_empty());
-            let cmd = Command::SetLead { group: plan.group.clone(), lead };
+            let cmd = Command::AssignPrimary { group: plan.group.clone(), primary: lead };
             match f.chain.write(&key, cmd, WRITE).await {
                 Ok(Answer::Lead(_)) if named => In::Named,
                 Ok(Answer::Lead(_)) if list => In::Listed,
--- a/crates/node/tests/calls.rs
+++ b/crates/node/tests/calls.rs
@@ -1,7 +1,7 @@
 //! What a node does when a keeper takes a call and says nothing (§2.6).
 use quincehatch_core::{Code, End, Error, Name};
 use quincehatch_node::chain_client::Chain;
-use quincehatch_store::{KeeperRequest, KeeperResponse, KeeperStatus, Machine, Reply, Request, View};
+use quincehatch_store::{KeeperRequest, KeeperResponse, KeeperStatus, Voter, Reply, Request, View};
 use quincehatch_wire::{Identity, Incoming, RequestHeader, answer_to, read_frame, write_frame};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 fn view(addr: &str) -> View {
     let name = Name::from("k1");
-    View { version: 1, members: vec![name.clone()], machines: vec![Machine { name, addr: addr.into() }] }
+    View { version: 1, members: vec![name.clone()], voters: vec![Voter { name, addr: addr.into() }] }
 }
 
 /// A keeper that tells its status and ends the connection over everything else, after it has read it.
@@ -38,8 +38,8 @@
         let (header, message) = Incoming::parse(&frame).unwrap().header::<RequestHeader>().unwrap();
         let what = match borsh_request(message) {
             Request::Status => "status",
-            Request::Machines { .. } => "machines",
-            Request::Read => "read",
+            Request::ChangeVoters { .. } => "machines",
+            Request::ReadStore => "read",
             _ => "other",
         };
         arrived.lock().unwrap().push(what);
@@ -47,7 +47,7 @@
             return;
         }
         let status = KeeperStatus { view: view(&addr), ..Default::default() };
-        let answer = KeeperResponse::Reply { rep: Reply::Status { status } };
+        let answer = KeeperResponse::Reply { reply: Reply::Status { status } };
         let back = answer_to::<KeeperRequest>(&me, header.call, &answer).unwrap();
         write_frame(&mut stream, &back).await.unwrap();
     }
@@ -55,7 +55,7 @@
 
 fn borsh_request(message: &[u8]) -> Request {
     match borsh::from_slice(message).unwrap() {
-        KeeperRequest::Node { ask } => ask,
+        KeeperRequest::Node { request } => request,
         KeeperRequest::Peer { .. } => panic!("no keeper calls here"),
     }
 }
@@ -69,7 +69,7 @@
     let (addr, arrived) = keeper("k1").await;
     let chain = Chain::new("n1", std::slice::from_ref(&addr));
     assert!(asked(&chain, &addr, Request::Status).await.is_ok());
-    let machines = Request::Machines { version: 1, machines: view(&addr).machines };
+    let machines = Request::ChangeVoters { version: 1, voters: view(&addr).voters };
     let error = asked(&chain, &addr, machines).await.unwrap_err();
     assert!(error.is(Code::OutcomeUnknown), "{error}");
     assert_eq!(error.end, End::Unknown);
@@ -81,7 +81,7 @@
     let (addr, arrived) = keeper("k1").await;
     let chain = Chain::new("n1", std::slice::from_ref(&addr));
     assert!(asked(&chain, &addr, Request::Status).await.is_ok());
-    let error = asked(&chain, &addr, Request::Read).await.unwrap_err();
+    let error = asked(&chain, &addr, Request::ReadStore).await.unwrap_err();
     assert!(error.is(Code::Unreachable), "{error}");
     assert_eq!(*arrived.lock().unwrap(), ["status", "read", "read"]);
 }
@@ -94,5 +94,5 @@
     chain.learn(view(&addr));
     // Status is asked of whoever is there.
     assert!(asked(&chain, &addr, Request::Status).await.is_ok());
-    assert!(asked(&chain, &addr, Request::Read).await.is_err());
+    assert!(asked(&chain, &addr, Request::ReadStore).await.is_err());
 }
--- a/crates/simulator/src/control/call_kind.rs
+++ b/crates/simulator/src/control/call_kind.rs
@@ -16,9 +16,9 @@
     pub fn of(ask: &Request) -> CallKind {
         match ask {
             Request::Status => CallKind::Status,
-            Request::Machines { .. } => CallKind::Machines,
+            Request::ChangeVoters { .. } => CallKind::Machines,
             Request::Write { .. } => CallKind::Write,
-            Request::Read => CallKind::Read,
+            Request::ReadStore => CallKind::Read,
             Request::Adopted => CallKind::Adopted,
             Request::Feed { .. } => CallKind::Feed,
         }
@@ -30,8 +30,8 @@
             Reply::Answer { .. } => self == CallKind::Write,
             Reply::Store { .. } => self == CallKind::Read,
             Reply::Adopted { .. } => self == CallKind::Adopted,
-            Reply::Changes { .. } | Reply::Snapshot { .. } | Reply::Enroll => self == CallKind::Feed,
-            Reply::Elsewhere { .. } | Reply::Declined { .. } => true,
+            Reply::Changes { .. } | Reply::Snapshot { .. } | Reply::NotEnrolled => self == CallKind::Feed,
+            Reply::Redirect { .. } | Reply::Rejected { .. } => true,
         }
     }
 }
--- a/crates/simulator/src/control/cluster.rs
+++ b/crates/simulator/src/control/cluster.rs
@@ -109,7 +109,7 @@
         };
         let sync_ms = 2 + self.below(4);
         if first {
-            let found = RecoveredState { view: View::first(&seeds), ..Default::default() };
+            let found = RecoveredState { view: View::initial(&seeds), ..Default::default() };
             return Disk::new(address.to_string(), found, sync_ms);
         }
         let salt = self.core.lock().rng.draw() as u32;
--- a/crates/simulator/src/control/disk.rs
+++ b/crates/simulator/src/control/disk.rs
@@ -1,7 +1,7 @@
 //! A simulated disk: what is synced outlives the process, what waits for its sync may not.
 use quincehatch_core::{Code, Error, Ms};
 use quincehatch_store::keeper::{Record, RecoveredState};
-use quincehatch_store::terms::SNAP_EVERY;
+use quincehatch_store::terms::SNAPSHOT_INTERVAL_ENTRIES;
 
 #[derive(Debug, Default)]
 pub struct Disk {
@@ -34,7 +34,7 @@
         RecoveredState {
             acceptor: self.synced.acceptor.clone(),
             view: self.synced.view.clone(),
-            served: self.synced.served,
+            served_version: self.synced.served_version,
             ..self.snapshot.clone()
         }
     }
@@ -73,8 +73,8 @@
         match record {
             Record::Acceptor { acceptor } => synced.acceptor = acceptor,
             Record::View { view } => synced.view = view,
-            Record::Served { version } => synced.served = version,
-            Record::CatchingUp { yes } => synced.catching_up = yes,
+            Record::Served { version } => synced.served_version = version,
+            Record::CatchingUp { catching_up } => synced.catching_up = catching_up,
             Record::Snapshot { store } => {
                 synced.store = *store;
                 synced.log.clear();
@@ -91,7 +91,7 @@
 
     fn count_entry(&mut self) {
         self.since_snapshot += 1;
-        if self.since_snapshot >= SNAP_EVERY {
+        if self.since_snapshot >= SNAPSHOT_INTERVAL_ENTRIES {
             self.since_snapshot = 0;
             self.snapshot = self.synced.clone();
         }
--- a/crates/simulator/src/control/door.rs
+++ b/crates/simulator/src/control/door.rs
@@ -45,7 +45,7 @@
 fn adoption(document: Document, source: String) -> (String, Command) {
     let key = format!("adopt/{}/{:016x}", document.number, document_digest(&source));
     let (text, by) = (source.clone(), Name::from("operator"));
-    (key, Command::Adopt { number: document.number, text, source, by })
+    (key, Command::AdoptDocument { number: document.number, text, source, by })
 }
 
 async fn replace(chain: &Chain, text: String) -> DoorAnswer {
--- a/crates/simulator/src/control/intake.rs
+++ b/crates/simulator/src/control/intake.rs
@@ -24,8 +24,8 @@
         let me = me.clone();
         Box::pin(async move {
             let answer = match waiting {
-                None => KeeperResponse::Taken,
-                Some(reply) => KeeperResponse::Reply { rep: reply.await.ok()? },
+                None => KeeperResponse::Delivered,
+                Some(reply) => KeeperResponse::Reply { reply: reply.await.ok()? },
             };
             quincehatch_wire::answer_to::<KeeperRequest>(&me, call, &answer).ok()
         }) as Fut<'static, Option<Vec<u8>>>
@@ -36,13 +36,13 @@
 /// Hands a request to the keeper; a client's has a reply to wait for.
 fn take(process: &Process, request: KeeperRequest) -> Option<oneshot::Receiver<Reply>> {
     match request {
-        KeeperRequest::Peer { from, m } => {
+        KeeperRequest::Peer { from, message } => {
             if !process.lock().unwrap().stalled {
-                input(process, Input::Peer { from, m });
+                input(process, Input::Peer { from, message: message });
             }
             None
         }
-        KeeperRequest::Node { ask } => Some(call(process, ask)),
+        KeeperRequest::Node { request } => Some(call(process, request)),
     }
 }
 
@@ -60,6 +60,6 @@
         process.calls.insert(token, Call { kind, answer });
         token
     };
-    input(process, Input::Request { token, ask });
+    input(process, Input::Request { token, request: ask });
     waiting
 }
--- a/crates/simulator/src/control/invariants.rs
+++ b/crates/simulator/src/control/invariants.rs
@@ -24,7 +24,7 @@
     /// Looks at a keeper after its step.
     pub fn observe(&mut self, at: Ms, keeper: &Keeper) {
         self.one_view_an_edition(at, keeper);
-        if keeper.serving() {
+        if keeper.is_serving() {
             self.one_tail(at, keeper);
             self.serves_all(at, keeper);
         }
@@ -48,7 +48,7 @@
         let view = &keeper.view;
         let agreed = self.views.entry(view.version).or_insert_with(|| view.clone());
         if view.version > 0 && agreed != view {
-            let text = format!("C9 {} holds another view {} at {at}", keeper.me, view.version);
+            let text = format!("C9 {} holds another view {} at {at}", keeper.name, view.version);
             self.breach(text);
         }
     }
@@ -56,19 +56,19 @@
     /// C7: no tail serves once the tail of a newer view has begun to.
     fn one_tail(&mut self, at: Ms, keeper: &Keeper) {
         let version = keeper.view.version;
-        let newer = self.served.range(version..).find(|(_, tail)| **tail != keeper.me);
+        let newer = self.served.range(version..).find(|(_, tail)| **tail != keeper.name);
         if let Some((newer, tail)) = newer {
-            let text = format!("C7 {} serves view {version} at {at}; {tail} serves {newer}", keeper.me);
+            let text = format!("C7 {} serves view {version} at {at}; {tail} serves {newer}", keeper.name);
             self.breach(text);
         }
-        self.served.entry(version).or_insert_with(|| keeper.me.clone());
+        self.served.entry(version).or_insert_with(|| keeper.name.clone());
     }
 
     /// C8: whoever serves holds all that was committed.
     fn serves_all(&mut self, at: Ms, keeper: &Keeper) {
         if keeper.store.n < self.committed {
             let (held, committed) = (keeper.store.n, self.committed);
-            let text = format!("C8 {} serves {held} changes at {at}; {committed} were committed", keeper.me);
+            let text = format!("C8 {} serves {held} changes at {at}; {committed} were committed", keeper.name);
             self.breach(text);
         }
     }
--- a/crates/simulator/src/control/machine.rs
+++ b/crates/simulator/src/control/machine.rs
@@ -213,7 +213,7 @@
                 Output::Persist(_) => {}
                 Output::Send(to, message) => self.send(to, message),
                 Output::Reply(token, reply) => self.reply(token, reply),
-                Output::Say(line) => self.cluster.core.say(&format!("{}: {line}", self.host.name())),
+                Output::Log(line) => self.cluster.core.say(&format!("{}: {line}", self.host.name())),
             }
         }
     }
@@ -227,7 +227,7 @@
                 PeerMessage::Discover { .. } => Destination::address(&address),
                 _ => Destination::process(&to, &address),
             };
-            let request = KeeperRequest::Peer { from, m };
+            let request = KeeperRequest::Peer { from, message: m };
             // The protocol sends again what is not taken.
             drop(caller.call(destination, &request, TAKEN_WITHIN).await);
         });
--- a/crates/simulator/src/control/node.rs
+++ b/crates/simulator/src/control/node.rs
@@ -4,7 +4,7 @@
 use quincehatch_core::{ChangeNo, Ms, Name};
 use quincehatch_node::chain_client::Chain;
 use quincehatch_runtime::{now, rt};
-use quincehatch_store::terms::safe;
+use quincehatch_store::terms::minus_clock_drift;
 use quincehatch_store::{Answer, Command, FeedState, Reply, Request};
 use std::sync::Arc;
 use std::time::Duration;
@@ -61,7 +61,7 @@
         self.tries += 1;
         let (node, life) = (self.name.clone(), rt::incarnation());
         let key = format!("enroll/{node}/{life:x}/{}", self.tries);
-        match self.chain.write(&key, Command::Enroll { node, life }, ENROLL_WITHIN).await {
+        match self.chain.write(&key, Command::EnrollNode { node, incarnation: life }, ENROLL_WITHIN).await {
             Ok(Answer::Enrolled(entry)) => self.enrolled = entry,
             _ => rt::sleep(PAUSE).await,
         }
@@ -72,11 +72,11 @@
         let asked = now();
         let (node, have) = (self.name.clone(), self.known.n);
         let (addr, applied, enrolled) = (node.clone(), self.known.version, self.enrolled);
-        let ask = Request::Feed { node, addr, have, applied, enrolled };
+        let ask = Request::Feed { node, addr, last_change: have, applied, enrolled };
         match self.chain.ask(&to, ask, POLL_WITHIN).await {
             Ok(Reply::Changes { changes, lease_ms }) => {
                 if changes.iter().all(|change| self.known.apply(change)) {
-                    self.lease_until = asked + safe(lease_ms);
+                    self.lease_until = asked + minus_clock_drift(lease_ms);
                 }
             }
             Ok(Reply::Snapshot { snapshot, lease_ms }) => {
@@ -84,14 +84,14 @@
                     Some(*snapshot).filter(|snapshot| snapshot.n >= self.known.n).and_then(FeedState::of);
                 if let Some(known) = newer {
                     self.known = known;
-                    self.lease_until = asked + safe(lease_ms);
+                    self.lease_until = asked + minus_clock_drift(lease_ms);
                 }
             }
-            Ok(Reply::Elsewhere { view }) => {
+            Ok(Reply::Redirect { view }) => {
                 self.chain.learn(view);
                 return self.chain.tail_after(&to).await;
             }
-            Ok(Reply::Enroll) => self.enrolled = 0,
+            Ok(Reply::NotEnrolled) => self.enrolled = 0,
             _ => {
                 self.chain.look().await;
                 return self.chain.tail();
--- a/crates/simulator/src/control/recovery.rs
+++ b/crates/simulator/src/control/recovery.rs
@@ -15,7 +15,7 @@
     let forgotten = rt::broken("forgotten-votes") && !cluster.state.lock().unwrap().first_start;
     let found = match (rt::broken("stale-snapshot"), forgotten) {
         (true, _) => disk.stale(),
-        (_, true) => RecoveredState { view: View::first(seeds), ..Default::default() },
+        (_, true) => RecoveredState { view: View::initial(seeds), ..Default::default() },
         _ => disk.recover(),
     };
     let name = if forgotten { address.clone() } else { Name::from(disk.name.as_str()) };
@@ -23,11 +23,11 @@
         at: address.clone(),
         seeds: seeds.to_vec(),
         replace_after: terms::replace_after(cluster.parameters.catch_up),
-        machines: shape.voters,
+        voter_count: shape.voters,
     };
     let disks = (shape.tolerated + 1).min(seeds.len());
     let make = move |state, now| {
-        Keeper::new(name.clone(), now, state).seeking(settings.clone()).committing_on(disks)
+        Keeper::new(name.clone(), now, state).with_discovery(settings.clone()).with_min_replicas(disks)
     };
     KeeperHost::new(found, now(), Box::new(make))
 }
--- a/crates/simulator/src/direct/laid.rs
+++ b/crates/simulator/src/direct/laid.rs
@@ -9,7 +9,7 @@
 use quincehatch_proxy::held::Held;
 use quincehatch_runtime::rt;
 use quincehatch_store::keeper::RecoveredState;
-use quincehatch_store::{Machine, View};
+use quincehatch_store::{Voter, View};
 use std::sync::{Arc, Mutex};
 
 pub const GROUP: &str = "g";
@@ -44,8 +44,8 @@
 
 fn lay_keepers(core: &Arc<Core>, n: usize) -> (Vec<Pid>, Arc<Keepers>) {
     let names: Vec<Name> = (0..n).map(|i| format!("k{i}").into()).collect();
-    let machines = names.iter().enumerate().map(|(i, n)| Machine { name: n.clone(), addr: at(1, i).into() });
-    let view = View { version: 1, members: names.clone(), machines: machines.collect() };
+    let machines = names.iter().enumerate().map(|(i, n)| Voter { name: n.clone(), addr: at(1, i).into() });
+    let view = View { version: 1, members: names.clone(), voters: machines.collect() };
     let all = Arc::new(Keepers { by_name: Mutex::default(), watch: Mutex::default() });
     let mut pids = Vec::new();
     for (i, n) in names.into_iter().enumerate() {
--- a/crates/simulator/src/direct/operator.rs
+++ b/crates/simulator/src/direct/operator.rs
@@ -44,7 +44,7 @@
     let mut number = 1;
     while !stop.load(Ordering::SeqCst) {
         let text = blueprint(number);
-        let cmd = Command::Adopt { number, source: text.clone(), text, by: "operator".into() };
+        let cmd = Command::AdoptDocument { number, source: text.clone(), text, by: "operator".into() };
         while chain.write(&format!("adopt/{number}"), cmd.clone(), WRITE).await.is_err() {
             rt::sleep(ms(200)).await;
         }
--- a/crates/simulator/src/fleet/keeper.rs
+++ b/crates/simulator/src/fleet/keeper.rs
@@ -47,7 +47,7 @@
     let on_peer = move |from: Pid, m| {
         let name = a.by_name.lock().unwrap().iter().find(|x| *x.1 == from).map(|x| x.0.clone());
         if let Some(from) = name {
-            s(&q, Input::Peer { from, m });
+            s(&q, Input::Peer { from, message: m });
         }
     };
     core.lock().links.peer.insert(pid, Arc::new(on_peer));
@@ -57,7 +57,7 @@
         pid,
         Arc::new(move |bytes| {
             let (call, ask) = match quincehatch_wire::receive::<KeeperRequest>(&me, &bytes) {
-                Ok(Received::Request { call, request: KeeperRequest::Node { ask } }) => (call, ask),
+                Ok(Received::Request { call, request: KeeperRequest::Node { request } }) => (call, request),
                 Ok(Received::Declined(frame)) => return Box::pin(async { Some(frame) }),
                 _ => return Box::pin(async { None }),
             };
@@ -77,11 +77,11 @@
                 let token = x.token;
                 x.waits.insert(token, tx);
                 drop(x);
-                s(&q, Input::Request { token, ask });
+                s(&q, Input::Request { token, request: ask });
             }
             let me = me.clone();
             Box::pin(async move {
-                let answer = KeeperResponse::Reply { rep: rx.await.ok()? };
+                let answer = KeeperResponse::Reply { reply: rx.await.ok()? };
                 quincehatch_wire::answer_to::<KeeperRequest>(&me, call, &answer).ok()
             })
         }),
@@ -99,8 +99,8 @@
     match r {
         Record::Acceptor { acceptor } => d.acceptor = acceptor.clone(),
         Record::View { view } => d.view = view.clone(),
-        Record::Served { version } => d.served = *version,
-        Record::CatchingUp { yes } => d.catching_up = *yes,
+        Record::Served { version } => d.served_version = *version,
+        Record::CatchingUp { catching_up } => d.catching_up = *catching_up,
         Record::Snapshot { store } => {
             d.store = store.as_ref().clone();
             d.log.clear();
@@ -144,7 +144,7 @@
                 }
             }
             Output::Reply(t, rep) => replies.extend(x.waits.remove(&t).map(|tx| (tx, rep))),
-            Output::Say(s) => core.say(&format!("{}: {s}", x.k.me)),
+            Output::Log(s) => core.say(&format!("{}: {s}", x.k.name)),
             Output::Persist(_) => {}
         }
     }
@@ -153,11 +153,11 @@
         let s = x.k.status();
         core.say(&format!(
             "{} n {} committed {} in force {} {}",
-            s.name, s.n, s.committed, s.in_force, s.why
+            s.name, s.last_change, s.committed, s.in_force, s.reason
         ));
     }
-    let (serving, n, committed) = (x.k.serving(), x.k.store.n, x.k.committed);
-    let (name, view) = (x.k.me.clone(), x.k.view.version);
+    let (serving, n, committed) = (x.k.is_serving(), x.k.store.n, x.k.committed);
+    let (name, view) = (x.k.name.clone(), x.k.view.version);
     drop(x);
     let mut w = all.watch.lock().unwrap();
     if serving && n < w.committed && w.breaches.len() < 20 {
--- a/crates/simulator/src/fleet/procs.rs
+++ b/crates/simulator/src/fleet/procs.rs
@@ -10,7 +10,7 @@
 use quincehatch_proxy::door::Knock;
 use quincehatch_runtime::rt;
 use quincehatch_store::keeper::RecoveredState;
-use quincehatch_store::{Machine, View};
+use quincehatch_store::{Voter, View};
 use quincehatch_testbed::fleet::{ServerAt, Shape, TOKEN, blueprint_of};
 use quincehatch_testbed::platform::{Platform, ask_ready};
 use quincehatch_testbed::stand::{self, Stand, calls, repl};
@@ -129,8 +129,8 @@
     let core = Core::new(seed, bug, tell);
     let names: Vec<Name> = (0..shape.keepers).map(|i| format!("k{}", i + 1).into()).collect();
     let machines =
-        names.iter().enumerate().map(|(i, n)| Machine { name: n.clone(), addr: addr(1, i).into() });
-    let view = View { version: 1, members: names.clone(), machines: machines.collect() };
+        names.iter().enumerate().map(|(i, n)| Voter { name: n.clone(), addr: addr(1, i).into() });
+    let view = View { version: 1, members: names.clone(), voters: machines.collect() };
     let all = Arc::new(Keepers { by_name: Mutex::default(), watch: Mutex::default() });
     let keepers: Vec<Pid> = names
         .iter()
--- a/crates/simulator/tests/held/fleet.rs
+++ b/crates/simulator/tests/held/fleet.rs
@@ -7,7 +7,7 @@
 use quincehatch_simulator::fleet::core::{Core, Pid};
 use quincehatch_simulator::fleet::keeper::{self, Disk, Keepers};
 use quincehatch_store::keeper::RecoveredState;
-use quincehatch_store::{Command, Machine, View};
+use quincehatch_store::{Command, Voter, View};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
@@ -27,8 +27,8 @@
 
 fn keepers(core: &Arc<Core>, n: usize) {
     let names: Vec<Name> = (0..n).map(|i| format!("k{i}").into()).collect();
-    let machines = names.iter().enumerate().map(|(i, n)| Machine { name: n.clone(), addr: at(1, i).into() });
-    let view = View { version: 1, members: names.clone(), machines: machines.collect() };
+    let machines = names.iter().enumerate().map(|(i, n)| Voter { name: n.clone(), addr: at(1, i).into() });
+    let view = View { version: 1, members: names.clone(), voters: machines.collect() };
     let all = Arc::new(Keepers { by_name: Mutex::default(), watch: Mutex::default() });
     for (i, n) in names.into_iter().enumerate() {
         let disk: Disk = Arc::new(Mutex::new(RecoveredState { view: view.clone(), ..Default::default() }));
@@ -104,7 +104,7 @@
         let f = self.fleets[0].clone();
         self.core.within(self.pids[0], || {
             rt::spawn(async move {
-                let cmd = Command::Push { base: 0, text: PLAN.into(), by: "test".into() };
+                let cmd = Command::PushConfiguration { base: 0, text: PLAN.into(), by: "test".into() };
                 f.chain.write("plan", cmd, Duration::from_secs(5)).await.unwrap();
             })
         });
--- a/crates/store/src/ack_level.rs
+++ b/crates/store/src/ack_level.rs
@@ -7,19 +7,19 @@
     Committed,
     InForce,
     /// In force, or committed for [`ADOPT_WAIT`](crate::terms::ADOPT_WAIT).
-    Soon,
+    InForceOrDelayed,
 }
 
 impl AckLevel {
     /// A close must be in force before another server is named (§5.5), and so is a push told; a new list, which comes
     /// after it, need only be committed.
-    pub(crate) fn of(cmd: &Command) -> AckLevel {
+    pub(crate) fn for_command(cmd: &Command) -> AckLevel {
         match cmd {
-            Command::Push { .. } => AckLevel::InForce,
-            Command::SetLead { lead, .. } if lead.server.is_none() && lead.counts.is_empty() => {
+            Command::PushConfiguration { .. } => AckLevel::InForce,
+            Command::AssignPrimary { primary: lead, .. } if lead.server.is_none() && lead.counts.is_empty() => {
                 AckLevel::InForce
             }
-            Command::Adopt { .. } => AckLevel::Soon,
+            Command::AdoptDocument { .. } => AckLevel::InForceOrDelayed,
             _ => AckLevel::Committed,
         }
     }
--- a/crates/store/src/calls.rs
+++ b/crates/store/src/calls.rs
@@ -6,8 +6,8 @@
     type Answer = KeeperResponse;
     fn repeat(&self) -> Repeat {
         match self {
-            KeeperRequest::Peer { m, .. } => m.repeat(),
-            KeeperRequest::Node { ask } => ask.repeat(),
+            KeeperRequest::Peer { message: m, .. } => m.repeat(),
+            KeeperRequest::Node { request } => request.repeat(),
         }
     }
 }
@@ -22,18 +22,18 @@
             | PeerMessage::Accept { .. }
             | PeerMessage::Accepted { .. } => Repeat::Recognized(Key::Ballot),
             // A grant counts for the one heartbeat with its number, which no other life of the sender has used.
-            PeerMessage::Beat { .. } | PeerMessage::Grant { .. } => Repeat::Recognized(Key::Number),
+            PeerMessage::Beat { .. } | PeerMessage::GrantViewLease { .. } => Repeat::Recognized(Key::Number),
             // Entries apply at their own number only, acknowledgements only rise, and what is left of a lease is counted
             // from the arrival, so that a later copy says no less.
-            PeerMessage::Pass { .. }
-            | PeerMessage::Ack { .. }
-            | PeerMessage::Leases { .. }
+            PeerMessage::AppendEntries { .. }
+            | PeerMessage::Acknowledge { .. }
+            | PeerMessage::HandOverLeases { .. }
             | PeerMessage::Snapshot { .. }
             | PeerMessage::Discover { .. }
             | PeerMessage::CurrentView { .. } => Repeat::Recognized(Key::Number),
             // Its receiver proposes the view only while the version it builds on is the newest known.
             PeerMessage::Invite { .. } => Repeat::Recognized(Key::Number),
-            PeerMessage::Need { .. } | PeerMessage::Fetch { .. } => Repeat::Read,
+            PeerMessage::RequestEntries { .. } | PeerMessage::FetchSnapshot { .. } => Repeat::Read,
         }
     }
 }
@@ -46,8 +46,8 @@
             Request::Feed { .. } => Repeat::Recognized(Key::Number),
             Request::Write { .. } => Repeat::Recognized(Key::Write),
             // Repeated after it took effect it would be declined, as the view has moved: a wrong answer.
-            Request::Machines { .. } => Repeat::Never,
-            Request::Read | Request::Adopted | Request::Status => Repeat::Read,
+            Request::ChangeVoters { .. } => Repeat::Never,
+            Request::ReadStore | Request::Adopted | Request::Status => Repeat::Read,
         }
     }
 }
--- a/crates/store/src/contact.rs
+++ b/crates/store/src/contact.rs
@@ -18,26 +18,26 @@
         let Some(past) = self.store.past(key) else { return self.store.no_op_answer(command) };
         let answer = match past.sum == command.sum() {
             true => past.answer.clone(),
-            false => Answer::Declined(Code::PushConflict.bare()),
+            false => Answer::Rejected(Code::PushConflict.bare()),
         };
         Some(RecordedAnswer { entry: past.n, answer })
     }
 
     /// Has a heartbeat sent soon; the number that a granted heartbeat must exceed to prove contact from now on.
     pub(crate) fn request_contact(&mut self, command: &Command) -> u64 {
-        let after = self.seq;
+        let after = self.heartbeat_sequence;
         match command {
             // They come at all times and may wait a little.
             Command::RegisterServer { .. } | Command::DeregisterServer { .. } => {
-                self.next_beat = self.next_beat.min(self.now + CONTACT_WAIT);
+                self.next_heartbeat_at = self.next_heartbeat_at.min(self.now + CONTACT_WAIT);
             }
-            _ => self.beat(),
+            _ => self.send_heartbeat(),
         }
         after
     }
 
     /// Did a majority grant a heartbeat that was sent after that one?
     pub(crate) fn in_contact_since(&self, heartbeat: u64) -> bool {
-        self.granted_heartbeat > heartbeat
+        self.confirmed_heartbeat > heartbeat
     }
 }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -169,8 +169,8 @@
         let small = [
             Record::Acceptor { acceptor: state.acceptor.clone() },
             Record::View { view: state.view.clone() },
-            Record::Served { version: state.served },
-            Record::CatchingUp { yes: state.catching_up },
+            Record::Served { version: state.served_version },
+            Record::CatchingUp { catching_up: state.catching_up },
         ];
         self.save(&small)?;
         self.replace_snapshot(&state.store)?;
--- a/crates/store/src/disk_port.rs
+++ b/crates/store/src/disk_port.rs
@@ -1,7 +1,7 @@
 //! What a keeper needs of its disk, and how much of it it may take (§5.7).
 use crate::step::{Record, RecoveredState};
 use crate::store::Store;
-use crate::terms::LOG_BYTES;
+use crate::terms::LOG_MAX_BYTES;
 use quincehatch_core::{Error, messages};
 
 /// Allowed size of a data folder where the settings name none.
@@ -47,7 +47,7 @@
 
 impl DiskLimits {
     pub fn for_allowed(allowed: u64) -> Self {
-        let log_bytes = LOG_BYTES.min(allowed as usize / 16);
+        let log_bytes = LOG_MAX_BYTES.min(allowed as usize / 16);
         Self { allowed, log_bytes, snapshot_bytes: log_bytes / 4, compact_above: allowed / 4 }
     }
 }
--- a/crates/store/src/disk_records.rs
+++ b/crates/store/src/disk_records.rs
@@ -6,7 +6,7 @@
 use crate::packed::PackedBytes;
 use crate::step::{Record, RecoveredState};
 use crate::store::Store;
-use crate::terms::{LOG_KEEP, SNAP_EVERY};
+use crate::terms::{LOG_MAX_ENTRIES, SNAPSHOT_INTERVAL_ENTRIES};
 use borsh::{BorshDeserialize, BorshSerialize};
 use quincehatch_core::{ChangeNo, Code, Error};
 use redb::{ReadTransaction, ReadableTable, Table, TableDefinition, WriteTransaction};
@@ -47,7 +47,7 @@
     pub fn cut(&mut self, limits: &DiskLimits) -> Option<ChangeNo> {
         self.since_snapshot = 0;
         self.bytes_since_snapshot = 0;
-        while self.kept.len() > LOG_KEEP || (self.kept.len() > 1 && self.bytes > limits.log_bytes) {
+        while self.kept.len() > LOG_MAX_ENTRIES || (self.kept.len() > 1 && self.bytes > limits.log_bytes) {
             let dropped = self.kept.pop_front()?;
             self.bytes -= dropped.bytes;
         }
@@ -55,7 +55,7 @@
     }
 
     pub fn is_snapshot_due(&self, limits: &DiskLimits) -> bool {
-        self.since_snapshot >= SNAP_EVERY || self.bytes_since_snapshot >= limits.snapshot_bytes
+        self.since_snapshot >= SNAPSHOT_INTERVAL_ENTRIES || self.bytes_since_snapshot >= limits.snapshot_bytes
     }
 }
 
@@ -113,7 +113,7 @@
     match record {
         Record::Acceptor { acceptor } => put(&mut meta, "acceptor", acceptor),
         Record::View { view } => put(&mut meta, "view", view),
-        Record::CatchingUp { yes } => put(&mut meta, "newcomer", yes),
+        Record::CatchingUp { catching_up } => put(&mut meta, "newcomer", catching_up),
         Record::Served { version } => put(&mut meta, "served", version),
         Record::Entry { entry } => {
             let mut entries = tx.open_table(ENTRIES).map_err(broken)?;
@@ -154,7 +154,7 @@
         store,
         log: Default::default(),
         catching_up: or_default("newcomer", get("newcomer")?)?,
-        served: or_default("served", get("served")?)?,
+        served_version: or_default("served", get("served")?)?,
     };
     let mut rows = Rows::default();
     if let Ok(log) = tx.open_table(OLD_LOG) {
@@ -188,11 +188,11 @@
     packed: PackedEntry,
     entry: &Entry,
 ) -> Result<(), Error> {
-    let is_in_snapshot = entry.n <= state.store.n;
+    let is_in_snapshot = entry.number <= state.store.n;
     if !is_in_snapshot && state.store.apply(entry).is_none() {
-        return Err(unusable(format_args!("the log has a gap before {}", entry.n)));
+        return Err(unusable(format_args!("the log has a gap before {}", entry.number)));
     }
-    rows.push(entry.n, packed.size(), is_in_snapshot);
+    rows.push(entry.number, packed.size(), is_in_snapshot);
     state.log.push_back(packed);
     Ok(())
 }
--- a/crates/store/src/documents.rs
+++ b/crates/store/src/documents.rs
@@ -85,8 +85,8 @@
     /// The answer to whoever offered the document; `version` is the one in force.
     pub fn answer(self, version: Version) -> Answer {
         match self {
-            DocumentOutcome::NumberTaken { .. } => Answer::Declined(Code::NumberTaken.bare()),
-            DocumentOutcome::NumberForgotten => Answer::Declined(Code::NumberForgotten.bare().unknown()),
+            DocumentOutcome::NumberTaken { .. } => Answer::Rejected(Code::NumberTaken.bare()),
+            DocumentOutcome::NumberForgotten => Answer::Rejected(Code::NumberForgotten.bare().unknown()),
             _ => Answer::Version(version),
         }
     }
--- a/crates/store/src/driver.rs
+++ b/crates/store/src/driver.rs
@@ -88,16 +88,16 @@
         let queue = queue.clone();
         async move {
             match request {
-                KeeperRequest::Peer { from, m } => {
-                    let _ = queue.send(Incoming::Peer(Input::Peer { from, m })).await;
-                    KeeperResponse::Taken
+                KeeperRequest::Peer { from, message } => {
+                    let _ = queue.send(Incoming::Peer(Input::Peer { from, message: message })).await;
+                    KeeperResponse::Delivered
                 }
-                KeeperRequest::Node { ask } => {
+                KeeperRequest::Node { request } => {
                     let (reply, replied) = oneshot::channel();
-                    let _ = queue.send(Incoming::Request(ask, reply)).await;
+                    let _ = queue.send(Incoming::Request(request, reply)).await;
                     let stopping =
-                        || Reply::Declined { why: Code::ChainDown.because("the keeper is stopping") };
-                    KeeperResponse::Reply { rep: replied.await.unwrap_or_else(|_| stopping()) }
+                        || Reply::Rejected { error: Code::ChainDown.because("the keeper is stopping") };
+                    KeeperResponse::Reply { reply: replied.await.unwrap_or_else(|_| stopping()) }
                 }
             }
         }
@@ -130,7 +130,7 @@
             Incoming::Request(ask, reply) => {
                 self.last_token += 1;
                 self.waiting.insert(self.last_token, reply);
-                Input::Request { token: self.last_token, ask }
+                Input::Request { token: self.last_token, request: ask }
             }
         };
         self.step(input, batch);
@@ -224,7 +224,7 @@
                         let _ = waiting.send(reply);
                     }
                 }
-                Output::Say(line) => log::info!(target: "chain", "{line}"),
+                Output::Log(line) => log::info!(target: "chain", "{line}"),
             }
         }
     }
--- a/crates/store/src/entry_log.rs
+++ b/crates/store/src/entry_log.rs
@@ -1,7 +1,7 @@
 //! The newest entries of the chain, kept packed for members that lag behind; bounded in number and in bytes (§5.7).
 use crate::messages::Entry;
 use crate::packed::PackedBytes;
-use crate::terms::{LOG_BYTES, LOG_KEEP};
+use crate::terms::{LOG_MAX_BYTES, LOG_MAX_ENTRIES};
 use quincehatch_core::{ChangeNo, messages};
 use std::collections::VecDeque;
 
@@ -14,14 +14,14 @@
 impl PackedEntry {
     pub fn of(entry: &Entry) -> Self {
         let bytes = borsh::to_vec(entry).unwrap_or_default();
-        Self { n: entry.n, bytes: PackedBytes::of(bytes) }
+        Self { n: entry.number, bytes: PackedBytes::of(bytes) }
     }
 
     /// The entry; `None` if the bytes are damaged or hold another number.
     pub fn unpack(&self) -> Option<Entry> {
         let bytes = self.bytes.unpack()?;
         let entry: Entry = borsh::from_slice(&bytes).ok()?;
-        (entry.n == self.n).then_some(entry)
+        (entry.number == self.n).then_some(entry)
     }
 
     pub fn size(&self) -> usize {
@@ -41,7 +41,7 @@
     pub fn push_back(&mut self, entry: PackedEntry) {
         self.bytes += entry.size();
         self.entries.push_back(entry);
-        while self.entries.len() > LOG_KEEP || (self.entries.len() > 1 && self.bytes > LOG_BYTES) {
+        while self.entries.len() > LOG_MAX_ENTRIES || (self.entries.len() > 1 && self.bytes > LOG_MAX_BYTES) {
             self.pop_front();
         }
     }
--- a/crates/store/src/feed.rs
+++ b/crates/store/src/feed.rs
@@ -1,10 +1,10 @@
 //! What the tail tells nodes: of each entry that alone which they act on, and blueprints as what changed of the one
 //! before (§5.10).
 use crate::keeper::Keeper;
-use crate::messages::{Answer, Command, Entry, Leadership, Reply};
+use crate::messages::{Answer, Command, Entry, PrimaryState, Reply};
 use crate::patch::{Packed, Patch};
 use crate::store::{Store, duty_of, stand};
-use crate::terms::{LOG_KEEP, NEWS_BYTES};
+use crate::terms::{LOG_MAX_ENTRIES, FEED_MAX_BYTES};
 use quincehatch_core::{ChangeNo, Fence, Lead, Ms, Name, ServerRecord, Version, messages};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -102,8 +102,8 @@
     pub fn fence(&self, duty: &str) -> Fence {
         self.fences.get(duty).copied().unwrap_or_default()
     }
-    pub fn leadership(&self, group: &Name) -> Leadership {
-        Leadership { fence: self.fence(&duty_of(group)), lead: self.leads.get(group).cloned() }
+    pub fn leadership(&self, group: &Name) -> PrimaryState {
+        PrimaryState { fence: self.fence(&duty_of(group)), primary: self.leads.get(group).cloned() }
     }
 }
 
@@ -123,14 +123,14 @@
     /// Takes the entry if it is the next: its answer, and what it altered for nodes.
     pub fn apply_told(&mut self, e: &Entry) -> Option<(Answer, FeedEvent)> {
         let version = self.version();
-        let old = match &e.cmd {
-            Command::Push { .. } | Command::Adopt { .. } => text(self).to_owned(),
+        let old = match &e.command {
+            Command::PushConfiguration { .. } | Command::AdoptDocument { .. } => text(self).to_owned(),
             _ => String::new(),
         };
         let a = self.apply(e)?;
-        let news = match &e.cmd {
-            _ if matches!(a, Answer::Declined(_)) => FeedEvent::Other,
-            Command::Push { .. } | Command::Adopt { .. } if self.version() > version => {
+        let news = match &e.command {
+            _ if matches!(a, Answer::Rejected(_)) => FeedEvent::Other,
+            Command::PushConfiguration { .. } | Command::AdoptDocument { .. } if self.version() > version => {
                 FeedEvent::Blueprint { version: self.version(), patch: Patch::of(&old, text(self)) }
             }
             Command::RegisterServer { at } if self.servers.get(&at.server) == Some(at) => {
@@ -138,17 +138,17 @@
             }
             Command::DeregisterServer { server } => FeedEvent::DeregisterServer { server: server.clone() },
             // As it stands by then: the chain itself adds to a lead's lists, or lets them go (§5.5).
-            Command::SetLead { group, .. } | Command::Settle { group, .. } => {
+            Command::AssignPrimary { group, .. } | Command::DropPreviousVoters { group, .. } => {
                 let news = |lead: &Lead| FeedEvent::Lead { group: group.clone(), lead: lead.clone() };
                 self.leads.get(group).map_or(FeedEvent::Other, news)
             }
-            Command::Enroll { node, .. } | Command::Dismiss { node, .. } => {
+            Command::EnrollNode { node, .. } | Command::DismissNode { node, .. } => {
                 FeedEvent::Node { node: node.clone(), enrolled: self.nodes.get(node).copied() }
             }
-            Command::TakeFence { duty, .. } => {
+            Command::AcquireFence { duty, .. } => {
                 FeedEvent::Fence { duty: duty.clone(), fence: self.fence(duty) }
             }
-            Command::NextFence { group, .. } => {
+            Command::AcquireFenceIfUnchanged { group, .. } => {
                 let duty = duty_of(group);
                 FeedEvent::Fence { fence: self.fence(&duty), duty }
             }
@@ -160,25 +160,25 @@
 
 impl Keeper {
     pub(crate) fn record_change(&mut self, n: ChangeNo, news: FeedEvent) {
-        self.news.push_back(Change { n, news });
+        self.recent_changes.push_back(Change { n, news });
         let size = |changes: &VecDeque<Change>| changes.iter().map(Change::size).sum::<usize>();
-        while self.news.len() > LOG_KEEP || (self.news.len() > 1 && size(&self.news) > NEWS_BYTES) {
-            self.news.pop_front();
+        while self.recent_changes.len() > LOG_MAX_ENTRIES || (self.recent_changes.len() > 1 && size(&self.recent_changes) > FEED_MAX_BYTES) {
+            self.recent_changes.pop_front();
         }
     }
     /// What came after `have`, or all of it where the news do not reach back.
     pub(crate) fn changes_since(&mut self, have: ChangeNo, lease_ms: Ms) -> Reply {
-        let reach = self.news.front().is_some_and(|c| c.n <= have + 1) && have <= self.store.n;
+        let reach = self.recent_changes.front().is_some_and(|c| c.n <= have + 1) && have <= self.store.n;
         if have == self.store.n || reach {
-            let changes = self.news.iter().filter(|c| c.n > have).cloned().collect();
+            let changes = self.recent_changes.iter().filter(|c| c.n > have).cloned().collect();
             return Reply::Changes { changes, lease_ms };
         }
         let version = self.store.version();
         // Packed once a version, however many ask for it.
-        if self.packed.as_ref().is_none_or(|p| p.0 != version) {
-            self.packed = Some((version, Packed::of(text(&self.store))));
+        if self.packed_configuration.as_ref().is_none_or(|p| p.0 != version) {
+            self.packed_configuration = Some((version, Packed::of(text(&self.store))));
         }
-        let packed = self.packed.as_ref().map(|p| p.1.clone()).unwrap_or_default();
+        let packed = self.packed_configuration.as_ref().map(|p| p.1.clone()).unwrap_or_default();
         Reply::Snapshot { snapshot: Box::new(FeedSnapshot::of(&self.store, packed)), lease_ms }
     }
 }
--- a/crates/store/src/host.rs
+++ b/crates/store/src/host.rs
@@ -58,7 +58,7 @@
     pub fn new(state: RecoveredState, now: Ms, make_keeper: KeeperFactory) -> Self {
         let keeper = make_keeper(state, now);
         Self {
-            name: keeper.me.clone(),
+            name: keeper.name.clone(),
             state: State::Running(Box::new(keeper)),
             make_keeper,
             pending: BTreeSet::new(),
@@ -92,7 +92,7 @@
     pub fn note_usage(&mut self, usage: DiskUsage) {
         self.usage = usage;
         if let State::Running(keeper) = &mut self.state {
-            keeper.note_disk_usage(usage);
+            keeper.set_disk_usage(usage);
         }
     }
 
@@ -115,8 +115,8 @@
                 }
             }
             State::Suspended(_) => {
-                if let Input::Request { token, ask } = input {
-                    batch.outputs.push(Output::Reply(token, self.refuse(&ask)));
+                if let Input::Request { token, request } = input {
+                    batch.outputs.push(Output::Reply(token, self.refuse(&request)));
                 }
             }
         }
@@ -147,7 +147,7 @@
             _ => {
                 let why =
                     Code::ChainDown.because("the disk of this keeper takes no writes").retry(RETRY_AFTER);
-                Reply::Declined { why }
+                Reply::Rejected { error: why }
             }
         }
     }
@@ -177,14 +177,14 @@
         match &self.state {
             State::Running(keeper) if self.is_stalled => KeeperStatus {
                 serving: false,
-                why: "suspended: the disk stalls in a write".into(),
+                reason: "suspended: the disk stalls in a write".into(),
                 ..keeper.status()
             },
             State::Running(keeper) => keeper.status(),
             State::Suspended(suspension) => KeeperStatus {
                 name: self.name.clone(),
                 view: suspension.view.clone(),
-                why: format!("suspended: {}", suspension.why),
+                reason: format!("suspended: {}", suspension.why),
                 disk: self.usage,
                 ..Default::default()
             },
@@ -195,7 +195,7 @@
     fn confirm(&mut self, now: Ms, outputs: Vec<Output>) -> Vec<Output> {
         let State::Running(keeper) = &mut self.state else { return outputs };
         keeper.advance_clock(now);
-        let is_stale_tail = keeper.is_tail() && !keeper.commits();
+        let is_stale_tail = keeper.is_tail() && !keeper.can_commit();
         let view = &keeper.view;
         let recheck = |output: Output| match output {
             Output::Reply(token, reply) if is_stale_tail => {
@@ -210,17 +210,17 @@
         let State::Running(keeper) = &self.state else { return Vec::new() };
         let view = keeper.view.clone();
         let mut outputs = self.declines();
-        outputs.push(Output::Say(format!("suspended, the disk takes no writes: {why}")));
+        outputs.push(Output::Log(format!("suspended, the disk takes no writes: {why}")));
         self.state = State::Suspended(Suspension { why, since: now, next_probe: now + PROBE_EVERY, view });
         outputs
     }
 
     fn resume(&mut self, now: Ms, recovered: RecoveredState, since: Ms) -> Batch {
         let mut keeper = (self.make_keeper)(recovered, now);
-        keeper.note_disk_usage(self.usage);
+        keeper.set_disk_usage(self.usage);
         let said = format!("the disk takes writes again after {} ms, change {}", now - since, keeper.store.n);
         self.state = State::Running(Box::new(keeper));
-        let mut batch = Batch { records: Vec::new(), outputs: vec![Output::Say(said)] };
+        let mut batch = Batch { records: Vec::new(), outputs: vec![Output::Log(said)] };
         if let Some(seeds) = self.seeds.clone() {
             self.step(now, Input::Seeds(seeds), &mut batch);
         }
@@ -230,7 +230,7 @@
     /// For each request that waits: whether its write was kept is not known.
     fn declines(&self) -> Vec<Output> {
         let why = Code::ChainDown.because("the disk has not taken the write").unknown().retry(RETRY_PENDING);
-        let decline = |token: &u64| Output::Reply(*token, Reply::Declined { why: why.clone() });
+        let decline = |token: &u64| Output::Reply(*token, Reply::Rejected { error: why.clone() });
         self.pending.iter().map(decline).collect()
     }
 
--- a/crates/store/src/keeper.rs
+++ b/crates/store/src/keeper.rs
@@ -12,14 +12,14 @@
 use crate::snapshot::{IncomingSnapshot, OutgoingSnapshot};
 pub use crate::step::{Input, Output, Record, RecoveredState};
 use crate::store::Store;
-use crate::terms::{NODE_LEASE, SILENT, VIEW_LEASE, outlast};
+use crate::terms::{NODE_LEASE, SILENT, VIEW_LEASE, with_clock_drift};
 use quincehatch_core::{ChangeNo, Ms, Name, Version, hash64};
 use quincehatch_runtime::rt;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 #[derive(Clone, Debug)]
 pub struct Keeper {
-    pub me: Name,
+    pub name: Name,
     pub(crate) now: Ms,
     pub(crate) acceptor: Acceptor,
     pub(crate) proposer: Proposer,
@@ -30,24 +30,24 @@
     pub(crate) incoming_snapshot: IncomingSnapshot,
     pub(crate) disk_usage: DiskUsage,
     /// The same for nodes, since this process began or took a whole store (§5.10).
-    pub(crate) news: VecDeque<Change>,
-    pub(crate) packed: Option<(Version, Packed)>,
+    pub(crate) recent_changes: VecDeque<Change>,
+    pub(crate) packed_configuration: Option<(Version, Packed)>,
     pub committed: ChangeNo,
     pub in_force: ChangeNo,
     /// A commit is on so many disks at least; a shorter chain commits nothing (§5.9).
-    pub(crate) disks: usize,
+    pub(crate) min_replicas: usize,
     pub(crate) discovery: Option<Discovery>,
-    pub(crate) known: VecDeque<(ChangeNo, Ms)>,
-    pub(crate) heard: BTreeMap<Name, Ms>,
-    pub(crate) seq: u64,
+    pub(crate) commit_times: VecDeque<(ChangeNo, Ms)>,
+    pub(crate) last_heard: BTreeMap<Name, Ms>,
+    pub(crate) heartbeat_sequence: u64,
     /// The newest own heartbeat that a majority granted.
-    pub(crate) granted_heartbeat: u64,
-    pub(crate) sent: BTreeMap<u64, Ms>,
-    pub(crate) grants: BTreeMap<u64, BTreeSet<Name>>,
-    pub(crate) lease_until: Ms,
-    pub(crate) wait_until: Ms,
-    pub(crate) joined: bool,
-    pub(crate) served: Version,
+    pub(crate) confirmed_heartbeat: u64,
+    pub(crate) sent_heartbeats: BTreeMap<u64, Ms>,
+    pub(crate) heartbeat_grants: BTreeMap<u64, BTreeSet<Name>>,
+    pub(crate) view_lease_until: Ms,
+    pub(crate) older_leases_until: Ms,
+    pub(crate) in_sync: bool,
+    pub(crate) served_version: Version,
     /// Taken into the chain, and its forerunner has not passed it all yet: it neither serves nor leaves others out, as
     /// it may lack what was committed before it came (§5.3).
     pub(crate) catching_up: bool,
@@ -56,81 +56,81 @@
     /// Until then there may be others: what was dismissed before this process began is not known.
     pub(crate) unknown_leases_until: Ms,
     /// What it granted as the tail of the view before, for the tail of this one.
-    pub(crate) granted: Option<Leases>,
+    pub(crate) previous_leases: Option<Leases>,
     pub(crate) leases: Option<Leases>,
-    pub(crate) waiters: Vec<PendingWrite>,
-    pub(crate) pollers: Vec<PendingPoll>,
-    pub(crate) view_since: Ms,
+    pub(crate) pending_writes: Vec<PendingWrite>,
+    pub(crate) pending_polls: Vec<PendingPoll>,
+    pub(crate) view_adopted_at: Ms,
     /// The view just before this one, where this keeper knew it.
     pub(crate) previous_view: Option<View>,
     /// All that was held when the view was taken, and how much the tail has acknowledged in it.
-    pub(crate) held_at_view: ChangeNo,
-    pub(crate) acked: ChangeNo,
+    pub(crate) number_at_view: ChangeNo,
+    pub(crate) acknowledged: ChangeNo,
     /// The next view, in which a member offers this keeper a place (§5.9).
     pub(crate) invitation: Option<View>,
     pub(crate) leaving: Option<Leaving>,
-    pub(crate) proposed: Ms,
-    pub(crate) fetched: Ms,
-    pub(crate) half_since: Option<Ms>,
-    pub(crate) next_beat: Ms,
-    pub(crate) out: Vec<Output>,
+    pub(crate) last_proposal_at: Ms,
+    pub(crate) last_fetch_at: Ms,
+    pub(crate) unfinished_view_since: Option<Ms>,
+    pub(crate) next_heartbeat_at: Ms,
+    pub(crate) outputs: Vec<Output>,
 }
 
 impl Keeper {
     pub fn new(me: Name, now: Ms, f: RecoveredState) -> Self {
         // Places in a list that changes are no ranks: no two proposers may ever use one ballot.
         let mut proposer = Proposer::new(hash64(&[me.as_bytes()]));
-        proposer.seen(f.acceptor.promised.n);
+        proposer.observe_ballot(f.acceptor.promised.number);
         // A tail that had begun to serve in this very view has outlasted the older ones and lacks nothing.
-        let served = f.view.tail() == Some(&me) && f.served == f.view.version;
+        let served = f.view.tail() == Some(&me) && f.served_version == f.view.version;
         Self {
-            wait_until: if served { now } else { now + outlast(VIEW_LEASE) },
-            joined: served || (f.view.head() == Some(&me) && !f.catching_up),
+            older_leases_until: if served { now } else { now + with_clock_drift(VIEW_LEASE) },
+            in_sync: served || (f.view.head() == Some(&me) && !f.catching_up),
             catching_up: f.catching_up,
-            served: f.served,
+            served_version: f.served_version,
             dismissed_leases: BTreeMap::new(),
-            granted: None,
+            previous_leases: None,
             // An empty chain has enrolled nobody.
-            unknown_leases_until: if f.store.n == 0 { now } else { now + outlast(NODE_LEASE) },
-            me,
+            unknown_leases_until: if f.store.n == 0 { now } else { now + with_clock_drift(NODE_LEASE) },
+            name: me,
             now,
             proposer,
             acceptor: f.acceptor,
             view: f.view,
-            held_at_view: f.store.n,
+            number_at_view: f.store.n,
             store: f.store,
             log: f.log,
             outgoing_snapshot: None,
             incoming_snapshot: IncomingSnapshot::default(),
             disk_usage: DiskUsage::default(),
-            news: VecDeque::new(),
-            packed: None,
+            recent_changes: VecDeque::new(),
+            packed_configuration: None,
             committed: 0,
             in_force: 0,
-            disks: 1,
+            min_replicas: 1,
             discovery: None,
-            known: VecDeque::new(),
-            heard: BTreeMap::new(),
+            commit_times: VecDeque::new(),
+            last_heard: BTreeMap::new(),
             // A grant of an earlier life must answer no beat of this one, also where the wall clock was stepped back;
             // half of the range is left to count on.
-            seq: rt::draw_incarnation() >> 1,
-            granted_heartbeat: 0,
-            sent: BTreeMap::new(),
-            grants: BTreeMap::new(),
-            lease_until: 0,
+            heartbeat_sequence: rt::draw_incarnation() >> 1,
+            confirmed_heartbeat: 0,
+            sent_heartbeats: BTreeMap::new(),
+            heartbeat_grants: BTreeMap::new(),
+            view_lease_until: 0,
             leases: None,
-            waiters: Vec::new(),
-            pollers: Vec::new(),
-            view_since: now,
+            pending_writes: Vec::new(),
+            pending_polls: Vec::new(),
+            view_adopted_at: now,
             previous_view: None,
-            acked: 0,
+            acknowledged: 0,
             invitation: None,
             leaving: None,
-            proposed: 0,
-            fetched: 0,
-            half_since: None,
-            next_beat: now,
-            out: Vec::new(),
+            last_proposal_at: 0,
+            last_fetch_at: 0,
+            unfinished_view_since: None,
+            next_heartbeat_at: now,
+            outputs: Vec::new(),
         }
     }
 
@@ -140,64 +140,64 @@
         let stood_still = now.saturating_sub(self.now);
         self.now = self.now.max(now);
         if stood_still >= SILENT {
-            self.heard.values_mut().for_each(|heard| *heard = now);
+            self.last_heard.values_mut().for_each(|heard| *heard = now);
         }
     }
 
-    pub fn note_disk_usage(&mut self, usage: DiskUsage) {
+    pub fn set_disk_usage(&mut self, usage: DiskUsage) {
         self.disk_usage = usage;
     }
 
     pub fn step(&mut self, now: Ms, i: Input) -> Vec<Output> {
         self.advance_clock(now);
         match i {
-            Input::Peer { from, m } => self.peer(&from, m),
-            Input::Request { token, ask } => self.ask(token, ask),
+            Input::Peer { from, message } => self.handle_peer_message(&from, message),
+            Input::Request { token, request } => self.ask(token, request),
             Input::Seeds(seeds) => self.seeds(seeds),
             Input::Leave { within } => self.begin_leave(within),
             Input::Tick => self.tick(),
         }
         self.commit_and_answer();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
     pub fn is_tail(&self) -> bool {
-        self.view.tail() == Some(&self.me)
+        self.view.tail() == Some(&self.name)
     }
     pub fn is_head(&self) -> bool {
-        self.view.head() == Some(&self.me)
+        self.view.head() == Some(&self.name)
     }
     /// May this keeper answer as the tail at this moment (§5.3)?
-    pub fn serving(&self) -> bool {
-        let leased = self.now < self.lease_until || rt::broken("no-view-lease");
-        self.is_tail() && self.joined && self.now >= self.wait_until && leased
+    pub fn is_serving(&self) -> bool {
+        let leased = self.now < self.view_lease_until || rt::broken("no-view-lease");
+        self.is_tail() && self.in_sync && self.now >= self.older_leases_until && leased
     }
     /// May it commit as well, and hand out what is committed (§5.9)?
-    pub fn commits(&self) -> bool {
-        self.serving() && self.view.members.len() >= self.disks
+    pub fn can_commit(&self) -> bool {
+        self.is_serving() && self.view.members.len() >= self.min_replicas
     }
     pub(crate) fn send(&mut self, to: &Name, m: PeerMessage) {
-        if *to == self.me {
-            let me = self.me.clone();
-            self.peer(&me, m);
+        if *to == self.name {
+            let me = self.name.clone();
+            self.handle_peer_message(&me, m);
         } else {
-            self.out.push(Output::Send(to.clone(), m));
+            self.outputs.push(Output::Send(to.clone(), m));
         }
     }
 
     fn tick(&mut self) {
-        self.discover();
-        if self.now >= self.next_beat && !self.outside_view() {
-            self.beat();
-            if let Some(p) = self.view.neighbour(&self.me, -1).cloned() {
+        self.look_for_place();
+        if self.now >= self.next_heartbeat_at && !self.is_outside_view() {
+            self.send_heartbeat();
+            if let Some(p) = self.view.neighbour(&self.name, -1).cloned() {
                 self.request_next(&p);
                 // Said again each time, as it may be lost or have crossed a change of view.
-                let ack = self.ack();
+                let ack = self.acknowledgement();
                 self.send(&p, ack);
             }
         }
         if self.leaving.is_some() {
-            self.leave();
+            self.continue_leave();
         } else {
             self.repair_view();
         }
--- a/crates/store/src/lease.rs
+++ b/crates/store/src/lease.rs
@@ -1,6 +1,6 @@
 //! Node leases at the tail (§5.6): an acknowledged write is in force at every node that may still act.
-use crate::messages::LeaseRow;
-use crate::terms::{NODE_LEASE, outlast};
+use crate::messages::LeaseStatus;
+use crate::terms::{NODE_LEASE, with_clock_drift};
 use quincehatch_core::{ChangeNo, Ms, Name};
 use std::collections::BTreeMap;
 
@@ -33,12 +33,12 @@
         let may = |until: Ms| Held { until, applied: 0, addr: Name::default(), heard: false };
         let mut held: BTreeMap<Name, Held> =
             dismissed_leases.iter().map(|(n, until)| (n.clone(), may(*until))).collect();
-        held.extend(enrolled.map(|n| (n.clone(), may(now + outlast(NODE_LEASE)))));
+        held.extend(enrolled.map(|n| (n.clone(), may(now + with_clock_drift(NODE_LEASE)))));
         Self { held, unknown_until: unknown_leases_until }
     }
     /// Grants or renews; the node says what it has applied. Never lowers what was known.
     pub fn grant(&mut self, now: Ms, node: &Name, addr: &Name, applied: ChangeNo) -> Ms {
-        let until = now + outlast(NODE_LEASE);
+        let until = now + with_clock_drift(NODE_LEASE);
         self.held.insert(node.clone(), Held { until, applied, addr: addr.clone(), heard: true });
         NODE_LEASE
     }
@@ -55,29 +55,29 @@
     }
     /// What the tail before knew, which grants no more: who holds none is not waited for, nor any for longer than it
     /// holds one.
-    pub fn handed(&mut self, now: Ms, rows: &[LeaseRow], unknown_leases: Ms) {
+    pub fn merge_handover(&mut self, now: Ms, rows: &[LeaseStatus], unknown_leases: Ms) {
         self.unknown_until = self.unknown_until.min(now + unknown_leases);
         self.held.retain(|n, h| match rows.iter().find(|r| r.node == *n) {
             _ if h.heard => true,
             Some(r) => {
-                h.until = h.until.min(now + r.left_ms);
+                h.until = h.until.min(now + r.remaining_ms);
                 h.applied = h.applied.max(r.applied);
                 true
             }
             None => false,
         });
     }
-    pub fn unknown_leases(&self, now: Ms) -> Ms {
+    pub fn unknown_leases_ms(&self, now: Ms) -> Ms {
         self.unknown_until.saturating_sub(now)
     }
-    pub fn rows(&self, now: Ms) -> Vec<LeaseRow> {
+    pub fn statuses(&self, now: Ms) -> Vec<LeaseStatus> {
         self.held
             .iter()
             .filter(|(_, h)| h.until > now)
-            .map(|(n, h)| LeaseRow {
+            .map(|(n, h)| LeaseStatus {
                 node: n.clone(),
                 addr: h.addr.clone(),
-                left_ms: h.until - now,
+                remaining_ms: h.until - now,
                 applied: h.applied,
             })
             .collect()
--- a/crates/store/src/peers.rs
+++ b/crates/store/src/peers.rs
@@ -43,7 +43,7 @@
             PeerMessage::Discover { .. } => Destination::address(&addr),
             _ => Destination::process(&name, &addr),
         };
-        let request = KeeperRequest::Peer { from: from.clone(), m };
+        let request = KeeperRequest::Peer { from: from.clone(), message: m };
         let _ = caller.call(to, &request, TAKEN_WITHIN).await;
     }
 }
--- a/crates/store/src/register.rs
+++ b/crates/store/src/register.rs
@@ -17,7 +17,7 @@
 
 impl Acceptor {
     /// The newest view this acceptor has taken part in; leases of older ones are not renewed.
-    pub fn version(&self) -> Version {
+    pub fn accepted_version(&self) -> Version {
         self.accepted.as_ref().map_or(0, |(_, view)| view.version)
     }
 
@@ -34,7 +34,7 @@
                 }
                 let next = base.version + 1;
                 let accepted = self.accepted.clone().filter(|(_, view)| ok && view.version == next);
-                Some((PeerMessage::Promise { ballot: *ballot, ok, seen: self.promised, accepted }, changed))
+                Some((PeerMessage::Promise { ballot: *ballot, ok, highest_promised: self.promised, accepted }, changed))
             }
             PeerMessage::Accept { ballot, base, view } => {
                 let ok = self.takes(decided, *ballot, base);
@@ -42,7 +42,7 @@
                     self.promised = *ballot;
                     self.accepted = Some((*ballot, view.clone()));
                 }
-                Some((PeerMessage::Accepted { ballot: *ballot, ok, seen: self.promised }, ok))
+                Some((PeerMessage::Accepted { ballot: *ballot, ok, highest_promised: self.promised }, ok))
             }
             _ => None,
         }
@@ -87,31 +87,31 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Proposer {
-    rank: u64,
-    top: u64,
+    id: u64,
+    highest_ballot: u64,
     attempt: Option<Attempt>,
 }
 
 impl Proposer {
     /// No two proposers may share a rank: it makes their ballots differ.
     pub fn new(rank: u64) -> Self {
-        Self { rank, top: 0, attempt: None }
+        Self { id: rank, highest_ballot: 0, attempt: None }
     }
 
     /// Ballots up to `n` are used already.
-    pub fn seen(&mut self, n: u64) {
-        self.top = self.top.max(n);
+    pub fn observe_ballot(&mut self, n: u64) {
+        self.highest_ballot = self.highest_ballot.max(n);
     }
 
     /// Busy with an attempt younger than `most`.
-    pub fn busy(&self, now: Ms, most: Ms) -> bool {
+    pub fn is_busy(&self, now: Ms, most: Ms) -> bool {
         self.attempt.as_ref().is_some_and(|a| now < a.began + most)
     }
 
     /// Begins to change the register from the decided view `base` to `wanted`, whose version is the next.
     pub fn begin(&mut self, now: Ms, base: &View, wanted: View) -> Vec<ProposerAction> {
-        self.top += 1;
-        let ballot = Ballot { n: self.top, by: self.rank };
+        self.highest_ballot += 1;
+        let ballot = Ballot { number: self.highest_ballot, by: self.id };
         let to = acceptors(base, &wanted);
         self.attempt = Some(Attempt {
             ballot,
@@ -129,12 +129,12 @@
     /// Takes an acceptor's answer.
     pub fn step(&mut self, from: &Name, message: &PeerMessage) -> Vec<ProposerAction> {
         match message {
-            PeerMessage::Promise { ballot, ok, seen, accepted } => {
-                self.seen(seen.n);
+            PeerMessage::Promise { ballot, ok, highest_promised: seen, accepted } => {
+                self.observe_ballot(seen.number);
                 self.promise(from, *ballot, *ok, accepted.clone())
             }
-            PeerMessage::Accepted { ballot, ok, seen } => {
-                self.seen(seen.n);
+            PeerMessage::Accepted { ballot, ok, highest_promised: seen } => {
+                self.observe_ballot(seen.number);
                 self.accepted(from, *ballot, *ok)
             }
             _ => Vec::new(),
@@ -174,7 +174,7 @@
         }
         a.accepted_by.insert(from.clone());
         let Some(view) = a.proposed.clone() else { return Vec::new() };
-        if !old_majority(&a.base, a.accepted_by.iter()) || !view.majority(a.accepted_by.iter()) {
+        if !old_majority(&a.base, a.accepted_by.iter()) || !view.has_majority(a.accepted_by.iter()) {
             return Vec::new();
         }
         let base = a.base.clone();
@@ -185,11 +185,11 @@
 
 /// A majority of the old set must take part in every change of the register.
 fn old_majority<'a>(base: &View, who: impl Iterator<Item = &'a Name>) -> bool {
-    base.majority(who) || quincehatch_runtime::rt::broken("no-old-majority")
+    base.has_majority(who) || quincehatch_runtime::rt::broken("no-old-majority")
 }
 
 /// Who votes on a change: the machines of both views.
 fn acceptors(base: &View, next: &View) -> Vec<Name> {
-    let names: BTreeSet<Name> = base.machines.iter().chain(&next.machines).map(|m| m.name.clone()).collect();
+    let names: BTreeSet<Name> = base.voters.iter().chain(&next.voters).map(|m| m.name.clone()).collect();
     names.into_iter().collect()
 }
--- a/crates/store/src/requests.rs
+++ b/crates/store/src/requests.rs
@@ -3,26 +3,26 @@
 use crate::entry_log::PackedEntry;
 use crate::keeper::{Keeper, Output, Record};
 use crate::lease::Leases;
-use crate::messages::{Answer, Command, Entry, Machine, Reply, Request, View};
-use crate::terms::{ADOPT_WAIT, FEED, NODE_LEASE};
+use crate::messages::{Answer, Command, Entry, Voter, Reply, Request, View};
+use crate::terms::{ADOPT_ACK_DELAY, FEED_POLL_WAIT, NODE_LEASE};
 use quincehatch_core::{ChangeNo, Code, Ms, Name, Version};
 
 /// Writers that may wait at the head.
-const WAITERS: usize = 1024;
+const MAX_PENDING_WRITES: usize = 1024;
 /// How long a writer waits before it is told to ask again with the same key.
-const WRITE_WAIT: u64 = 8_000;
+const WRITE_TIMEOUT: u64 = 8_000;
 /// Commits whose time is remembered.
-const KNOWN: usize = 64;
+const MAX_COMMIT_TIMES: usize = 64;
 
 #[derive(Clone, Debug)]
 pub(crate) struct PendingWrite {
     pub token: u64,
-    pub n: ChangeNo,
+    pub number: ChangeNo,
     pub answer: Answer,
-    pub ends: AckLevel,
+    pub ack_level: AckLevel,
     /// Where no new entry proves it: a majority must grant a heartbeat sent after that one.
     pub contact_after: Option<u64>,
-    pub until: Ms,
+    pub deadline: Ms,
 }
 
 /// A node whose poll waits at the tail for news.
@@ -30,28 +30,28 @@
 pub(crate) struct PendingPoll {
     pub token: u64,
     pub node: Name,
-    pub have: ChangeNo,
-    pub until: Ms,
+    pub last_change: ChangeNo,
+    pub deadline: Ms,
 }
 
 impl Keeper {
     pub(crate) fn ask(&mut self, token: u64, ask: Request) {
         let rep = match ask {
             Request::Status => Some(Reply::Status { status: self.status() }),
-            Request::Machines { version, machines } => Some(self.machines(version, machines)),
-            Request::Write { key, cmd } => self.write(token, key, cmd),
-            Request::Read | Request::Adopted | Request::Feed { .. } if !self.commits() => {
-                Some(Reply::Elsewhere { view: self.view.clone() })
+            Request::ChangeVoters { version, voters: machines } => Some(self.machines(version, machines)),
+            Request::Write { key, command } => self.write(token, key, command),
+            Request::ReadStore | Request::Adopted | Request::Feed { .. } if !self.can_commit() => {
+                Some(Reply::Redirect { view: self.view.clone() })
             }
             Request::Adopted => Some(Reply::Adopted { adopted: self.store.adopted.clone() }),
-            Request::Read => Some(Reply::Store { store: Box::new(self.store.clone()) }),
+            Request::ReadStore => Some(Reply::Store { store: Box::new(self.store.clone()) }),
             Request::Feed { node, enrolled, .. } if self.store.nodes.get(&node) != Some(&enrolled) => {
-                Some(Reply::Enroll)
+                Some(Reply::NotEnrolled)
             }
-            Request::Feed { node, addr, have, .. } => self.feed(token, node, addr, have),
+            Request::Feed { node, addr, last_change: have, .. } => self.feed(token, node, addr, have),
         };
         if let Some(r) = rep {
-            self.out.push(Output::Reply(token, r));
+            self.outputs.push(Output::Reply(token, r));
         }
     }
 
@@ -71,129 +71,129 @@
             return Some(self.changes_since(have, lease_ms));
         }
         // One poll a node: what an earlier one waits for, this one asks.
-        let (old, rest) = std::mem::take(&mut self.pollers).into_iter().partition(|p| p.node == node);
-        self.pollers = rest;
-        self.end_polls(old);
-        self.pollers.push(PendingPoll { token, node, have, until: now + FEED });
+        let (old, rest) = std::mem::take(&mut self.pending_polls).into_iter().partition(|p| p.node == node);
+        self.pending_polls = rest;
+        self.answer_polls(old);
+        self.pending_polls.push(PendingPoll { token, node, last_change: have, deadline: now + FEED_POLL_WAIT });
         None
     }
 
-    fn end_polls(&mut self, polls: Vec<PendingPoll>) {
+    fn answer_polls(&mut self, polls: Vec<PendingPoll>) {
         for p in polls {
-            let rep = match self.commits() {
-                true => self.changes_since(p.have, NODE_LEASE),
-                false => Reply::Elsewhere { view: self.view.clone() },
+            let rep = match self.can_commit() {
+                true => self.changes_since(p.last_change, NODE_LEASE),
+                false => Reply::Redirect { view: self.view.clone() },
             };
-            self.out.push(Output::Reply(p.token, rep));
+            self.outputs.push(Output::Reply(p.token, rep));
         }
     }
 
     fn write(&mut self, token: u64, key: Name, cmd: Command) -> Option<Reply> {
         if !self.is_head() {
-            return Some(Reply::Elsewhere { view: self.view.clone() });
+            return Some(Reply::Redirect { view: self.view.clone() });
         }
-        if self.waiters.len() >= WAITERS {
-            return Some(Reply::Declined {
-                why: Code::ChainDown.because("too many writes wait").retry(1_000),
+        if self.pending_writes.len() >= MAX_PENDING_WRITES {
+            return Some(Reply::Rejected {
+                error: Code::ChainDown.because("too many writes wait").retry(1_000),
             });
         }
-        let ends = AckLevel::of(&cmd);
+        let ends = AckLevel::for_command(&cmd);
         let (n, answer, contact_after) = match self.recorded_answer(&key, &cmd) {
             Some(recorded) => (recorded.entry, recorded.answer, Some(self.request_contact(&cmd))),
             None if self.disk_usage.is_reserve_touched() && cmd.is_document() => {
                 let why = Code::ChainDown.because("the disk is nearly full").retry(1_000);
-                return Some(Reply::Declined { why });
+                return Some(Reply::Rejected { error: why });
             }
             None => {
                 let had = self.store.n;
-                let e = Entry { n: had + 1, key, cmd };
-                let a = self.append(&e, PackedEntry::of(&e))?;
-                self.pass_on(had);
+                let e = Entry { number: had + 1, key, command: cmd };
+                let a = self.append_entry(&e, PackedEntry::of(&e))?;
+                self.forward_entries(had);
                 (had + 1, a, None)
             }
         };
-        let ends = if matches!(answer, Answer::Declined(_)) { AckLevel::Committed } else { ends };
-        self.waiters.push(PendingWrite {
+        let ends = if matches!(answer, Answer::Rejected(_)) { AckLevel::Committed } else { ends };
+        self.pending_writes.push(PendingWrite {
             token,
-            n,
+            number: n,
             answer,
-            ends,
+            ack_level: ends,
             contact_after,
-            until: self.now + WRITE_WAIT,
+            deadline: self.now + WRITE_TIMEOUT,
         });
         None
     }
 
     /// One disk machine is added or taken away at a time (§5.3).
-    fn machines(&mut self, version: Version, machines: Vec<Machine>) -> Reply {
-        let old = &self.view.machines;
+    fn machines(&mut self, version: Version, machines: Vec<Voter>) -> Reply {
+        let old = &self.view.voters;
         let gone = old.iter().filter(|m| !machines.contains(m)).count();
         let come = machines.iter().filter(|m| !old.contains(m)).count();
         let members: Vec<Name> =
             self.view.members.iter().filter(|n| machines.iter().any(|m| m.name == **n)).cloned().collect();
         if version != self.view.version || gone + come != 1 || members.is_empty() {
             let why = format!("the view is at {}; {come} would come and {gone} go", self.view.version);
-            return Reply::Declined { why: Code::MemberChange.because(why) };
+            return Reply::Rejected { error: Code::MemberChange.because(why) };
         }
-        let want = View { version: version + 1, members, machines };
+        let want = View { version: version + 1, members, voters: machines };
         self.propose(want);
-        Reply::Elsewhere { view: self.view.clone() }
+        Reply::Redirect { view: self.view.clone() }
     }
 
     /// After every step: the tail commits, the head answers writers whose time has come.
     pub(crate) fn commit_and_answer(&mut self) {
-        if self.commits() {
+        if self.can_commit() {
             let now = self.now;
             let n = self.store.n;
-            if self.served != self.view.version {
-                self.served = self.view.version;
-                self.out.push(Output::Persist(Record::Served { version: self.served }));
+            if self.served_version != self.view.version {
+                self.served_version = self.view.version;
+                self.outputs.push(Output::Persist(Record::Served { version: self.served_version }));
             }
             let f = self.leases().in_force(now, n);
             let moved = n > self.committed || f > self.in_force;
             self.committed = n;
             self.in_force = self.in_force.max(f);
-            if moved && let Some(p) = self.view.neighbour(&self.me, -1).cloned() {
-                let m = self.ack();
+            if moved && let Some(p) = self.view.neighbour(&self.name, -1).cloned() {
+                let m = self.acknowledgement();
                 self.send(&p, m);
             }
         }
-        let (serves, n, at) = (self.commits(), self.store.n, self.now);
-        let over = |p: &PendingPoll| !serves || p.have < n || at >= p.until;
-        let (done, rest) = std::mem::take(&mut self.pollers).into_iter().partition(over);
-        self.pollers = rest;
-        self.end_polls(done);
-        if self.known.back().is_none_or(|k| k.0 < self.committed) {
-            self.known.push_back((self.committed, self.now));
-            if self.known.len() > KNOWN {
-                self.known.pop_front();
+        let (serves, n, at) = (self.can_commit(), self.store.n, self.now);
+        let over = |p: &PendingPoll| !serves || p.last_change < n || at >= p.deadline;
+        let (done, rest) = std::mem::take(&mut self.pending_polls).into_iter().partition(over);
+        self.pending_polls = rest;
+        self.answer_polls(done);
+        if self.commit_times.back().is_none_or(|k| k.0 < self.committed) {
+            self.commit_times.push_back((self.committed, self.now));
+            if self.commit_times.len() > MAX_COMMIT_TIMES {
+                self.commit_times.pop_front();
             }
         }
         let (c, f, now, head) = (self.committed, self.in_force, self.now, self.is_head());
         let mut keep = Vec::new();
-        for w in std::mem::take(&mut self.waiters) {
-            let done = match w.ends {
-                AckLevel::Committed => w.n <= c,
-                AckLevel::InForce => w.n <= f,
-                AckLevel::Soon => w.n <= f || self.known_for(w.n).is_some_and(|ms| ms >= ADOPT_WAIT),
+        for w in std::mem::take(&mut self.pending_writes) {
+            let done = match w.ack_level {
+                AckLevel::Committed => w.number <= c,
+                AckLevel::InForce => w.number <= f,
+                AckLevel::InForceOrDelayed => w.number <= f || self.committed_for(w.number).is_some_and(|ms| ms >= ADOPT_ACK_DELAY),
             };
             if !head {
-                self.out.push(Output::Reply(w.token, Reply::Elsewhere { view: self.view.clone() }));
+                self.outputs.push(Output::Reply(w.token, Reply::Redirect { view: self.view.clone() }));
             } else if done && w.contact_after.is_none_or(|beat| self.in_contact_since(beat)) {
-                self.out.push(Output::Reply(w.token, Reply::Answer { n: w.n, answer: w.answer }));
-            } else if now >= w.until {
+                self.outputs.push(Output::Reply(w.token, Reply::Answer { number: w.number, answer: w.answer }));
+            } else if now >= w.deadline {
                 let why =
                     Code::ChainDown.because("not acknowledged yet; ask again with the same key").unknown();
-                self.out.push(Output::Reply(w.token, Reply::Declined { why: why.retry(500) }));
+                self.outputs.push(Output::Reply(w.token, Reply::Rejected { error: why.retry(500) }));
             } else {
                 keep.push(w);
             }
         }
-        self.waiters = keep;
+        self.pending_writes = keep;
     }
 
     /// For how long, at least, this keeper has known that `n` is committed.
-    fn known_for(&self, n: ChangeNo) -> Option<Ms> {
-        self.known.iter().find(|k| k.0 >= n).map(|k| self.now - k.1)
+    fn committed_for(&self, n: ChangeNo) -> Option<Ms> {
+        self.commit_times.iter().find(|k| k.0 >= n).map(|k| self.now - k.1)
     }
 }
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -1,7 +1,7 @@
 //! The whole store on its way to a member whose log does not reach back: packed once, sent in parts (§5.7).
 use crate::packed::PackedBytes;
 use crate::store::Store;
-use crate::terms::TRANSFER_BYTES;
+use crate::terms::TRANSFER_MAX_BYTES;
 use quincehatch_core::{ChangeNo, Name, hash64, messages};
 
 /// Longest packed snapshot that a member takes.
@@ -46,7 +46,7 @@
         let known = progress.id == self.id && progress.offset < self.id.length;
         let offset = if known { progress.offset } else { 0 };
         let rest = &self.bytes[offset as usize..];
-        let bytes = rest[..rest.len().min(TRANSFER_BYTES)].to_vec();
+        let bytes = rest[..rest.len().min(TRANSFER_MAX_BYTES)].to_vec();
         SnapshotPart { id: self.id, offset, bytes }
     }
 }
--- a/crates/store/src/stale_reply.rs
+++ b/crates/store/src/stale_reply.rs
@@ -8,11 +8,11 @@
 pub(crate) fn without_lease(reply: Reply, view: &View) -> Reply {
     match reply {
         Reply::Changes { .. } | Reply::Snapshot { .. } | Reply::Store { .. } | Reply::Adopted { .. } => {
-            Reply::Elsewhere { view: view.clone() }
+            Reply::Redirect { view: view.clone() }
         }
         Reply::Answer { .. } => {
             let why = Code::ChainDown.because("the lease ended while the disk was written").unknown();
-            Reply::Declined { why: why.retry(RETRY_PENDING) }
+            Reply::Rejected { error: why.retry(RETRY_PENDING) }
         }
         other => other,
     }
--- a/crates/store/src/step.rs
+++ b/crates/store/src/step.rs
@@ -15,7 +15,7 @@
         /// As the tail of that view it has begun to serve: every older tail's lease was out by then (§5.3).
         Served { version: Version },
         /// It was taken into the chain and does not hold yet what was committed meanwhile (§5.3).
-        CatchingUp { yes: bool }
+        CatchingUp { catching_up: bool }
     }
 }
 
@@ -23,11 +23,11 @@
 pub enum Input {
     Peer {
         from: Name,
-        m: PeerMessage,
+        message: PeerMessage,
     },
     Request {
         token: u64,
-        ask: Request,
+        request: Request,
     },
     /// The process is to stop: leave the chain, and end within so many milliseconds (§5.9).
     Leave {
@@ -44,7 +44,7 @@
     Send(Name, PeerMessage),
     Reply(u64, Reply),
     /// A line for the log.
-    Say(String),
+    Log(String),
 }
 
 /// What a keeper finds on its disk.
@@ -55,6 +55,6 @@
     pub store: Store,
     pub log: EntryLog,
     /// The last view in which it served as the tail.
-    pub served: Version,
+    pub served_version: Version,
     pub catching_up: bool,
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,6 +1,6 @@
 //! What the chain's entries add up to; keepers and nodes apply the same entries to the same store (§5.2).
 use crate::documents::{DocumentOutcome, DocumentRegister, TakenNumber, document_digest};
-use crate::messages::{Answer, Command, Entry, Leadership};
+use crate::messages::{Answer, Command, Entry, PrimaryState};
 use quincehatch_core::{ChangeNo, Code, Fence, Lead, Name, ServerRecord, Version, hash64, messages};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -52,7 +52,7 @@
     }
     /// Does it carry a whole blueprint?
     pub fn is_document(&self) -> bool {
-        matches!(self, Command::Push { .. } | Command::Adopt { .. })
+        matches!(self, Command::PushConfiguration { .. } | Command::AdoptDocument { .. })
     }
 }
 
@@ -73,23 +73,23 @@
     pub fn fence(&self, duty: &str) -> Fence {
         self.fences.get(duty).map_or(0, |f| f.0)
     }
-    pub fn leadership(&self, group: &Name) -> Leadership {
-        Leadership { fence: self.fence(&duty_of(group)), lead: self.leads.get(group).cloned() }
+    pub fn leadership(&self, group: &Name) -> PrimaryState {
+        PrimaryState { fence: self.fence(&duty_of(group)), primary: self.leads.get(group).cloned() }
     }
 
     /// Takes the entry if it is the next; `None` otherwise. The answer depends on nothing but the entries.
     pub fn apply(&mut self, e: &Entry) -> Option<Answer> {
-        if e.n != self.n + 1 {
+        if e.number != self.n + 1 {
             return None;
         }
-        self.n = e.n;
-        let sum = e.cmd.sum();
+        self.n = e.number;
+        let sum = e.command.sum();
         let answer = self.past(&e.key).map(|p| (p.sum, p.answer.clone())).map_or_else(
-            || self.take(&e.cmd),
-            |(s, a)| if s == sum { a } else { Answer::Declined(Code::PushConflict.bare()) },
+            || self.take(&e.command),
+            |(s, a)| if s == sum { a } else { Answer::Rejected(Code::PushConflict.bare()) },
         );
         if self.past(&e.key).is_none() {
-            self.answers.push_back(AnsweredWrite { key: e.key.clone(), n: e.n, sum, answer: answer.clone() });
+            self.answers.push_back(AnsweredWrite { key: e.key.clone(), n: e.number, sum, answer: answer.clone() });
             if self.answers.len() > ANSWERS {
                 self.answers.pop_front();
             }
@@ -114,7 +114,7 @@
         let alters_nothing = match cmd {
             Command::RegisterServer { at } => self.servers.get(&at.server).is_some_and(|s| same(s, at)),
             Command::DeregisterServer { server } => !self.servers.contains_key(server),
-            Command::Adopt { number, source, .. } => {
+            Command::AdoptDocument { number, source, .. } => {
                 let outcome = self.documents.classify(*number, document_digest(source));
                 let entry = outcome.entry().unwrap_or(self.n);
                 let answer = outcome.answer(self.version());
@@ -127,16 +127,16 @@
 
     fn take(&mut self, cmd: &Command) -> Answer {
         match cmd {
-            Command::Push { base, text, by } => {
+            Command::PushConfiguration { base, text, by } => {
                 let at = self.version();
                 if *base != at {
                     let why = format!("it builds on {base}, in force is {at}");
-                    return Answer::Declined(Code::BlueprintStale.because(why));
+                    return Answer::Rejected(Code::BlueprintStale.because(why));
                 }
                 self.keep(HistoryEntry { version: at + 1, text: text.clone(), by: by.clone() });
                 Answer::Version(at + 1)
             }
-            Command::Adopt { number, text, source, by } => self.adopt(*number, text, source, by),
+            Command::AdoptDocument { number, text, source, by } => self.adopt(*number, text, source, by),
             Command::RegisterServer { at } => {
                 if self.servers.get(&at.server).is_none_or(|s| s.seq < at.seq) {
                     stand(&mut self.servers, at);
@@ -147,30 +147,30 @@
                 self.servers.remove(server);
                 Answer::Done
             }
-            Command::Enroll { node, .. } => {
+            Command::EnrollNode { node, .. } => {
                 self.nodes.insert(node.clone(), self.n);
                 Answer::Enrolled(self.n)
             }
-            Command::Dismiss { node, enrolled } => {
+            Command::DismissNode { node, enrolled } => {
                 if self.nodes.get(node) == Some(enrolled) {
                     self.nodes.remove(node);
                 }
                 Answer::Done
             }
-            Command::TakeFence { duty, by } => self.next_fence(duty, by),
-            Command::NextFence { group, by, over } if self.leadership(group) == *over => {
+            Command::AcquireFence { duty, by } => self.next_fence(duty, by),
+            Command::AcquireFenceIfUnchanged { group, by, expected } if self.leadership(group) == *expected => {
                 self.next_fence(&duty_of(group), by)
             }
-            Command::NextFence { .. } => {
-                Answer::Declined(Code::FenceLow.because("the leadership has changed since it was planned"))
+            Command::AcquireFenceIfUnchanged { .. } => {
+                Answer::Rejected(Code::FenceLow.because("the leadership has changed since it was planned"))
             }
-            Command::SetLead { group, lead } => self.set_lead(group, lead),
-            Command::Settle { group, fence } => match self.leads.get_mut(group) {
+            Command::AssignPrimary { group, primary } => self.set_lead(group, primary),
+            Command::DropPreviousVoters { group, fence } => match self.leads.get_mut(group) {
                 Some(l) if l.fence == *fence && l.server.is_some() => {
                     l.before.clear();
                     Answer::Lead(l.clone())
                 }
-                _ => Answer::Declined(Code::FenceLow.because("no lead is named under it")),
+                _ => Answer::Rejected(Code::FenceLow.because("no lead is named under it")),
             },
         }
     }
@@ -201,16 +201,16 @@
     fn set_lead(&mut self, group: &Name, lead: &Lead) -> Answer {
         let out = self.fence(&duty_of(group));
         if lead.fence < out {
-            return Answer::Declined(Code::FenceLow.because(format!("{} is under {out}", lead.fence)));
+            return Answer::Rejected(Code::FenceLow.because(format!("{} is under {out}", lead.fence)));
         }
         let now = self.leads.get(group);
         if now.is_some_and(|l| l.fence > lead.fence) {
-            return Answer::Declined(Code::FenceLow.bare());
+            return Answer::Rejected(Code::FenceLow.bare());
         }
         let reopened =
             now.is_some_and(|l| l.fence == lead.fence && l.server.is_some() && l.server != lead.server);
         if reopened {
-            return Answer::Declined(Code::FenceLow.because("this fence has named another server"));
+            return Answer::Rejected(Code::FenceLow.because("this fence has named another server"));
         }
         let mut lists = now.map_or_else(Vec::new, Lead::lists);
         if !lead.counts.is_empty() {
--- a/crates/store/src/transfer.rs
+++ b/crates/store/src/transfer.rs
@@ -9,7 +9,7 @@
     /// Asks the forerunner for what comes next.
     pub(crate) fn request_next(&mut self, from: &Name) {
         let progress = self.incoming_snapshot.progress(from);
-        let need = PeerMessage::Need { version: self.view.version, n: self.store.n, progress };
+        let need = PeerMessage::RequestEntries { version: self.view.version, last_change: self.store.n, progress };
         self.send(from, need);
     }
 
@@ -26,11 +26,11 @@
         let dismissed_leases =
             self.dismissed_leases.iter().map(|(n, until)| (n.clone(), left(until))).collect();
         let (version, unknown_leases) = (self.view.version, left(&self.unknown_leases_until));
-        PeerMessage::Snapshot { version, part, join, dismissed_leases, unknown_leases }
+        PeerMessage::Snapshot { version, part, joining: join, dismissed_leases, unknown_leases_ms: unknown_leases }
     }
 
     pub(crate) fn fetch(&mut self, from: &Name, _ed: Version, progress: SnapshotProgress) {
-        if self.serving() && !self.view.has(from) {
+        if self.is_serving() && !self.view.is_member(from) {
             let m = self.snapshot_message(true, progress);
             self.send(from, m);
         }
@@ -48,8 +48,8 @@
         if ed != self.view.version {
             return false;
         }
-        let member = self.view.has(&self.me);
-        let takes = if join { !member } else { member && self.view.neighbour(&self.me, -1) == Some(from) };
+        let member = self.view.is_member(&self.name);
+        let takes = if join { !member } else { member && self.view.neighbour(&self.name, -1) == Some(from) };
         if !takes || (!join && part.id.n <= self.store.n) || !self.incoming_snapshot.take(from, part) {
             return false;
         }
@@ -66,32 +66,32 @@
     /// Takes the whole store in place of its own. One that is to join proposes the view in which it has its place;
     /// without a place to go to it takes nothing.
     fn install_snapshot(&mut self, store: Store, join: bool) -> bool {
-        let entering = if join { self.view_to_enter() } else { None };
+        let entering = if join { self.take_view_to_enter() } else { None };
         if join && entering.is_none() {
             return false;
         }
         self.store = store;
         self.log.clear();
-        self.news.clear();
+        self.recent_changes.clear();
         self.committed = 0;
         self.in_force = 0;
-        self.out.push(Output::Persist(Record::Snapshot { store: Box::new(self.store.clone()) }));
+        self.outputs.push(Output::Persist(Record::Snapshot { store: Box::new(self.store.clone()) }));
         if let Some(view) = entering {
             self.set_catching_up(true);
             self.propose(view);
             return true;
         }
-        self.joined = true;
+        self.in_sync = true;
         self.set_catching_up(false);
-        self.pass_on(self.store.n);
+        self.forward_entries(self.store.n);
         true
     }
 
     /// Asks the tail for the next part of its store.
     pub(crate) fn fetch_next(&mut self, tail: &Name) {
-        self.fetched = self.now;
+        self.last_fetch_at = self.now;
         let progress = self.incoming_snapshot.progress(tail);
-        let m = PeerMessage::Fetch { version: self.view.version, progress };
+        let m = PeerMessage::FetchSnapshot { version: self.view.version, progress };
         self.send(tail, m);
     }
 }
--- a/crates/store/src/voting.rs
+++ b/crates/store/src/voting.rs
@@ -6,30 +6,30 @@
 
 impl Keeper {
     /// Answers a proposer whose base is known here by now.
-    pub(crate) fn vote(&mut self, proposer: &Name, message: &PeerMessage) {
+    pub(crate) fn handle_proposal(&mut self, proposer: &Name, message: &PeerMessage) {
         let Some((answer, changed)) = self.acceptor.step(self.view.version, message) else { return };
         if changed {
-            self.out.push(Output::Persist(Record::Acceptor { acceptor: self.acceptor.clone() }));
+            self.outputs.push(Output::Persist(Record::Acceptor { acceptor: self.acceptor.clone() }));
         }
         self.send(proposer, answer);
     }
 
     /// A proposal of this keeper's is decided: those that vote hear it by heartbeat, those that no longer do are told.
-    fn announce(&mut self, view: View, base: &View) {
-        self.out.push(Output::Say(format!("view {} is agreed: {}", view.version, view.members.join(" "))));
-        self.adopt(view.clone());
-        self.beat();
-        for machine in base.machines.iter().filter(|m| !view.is_voter(&m.name)) {
+    fn announce_decided_view(&mut self, view: View, base: &View) {
+        self.outputs.push(Output::Log(format!("view {} is agreed: {}", view.version, view.members.join(" "))));
+        self.adopt_view(view.clone());
+        self.send_heartbeat();
+        for machine in base.voters.iter().filter(|m| !view.is_voter(&m.name)) {
             self.send(&machine.name, PeerMessage::CurrentView { view: view.clone() });
         }
     }
 
     /// Carries out what the proposer of this keeper wants done.
-    pub(crate) fn actions(&mut self, actions: Vec<ProposerAction>) {
+    pub(crate) fn perform(&mut self, actions: Vec<ProposerAction>) {
         for action in actions {
             match action {
                 ProposerAction::Send(to, m) => self.send(&to, m),
-                ProposerAction::Decided { view, base } => self.announce(view, &base),
+                ProposerAction::Decided { view, base } => self.announce_decided_view(view, &base),
             }
         }
     }
--- a/crates/store/tests/behind.rs
+++ b/crates/store/tests/behind.rs
@@ -4,7 +4,7 @@
 
 use kit::Net;
 use quincehatch_core::{ChangeNo, Name};
-use quincehatch_store::terms::{LOG_BYTES, LOG_KEEP, TRANSFER_BYTES};
+use quincehatch_store::terms::{LOG_MAX_BYTES, LOG_MAX_ENTRIES, TRANSFER_MAX_BYTES};
 use quincehatch_store::{Answer, Command, Reply, Request};
 use samples::{adopt, document, noise};
 use std::time::Instant;
@@ -19,22 +19,22 @@
     net.run(3_000);
     net.down.push(behind.into());
     net.run(3_000);
-    assert!(net.tail().is_some_and(|tail| !net.view(&tail).has(behind)));
+    assert!(net.tail().is_some_and(|tail| !net.view(&tail).is_member(behind)));
     net
 }
 
 fn write(net: &mut Net, number: u64, command: Command) {
     let tail = net.tail().expect("a tail serves");
     let head = net.view(&tail).head().cloned().unwrap();
-    net.ask(&head, number, Request::Write { key: format!("key/{number}").into(), cmd: command });
+    net.ask(&head, number, Request::Write { key: format!("key/{number}").into(), command: command });
     net.run(40);
     let reply = net.rep(number);
-    assert!(!matches!(reply, Some(Reply::Answer { answer: Answer::Declined(_), .. })), "{reply:?}");
+    assert!(!matches!(reply, Some(Reply::Answer { answer: Answer::Rejected(_), .. })), "{reply:?}");
     net.reps.clear();
 }
 
 fn fence(number: u64) -> Command {
-    Command::TakeFence { duty: format!("duty/{}", number % 7).into(), by: "t".into() }
+    Command::AcquireFence { duty: format!("duty/{}", number % 7).into(), by: "t".into() }
 }
 
 /// The longest message that was sent from now on until `name` holds change `n`.
@@ -42,7 +42,7 @@
     net.sent_lengths.clear();
     for _ in 0..50 {
         net.run(200);
-        if net.ks[name].store.n >= n && net.ks[name].view.has(name) {
+        if net.ks[name].store.n >= n && net.ks[name].view.is_member(name) {
             return net.sent_lengths.iter().copied().max().unwrap_or_default();
         }
     }
@@ -63,12 +63,12 @@
     for n in 1..=60 {
         write(&mut net, n, adopt(n, noise(n)));
         let status = net.ks["a"].status();
-        assert!(status.log.bytes <= LOG_BYTES as u64, "change {n}: {} bytes", status.log.bytes);
+        assert!(status.log.bytes <= LOG_MAX_BYTES as u64, "change {n}: {} bytes", status.log.bytes);
     }
-    for n in 61..=61 + LOG_KEEP as u64 {
+    for n in 61..=61 + LOG_MAX_ENTRIES as u64 {
         write(&mut net, n, fence(n));
     }
-    assert_eq!(net.ks["a"].status().log.entries, LOG_KEEP as u64);
+    assert_eq!(net.ks["a"].status().log.entries, LOG_MAX_ENTRIES as u64);
 }
 
 #[test]
@@ -80,8 +80,8 @@
     }
     net.down.clear();
     let longest = longest_message_until(&mut net, "c", 2_000);
-    assert!(longest > TRANSFER_BYTES, "the snapshot took one part: {longest}");
-    assert!(longest <= TRANSFER_BYTES + ENVELOPE, "{longest}");
+    assert!(longest > TRANSFER_MAX_BYTES, "the snapshot took one part: {longest}");
+    assert!(longest <= TRANSFER_MAX_BYTES + ENVELOPE, "{longest}");
     net.run(1_000);
     caught_up(&net, "c");
 }
@@ -91,7 +91,7 @@
     let mut net = Net::new(&NAMES);
     net.run(3_000);
     for n in 1..=changes {
-        net.ask("a", n, Request::Write { key: format!("key/{n}").into(), cmd: adopt(n, noise(n)) });
+        net.ask("a", n, Request::Write { key: format!("key/{n}").into(), command: adopt(n, noise(n)) });
         net.wire.clear();
     }
     assert_eq!((net.ks["a"].store.n, net.ks["b"].store.n), (changes, 0));
@@ -103,7 +103,7 @@
 fn entries_behind_a_member_go_in_messages_far_below_the_longest_frame() {
     let mut net = chain_behind_its_head(20);
     let longest = longest_message_until(&mut net, "c", 20);
-    assert!(longest <= TRANSFER_BYTES + ENVELOPE, "{longest}");
+    assert!(longest <= TRANSFER_MAX_BYTES + ENVELOPE, "{longest}");
     for name in NAMES {
         caught_up(&net, name);
     }
@@ -114,7 +114,7 @@
 fn members_behind_the_log_take_a_snapshot_in_parts_and_go_on_from_there() {
     let mut net = chain_behind_its_head(60);
     let longest = longest_message_until(&mut net, "c", 60);
-    assert!(longest <= TRANSFER_BYTES + ENVELOPE, "{longest}");
+    assert!(longest <= TRANSFER_MAX_BYTES + ENVELOPE, "{longest}");
     for name in NAMES {
         caught_up(&net, name);
     }
--- a/crates/store/tests/cut_off.rs
+++ b/crates/store/tests/cut_off.rs
@@ -13,7 +13,7 @@
 
 fn adopt(number: u64, content: &str) -> Command {
     let source = format!("source {number} {content}");
-    Command::Adopt { number, text: source.clone(), source, by: "t".into() }
+    Command::AdoptDocument { number, text: source.clone(), source, by: "t".into() }
 }
 
 fn register(server: &str, seq: u64) -> Command {
@@ -29,7 +29,7 @@
 }
 
 fn write(net: &mut Net, to: &str, token: u64, key: &str, command: Command) {
-    net.ask(to, token, Request::Write { key: key.into(), cmd: command });
+    net.ask(to, token, Request::Write { key: key.into(), command: command });
 }
 
 fn answered(reply: &Reply) -> bool {
@@ -52,7 +52,7 @@
         write(net, cut, token + i, key, command);
     }
     net.ask(cut, token + 8, Request::Adopted);
-    net.ask(cut, token + 9, Request::Read);
+    net.ask(cut, token + 9, Request::ReadStore);
 }
 
 fn play(cut: &str) {
@@ -72,7 +72,7 @@
         token += 10;
         net.run(STEP_MS);
         let served: Option<Name> = net.tail().filter(|t| t != cut);
-        let Some(tail) = served.filter(|t| !net.view(t).has(cut)) else { continue };
+        let Some(tail) = served.filter(|t| !net.view(t).is_member(cut)) else { continue };
         if later.is_none() {
             // The others go on: another document, s1 leaves and s3 comes.
             let head = net.view(&tail).head().unwrap().to_string();
--- a/crates/store/tests/disk.rs
+++ b/crates/store/tests/disk.rs
@@ -26,12 +26,12 @@
 }
 
 fn view() -> View {
-    View { version: 1, members: vec!["k1".into()], machines: vec![] }
+    View { version: 1, members: vec!["k1".into()], voters: vec![] }
 }
 
 fn entry(n: u64) -> Entry {
-    let cmd = Command::Push { base: n - 1, text: format!("text {n}"), by: "t".into() };
-    Entry { n, key: format!("key{n}").into(), cmd }
+    let cmd = Command::PushConfiguration { base: n - 1, text: format!("text {n}"), by: "t".into() };
+    Entry { number: n, key: format!("key{n}").into(), command: cmd }
 }
 
 /// A folder with three entries in it.
@@ -177,7 +177,7 @@
     let tx = db.begin_write().unwrap();
     tx.open_table(META).unwrap().insert("whole", with_checksum(store).as_slice()).unwrap();
     for entry in entries {
-        tx.open_table(LOG).unwrap().insert(entry.n, with_checksum(entry).as_slice()).unwrap();
+        tx.open_table(LOG).unwrap().insert(entry.number, with_checksum(entry).as_slice()).unwrap();
     }
     tx.commit().unwrap();
 }
--- a/crates/store/tests/documents.rs
+++ b/crates/store/tests/documents.rs
@@ -7,8 +7,8 @@
 use quincehatch_core::{Code, Name};
 use quincehatch_store::documents::DOCUMENTS;
 use quincehatch_store::store::ANSWERS;
-use quincehatch_store::terms::LOG_KEEP;
-use quincehatch_store::{Answer, Command, Entry, Machine, Reply, Request, Store, View};
+use quincehatch_store::terms::LOG_MAX_ENTRIES;
+use quincehatch_store::{Answer, Command, Entry, Voter, Reply, Request, Store, View};
 
 const THREE: [&str; 3] = ["k1", "k2", "k3"];
 /// First token of the writes that fill log and answers.
@@ -22,7 +22,7 @@
 
 fn adopt(number: u64, content: &str) -> Command {
     let (text, source) = (format!("text {number} {content}"), format!("source {number} {content}"));
-    Command::Adopt { number, text, source, by: "t".into() }
+    Command::AdoptDocument { number, text, source, by: "t".into() }
 }
 
 /// The key under which a door writes a document: of its number and content alone.
@@ -35,7 +35,7 @@
 }
 
 fn refused(reply: &Reply) -> bool {
-    matches!(reply, Reply::Answer { answer: Answer::Declined(e), .. } if e.is(Code::NumberTaken))
+    matches!(reply, Reply::Answer { answer: Answer::Rejected(e), .. } if e.is(Code::NumberTaken))
 }
 
 impl Operators {
@@ -52,10 +52,10 @@
 
     /// Sends a document through a keeper; the token of the write at the head.
     fn send(&mut self, door: &str, number: u64, content: &str) -> u64 {
-        let request = Request::Write { key: key(number, content), cmd: adopt(number, content) };
+        let request = Request::Write { key: key(number, content), command: adopt(number, content) };
         self.token += 1;
         self.net.ask(door, self.token, request.clone());
-        if let Some(Reply::Elsewhere { view }) = self.net.rep(self.token) {
+        if let Some(Reply::Redirect { view }) = self.net.rep(self.token) {
             self.token += 1;
             let head = view.head().unwrap().to_string();
             self.net.ask(&head, self.token, request);
@@ -97,9 +97,9 @@
     /// So many writes that neither log nor remembered answers reach back.
     fn outrun_log_and_answers(&mut self) {
         let head = self.head();
-        for i in 0..(ANSWERS.max(LOG_KEEP) + 8) as u64 {
-            let cmd = Command::TakeFence { duty: "d".into(), by: "t".into() };
-            self.net.ask(&head, FILL + i, Request::Write { key: format!("f/{i}").into(), cmd });
+        for i in 0..(ANSWERS.max(LOG_MAX_ENTRIES) + 8) as u64 {
+            let cmd = Command::AcquireFence { duty: "d".into(), by: "t".into() };
+            self.net.ask(&head, FILL + i, Request::Write { key: format!("f/{i}").into(), command: cmd });
             if i % 200 == 0 {
                 self.net.run(60);
             }
@@ -151,12 +151,12 @@
     net.down = vec!["k2".into()];
     net.run(3_000);
     let view = net.view("k1").clone();
-    let rest: Vec<Machine> = view.machines.iter().filter(|m| m.name != "k2").cloned().collect();
-    net.ask("k1", 900_001, Request::Machines { version: view.version, machines: rest.clone() });
+    let rest: Vec<Voter> = view.voters.iter().filter(|m| m.name != "k2").cloned().collect();
+    net.ask("k1", 900_001, Request::ChangeVoters { version: view.version, voters: rest.clone() });
     net.run(3_000);
     net.add("k4", View::default());
     let (version, machines) = (net.view("k1").version, [rest, vec![machine("k4")]].concat());
-    net.ask("k3", 900_002, Request::Machines { version, machines });
+    net.ask("k3", 900_002, Request::ChangeVoters { version, voters: machines });
     net.run(6_000);
     assert_eq!(net.view("k1").members, ["k1", "k3", "k4"]);
     // Both older members go and come back: the new one, which fetched the store, leads.
@@ -206,7 +206,7 @@
 
 fn apply(store: &mut Store, number: u64, content: &str) -> Answer {
     let n = store.n + 1;
-    let entry = Entry { n, key: format!("{n}").into(), cmd: adopt(number, content) };
+    let entry = Entry { number: n, key: format!("{n}").into(), command: adopt(number, content) };
     store.apply(&entry).unwrap()
 }
 
@@ -219,8 +219,8 @@
     assert_eq!(store.documents.taken.len(), DOCUMENTS);
     for (number, content) in [(1, "a"), (2, "b")] {
         let answer = apply(&mut store, number, content);
-        assert_matches!(answer, Answer::Declined(e) if e.is(Code::NumberForgotten) && e.http() == 503);
+        assert_matches!(answer, Answer::Rejected(e) if e.is(Code::NumberForgotten) && e.http() == 503);
     }
     assert_matches!(apply(&mut store, 3, "a"), Answer::Version(_));
-    assert_matches!(apply(&mut store, 3, "b"), Answer::Declined(e) if e.is(Code::NumberTaken));
+    assert_matches!(apply(&mut store, 3, "b"), Answer::Rejected(e) if e.is(Code::NumberTaken));
 }
--- a/crates/store/tests/explorer/mod.rs
+++ b/crates/store/tests/explorer/mod.rs
@@ -9,7 +9,7 @@
 use attempt::Attempt;
 use quincehatch_core::{Name, hash64};
 use quincehatch_store::register::{Acceptor, Proposer, ProposerAction};
-use quincehatch_store::{Machine, PeerMessage, View};
+use quincehatch_store::{Voter, PeerMessage, View};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use subsets::subsets;
 
@@ -43,8 +43,8 @@
     pub longest: usize,
 }
 
-fn machine(name: &str) -> Machine {
-    Machine { name: name.into(), addr: name.into() }
+fn machine(name: &str) -> Voter {
+    Voter { name: name.into(), addr: name.into() }
 }
 
 impl Node {
@@ -60,9 +60,9 @@
 
 impl World {
     pub fn new(voters: &[&str], outsiders: &[&str], changes: &[Change]) -> World {
-        let machines: Vec<Machine> = voters.iter().map(|n| machine(n)).collect();
+        let machines: Vec<Voter> = voters.iter().map(|n| machine(n)).collect();
         let members = voters.iter().map(|n| Name::from(*n)).collect();
-        let first = View { version: 1, members, machines };
+        let first = View { version: 1, members, voters: machines };
         let node = |n: &&str| {
             let known = if voters.contains(n) { first.clone() } else { View::default() };
             (Name::from(*n), Node { decided: known, acceptor: Acceptor::default() })
@@ -80,11 +80,11 @@
                 view.members.retain(|m| m != out);
             }
             Change::Replace(voter) => {
-                let lost = base.machines.get(voter)?;
+                let lost = base.voters.get(voter)?;
                 let newcomer = self.nodes.keys().find(|n| !base.is_voter(n))?;
                 view.members.retain(|m| *m != lost.name);
                 view.members.push(newcomer.clone());
-                view.machines[voter] = machine(newcomer);
+                view.voters[voter] = machine(newcomer);
             }
         }
         Some(view)
@@ -92,7 +92,7 @@
 
     fn begin(&mut self, number: usize, base: &View, wanted: &View, quorum: &[Name]) {
         let mut proposer = Proposer::new(number as u64);
-        proposer.seen(number as u64);
+        proposer.observe_ballot(number as u64);
         let mut prepares = BTreeMap::new();
         for action in proposer.begin(0, base, wanted.clone()) {
             if let ProposerAction::Send(to, message) = action {
@@ -126,7 +126,7 @@
         {
             attempt.accepted_by.insert(to.clone());
             let by = &attempt.accepted_by;
-            if attempt.base.majority(by.iter()) && view.majority(by.iter()) && !self.decided.contains(view) {
+            if attempt.base.has_majority(by.iter()) && view.has_majority(by.iter()) && !self.decided.contains(view) {
                 self.decided.push(view.clone());
             }
         }
@@ -186,7 +186,7 @@
     fn beginnings(&self, number: usize) -> Vec<World> {
         let mut found = Vec::new();
         for base in &self.decided {
-            let names: Vec<Name> = base.machines.iter().map(|m| m.name.clone()).collect();
+            let names: Vec<Name> = base.voters.iter().map(|m| m.name.clone()).collect();
             let Some(wanted) = self.changed(base, self.changes[number]) else { continue };
             for quorum in subsets(&names, names.len() / 2 + 1) {
                 let mut next = self.clone();
@@ -206,9 +206,9 @@
         for view in superseded {
             let renews = |n: &&Name| {
                 let node = &self.nodes[*n];
-                node.acceptor.version() <= view.version && node.decided.version <= view.version
+                node.acceptor.accepted_version() <= view.version && node.decided.version <= view.version
             };
-            assert!(!view.majority(self.nodes.keys().filter(renews)), "{view:?} may still be served");
+            assert!(!view.has_majority(self.nodes.keys().filter(renews)), "{view:?} may still be served");
         }
     }
 
--- a/crates/store/tests/grow.rs
+++ b/crates/store/tests/grow.rs
@@ -13,7 +13,7 @@
 fn net(borne: usize) -> Net {
     let mut net = Net { now: 1_000, borne: Some(borne), ..Default::default() };
     for s in SEEDS {
-        net.seeker(s, s, &SEEDS, View::first(&SEEDS.map(Name::from)));
+        net.seeker(s, s, &SEEDS, View::initial(&SEEDS.map(Name::from)));
     }
     for (n, at) in SPARE {
         net.seeker(n, at, &SEEDS, View::default());
@@ -25,8 +25,8 @@
 fn adopt(net: &mut Net, number: u64) -> Option<Reply> {
     let head = net.tail().and_then(|t| net.view(&t).head().cloned())?;
     let (text, source) = (format!("text {number}"), format!("source {number}"));
-    let cmd = Command::Adopt { number, text, source, by: "t".into() };
-    net.ask(&head, number, Request::Write { key: format!("k{number}").into(), cmd });
+    let cmd = Command::AdoptDocument { number, text, source, by: "t".into() };
+    net.ask(&head, number, Request::Write { key: format!("k{number}").into(), command: cmd });
     net.run(2_000);
     net.rep(number)
 }
@@ -49,13 +49,13 @@
 fn spares_come_in_until_two_may_be_lost_and_no_further() {
     let net = net(2);
     let v = net.view("a:1");
-    assert_eq!((v.machines.len(), v.members.len()), (5, 5), "{v:?}");
-    assert!(SEEDS.iter().all(|s| v.has(s)));
+    assert_eq!((v.voters.len(), v.members.len()), (5, 5), "{v:?}");
+    assert!(SEEDS.iter().all(|s| v.is_member(s)));
 }
 
 #[test]
 fn where_one_is_to_be_borne_three_are_enough() {
-    assert_eq!(net(1).view("a:1").machines.len(), 3);
+    assert_eq!(net(1).view("a:1").voters.len(), 3);
 }
 
 #[test]
@@ -87,6 +87,6 @@
     net.run(8_000);
     assert_eq!(adopted(&mut net, 20).map(|a| a.number), Some(7));
     let v = net.view("a:1").clone();
-    assert_eq!((v.machines.len(), v.members.len()), (5, 5), "{v:?}");
+    assert_eq!((v.voters.len(), v.members.len()), (5, 5), "{v:?}");
     assert_matches!(adopt(&mut net, 8), Some(Reply::Answer { answer: Answer::Version(2), .. }));
 }
--- a/crates/store/tests/hosts/mod.rs
+++ b/crates/store/tests/hosts/mod.rs
@@ -4,7 +4,7 @@
 use quincehatch_store::disk_port::{DiskPort, DiskUsage};
 use quincehatch_store::host::{Batch, KeeperHost};
 use quincehatch_store::keeper::{Input, Output, Record, RecoveredState};
-use quincehatch_store::{Keeper, Machine, PeerMessage, Reply, Request, Store, View};
+use quincehatch_store::{Keeper, Voter, PeerMessage, Reply, Request, Store, View};
 use std::collections::{BTreeMap, VecDeque};
 
 const TICK: Ms = 20;
@@ -30,8 +30,8 @@
             match record {
                 Record::Acceptor { acceptor } => self.state.acceptor = acceptor.clone(),
                 Record::View { view } => self.state.view = view.clone(),
-                Record::Served { version } => self.state.served = *version,
-                Record::CatchingUp { yes } => self.state.catching_up = *yes,
+                Record::Served { version } => self.state.served_version = *version,
+                Record::CatchingUp { catching_up } => self.state.catching_up = *catching_up,
                 Record::Snapshot { store } => {
                     self.state.store = store.as_ref().clone();
                     self.state.log.clear();
@@ -72,9 +72,9 @@
 
 impl Hosts {
     pub fn new(names: &[&str]) -> Self {
-        let machine = |n: &&str| Machine { name: (*n).into(), addr: (*n).into() };
+        let machine = |n: &&str| Voter { name: (*n).into(), addr: (*n).into() };
         let members = names.iter().map(|n| Name::from(*n)).collect();
-        let view = View { version: 1, members, machines: names.iter().map(machine).collect() };
+        let view = View { version: 1, members, voters: names.iter().map(machine).collect() };
         let (now, hosts, disks) = (1_000, BTreeMap::new(), BTreeMap::new());
         let (wire, replies, said, sent) = (VecDeque::new(), Vec::new(), Vec::new(), BTreeMap::new());
         let mut net = Self { now, hosts, disks, wire, replies, said, sent };
@@ -115,7 +115,7 @@
                     self.wire.push_back((name.into(), to, message));
                 }
                 Output::Reply(token, reply) => self.replies.push((token, reply)),
-                Output::Say(line) => self.said.push((name.into(), line)),
+                Output::Log(line) => self.said.push((name.into(), line)),
                 Output::Persist(record) => panic!("{record:?} left with the outputs"),
             }
         }
@@ -131,7 +131,7 @@
                 self.probe(name);
             }
             while let Some((from, to, m)) = self.wire.pop_front() {
-                self.step(&to, Input::Peer { from, m });
+                self.step(&to, Input::Peer { from, message: m });
             }
         }
     }
@@ -146,7 +146,7 @@
     }
 
     pub fn ask(&mut self, name: &str, token: u64, ask: Request) {
-        self.step(name, Input::Request { token, ask });
+        self.step(name, Input::Request { token, request: ask });
     }
 
     pub fn replies_to(&self, token: u64) -> Vec<&Reply> {
@@ -159,6 +159,6 @@
 
     /// The keeper that serves as the tail.
     pub fn tail(&self) -> Option<&Keeper> {
-        self.hosts.values().filter_map(KeeperHost::keeper).find(|keeper| keeper.commits())
+        self.hosts.values().filter_map(KeeperHost::keeper).find(|keeper| keeper.can_commit())
     }
 }
--- a/crates/store/tests/incarnation.rs
+++ b/crates/store/tests/incarnation.rs
@@ -2,7 +2,7 @@
 use quincehatch_core::{Ms, Name};
 use quincehatch_runtime::rt::{Fut, OnBreak, Pipe, World, within};
 use quincehatch_store::keeper::{Input, Output, RecoveredState};
-use quincehatch_store::{Keeper, Machine, PeerMessage, View};
+use quincehatch_store::{Keeper, Voter, PeerMessage, View};
 use std::io;
 use std::sync::Arc;
 use std::task::Waker;
@@ -39,9 +39,9 @@
 
 fn recovered() -> RecoveredState {
     let names = ["k1", "k2", "k3"].map(Name::from);
-    let machines = names.iter().map(|n| Machine { name: n.clone(), addr: n.clone() }).collect();
-    let view = View { version: 1, members: names.to_vec(), machines };
-    RecoveredState { view, served: 1, ..Default::default() }
+    let machines = names.iter().map(|n| Voter { name: n.clone(), addr: n.clone() }).collect();
+    let view = View { version: 1, members: names.to_vec(), voters: machines };
+    RecoveredState { view, served_version: 1, ..Default::default() }
 }
 
 /// The tail as it starts in that life, and the grants that k1 gives its first heartbeats.
@@ -50,10 +50,10 @@
     let mut grants = Vec::new();
     for step in 0..5 {
         for output in tail.step(at + step * 500, Input::Tick) {
-            if let Output::Send(to, PeerMessage::Beat { view, seq, .. }) = output
+            if let Output::Send(to, PeerMessage::Beat { view, sequence: seq, .. }) = output
                 && to == "k1"
             {
-                grants.push(PeerMessage::Grant { version: view.version, seq });
+                grants.push(PeerMessage::GrantViewLease { version: view.version, sequence: seq });
             }
         }
     }
@@ -64,16 +64,16 @@
 fn a_grant_to_an_earlier_life_renews_no_lease_of_this_one() {
     let (mut first, old_grants) = start(0x9e37_79b9_7f4a_7c15, 1_000);
     let at = 1_000 + 4 * 500;
-    first.step(at, Input::Peer { from: "k1".into(), m: old_grants.last().unwrap().clone() });
-    assert!(first.serving(), "two of three grant its lease");
+    first.step(at, Input::Peer { from: "k1".into(), message: old_grants.last().unwrap().clone() });
+    assert!(first.is_serving(), "two of three grant its lease");
 
     let (mut second, grants) = start(0x3c6e_f372_fe94_f82b, 1_000);
     for m in old_grants {
-        second.step(at, Input::Peer { from: "k1".into(), m });
+        second.step(at, Input::Peer { from: "k1".into(), message: m });
     }
-    assert!(!second.serving(), "only grants to its own heartbeats count");
-    second.step(at, Input::Peer { from: "k1".into(), m: grants.last().unwrap().clone() });
-    assert!(second.serving());
+    assert!(!second.is_serving(), "only grants to its own heartbeats count");
+    second.step(at, Input::Peer { from: "k1".into(), message: grants.last().unwrap().clone() });
+    assert!(second.is_serving());
 }
 
 /// The register's ballots are the other promise that outlives a start: they come from the disk.
--- a/crates/store/tests/interleavings.rs
+++ b/crates/store/tests/interleavings.rs
@@ -37,7 +37,7 @@
     fn new(borne: usize, spares: usize) -> Trial {
         let mut net = Net { now: 1_000, borne: Some(borne), ..Default::default() };
         for s in SEEDS {
-            net.seeker(s, s, &SEEDS, View::first(&SEEDS.map(Name::from)));
+            net.seeker(s, s, &SEEDS, View::initial(&SEEDS.map(Name::from)));
         }
         let mut trial = Trial { net, views: BTreeMap::new(), fresh: 0, written: 0, acknowledged: 0 };
         (0..spares).for_each(|_| trial.add_elsewhere());
@@ -64,8 +64,8 @@
     }
 
     fn check(&mut self) {
-        let up = self.net.ks.values().filter(|k| !self.net.down.contains(&k.me));
-        let serving: Vec<&Name> = up.filter(|k| k.serving()).map(|k| &k.me).collect();
+        let up = self.net.ks.values().filter(|k| !self.net.down.contains(&k.name));
+        let serving: Vec<&Name> = up.filter(|k| k.is_serving()).map(|k| &k.name).collect();
         assert!(serving.len() <= 1, "two serve: {serving:?}");
         for keeper in self.net.ks.values() {
             let known = self.views.entry(keeper.view.version).or_insert_with(|| keeper.view.clone());
--- a/crates/store/tests/join.rs
+++ b/crates/store/tests/join.rs
@@ -9,7 +9,7 @@
 const SEEDS: [&str; 3] = ["a:1", "b:1", "c:1"];
 
 fn first() -> View {
-    View::first(&SEEDS.map(Name::from))
+    View::initial(&SEEDS.map(Name::from))
 }
 
 fn net() -> Net {
@@ -23,12 +23,12 @@
 
 fn adopt(number: u64) -> Command {
     let (text, source) = (format!("text {number}"), format!("source {number}"));
-    Command::Adopt { number, text, source, by: "t".into() }
+    Command::AdoptDocument { number, text, source, by: "t".into() }
 }
 
 fn write(net: &mut Net, token: u64, key: &str, cmd: Command) {
     let head = net.tail().and_then(|t| net.view(&t).head().cloned()).unwrap();
-    net.ask(&head, token, Request::Write { key: key.into(), cmd });
+    net.ask(&head, token, Request::Write { key: key.into(), command: cmd });
 }
 
 fn adopted(net: &mut Net, token: u64) -> Option<Adopted> {
@@ -40,9 +40,9 @@
 #[test]
 fn all_seeds_write_the_same_first_view_without_a_word() {
     let v = first();
-    let other = View::first(&["c:1", "a:1", "b:1", "a:1"].map(Name::from));
+    let other = View::initial(&["c:1", "a:1", "b:1", "a:1"].map(Name::from));
     assert_eq!(v, other);
-    assert_eq!((v.version, v.members.len(), v.machines.len()), (1, 3, 3));
+    assert_eq!((v.version, v.members.len(), v.voters.len()), (1, 3, 3));
     let mut net = net();
     write(&mut net, 1, "k", adopt(7));
     net.run(100);
@@ -59,8 +59,8 @@
     net.seeker("b:1#f", "b:1", &SEEDS, View::default());
     net.run(4_500);
     let v = net.view("a:1").clone();
-    assert!(v.is_voter("b:1#f") && !v.is_voter("b:1") && v.has("b:1#f"), "{v:?}");
-    assert_eq!(v.machines.len(), 3);
+    assert!(v.is_voter("b:1#f") && !v.is_voter("b:1") && v.is_member("b:1#f"), "{v:?}");
+    assert_eq!(v.voters.len(), 3);
     // It holds all, and counts: another may go now.
     assert_eq!(net.ks["b:1#f"].store.adopted, net.ks["a:1"].store.adopted);
     net.down = vec!["a:1".into()];
@@ -80,7 +80,7 @@
     net.seeker("c:1#f", "c:1", &SEEDS, View::default());
     net.run(20_000);
     assert_eq!(net.tail(), None);
-    assert_eq!(net.view("a:1").machines, first().machines);
+    assert_eq!(net.view("a:1").voters, first().voters);
 }
 
 #[test]
@@ -88,18 +88,18 @@
     let mut net = net();
     net.seeker("d:1#s", "d:1", &SEEDS, View::default());
     net.run(12_000);
-    assert_eq!(net.view("d:1#s").machines, first().machines, "it knows the view, and stays outside");
+    assert_eq!(net.view("d:1#s").voters, first().voters, "it knows the view, and stays outside");
     net.down = vec!["c:1".into()];
     let silence = terms::replace_after(CATCH_UP);
     net.run(silence - 20);
     assert!(!net.view("a:1").is_voter("d:1#s"), "too soon");
     net.run(CATCH_UP - silence);
     let v = net.view("a:1").clone();
-    assert!(v.has("d:1#s") && !v.is_voter("c:1"), "{v:?}");
+    assert!(v.is_member("d:1#s") && !v.is_voter("c:1"), "{v:?}");
     // The one that was silent comes back with its disk: it learns that it is outside, and stays there.
     net.down.clear();
     net.run(6_000);
-    assert_eq!(net.view("c:1").machines, net.view("a:1").machines);
+    assert_eq!(net.view("c:1").voters, net.view("a:1").voters);
     assert!(net.tail().is_some());
 }
 
@@ -112,7 +112,7 @@
     net.run(9_000);
     net.down.clear();
     net.run(5_000);
-    assert_eq!(net.view("a:1").machines, first().machines);
+    assert_eq!(net.view("a:1").voters, first().voters);
     assert!(net.tail().is_some());
 }
 
@@ -124,8 +124,8 @@
     net.seeker("e:1#n", "e:1", &["b:1", "c:1", "e:1"], View::default());
     net.run(14_000);
     let v = net.view("b:1").clone();
-    assert!(v.has("e:1#n") && !v.is_voter("a:1"), "{v:?}");
-    assert_eq!(v.machines.len(), 3);
+    assert!(v.is_member("e:1#n") && !v.is_voter("a:1"), "{v:?}");
+    assert_eq!(v.voters.len(), 3);
 }
 
 #[test]
@@ -136,7 +136,7 @@
     // b and c are deaf to the chain for a while: a may shorten it, but commits nothing alone.
     net.down = vec!["b:1".into(), "c:1".into()];
     net.run(1_500);
-    net.ask("a:1", 2, Request::Write { key: "k2".into(), cmd: adopt(8) });
+    net.ask("a:1", 2, Request::Write { key: "k2".into(), command: adopt(8) });
     net.run(6_000);
     assert!(!matches!(net.rep(2), Some(Reply::Answer { .. })), "{:?}", net.rep(2));
     assert_eq!(net.tail(), None);
@@ -154,15 +154,15 @@
     // c is away; b votes and has yet to fetch what a holds.
     net.seeker("a:1", "a:1", &SEEDS, alone.clone());
     net.seeker("b:1", "b:1", &SEEDS, alone);
-    net.ask("a:1", 1, Request::Write { key: "k".into(), cmd: adopt(7) });
+    net.ask("a:1", 1, Request::Write { key: "k".into(), command: adopt(7) });
     let (mut served, mut n) = (0, 0);
     while net.view("a:1").members.len() == 1 {
         net.run(20);
         n += 1;
-        served += usize::from(net.ks["a:1"].serving());
-        assert!(n < 500 && !net.ks["a:1"].commits());
+        served += usize::from(net.ks["a:1"].is_serving());
+        assert!(n < 500 && !net.ks["a:1"].can_commit());
         net.ask("a:1", 100 + n, Request::Adopted);
-        assert_matches!(net.rep(100 + n), Some(Reply::Elsewhere { .. }));
+        assert_matches!(net.rep(100 + n), Some(Reply::Redirect { .. }));
         assert_eq!((net.ks["a:1"].committed, net.rep(1)), (0, None));
     }
     assert!(served > 0, "it held the view's lease alone");
@@ -185,7 +185,7 @@
     net.seeker("b:1#f", "b:1", &SEEDS, View::default());
     net.run(6_000);
     assert_eq!(adopted(&mut net, 2).map(|a| a.number), Some(7));
-    assert!(net.view("a:1").has("b:1#f"));
+    assert!(net.view("a:1").is_member("b:1#f"));
 }
 
 fn stand(seq: u64, leaving: bool, role: Role) -> Command {
--- a/crates/store/tests/join_as_voter.rs
+++ b/crates/store/tests/join_as_voter.rs
@@ -12,7 +12,7 @@
 fn a_machine_that_lost_its_vote_does_not_join_with_a_late_snapshot() {
     let members: Vec<Name> = ["a:1", "b:1"].map(Name::from).into();
     let machines = ["a:1", "b:1", "d:1"].map(machine).into();
-    let view = View { version: 3, members, machines };
+    let view = View { version: 3, members, voters: machines };
     let mut net = Net { now: 1_000, ..Default::default() };
     // What joins by itself is held back until the late answer came.
     net.deaf = vec!["d:1".into()];
@@ -21,11 +21,11 @@
     }
     net.run(3_000);
     assert_eq!(net.tail().as_deref(), Some("b:1"));
-    let m = PeerMessage::Fetch { version: 3, progress: SnapshotProgress::default() };
-    net.step("b:1", Input::Peer { from: "c:1".into(), m });
-    let answered = |m: &PeerMessage| matches!(m, PeerMessage::Snapshot { join: true, .. });
+    let m = PeerMessage::FetchSnapshot { version: 3, progress: SnapshotProgress::default() };
+    net.step("b:1", Input::Peer { from: "c:1".into(), message: m });
+    let answered = |m: &PeerMessage| matches!(m, PeerMessage::Snapshot { joining: true, .. });
     assert!(net.wire.iter().any(|(_, to, m)| to == "c:1" && answered(m)), "the tail sends its store");
     net.run(3_000);
-    assert!(!net.view("a:1").has("c:1"), "{:?}", net.view("a:1"));
+    assert!(!net.view("a:1").is_member("c:1"), "{:?}", net.view("a:1"));
     assert_eq!(net.tail().as_deref(), Some("b:1"));
 }
--- a/crates/store/tests/kit/fleet.rs
+++ b/crates/store/tests/kit/fleet.rs
@@ -11,7 +11,7 @@
 pub fn net() -> Net {
     let mut net = Net { now: 1_000, ..Default::default() };
     for s in SEEDS {
-        net.seeker(s, s, &SEEDS, View::first(&SEEDS.map(Name::from)));
+        net.seeker(s, s, &SEEDS, View::initial(&SEEDS.map(Name::from)));
     }
     net.run(6_000);
     net
@@ -20,8 +20,8 @@
 pub fn write(net: &mut Net, number: u64) {
     let head = net.tail().and_then(|t| net.view(&t).head().cloned()).unwrap();
     let (text, source) = (format!("text {number}"), format!("source {number}"));
-    let cmd = Command::Adopt { number, text, source, by: "t".into() };
-    net.ask(&head, number, Request::Write { key: format!("k{number}").into(), cmd });
+    let cmd = Command::AdoptDocument { number, text, source, by: "t".into() };
+    net.ask(&head, number, Request::Write { key: format!("k{number}").into(), command: cmd });
 }
 
 pub fn is_acknowledged(net: &Net, number: u64) -> bool {
--- a/crates/store/tests/kit/mod.rs
+++ b/crates/store/tests/kit/mod.rs
@@ -5,7 +5,7 @@
 use quincehatch_core::{ChangeNo, Ms, Name};
 use quincehatch_store::keeper::{Input, Output, Record, RecoveredState};
 use quincehatch_store::{
-    Answer, Command, DiscoverySettings, Keeper, KeeperRequest, Machine, PeerMessage, Reply, Request, View,
+    Answer, Command, DiscoverySettings, Keeper, KeeperRequest, Voter, PeerMessage, Reply, Request, View,
     terms,
 };
 use std::collections::{BTreeMap, VecDeque};
@@ -36,8 +36,8 @@
     pub borne: Option<usize>,
 }
 
-pub fn machine(n: &str) -> Machine {
-    Machine { name: n.into(), addr: n.into() }
+pub fn machine(n: &str) -> Voter {
+    Voter { name: n.into(), addr: n.into() }
 }
 
 impl Net {
@@ -45,7 +45,7 @@
         let view = View {
             version: 1,
             members: names.iter().map(|n| Name::from(*n)).collect(),
-            machines: names.iter().map(|n| machine(n)).collect(),
+            voters: names.iter().map(|n| machine(n)).collect(),
         };
         let mut net = Net { now: 1_000, ..Default::default() };
         for n in names {
@@ -72,8 +72,8 @@
         let found =
             self.disks.entry(n.into()).or_insert(RecoveredState { view, ..Default::default() }).clone();
         let (borne, replace_after) = (self.borne.unwrap_or(1), terms::replace_after(CATCH_UP));
-        let way = DiscoverySettings { at: addr.into(), seeds, replace_after, machines: 2 * borne + 1 };
-        let k = Keeper::new(n.into(), self.now, found).seeking(way).committing_on(borne + 1);
+        let way = DiscoverySettings { at: addr.into(), seeds, replace_after, voter_count: 2 * borne + 1 };
+        let k = Keeper::new(n.into(), self.now, found).with_discovery(way).with_min_replicas(borne + 1);
         self.put(n, addr, k);
     }
     fn sync(&mut self, n: &str, r: &Record) {
@@ -81,8 +81,8 @@
         match r {
             Record::Acceptor { acceptor } => d.acceptor = acceptor.clone(),
             Record::View { view } => d.view = view.clone(),
-            Record::Served { version } => d.served = *version,
-            Record::CatchingUp { yes } => d.catching_up = *yes,
+            Record::Served { version } => d.served_version = *version,
+            Record::CatchingUp { catching_up } => d.catching_up = *catching_up,
             Record::Snapshot { store } => (d.store, d.log) = (store.as_ref().clone(), Default::default()),
             Record::Entry { entry } => {
                 d.store.apply(&entry.unpack().unwrap());
@@ -109,8 +109,8 @@
                         self.lose_parts -= 1;
                         continue;
                     }
-                    if matches!(m, PeerMessage::Snapshot { .. } | PeerMessage::Pass { .. }) {
-                        let frame = KeeperRequest::Peer { from: n.into(), m: m.clone() };
+                    if matches!(m, PeerMessage::Snapshot { .. } | PeerMessage::AppendEntries { .. }) {
+                        let frame = KeeperRequest::Peer { from: n.into(), message: m.clone() };
                         self.sent_lengths.push(borsh::to_vec(&frame).unwrap().len());
                     }
                     let to = addr.and_then(|a| self.at.get(&a).cloned());
@@ -118,7 +118,7 @@
                 }
                 Output::Reply(t, r) => self.reps.push((t, r)),
                 Output::Persist(r) => self.sync(n, &r),
-                Output::Say(_) => {}
+                Output::Log(_) => {}
             }
         }
     }
@@ -132,19 +132,19 @@
             while let Some((from, to, m)) = self.wire.pop_front() {
                 let cut = self.cut.contains(&to) != self.cut.contains(&from);
                 if !cut && !self.deaf.contains(&to) && !self.down.contains(&from) {
-                    self.step(&to, Input::Peer { from, m });
+                    self.step(&to, Input::Peer { from, message: m });
                 }
             }
         }
     }
     pub fn ask(&mut self, n: &str, token: u64, ask: Request) {
-        self.step(n, Input::Request { token, ask });
+        self.step(n, Input::Request { token, request: ask });
     }
     /// Enrolls a node's process; the entry that did.
     pub fn enroll(&mut self, node: &str, token: u64) -> ChangeNo {
         let head = self.tail().and_then(|t| self.view(&t).head().cloned()).unwrap();
-        let cmd = Command::Enroll { node: node.into(), life: token };
-        self.ask(&head, token, Request::Write { key: format!("enroll/{token}").into(), cmd });
+        let cmd = Command::EnrollNode { node: node.into(), incarnation: token };
+        self.ask(&head, token, Request::Write { key: format!("enroll/{token}").into(), command: cmd });
         self.run(100);
         match self.rep(token) {
             Some(Reply::Answer { answer: Answer::Enrolled(n), .. }) => n,
@@ -154,7 +154,7 @@
     /// A poll of the node at the tail.
     pub fn poll(&mut self, node: &str, token: u64, enrolled: ChangeNo, have: ChangeNo) {
         let tail = self.tail().unwrap();
-        let ask = Request::Feed { node: node.into(), addr: node.into(), have, applied: 0, enrolled };
+        let ask = Request::Feed { node: node.into(), addr: node.into(), last_change: have, applied: 0, enrolled };
         self.ask(&tail, token, ask);
     }
     pub fn rep(&self, token: u64) -> Option<Reply> {
@@ -167,7 +167,7 @@
     pub fn tail(&self) -> Option<Name> {
         self.ks
             .values()
-            .find(|k| k.commits() && !self.down.contains(&k.me) && !self.cut.contains(&k.me))
-            .map(|k| k.me.clone())
+            .find(|k| k.can_commit() && !self.down.contains(&k.name) && !self.cut.contains(&k.name))
+            .map(|k| k.name.clone())
     }
 }
--- a/crates/store/tests/leads.rs
+++ b/crates/store/tests/leads.rs
@@ -1,7 +1,7 @@
 //! Which lists of counting servers hold is kept by the chain, whoever writes what (§5.5).
 use quincehatch_core::{Code, Fence, Lead, Name};
 use quincehatch_store::store::duty_of;
-use quincehatch_store::{Answer, Command, Entry, Leadership, Store};
+use quincehatch_store::{Answer, Command, Entry, PrimaryState, Store};
 
 #[derive(Default)]
 struct Chain(Store);
@@ -9,10 +9,10 @@
 impl Chain {
     fn write(&mut self, cmd: Command) -> Answer {
         let n = self.0.n + 1;
-        self.0.apply(&Entry { n, key: format!("{n}").into(), cmd }).unwrap()
+        self.0.apply(&Entry { number: n, key: format!("{n}").into(), command: cmd }).unwrap()
     }
     fn take(&mut self) -> Fence {
-        match self.write(Command::TakeFence { duty: duty_of("g"), by: "n".into() }) {
+        match self.write(Command::AcquireFence { duty: duty_of("g"), by: "n".into() }) {
             Answer::Fence(f) => f,
             a => panic!("{a:?}"),
         }
@@ -20,7 +20,7 @@
     fn lead(&mut self, fence: Fence, server: Option<&str>, counts: &[&str]) -> Answer {
         let lead =
             Lead { fence, server: server.map(Name::from), counts: names(counts), ..Default::default() };
-        self.write(Command::SetLead { group: "g".into(), lead })
+        self.write(Command::AssignPrimary { group: "g".into(), primary: lead })
     }
     /// All lists that hold now.
     fn lists(&self) -> Vec<Vec<Name>> {
@@ -73,18 +73,18 @@
     c.lead(one, Some("a"), &["a", "b", "c"]);
     let two = c.take();
     c.lead(two, None, &["b", "c", "d"]);
-    let settle = |fence| Command::Settle { group: "g".into(), fence };
+    let settle = |fence| Command::DropPreviousVoters { group: "g".into(), fence };
     for fence in [one, two] {
         let got = c.write(settle(fence));
-        assert!(matches!(&got, Answer::Declined(b) if b.is(Code::FenceLow)), "{got:?}");
+        assert!(matches!(&got, Answer::Rejected(b) if b.is(Code::FenceLow)), "{got:?}");
     }
     c.lead(two, Some("b"), &["b", "c", "d"]);
     c.write(settle(two));
     assert_eq!(c.lists(), [names(&["b", "c", "d"])]);
 }
 
-fn next_fence(c: &mut Chain, over: &Leadership) -> Answer {
-    c.write(Command::NextFence { group: "g".into(), by: "n".into(), over: over.clone() })
+fn next_fence(c: &mut Chain, over: &PrimaryState) -> Answer {
+    c.write(Command::AcquireFenceIfUnchanged { group: "g".into(), by: "n".into(), expected: over.clone() })
 }
 
 /// Drawn seed 101: of two promoters that began at once, the later one took a higher fence, saw that it had come too
@@ -93,9 +93,9 @@
 fn a_fence_is_not_taken_over_one_that_its_taker_has_not_seen() {
     let mut c = Chain::default();
     let one = c.take();
-    let over = Leadership { fence: one, lead: None };
+    let over = PrimaryState { fence: one, primary: None };
     assert_eq!(next_fence(&mut c, &over), Answer::Fence(one + 1));
-    assert!(matches!(next_fence(&mut c, &over), Answer::Declined(b) if b.is(Code::FenceLow)));
+    assert!(matches!(next_fence(&mut c, &over), Answer::Rejected(b) if b.is(Code::FenceLow)));
     assert_eq!(c.0.fence(&duty_of("g")), one + 1);
 }
 
@@ -106,10 +106,10 @@
     let mut c = Chain::default();
     let one = c.take();
     c.lead(one, Some("a"), &["a", "b", "c"]);
-    let over = Leadership { fence: c.take(), lead: c.0.leads.get("g").cloned() };
+    let over = PrimaryState { fence: c.take(), primary: c.0.leads.get("g").cloned() };
     c.lead(over.fence, None, &[]);
-    assert!(matches!(next_fence(&mut c, &over), Answer::Declined(b) if b.is(Code::FenceLow)));
+    assert!(matches!(next_fence(&mut c, &over), Answer::Rejected(b) if b.is(Code::FenceLow)));
     let Answer::Lead(named) = c.lead(over.fence, Some("b"), &[]) else { panic!("it was overtaken") };
-    let over = Leadership { lead: Some(named), ..over };
+    let over = PrimaryState { primary: Some(named), ..over };
     assert_eq!(next_fence(&mut c, &over), Answer::Fence(over.fence + 1));
 }
--- a/crates/store/tests/leave.rs
+++ b/crates/store/tests/leave.rs
@@ -25,12 +25,12 @@
         net.run(1_400);
         assert!(is_acknowledged(&net, 1), "{leaver}");
         let view = net.view(&net.tail().unwrap()).clone();
-        assert!(view.is_voter(leaver) && !view.has(leaver), "{view:?}");
+        assert!(view.is_voter(leaver) && !view.is_member(leaver), "{view:?}");
         // Started again it comes back in.
         net.down.clear();
         net.seeker(leaver, leaver, &SEEDS, View::default());
         net.run(2_000);
-        assert!(net.view(leaver).has(leaver));
+        assert!(net.view(leaver).is_member(leaver));
         assert_eq!(adopted(&mut net, 100).map(|a| a.number), Some(1));
     }
 }
@@ -45,8 +45,8 @@
     leave(&mut net, "c:1");
     until_left(&mut net, "c:1");
     let head = net.view("b:1").head().cloned().unwrap();
-    let cmd = Command::Push { base: 0, text: "x".into(), by: "t".into() };
-    net.ask(&head, 60, Request::Write { key: "p".into(), cmd });
+    let cmd = Command::PushConfiguration { base: 0, text: "x".into(), by: "t".into() };
+    net.ask(&head, 60, Request::Write { key: "p".into(), command: cmd });
     net.run(3_000);
     assert_matches!(net.rep(60), None, "n1 may act on the blueprint of before");
     net.run(1_300);
@@ -67,7 +67,7 @@
         assert!(took <= 600, "{leaver}: {took}");
         net.run(500);
         let view = net.view(&net.tail().unwrap()).clone();
-        assert!(view.has("d:1#1") && !view.is_voter(leaver) && view.machines.len() == 3, "{view:?}");
+        assert!(view.is_member("d:1#1") && !view.is_voter(leaver) && view.voters.len() == 3, "{view:?}");
         assert_eq!(net.ks["d:1#1"].store.adopted.as_ref().map(|a| a.number), Some(1));
     }
 }
@@ -119,7 +119,7 @@
             until_left(&mut net, leaver);
             net.run(5_000);
             let view = net.view(&net.tail().expect("a majority serves")).clone();
-            assert!(view.has("d:1#1") && !view.is_voter(leaver), "{leaver} {lost}: {view:?}");
+            assert!(view.is_member("d:1#1") && !view.is_voter(leaver), "{leaver} {lost}: {view:?}");
             assert_eq!(adopted(&mut net, 100).map(|a| a.number), Some(1));
         }
     }
--- a/crates/store/tests/membership.rs
+++ b/crates/store/tests/membership.rs
@@ -19,7 +19,7 @@
             net.run(CATCH_UP);
             let tail = net.tail().expect("a majority is left");
             let view = net.view(&tail).clone();
-            assert_eq!((view.members.len(), view.machines.len()), (3, 3), "{lost:?} {start}: {view:?}");
+            assert_eq!((view.members.len(), view.voters.len()), (3, 3), "{lost:?} {start}: {view:?}");
             assert_eq!(adopted(&mut net, 100).map(|a| a.number), Some(1));
             write(&mut net, 2);
             net.run(2_000);
@@ -58,7 +58,7 @@
         net.run(20);
         let view = net.view("a:1");
         if view.is_voter("d:1#1") {
-            assert!(view.has("d:1#1"), "{view:?}");
+            assert!(view.is_member("d:1#1"), "{view:?}");
             assert!(net.ks["d:1#1"].store.adopted.is_some());
         }
         if seen.last() != Some(&view.version) {
@@ -81,7 +81,7 @@
     replace(&mut net, "d:1#1", "e:1#2", 500);
     net.run(CATCH_UP);
     let view = net.view("a:1").clone();
-    assert!(view.has("e:1#2") && view.members.len() == 3, "{view:?}");
+    assert!(view.is_member("e:1#2") && view.members.len() == 3, "{view:?}");
     assert_eq!(adopted(&mut net, 100).map(|a| a.number), Some(1));
 }
 
@@ -94,7 +94,7 @@
     assert!(net.view("a:1").is_voter("c:1"));
     net.down.clear();
     net.run(2_000);
-    assert!(net.view("a:1").has("c:1"));
+    assert!(net.view("a:1").is_member("c:1"));
 }
 
 /// Its vote went to a spare while it was cut off: it is a spare under its old name, and may vote again.
@@ -114,7 +114,7 @@
     net.down = vec!["b:1".into()];
     net.run(CATCH_UP);
     let view = net.view("a:1").clone();
-    assert!(view.has("c:1") && !view.is_voter("b:1"), "{view:?}");
+    assert!(view.is_member("c:1") && !view.is_voter("b:1"), "{view:?}");
     // Those that hold what was written before it returned are lost in turn.
     net.down.push("a:1".into());
     net.run(2_500);
--- a/crates/store/tests/news.rs
+++ b/crates/store/tests/news.rs
@@ -18,7 +18,7 @@
 }
 
 fn adopt(number: u64, text: String) -> Command {
-    Command::Adopt { number, source: text.clone(), text, by: "t".into() }
+    Command::AdoptDocument { number, source: text.clone(), text, by: "t".into() }
 }
 
 fn stand(server: &str, addr: &str, seq: u64) -> Command {
@@ -52,7 +52,7 @@
         let head = self.net.tail().and_then(|t| self.net.view(&t).head().cloned()).unwrap();
         self.token += 1;
         let key = format!("k{}", self.token).into();
-        self.net.ask(&head, self.token, Request::Write { key, cmd });
+        self.net.ask(&head, self.token, Request::Write { key, command: cmd });
         self.net.run(100);
     }
     fn poll(&mut self, have: u64) -> Reply {
@@ -102,10 +102,10 @@
         stand("s2", "10.0.0.2:1", 1),
         adopt(3, blueprint(20, 100)),
         stand("s1", "10.0.0.1:1", 1),
-        Command::TakeFence { duty: "lead/g".into(), by: "n".into() },
-        Command::SetLead { group: "g".into(), lead: lead(1) },
+        Command::AcquireFence { duty: "lead/g".into(), by: "n".into() },
+        Command::AssignPrimary { group: "g".into(), primary: lead(1) },
         // Declined: under a fence that was never taken out, and older than what is there.
-        Command::SetLead { group: "g".into(), lead: lead(0) },
+        Command::AssignPrimary { group: "g".into(), primary: lead(0) },
         adopt(2, blueprint(5, 100)),
         // Another server at a known address takes it over.
         stand("s3", "10.0.0.1:1", 1),
--- a/crates/store/tests/restart.rs
+++ b/crates/store/tests/restart.rs
@@ -11,7 +11,7 @@
     net.ks.clear();
     net.wire.clear();
     for s in SEEDS {
-        net.seeker(s, s, &SEEDS, View::first(&SEEDS.map(Name::from)));
+        net.seeker(s, s, &SEEDS, View::initial(&SEEDS.map(Name::from)));
     }
 }
 
@@ -26,7 +26,7 @@
     start(&mut net);
     net.run(300);
     assert_eq!(net.tail(), Some(tail.clone()));
-    net.disks.get_mut(&tail).unwrap().served = 0;
+    net.disks.get_mut(&tail).unwrap().served_version = 0;
     start(&mut net);
     net.run(300);
     assert_eq!(net.tail(), None, "an older tail might still hold its lease");
--- a/crates/store/tests/roll.rs
+++ b/crates/store/tests/roll.rs
@@ -9,8 +9,8 @@
 
 fn close(net: &mut Net, token: u64) {
     let head = net.tail().and_then(|t| net.view(&t).head().cloned()).unwrap();
-    let cmd = Command::SetLead { group: "g".into(), lead: Lead { fence: 1, ..Default::default() } };
-    net.ask(&head, token, Request::Write { key: "close".into(), cmd });
+    let cmd = Command::AssignPrimary { group: "g".into(), primary: Lead { fence: 1, ..Default::default() } };
+    net.ask(&head, token, Request::Write { key: "close".into(), command: cmd });
 }
 fn closed(net: &Net, token: u64) -> bool {
     matches!(net.rep(token), Some(Reply::Answer { answer: Answer::Lead(_), .. }))
@@ -67,12 +67,12 @@
     let (mut net, n1, _) = begun();
     net.poll("n2", 2, n1, 0);
     net.run(40);
-    assert_matches!(net.rep(2), Some(Reply::Enroll));
+    assert_matches!(net.rep(2), Some(Reply::NotEnrolled));
     // The next process of a node is another: what enrolled the last one does not do.
     let next = net.enroll("n1", 3);
     net.poll("n1", 4, n1, next);
     net.run(40);
-    assert_matches!(net.rep(4), Some(Reply::Enroll));
+    assert_matches!(net.rep(4), Some(Reply::NotEnrolled));
     net.poll("n1", 5, next, 0);
     net.run(40);
     assert_matches!(net.rep(5), Some(Reply::Changes { .. } | Reply::Snapshot { .. }));
@@ -92,8 +92,8 @@
         }
         net.poll("n1", 2, n1, n1);
         let head = net.tail().and_then(|t| net.view(&t).head().cloned()).unwrap();
-        let cmd = Command::Dismiss { node: "n1".into(), enrolled: n1 };
-        net.ask(&head, 3, Request::Write { key: "d".into(), cmd });
+        let cmd = Command::DismissNode { node: "n1".into(), enrolled: n1 };
+        net.ask(&head, 3, Request::Write { key: "d".into(), command: cmd });
         net.run(100);
         let old = net.tail().unwrap();
         new_tail(&mut net, &old);
--- a/crates/store/tests/samples/mod.rs
+++ b/crates/store/tests/samples/mod.rs
@@ -39,9 +39,9 @@
 
 /// The operator's document and what was made of it, as one change carries them.
 pub fn adopt(number: u64, text: String) -> Command {
-    Command::Adopt { number, source: text.clone(), text, by: "operator".into() }
+    Command::AdoptDocument { number, source: text.clone(), text, by: "operator".into() }
 }
 
 pub fn entry(n: u64, text: String) -> Entry {
-    Entry { n, key: format!("adopt/{n}").into(), cmd: adopt(n, text) }
+    Entry { number: n, key: format!("adopt/{n}").into(), command: adopt(n, text) }
 }
--- a/crates/store/tests/space.rs
+++ b/crates/store/tests/space.rs
@@ -21,7 +21,7 @@
         Folder(path)
     }
     fn make(&self, allowed: u64) -> Disk {
-        let view = View { version: 1, members: vec!["k1".into()], machines: vec![] };
+        let view = View { version: 1, members: vec!["k1".into()], voters: vec![] };
         Disk::make(&self.0, "k1", view).unwrap().0.allowing(allowed)
     }
     fn open(&self, allowed: u64) -> (Disk, RecoveredState) {
--- a/crates/store/tests/suspended.rs
+++ b/crates/store/tests/suspended.rs
@@ -16,13 +16,13 @@
 fn serving() -> Hosts {
     let mut net = Hosts::new(&NAMES);
     net.run(3_000);
-    assert!(net.tail().is_some_and(|tail| tail.me == TAIL));
+    assert!(net.tail().is_some_and(|tail| tail.name == TAIL));
     net
 }
 
 fn take_fence(token: u64) -> Request {
-    let cmd = Command::TakeFence { duty: "duty".into(), by: "t".into() };
-    Request::Write { key: format!("key/{token}").into(), cmd }
+    let cmd = Command::AcquireFence { duty: "duty".into(), by: "t".into() };
+    Request::Write { key: format!("key/{token}").into(), command: cmd }
 }
 
 /// Writes at whoever is the head by now, and runs for a second.
@@ -37,7 +37,7 @@
 }
 
 fn assert_asked_again(replies: &[&Reply]) {
-    assert_matches!(replies, [Reply::Declined { why }] if why.is(Code::ChainDown) && why.retry_after_ms.is_some());
+    assert_matches!(replies, [Reply::Rejected { error: why }] if why.is(Code::ChainDown) && why.retry_after_ms.is_some());
 }
 
 #[test]
@@ -55,13 +55,13 @@
         net.run(3_000);
         assert_eq!(net.sent[sick], sent, "{sick} spoke to its peers");
         let tail = net.tail().expect("the others go on");
-        assert!(!tail.view.has(sick));
+        assert!(!tail.view.is_member(sick));
         write(&mut net, 3);
         assert!(is_confirmed(&net, 3));
 
         net.disk(sick).refuses = false;
         net.run(4_000);
-        assert!(net.keeper(sick).view.has(sick), "{sick} is not back");
+        assert!(net.keeper(sick).view.is_member(sick), "{sick} is not back");
         assert_eq!(net.keeper(sick).store, net.tail().unwrap().store);
         let said = net.said.iter().filter(|(name, _)| name == sick).map(|(_, line)| line.as_str());
         let said: Vec<&str> = said.filter(|line| line.contains("the disk takes")).collect();
@@ -76,16 +76,16 @@
     net.ask(HEAD, 1, take_fence(1));
     // The write that met the refusal: whether it was kept is not known.
     assert_asked_again(&net.replies_to(1));
-    assert_matches!(net.replies_to(1)[..], [Reply::Declined { why }] if why.end == End::Unknown);
+    assert_matches!(net.replies_to(1)[..], [Reply::Rejected { error: why }] if why.end == End::Unknown);
     net.ask(HEAD, 2, take_fence(2));
-    net.ask(HEAD, 3, Request::Read);
+    net.ask(HEAD, 3, Request::ReadStore);
     net.ask(HEAD, 4, Request::Adopted);
     net.ask(HEAD, 5, Request::Status);
     for token in 2..=4 {
         assert_asked_again(&net.replies_to(token));
     }
     assert_matches!(net.replies_to(5)[..], [Reply::Status { status }] => {
-        assert!(status.why.contains("suspended") && status.why.contains("No space left"), "{}", status.why);
+        assert!(status.reason.contains("suspended") && status.reason.contains("No space left"), "{}", status.reason);
         assert!(!status.serving && status.disk.allowed > 0);
     });
 }
@@ -142,10 +142,10 @@
         let now = net.now;
         let host = net.hosts.get_mut(TAIL).unwrap();
         let mut batch = Batch::default();
-        host.step(now, Input::Request { token: 1, ask: Request::Read }, &mut batch);
+        host.step(now, Input::Request { token: 1, request: Request::ReadStore }, &mut batch);
         let outputs = host.saved(now + stall, Ok(()), batch);
         let is_given = outputs.iter().any(|o| matches!(o, Output::Reply(1, Reply::Store { .. })));
-        let is_elsewhere = outputs.iter().any(|o| matches!(o, Output::Reply(1, Reply::Elsewhere { .. })));
+        let is_elsewhere = outputs.iter().any(|o| matches!(o, Output::Reply(1, Reply::Redirect { .. })));
         assert_eq!((is_given, is_elsewhere), (!is_stale, is_stale), "after {stall} ms");
     }
 }
@@ -157,13 +157,13 @@
     let now = net.now;
     let host = net.hosts.get_mut(HEAD).unwrap();
     let mut batch = Batch::default();
-    host.step(now, Input::Request { token: 1, ask: take_fence(1) }, &mut batch);
+    host.step(now, Input::Request { token: 1, request: take_fence(1) }, &mut batch);
     let declined = host.decline_pending();
     assert_eq!(declined.len(), 1);
-    assert!(host.status().why.contains("stalls"));
+    assert!(host.status().reason.contains("stalls"));
     let late = host.saved(now + 500, Ok(()), batch);
     assert!(!late.iter().any(|o| matches!(o, Output::Reply(..))));
-    assert!(!host.status().why.contains("stalls"));
+    assert!(!host.status().reason.contains("stalls"));
 }
 
 /// Its own stand-still is no silence of the others: a keeper whose disk stalled leaves nobody out.
--- a/crates/testbed/tests/choice/net.rs
+++ b/crates/testbed/tests/choice/net.rs
@@ -68,7 +68,7 @@
     letters.chars().map(|c| c.to_string().into()).collect()
 }
 fn set_lead(lead: Lead) -> Command {
-    Command::SetLead { group: "g".into(), lead }
+    Command::AssignPrimary { group: "g".into(), primary: lead }
 }
 
 impl Net {
@@ -82,7 +82,7 @@
             named: vec![(1, 0)],
             orders: 0,
         };
-        n.write(Command::TakeFence { duty: duty_of("g"), by: "n".into() });
+        n.write(Command::AcquireFence { duty: duty_of("g"), by: "n".into() });
         n.write(set_lead(Lead {
             fence: 1,
             server: Some("a".into()),
@@ -95,9 +95,9 @@
     fn write(&mut self, cmd: Command) -> Option<Answer> {
         let store = Arc::make_mut(&mut self.store);
         let at = store.n + 1;
-        let got = store.apply(&Entry { n: at, key: format!("{at}").into(), cmd });
+        let got = store.apply(&Entry { number: at, key: format!("{at}").into(), command: cmd });
         store.answers.clear();
-        got.filter(|a| !matches!(a, Answer::Declined(_)))
+        got.filter(|a| !matches!(a, Answer::Rejected(_)))
     }
     fn db(&mut self, s: usize) -> &mut Db {
         Arc::make_mut(&mut self.dbs[s])
@@ -166,7 +166,7 @@
         match a {
             Act::Begin(list) => {
                 let by: Name = format!("n{}", n.all.len()).into();
-                let Answer::Fence(f) = n.write(Command::TakeFence { duty: duty_of("g"), by: by.clone() })?
+                let Answer::Fence(f) = n.write(Command::AcquireFence { duty: duty_of("g"), by: by.clone() })?
                 else {
                     return None;
                 };
@@ -239,7 +239,7 @@
                 if !n.dbs[s].leads(l.fence) || !n.dbs[s].whole() {
                     return None;
                 }
-                n.write(Command::Settle { group: "g".into(), fence: l.fence })?;
+                n.write(Command::DropPreviousVoters { group: "g".into(), fence: l.fence })?;
             }
         }
         let wrote = n.dbs.iter_mut().filter(|d| !d.lines.is_empty());
