--- a/crates/capacity/src/counted.rs
+++ b/crates/capacity/src/counted.rs
@@ -5,7 +5,7 @@
 use quincehatch_core::Name;
 use quincehatch_gossip::{GossipMessage, NodeQuery, NodeRequest};
 use quincehatch_node::{Fleet, mesh_driver};
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use quincehatch_simulator::fleet::core::{Core, Pid};
 use quincehatch_simulator::fleet::keeper::{self, Disk, Keepers};
 use quincehatch_simulator::fleet::net::OnFrame;
@@ -113,7 +113,7 @@
         let on = f.clone();
         let on_frame = move |b: Vec<u8>| {
             let f = on.clone();
-            Box::pin(async move { mesh_driver::respond(&f, &b).await }) as rt::Fut<'_, _>
+            Box::pin(async move { mesh_driver::respond(&f, &b).await }) as seam::BoxFuture<'_, _>
         };
         c.listen_frames(&s.mesh, pid, Arc::new(on_frame));
         tap(c, &s.mesh, to_node, &to);
@@ -130,7 +130,7 @@
     let (done, f) = (Arc::new(Mutex::new(None)), f.clone());
     let told = done.clone();
     core.within(pid, || {
-        rt::spawn(async move {
+        seam::spawn(async move {
             let cmd = Command::PushConfiguration { base, text: blueprint(1, base), by: "operator".into() };
             let _ = f.chain.write(&format!("push/{base}"), cmd, Duration::from_secs(8)).await;
             *told.lock().unwrap() = Some(());
@@ -152,7 +152,7 @@
     core.run_until(3_000);
     let (pid, f) = fleets[0].clone();
     core.within(pid, || {
-        rt::spawn(async move {
+        seam::spawn(async move {
             let (text, by) = (blueprint(groups, 0), Name::from("operator"));
             let _ = f.chain.write("plan", Command::PushConfiguration { base: 0, text, by }, Duration::from_secs(8)).await;
             for i in 0..groups * COPIES {
@@ -163,7 +163,7 @@
     });
     // Rumors reach nearly everyone at once; the last few pairs meet as probes happen to bring them together.
     let met = |f: &Arc<Fleet>| f.mesh.live().len() * 100 >= nodes * 97;
-    let ready = |f: &Arc<Fleet>| f.known.lock().unwrap().leads.len() >= groups && met(f);
+    let ready = |f: &Arc<Fleet>| f.known.lock().unwrap().primaries.len() >= groups && met(f);
     while !fleets.iter().all(|(_, f)| ready(f)) {
         let now = core.now();
         if now > 180_000 {
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -5,7 +5,7 @@
 use quincehatch_core::Name;
 use quincehatch_node::chain_client::Chain;
 use quincehatch_node::{Fleet, mesh_driver};
-use quincehatch_runtime::{now, rt};
+use quincehatch_runtime::{now, seam};
 use quincehatch_store::disk::Disk;
 use quincehatch_store::host::KeeperHost;
 use quincehatch_store::{Command, Keeper, Voter, View, driver};
@@ -52,7 +52,7 @@
                 now(),
                 Box::new(move |state, now| Keeper::new(me.clone(), now, state)),
             );
-            let _ = driver::run(host, disk, lst, stopped).await;
+            let _ = driver::run_keeper(host, disk, lst, stopped).await;
         });
     });
     rx.recv().unwrap_or_default()
@@ -78,7 +78,7 @@
             for (i, (addr, lst)) in at.into_iter().enumerate() {
                 let f = Fleet::with(&settings(i, addr, seeds.clone(), keepers.clone()), Some(ports.ports()));
                 if let Ok(lst) = TcpListener::from_std(lst) {
-                    rt::spawn(mesh_driver::serve(f.clone(), lst));
+                    seam::spawn(mesh_driver::serve(f.clone(), lst));
                 }
                 f.go();
                 made.lock().unwrap().push(f);
@@ -104,17 +104,17 @@
             let c = c.clone();
             async move { write(&c, format!("beat/{i}/1"), Command::RegisterServer { at: standing(i, 1) }).await }
         };
-        rt::all(some.iter().map(|i| one(*i))).await.into_iter().collect::<Result<Vec<_>, _>>()?;
+        seam::join_all(some.iter().map(|i| one(*i))).await.into_iter().collect::<Result<Vec<_>, _>>()?;
     }
     let (until, groups, n) = (std::time::Instant::now() + BEGIN, s.groups, s.nodes);
-    let led = |f: &Arc<Fleet>| f.known.lock().unwrap().leads.len() >= groups;
+    let led = |f: &Arc<Fleet>| f.known.lock().unwrap().primaries.len() >= groups;
     let met = |f: &Arc<Fleet>| f.mesh.live().len() == n;
     // Not every fleet comes to know all of itself: how far it came is among the figures.
     let enough = std::time::Instant::now() + MEET;
     let ready = |f: &Arc<Fleet>| led(f) && (met(f) || std::time::Instant::now() > enough);
     while !fleets.lock().unwrap().iter().all(ready) {
         if std::time::Instant::now() > until {
-            let of = |f: &Arc<Fleet>| (f.known.lock().unwrap().leads.len(), f.mesh.live().len());
+            let of = |f: &Arc<Fleet>| (f.known.lock().unwrap().primaries.len(), f.mesh.live().len());
             let seen: Vec<_> = fleets.lock().unwrap().iter().map(of).collect();
             return Err(format!("not in service; leads and nodes known at each node: {seen:?}"));
         }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -68,9 +68,9 @@
         server: format!("s{g:04}-{k}").into(),
         group: format!("g{g:04}").into(),
         addr: format!("10.{}.{}.{}:5432", k, g / 250, g % 250).into(),
-        district: format!("d{k}").into(),
+        zone: format!("d{k}").into(),
         slots: 5,
-        leaving: false,
+        draining: false,
         role: if k == 0 { Role::Primary } else { Role::Replica },
         seq,
     }
--- a/crates/capacity/src/parts.rs
+++ b/crates/capacity/src/parts.rs
@@ -1,10 +1,10 @@
 //! Parts of a node alone, at the planned size itself: one pass of each, without a fleet around it.
 use super::{blueprint, cost, names, standing};
-use quincehatch_core::{Lead, Name};
+use quincehatch_core::{PrimaryAssignment, Name};
 use quincehatch_gossip::{Life, Mesh, Rumor, duty};
 use quincehatch_proxy::board::Plan;
-use quincehatch_store::patch::Packed;
-use quincehatch_store::store::{ANSWERS, duty_of};
+use quincehatch_store::patch::PackedText;
+use quincehatch_store::store::{MAX_ANSWERED_WRITES, promotion_duty_key};
 use quincehatch_store::{Answer, Command, Entry, FeedSnapshot, FeedState, KeeperResponse, Reply, Store};
 use quincehatch_wire::{ANSWER_HEADER_BYTES, LENGTH_BYTES};
 
@@ -16,7 +16,7 @@
 /// Who looks after each of `groups`, found once: milliseconds.
 pub fn duty_pass(nodes: usize, groups: usize) -> f64 {
     let live = names(nodes);
-    let keys: Vec<Name> = (0..groups).map(|g| duty_of(&format!("g{g:04}"))).collect();
+    let keys: Vec<Name> = (0..groups).map(|g| promotion_duty_key(&format!("g{g:04}"))).collect();
     cost(|| keys.iter().filter(|k| duty::owner(k, &live) == live.first()).count()).0
 }
 
@@ -73,7 +73,7 @@
 pub fn store(groups: usize, adopted: u64) -> Store {
     let mut s = Store::default();
     let mut put = |key: String, cmd: Command| {
-        let n = s.n + 1;
+        let n = s.last_change + 1;
         s.apply(&Entry { number: n, key: key.into(), command: cmd })
     };
     for i in 0..groups * super::COPIES {
@@ -81,18 +81,18 @@
     }
     for g in 0..groups {
         let (group, by) = (Name::from(format!("g{g:04}")), Name::from("n0001"));
-        let at = put(format!("f{g}"), Command::AcquireFence { duty: duty_of(&group), by: by.clone() });
+        let at = put(format!("f{g}"), Command::AcquireFence { duty: promotion_duty_key(&group), by: by.clone() });
         let Some(Answer::Fence(fence)) = at else { continue };
         let counts = (0..3).map(|k| standing(g * 3 + k, 1).server).collect::<Vec<_>>();
         let server = counts.first().cloned();
-        let lead = Lead { fence, server, by, counts, ..Default::default() };
+        let lead = PrimaryAssignment { fence, server, assigned_by: by, voters: counts, ..Default::default() };
         put(format!("l{g}"), Command::AssignPrimary { group, primary: lead });
     }
     for n in 1..=adopted {
         let (text, source, by) = (blueprint(groups, n), blueprint(groups, n), "operator".into());
         put(format!("adopt/{n}/{:016x}", n), Command::AdoptDocument { number: n, text, source, by });
     }
-    for n in 0..ANSWERS as u64 {
+    for n in 0..MAX_ANSWERED_WRITES as u64 {
         put(format!("beat/s0000-0/{}", n + 2), Command::RegisterServer { at: standing(0, n + 2) });
     }
     s
@@ -107,8 +107,8 @@
 /// changed, as a node is told it (§5.10).
 pub fn bytes(groups: usize) -> [f64; 3] {
     let mut s = store(groups, 2);
-    let text = Packed::of(s.blueprint().map_or("", |k| &k.text));
-    let told = Reply::Snapshot { snapshot: Box::new(FeedSnapshot::of(&s, text)), lease_ms: 4_000 };
+    let text = PackedText::pack(s.configuration().map_or("", |k| &k.text));
+    let told = Reply::Snapshot { snapshot: Box::new(FeedSnapshot::from_store(&s, text)), lease_ms: 4_000 };
     let whole = Reply::Store { store: Box::new(s.clone()) };
     let changes = vec![adopt(&mut s, groups, 9)];
     [frame(whole), frame(told), frame(Reply::Changes { changes, lease_ms: 4_000 })]
@@ -117,19 +117,19 @@
 fn adopt(s: &mut Store, groups: usize, number: u64) -> quincehatch_store::Change {
     let (text, source, by) = (blueprint(groups, number), blueprint(groups, number), "operator".into());
     let e = Entry {
-        number: s.n + 1,
+        number: s.last_change + 1,
         key: format!("adopt/{number}").into(),
         command: Command::AdoptDocument { number, text, source, by },
     };
-    let news = s.apply_told(&e).map(|a| a.1);
-    quincehatch_store::Change { n: e.number, news: news.expect("it is the next") }
+    let news = s.apply_with_event(&e).map(|a| a.1);
+    quincehatch_store::Change { number: e.number, event: news.expect("it is the next") }
 }
 
 /// What a node does with one change, in milliseconds: a configuration of which a rule changed, and a standing.
 pub fn changed(groups: usize) -> [f64; 2] {
     let mut s = store(groups, 2);
-    let text = Packed::of(s.blueprint().map_or("", |k| &k.text));
-    let mut k = FeedState::of(FeedSnapshot::of(&s, text)).expect("what was packed");
+    let text = PackedText::pack(s.configuration().map_or("", |k| &k.text));
+    let mut k = FeedState::from_snapshot(FeedSnapshot::from_store(&s, text)).expect("what was packed");
     let had = quincehatch_node::feed::plan_of(&k, &Plan::default());
     let c = adopt(&mut s, groups, 9);
     let (adopted, plan) = cost(|| {
@@ -137,7 +137,7 @@
         quincehatch_node::feed::plan_of(&k, &had)
     });
     let news = quincehatch_store::FeedEvent::RegisterServer { at: standing(1, 9_999) };
-    let c = quincehatch_store::Change { n: k.n + 1, news };
+    let c = quincehatch_store::Change { number: k.last_change + 1, event: news };
     let (stood, _) = cost(|| {
         assert!(k.apply(&c));
         quincehatch_node::feed::plan_of(&k, &plan)
@@ -153,12 +153,12 @@
     let node = quincehatch_proxy::Node::new(
         set,
         Box::new(quincehatch_proxy::alone::Alone::default()),
-        quincehatch_runtime::rt::Spawner::here(),
+        quincehatch_runtime::seam::Spawner::current(),
     );
     for i in 0..n {
         let at = standing(i, 1);
-        let labels = [("group".into(), at.group.clone()), ("district".into(), at.district.clone())].into();
-        let beat = quincehatch_core::Beat {
+        let labels = [("group".into(), at.group.clone()), ("district".into(), at.zone.clone())].into();
+        let beat = quincehatch_core::ServerHeartbeat {
             server: at.server,
             addr: at.addr,
             seq: 1,
--- a/crates/capacity/src/port.rs
+++ b/crates/capacity/src/port.rs
@@ -1,8 +1,8 @@
 //! Servers that answer at once and take no work: what a hollow node meets over its ports (§3.6).
 use bytes::Bytes;
-use quincehatch_core::{Fence, Name, Position, Role};
+use quincehatch_core::{FencingToken, Name, Position, Role};
 use quincehatch_proxy::port::{Call, Line, Look, Opened, Ports, Promoted, Promoter, Said, Servers};
-use quincehatch_runtime::rt::Fut;
+use quincehatch_runtime::seam::BoxFuture;
 use quincehatch_wire::http::Watch;
 use std::io;
 use std::sync::Arc;
@@ -24,17 +24,17 @@
 }
 
 impl Servers for Hollow {
-    fn open(&self, _: Name, _: Name, server: Name, _: Watch) -> Fut<'static, io::Result<Opened>> {
+    fn open(&self, _: Name, _: Name, server: Name, _: Watch) -> BoxFuture<'static, io::Result<Opened>> {
         let l = Link { asked: self.0.clone(), leads: server.ends_with("-0") };
         Box::pin(async move { Ok(Ok((Box::new(l) as Box<dyn Line>, None))) })
     }
 }
 
 impl Line for Link {
-    fn ask<'a>(&'a mut self, _: &'a Call) -> Fut<'a, io::Result<Said>> {
+    fn ask<'a>(&'a mut self, _: &'a Call) -> BoxFuture<'a, io::Result<Said>> {
         self.asked.fetch_add(1, Ordering::Relaxed);
         let role = if self.leads { Role::Primary } else { Role::Replica };
-        let received = Position { fence: 1, n: 1 };
+        let received = Position { fence: 1, number: 1 };
         let look = Some(Look { role, term: 1, received, ..Look::default() });
         let stamp = Some(Bytes::from_static(b"1.1"));
         Box::pin(async move { Ok(Said { look, stamp, end: Some(received), ..Said::default() }) })
@@ -45,7 +45,7 @@
 }
 
 impl Promoter for Hollow {
-    fn promote(&self, _: Name, _: Name, _: Name, _: Fence) -> Fut<'static, Promoted> {
+    fn promote(&self, _: Name, _: Name, _: Name, _: FencingToken) -> BoxFuture<'static, Promoted> {
         Box::pin(async { Promoted::Declined })
     }
 }
--- a/crates/capacity/src/sessions.rs
+++ b/crates/capacity/src/sessions.rs
@@ -3,7 +3,7 @@
 use super::{blueprint, resident_kib, settings, used_ms};
 use bytes::{Bytes, BytesMut};
 use quincehatch_config::blueprint::Blueprint;
-use quincehatch_core::{Beat, Lead};
+use quincehatch_core::{ServerHeartbeat, PrimaryAssignment};
 use quincehatch_proxy::Node;
 use quincehatch_proxy::alone::Alone;
 use quincehatch_proxy::board::Plan;
@@ -17,13 +17,13 @@
 
 fn held() -> Arc<Held> {
     let set = settings(0, "127.0.0.1:1".into(), vec![], vec!["127.0.0.1:1".into()]);
-    let node = Node::new(set, Box::new(Alone::default()), quincehatch_runtime::rt::Spawner::here());
+    let node = Node::new(set, Box::new(Alone::default()), quincehatch_runtime::seam::Spawner::current());
     for k in 0..3 {
         let at = super::standing(k, 1);
-        let labels = [("group".into(), at.group), ("district".into(), at.district)].into();
-        node.board.beat(Beat { server: at.server, seq: 1, labels, role: at.role, ..Default::default() });
+        let labels = [("group".into(), at.group), ("district".into(), at.zone)].into();
+        node.board.beat(ServerHeartbeat { server: at.server, seq: 1, labels, role: at.role, ..Default::default() });
     }
-    let lead = Lead { fence: 1, server: Some("s0000-0".into()), ..Default::default() };
+    let lead = PrimaryAssignment { fence: 1, server: Some("s0000-0".into()), ..Default::default() };
     let blueprint = Blueprint::read(&blueprint(1, 0)).ok().map(Arc::new);
     let by_db = Arc::new([("db0000".into(), 0)].into());
     node.board.set_plan(Plan { n: 1, version: 1, blueprint, leads: [("g0000".into(), lead)].into(), by_db });
--- a/crates/capacity/src/tail.rs
+++ b/crates/capacity/src/tail.rs
@@ -132,8 +132,8 @@
                 let Output::Reply(token, rep) = o else { continue };
                 let Some(n) = of.remove(&token) else { continue };
                 let top = match &rep {
-                    Reply::Changes { changes, .. } => changes.last().map_or(0, |e| e.n),
-                    Reply::Snapshot { snapshot, .. } => snapshot.n,
+                    Reply::Changes { changes, .. } => changes.last().map_or(0, |e| e.number),
+                    Reply::Snapshot { snapshot, .. } => snapshot.last_change,
                     _ => 0,
                 };
                 let len = borsh::to_vec(&KeeperResponse::Reply { reply: rep }).map_or(0, |b| b.len() + 4);
@@ -162,7 +162,7 @@
     };
     adopt(&mut k, t, 1);
     for (i, node) in all.into_iter().enumerate() {
-        let (addr, have) = ("127.0.0.1:20000".into(), k.store.n);
+        let (addr, have) = ("127.0.0.1:20000".into(), k.store.last_change);
         let ask = Request::Feed { node, addr, last_change: have, applied: 1, enrolled: enrolled[i] };
         k.step(t, Input::Request { token: i as u64 + 1, request: ask });
     }
@@ -178,8 +178,8 @@
         Entry { number: n, key: format!("adopt/{n}/{:016x}", 1).into(), command: cmd }
     };
     let mut log = EntryLog::default();
-    (1..=n).for_each(|n| log.push_back(PackedEntry::of(&one(n))));
-    let entries = log.after(0, TRANSFER_MAX_BYTES).unwrap_or_default();
+    (1..=n).for_each(|n| log.push_back(PackedEntry::pack(&one(n))));
+    let entries = log.entries_after(0, TRANSFER_MAX_BYTES).unwrap_or_default();
     let m = PeerMessage::AppendEntries { version: 1, previous_change: 0, entries, last_change: n };
     let before = LENGTH_BYTES + REQUEST_HEADER_BYTES;
     borsh::to_vec(&KeeperRequest::Peer { from: "k0".into(), message: m }).map_or(0, |b| b.len() + before)
--- a/crates/config/src/blueprint.rs
+++ b/crates/config/src/blueprint.rs
@@ -1,5 +1,5 @@
 //! The blueprint: placements, rules, judges, links, holding (§7). Reading is `schematic`'s; whole checks ours.
-use quincehatch_core::{Code, Error, Labels};
+use quincehatch_core::{ErrorCode, Error, Labels};
 use schematic::{Config, ConfigLoader};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -194,7 +194,7 @@
 
     fn read_plain(text: &str) -> Result<Blueprint, Error> {
         let json = text.trim_start().starts_with('{');
-        let invalid = |e: &dyn std::fmt::Display| Code::BlueprintInvalid.because(e);
+        let invalid = |e: &dyn std::fmt::Display| ErrorCode::ConfigurationInvalid.with_detail(e);
         let bp = ConfigLoader::<Blueprint>::new()
             .code(text, if json { "blueprint.json" } else { "blueprint.toml" })
             .and_then(|l| l.load())
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,7 +1,7 @@
 //! Whole checks of a blueprint (§7.3): they refer to nothing but the blueprint itself.
 use crate::blueprint::{Blueprint, Selector};
 use crate::shadow::Earlier;
-use quincehatch_core::{Ms, Name};
+use quincehatch_core::{Millis, Name};
 use std::collections::BTreeSet;
 
 impl Blueprint {
@@ -134,7 +134,7 @@
     }
 }
 
-fn range(w: &mut Vec<String>, at: &str, v: Ms, lo: u64, hi: u64) {
+fn range(w: &mut Vec<String>, at: &str, v: Millis, lo: u64, hi: u64) {
     if v < lo || v > hi {
         w.push(format!("{at}: {v} is outside {lo} to {hi}"));
     }
@@ -173,14 +173,14 @@
 #[cfg(test)]
 mod tests {
     use crate::blueprint::Blueprint;
-    use quincehatch_core::Code;
+    use quincehatch_core::ErrorCode;
 
     const GOOD: &str = "[[placements]]\nname=\"p\"\nselect={group=[\"g\"]}\n[[rules]]\nname=\"r\"\n\
                         class=\"order\"\nplacement=\"p\"\n";
 
     fn wrong(text: &str, want: &str) {
         let b = Blueprint::read(text).expect_err("it was taken");
-        assert!(b.is(Code::BlueprintInvalid) && b.text.contains(want), "{b} lacks {want:?}");
+        assert!(b.has_code(ErrorCode::ConfigurationInvalid) && b.text.contains(want), "{b} lacks {want:?}");
     }
 
     #[test]
--- a/crates/config/src/objects.rs
+++ b/crates/config/src/objects.rs
@@ -1,5 +1,5 @@
 //! Kubernetes-style objects as a blueprint (§7.4): a small door to the same reading and checks.
-use quincehatch_core::{Code, Error};
+use quincehatch_core::{ErrorCode, Error};
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value, json};
 
@@ -41,7 +41,7 @@
 }
 
 fn invalid(why: impl std::fmt::Display) -> Error {
-    Code::BlueprintInvalid.because(why)
+    ErrorCode::ConfigurationInvalid.with_detail(why)
 }
 
 /// Does the text look like such objects?
@@ -188,7 +188,7 @@
         ] {
             let b = Blueprint::read(&GOOD.replace(from, to)).expect_err(to);
             assert!(
-                b.is(quincehatch_core::Code::BlueprintInvalid) && b.text.contains(want),
+                b.has_code(quincehatch_core::ErrorCode::ConfigurationInvalid) && b.text.contains(want),
                 "{b} lacks {want:?}"
             );
         }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,5 +1,5 @@
 //! Settings files of the daemons (§8.1): read by `schematic`, every mistake listed before anything serves.
-use quincehatch_core::{Code, Error};
+use quincehatch_core::{ErrorCode, Error};
 use schematic::{Config, ConfigError, ConfigLoader};
 use serde::{Deserialize, Serialize};
 
@@ -67,7 +67,7 @@
 
 /// Reads a TOML settings file of kind `T`.
 pub fn read<T: Config>(path: &str) -> Result<T, Error> {
-    let wrong = |e: String| Code::BadSettings.because(format_args!("{path}: {e}"));
+    let wrong = |e: String| ErrorCode::InvalidSettings.with_detail(format_args!("{path}: {e}"));
     let text = std::fs::read_to_string(path).map_err(|e| wrong(e.to_string()))?;
     ConfigLoader::<T>::new()
         .code(text, "settings.toml")
@@ -83,7 +83,7 @@
 }
 
 fn done(w: Vec<String>) -> Result<(), Error> {
-    if w.is_empty() { Ok(()) } else { Err(Code::BadSettings.because(w.join("; "))) }
+    if w.is_empty() { Ok(()) } else { Err(ErrorCode::InvalidSettings.with_detail(w.join("; "))) }
 }
 
 impl NodeSettings {
--- a/crates/core/src/words.rs
+++ b/crates/core/src/words.rs
@@ -4,47 +4,51 @@
 use std::collections::BTreeMap;
 
 /// Milliseconds on this process's own monotonic clock (§2.2). Never compared across machines.
-pub type Ms = u64;
+pub type Millis = u64;
 /// A fence: rises with every change of hands (§5.4).
-pub type Fence = u64;
+pub type FencingToken = u64;
 /// Version of a blueprint, a view, a session.
 pub type Version = u64;
 /// Number of a change in the feed (§5.2).
-pub type ChangeNo = u64;
+pub type ChangeNumber = u64;
 pub type Name = CompactString;
 pub type Labels = BTreeMap<Name, Name>;
 
 messages! {
     /// A place in a server group's history: the fence it was written under, then its number (§3.2).
     #[derive(Copy, Eq, PartialOrd, Ord, Hash, Default)]
-    pub struct Position { pub fence: Fence, pub n: u64 }
+    pub struct Position {
+        pub fence: FencingToken,
+        #[serde(rename = "n")]
+        pub number: u64,
+    }
 
     #[derive(Copy, Eq, Hash, Default)]
     pub enum Role { Primary, #[default] Replica }
 
     #[derive(Copy, Eq, Hash, Default)]
-    pub enum State { #[default] Up, Leaving, Starting }
+    pub enum ServerState { #[default] Up, #[serde(rename = "Leaving")] Draining, Starting }
 
     /// What a server puts on every reply (§3.1).
     #[derive(Eq, Default)]
-    pub struct Stamp { pub server: Name, pub fence: Fence, pub position: Position, pub role: Role }
+    pub struct Stamp { pub server: Name, pub fence: FencingToken, pub position: Position, pub role: Role }
 
     /// What a server says of itself on its beat (§3.3). `boot` then `seq` is the beat's version.
     #[derive(Eq, Default)]
-    pub struct Beat {
+    pub struct ServerHeartbeat {
         pub server: Name, pub boot: u64, pub seq: u64, pub addr: Name, pub labels: Labels,
-        pub role: Role, pub state: State, pub fence: Fence,
+        pub role: Role, pub state: ServerState, pub fence: FencingToken,
         pub position: Position, pub log_end: Position
     }
 
     /// Who leads a group, as the chain says (§5.5). `None` while hands change.
     #[derive(Eq, Default)]
-    pub struct Lead {
-        pub fence: Fence, pub server: Option<Name>, pub closed: Option<Name>, pub by: Name,
+    pub struct PrimaryAssignment {
+        pub fence: FencingToken, pub server: Option<Name>, pub demoted: Option<Name>, pub assigned_by: Name,
         /// Servers that count towards its commits; the next promotion fences all but one of these (§5.5).
-        pub counts: Vec<Name>,
+        pub voters: Vec<Name>,
         /// Lists from before, which hold beside it until the lead's log is on two of the new one.
-        pub before: Vec<Vec<Name>>
+        pub previous_voters: Vec<Vec<Name>>
     }
 }
 
@@ -53,26 +57,26 @@
     /// number of the beat that told it; one with a lower number changes nothing.
     #[derive(Eq, Default)]
     pub struct ServerRecord {
-        pub server: Name, pub group: Name, pub addr: Name, pub district: Name,
-        pub slots: u32, pub leaving: bool, pub role: Role, pub seq: u64
+        pub server: Name, pub group: Name, pub addr: Name, pub zone: Name,
+        pub slots: u32, pub draining: bool, pub role: Role, pub seq: u64
     }
 }
 
-impl Lead {
+impl PrimaryAssignment {
     /// All lists that hold, the newest last (§5.5).
-    pub fn lists(&self) -> Vec<Vec<Name>> {
-        self.before.iter().chain(Some(&self.counts)).filter(|l| !l.is_empty()).cloned().collect()
+    pub fn voter_sets(&self) -> Vec<Vec<Name>> {
+        self.previous_voters.iter().chain(Some(&self.voters)).filter(|l| !l.is_empty()).cloned().collect()
     }
 }
 
-impl Beat {
+impl ServerHeartbeat {
     pub fn version(&self) -> (u64, u64) {
         (self.boot, self.seq)
     }
     pub fn group(&self) -> &str {
         self.labels.get("group").map_or("", |g| g.as_str())
     }
-    pub fn district(&self) -> &str {
+    pub fn zone(&self) -> &str {
         self.labels.get("district").map_or("", |g| g.as_str())
     }
 }
--- a/crates/ctl/src/call.rs
+++ b/crates/ctl/src/call.rs
@@ -1,12 +1,12 @@
 //! One call to a node's desk.
 use crate::args::Args;
-use quincehatch_core::{Code, Error};
+use quincehatch_core::{ErrorCode, Error};
 use quincehatch_wire::http::{Call, once};
 use serde_json::Value;
 use std::time::Duration;
 
 pub fn ask(a: &Args) -> Result<Value, Error> {
-    let gone = |e: std::io::Error| Code::Unreachable.because(format_args!("{}: {e}", a.node));
+    let gone = |e: std::io::Error| ErrorCode::Unreachable.with_detail(format_args!("{}: {e}", a.node));
     let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(gone)?;
     let path = format!("/op/{}", a.cmd);
     let call = Call { method: "POST", path: &path, body: &a.body, token: Some(&a.token) };
@@ -16,6 +16,6 @@
     }
     let code = v["error"]["code"].as_u64().unwrap_or(0) as u16;
     let text = v["error"]["text"].as_str().unwrap_or("the node gave no reason").into();
-    let bare = Code::from_number(code).unwrap_or(Code::Unreachable).bare();
+    let bare = ErrorCode::from_number(code).unwrap_or(ErrorCode::Unreachable).without_detail();
     Err(Error { code, text, ..bare })
 }
--- a/crates/failover/src/promotion.rs
+++ b/crates/failover/src/promotion.rs
@@ -1,34 +1,34 @@
 //! Promotion of one group under one fence (§5.5). Sans-IO: the same steps run in a node and in the simulator.
 pub use crate::words::{In, Out, Phase, Plan};
-use quincehatch_core::{Fence, Lead, Ms, Name, Position};
+use quincehatch_core::{FencingToken, PrimaryAssignment, Millis, Name, Position};
 use std::collections::{BTreeMap, BTreeSet};
 
 mod synced;
 
 /// A promotion that has not come to its end by then is begun anew under a higher fence.
-pub const MOST: Ms = 15_000;
+pub const MOST: Millis = 15_000;
 /// Between two askings of the same thing.
-const AGAIN: Ms = 300;
+const AGAIN: Millis = 300;
 /// Between two countings of what is under way.
-const COUNT: Ms = 20;
+const COUNT: Millis = 20;
 /// A planned hand-over waits for open transactions at most so long.
-pub const DRAIN: Ms = 1_500;
+pub const DRAIN: Millis = 1_500;
 
 /// The old primary counts towards a majority only after so long without one.
-const OTHERS_FIRST: Ms = 1_000;
+const OTHERS_FIRST: Millis = 1_000;
 /// Without a majority of the group's servers fenced by then the promotion is given up.
-const FENCE_FOR: Ms = 4_000;
+const FENCE_FOR: Millis = 4_000;
 /// A chosen server is asked this long to take the lead.
-const PROMOTE_FOR: Ms = 1_500;
+const PROMOTE_FOR: Millis = 1_500;
 
 #[derive(Clone, Debug)]
 pub struct Promotion {
     pub plan: Plan,
     pub phase: Phase,
-    pub fence: Fence,
-    began: Ms,
-    since: Ms,
-    asked: Ms,
+    pub fence: FencingToken,
+    began: Millis,
+    since: Millis,
+    asked: Millis,
     fenced: BTreeMap<Name, Position>,
     chosen: Option<Name>,
     /// The end of what nodes passed on as acknowledged, once all told.
@@ -39,7 +39,7 @@
 }
 
 impl Promotion {
-    pub fn new(now: Ms, plan: Plan) -> (Self, Vec<Out>) {
+    pub fn new(now: Millis, plan: Plan) -> (Self, Vec<Out>) {
         let mut p = Self {
             plan,
             phase: Phase::Taking,
@@ -64,7 +64,7 @@
     fn say(&mut self, s: &str) {
         self.out.push(Out::Say(format!("promotion in {} under fence {} {s}", self.plan.group, self.fence)));
     }
-    fn turn(&mut self, now: Ms, to: Phase) {
+    fn turn(&mut self, now: Millis, to: Phase) {
         self.phase = to;
         self.since = now;
         self.asked = 0;
@@ -75,14 +75,14 @@
         format!("{}/{what}", self.plan.attempt).into()
     }
     /// What is written of the lead in this phase; which lists hold beside `counts` the chain knows itself (§5.5).
-    fn lead(&self) -> Lead {
+    fn lead(&self) -> PrimaryAssignment {
         let (server, counts) = match self.phase {
             Phase::Naming => (self.chosen.clone(), self.counts()),
             Phase::Listing => (None, self.counts()),
             _ => (None, vec![]),
         };
         let (closed, by) = (self.plan.old.clone(), self.plan.by.clone());
-        Lead { fence: self.fence, server, closed, by, counts, before: vec![] }
+        PrimaryAssignment { fence: self.fence, server, demoted: closed, assigned_by: by, voters: counts, previous_voters: vec![] }
     }
     /// Whoever is chosen counts itself.
     fn counts(&self) -> Vec<Name> {
@@ -91,7 +91,7 @@
     }
 
     /// What the present phase asks for, again and again until it is had.
-    fn ask(&mut self, now: Ms) {
+    fn ask(&mut self, now: Millis) {
         let again = if self.phase == Phase::Draining { COUNT } else { AGAIN };
         if self.asked != 0 && now < self.asked + again {
             return;
@@ -132,7 +132,7 @@
         }
     }
 
-    pub fn step(&mut self, now: Ms, i: In) -> Vec<Out> {
+    pub fn step(&mut self, now: Millis, i: In) -> Vec<Out> {
         if self.over() {
             return Vec::new();
         }
@@ -147,7 +147,7 @@
                 self.turn(now, Phase::Closing);
             }
             (Phase::Closing, In::Closed(lead)) => {
-                self.lists = lead.lists();
+                self.lists = lead.voter_sets();
                 let next = if self.plan.planned { Phase::Draining } else { Phase::Fencing };
                 // Held links' servers may be let go by whoever gave up before: what counts is seen under the close.
                 if self.plan.sync.is_some() {
@@ -197,7 +197,7 @@
     /// The highest log among all but one of every list holds every acknowledged commit, as each of those is on two of
     /// one of them (§5.5). The old primary is chosen only if there are not enough without it: it broke down, or it is
     /// to be relieved, and its log may well be the longest.
-    fn choose(&mut self, now: Ms) {
+    fn choose(&mut self, now: Millis) {
         if self.plan.sync.is_some() {
             return self.choose_synced(now);
         }
@@ -223,15 +223,15 @@
             return;
         }
         let ends = may.iter().map(|(_, p)| **p);
-        let top = if quincehatch_runtime::rt::broken("short-log") { ends.min() } else { ends.max() }
+        let top = if quincehatch_runtime::seam::injected_bug("short-log") { ends.min() } else { ends.max() }
             .unwrap_or_default();
         let best: Vec<Name> = may.iter().filter(|(_, p)| **p == top).map(|(n, _)| (*n).clone()).collect();
         let wanted = self.plan.want.as_ref().filter(|w| best.contains(w));
         self.chosen = wanted.or(best.first()).cloned();
         let s = self.chosen.clone().unwrap_or_default();
-        self.say(&format!("chose {s} at {}.{} of {} fenced", top.fence, top.n, self.fenced.len()));
+        self.say(&format!("chose {s} at {}.{} of {} fenced", top.fence, top.number, self.fenced.len()));
         // The server is told of no list that the chain does not have (§5.5).
-        let listed = self.lists.last() == Some(&self.counts()) || quincehatch_runtime::rt::broken("unlisted");
+        let listed = self.lists.last() == Some(&self.counts()) || quincehatch_runtime::seam::injected_bug("unlisted");
         self.turn(now, if listed { Phase::Promoting } else { Phase::Listing });
     }
 }
--- a/crates/failover/src/promotion/synced.rs
+++ b/crates/failover/src/promotion/synced.rs
@@ -1,10 +1,10 @@
 //! The choosing step where commits go by receiving replicas (§5.5).
 use super::{Phase, Promotion};
 use crate::sync::{Case, WAIT};
-use quincehatch_core::Ms;
+use quincehatch_core::Millis;
 
 impl Promotion {
-    pub(super) fn choose_synced(&mut self, now: Ms) {
+    pub(super) fn choose_synced(&mut self, now: Millis) {
         let Some(group) = self.plan.sync.clone() else { return };
         let case = Case {
             group: &group,
@@ -19,11 +19,11 @@
         if poor && now < self.since + OTHERS && self.fenced.len() < self.plan.servers.len() {
             return;
         }
-        self.say(&format!("chose {server} at {}.{}, {} stand still", end.fence, end.n, self.fenced.len()));
+        self.say(&format!("chose {server} at {}.{}, {} stand still", end.fence, end.number, self.fenced.len()));
         self.chosen = Some(server);
         self.turn(now, Phase::Promoting);
     }
 }
 
 /// A better one than the old lead or one that leaves is waited for so long.
-const OTHERS: Ms = 800;
+const OTHERS: Millis = 800;
--- a/crates/failover/src/sync.rs
+++ b/crates/failover/src/sync.rs
@@ -12,23 +12,23 @@
 //! Otherwise nobody is promoted. Without sync replicas nothing is known of any log but the old lead's own: the highest
 //! that can be had is taken after a while.
 use crate::watch::{Need, Sight};
-use quincehatch_core::{Fence, Ms, Name, Position};
+use quincehatch_core::{FencingToken, Millis, Name, Position};
 use std::collections::BTreeMap;
 
 /// The lead's STATUS unanswered this long is a silence.
-pub const SILENT: Ms = 500;
+pub const SILENT: Millis = 500;
 /// ... and where nobody listens.
-pub const DECLINED: Ms = 300;
-pub const STALLED: Ms = 1_500;
-pub const WRONG: Ms = 600;
+pub const DECLINED: Millis = 300;
+pub const STALLED: Millis = 1_500;
+pub const WRONG: Millis = 600;
 /// No replica that answers has received, for so long, what the lead had then: it is cut off from them.
-pub const CUT: Ms = 2_000;
+pub const CUT: Millis = 2_000;
 /// A change of hands that another began stands still this long.
-pub const STUCK: Ms = 4_000;
+pub const STUCK: Millis = 4_000;
 /// Without sync replicas the highest log is taken after so long.
-pub const WAIT: Ms = 1_500;
+pub const WAIT: Millis = 1_500;
 /// A planned hand-over waits for open work, and for a replica that has all, at most so long.
-pub const DRAIN: Ms = 600;
+pub const DRAIN: Millis = 600;
 
 /// How a group's commits go, and which servers may hold them.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -40,7 +40,7 @@
     /// Servers that are about to end: promoted only where no other may be.
     pub leaving: Vec<Name>,
     /// The fence of the lead under which nodes' words were last gathered.
-    pub lead: Option<Fence>,
+    pub lead: Option<FencingToken>,
 }
 
 /// What is known at the time of choosing.
@@ -60,7 +60,7 @@
     /// The end that holds all that was acknowledged, if any is known to.
     pub fn reach(&self) -> Option<Position> {
         let Group { n, holders, .. } = self.group;
-        if quincehatch_runtime::rt::broken("sync-any") {
+        if quincehatch_runtime::seam::injected_bug("sync-any") {
             return Some(Position::default());
         }
         let by_old = self.old.and_then(|o| self.still.get(o)).copied();
@@ -92,13 +92,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Mark {
     end: Position,
-    at: Ms,
+    at: Millis,
 }
 
 impl Mark {
     /// Takes when the lead and the others were last asked, and what they had received: for how long none got the mark,
     /// as seen from a replica that was asked since.
-    pub fn behind(&mut self, lead: (Ms, Position), others: &[(Ms, Position)]) -> Ms {
+    pub fn behind(&mut self, lead: (Millis, Position), others: &[(Millis, Position)]) -> Millis {
         if self.at == 0 || lead.1 < self.end || others.iter().any(|(_, got)| *got >= self.end) {
             *self = Mark { at: lead.0, end: lead.1 };
         }
@@ -115,7 +115,7 @@
 /// What a group needs whose lead the chain names; `heir`: a server that stays could take over in order.
 pub fn need(s: &Sight, heir: bool) -> Need {
     let Some(lead) = &s.lead else { return Need::Nothing };
-    let over = |ms: Option<Ms>, most| ms.is_some_and(|ms| ms >= most);
+    let over = |ms: Option<Millis>, most| ms.is_some_and(|ms| ms >= most);
     match &lead.server {
         _ if s.others_turn() => Need::Nothing,
         None if s.lead_for >= STUCK => Need::Now { planned: false },
--- a/crates/failover/src/watch.rs
+++ b/crates/failover/src/watch.rs
@@ -1,39 +1,39 @@
 //! When a group needs a promotion (§5.5): the wanted state against what is seen. Sans-IO.
-use quincehatch_core::{Lead, Ms, Name};
+use quincehatch_core::{PrimaryAssignment, Millis, Name};
 
 /// STATUS unanswered this long, and others see the same: the breakdown is final.
-pub const SILENT: Ms = 2_500;
+pub const SILENT: Millis = 2_500;
 /// Nobody listens at the server's address this long.
-pub const DECLINED: Ms = 1_000;
+pub const DECLINED: Millis = 1_000;
 /// A stall that lasts this long is no hiccup of a disk.
-pub const STALLED: Ms = 1_500;
+pub const STALLED: Millis = 1_500;
 /// The named server does not lead this long.
-pub const WRONG: Ms = 1_500;
+pub const WRONG: Millis = 1_500;
 /// A change of hands that another began stands still this long.
-pub const STUCK: Ms = 4_000;
+pub const STUCK: Millis = 4_000;
 
 /// What the duty's owner sees of the group at this moment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sight {
-    pub lead: Option<Lead>,
+    pub lead: Option<PrimaryAssignment>,
     /// How long the lead has stood as it is, as seen here.
-    pub lead_for: Ms,
+    pub lead_for: Millis,
     /// A fence above the lead's was taken so long ago, by another node's promotion that wrote nothing since.
-    pub begun: Option<Ms>,
+    pub begun: Option<Millis>,
     /// Servers of the group known here.
     pub servers: Vec<Name>,
     pub copies: usize,
     /// STATUS of the lead's server has failed so long.
-    pub failing: Option<Ms>,
+    pub failing: Option<Millis>,
     /// ... and nobody listened there.
     pub declined: bool,
     /// The lead has stalled for so long, as judged here or told by another.
-    pub stalled: Option<Ms>,
+    pub stalled: Option<Millis>,
     /// The lead's server says of itself that it does not lead under this fence, for so long.
-    pub wrong: Option<Ms>,
+    pub wrong: Option<Millis>,
     pub leaving: bool,
     /// For so long a server has been there that does not count, or one that counts has gone in order.
-    pub strange: Option<Ms>,
+    pub strange: Option<Millis>,
     /// An operator asked for a hand-over.
     pub asked: Option<Option<Name>>,
 }
@@ -99,16 +99,16 @@
 }
 
 /// A change among a group's servers is taken up after so long.
-pub const STRANGE: Ms = 1_500;
+pub const STRANGE: Millis = 1_500;
 /// A server that said it leaves and has not answered for so long has gone in order.
-pub const GONE: Ms = 2_500;
+pub const GONE: Millis = 2_500;
 
 /// How a server looks to whoever looks after its group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Seen {
     pub name: Name,
     pub leaving: bool,
-    pub failing: Option<Ms>,
+    pub failing: Option<Millis>,
 }
 
 impl Seen {
@@ -168,7 +168,7 @@
     use super::*;
 
     fn led() -> Sight {
-        let lead = Lead { fence: 1, server: Some("a".into()), ..Default::default() };
+        let lead = PrimaryAssignment { fence: 1, server: Some("a".into()), ..Default::default() };
         let servers = vec!["a".into(), "b".into(), "c".into()];
         Sight { lead: Some(lead), servers, copies: 3, ..Default::default() }
     }
--- a/crates/failover/src/words.rs
+++ b/crates/failover/src/words.rs
@@ -1,5 +1,5 @@
 //! What goes into a promotion's steps and what comes out of them (§5.5).
-use quincehatch_core::{Fence, Lead, Name, Position, messages};
+use quincehatch_core::{FencingToken, PrimaryAssignment, Name, Position, messages};
 
 messages! {
     #[derive(Copy, Eq)]
@@ -10,9 +10,9 @@
 pub enum In {
     Tick,
     /// The chain gave a fence.
-    Fence(Fence),
+    Fence(FencingToken),
     /// The close is in force at every node: the entry as the chain has it, with the lists that hold.
-    Closed(Lead),
+    Closed(PrimaryAssignment),
     /// A server declines lower fences now; its log ends there.
     Fenced(Name, Position),
     /// The list that the chosen server is to count on stands in the chain.
@@ -36,15 +36,15 @@
     },
     SetLead {
         key: Name,
-        lead: Lead,
+        lead: PrimaryAssignment,
     },
     FenceServer {
         server: Name,
-        fence: Fence,
+        fence: FencingToken,
     },
     Promote {
         server: Name,
-        fence: Fence,
+        fence: FencingToken,
         counts: Vec<Name>,
     },
     /// Ask every node what is under way there.
@@ -62,9 +62,9 @@
     /// Tells this attempt's writes from any other's.
     pub attempt: Name,
     /// The lead, or the close, that this is planned for.
-    pub lead: Option<Lead>,
+    pub lead: Option<PrimaryAssignment>,
     /// The newest fence of the group's duty at that moment.
-    pub over: Fence,
+    pub over: FencingToken,
     pub old: Option<Name>,
     /// All servers of the group, the old primary too.
     pub servers: Vec<Name>,
--- a/crates/failover/tests/promotion.rs
+++ b/crates/failover/tests/promotion.rs
@@ -1,5 +1,5 @@
 //! A promotion's steps: what it writes before it tells a server anything, and of whom it chooses (§5.5).
-use quincehatch_core::{Lead, Name, Position};
+use quincehatch_core::{PrimaryAssignment, Name, Position};
 use quincehatch_failover::promotion::{In, Out, Phase, Plan, Promotion};
 
 fn names(of: &str) -> Vec<Name> {
@@ -24,10 +24,10 @@
 fn closed(lists: &[&str]) -> In {
     let (last, before) = lists.split_last().unwrap();
     let before = before.iter().map(|l| names(l)).collect();
-    In::Closed(Lead { fence: 2, counts: names(last), before, ..Default::default() })
+    In::Closed(PrimaryAssignment { fence: 2, voters: names(last), previous_voters: before, ..Default::default() })
 }
 fn fenced(s: &str, n: u64) -> In {
-    In::Fenced(s.into(), Position { fence: 1, n })
+    In::Fenced(s.into(), Position { fence: 1, number: n })
 }
 fn begun(servers: &str, counts: &str, lists: &[&str]) -> Promotion {
     let mut p = Promotion::new(1, plan(servers, counts)).0;
@@ -47,7 +47,7 @@
         Out::SetLead { lead, .. } => Some(lead.clone()),
         _ => None,
     });
-    assert_eq!(list.map(|l| (l.server, l.counts)), Some((None, names("abd"))));
+    assert_eq!(list.map(|l| (l.server, l.voters)), Some((None, names("abd"))));
     let outs = p.step(1, In::Listed);
     let told = outs.iter().find_map(|o| match o {
         Out::Promote { server, counts, .. } => Some((server.clone(), counts.clone())),
--- a/crates/failover/tests/sync.rs
+++ b/crates/failover/tests/sync.rs
@@ -1,11 +1,11 @@
 //! Whom to promote by receiving replicas (§5.5), over every small case, against what could have been acknowledged.
-use quincehatch_core::{Lead, Name, Position};
+use quincehatch_core::{PrimaryAssignment, Name, Position};
 use quincehatch_failover::sync::{Case, Group, Mark, dead, need};
 use quincehatch_failover::watch::{Need, Sight};
 use std::collections::BTreeMap;
 
 fn at(n: u64) -> Position {
-    Position { fence: 1, n }
+    Position { fence: 1, number: n }
 }
 fn names(n: usize) -> Vec<Name> {
     (0..n).map(|i| format!("r{i}").into()).collect()
@@ -150,7 +150,7 @@
 #[test]
 fn a_log_of_a_newer_term_is_the_higher_one() {
     let group = Group { n: 1, holders: names(2), ..Default::default() };
-    let newer = Position { fence: 2, n: 3 };
+    let newer = Position { fence: 2, number: 3 };
     let still: BTreeMap<Name, Position> = [("r0".into(), at(9)), ("r1".into(), newer)].into();
     let case = Case { group: &group, still: &still, old: None, acked: None, waited: false };
     assert_eq!(case.choose(None), Some(("r1".into(), newer)));
@@ -167,7 +167,7 @@
 
 #[test]
 fn a_silence_is_confirmed_by_others_and_a_leaving_lead_waits_for_an_heir() {
-    let lead = Lead { fence: 1, server: Some("a".into()), ..Default::default() };
+    let lead = PrimaryAssignment { fence: 1, server: Some("a".into()), ..Default::default() };
     let well = Sight { lead: Some(lead), ..Default::default() };
     assert_eq!(need(&well, true), Need::Nothing);
     let silent = Sight { failing: Some(500), ..well.clone() };
@@ -177,7 +177,7 @@
     let leaves = Sight { leaving: true, ..well.clone() };
     assert_eq!(need(&leaves, true), Need::Now { planned: true });
     assert_eq!(need(&leaves, false), Need::Nothing);
-    let closed = Sight { lead: Some(Lead::default()), lead_for: 3_999, ..well };
+    let closed = Sight { lead: Some(PrimaryAssignment::default()), lead_for: 3_999, ..well };
     assert_eq!(need(&closed, true), Need::Nothing);
     assert_eq!(need(&Sight { lead_for: 4_000, ..closed }, true), Need::Now { planned: false });
 }
--- a/crates/failover/tests/watch.rs
+++ b/crates/failover/tests/watch.rs
@@ -1,10 +1,10 @@
 //! When a node waits for another's change of hands (§5.5): two nodes may look after one group for a while.
-use quincehatch_core::Lead;
+use quincehatch_core::PrimaryAssignment;
 use quincehatch_failover::watch::{Need, SILENT, STUCK, Sight, need};
 use quincehatch_failover::{sync, watch};
 
 fn silent_lead() -> Sight {
-    let lead = Lead { fence: 3, server: Some("a".into()), ..Default::default() };
+    let lead = PrimaryAssignment { fence: 3, server: Some("a".into()), ..Default::default() };
     let servers = vec!["a".into(), "b".into(), "c".into()];
     Sight { lead: Some(lead), servers, copies: 3, failing: Some(SILENT), ..Default::default() }
 }
--- a/crates/gossip/src/copies.rs
+++ b/crates/gossip/src/copies.rs
@@ -1,18 +1,18 @@
 //! Copies of session contexts, compared by digests over ranges and mended from the newer (§6.4). Sans-IO.
 use crate::duty::owners;
-use quincehatch_core::{Ms, Name, Version, hash64};
+use quincehatch_core::{Millis, Name, Version, hash64};
 use quincehatch_proxy::session::Context;
 use std::collections::BTreeMap;
 
 pub const RANGES: usize = 16;
 /// A closed session is remembered so long, so that an old copy does not bring it back.
-const CLOSED_FOR: Ms = 120_000;
+const CLOSED_FOR: Millis = 120_000;
 /// Copies a node keeps at most; beyond it new sessions are declined.
 pub const MOST: usize = 100_000;
 
 #[derive(Debug, Default)]
 pub struct Table {
-    held: BTreeMap<Name, (Context, Ms)>,
+    held: BTreeMap<Name, (Context, Millis)>,
 }
 
 pub fn range_of(id: &str) -> u8 {
@@ -21,7 +21,7 @@
 
 impl Table {
     /// Takes a copy if it is the newer. False when there is no room.
-    pub fn put(&mut self, now: Ms, c: Context) -> bool {
+    pub fn put(&mut self, now: Millis, c: Context) -> bool {
         let had = self.held.get(&c.id).map(|(h, _)| h.version);
         if had.is_none() && self.held.len() >= MOST {
             return false;
@@ -43,7 +43,7 @@
     pub fn all(&self) -> Vec<Context> {
         self.held.values().map(|(c, _)| c.clone()).collect()
     }
-    pub fn forget_closed(&mut self, now: Ms) {
+    pub fn forget_closed(&mut self, now: Millis) {
         self.held.retain(|_, (c, at)| !c.closed || now < *at + CLOSED_FOR);
     }
     /// Drops a copy this node no longer owes anyone.
--- a/crates/gossip/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -2,7 +2,7 @@
 //! Sans-IO.
 use crate::messages::{GossipEnvelope, GossipMessage, Life, Rumor};
 use crate::probe::Relay;
-use quincehatch_core::{Beat, Ms, Name};
+use quincehatch_core::{ServerHeartbeat, Millis, Name};
 use quincehatch_runtime::rng::Rng;
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 const NODES: usize = 1_024;
 /// Peers in a partial view.
 pub const VIEW: usize = 6;
-const PROBE: Ms = 250;
-pub(crate) const INDIRECT_WITHIN: Ms = 350;
-const SHUFFLE: Ms = 1_000;
-const BEATS: Ms = 200;
+const PROBE: Millis = 250;
+pub(crate) const INDIRECT_WITHIN: Millis = 350;
+const SHUFFLE: Millis = 1_000;
+const BEATS: Millis = 200;
 /// How often a rumor is passed on, and how many ride on one letter.
 const TOLD: u32 = 6;
 const RIDERS: usize = 12;
@@ -23,14 +23,14 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Known {
     pub r: Rumor,
-    pub since: Ms,
+    pub since: Millis,
     pub told: u32,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Probe {
     pub target: Name,
-    pub until: Ms,
+    pub until: Millis,
     pub indirect: bool,
 }
 
@@ -38,7 +38,7 @@
 pub enum Out {
     Send(Name, GossipEnvelope),
     /// Beats that came over the mesh.
-    Beats(Vec<Beat>),
+    Beats(Vec<ServerHeartbeat>),
     Turned(Name, Life),
 }
 
@@ -52,14 +52,14 @@
     /// Asked on behalf of others, by my number.
     pub(crate) relays: BTreeMap<u64, Relay>,
     pub(crate) seq: u64,
-    next: [Ms; 3],
-    pub(crate) news: BTreeMap<Name, (Beat, u32)>,
+    next: [Millis; 3],
+    pub(crate) news: BTreeMap<Name, (ServerHeartbeat, u32)>,
     pub(crate) out: Vec<Out>,
     pub sent: u64,
 }
 
 impl Mesh {
-    pub fn new(me: Rumor, seeds: Vec<Name>, seed: u64, now: Ms) -> Self {
+    pub fn new(me: Rumor, seeds: Vec<Name>, seed: u64, now: Millis) -> Self {
         let seeds = seeds.into_iter().filter(|s| *s != me.addr).collect();
         let rng = Rng::new(seed);
         Self {
@@ -121,14 +121,14 @@
     }
 
     /// A beat learned here is spread on.
-    pub fn spread(&mut self, b: Beat) {
+    pub fn spread(&mut self, b: ServerHeartbeat) {
         let newer = self.news.get(&b.server).is_none_or(|(o, _)| o.version() < b.version());
         if newer {
             self.news.insert(b.server.clone(), (b, 0));
         }
     }
 
-    pub fn take(&mut self, now: Ms, l: GossipEnvelope) -> Vec<Out> {
+    pub fn take(&mut self, now: Millis, l: GossipEnvelope) -> Vec<Out> {
         let from = l.from.clone();
         self.hear(now, l.from, true);
         l.rumors.into_iter().for_each(|r| self.hear(now, r, false));
@@ -154,7 +154,7 @@
     }
 
     /// A node that speaks is alive whatever is said of it; a rumor about me that is grave is refuted.
-    fn hear(&mut self, now: Ms, r: Rumor, itself: bool) {
+    fn hear(&mut self, now: Millis, r: Rumor, itself: bool) {
         if r.name == self.me.name {
             // Also of an earlier life that began by a wall clock since stepped back.
             let outranked = r.inc > self.me.inc || (r.life != Life::Alive && r.inc == self.me.inc);
@@ -199,7 +199,7 @@
         half.filter_map(|n| self.known.get(n)).map(|k| k.r.clone()).collect()
     }
 
-    fn swap_in(&mut self, now: Ms, peers: Vec<Rumor>) {
+    fn swap_in(&mut self, now: Millis, peers: Vec<Rumor>) {
         for p in peers {
             let name = p.name.clone();
             self.hear(now, p, false);
@@ -219,7 +219,7 @@
         self.view.push(name);
     }
 
-    pub fn tick(&mut self, now: Ms) -> Vec<Out> {
+    pub fn tick(&mut self, now: Millis) -> Vec<Out> {
         self.expire(now);
         if now >= self.next[0] {
             self.next[0] = now + PROBE;
--- a/crates/gossip/src/messages.rs
+++ b/crates/gossip/src/messages.rs
@@ -1,6 +1,6 @@
 //! Messages between nodes (§6).
 use crate::short;
-use quincehatch_core::{Beat, Fence, Name, Position, Version, messages};
+use quincehatch_core::{ServerHeartbeat, FencingToken, Name, Position, Version, messages};
 use quincehatch_proxy::session::Context;
 
 messages! {
@@ -29,7 +29,7 @@
         Shuffle { peers: Vec<Rumor> },
         Shuffled { peers: Vec<Rumor> },
         /// Servers' beats on their way over the mesh.
-        Beats { beats: Vec<Beat> }
+        Beats { beats: Vec<ServerHeartbeat> }
     }
 
     /// Every message carries its sender and fresh rumors.
@@ -54,7 +54,7 @@
         Acked {
             #[borsh(serialize_with = "short::serialize", deserialize_with = "short::deserialize")]
             group: Name,
-            fence: Fence
+            fence: FencingToken
         }
     }
 
--- a/crates/gossip/src/probe.rs
+++ b/crates/gossip/src/probe.rs
@@ -1,12 +1,12 @@
 //! Asking, suspecting, burying, shuffling, and passing beats on: what the mesh does as time passes (§6.2).
 use crate::member::{INDIRECT_WITHIN, Mesh, NO_PROBE, Out, Probe, VIEW};
 use crate::messages::{GossipEnvelope, GossipMessage, Life, Rumor};
-use quincehatch_core::{Beat, Ms, Name};
+use quincehatch_core::{ServerHeartbeat, Millis, Name};
 
-const PONG_WITHIN: Ms = 250;
-const SUSPECT_FOR: Ms = 1_200;
+const PONG_WITHIN: Millis = 250;
+const SUSPECT_FOR: Millis = 1_200;
 /// A dead node is remembered this long, so that old rumors do not revive it.
-const BURIED: Ms = 60_000;
+const BURIED: Millis = 60_000;
 
 /// A probe for another node.
 #[derive(Clone, Debug)]
@@ -14,11 +14,11 @@
     pub target: Name,
     pub asker_addr: Name,
     pub asker_seq: u64,
-    pub until: Ms,
+    pub until: Millis,
 }
 
 impl Mesh {
-    pub(crate) fn probe(&mut self, now: Ms) {
+    pub(crate) fn probe(&mut self, now: Millis) {
         let all: Vec<Name> =
             self.known.values().filter(|k| k.r.life <= Life::Suspect).map(|k| k.r.name.clone()).collect();
         let Some(target) = self.rng.pick(&all).cloned() else {
@@ -50,7 +50,7 @@
         }
     }
 
-    pub(crate) fn expire(&mut self, now: Ms) {
+    pub(crate) fn expire(&mut self, now: Millis) {
         self.relays.retain(|_, relay| relay.until > now);
         let due: Vec<u64> = self.probes.iter().filter(|(_, p)| p.until <= now).map(|(s, _)| *s).collect();
         for seq in due {
@@ -85,7 +85,7 @@
         self.view.retain(|n| known.get(n).is_some_and(|k| k.r.life <= Life::Suspect));
     }
 
-    pub(crate) fn set_life(&mut self, now: Ms, name: &Name, life: Life) {
+    pub(crate) fn set_life(&mut self, now: Millis, name: &Name, life: Life) {
         if let Some(k) = self.known.get_mut(name).filter(|k| k.r.life < life) {
             k.r.life = life;
             k.since = now;
@@ -131,7 +131,7 @@
 
     pub(crate) fn pass_beats(&mut self) {
         let mut fresh: Vec<_> = self.news.values_mut().filter(|(_, told)| *told < 3).collect();
-        let beats: Vec<Beat> = fresh
+        let beats: Vec<ServerHeartbeat> = fresh
             .iter_mut()
             .take(32)
             .map(|(b, told)| {
--- a/crates/gossip/tests/member.rs
+++ b/crates/gossip/tests/member.rs
@@ -1,15 +1,15 @@
 //! Who is held to be alive comes to the same at every node once all can reach each other (§6.2): duties rest on it.
-use quincehatch_core::{Ms, Name};
+use quincehatch_core::{Millis, Name};
 use quincehatch_gossip::duty::owner;
 use quincehatch_gossip::member::Out;
 use quincehatch_gossip::{GossipEnvelope, Life, Mesh, Rumor};
 use std::collections::{BTreeMap, BTreeSet};
 
-const TICK: Ms = 50;
+const TICK: Millis = 50;
 
 /// Nodes whose letters arrive at once, but for those that are cut off from each other. A node's address is its name.
 struct Net {
-    now: Ms,
+    now: Millis,
     nodes: BTreeMap<Name, Mesh>,
     /// Pairs of which the first does not reach the second.
     cut: BTreeSet<(Name, Name)>,
@@ -27,7 +27,7 @@
         };
         Net { now: 0, nodes: (0..nodes).map(one).collect(), cut: BTreeSet::new(), paused: BTreeSet::new() }
     }
-    fn run(&mut self, ms: Ms) {
+    fn run(&mut self, ms: Millis) {
         let end = self.now + ms;
         while self.now < end {
             self.now += TICK;
--- a/crates/gossip/tests/probes.rs
+++ b/crates/gossip/tests/probes.rs
@@ -1,5 +1,5 @@
 //! An answer to a probe counts for the node that was probed, in this life of the prober (§6.2).
-use quincehatch_core::{Ms, Name};
+use quincehatch_core::{Millis, Name};
 use quincehatch_gossip::member::Out;
 use quincehatch_gossip::{GossipEnvelope, GossipMessage, Life, Mesh, Rumor};
 
@@ -16,7 +16,7 @@
 }
 
 /// Answers each probe of `mesh` as `who` until `end`.
-fn answered_by(mesh: &mut Mesh, who: &Rumor, end: Ms) {
+fn answered_by(mesh: &mut Mesh, who: &Rumor, end: Millis) {
     for now in (0..end).step_by(50) {
         for out in mesh.tick(now) {
             let Out::Send(to, GossipEnvelope { m: GossipMessage::Ping { seq }, .. }) = out else { continue };
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -1,6 +1,6 @@
 //! quincehatch-keeper: a chain keeper, on a machine with a disk (§5).
 use quincehatch_config::settings::{KeeperSettings, read};
-use quincehatch_core::{Code, Error, Name};
+use quincehatch_core::{ErrorCode, Error, Name};
 use quincehatch_runtime::now;
 use quincehatch_store::disk::Disk;
 use quincehatch_store::host::KeeperHost;
@@ -28,7 +28,7 @@
 }
 
 fn bad(e: impl std::fmt::Display) -> Error {
-    Code::BadSettings.because(e)
+    ErrorCode::InvalidSettings.with_detail(e)
 }
 
 fn args() -> Result<Option<Args>, Error> {
@@ -108,13 +108,13 @@
 }
 
 async fn serve(a: &Args, set: &KeeperSettings) -> Result<(), Error> {
-    let _log = quincehatch_runtime::logs::start(&set.log).map_err(bad)?;
+    let _log = quincehatch_runtime::logging::start(&set.log).map_err(bad)?;
     let (disk, found) = Disk::open(std::path::Path::new(&set.data), &set.name, first(a, set))?;
     let lst = tokio::net::TcpListener::bind(&set.addr)
         .await
-        .map_err(|e| Code::PortInUse.because(format_args!("{}: {e}", set.addr)))?;
+        .map_err(|e| ErrorCode::PortInUse.with_detail(format_args!("{}: {e}", set.addr)))?;
     log::info!(target: "chain", "keeper {} listens on {}, view {}, change {}", set.name, set.addr,
-        found.view.version, found.store.n);
+        found.view.version, found.store.last_change);
     let me = Name::from(set.name.as_str());
     let host = KeeperHost::new(found, now(), Box::new(move |state, now| Keeper::new(me.clone(), now, state)));
     let (tx, rx) = tokio::sync::watch::channel(false);
@@ -129,5 +129,5 @@
         let _ = tx.send(true);
         std::future::pending::<()>().await;
     });
-    driver::run(host, disk, lst, rx).await
+    driver::run_keeper(host, disk, lst, rx).await
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -37,7 +37,7 @@
     let done = rt.block_on(async {
         match cmd {
             args::Cmd::Stand(a) => {
-                let _log = quincehatch_runtime::logs::start("info")?;
+                let _log = quincehatch_runtime::logging::start("info")?;
                 stand::run(a).await.map_err(|e| e.to_string())
             }
             args::Cmd::Platform { addr, doors } => {
--- a/crates/node/src/acknowledged.rs
+++ b/crates/node/src/acknowledged.rs
@@ -2,10 +2,10 @@
 //! (§5.5): what a choice by nodes' word rests on.
 use crate::Fleet;
 use crate::server_queries::ask;
-use quincehatch_core::{Fence, Name, Position};
+use quincehatch_core::{FencingToken, Name, Position};
 use quincehatch_gossip::{NodeQuery, NodeReply};
 use quincehatch_proxy::port::Call;
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use quincehatch_store::{Reply, Request};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -20,7 +20,7 @@
 /// that counts has received `end`. `nodes`: the lives that may have acknowledged something since.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settled {
-    pub lead: Fence,
+    pub lead: FencingToken,
     pub end: Position,
     pub nodes: BTreeMap<Name, u64>,
 }
@@ -31,7 +31,7 @@
 
 /// Asks every node that may act, and whether all of them answered. Nothing sent under a lower fence than `fence` is
 /// passed on by those after this.
-async fn tell(f: &Arc<Fleet>, g: &Name, fence: Fence) -> (Told, bool) {
+async fn tell(f: &Arc<Fleet>, g: &Name, fence: FencingToken) -> (Told, bool) {
     let tail = f.chain.tail();
     let mut whole = true;
     let mut nodes: Vec<Name> = f.mesh.live().into_iter().map(|(n, _)| n).collect();
@@ -53,7 +53,7 @@
 
 /// Finds that the group's servers hold all that the lead held a moment ago. Nodes are counted first, so that whoever
 /// acknowledges anything beyond `end` is among them, or began later and is asked when it matters.
-pub async fn settle(f: &Arc<Fleet>, g: &Name, lead: Fence, server: &Name, holders: &[Name]) -> Option<()> {
+pub async fn settle(f: &Arc<Fleet>, g: &Name, lead: FencingToken, server: &Name, holders: &[Name]) -> Option<()> {
     let (nodes, whole) = tell(f, g, 0).await;
     // Where nothing new is settled, whoever came meanwhile is asked too when it matters. One that comes and is gone
     // between two of these goes unseen.
@@ -67,14 +67,14 @@
     }
     let end = ask(f, server, Call::Status).await?.received;
     for i in 0..TIMES {
-        let looks = rt::all(holders.iter().map(|h| ask(f, h, Call::Status))).await;
+        let looks = seam::join_all(holders.iter().map(|h| ask(f, h, Call::Status))).await;
         if looks.iter().all(|l| l.is_some_and(|l| l.received >= end)) {
             let nodes = nodes.into_iter().map(|(n, (_, life))| (n, life)).collect();
             f.duty.settled.lock().unwrap().insert(g.clone(), Settled { lead, end, nodes });
             return Some(());
         }
         if i + 1 < TIMES {
-            rt::sleep(AGAIN).await;
+            seam::sleep(AGAIN).await;
         }
     }
     None
@@ -82,7 +82,7 @@
 
 /// The end of all that nodes passed on as acknowledged under the lead of fence `lead`; none unless every life that may
 /// have done so told. They pass on nothing sent under a lower fence than `fence` any more.
-pub async fn acked(f: &Arc<Fleet>, g: &Name, lead: Fence, fence: Fence) -> Option<Position> {
+pub async fn acked(f: &Arc<Fleet>, g: &Name, lead: FencingToken, fence: FencingToken) -> Option<Position> {
     let s = f.duty.settled.lock().unwrap().get(g).filter(|s| s.lead == lead).cloned()?;
     let (told, whole) = tell(f, g, fence).await;
     reach(&s, &told).filter(|_| whole)
--- a/crates/node/src/args.rs
+++ b/crates/node/src/args.rs
@@ -1,7 +1,7 @@
 //! Flags and settings of quincehatch-node (§8.1). A flag wins over the file.
 use quincehatch_config::settings::{NodeSettings, read as read_file};
-use quincehatch_core::{Code, Error};
-use quincehatch_runtime::logs::Log;
+use quincehatch_core::{ErrorCode, Error};
+use quincehatch_runtime::logging::LogHandle;
 use std::time::{Duration, SystemTime};
 
 pub const HELP: &str = "quincehatch-node: a node of quincehatch
@@ -26,7 +26,7 @@
   -V, --version     the version";
 
 fn bad(e: impl std::fmt::Display) -> Error {
-    Code::BadSettings.because(e)
+    ErrorCode::InvalidSettings.with_detail(e)
 }
 
 /// The settings, or nothing when all that was asked for is said.
@@ -122,7 +122,7 @@
 
 /// Waits for a signal to stop. Meanwhile a changed settings file is checked again: a bad one is reported and
 /// the last good one stays in force; of a good one the log level is taken at once (§8.1).
-pub async fn wait_for_stop(set: &NodeSettings, log: &Log) {
+pub async fn wait_for_stop(set: &NodeSettings, log: &LogHandle) {
     use tokio::signal::unix::{SignalKind, signal};
     let (Ok(mut term), Ok(mut int)) = (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
     else {
--- a/crates/node/src/chain_client.rs
+++ b/crates/node/src/chain_client.rs
@@ -1,9 +1,9 @@
 //! Writes to the chain's head, sent again under the same key until they are answered (§5.2).
-use quincehatch_core::{Code, Error, Name};
+use quincehatch_core::{ErrorCode, Error, Name};
 use quincehatch_runtime::now;
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use quincehatch_store::{
-    Adopted, Answer, Command, KeeperRequest, KeeperResponse, KeeperStatus, Reply, Request, Store, View,
+    AdoptedDocument, Answer, Command, KeeperRequest, KeeperResponse, KeeperStatus, Reply, Request, Store, View,
 };
 use quincehatch_wire::{Caller, Destination, Identity};
 use std::sync::{Arc, Mutex};
@@ -44,7 +44,7 @@
         };
         match self.caller.call(to, &KeeperRequest::Node { request: ask }, within).await? {
             KeeperResponse::Reply { reply } => Ok(reply),
-            KeeperResponse::Delivered => Err(Code::ChainDown.because("an answer that is none")),
+            KeeperResponse::Delivered => Err(ErrorCode::ChainUnavailable.with_detail("an answer that is none")),
         }
     }
     /// The keeper that the view knows at an address.
@@ -91,7 +91,7 @@
             let ask = Request::Write { key: Name::from(key), command: cmd.clone() };
             let left = Duration::from_millis(until.saturating_sub(now()).clamp(1, 9_000));
             // A head that went dark does not even decline: whoever waits on it looks where the head is by now.
-            let got = match rt::first(self.ask(&to, ask, left), self.headed_elsewhere(&to)).await {
+            let got = match seam::select_first(self.ask(&to, ask, left), self.headed_elsewhere(&to)).await {
                 Ok(got) => got,
                 Err(head) => {
                     to = head;
@@ -106,33 +106,33 @@
                     if self.head() == to {
                         self.look().await;
                     }
-                    Code::ChainDown.because("the chain is being mended")
+                    ErrorCode::ChainUnavailable.with_detail("the chain is being mended")
                 }
-                Ok(Reply::Rejected { error: why }) if why.is(Code::BlueprintInvalid) => return Err(why),
+                Ok(Reply::Rejected { error: why }) if why.has_code(ErrorCode::ConfigurationInvalid) => return Err(why),
                 Ok(Reply::Rejected { error: why }) => {
                     // A head whose disk refuses declines at once: others may go on without it by now.
-                    if why.is(Code::ChainDown) {
+                    if why.has_code(ErrorCode::ChainUnavailable) {
                         self.look().await;
                     }
                     why
                 }
-                Ok(_) => Code::ChainDown.because("an answer that is none"),
+                Ok(_) => ErrorCode::ChainUnavailable.with_detail("an answer that is none"),
                 Err(b) => {
                     self.look().await;
                     b
                 }
             };
             if now() + 50 >= until {
-                return Err(why.unknown().retry(500));
+                return Err(why.with_unknown_outcome().with_retry_after(500));
             }
-            rt::sleep(Duration::from_millis(50)).await;
+            seam::sleep(Duration::from_millis(50)).await;
             to = self.head();
         }
     }
     /// Ends once some keeper knows of a view whose head is not `to`.
     async fn headed_elsewhere(&self, to: &str) -> String {
         loop {
-            rt::sleep(Duration::from_millis(600)).await;
+            seam::sleep(Duration::from_millis(600)).await;
             self.look().await;
             let head = self.head();
             if head != to {
@@ -157,7 +157,7 @@
             self.learn_from(&k).await;
             self.view().version > had.version
         });
-        rt::until_one(asks).await;
+        seam::any_true(asks).await;
     }
     /// Where to go on after `to` would not do: what another keeper knows is learned first.
     pub async fn tail_after(&self, to: &str) -> String {
@@ -168,17 +168,17 @@
     }
 
     /// The operator's document in force, from the tail alone: an older one is never given.
-    pub async fn adopted(&self, within: Duration) -> Result<Option<Adopted>, Error> {
+    pub async fn adopted(&self, within: Duration) -> Result<Option<AdoptedDocument>, Error> {
         match self.at_tail(Request::Adopted, within).await? {
             Reply::Adopted { adopted } => Ok(adopted),
-            _ => Err(Code::ChainDown.because("an answer that is none")),
+            _ => Err(ErrorCode::ChainUnavailable.with_detail("an answer that is none")),
         }
     }
     /// All that the chain holds, from the tail alone.
     pub async fn read(&self, within: Duration) -> Result<Store, Error> {
         match self.at_tail(Request::ReadStore, within).await? {
             Reply::Store { store } => Ok(*store),
-            _ => Err(Code::ChainDown.because("an answer that is none")),
+            _ => Err(ErrorCode::ChainUnavailable.with_detail("an answer that is none")),
         }
     }
     async fn at_tail(&self, ask: Request, within: Duration) -> Result<Reply, Error> {
@@ -198,9 +198,9 @@
             }
             self.tail_after(&to).await;
             if now() + 50 >= until {
-                return Err(Code::ChainDown.because("no keeper answers for the chain").retry(500));
+                return Err(ErrorCode::ChainUnavailable.with_detail("no keeper answers for the chain").with_retry_after(500));
             }
-            rt::sleep(Duration::from_millis(50)).await;
+            seam::sleep(Duration::from_millis(50)).await;
         }
     }
 
--- a/crates/node/src/commit_lists.rs
+++ b/crates/node/src/commit_lists.rs
@@ -1,9 +1,9 @@
 //! Which servers count towards a group's commits (§5.5).
 use crate::Fleet;
-use quincehatch_core::{Name, State};
+use quincehatch_core::{Name, ServerState};
 use quincehatch_failover::watch::{Seen, Sight};
-use quincehatch_runtime::{now, rt};
-use quincehatch_store::store::duty_of;
+use quincehatch_runtime::{now, seam};
+use quincehatch_store::store::promotion_duty_key;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -19,15 +19,15 @@
 
 /// Once the lead shows all of its log, it is on two of the servers that count now: lists from before are let go.
 pub fn settle_lists(f: &Arc<Fleet>, g: &Name, s: &Sight) {
-    let Some(lead) = s.lead.clone().filter(|l| !l.before.is_empty() && s.wrong.is_none()) else { return };
+    let Some(lead) = s.lead.clone().filter(|l| !l.previous_voters.is_empty() && s.wrong.is_none()) else { return };
     let row = lead.server.as_ref().and_then(|n| f.node.board.row(n));
     let shows = row.is_some_and(|r| {
         let b = r.beat.read().unwrap();
-        b.role == quincehatch_core::Role::Primary && b.fence == lead.fence && b.state == State::Up
+        b.role == quincehatch_core::Role::Primary && b.fence == lead.fence && b.state == ServerState::Up
     });
     if shows {
-        let (f, g, key) = (f.clone(), g.clone(), format!("{}/lists/{}", duty_of(g), lead.fence));
+        let (f, g, key) = (f.clone(), g.clone(), format!("{}/lists/{}", promotion_duty_key(g), lead.fence));
         let cmd = quincehatch_store::Command::DropPreviousVoters { group: g, fence: lead.fence };
-        rt::spawn(async move { drop(f.chain.write(&key, cmd, Duration::from_secs(3)).await) });
+        seam::spawn(async move { drop(f.chain.write(&key, cmd, Duration::from_secs(3)).await) });
     }
 }
--- a/crates/node/src/copies.rs
+++ b/crates/node/src/copies.rs
@@ -1,10 +1,10 @@
 //! Sessions' copies over the mesh: placed before they are promised, mended by digests (§6.4).
 use crate::Fleet;
 use crate::mesh_driver::Net;
-use quincehatch_core::{Code, Error, Name, Version};
+use quincehatch_core::{ErrorCode, Error, Name, Version};
 use quincehatch_gossip::duty::owners;
 use quincehatch_gossip::{NodeQuery, NodeReply};
-use quincehatch_proxy::node::{Copies, Fut};
+use quincehatch_proxy::node::{Copies, BoxFuture};
 use quincehatch_proxy::session::Context;
 use quincehatch_runtime::now;
 use std::sync::Arc;
@@ -55,7 +55,7 @@
 pub struct MeshCopies(pub Arc<Net>);
 
 impl Copies for MeshCopies {
-    fn store(&self, c: Context) -> Fut<'_, Result<(), Error>> {
+    fn store(&self, c: Context) -> BoxFuture<'_, Result<(), Error>> {
         Box::pin(async move {
             let to = owners(&c.id, &self.0.live());
             let n = to.len();
@@ -65,11 +65,11 @@
             if done * 2 > n {
                 Ok(())
             } else {
-                Err(Code::NoMajority.because("the session's copies could not be placed").unknown().retry(500))
+                Err(ErrorCode::NoMajority.with_detail("the session's copies could not be placed").with_unknown_outcome().with_retry_after(500))
             }
         })
     }
-    fn find<'a>(&'a self, id: &'a str, knows: Version) -> Fut<'a, Result<Option<Context>, Error>> {
+    fn find<'a>(&'a self, id: &'a str, knows: Version) -> BoxFuture<'a, Result<Option<Context>, Error>> {
         Box::pin(async move {
             let live = self.0.live();
             let to = owners(id, &live);
@@ -96,9 +96,9 @@
             let n = all.len();
             match newest(self.0.ask_all(all, ask).await) {
                 (_, _, Some(c)) => Ok(Some(c)),
-                (_, true, None) => Err(Code::SessionLost.bare()),
+                (_, true, None) => Err(ErrorCode::SessionLost.without_detail()),
                 (answered, false, None) if answered == n => Ok(None),
-                _ => Err(Code::NoMajority.because("the session's owners do not answer").retry(500)),
+                _ => Err(ErrorCode::NoMajority.with_detail("the session's owners do not answer").with_retry_after(500)),
             }
         })
     }
--- a/crates/node/src/duties.rs
+++ b/crates/node/src/duties.rs
@@ -3,20 +3,20 @@
 pub use crate::duty_state::Asked;
 use crate::group::Group;
 use crate::{Fleet, held_duty, held_watch, promoting};
-use quincehatch_core::{Ms, Name, State};
+use quincehatch_core::{Millis, Name, ServerState};
 use quincehatch_failover::watch::{Count, Eye, Need, Sight, dead, need, strange, to_count};
 use quincehatch_gossip::{NodeQuery, NodeReply};
 use quincehatch_runtime::now;
-use quincehatch_runtime::rt;
-use quincehatch_store::store::duty_of;
+use quincehatch_runtime::seam;
+use quincehatch_store::store::promotion_duty_key;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
 /// How often a suspicion is told.
-const TELL: Ms = 500;
+const TELL: Millis = 500;
 /// Statements answered within this time speak against a stall.
-const ANSWERING: Ms = 2_000;
+const ANSWERING: Millis = 2_000;
 /// Nodes asked whether a server is silent to them too.
 const WITNESSES: usize = 15;
 
@@ -38,7 +38,7 @@
     let mut groups: BTreeMap<Name, Group> = BTreeMap::new();
     let mut mine = true;
     loop {
-        rt::sleep(Duration::from_millis(if mine || f.ports.is_none() { 100 } else { 250 })).await;
+        seam::sleep(Duration::from_millis(if mine || f.ports.is_none() { 100 } else { 250 })).await;
         if f.ports.is_some() {
             held_watch::try_again(&f);
         }
@@ -51,9 +51,9 @@
         mine = false;
         for g in names {
             let st = groups.entry(g.clone()).or_default();
-            let leadership = f.known.lock().unwrap().leadership(&g);
+            let leadership = f.known.lock().unwrap().primary_state(&g);
             st.look(leadership, f.duty.own_fence(&g));
-            let owner = quincehatch_gossip::duty::owner(&duty_of(&g), &live);
+            let owner = quincehatch_gossip::duty::owner(&promotion_duty_key(&g), &live);
             mine |= owner == Some(&f.mesh.me);
             f.duty.keep_settled(&g, st.lead.as_ref().filter(|_| owner == Some(&f.mesh.me)));
             if owner != Some(&f.mesh.me) {
@@ -84,7 +84,7 @@
     }
     st.told_at = now();
     let (f, ask, owner) = (f.clone(), NodeQuery::Suspect { group: g.clone(), server }, owner.clone());
-    rt::spawn(async move { drop(f.mesh.ask(&owner, ask).await) });
+    seam::spawn(async move { drop(f.mesh.ask(&owner, ask).await) });
 }
 
 fn sight(f: &Fleet, g: &Name, st: &mut Group) -> Sight {
@@ -103,7 +103,7 @@
         asked: f.duty.wants.lock().unwrap().get(g).cloned(),
         ..Default::default()
     };
-    let must = st.lead.as_ref().map_or(&[][..], |l| &l.counts);
+    let must = st.lead.as_ref().map_or(&[][..], |l| &l.voters);
     let odd = strange(copies, &seen(f, g), must);
     st.strange = if odd { st.strange.or(Some(now())) } else { None };
     s.strange = st.strange.map(|at| now() - at);
@@ -118,7 +118,7 @@
     s.leaving = row.leaving();
     s.stalled = f.duty.suspected(g, &row.name).max(row.health.lock().unwrap().stalled(now()));
     let b = row.beat.read().unwrap().clone();
-    let leads = b.role == quincehatch_core::Role::Primary && b.fence == fence && b.state != State::Starting;
+    let leads = b.role == quincehatch_core::Role::Primary && b.fence == fence && b.state != ServerState::Starting;
     let wrong_now = !leads && status.failing.is_none() && status.answered > 0;
     st.wrong = if wrong_now { st.wrong.or(Some(now())) } else { None };
     s.wrong = st.wrong.map(|at| now().saturating_sub(at));
@@ -143,16 +143,16 @@
         }
     };
     let want = f.duty.wants.lock().unwrap().remove(g).flatten();
-    let old = s.lead.as_ref().and_then(|l| l.server.clone().or_else(|| l.closed.clone()));
+    let old = s.lead.as_ref().and_then(|l| l.server.clone().or_else(|| l.demoted.clone()));
     // Where only the servers changed, the lead stays, under a new fence.
     let stays = planned && !s.leaving && s.asked.is_none();
     let want = if stays { old.clone() } else { want };
-    let last = s.lead.as_ref().map_or_else(Vec::new, |l| l.counts.clone());
+    let last = s.lead.as_ref().map_or_else(Vec::new, |l| l.voters.clone());
     let counts = to_count(s.copies, &seen(f, g), &last);
     let plan = quincehatch_failover::promotion::Plan {
         group: g.clone(),
         by: f.mesh.me.clone(),
-        attempt: format!("{}/{}/{:x}", duty_of(g), f.mesh.me, fastrand::u64(..)).into(),
+        attempt: format!("{}/{}/{:x}", promotion_duty_key(g), f.mesh.me, fastrand::u64(..)).into(),
         lead: s.lead.clone(),
         over: st.over,
         old,
@@ -164,7 +164,7 @@
         sync: None,
     };
     st.planned_over = st.over;
-    st.task = Some(rt::spawn(promoting::promote(f.clone(), plan)));
+    st.task = Some(seam::spawn(promoting::promote(f.clone(), plan)));
 }
 
 /// Asks the other nodes what they see of the lead's server: one node that is cut off deposes nobody.
--- a/crates/node/src/duty_state.rs
+++ b/crates/node/src/duty_state.rs
@@ -1,23 +1,23 @@
 //! What the duties of this node keep beside the blackboard: wishes, suspicions, answers, words for operators (§5.5).
-use quincehatch_core::{Fence, Lead, Ms, Name};
-use quincehatch_runtime::{now, rt};
+use quincehatch_core::{FencingToken, PrimaryAssignment, Millis, Name};
+use quincehatch_runtime::{now, seam};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
 /// How long another node's suspicion is looked into.
-const SUSPECT: Ms = 1_200;
+const SUSPECT: Millis = 1_200;
 
 /// What an operator asked for and how it went: group to the wanted server.
 #[derive(Default)]
 pub struct Asked {
     pub wants: Mutex<BTreeMap<Name, Option<Name>>>,
     /// Leads that other nodes said stall: since when, and when it was last said.
-    pub suspects: Mutex<BTreeMap<Name, (Name, Ms, Ms)>>,
+    pub suspects: Mutex<BTreeMap<Name, (Name, Millis, Millis)>>,
     /// Questions to servers met over held links, and what they said.
     pub asking: crate::server_queries::Asking,
     pub settled: crate::acknowledged::All,
     /// The newest fence that this process took for each group.
-    own_fences: Mutex<BTreeMap<Name, Fence>>,
+    own_fences: Mutex<BTreeMap<Name, FencingToken>>,
     pub life: Life,
     /// The last promotions, newest last, for `quincehatchctl explain`.
     pub told: Mutex<Vec<String>>,
@@ -28,7 +28,7 @@
 
 impl Default for Life {
     fn default() -> Self {
-        Life(rt::incarnation())
+        Life(seam::incarnation())
     }
 }
 
@@ -41,20 +41,20 @@
         all.insert(group, (server, going.unwrap_or_else(now), now()));
     }
     /// What was settled is of use only under the same lead, and while this node looks after it all the time.
-    pub fn keep_settled(&self, group: &Name, lead: Option<&Lead>) {
+    pub fn keep_settled(&self, group: &Name, lead: Option<&PrimaryAssignment>) {
         let of =
             |s: &crate::acknowledged::Settled| lead.is_some_and(|l| l.server.is_none() || l.fence == s.lead);
         self.settled.lock().unwrap().retain(|g, s| g != group || of(s));
     }
-    pub fn note_own_fence(&self, group: &Name, fence: Fence) {
+    pub fn note_own_fence(&self, group: &Name, fence: FencingToken) {
         self.own_fences.lock().unwrap().insert(group.clone(), fence);
     }
     /// 0 before the first.
-    pub fn own_fence(&self, group: &Name) -> Fence {
+    pub fn own_fence(&self, group: &Name) -> FencingToken {
         self.own_fences.lock().unwrap().get(group).copied().unwrap_or_default()
     }
     /// For how long has it been told?
-    pub fn suspected(&self, group: &Name, server: &Name) -> Option<Ms> {
+    pub fn suspected(&self, group: &Name, server: &Name) -> Option<Millis> {
         let all = self.suspects.lock().unwrap();
         let live = all.get(group).filter(|(s, _, last)| s == server && now() < last + SUSPECT);
         live.map(|(_, first, _)| now() - first)
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -1,10 +1,10 @@
 //! Follows the numbered feed from the tail and holds the node's lease along it (§5.2, §5.6).
 use crate::Fleet;
 use quincehatch_config::blueprint::Blueprint;
-use quincehatch_core::{Beat, ChangeNo, Name, ServerRecord, State};
+use quincehatch_core::{ServerHeartbeat, ChangeNumber, Name, ServerRecord, ServerState};
 use quincehatch_proxy::board::Plan;
 use quincehatch_runtime::now;
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use quincehatch_store::terms::minus_clock_drift;
 use quincehatch_store::{Answer, Command, FeedState, Reply, Request};
 use std::collections::{BTreeMap, HashMap};
@@ -32,7 +32,7 @@
         }
         let (have, applied) = {
             let s = f.known.lock().unwrap();
-            (s.n, s.version)
+            (s.last_change, s.configuration_version)
         };
         // The lease is counted from before the question left.
         let asked = now();
@@ -47,7 +47,7 @@
             Ok(Reply::Snapshot { snapshot, lease_ms }) => {
                 let mut k = f.known.lock().unwrap();
                 // Never back: what is older than what was applied is not taken (§1 N10).
-                let newer = Some(*snapshot).filter(|t| t.n >= k.n).and_then(FeedState::of);
+                let newer = Some(*snapshot).filter(|t| t.last_change >= k.last_change).and_then(FeedState::from_snapshot);
                 newer.map(|t| {
                     *k = t;
                     lease_ms
@@ -69,7 +69,7 @@
             }
         };
         // What is applied is on the blackboard before the next poll says that it is.
-        if f.known.lock().unwrap().n > have {
+        if f.known.lock().unwrap().last_change > have {
             publish(&f, &mut stood);
         }
         if let Some(lease_ms) = news.filter(|_| !f.left.load(Ordering::SeqCst)) {
@@ -82,22 +82,22 @@
             had = has;
         }
         // The tail holds a poll until there is news, and news is told to be applied at once.
-        let fresh = f.known.lock().unwrap().n > have;
+        let fresh = f.known.lock().unwrap().last_change > have;
         let gap = if news.is_some() { 20 } else { 60 };
         if !fresh {
-            rt::sleep(Duration::from_millis((asked + gap).saturating_sub(now()).max(5))).await;
+            seam::sleep(Duration::from_millis((asked + gap).saturating_sub(now()).max(5))).await;
         }
     }
 }
 
 /// Enters this process among those that may hold leases (§5.6); 0 if that could not be had.
-async fn enroll(f: &Fleet, tried: u64) -> ChangeNo {
-    let (node, life) = (Name::from(f.node.set.name.as_str()), rt::incarnation());
+async fn enroll(f: &Fleet, tried: u64) -> ChangeNumber {
+    let (node, life) = (Name::from(f.node.set.name.as_str()), seam::incarnation());
     let key = format!("enroll/{node}/{life:x}/{tried}");
     match f.chain.write(&key, Command::EnrollNode { node, incarnation: life }, ENROLL).await {
         Ok(Answer::Enrolled(n)) => n,
         _ => {
-            rt::sleep(Duration::from_millis(50)).await;
+            seam::sleep(Duration::from_millis(50)).await;
             0
         }
     }
@@ -129,11 +129,11 @@
 
 /// What is known as a plan; while the blueprint stays, so does what was read of it.
 pub fn plan_of(k: &FeedState, had: &Plan) -> Plan {
-    let (n, version, leads) = (k.n, k.version, k.leads.clone());
+    let (n, version, leads) = (k.last_change, k.configuration_version, k.primaries.clone());
     if had.version == version {
         return Plan { n, version, leads, ..had.clone() };
     }
-    let blueprint = Blueprint::held(&k.text)
+    let blueprint = Blueprint::held(&k.configuration_json)
         .map_err(|b| log::error!(target: "feed", "version {version} cannot be read: {b}"))
         .ok();
     let dbs = blueprint.iter().flat_map(|b| b.rules.iter().enumerate());
@@ -150,14 +150,14 @@
     for s in servers.values().filter(|s| stood.get(&s.server) != Some(*s)) {
         let label = |k: &str, v: &str| (Name::from(k), Name::from(v));
         let labels =
-            [label("group", &s.group), label("district", &s.district), label("slots", &s.slots.to_string())];
-        let beat = Beat {
+            [label("group", &s.group), label("district", &s.zone), label("slots", &s.slots.to_string())];
+        let beat = ServerHeartbeat {
             server: s.server.clone(),
             seq: s.seq + 1,
             addr: s.addr.clone(),
             labels: labels.into(),
             role: s.role,
-            state: if s.leaving { State::Leaving } else { State::Up },
+            state: if s.draining { ServerState::Draining } else { ServerState::Up },
             ..Default::default()
         };
         f.node.board.beat(beat);
--- a/crates/node/src/fencing.rs
+++ b/crates/node/src/fencing.rs
@@ -1,13 +1,13 @@
 //! Takes the fence of a group's duty, over the leadership that was planned for and no other (§5.4).
 use crate::Fleet;
-use quincehatch_core::{Code, Fence, Name};
+use quincehatch_core::{ErrorCode, FencingToken, Name};
 use quincehatch_store::{Answer, Command, PrimaryState};
 use std::time::Duration;
 
 /// How the try for a fence went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Taken {
-    Fence(Fence),
+    Fence(FencingToken),
     /// The leadership is not what was planned for any more: another was first, and nothing was altered.
     TooLate,
     /// The chain did not answer: the same key may be tried again.
@@ -30,7 +30,7 @@
             f.duty.note_own_fence(group, fence);
             Taken::Fence(fence)
         }
-        Err(b) if b.is(Code::FenceLow) => Taken::TooLate,
+        Err(b) if b.has_code(ErrorCode::StaleFence) => Taken::TooLate,
         _ => Taken::InDoubt,
     }
 }
--- a/crates/node/src/group.rs
+++ b/crates/node/src/group.rs
@@ -1,40 +1,40 @@
 //! What a node keeps of one group whose lead it may have to look after (§5.5).
 use crate::Fleet;
-use quincehatch_core::{Fence, Lead, Ms, Name};
-use quincehatch_runtime::{now, rt};
+use quincehatch_core::{FencingToken, PrimaryAssignment, Millis, Name};
+use quincehatch_runtime::{now, seam};
 use quincehatch_store::PrimaryState;
 
 /// A promotion is not begun again sooner.
-const REST: Ms = 3_000;
+const REST: Millis = 3_000;
 /// ... where servers are met over held links.
-const REST_HELD: Ms = 200;
+const REST_HELD: Millis = 200;
 /// ... and one that came too late for its fence, and altered nothing.
-const REST_LATE: Ms = 200;
+const REST_LATE: Millis = 200;
 
 /// One group's lead as this node sees it, and what is under way for it here.
 #[derive(Default)]
 pub struct Group {
-    pub lead: Option<Lead>,
+    pub lead: Option<PrimaryAssignment>,
     /// When it was first seen as it is.
-    pub since: Ms,
+    pub since: Millis,
     /// The newest fence of the group's duty, of the same moment as the lead.
-    pub over: Fence,
+    pub over: FencingToken,
     /// A fence above the lead's that another process took, and since when it is seen.
-    begun: Option<(Fence, Ms)>,
-    pub wrong: Option<Ms>,
-    pub strange: Option<Ms>,
-    pub rest_until: Ms,
-    pub task: Option<rt::Task>,
+    begun: Option<(FencingToken, Millis)>,
+    pub wrong: Option<Millis>,
+    pub strange: Option<Millis>,
+    pub rest_until: Millis,
+    pub task: Option<seam::TaskHandle>,
     /// The newest fence at the time of planning that task.
-    pub planned_over: Fence,
+    pub planned_over: FencingToken,
     pub minded: crate::held_watch::Minded,
-    pub fenced_at: Ms,
-    pub told_at: Ms,
+    pub fenced_at: Millis,
+    pub told_at: Millis,
 }
 
 impl Group {
     /// Takes what the chain says of the group now.
-    pub fn look(&mut self, leadership: PrimaryState, own_fence: Fence) {
+    pub fn look(&mut self, leadership: PrimaryState, own_fence: FencingToken) {
         let PrimaryState { fence, primary } = leadership;
         let written = primary.as_ref().map_or(0, |l| l.fence);
         if fence <= written || fence == own_fence {
@@ -48,11 +48,11 @@
         self.over = fence;
     }
     /// For how long another's change of hands has been begun and wrote nothing.
-    pub fn begun_for(&self) -> Option<Ms> {
+    pub fn begun_for(&self) -> Option<Millis> {
         self.begun.map(|(_, at)| now() - at)
     }
     /// How long to wait after a promotion that has ended.
-    pub fn rest(&mut self, f: &Fleet, group: &Name) -> Ms {
+    pub fn rest(&mut self, f: &Fleet, group: &Name) -> Millis {
         if f.duty.own_fence(group) <= self.planned_over {
             self.minded.cut = 0;
             return REST_LATE;
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -4,19 +4,19 @@
 use crate::fencing::{Taken, next_fence};
 use crate::held_promotion::follow;
 use crate::server_queries::{self, ask};
-use quincehatch_core::{Fence, Lead, Ms, Name, Position, Role};
+use quincehatch_core::{FencingToken, PrimaryAssignment, Millis, Name, Position, Role};
 use quincehatch_failover::promotion::Plan;
 use quincehatch_proxy::port::{Call, Promoted};
-use quincehatch_runtime::{now, rt};
+use quincehatch_runtime::{now, seam};
 use quincehatch_store::{Command, PrimaryState};
 use std::sync::Arc;
 use std::time::Duration;
 
 const WRITE: Duration = Duration::from_secs(6);
 /// An heir that has not all the lead had in this time is none.
-const CATCH_UP: Ms = 600;
+const CATCH_UP: Millis = 600;
 /// It leads within so long of being named to the platform.
-const LEADS: Ms = 2_000;
+const LEADS: Millis = 2_000;
 const AGAIN: Duration = Duration::from_millis(20);
 
 /// Hands the lead over. False where it could not be begun so, or came to no end: the lead stands as it was, or leads no
@@ -35,26 +35,26 @@
     let Some(heir) = heir(f, plan, old).await else { return false };
     let others: Vec<Name> = group.holders.iter().filter(|h| **h != heir).cloned().collect();
     let Some(fence) = take_fence(f, plan).await else { return false };
-    let still = rt::all(others.iter().map(|o| server_queries::stand_still(f, o, &plan.servers))).await;
+    let still = seam::join_all(others.iter().map(|o| server_queries::stand_still(f, o, &plan.servers))).await;
     let whole = still.iter().all(Option::is_some) && caught_up(f, old, &heir).await;
-    rt::point("hand-over: others stand still");
+    seam::trace_point("hand-over: others stand still");
     let done = whole && {
         let said = ports.promoter.promote(plan.group.clone(), heir.clone(), plan.by.clone(), fence).await;
         said != Promoted::Declined && leads(f, &heir).await
     };
     if !done {
         for o in others {
-            rt::spawn(follow(f.clone(), o, 0));
+            seam::spawn(follow(f.clone(), o, 0));
         }
         f.duty.tell(format!("the lead of {} could not be handed over to {heir}", plan.group));
         return false;
     }
-    rt::point("hand-over: the heir leads");
+    seam::trace_point("hand-over: the heir leads");
     let lead = |server: Option<Name>| {
         // A close brings no list: an entry that does is answered once it is committed, not in force everywhere.
         let counts = if server.is_some() { plan.counts.clone() } else { vec![] };
         let (closed, by) = (plan.old.clone(), plan.by.clone());
-        Lead { fence, server, closed, by, counts, before: vec![] }
+        PrimaryAssignment { fence, server, demoted: closed, assigned_by: by, voters: counts, previous_voters: vec![] }
     };
     let closed = set(f, plan, "close", lead(None)).await;
     let named = closed && set(f, plan, "name", lead(Some(heir.clone()))).await;
@@ -64,7 +64,7 @@
         plan.group
     ));
     for o in others {
-        rt::spawn(follow(f.clone(), o, 0));
+        seam::spawn(follow(f.clone(), o, 0));
     }
     named
 }
@@ -73,7 +73,7 @@
 async fn heir(f: &Fleet, plan: &Plan, old: &Name) -> Option<Name> {
     let leaving = plan.sync.as_ref().map_or(&[][..], |s| &s.leaving);
     let may: Vec<&Name> = plan.servers.iter().filter(|s| *s != old && !leaving.contains(s)).collect();
-    let looks = rt::all(may.iter().map(|s| ask(f, s, Call::Status))).await;
+    let looks = seam::join_all(may.iter().map(|s| ask(f, s, Call::Status))).await;
     let of = |(s, l): (&&Name, Option<quincehatch_proxy::port::Look>)| l.map(|l| (l.received, (*s).clone()));
     let all: Vec<(Position, Name)> = may.iter().zip(looks).filter_map(of).collect();
     let wanted = plan.want.as_ref().and_then(|w| all.iter().find(|(_, s)| s == w));
@@ -82,7 +82,7 @@
 
 /// Under a key of its own: a promotion that goes on where this came to no end takes another fence, as the platform may
 /// have been told of the heir under this one.
-async fn take_fence(f: &Fleet, plan: &Plan) -> Option<Fence> {
+async fn take_fence(f: &Fleet, plan: &Plan) -> Option<FencingToken> {
     let over = PrimaryState { fence: plan.over, primary: plan.lead.clone() };
     match next_fence(f, &format!("{}/hand", plan.attempt), &plan.group, &plan.by, over, WRITE).await {
         Taken::Fence(fence) => Some(fence),
@@ -90,7 +90,7 @@
     }
 }
 
-async fn set(f: &Fleet, plan: &Plan, what: &str, lead: Lead) -> bool {
+async fn set(f: &Fleet, plan: &Plan, what: &str, lead: PrimaryAssignment) -> bool {
     let cmd = Command::AssignPrimary { group: plan.group.clone(), primary: lead };
     f.chain.write(&format!("{}/{what}", plan.attempt), cmd, WRITE).await.is_ok()
 }
@@ -103,7 +103,7 @@
         if ask(f, heir, Call::Status).await.is_some_and(|l| l.received >= all.received) {
             return true;
         }
-        rt::sleep(AGAIN).await;
+        seam::sleep(AGAIN).await;
     }
     false
 }
@@ -114,7 +114,7 @@
         if ask(f, heir, Call::Status).await.is_some_and(|l| l.role == Role::Primary) {
             return true;
         }
-        rt::sleep(AGAIN).await;
+        seam::sleep(AGAIN).await;
     }
     false
 }
--- a/crates/node/src/held_duty.rs
+++ b/crates/node/src/held_duty.rs
@@ -4,25 +4,25 @@
 use crate::group::Group;
 use crate::held_watch::{LEAD, mend, watch};
 use crate::{Fleet, acknowledged, handover, promoting};
-use quincehatch_core::{Fence, Lead, Ms, Name, Role, State};
+use quincehatch_core::{FencingToken, PrimaryAssignment, Millis, Name, Role, ServerState};
 use quincehatch_failover::promotion::Plan;
 use quincehatch_failover::sync::{self, dead, need};
 use quincehatch_failover::watch::{Need, Sight};
 use quincehatch_proxy::board::ServerRow;
-use quincehatch_runtime::{now, rt};
-use quincehatch_store::store::duty_of;
+use quincehatch_runtime::{now, seam};
+use quincehatch_store::store::promotion_duty_key;
 use quincehatch_store::{Command, PrimaryState};
 use std::sync::Arc;
 use std::time::Duration;
 
 /// How often it is found out up to where all servers hold what was acknowledged.
-const SETTLE: Ms = 3_000;
+const SETTLE: Millis = 3_000;
 /// A lead that no replica hears is replaced no oftener.
-const CUT_REST: Ms = 15_000;
+const CUT_REST: Millis = 15_000;
 /// Without exactly one server that says it leads, a first lead is chosen after so long.
-const FIRST: Ms = 3_000;
+const FIRST: Millis = 3_000;
 /// Whoever takes the address of a server that went away is heard of within that.
-const GONE: Ms = 60_000;
+const GONE: Millis = 60_000;
 const WRITE: Duration = Duration::from_secs(3);
 
 /// The group's servers as the chain knows them.
@@ -50,19 +50,19 @@
 /// Servers that may hold what was acknowledged: all that are known, and those known when the lead was named, unless
 /// one said that it leaves and its log went to a new server at its address. One that a stranger pushed out of its
 /// address said nothing, and took its log with it.
-fn holders(f: &Fleet, g: &Name, rows: &[Arc<ServerRow>], lead: Option<&Lead>) -> Vec<Name> {
+fn holders(f: &Fleet, g: &Name, rows: &[Arc<ServerRow>], lead: Option<&PrimaryAssignment>) -> Vec<Name> {
     let mut out: Vec<Name> = rows.iter().map(|r| r.name.clone()).chain(gone(f, g, rows)).collect();
-    for n in lead.map_or(&[][..], |l| &l.counts) {
+    for n in lead.map_or(&[][..], |l| &l.voters) {
         let row = f.node.board.row(n);
         let passed_on = row.is_some_and(|o| {
-            o.beat.read().unwrap().state == State::Leaving
+            o.beat.read().unwrap().state == ServerState::Draining
                 && rows.iter().any(|r| r.name != o.name && r.addr() == o.addr())
         });
         if !out.contains(n) && !passed_on {
             out.push(n.clone());
         }
     }
-    let old = lead.and_then(|l| l.server.as_ref().or(l.closed.as_ref()));
+    let old = lead.and_then(|l| l.server.as_ref().or(l.demoted.as_ref()));
     out.retain(|n| Some(n) != old);
     out
 }
@@ -77,7 +77,7 @@
         ..Default::default()
     };
     // A change of hands that this node itself left unfinished is no one else's.
-    if s.lead.as_ref().is_some_and(|l| l.server.is_none() && l.by == f.mesh.me) {
+    if s.lead.as_ref().is_some_and(|l| l.server.is_none() && l.assigned_by == f.mesh.me) {
         s.lead_for = s.lead_for.max(sync::STUCK);
     }
     let Some(server) = s.lead.as_ref().and_then(|l| l.server.clone()) else { return s };
@@ -112,7 +112,7 @@
     }
     let s = sight(f, g, &rows, st);
     settle(f, g, &rows, st, &s);
-    let old = s.lead.as_ref().and_then(|l| l.server.clone().or_else(|| l.closed.clone()));
+    let old = s.lead.as_ref().and_then(|l| l.server.clone().or_else(|| l.demoted.clone()));
     let heir = rows.iter().any(|r| Some(&r.name) != old.as_ref() && !r.leaving() && heard(r));
     let cut =
         heir && st.minded.behind >= sync::CUT && (st.minded.cut == 0 || now() >= st.minded.cut + CUT_REST);
@@ -153,7 +153,7 @@
     let plan = Plan {
         group: g.clone(),
         by: f.mesh.me.clone(),
-        attempt: format!("{}/{}/{:x}", duty_of(g), f.mesh.me, fastrand::u64(..)).into(),
+        attempt: format!("{}/{}/{:x}", promotion_duty_key(g), f.mesh.me, fastrand::u64(..)).into(),
         lead: st.lead.clone(),
         over: st.over,
         old,
@@ -166,7 +166,7 @@
     };
     let f = f.clone();
     st.planned_over = st.over;
-    st.task = Some(rt::spawn(async move {
+    st.task = Some(seam::spawn(async move {
         let mut plan = plan;
         if !plan.planned || !handover::over(&f, &plan).await {
             // A hand-over that came to no end took a fence, over which this goes on.
@@ -185,11 +185,11 @@
         return;
     }
     st.minded.settled = now();
-    let (f, g, fence, lists) = (f.clone(), g.clone(), lead.fence, !lead.before.is_empty());
+    let (f, g, fence, lists) = (f.clone(), g.clone(), lead.fence, !lead.previous_voters.is_empty());
     let others = rows.iter().map(|r| r.name.clone()).filter(|n| *n != server).collect::<Vec<_>>();
-    st.minded.settling = Some(rt::spawn(async move {
+    st.minded.settling = Some(seam::spawn(async move {
         if acknowledged::settle(&f, &g, fence, &server, &others).await.is_some() && lists {
-            let (key, cmd) = (format!("{}/lists/{fence}", duty_of(&g)), Command::DropPreviousVoters { group: g, fence });
+            let (key, cmd) = (format!("{}/lists/{fence}", promotion_duty_key(&g)), Command::DropPreviousVoters { group: g, fence });
             let _ = f.chain.write(&key, cmd, WRITE).await;
         }
     }));
@@ -210,19 +210,19 @@
             let (f, g, one) = (f.clone(), g.clone(), one.clone());
             let counts = rows.iter().map(|r| r.name.clone()).collect();
             st.planned_over = st.over;
-            st.task = Some(rt::spawn(adopt(f, g, one, counts, st.over)));
+            st.task = Some(seam::spawn(adopt(f, g, one, counts, st.over)));
         }
     } else if now() >= st.since + FIRST {
         promote(f, g, rows, st, None, false);
     }
 }
 
-async fn adopt(f: Arc<Fleet>, g: Name, server: Name, counts: Vec<Name>, over: Fence) {
+async fn adopt(f: Arc<Fleet>, g: Name, server: Name, counts: Vec<Name>, over: FencingToken) {
     let by = f.mesh.me.clone();
-    let key = format!("{}/{by}/first/{:x}", duty_of(&g), fastrand::u64(..));
+    let key = format!("{}/{by}/first/{:x}", promotion_duty_key(&g), fastrand::u64(..));
     let over = PrimaryState { fence: over, primary: None };
     let Taken::Fence(fence) = next_fence(&f, &key, &g, &by, over, WRITE).await else { return };
-    let lead = Lead { fence, server: Some(server.clone()), by, counts, ..Default::default() };
+    let lead = PrimaryAssignment { fence, server: Some(server.clone()), assigned_by: by, voters: counts, ..Default::default() };
     let named =
         f.chain.write(&format!("{key}/name"), Command::AssignPrimary { group: g.clone(), primary: lead }, WRITE).await;
     f.duty.tell(format!("server {server} leads {g} and is named under fence {fence}: {}", named.is_ok()));
--- a/crates/node/src/held_promotion.rs
+++ b/crates/node/src/held_promotion.rs
@@ -1,10 +1,10 @@
 //! One promotion's questions where servers are met over held links (§3.6, §5.5).
 use crate::Fleet;
 use crate::server_queries::{self, ask};
-use quincehatch_core::{Fence, Name, Role};
+use quincehatch_core::{FencingToken, Name, Role};
 use quincehatch_failover::promotion::{In, Plan};
 use quincehatch_proxy::port::{Call, Promoted};
-use quincehatch_runtime::{now, rt};
+use quincehatch_runtime::{now, seam};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 }
 
 /// Names it to the platform and sees it lead: before that it declines all work.
-pub async fn promote_one(f: &Arc<Fleet>, plan: &Plan, server: Name, fence: Fence) -> In {
+pub async fn promote_one(f: &Arc<Fleet>, plan: &Plan, server: Name, fence: FencingToken) -> In {
     let Some(ports) = &f.ports else { return In::NotPromoted(server) };
     let said = ports.promoter.promote(plan.group.clone(), server.clone(), plan.by.clone(), fence).await;
     if said == Promoted::Declined {
@@ -29,11 +29,11 @@
     while now() < until {
         if let Some(l) = ask(f, &server, Call::Status).await.filter(|l| l.role == Role::Primary) {
             for s in plan.servers.iter().filter(|s| **s != server).cloned() {
-                rt::spawn(follow(f.clone(), s, l.term));
+                seam::spawn(follow(f.clone(), s, l.term));
             }
             return In::Promoted(server);
         }
-        rt::sleep(AGAIN).await;
+        seam::sleep(AGAIN).await;
     }
     In::NotPromoted(server)
 }
@@ -56,7 +56,7 @@
     let leaving = plan.sync.as_ref().map_or(&[][..], |s| &s.leaving);
     let heirs = plan.servers.iter().filter(|s| *s != old && !leaving.contains(s));
     let Some(all) = ask(f, old, Call::Status).await.map(|l| l.received) else { return In::Drained };
-    let looks = rt::all(heirs.map(|s| ask(f, s, Call::Status))).await;
+    let looks = seam::join_all(heirs.map(|s| ask(f, s, Call::Status))).await;
     if looks.iter().flatten().any(|l| l.received >= all) { In::Drained } else { In::Tick }
 }
 
--- a/crates/node/src/held_watch.rs
+++ b/crates/node/src/held_watch.rs
@@ -2,39 +2,39 @@
 use crate::group::Group;
 use crate::server_queries::ask;
 use crate::{Fleet, held_promotion};
-use quincehatch_core::{Ms, Name, Role};
+use quincehatch_core::{Millis, Name, Role};
 use quincehatch_failover::sync::Mark;
 use quincehatch_proxy::board::ServerRow;
 use quincehatch_proxy::port::Call;
 use quincehatch_proxy::verdict::Verdict;
-use quincehatch_runtime::{now, rt};
+use quincehatch_runtime::{now, seam};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// How often the lead is asked for its STATUS, unless it answered anything within `FRESH`; and the others.
-pub const LEAD: Ms = 400;
-const FRESH: Ms = 300;
-const OTHER: Ms = 2_000;
+pub const LEAD: Millis = 400;
+const FRESH: Millis = 300;
+const OTHER: Millis = 2_000;
 /// What a node saw of a server for so long answers another node's question.
-const SEEN: Ms = 500;
-const SILENT_HERE: Ms = 250;
+const SEEN: Millis = 500;
+const SILENT_HERE: Millis = 250;
 /// Replicas are asked oftener once none of them was seen to receive anything for so long.
-const SOON: Ms = 500;
+const SOON: Millis = 500;
 /// A server that is held, or leads a lower term, for so long is told.
-const ODD: Ms = 5_000;
+const ODD: Millis = 5_000;
 
 /// What is under way for one group.
 #[derive(Default)]
 pub struct Minded {
-    asked: BTreeMap<Name, (Ms, Option<rt::Task>)>,
-    odd: BTreeMap<Name, Ms>,
+    asked: BTreeMap<Name, (Millis, Option<seam::TaskHandle>)>,
+    odd: BTreeMap<Name, Millis>,
     mark: Mark,
     /// For how long no replica was seen to receive what the lead had.
-    pub behind: Ms,
+    pub behind: Millis,
     /// When it was replaced for that.
-    pub cut: Ms,
-    pub settled: Ms,
-    pub settling: Option<rt::Task>,
+    pub cut: Millis,
+    pub settled: Millis,
+    pub settling: Option<seam::TaskHandle>,
 }
 
 /// Asks the server itself where nothing was heard of it lately, for another node's question.
@@ -77,7 +77,7 @@
         }
         *at = now();
         let (f, name) = (f.clone(), r.name.clone());
-        *task = Some(rt::spawn(async move {
+        *task = Some(seam::spawn(async move {
             let _ = ask(&f, &name, Call::Status).await;
         }));
     }
@@ -98,7 +98,7 @@
             st.minded.odd.remove(&r.name);
         } else if now() >= *st.minded.odd.entry(r.name.clone()).or_insert(now()) + ODD {
             st.minded.odd.remove(&r.name);
-            rt::spawn(held_promotion::follow(f.clone(), r.name.clone(), term.unwrap_or(0)));
+            seam::spawn(held_promotion::follow(f.clone(), r.name.clone(), term.unwrap_or(0)));
         }
     }
 }
@@ -121,7 +121,7 @@
         }
         r.status.lock().unwrap().asked = now();
         let f = f.clone();
-        rt::spawn(async move {
+        seam::spawn(async move {
             let Some(l) = ask(&f, &r.name, Call::Status).await else { return };
             let needed = f.node.board.seen(&r.group(), |s| s.needed(now(), 1_500));
             if needed.is_some_and(|p| l.received >= p) {
--- a/crates/node/src/lease_roll.rs
+++ b/crates/node/src/lease_roll.rs
@@ -1,22 +1,22 @@
 //! The roll of nodes that may hold leases (§5.6): whoever is gone for good is struck off it, so that no new tail waits
 //! for a lease that nobody holds.
 use crate::Fleet;
-use quincehatch_core::{Ms, Name};
-use quincehatch_runtime::{now, rt};
+use quincehatch_core::{Millis, Name};
+use quincehatch_runtime::{now, seam};
 use quincehatch_store::Command;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
 /// A node that no other has heard of for so long is gone; should it come back, it enrolls anew.
-const GONE: Ms = 30_000;
+const GONE: Millis = 30_000;
 const LOOK: Duration = Duration::from_secs(5);
 const WRITE: Duration = Duration::from_secs(3);
 
 pub async fn run(f: Arc<Fleet>) {
-    let mut missed: BTreeMap<Name, Ms> = BTreeMap::new();
+    let mut missed: BTreeMap<Name, Millis> = BTreeMap::new();
     loop {
-        rt::sleep(LOOK).await;
+        seam::sleep(LOOK).await;
         let live: Vec<Name> = f.mesh.live().into_iter().map(|(n, _)| n).collect();
         let nodes = f.known.lock().unwrap().nodes.clone();
         missed.retain(|n, _| nodes.contains_key(n) && !live.contains(n));
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -22,7 +22,7 @@
 
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_proxy::Node;
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -48,7 +48,7 @@
         let mesh = mesh_driver::Net::new(set);
         let copies = Box::new(copies::MeshCopies(mesh.clone()));
         Arc::new(Fleet {
-            node: Node::new(set.clone(), copies, rt::Spawner::here()),
+            node: Node::new(set.clone(), copies, seam::Spawner::current()),
             mesh,
             chain: chain_client::Chain::new(&set.name, &set.keepers),
             known: Default::default(),
@@ -61,15 +61,15 @@
     /// Sets all its loops going.
     pub fn go(self: &Arc<Self>) {
         let f = self.clone();
-        rt::spawn(mesh_driver::run(f.clone()));
-        rt::spawn(feed::run(f.clone()));
-        rt::spawn(lease_roll::run(f.clone()));
+        seam::spawn(mesh_driver::run(f.clone()));
+        seam::spawn(feed::run(f.clone()));
+        seam::spawn(lease_roll::run(f.clone()));
         match f.ports {
-            None => rt::spawn(quincehatch_proxy::probe::run(f.node.clone())),
-            Some(_) => rt::spawn(quincehatch_proxy::probe::judge_on(f.node.clone())),
+            None => seam::spawn(quincehatch_proxy::probe::run(f.node.clone())),
+            Some(_) => seam::spawn(quincehatch_proxy::probe::judge_on(f.node.clone())),
         };
-        rt::spawn(duties::run(f.clone()));
-        rt::spawn(sweep(f.node.clone()));
+        seam::spawn(duties::run(f.clone()));
+        seam::spawn(sweep(f.node.clone()));
     }
 }
 
@@ -80,7 +80,7 @@
 /// Housekeeping of sessions and transactions.
 async fn sweep(n: Arc<Node>) {
     loop {
-        rt::sleep(Duration::from_millis(250)).await;
+        seam::sleep(Duration::from_millis(250)).await;
         let idle = n.board.plan().blueprint.as_ref().map_or(10_000, |b| b.holding.txn_idle_ms);
         quincehatch_proxy::txn::sweep(&n, idle);
         n.forget_idle();
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -2,7 +2,7 @@
 mod args;
 
 use quincehatch_config::settings::NodeSettings;
-use quincehatch_core::{Code, Error};
+use quincehatch_core::{ErrorCode, Error};
 use quincehatch_node::{Fleet, mesh_driver, open_txns, operator_api};
 use quincehatch_runtime::now;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
         }
     };
     let rt = tokio::runtime::Builder::new_multi_thread().worker_threads(set.threads).enable_all().build();
-    let done = rt.map_err(|e| Code::BadSettings.because(e)).and_then(|rt| rt.block_on(run(set, rt.handle())));
+    let done = rt.map_err(|e| ErrorCode::InvalidSettings.with_detail(e)).and_then(|rt| rt.block_on(run(set, rt.handle())));
     if let Err(b) = done {
         eprintln!("quincehatch-node: {b}");
         std::process::exit(1);
@@ -32,8 +32,8 @@
 }
 
 async fn run(set: NodeSettings, rt: &tokio::runtime::Handle) -> Result<(), Error> {
-    let handle = quincehatch_runtime::logs::start(&set.log).map_err(|e| Code::BadSettings.because(e))?;
-    let in_use = |e| Code::PortInUse.because(format_args!("{}: {e}", set.mesh));
+    let handle = quincehatch_runtime::logging::start(&set.log).map_err(|e| ErrorCode::InvalidSettings.with_detail(e))?;
+    let in_use = |e| ErrorCode::PortInUse.with_detail(format_args!("{}: {e}", set.mesh));
     let lst = tokio::net::TcpListener::bind(&set.mesh).await.map_err(in_use)?;
     let fleet = Fleet::new(&set);
     let (node, mesh) = (fleet.node.clone(), fleet.mesh.clone());
--- a/crates/node/src/mesh_driver.rs
+++ b/crates/node/src/mesh_driver.rs
@@ -1,14 +1,14 @@
 //! Runs the mesh under tokio, and keeps sessions' copies over it (§6).
 use crate::{Fleet, report};
 use quincehatch_config::settings::NodeSettings;
-use quincehatch_core::{Code, Error, Name};
+use quincehatch_core::{ErrorCode, Error, Name};
 use quincehatch_gossip::copies::Table;
 use quincehatch_gossip::member::Out;
 use quincehatch_gossip::{
     GossipEnvelope, Life, Mesh, NodeQuery, NodeReply, NodeRequest, NodeResponse, Rumor,
 };
 use quincehatch_runtime::now;
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use quincehatch_wire::{Caller, Destination, Identity, Received};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -29,7 +29,7 @@
 impl Net {
     pub fn new(s: &NodeSettings) -> Arc<Net> {
         // A node that comes back must outrank what was said of it: its start time is its incarnation.
-        let inc = rt::wall_ms();
+        let inc = seam::wall_clock_ms();
         let (name, addr, district) =
             (s.name.as_str().into(), s.mesh.as_str().into(), s.district.as_str().into());
         let me = Rumor { name, addr, district, inc, life: Life::Alive };
@@ -48,11 +48,11 @@
     }
     pub async fn ask(&self, node: &str, ask: NodeQuery) -> Result<NodeReply, Error> {
         let addr = self.mesh.lock().unwrap().addr(node);
-        let addr = addr.ok_or_else(|| Code::Unreachable.because(format_args!("node {node} is not known")))?;
+        let addr = addr.ok_or_else(|| ErrorCode::Unreachable.with_detail(format_args!("node {node} is not known")))?;
         let to = Destination::process(node, &addr);
         match self.caller.call(to, &NodeRequest::Query { query: ask }, QUERY_WITHIN).await? {
             NodeResponse::Reply { reply } => Ok(reply),
-            NodeResponse::Taken => Err(Code::Unreachable.because("an answer that is none")),
+            NodeResponse::Taken => Err(ErrorCode::Unreachable.with_detail("an answer that is none")),
         }
     }
     /// The same question to many, side by side; whoever does not answer in time is left out.
@@ -68,13 +68,13 @@
                 (n, r)
             }
         };
-        let mut out = rt::all(nodes.into_iter().map(one)).await;
+        let mut out = seam::join_all(nodes.into_iter().map(one)).await;
         out.sort_by(|a, b| a.0.cmp(&b.0));
         out
     }
     fn send(self: &Arc<Self>, to: Name, l: GossipEnvelope) {
         let net = self.clone();
-        rt::spawn(async move {
+        seam::spawn(async move {
             let k = NodeRequest::Gossip { message: l };
             // Letters go to addresses, as seeds have no name yet; who answers says so within.
             let _ = net.caller.call(Destination::address(&to), &k, LETTER).await;
@@ -87,7 +87,7 @@
                 self.send(to, l);
             }
         });
-        rt::sleep(Duration::from_millis(100)).await;
+        seam::sleep(Duration::from_millis(100)).await;
     }
 }
 
@@ -104,7 +104,7 @@
 }
 
 /// A server's beat, from itself or over the mesh: news is put on the blackboard and spread on.
-pub fn heard_beat(f: &Fleet, b: quincehatch_core::Beat) -> bool {
+pub fn heard_beat(f: &Fleet, b: quincehatch_core::ServerHeartbeat) -> bool {
     let news = f.node.board.beat(b.clone());
     if news {
         f.mesh.mesh.lock().unwrap().spread(b);
@@ -163,12 +163,12 @@
 pub async fn run(f: Arc<Fleet>) {
     let mut round = 0u64;
     loop {
-        rt::sleep(Duration::from_millis(50)).await;
+        seam::sleep(Duration::from_millis(50)).await;
         let outs = f.mesh.mesh.lock().unwrap().tick(now());
         act(&f, outs);
         round += 1;
         if round.is_multiple_of(30) {
-            rt::spawn(crate::copies::mend(f.clone()));
+            seam::spawn(crate::copies::mend(f.clone()));
         }
     }
 }
--- a/crates/node/src/operator_api.rs
+++ b/crates/node/src/operator_api.rs
@@ -1,6 +1,6 @@
 //! What comes to the doors: origins' visits, the platform's question, beats, operators (§4.1, §8).
 use crate::{Fleet, mesh_driver, ops};
-use quincehatch_core::{Beat, Code, Error};
+use quincehatch_core::{ServerHeartbeat, ErrorCode, Error};
 use quincehatch_proxy::Node;
 use quincehatch_proxy::door::Knock;
 use quincehatch_proxy::visit::breakdown_json;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 fn said(r: Result<Value, Error>) -> (u16, Value) {
-    r.map_or_else(|b| (b.http(), breakdown_json(&b)), |v| (200, v))
+    r.map_or_else(|b| (b.http_status(), breakdown_json(&b)), |v| (200, v))
 }
 
 /// The door of origins and the platform.
@@ -20,27 +20,27 @@
             (st, r.unwrap_or_else(|b| json!({"ready": false, "error": {"code": b.code, "text": b.text}})))
         }
         ("POST", p) => n.visit(p, &k.body).await,
-        _ => said(Err(Code::NoSuchCall.bare())),
+        _ => said(Err(ErrorCode::NoSuchCall.without_detail())),
     }
 }
 
 /// The desk of servers and operators.
 pub async fn answer(f: &Arc<Fleet>, k: Knock) -> (u16, Value) {
     if k.path == "/beat" {
-        let beat = serde_json::from_slice::<Beat>(&k.body).map_err(|e| Code::Malformed.because(e));
+        let beat = serde_json::from_slice::<ServerHeartbeat>(&k.body).map_err(|e| ErrorCode::Malformed.with_detail(e));
         return said(beat.and_then(|b| check_beat(&b).map(|()| b)).map(|b| {
             let news = mesh_driver::heard_beat(f, b);
             json!({"news": news})
         }));
     }
-    let Some(what) = k.path.strip_prefix("/op/") else { return said(Err(Code::NoSuchCall.bare())) };
+    let Some(what) = k.path.strip_prefix("/op/") else { return said(Err(ErrorCode::NoSuchCall.without_detail())) };
     if k.token.as_deref() != Some(f.node.set.token.as_str()) {
-        return said(Err(Code::Unauthorized.bare()));
+        return said(Err(ErrorCode::Unauthorized.without_detail()));
     }
     let body: Result<Value, Error> = if k.body.is_empty() {
         Ok(json!({}))
     } else {
-        serde_json::from_slice(&k.body).map_err(|e| Code::Malformed.because(e))
+        serde_json::from_slice(&k.body).map_err(|e| ErrorCode::Malformed.with_detail(e))
     };
     match body {
         Ok(b) => said(ops::answer(f, what, &b).await),
@@ -48,12 +48,12 @@
     }
 }
 
-fn check_beat(b: &Beat) -> Result<(), Error> {
+fn check_beat(b: &ServerHeartbeat) -> Result<(), Error> {
     let named = !b.server.is_empty() && b.server.len() <= 64 && b.labels.len() <= 32;
     let placed = b.addr.parse::<std::net::SocketAddr>().is_ok();
     if named && placed {
         Ok(())
     } else {
-        Err(Code::Malformed.because("a beat needs a server's name and ip:port"))
+        Err(ErrorCode::Malformed.with_detail("a beat needs a server's name and ip:port"))
     }
 }
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -1,9 +1,9 @@
 //! Operators' calls at a node's desk, answered for the whole fleet (§8.2).
 use crate::{Fleet, report};
 use quincehatch_config::blueprint::Blueprint;
-use quincehatch_core::{Code, Error, Name};
+use quincehatch_core::{ErrorCode, Error, Name};
 use quincehatch_gossip::{NodeQuery, NodeReply};
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use quincehatch_store::{Answer, Command, FeedState, Voter, Reply, Request};
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -27,21 +27,21 @@
                 [("server", txt("server")), ("visit", txt("visit")), ("promotions", txt("promotions"))]
                     .into_iter()
                     .find(|(_, v)| !v.is_empty())
-                    .ok_or_else(|| Code::Malformed.because("explain takes server, visit or promotions"))?;
+                    .ok_or_else(|| ErrorCode::Malformed.with_detail("explain takes server, visit or promotions"))?;
             Ok(fan_out(f, kind, &key).await)
         }
         "promote" => {
             let g: Name = txt("group").into();
             if f.node.board.lead(&g).is_none() {
-                return Err(Code::NoSuchServer.because(format_args!("no group is called {g:?}")));
+                return Err(ErrorCode::NoSuchServer.with_detail(format_args!("no group is called {g:?}")));
             }
             let to = Some(Name::from(txt("to"))).filter(|t| !t.is_empty());
             let ask = to.as_ref().map_or_else(String::new, |t| t.to_string());
             let key = format!("{g}={ask}").into();
             let live: Vec<Name> = f.mesh.live().into_iter().map(|(n, _)| n).collect();
             let owner =
-                quincehatch_gossip::duty::owner(&quincehatch_store::store::duty_of(&g), &live).cloned();
-            let owner = owner.ok_or_else(|| Code::NoMajority.bare())?;
+                quincehatch_gossip::duty::owner(&quincehatch_store::store::promotion_duty_key(&g), &live).cloned();
+            let owner = owner.ok_or_else(|| ErrorCode::NoMajority.without_detail())?;
             f.mesh.ask(&owner, NodeQuery::Report { what: "ask-promote".into(), key }).await?;
             Ok(json!({"asked": owner, "group": g}))
         }
@@ -51,11 +51,11 @@
             match f.mesh.ask(&txt("name"), ask).await? {
                 NodeReply::Report { json } => Ok(json!({"node": txt("name"),
                     "answer": serde_json::from_str::<Value>(&json).unwrap_or(Value::Null)})),
-                _ => Err(Code::Unreachable.bare()),
+                _ => Err(ErrorCode::Unreachable.without_detail()),
             }
         }
         "members" => members(f, b).await,
-        _ => Err(Code::NoSuchCall.bare()),
+        _ => Err(ErrorCode::NoSuchCall.without_detail()),
     }
 }
 
@@ -96,7 +96,7 @@
     let leads: Vec<Value> = plan
         .leads
         .iter()
-        .map(|(g, l)| json!({"group": g, "server": l.server, "fence": l.fence, "by": l.by}))
+        .map(|(g, l)| json!({"group": g, "server": l.server, "fence": l.fence, "by": l.assigned_by}))
         .collect();
     let nodes = fan_out(f, "node", "").await;
     json!({"version": plan.version, "change": plan.n, "view": v, "keepers": keepers, "leads": leads,
@@ -105,7 +105,7 @@
 
 fn placements(f: &Fleet) -> Result<Value, Error> {
     let plan = f.node.board.plan();
-    let bp = plan.blueprint.clone().ok_or_else(|| Code::NoBlueprint.bare())?;
+    let bp = plan.blueprint.clone().ok_or_else(|| ErrorCode::NoConfiguration.without_detail())?;
     let of = |p: &quincehatch_config::blueprint::Placement| -> Vec<Name> {
         f.node.board.placed(&bp, p).iter().map(|r| r.name.clone()).collect()
     };
@@ -155,12 +155,12 @@
 }
 
 async fn push(f: &Fleet, text: &str, b: &Value) -> Result<Value, Error> {
-    let bp = match f.node.board.plan().blueprint.clone().filter(|_| rt::broken("taken-invalid")) {
+    let bp = match f.node.board.plan().blueprint.clone().filter(|_| seam::injected_bug("taken-invalid")) {
         Some(old) => Blueprint::read(text).unwrap_or_else(|_| old.as_ref().clone()),
         None => Blueprint::read(text)?,
     };
     let json = bp.to_json();
-    let FeedState { version, text: old, .. } = f.known.lock().unwrap().clone();
+    let FeedState { configuration_version: version, configuration_json: old, .. } = f.known.lock().unwrap().clone();
     let diff = diff(&old, &json);
     let empty: Vec<&str> = bp
         .placements
@@ -173,12 +173,12 @@
     }
     let base = b.get("base").and_then(Value::as_u64).unwrap_or(version);
     let key = b.get("key").and_then(Value::as_str).filter(|k| !k.is_empty() && k.len() <= 128);
-    let key = key.ok_or_else(|| Code::Malformed.because("a push needs a key of 1 to 128 bytes"))?;
+    let key = key.ok_or_else(|| ErrorCode::Malformed.with_detail("a push needs a key of 1 to 128 bytes"))?;
     let by = b.get("by").and_then(Value::as_str).unwrap_or("operator").into();
     let cmd = Command::PushConfiguration { base, text: json, by };
     match f.chain.write(&format!("push/{key}"), cmd, PUSH).await? {
         Answer::Version(e) => Ok(json!({"version": e, "diff": diff, "no_server_yet": empty})),
-        _ => Err(Code::ChainDown.because("an answer that is none")),
+        _ => Err(ErrorCode::ChainUnavailable.with_detail("an answer that is none")),
     }
 }
 
@@ -188,7 +188,7 @@
         .history
         .iter()
         .map(|k| {
-            json!({"version": k.version, "by": k.by, "bytes": k.text.len(),
+            json!({"version": k.version, "by": k.author, "bytes": k.text.len(),
             "blueprint": serde_json::from_str::<Value>(&k.text).unwrap_or(Value::Null)})
         })
         .collect();
@@ -199,7 +199,7 @@
 async fn rollback(f: &Fleet, b: &Value) -> Result<Value, Error> {
     let want = b.get("version").and_then(Value::as_u64).unwrap_or(0);
     let had = f.chain.read(READ).await?;
-    let kept = had.kept(want).ok_or_else(|| Code::NoSuchVersion.because(want))?;
+    let kept = had.history_entry(want).ok_or_else(|| ErrorCode::NoSuchVersion.with_detail(want))?;
     push(f, &kept.text, b).await
 }
 
@@ -212,7 +212,7 @@
     let gone = b.get("remove").and_then(Value::as_str);
     let mut machines = v.voters.clone();
     if let Some((n, a)) = add {
-        a.parse::<std::net::SocketAddr>().map_err(|_| Code::Malformed.because("add takes name=ip:port"))?;
+        a.parse::<std::net::SocketAddr>().map_err(|_| ErrorCode::Malformed.with_detail("add takes name=ip:port"))?;
         machines.push(Voter { name: n.into(), addr: a.into() });
     }
     if let Some(n) = gone {
@@ -226,27 +226,27 @@
         let st = f.chain.ask(a, Request::Status, Duration::from_millis(700)).await;
         if !matches!(&st, Ok(Reply::Status { status }) if status.name == n) {
             let why = format!("no keeper {n} answers at {a}; start it with --join first");
-            return Err(Code::MemberChange.because(why));
+            return Err(ErrorCode::MembershipChangeRejected.with_detail(why));
         }
     }
     for _ in 0..12 {
         let ask = Request::ChangeVoters { version: v.version, voters: machines.clone() };
         if let Ok(Reply::Rejected { error: why }) = f.chain.ask(&f.chain.head(), ask, Duration::from_secs(1)).await
-            && !why.is(Code::MemberChange)
+            && !why.has_code(ErrorCode::MembershipChangeRejected)
         {
             return Err(why);
         }
-        rt::sleep(Duration::from_millis(400)).await;
+        seam::sleep(Duration::from_millis(400)).await;
         f.chain.learn_from(&f.chain.head()).await;
         let now = f.chain.view();
         if now.voters == machines {
             return Ok(json!({"view": now}));
         }
         if now.version != v.version {
-            return Err(Code::MemberChange.because("the view changed meanwhile; ask again"));
+            return Err(ErrorCode::MembershipChangeRejected.with_detail("the view changed meanwhile; ask again"));
         }
     }
-    Err(Code::MemberChange
-        .because("the view did not change in time; look at `quincehatchctl members`")
-        .unknown())
+    Err(ErrorCode::MembershipChangeRejected
+        .with_detail("the view did not change in time; look at `quincehatchctl members`")
+        .with_unknown_outcome())
 }
--- a/crates/node/src/promoting.rs
+++ b/crates/node/src/promoting.rs
@@ -1,13 +1,13 @@
 //! Drives one promotion's steps against chain, servers and platform (§5.5).
 use crate::fencing::{Taken, next_fence};
 use crate::{Fleet, held_promotion};
-use quincehatch_core::{Code, Fence, Name};
+use quincehatch_core::{ErrorCode, FencingToken, Name};
 use quincehatch_failover::promotion::{In, Out, Plan, Promotion};
 use quincehatch_gossip::{NodeQuery, NodeReply};
 use quincehatch_proxy::platform::{self, Promoted};
 use quincehatch_runtime::now;
-use quincehatch_runtime::rt;
-use quincehatch_store::store::duty_of;
+use quincehatch_runtime::seam;
+use quincehatch_store::store::promotion_duty_key;
 use quincehatch_store::{Answer, Command, PrimaryState};
 use quincehatch_wire::http::post;
 use std::collections::BTreeSet;
@@ -28,7 +28,7 @@
     let mut going: BTreeSet<String> = BTreeSet::new();
     act(&f, &plan, outs, &tx, &mut going);
     while !p.over() {
-        let i = rt::timeout(Duration::from_millis(50), rx.recv()).await;
+        let i = seam::timeout(Duration::from_millis(50), rx.recv()).await;
         let i = match i {
             Ok(Some((what, i))) => {
                 going.remove(&what);
@@ -48,7 +48,7 @@
             Out::Say(s) => {
                 f.duty.tell(s.clone());
                 // The simulator may have this process die or stand still just here (§9.1).
-                rt::point(s);
+                seam::trace_point(s);
                 continue;
             }
             Out::TakeFence { .. } => "fence".to_owned(),
@@ -60,7 +60,7 @@
         };
         if going.insert(what.clone()) {
             let (f, plan, tx) = (f.clone(), plan.clone(), tx.clone());
-            rt::spawn(async move {
+            seam::spawn(async move {
                 let i = one(&f, &plan, o).await;
                 let _ = tx.send((what, i));
             });
@@ -75,7 +75,7 @@
             held_promotion::stand_still(f, plan, server).await
         }
         // Whoever took a higher fence names another: a call of this one would only stir the group up.
-        Out::Promote { fence, .. } if f.known.lock().unwrap().fence(&duty_of(&plan.group)) > fence => {
+        Out::Promote { fence, .. } if f.known.lock().unwrap().fence(&promotion_duty_key(&plan.group)) > fence => {
             In::Overtaken
         }
         Out::Promote { server, fence, .. } if f.ports.is_some() => {
@@ -94,14 +94,14 @@
             }
         }
         Out::SetLead { key, lead } => {
-            let (named, list) = (lead.server.is_some(), !lead.counts.is_empty());
+            let (named, list) = (lead.server.is_some(), !lead.voters.is_empty());
             let cmd = Command::AssignPrimary { group: plan.group.clone(), primary: lead };
             match f.chain.write(&key, cmd, WRITE).await {
                 Ok(Answer::Lead(_)) if named => In::Named,
                 Ok(Answer::Lead(_)) if list => In::Listed,
                 Ok(Answer::Lead(lead)) => In::Closed(lead),
                 Ok(_) => In::Tick,
-                Err(b) if b.is(Code::FenceLow) => In::Overtaken,
+                Err(b) if b.has_code(ErrorCode::StaleFence) => In::Overtaken,
                 Err(_) => In::Tick,
             }
         }
@@ -120,9 +120,9 @@
     if none { In::Drained } else { In::Tick }
 }
 
-async fn fence_one(f: &Fleet, server: Name, fence: Fence) -> In {
+async fn fence_one(f: &Fleet, server: Name, fence: FencingToken) -> In {
     let Some(row) = f.node.board.row(&server) else { return In::Tick };
-    if rt::broken("unfenced") {
+    if seam::injected_bug("unfenced") {
         return In::Fenced(server, row.beat.read().unwrap().log_end);
     }
     let (path, body) = quincehatch_proxy::server::call::fence(fence);
@@ -136,7 +136,7 @@
     }
 }
 
-async fn promote_one(f: &Fleet, plan: &Plan, server: Name, fence: Fence, counts: &[Name]) -> In {
+async fn promote_one(f: &Fleet, plan: &Plan, server: Name, fence: FencingToken, counts: &[Name]) -> In {
     let Some(row) = f.node.board.row(&server) else { return In::NotPromoted(server) };
     let (path, body) = platform::promote(&plan.group, &server, &row.addr(), fence, &plan.by, counts);
     let status = post(&f.node.set.platform, path, &body, CALL).await.ok().map(|r| r.0);
--- a/crates/node/src/server_queries.rs
+++ b/crates/node/src/server_queries.rs
@@ -1,8 +1,8 @@
 //! Questions of the control plane to servers met over held links: one kept link a server (§3.6, §5.5).
 use crate::Fleet;
-use quincehatch_core::{Ms, Name, Position, Role};
+use quincehatch_core::{Millis, Name, Position, Role};
 use quincehatch_proxy::port::{Call, Line, Look, No, Said};
-use quincehatch_runtime::{now, rt};
+use quincehatch_runtime::{now, seam};
 use quincehatch_wire::http::Watch;
 use std::collections::BTreeMap;
 use std::io;
@@ -13,21 +13,21 @@
 const WITHIN: Duration = Duration::from_millis(400);
 
 /// Where it leads, when it was last used, and the link.
-type Kept = (Name, Ms, Box<dyn Line>);
+type Kept = (Name, Millis, Box<dyn Line>);
 
 /// A link not used for so long is closed.
-const IDLE: Ms = 5_000;
+const IDLE: Millis = 5_000;
 
 /// What servers last said of themselves here, and the links they were asked over.
 #[derive(Default)]
 pub struct Asking {
     links: Mutex<BTreeMap<Name, Kept>>,
-    looks: Mutex<BTreeMap<Name, (Ms, Look)>>,
+    looks: Mutex<BTreeMap<Name, (Millis, Look)>>,
 }
 
 impl Asking {
     /// When it was asked, and what it said.
-    pub fn look(&self, server: &str) -> Option<(Ms, Look)> {
+    pub fn look(&self, server: &str) -> Option<(Millis, Look)> {
         self.looks.lock().unwrap().get(server).copied()
     }
     /// The newest term that any of these has heard of.
@@ -49,7 +49,7 @@
 pub async fn ask(f: &Fleet, server: &Name, call: Call) -> Option<Look> {
     let row = f.node.board.row(server)?;
     let asked = now();
-    let got = rt::timeout(WITHIN, once(f, server, row.addr(), row.group(), &call)).await;
+    let got = seam::timeout(WITHIN, once(f, server, row.addr(), row.group(), &call)).await;
     match got.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())) {
         Ok(said) => {
             row.well(asked);
--- a/crates/node/tests/calls.rs
+++ b/crates/node/tests/calls.rs
@@ -1,5 +1,5 @@
 //! What a node does when a keeper takes a call and says nothing (§2.6).
-use quincehatch_core::{Code, End, Error, Name};
+use quincehatch_core::{ErrorCode, Outcome, Error, Name};
 use quincehatch_node::chain_client::Chain;
 use quincehatch_store::{KeeperRequest, KeeperResponse, KeeperStatus, Voter, Reply, Request, View};
 use quincehatch_wire::{Identity, Incoming, RequestHeader, answer_to, read_frame, write_frame};
@@ -71,8 +71,8 @@
     assert!(asked(&chain, &addr, Request::Status).await.is_ok());
     let machines = Request::ChangeVoters { version: 1, voters: view(&addr).voters };
     let error = asked(&chain, &addr, machines).await.unwrap_err();
-    assert!(error.is(Code::OutcomeUnknown), "{error}");
-    assert_eq!(error.end, End::Unknown);
+    assert!(error.has_code(ErrorCode::OutcomeUnknown), "{error}");
+    assert_eq!(error.outcome, Outcome::Unknown);
     assert_eq!(*arrived.lock().unwrap(), ["status", "machines"]);
 }
 
@@ -82,7 +82,7 @@
     let chain = Chain::new("n1", std::slice::from_ref(&addr));
     assert!(asked(&chain, &addr, Request::Status).await.is_ok());
     let error = asked(&chain, &addr, Request::ReadStore).await.unwrap_err();
-    assert!(error.is(Code::Unreachable), "{error}");
+    assert!(error.has_code(ErrorCode::Unreachable), "{error}");
     assert_eq!(*arrived.lock().unwrap(), ["status", "read", "read"]);
 }
 
--- a/crates/node/tests/frozen_reader.rs
+++ b/crates/node/tests/frozen_reader.rs
@@ -1,7 +1,7 @@
 //! A reader that stood still hands out no answer of before (§5.2, docs/design-control.md).
-use quincehatch_core::Code;
+use quincehatch_core::ErrorCode;
 use quincehatch_node::chain_client::Chain;
-use quincehatch_store::{Adopted, KeeperRequest, KeeperResponse, Reply};
+use quincehatch_store::{AdoptedDocument, KeeperRequest, KeeperResponse, Reply};
 use quincehatch_wire::{Identity, serve};
 use std::sync::mpsc;
 use std::time::Duration;
@@ -20,7 +20,7 @@
                 let answered = answered.clone();
                 async move {
                     let _ = answered.send(());
-                    let adopted = Some(Adopted { number: 7, source: "an old document".into() });
+                    let adopted = Some(AdoptedDocument { number: 7, source: "an old document".into() });
                     KeeperResponse::Reply { reply: Reply::Adopted { adopted } }
                 }
             })
@@ -48,5 +48,5 @@
         };
         tokio::join!(read, freeze).0
     });
-    assert!(read.as_ref().is_err_and(|e| e.is(Code::ChainDown)), "{read:?}");
+    assert!(read.as_ref().is_err_and(|e| e.has_code(ErrorCode::ChainUnavailable)), "{read:?}");
 }
--- a/crates/node/tests/settled.rs
+++ b/crates/node/tests/settled.rs
@@ -3,7 +3,7 @@
 use quincehatch_node::acknowledged::{Settled, Told, reach};
 
 fn at(n: u64) -> Position {
-    Position { fence: 1, n }
+    Position { fence: 1, number: n }
 }
 fn told(of: &[(&str, u64, u64)]) -> Told {
     of.iter().map(|(n, end, life)| (Name::from(*n), (at(*end), *life))).collect()
--- a/crates/proxy/src/alone.rs
+++ b/crates/proxy/src/alone.rs
@@ -2,7 +2,7 @@
 use crate::node::Copies;
 use crate::session::Context;
 use quincehatch_core::{Error, Name, Version};
-use quincehatch_runtime::rt::Fut;
+use quincehatch_runtime::seam::BoxFuture;
 use std::sync::Mutex;
 
 /// Copies kept on this node alone: for tests, and while a node runs without others.
@@ -12,11 +12,11 @@
 }
 
 impl Copies for Alone {
-    fn store(&self, c: Context) -> Fut<'_, Result<(), Error>> {
+    fn store(&self, c: Context) -> BoxFuture<'_, Result<(), Error>> {
         self.held.lock().unwrap().insert(c.id.clone(), c);
         Box::pin(async { Ok(()) })
     }
-    fn find<'a>(&'a self, id: &'a str, _: Version) -> Fut<'a, Result<Option<Context>, Error>> {
+    fn find<'a>(&'a self, id: &'a str, _: Version) -> BoxFuture<'a, Result<Option<Context>, Error>> {
         let c = self.held.lock().unwrap().get(id).cloned();
         Box::pin(async { Ok(c) })
     }
--- a/crates/proxy/src/board.rs
+++ b/crates/proxy/src/board.rs
@@ -4,11 +4,11 @@
 use crate::pool::Pool;
 use crate::verdict::Health;
 use quincehatch_config::blueprint::{Blueprint, Placement};
-use quincehatch_core::index::{Ix, Names};
-use quincehatch_core::{Beat, ChangeNo, Lead, Ms, Name, Version};
+use quincehatch_core::name_table::{NameIndex, NameTable};
+use quincehatch_core::{ServerHeartbeat, ChangeNumber, PrimaryAssignment, Millis, Name, Version};
 use quincehatch_runtime::now;
-use quincehatch_runtime::rt;
-use quincehatch_wire::http::OnBreak;
+use quincehatch_runtime::seam;
+use quincehatch_wire::http::OnDisconnect;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, RwLock};
@@ -19,10 +19,10 @@
 /// What the chain says, as this node has applied it.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    pub n: ChangeNo,
+    pub n: ChangeNumber,
     pub version: Version,
     pub blueprint: Option<Arc<Blueprint>>,
-    pub leads: BTreeMap<Name, Lead>,
+    pub leads: BTreeMap<Name, PrimaryAssignment>,
     /// The rule of each database that held sessions name (§4.10), by its place.
     pub by_db: Arc<HashMap<Name, usize>>,
 }
@@ -35,9 +35,9 @@
 
 /// All this node holds on one server.
 pub struct ServerRow {
-    pub ix: Ix,
+    pub ix: NameIndex,
     pub name: Name,
-    pub beat: RwLock<Beat>,
+    pub beat: RwLock<ServerHeartbeat>,
     pub health: Mutex<Health>,
     pub pool: Pool,
     /// Links of held sessions (§4.10).
@@ -50,21 +50,21 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct StatusRow {
-    pub asked: Ms,
-    pub answered: Ms,
+    pub asked: Millis,
+    pub answered: Millis,
     /// STATUS has failed since then.
-    pub failing: Option<Ms>,
+    pub failing: Option<Millis>,
     /// The link was declined or reset, so that nobody listens there.
     pub declined: bool,
-    pub left: Option<Ms>,
+    pub left: Option<Millis>,
     /// When it last said that it does not lead.
-    pub not_lead: Option<Ms>,
+    pub not_lead: Option<Millis>,
     /// The boot and the fence under which it last said that it leads and shows all of its log.
-    pub whole: Option<(u64, quincehatch_core::Fence)>,
+    pub whole: Option<(u64, quincehatch_core::FencingToken)>,
 }
 
 pub struct Board {
-    names: RwLock<Names>,
+    names: RwLock<NameTable>,
     rows: RwLock<Vec<Arc<ServerRow>>>,
     plan: Newest<Plan>,
     seen: Mutex<BTreeMap<Name, Seen>>,
@@ -118,10 +118,10 @@
     pub fn leads(&self, group: &str, server: &str) -> bool {
         self.plan.get().leads.get(group).is_some_and(|l| l.server.as_ref().is_some_and(|s| s == server))
     }
-    pub fn lead(&self, group: &str) -> Option<Lead> {
+    pub fn lead(&self, group: &str) -> Option<PrimaryAssignment> {
         self.plan.get().leads.get(group).cloned()
     }
-    pub fn renew_lease(&self, until: Ms) {
+    pub fn renew_lease(&self, until: Millis) {
         self.lease_until.fetch_max(until, Ordering::SeqCst);
     }
     /// The lease is used no more, whatever is left of it.
@@ -130,21 +130,21 @@
     }
     /// Sets the lease outright, lower too: a test's way to a node whose lease runs out.
     #[doc(hidden)]
-    pub fn lease_for_test(&self, until: Ms) {
+    pub fn lease_for_test(&self, until: Millis) {
         self.lease_until.store(until, Ordering::SeqCst);
     }
-    pub fn lease_left(&self) -> Ms {
+    pub fn lease_left(&self) -> Millis {
         self.lease_until.load(Ordering::SeqCst).saturating_sub(now())
     }
     pub fn has_lease(&self) -> bool {
-        self.lease_left() > 0 || (rt::broken("no-lease") && self.lease_until.load(Ordering::SeqCst) > 0)
+        self.lease_left() > 0 || (seam::injected_bug("no-lease") && self.lease_until.load(Ordering::SeqCst) > 0)
     }
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
 
     /// A beat arrives by whatever way; newest version wins. True when it was news.
-    pub fn beat(&self, b: Beat) -> bool {
+    pub fn beat(&self, b: ServerHeartbeat) -> bool {
         if self.row(&b.server).is_none() && self.rows.read().unwrap().len() >= SERVERS {
             return false;
         }
@@ -154,7 +154,7 @@
             return false;
         }
         let (moved, reborn) = (cur.addr != b.addr, cur.boot != b.boot);
-        let leaving = b.state == quincehatch_core::State::Leaving;
+        let leaving = b.state == quincehatch_core::ServerState::Draining;
         *cur = b;
         drop(cur);
         if moved || reborn {
@@ -165,7 +165,7 @@
         true
     }
 
-    fn row_or_new(&self, b: &Beat) -> Arc<ServerRow> {
+    fn row_or_new(&self, b: &ServerHeartbeat) -> Arc<ServerRow> {
         if let Some(r) = self.row(&b.server) {
             return r;
         }
@@ -178,7 +178,7 @@
         let row = Arc::new(ServerRow {
             ix,
             name: b.server.clone(),
-            beat: RwLock::new(Beat { seq: 0, ..b.clone() }),
+            beat: RwLock::new(ServerHeartbeat { seq: 0, ..b.clone() }),
             health: Mutex::default(),
             pool: Pool::default(),
             held: Default::default(),
@@ -190,7 +190,7 @@
     }
 
     pub fn row(&self, name: &str) -> Option<Arc<ServerRow>> {
-        let ix = self.names.read().unwrap().get(name)?;
+        let ix = self.names.read().unwrap().index_of(name)?;
         self.rows.read().unwrap().get(ix.0 as usize).cloned()
     }
     pub fn rows(&self) -> Vec<Arc<ServerRow>> {
@@ -202,7 +202,7 @@
     }
     /// What the primary was seen to hold. It still proves something when another leads, as no other acknowledges a
     /// commit while this node holds its lease and has not heard of the change (§4.8); without a lease it may.
-    pub fn note_seen(&self, group: &str, asked: Ms, pos: quincehatch_core::Position) {
+    pub fn note_seen(&self, group: &str, asked: Millis, pos: quincehatch_core::Position) {
         if self.has_lease() {
             self.seen(group, |s| s.note(asked, pos));
         }
@@ -211,14 +211,14 @@
         let mut s = self.seen.lock().unwrap();
         f(s.entry(group.into()).or_default())
     }
-    pub fn beats(&self) -> Vec<Beat> {
+    pub fn beats(&self) -> Vec<ServerHeartbeat> {
         self.rows().iter().map(|r| r.beat.read().unwrap().clone()).collect()
     }
 }
 
 impl ServerRow {
     /// Keeps an idle link's break for the judges.
-    pub fn on_break(self: &Arc<Self>) -> OnBreak {
+    pub fn on_break(self: &Arc<Self>) -> OnDisconnect {
         let row = self.clone();
         Box::new(move |e| row.broke.lock().unwrap().push(e))
     }
@@ -229,7 +229,7 @@
         self.beat.read().unwrap().group().into()
     }
     pub fn district(&self) -> Name {
-        self.beat.read().unwrap().district().into()
+        self.beat.read().unwrap().zone().into()
     }
     pub fn leaving(&self) -> bool {
         self.status.lock().unwrap().left.is_some()
--- a/crates/proxy/src/carry.rs
+++ b/crates/proxy/src/carry.rs
@@ -6,9 +6,9 @@
 use crate::pool::{Loan, NoLink};
 use crate::server::{Reply, call};
 use crate::verdict::Verdict;
-use quincehatch_core::Ms;
+use quincehatch_core::Millis;
 use quincehatch_runtime::now;
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use quincehatch_wire::http::post;
 use serde_json::Value;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use tokio::sync::oneshot;
 
 /// How long an abandoned link counts after its query timeout, at most.
-const ABANDON_MORE: Ms = 5_000;
+const ABANDON_MORE: Millis = 5_000;
 
 /// What came of asking.
 pub enum Asked {
@@ -31,7 +31,7 @@
 
 /// Asks over `loan` and waits until `until`. The asking itself goes on in a task of its own, so that neither an
 /// origin that leaves nor a visit that gives up loses what the reply would tell the judges.
-pub async fn ask(n: &Arc<Node>, loan: Loan, c: (&'static str, Value), owe: Owe, id: u64, until: Ms) -> Asked {
+pub async fn ask(n: &Arc<Node>, loan: Loan, c: (&'static str, Value), owe: Owe, id: u64, until: Millis) -> Asked {
     ask_on(n, loan, c, owe, id, until, || None).await
 }
 
@@ -42,15 +42,15 @@
     c: (&'static str, Value),
     owe: Owe,
     id: u64,
-    mut until: Ms,
-    more: impl Fn() -> Option<Ms>,
+    mut until: Millis,
+    more: impl Fn() -> Option<Millis>,
 ) -> Asked {
     let (tx, mut rx) = oneshot::channel();
     let node = n.clone();
     n.rt.spawn(async move { watch(node, loan, c, owe, id, tx).await });
     loop {
         let left = Duration::from_millis(until.saturating_sub(now()));
-        match rt::timeout(left, &mut rx).await {
+        match seam::timeout(left, &mut rx).await {
             Ok(Ok(Ok((r, l)))) => return Asked::Reply(r, l),
             Ok(Ok(Err(b))) => return Asked::Broke(b),
             Ok(Err(_)) => return Asked::Silent,
@@ -72,7 +72,7 @@
     let got = {
         let asking = loan.link().ask(c);
         tokio::pin!(asking);
-        let first = rt::first(&mut asking, tx.closed()).await.ok();
+        let first = seam::select_first(&mut asking, tx.closed()).await.ok();
         match first {
             Some(r) => Some(r),
             None => {
@@ -83,7 +83,7 @@
                     let _ = post(&addr, path, &body, Duration::from_secs(2)).await;
                 });
                 let most = Duration::from_millis(owe.query_timeout + ABANDON_MORE);
-                rt::timeout(most, &mut asking).await.ok()
+                seam::timeout(most, &mut asking).await.ok()
             }
         }
     };
--- a/crates/proxy/src/choose.rs
+++ b/crates/proxy/src/choose.rs
@@ -2,7 +2,7 @@
 use crate::board::ServerRow;
 use crate::node::Node;
 use crate::visit::Visit;
-use quincehatch_core::{Ms, Name, Role};
+use quincehatch_core::{Millis, Name, Role};
 use quincehatch_runtime::now;
 use std::sync::Arc;
 
@@ -62,10 +62,10 @@
 }
 
 /// A witness goes elsewhere after this.
-const WITNESS: Ms = 400;
+const WITNESS: Millis = 400;
 
 /// The share of the time one server gets before the visit goes elsewhere as well.
-pub fn patience(v: &Visit, long: bool, c: &Choice) -> Ms {
+pub fn patience(v: &Visit, long: bool, c: &Choice) -> Millis {
     let share = (v.left() / 3).max(50).min(v.left());
     match (long || c.primary, c.witness) {
         (true, _) => v.until,
@@ -77,8 +77,8 @@
 /// A visit whose time at a server is over stays there while the server answers others: then it is the visit that is
 /// long, and would be elsewhere too (§4.5). It goes on as soon as the server falls silent, or while the node's budget
 /// for carrying is spent stays all the same (§4.7).
-pub fn stay(n: &Node, c: &Choice, till: Ms) -> Option<Ms> {
-    const STEP: Ms = 250;
+pub fn stay(n: &Node, c: &Choice, till: Millis) -> Option<Millis> {
+    const STEP: Millis = 250;
     let left = till.saturating_sub(now());
     if left < 20 {
         return None;
--- a/crates/proxy/src/door.rs
+++ b/crates/proxy/src/door.rs
@@ -1,6 +1,6 @@
 //! The HTTP doors, on xitca-web: one for origins and platform, one for servers' beats and operators (§4.1).
 use crate::visit::breakdown_json as visit_json;
-use quincehatch_core::{Code, Error};
+use quincehatch_core::{ErrorCode, Error};
 use serde_json::Value;
 use std::net::TcpListener;
 use std::pin::Pin;
@@ -54,9 +54,9 @@
     headers: &HeaderMap,
     body: Result<(Bytes, Limit<MAX>), WebError>,
 ) -> Result<Bytes, Error> {
-    let broke_off = || Code::NotReady.because("the body did not come whole");
+    let broke_off = || ErrorCode::NotReady.with_detail("the body did not come whole");
     let (body, _) = body.map_err(|error| match error.upcast().downcast_ref::<BodyOverFlow>() {
-        Some(_) => Code::TooLarge.because(format_args!("a body may have {MAX} bytes")),
+        Some(_) => ErrorCode::TooLarge.with_detail(format_args!("a body may have {MAX} bytes")),
         None => broke_off(),
     })?;
     let announced = headers.get(header::CONTENT_LENGTH).and_then(|length| length.to_str().ok()?.parse().ok());
@@ -80,12 +80,12 @@
     let (method, path) = (req.method().as_str().to_owned(), req.uri().path().to_owned());
     let door = ctx.state();
     let said = match whole_body(req.headers(), body) {
-        Err(error) => Plain::from((error.http(), visit_json(&error))),
+        Err(error) => Plain::from((error.http_status(), visit_json(&error))),
         Ok(body) => {
             // The visit runs in a task of its own: an origin that hangs up does not cut it short.
             let fut = (door.answer)(Knock { method, path, token, body });
             door.rt.spawn(fut).await.unwrap_or_else(|_| {
-                let b = Code::NotReady.because("the visit broke off").unknown();
+                let b = ErrorCode::NotReady.with_detail("the visit broke off").with_unknown_outcome();
                 (500, visit_json(&b)).into()
             })
         }
@@ -131,7 +131,7 @@
     answer: PlainAnswerer,
     rt: &tokio::runtime::Handle,
 ) -> Result<Open, Error> {
-    let in_use = |e: std::io::Error| Code::PortInUse.because(format_args!("{addr}: {e}"));
+    let in_use = |e: std::io::Error| ErrorCode::PortInUse.with_detail(format_args!("{addr}: {e}"));
     let lst = TcpListener::bind(addr).map_err(in_use)?;
     let state = Door { answer, rt: rt.clone() };
     let mut fut = App::new()
--- a/crates/proxy/src/filters.rs
+++ b/crates/proxy/src/filters.rs
@@ -2,7 +2,7 @@
 use crate::node::Node;
 use crate::visit::{Answer, Good, Visit, What};
 use crate::{lookup, order, outcome, session, txn};
-use quincehatch_core::{Code, Error, Ms};
+use quincehatch_core::{ErrorCode, Error, Millis};
 use quincehatch_runtime::now;
 use std::future::Future;
 use std::pin::Pin;
@@ -17,7 +17,7 @@
 }
 
 /// Longest and shortest deadline an origin may set.
-pub const DEADLINE: (Ms, Ms) = (50, 60_000);
+pub const DEADLINE: (Millis, Millis) = (50, 60_000);
 /// Longest statement text.
 pub const TEXT_MAX: usize = 32 << 10;
 
@@ -39,7 +39,7 @@
             return a;
         }
     }
-    Err(Code::NoSuchCall.bare())
+    Err(ErrorCode::NoSuchCall.without_detail())
 }
 
 fn limits(_: &Node, v: &Visit) -> Result<(), Error> {
@@ -49,22 +49,22 @@
     let needs = matches!(v.what, What::Set | What::Prepare | What::Order | What::Lookup | What::Run);
     let tried = matches!(v.what, What::Order | What::Commit | What::Outcome);
     if long {
-        return Err(Code::TooLarge.because(format_args!("a text may have {TEXT_MAX} bytes")));
+        return Err(ErrorCode::TooLarge.with_detail(format_args!("a text may have {TEXT_MAX} bytes")));
     }
     if key || named {
-        return Err(Code::Malformed.because("a try key or name has 1 to 128 bytes"));
+        return Err(ErrorCode::Malformed.with_detail("a try key or name has 1 to 128 bytes"));
     }
     if needs && v.text().is_empty() {
-        return Err(Code::Malformed.because("text is missing"));
+        return Err(ErrorCode::Malformed.with_detail("text is missing"));
     }
     if tried && v.body.key.is_none() {
-        return Err(Code::MissingTry.bare());
+        return Err(ErrorCode::MissingIdempotencyKey.without_detail());
     }
     if v.what == What::Prepare && v.body.name.is_none() {
-        return Err(Code::Malformed.because("name is missing"));
+        return Err(ErrorCode::Malformed.with_detail("name is missing"));
     }
     if v.what.in_session() && v.body.session.is_none() {
-        return Err(Code::Malformed.because("session is missing"));
+        return Err(ErrorCode::Malformed.with_detail("session is missing"));
     }
     Ok(())
 }
@@ -72,12 +72,12 @@
 fn ready(n: &Node, v: &Visit) -> Result<(), Error> {
     let ends = matches!(v.what, What::Run | What::Commit | What::Rollback | What::Close | What::Outcome);
     if n.board.is_stopping() && !ends {
-        return Err(Code::Stopping.bare().retry(200));
+        return Err(ErrorCode::Stopping.without_detail().with_retry_after(200));
     }
     if !n.board.has_lease() {
-        return Err(Code::NoLease.bare().retry(500));
+        return Err(ErrorCode::NoLease.without_detail().with_retry_after(500));
     }
-    v.plan.blueprint.as_ref().map(|_| ()).ok_or_else(|| Code::NoBlueprint.bare().retry(1_000))
+    v.plan.blueprint.as_ref().map(|_| ()).ok_or_else(|| ErrorCode::NoConfiguration.without_detail().with_retry_after(1_000))
 }
 
 fn deadline(_: &Node, v: &mut Visit) -> Result<(), Error> {
@@ -85,9 +85,9 @@
     v.body
         .deadline_ms
         .filter(|d| !(lo..=hi).contains(d))
-        .map_or(Ok(()), |d| Err(Code::BadDeadline.because(format_args!("{d} ms is outside {lo} to {hi}"))))?;
+        .map_or(Ok(()), |d| Err(ErrorCode::InvalidDeadline.with_detail(format_args!("{d} ms is outside {lo} to {hi}"))))?;
     v.until = v.began + v.body.deadline_ms.unwrap_or(hi);
-    if now() >= v.until { Err(Code::DeadlinePassed.bare()) } else { Ok(()) }
+    if now() >= v.until { Err(ErrorCode::DeadlinePassed.without_detail()) } else { Ok(()) }
 }
 
 async fn in_session(n: &Arc<Node>, v: &mut Visit) -> Option<Answer> {
@@ -96,7 +96,7 @@
     }
     let id = v.body.session.clone()?;
     let Some(version) = v.body.version else {
-        return Some(Err(Code::Malformed.because("a visit in a session names the version it was last told")));
+        return Some(Err(ErrorCode::Malformed.with_detail("a visit in a session names the version it was last told")));
     };
     let got = n.hold(&id, version).await;
     match got {
@@ -106,7 +106,7 @@
     let s = v.held.as_deref_mut()?;
     s.used = now();
     match v.what {
-        What::Set | What::Prepare if s.txn.is_some() => Some(Err(Code::InTransaction.bare())),
+        What::Set | What::Prepare if s.txn.is_some() => Some(Err(ErrorCode::InTransaction.without_detail())),
         What::Set | What::Prepare => Some(promise(n, v).await),
         What::Close => {
             s.txn = None;
@@ -116,7 +116,7 @@
             n.sessions.drop_one(&id);
             Some(n.copies.store(ctx).await.map(|()| Good::Promised))
         }
-        What::Order if s.txn.is_some() => Some(Err(Code::InTransaction.bare())),
+        What::Order if s.txn.is_some() => Some(Err(ErrorCode::InTransaction.without_detail())),
         _ => None,
     }
 }
@@ -125,7 +125,7 @@
 async fn promise(n: &Arc<Node>, v: &mut Visit) -> Answer {
     let text = v.text().to_owned();
     let name = v.body.name.clone();
-    let Some(s) = v.held.as_deref_mut() else { return Err(Code::SessionUnknown.bare()) };
+    let Some(s) = v.held.as_deref_mut() else { return Err(ErrorCode::SessionUnknown.without_detail()) };
     let mut ctx = s.ctx.next(s.burnt, s.moved);
     if v.what == What::Set {
         ctx.settings.push(text);
@@ -135,7 +135,7 @@
     }
     if ctx.settings.len() > session::TEXTS || ctx.prepared.len() > session::TEXTS {
         return Err(
-            Code::TooLarge.because(format_args!("a session holds {} texts of a kind", session::TEXTS))
+            ErrorCode::TooLarge.with_detail(format_args!("a session holds {} texts of a kind", session::TEXTS))
         );
     }
     // Left in doubt, the update may live on in some copy: the next version outranks it.
@@ -153,10 +153,10 @@
         What::Lookup => "lookup",
         _ => return Ok(()),
     };
-    let bp = v.plan.blueprint.clone().ok_or_else(|| Code::NoBlueprint.bare())?;
+    let bp = v.plan.blueprint.clone().ok_or_else(|| ErrorCode::NoConfiguration.without_detail())?;
     let mut labels = v.body.labels.clone();
     labels.insert("district".into(), n.set.district.as_str().into());
-    let r = bp.rule(class, &labels).ok_or_else(|| Code::NoRule.bare())?;
+    let r = bp.rule(class, &labels).ok_or_else(|| ErrorCode::NoRoute.without_detail())?;
     // The error of a visit that waits comes at the rule's timeout or the visit's deadline (DESIGN).
     v.until = v.until.min(v.began + r.timeout_ms);
     v.ran.placement = r.placement.as_str().into();
@@ -166,12 +166,12 @@
 
 fn placement(_: &Node, v: &mut Visit) -> Result<(), Error> {
     let Some(r) = &v.rule else { return Ok(()) };
-    let bp = v.plan.blueprint.clone().ok_or_else(|| Code::NoBlueprint.bare())?;
-    let p = bp.placement(&r.placement).ok_or_else(|| Code::NoPlacement.bare())?;
+    let bp = v.plan.blueprint.clone().ok_or_else(|| ErrorCode::NoConfiguration.without_detail())?;
+    let p = bp.placement(&r.placement).ok_or_else(|| ErrorCode::NoPlacement.without_detail())?;
     if r.class == "order" {
         let one = p.select.get("group").filter(|g| g.len() == 1).map(|g| g[0].as_str());
         v.group =
-            one.ok_or_else(|| Code::NoPlacement.because("orders need a placement of one group"))?.into();
+            one.ok_or_else(|| ErrorCode::NoPlacement.with_detail("orders need a placement of one group"))?.into();
     }
     Ok(())
 }
@@ -190,6 +190,6 @@
             let seal = v.body.seal;
             outcome::settle(n, v, &key, seal).await
         }
-        _ => Err(Code::NoSuchCall.bare()),
+        _ => Err(ErrorCode::NoSuchCall.without_detail()),
     }
 }
--- a/crates/proxy/src/fresh.rs
+++ b/crates/proxy/src/fresh.rs
@@ -1,19 +1,19 @@
 //! Freshness without shared clocks (§4.8): a lookup's stamp must reach what this node saw the primary hold.
-use quincehatch_core::{Ms, Position};
+use quincehatch_core::{Millis, Position};
 use std::collections::VecDeque;
 
 /// Part of the bound that is left for the way back to the origin.
-pub const MARGIN: Ms = 300;
+pub const MARGIN: Millis = 300;
 
 /// What a group's primary was seen to hold: asked at `at`, answered with `pos`. Newest last.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
-    ring: VecDeque<(Ms, Position)>,
+    ring: VecDeque<(Millis, Position)>,
 }
 
 impl Seen {
     /// `asked` is when the question left, so all that was acknowledged before it is in `pos`.
-    pub fn note(&mut self, asked: Ms, pos: Position) {
+    pub fn note(&mut self, asked: Millis, pos: Position) {
         let at = self.ring.iter().rposition(|(a, _)| *a <= asked).map_or(0, |i| i + 1);
         if at > 0 && self.ring[at - 1].1 >= pos && at < self.ring.len() {
             return;
@@ -28,7 +28,7 @@
         }
     }
     /// The least position that still proves a lookup no more than `fresh` behind at `now`.
-    pub fn needed(&mut self, now: Ms, fresh: Ms) -> Option<Position> {
+    pub fn needed(&mut self, now: Millis, fresh: Millis) -> Option<Position> {
         let oldest = now.saturating_sub(fresh.saturating_sub(MARGIN));
         while self.ring.front().is_some_and(|(a, _)| a + 3_000 < now) {
             self.ring.pop_front();
@@ -42,7 +42,7 @@
     use super::*;
 
     fn p(n: u64) -> Position {
-        Position { fence: 1, n }
+        Position { fence: 1, number: n }
     }
 
     #[test]
--- a/crates/proxy/src/held/choose.rs
+++ b/crates/proxy/src/held/choose.rs
@@ -1,18 +1,18 @@
 //! Which server a held visit goes to (§4.7, §4.10).
 use crate::board::{Board, ServerRow};
 use crate::held::{Held, Way};
-use quincehatch_core::{Code, Error, Fence, Ms, Position};
+use quincehatch_core::{ErrorCode, Error, FencingToken, Millis, Position};
 use quincehatch_runtime::now;
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use std::sync::Arc;
 use std::time::Duration;
 
 /// When whoever was declined for want of a lead is to come again.
-const BACK: Ms = 250;
+const BACK: Millis = 250;
 
 /// May this node use a lead that it sees named?
 fn leased(b: &Board) -> bool {
-    b.has_lease() || rt::broken("held-lead-unleased")
+    b.has_lease() || seam::injected_bug("held-lead-unleased")
 }
 
 /// The group's lead at this moment, if this node may use it: named, and the node's lease holds.
@@ -23,18 +23,18 @@
 }
 
 /// Is that still the lead, under a lease? The fence under which it leads.
-pub fn leads(held: &Held, group: &str, row: &ServerRow) -> Option<Fence> {
+pub fn leads(held: &Held, group: &str, row: &ServerRow) -> Option<FencingToken> {
     let b = &held.node.board;
     b.lead(group).filter(|l| leased(b) && l.server.as_ref() == Some(&row.name)).map(|l| l.fence)
 }
 
 /// The same, where it may be given new work.
-pub fn takes(held: &Held, group: &str, row: &ServerRow) -> Option<Fence> {
+pub fn takes(held: &Held, group: &str, row: &ServerRow) -> Option<FencingToken> {
     leads(held, group, row).filter(|_| !row.left_long())
 }
 
 /// The lead, waited for until `until` in bounded holding while hands change (§5.5).
-pub async fn lead(held: &Held, group: &str, until: Ms) -> Result<Arc<ServerRow>, Error> {
+pub async fn lead(held: &Held, group: &str, until: Millis) -> Result<Arc<ServerRow>, Error> {
     let mut place = None;
     loop {
         let changed = held.node.board.changed.notified();
@@ -42,20 +42,20 @@
             return Ok(r);
         }
         if !held.node.board.has_lease() {
-            return Err(Code::NoLease.bare().retry(BACK));
+            return Err(ErrorCode::NoLease.without_detail().with_retry_after(BACK));
         }
         if now() >= until {
-            return Err(Code::NoPrimary.bare().retry(BACK));
+            return Err(ErrorCode::NoPrimary.without_detail().with_retry_after(BACK));
         }
         if place.is_none() {
             let most = held.node.board.plan().blueprint.as_ref().map_or(512, |b| b.holding.most);
             place = held.node.board.works.hold(group, most as usize);
             if place.is_none() {
-                return Err(Code::HoldingFull.bare().retry(BACK));
+                return Err(ErrorCode::QueueFull.without_detail().with_retry_after(BACK));
             }
         }
         let left = until.saturating_sub(now()).clamp(1, 100);
-        let _ = rt::timeout(Duration::from_millis(left), changed).await;
+        let _ = seam::timeout(Duration::from_millis(left), changed).await;
     }
 }
 
--- a/crates/proxy/src/held/link.rs
+++ b/crates/proxy/src/held/link.rs
@@ -5,9 +5,9 @@
 use crate::overdue::Owe;
 use crate::port::{Call, Line, No, Said, Stage};
 use bytes::Bytes;
-use quincehatch_core::{Fence, Lead, Ms, Name};
+use quincehatch_core::{FencingToken, PrimaryAssignment, Millis, Name};
 use quincehatch_runtime::now;
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use std::collections::{BTreeMap, HashSet};
 use std::io;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
     line: Box<dyn Line>,
     pub values: Values,
     pub prepared: HashSet<Name>,
-    pub used: Ms,
+    pub used: Millis,
     /// A call was begun on it and not answered, whether it failed or was cancelled: it is never used again.
     owes_answer: bool,
 }
@@ -59,7 +59,7 @@
     pub row: &'a Arc<ServerRow>,
     pub owe: Owe,
     /// Set where only the lead may answer: its group, and the fence under which it led when the work began.
-    pub under: Option<(&'a Name, Fence)>,
+    pub under: Option<(&'a Name, FencingToken)>,
 }
 
 impl Watched<'_> {
@@ -69,7 +69,7 @@
         let board = &self.held.node.board;
         loop {
             let changed = board.changed.notified();
-            let other = |l: &Lead| l.fence > fence && l.server.as_ref().is_some_and(|s| *s != self.row.name);
+            let other = |l: &PrimaryAssignment| l.fence > fence && l.server.as_ref().is_some_and(|s| *s != self.row.name);
             if board.plan().leads.get(group).is_some_and(other) {
                 return;
             }
@@ -96,7 +96,7 @@
 
 impl Link {
     /// One call and its answer, watched by the judges; after `Err` the link is not used again.
-    pub async fn ask(&mut self, w: &Watched<'_>, c: &Call, within: Ms) -> Result<Said, Lost> {
+    pub async fn ask(&mut self, w: &Watched<'_>, c: &Call, within: Millis) -> Result<Said, Lost> {
         if !self.is_usable() {
             return Err(strange("an answer is still owed on this link"));
         }
@@ -104,8 +104,8 @@
         let (id, asked) = (w.held.node.next_id(), now());
         w.row.health.lock().unwrap().overdue.sent(asked, id, w.owe);
         let mut owed = Owed { row: w.row, id, open: true };
-        let work = rt::timeout(Duration::from_millis(within.max(1)), self.line.ask(c));
-        let got = match rt::first(work, w.overtaken()).await {
+        let work = seam::timeout(Duration::from_millis(within.max(1)), self.line.ask(c));
+        let got = match seam::select_first(work, w.overtaken()).await {
             Ok(got) => got,
             // Whoever led lost the lead in that moment: it will not answer this any more, or declines it.
             Err(()) => Ok(Err(io::ErrorKind::ConnectionAborted.into())),
@@ -142,8 +142,8 @@
     }
 
     /// Brings the link into the session's context: exactly its values (§1 N7).
-    pub async fn suit(&mut self, w: &Watched<'_>, want: &Values, within: Ms) -> Result<(), Lost> {
-        let bare = rt::broken("held-no-reset") && want.is_empty();
+    pub async fn suit(&mut self, w: &Watched<'_>, want: &Values, within: Millis) -> Result<(), Lost> {
+        let bare = seam::injected_bug("held-no-reset") && want.is_empty();
         if (self.values == *want || bare) && self.prepared.len() <= PREPARED {
             return Ok(());
         }
@@ -156,7 +156,7 @@
     }
 
     /// Sets what differs; what a transaction's session has set since it began.
-    pub async fn set_all(&mut self, w: &Watched<'_>, want: &Values, within: Ms) -> Result<(), Lost> {
+    pub async fn set_all(&mut self, w: &Watched<'_>, want: &Values, within: Millis) -> Result<(), Lost> {
         for (k, v) in want {
             if self.values.get(k) != Some(v) {
                 self.plain(w, &Call::Set { name: k.clone(), value: v.clone() }, within).await?;
@@ -172,7 +172,7 @@
         name: &Name,
         write: bool,
         shape: &Bytes,
-        within: Ms,
+        within: Millis,
     ) -> Result<(), Lost> {
         if !self.prepared.contains(name) {
             let c = Call::Prepare { name: name.clone(), write, shape: shape.clone() };
@@ -183,7 +183,7 @@
     }
 
     /// A call of ours that must simply be done.
-    async fn plain(&mut self, w: &Watched<'_>, c: &Call, within: Ms) -> Result<(), Lost> {
+    async fn plain(&mut self, w: &Watched<'_>, c: &Call, within: Millis) -> Result<(), Lost> {
         let said = self.ask(w, c, within).await?;
         match said.no {
             None => Ok(()),
--- a/crates/proxy/src/held/mod.rs
+++ b/crates/proxy/src/held/mod.rs
@@ -15,8 +15,8 @@
 use crate::port::Servers;
 use bytes::Bytes;
 use quincehatch_config::blueprint::Rule;
-use quincehatch_core::{Ms, Name};
-use quincehatch_runtime::{now, rt};
+use quincehatch_core::{Millis, Name};
+use quincehatch_runtime::{now, seam};
 use quincehatch_wire::http::Watch;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -24,7 +24,7 @@
 use std::time::Duration;
 
 /// An idle link that was not used for so long is not needed.
-const IDLE: Ms = 1_000;
+const IDLE: Millis = 1_000;
 /// So many links a node may hold to a server though its even part is less.
 const BORROW: usize = 4;
 
@@ -54,10 +54,10 @@
     pub group: Name,
     /// Only the lead may run it.
     pub lead: bool,
-    pub timeout: Ms,
-    pub aim: Ms,
-    pub fresh: Ms,
-    pub query_timeout: Ms,
+    pub timeout: Millis,
+    pub aim: Millis,
+    pub fresh: Millis,
+    pub query_timeout: Millis,
     pub priority: u64,
 }
 
@@ -107,10 +107,10 @@
             for r in self.node.board.rows() {
                 // Where a node's part is small, one kept by each node would be all that a server takes.
                 let own = self.links(&r.group()).own.min(BORROW);
-                let idle = IDLE * own as Ms / BORROW as Ms;
+                let idle = IDLE * own as Millis / BORROW as Millis;
                 r.held.trim(now().saturating_sub(idle), usize::from(own == BORROW));
             }
-            rt::sleep(Duration::from_millis(IDLE / BORROW as Ms)).await;
+            seam::sleep(Duration::from_millis(IDLE / BORROW as Millis)).await;
         }
     }
 
--- a/crates/proxy/src/held/pool.rs
+++ b/crates/proxy/src/held/pool.rs
@@ -4,20 +4,20 @@
 use crate::held::link::{Link, Values};
 use crate::judge::{Sign, ending};
 use crate::port::No;
-use quincehatch_core::{Code, Ms};
+use quincehatch_core::{ErrorCode, Millis};
 use quincehatch_runtime::now;
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::sync::oneshot;
 
 /// A new link that is not there by then is given up.
-const OPEN_WITHIN: Ms = 1_000;
+const OPEN_WITHIN: Millis = 1_000;
 /// How long a server that takes no more links is left alone, at least.
-const FULL: Ms = 60;
+const FULL: Millis = 60;
 /// A server that was full a moment ago gets back what is not needed.
-const CROWDED: Ms = 1_000;
+const CROWDED: Millis = 1_000;
 
 #[derive(Default)]
 struct Inner {
@@ -30,7 +30,7 @@
     /// Changes when the server leaves or starts anew: links from before are not kept.
     age: u64,
     /// The server is full: none is opened until then.
-    full_until: Ms,
+    full_until: Millis,
 }
 
 #[derive(Default)]
@@ -50,10 +50,10 @@
 }
 
 impl NoLink {
-    pub fn code(self) -> Code {
+    pub fn code(self) -> ErrorCode {
         match self {
-            NoLink::Busy | NoLink::Full => Code::LinksBusy,
-            NoLink::Broke => Code::ServerBroke,
+            NoLink::Busy | NoLink::Full => ErrorCode::ConnectionsBusy,
+            NoLink::Broke => ErrorCode::ServerFailed,
         }
     }
 }
@@ -127,7 +127,7 @@
         (p.idle.len(), p.out)
     }
     /// Idle links unused since then are closed, all but `keep`.
-    pub fn trim(&self, before: Ms, keep: usize) {
+    pub fn trim(&self, before: Millis, keep: usize) {
         let mut p = self.inner.lock().unwrap();
         let mut spare = p.idle.len().saturating_sub(keep);
         p.idle.retain(|l| {
@@ -162,7 +162,7 @@
     row: &Arc<ServerRow>,
     want: &Values,
     prio: u64,
-    until: Ms,
+    until: Millis,
 ) -> Result<Lent, NoLink> {
     let most = held.links(&row.group()).most;
     loop {
@@ -188,7 +188,7 @@
             Err(age) => Lent { row: row.clone(), link: None, age, over: false },
             Ok((key, mut rx, again)) => {
                 let left = Duration::from_millis(again.saturating_sub(now()).max(1));
-                let got = rt::timeout(left, &mut rx).await.ok().and_then(Result::ok);
+                let got = seam::timeout(left, &mut rx).await.ok().and_then(Result::ok);
                 let got = got.or_else(|| {
                     // It may have come in the very moment in which the time was over.
                     row.held.inner.lock().unwrap().waits.remove(&key);
@@ -211,7 +211,7 @@
     let asked = now();
     let fut = held.servers.open(row.addr(), row.group(), row.name.clone(), held.watch());
     let j = held.node.judges();
-    match rt::timeout(Duration::from_millis(OPEN_WITHIN), fut).await {
+    match seam::timeout(Duration::from_millis(OPEN_WITHIN), fut).await {
         Ok(Ok(Ok((line, _)))) => {
             row.well(asked);
             Ok(Link::new(line))
--- a/crates/proxy/src/held/run.rs
+++ b/crates/proxy/src/held/run.rs
@@ -5,8 +5,8 @@
 use crate::overdue::Owe;
 use crate::port::{Call, No, Said};
 use bytes::Bytes;
-use quincehatch_core::{Code, Error, Fence, Ms, Name, Position};
-use quincehatch_runtime::{now, rt};
+use quincehatch_core::{ErrorCode, Error, FencingToken, Millis, Name, Position};
+use quincehatch_runtime::{now, seam};
 use std::sync::Arc;
 
 /// A read or a write as the origin gave it.
@@ -30,7 +30,7 @@
 
 impl Stmt {
     fn call(&self, floor: Option<Position>) -> Call {
-        let (id, floor) = (self.id.clone(), floor.filter(|_| !self.write && !rt::broken("held-no-floor")));
+        let (id, floor) = (self.id.clone(), floor.filter(|_| !self.write && !seam::injected_bug("held-no-floor")));
         match &self.body {
             Body::Text(t) => Call::Run { id, text: t.clone(), floor },
             Body::Named { name, rest, .. } => {
@@ -62,7 +62,7 @@
     in_txn: bool,
     s: &Stmt,
     floor: Option<Position>,
-    until: Ms,
+    until: Millis,
 ) -> Ran {
     let left = || until.saturating_sub(now());
     let suited = match in_txn {
@@ -89,7 +89,7 @@
 }
 
 /// What a lead's answer shows of its log is kept for the lookups to come (§4.8): only while it leads, as seen here.
-pub fn seen(held: &Held, way: &Way, row: &ServerRow, asked: Ms, said: &Said) {
+pub fn seen(held: &Held, way: &Way, row: &ServerRow, asked: Millis, said: &Said) {
     if let Some(end) = said.end.filter(|_| choose::leads(held, &way.group, row).is_some()) {
         held.node.board.note_seen(&way.group, asked, end);
     }
@@ -97,19 +97,19 @@
 
 /// A commit that was sent under `fence` may be told as acknowledged only if whoever chooses the next lead can still
 /// learn of it (§5.5); else whether it is kept is not known.
-pub fn acked(held: &Held, way: &Way, fence: Fence, said: Said) -> Result<Said, Error> {
+pub fn acked(held: &Held, way: &Way, fence: FencingToken, said: Said) -> Result<Said, Error> {
     let noted =
         said.no.is_some() || said.end.is_some_and(|e| held.node.board.note_acked(&way.group, fence, e));
-    let doubt = || Code::Unknown.because("another lead is being chosen").unknown();
+    let doubt = || ErrorCode::Unknown.with_detail("another lead is being chosen").with_unknown_outcome();
     noted.then_some(said).ok_or_else(doubt)
 }
 
 /// The breakdown of a statement whose answer did not come.
 pub fn lost(l: &Lost, may_be_kept: bool) -> Error {
     match (l, may_be_kept) {
-        (Lost::Broke(e), true) => Code::Unknown.because(e.kind()).unknown(),
-        (Lost::Silent, true) => Code::Unknown.because("no answer in the rule's time").unknown(),
-        (Lost::Broke(e), false) => Code::ServerBroke.because(e.kind()).retry(50),
-        (Lost::Silent, false) => Code::DeadlinePassed.because("no answer in the rule's time").unknown(),
+        (Lost::Broke(e), true) => ErrorCode::Unknown.with_detail(e.kind()).with_unknown_outcome(),
+        (Lost::Silent, true) => ErrorCode::Unknown.with_detail("no answer in the rule's time").with_unknown_outcome(),
+        (Lost::Broke(e), false) => ErrorCode::ServerFailed.with_detail(e.kind()).with_retry_after(50),
+        (Lost::Silent, false) => ErrorCode::DeadlinePassed.with_detail("no answer in the rule's time").with_unknown_outcome(),
     }
 }
--- a/crates/proxy/src/held/session.rs
+++ b/crates/proxy/src/held/session.rs
@@ -7,8 +7,8 @@
 use crate::held::{Held, Way, single};
 use crate::port::{No, Stage};
 use bytes::Bytes;
-use quincehatch_core::{Code, Error, Ms, Name};
-use quincehatch_runtime::{now, rt};
+use quincehatch_core::{ErrorCode, Error, Millis, Name};
+use quincehatch_runtime::{now, seam};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -17,7 +17,7 @@
 /// Values and prepared texts one session may keep.
 const KEPT: usize = 256;
 /// How long a session waits for its node to hold a lease.
-const ENTRY: Ms = 400;
+const ENTRY: Millis = 400;
 
 struct Prepared {
     write: bool,
@@ -46,12 +46,12 @@
         let until = now() + ENTRY;
         while !held.knows() {
             if now() >= until {
-                return Err(Code::NotReady.because("no lease yet").retry(250));
+                return Err(ErrorCode::NotReady.with_detail("no lease yet").with_retry_after(250));
             }
             let changed = held.node.board.changed.notified();
-            let _ = rt::timeout(Duration::from_millis(25), changed).await;
+            let _ = seam::timeout(Duration::from_millis(25), changed).await;
         }
-        held.way(db).ok_or_else(|| Code::NoRule.bare())?;
+        held.way(db).ok_or_else(|| ErrorCode::NoRoute.without_detail())?;
         held.open.fetch_add(1, Ordering::SeqCst);
         let (values, prepared) = (Values::new(), HashMap::new());
         Ok(HeldSession { held: held.clone(), db: db.into(), values, prepared, txn: None })
@@ -76,7 +76,7 @@
     }
 
     fn way(&self) -> Result<Way, Told> {
-        self.held.way(&self.db).ok_or_else(|| Told::gone(Code::NoRule.bare(), self.stage()))
+        self.held.way(&self.db).ok_or_else(|| Told::gone(ErrorCode::NoRoute.without_detail(), self.stage()))
     }
 
     pub async fn take(&mut self, a: Ask) -> Told {
@@ -103,14 +103,14 @@
             },
             Wish::Set { name, value } => {
                 if self.values.len() >= KEPT && !self.values.contains_key(&name) {
-                    return Told::gone(Code::TooLarge.because("too many settings"), stage);
+                    return Told::gone(ErrorCode::TooLarge.with_detail("too many settings"), stage);
                 }
                 self.values.insert(name, value);
                 Told::done(stage)
             }
             Wish::Prepare { name, write, shape } => {
                 if self.prepared.len() >= KEPT && !self.prepared.contains_key(&name) {
-                    return Told::gone(Code::TooLarge.because("too many prepared texts"), stage);
+                    return Told::gone(ErrorCode::TooLarge.with_detail("too many prepared texts"), stage);
                 }
                 let own = self.held.name_of(write, &shape);
                 self.prepared.insert(name, Prepared { write, shape, name: own });
--- a/crates/proxy/src/held/single.rs
+++ b/crates/proxy/src/held/single.rs
@@ -5,9 +5,9 @@
 use crate::held::wish::{Gone, Told};
 use crate::held::{Held, Way, choose, pool};
 use crate::port::{No, Said, Stage};
-use quincehatch_core::{Code, Error, Ms};
+use quincehatch_core::{ErrorCode, Error, Millis};
 use quincehatch_runtime::now;
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use std::pin::pin;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -15,28 +15,28 @@
 /// Servers a lookup is brought to at most.
 const TRIES: usize = 4;
 /// How long a server whose slots are all taken is left alone, at least.
-const BUSY: Ms = 3;
+const BUSY: Millis = 3;
 /// No read is asked a second time sooner.
-const SOON: Ms = 60;
+const SOON: Millis = 60;
 
 pub fn told(said: Said, stage: Stage) -> Told {
     let ended = match said.no {
         Some((no, text)) => Err(Gone::Server(no, text)),
         // A success without a stamp is none (§1 N4).
-        None => said.stamp.map(Some).ok_or_else(|| Gone::Ours(Code::BadReply.because("no stamp").unknown())),
+        None => said.stamp.map(Some).ok_or_else(|| Gone::Ours(ErrorCode::InvalidReply.with_detail("no stamp").with_unknown_outcome())),
     };
     let rows = if ended.is_ok() { said.rows } else { Vec::new() };
     Told { rows, ended, stage, end: said.end }
 }
 
 /// The time within which something must be begun; after it the visit is declined at once.
-pub fn patience(way: &Way) -> Ms {
+pub fn patience(way: &Way) -> Millis {
     way.aim.min(way.timeout)
 }
 
 pub async fn pause(n: usize) {
     let most = (BUSY << n.min(4)).max(2);
-    rt::sleep(Duration::from_millis(BUSY + fastrand::u64(0..most))).await;
+    seam::sleep(Duration::from_millis(BUSY + fastrand::u64(0..most))).await;
 }
 
 /// Servers that a visit was brought to.
@@ -57,14 +57,14 @@
 async fn twice<F: Future<Output = Told>>(held: &Held, way: &Way, ask: impl Fn() -> F) -> Told {
     let mut a = pin!(ask());
     let soon = Duration::from_millis((way.aim / 2).max(SOON));
-    if let Ok(t) = rt::timeout(soon, a.as_mut()).await {
+    if let Ok(t) = seam::timeout(soon, a.as_mut()).await {
         return t;
     }
     if !held.node.carries.spend() {
         return a.await;
     }
     let mut b = pin!(ask());
-    match rt::first(a.as_mut(), b.as_mut()).await {
+    match seam::select_first(a.as_mut(), b.as_mut()).await {
         Ok(t) | Err(t) if t.ended.is_ok() => t,
         Ok(_) => b.await,
         Err(_) => a.await,
@@ -76,7 +76,7 @@
     let began = now();
     let (patient, until) = (began + patience(way), began + way.timeout);
     let mut n = 0;
-    let mut why = Code::LinksBusy.bare();
+    let mut why = ErrorCode::ConnectionsBusy.without_detail();
     loop {
         // Work is counted before the lead is looked up: a hand-over either sees it or is seen (§5.5).
         let work = held.node.board.works.begin(&way.group);
@@ -87,7 +87,7 @@
         let w = watched(held, &row, way);
         let ran = match pool::take(held, &row, values, way.priority, patient).await {
             Err(e) => {
-                why = e.code().bare();
+                why = e.code().without_detail();
                 None
             }
             Ok(mut lent) => match (choose::takes(held, &way.group, &row), lent.link.as_mut()) {
@@ -127,7 +127,7 @@
             }
             Some((Ran::NotSent(l), ..)) => why = lost(&l, false),
             Some((Ran::Lost(l), ..)) => {
-                let again = rt::broken("held-resend") && !matches!(l, Lost::Silent);
+                let again = seam::injected_bug("held-resend") && !matches!(l, Lost::Silent);
                 if (s.write && !again) || matches!(l, Lost::Silent) {
                     return Told::gone(lost(&l, s.write), Stage::Idle);
                 }
@@ -136,7 +136,7 @@
         }
         drop(work);
         if now() >= patient {
-            return Told::gone(why.retry(100), Stage::Idle);
+            return Told::gone(why.with_retry_after(100), Stage::Idle);
         }
         pause(n).await;
         n += 1;
@@ -145,19 +145,19 @@
 
 pub fn declined(no: No) -> Error {
     match no {
-        No::Busy | No::Full => Code::LinksBusy.because("the server has no slot left"),
-        No::Behind => Code::Stale.bare(),
-        No::NotLead => Code::NoPrimary.bare(),
-        _ => Code::ServerBroke.bare(),
+        No::Busy | No::Full => ErrorCode::ConnectionsBusy.with_detail("the server has no slot left"),
+        No::Behind => ErrorCode::Stale.without_detail(),
+        No::NotLead => ErrorCode::NoPrimary.without_detail(),
+        _ => ErrorCode::ServerFailed.without_detail(),
     }
-    .retry(100)
+    .with_retry_after(100)
 }
 
 /// On a replica that is fresh enough, or on the lead.
 async fn lookup(held: &Held, way: &Way, values: &Values, s: &Stmt, tried: &Tried) -> Told {
     let began = now();
     let (patient, until) = (began + patience(way), began + way.timeout);
-    let mut why = Code::AllSetAside.bare();
+    let mut why = ErrorCode::AllReplicasEjected.without_detail();
     let mut n = 0;
     loop {
         let place = {
@@ -168,7 +168,7 @@
         };
         let Some(choose::Place { row, floor }) = place else {
             if now() >= patient || tried.lock().unwrap().len() > TRIES {
-                return Told::gone(why.retry(100), Stage::Idle);
+                return Told::gone(why.with_retry_after(100), Stage::Idle);
             }
             tried.lock().unwrap().clear();
             pause(n).await;
@@ -177,7 +177,7 @@
         };
         let w = watched(held, &row, way);
         match pool::take(held, &row, values, way.priority, patient).await {
-            Err(e) => why = e.code().bare(),
+            Err(e) => why = e.code().without_detail(),
             Ok(lent) if floor.is_none() && choose::takes(held, &way.group, &row).is_none() => lent.back(),
             Ok(mut lent) => {
                 let asked = now();
@@ -190,7 +190,7 @@
                         }
                         match said.no {
                             Some((no, _)) if not_run(no) => why = declined(no),
-                            Some((No::Failed, _)) if now() < patient => why = Code::ServerDeclined.bare(),
+                            Some((No::Failed, _)) if now() < patient => why = ErrorCode::ServerRejected.without_detail(),
                             _ => return told(said, Stage::Idle),
                         }
                     }
@@ -200,7 +200,7 @@
             }
         }
         if now() >= patient {
-            return Told::gone(why.retry(100), Stage::Idle);
+            return Told::gone(why.with_retry_after(100), Stage::Idle);
         }
     }
 }
--- a/crates/proxy/src/held/txn.rs
+++ b/crates/proxy/src/held/txn.rs
@@ -8,7 +8,7 @@
 use crate::port::{Call, No, Said, Stage};
 use crate::work::Work;
 use bytes::Bytes;
-use quincehatch_core::{Code, Error, Fence, Ms};
+use quincehatch_core::{ErrorCode, Error, FencingToken, Millis};
 use quincehatch_runtime::now;
 
 pub enum Txn {
@@ -28,17 +28,17 @@
     wrote: bool,
     on_lead: bool,
     /// Under which its server led when it began.
-    fence: Fence,
+    fence: FencingToken,
     _work: Option<Work>,
 }
 
 pub fn aborted(why: &str) -> Error {
-    Code::TransactionLost.because(why).retry(50)
+    ErrorCode::TransactionLost.with_detail(why).with_retry_after(50)
 }
 
 /// How long a statement within a transaction may go unanswered. Nothing of it is committed, so giving it up leaves the
 /// origin the time to begin anew; a commit or a write of its own has no such way out.
-fn silence(way: &Way) -> Ms {
+fn silence(way: &Way) -> Millis {
     (way.aim * 2).clamp(200, way.timeout.max(200))
 }
 
@@ -47,7 +47,7 @@
     let (patient, until) = (now() + patience(way), now() + silence(way));
     let anywhere = read && !way.lead;
     let (mut tried, mut n) = (Vec::new(), 0);
-    let mut why = Code::LinksBusy.bare();
+    let mut why = ErrorCode::ConnectionsBusy.without_detail();
     loop {
         let work = (!anywhere).then(|| held.node.board.works.begin(&way.group));
         let place = match anywhere {
@@ -60,7 +60,7 @@
         if let Some(choose::Place { row, floor }) = place {
             let on_lead = floor.is_none();
             match pool::take(held, &row, values, way.priority, patient).await {
-                Err(e) => why = e.code().bare(),
+                Err(e) => why = e.code().without_detail(),
                 Ok(lent) if on_lead && choose::takes(held, &way.group, &row).is_none() => lent.back(),
                 Ok(mut lent) => {
                     let w = watched(held, &row, way);
@@ -96,14 +96,14 @@
         drop(work);
         if now() >= patient {
             // Nothing of the transaction was run.
-            return Err(why.retry(100));
+            return Err(why.with_retry_after(100));
         }
         pause(n).await;
         n += 1;
     }
 }
 
-async fn begun(w: &Watched<'_>, l: &mut Link, values: &Values, c: &Call, until: Ms) -> Result<Said, Lost> {
+async fn begun(w: &Watched<'_>, l: &mut Link, values: &Values, c: &Call, until: Millis) -> Result<Said, Lost> {
     l.suit(w, values, until.saturating_sub(now())).await?;
     l.ask(w, c, until.saturating_sub(now())).await
 }
@@ -202,7 +202,7 @@
 
     /// Rolls back in the background; the origin need not wait for it.
     pub fn rollback(mut self: Box<Self>, held: std::sync::Arc<Held>) {
-        quincehatch_runtime::rt::spawn(async move {
+        quincehatch_runtime::seam::spawn(async move {
             let row = self.lent.row.clone();
             let w = watched(&held, &row, &self.way);
             let within = self.way.timeout;
--- a/crates/proxy/src/held/wish.rs
+++ b/crates/proxy/src/held/wish.rs
@@ -1,7 +1,7 @@
 //! What an origin asks on a held session and what it is told (§4.10).
 use crate::port::{No, Stage};
 use bytes::Bytes;
-use quincehatch_core::{Code, Error, Position};
+use quincehatch_core::{ErrorCode, Error, Position};
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Wish {
@@ -71,6 +71,6 @@
         Told { rows: Vec::new(), ended: Err(Gone::Ours(b)), stage, end: None }
     }
     pub fn malformed(stage: Stage) -> Told {
-        Told::gone(Code::Malformed.because("not possible here"), stage)
+        Told::gone(ErrorCode::Malformed.with_detail("not possible here"), stage)
     }
 }
--- a/crates/proxy/src/judge.rs
+++ b/crates/proxy/src/judge.rs
@@ -1,5 +1,5 @@
 //! The judges (§4.5): small, independent, each looking at one sign of a server's health. Sans-IO.
-use quincehatch_core::{Ms, messages};
+use quincehatch_core::{Millis, messages};
 
 messages! {
     #[derive(Copy, Eq, Hash)]
@@ -7,7 +7,7 @@
 
     /// What a judge says, and when.
     #[derive(Copy, Eq)]
-    pub struct Evidence { pub sign: Sign, pub weight: u64, pub at: Ms }
+    pub struct Evidence { pub sign: Sign, pub weight: u64, pub at: Millis }
 }
 
 /// How a link came to its end, as the kernel or the server told it (§4.4).
--- a/crates/proxy/src/link.rs
+++ b/crates/proxy/src/link.rs
@@ -1,10 +1,10 @@
 //! One link to one server: one connection, one server-side context (§4.3).
 use crate::server::{Reply, call};
 use crate::session::{Context, Texts};
-use quincehatch_core::{Code, Ms, Name};
+use quincehatch_core::{ErrorCode, Millis, Name};
 use quincehatch_runtime::now;
-use quincehatch_runtime::rt;
-use quincehatch_wire::http::{Call, OnBreak, Ours, Watch, Wire};
+use quincehatch_runtime::seam;
+use quincehatch_wire::http::{Call, OnDisconnect, Ours, Watch, Wire};
 use serde_json::Value;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -36,7 +36,7 @@
         server: &Name,
         addr: &Name,
         w: Watch,
-        on_break: OnBreak,
+        on_break: OnDisconnect,
     ) -> std::io::Result<Link> {
         let wire = Wire::open_with(addr, Some(w), on_break).await?;
         let id = format!("{me}/{}/{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed)).into();
@@ -67,9 +67,9 @@
 
     /// Gives the link exactly the session's context: the origin's own verbatim texts and nothing else (§4.3).
     /// A server that does not take it in time has the link dropped, as its context is not known then.
-    pub async fn wear(&mut self, ctx: &Context, until: Ms) -> Result<Option<Reply>, LinkBroke> {
+    pub async fn wear(&mut self, ctx: &Context, until: Millis) -> Result<Option<Reply>, LinkBroke> {
         let left = Duration::from_millis(until.saturating_sub(now()));
-        rt::timeout(left, self.change(ctx))
+        seam::timeout(left, self.change(ctx))
             .await
             .unwrap_or_else(|_| Err(LinkBroke::Io(std::io::ErrorKind::TimedOut.into())))
     }
@@ -77,7 +77,7 @@
     async fn change(&mut self, ctx: &Context) -> Result<Option<Reply>, LinkBroke> {
         let want = ctx.texts();
         if self.wears(&want)
-            || (quincehatch_runtime::rt::broken("no-reset") && !self.wears(&Texts::default()))
+            || (quincehatch_runtime::seam::injected_bug("no-reset") && !self.wears(&Texts::default()))
         {
             return Ok(None);
         }
@@ -103,8 +103,8 @@
 impl LinkBroke {
     pub fn breakdown(&self) -> quincehatch_core::Error {
         match self {
-            LinkBroke::Io(e) => Code::ServerBroke.because(e.kind()),
-            LinkBroke::Bad => Code::BadReply.bare(),
+            LinkBroke::Io(e) => ErrorCode::ServerFailed.with_detail(e.kind()),
+            LinkBroke::Bad => ErrorCode::InvalidReply.without_detail(),
         }
     }
 }
--- a/crates/proxy/src/lookup.rs
+++ b/crates/proxy/src/lookup.rs
@@ -8,9 +8,9 @@
 use crate::verdict::Verdict;
 use crate::visit::{Answer, Visit};
 use quincehatch_config::blueprint::{Blueprint, Rule};
-use quincehatch_core::{Code, Ms, Name, Role};
+use quincehatch_core::{ErrorCode, Millis, Name, Role};
 use quincehatch_runtime::now;
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use std::sync::Arc;
 
 pub fn owe(bp: &Blueprint, r: &Rule) -> Owe {
@@ -20,12 +20,12 @@
 
 pub async fn lookup(n: &Arc<Node>, v: &mut Visit) -> Answer {
     let (Some(bp), Some(rule)) = (v.plan.blueprint.clone(), v.rule.clone()) else {
-        return Err(Code::NoRule.bare());
+        return Err(ErrorCode::NoRoute.without_detail());
     };
     let o = owe(&bp, &rule);
     let ctx = v.held.as_ref().map(|h| h.ctx.clone()).unwrap_or_default();
     let mut tried: Vec<Name> = Vec::new();
-    let mut why = Code::AllSetAside.bare();
+    let mut why = ErrorCode::AllReplicasEjected.without_detail();
     let mut rounds = 0;
     n.carries.earn();
     while v.left() > 0 {
@@ -34,15 +34,15 @@
             // Everyone was asked. A stale or busy answer may be better in a moment; a few rounds, no more.
             // While no primary was seen of late nothing can be proved fresh, and soon may be again (§4.8).
             rounds += 1;
-            let again = (why.is(Code::Stale) || why.is(Code::LinksBusy)) && rounds < 60;
+            let again = (why.has_code(ErrorCode::Stale) || why.has_code(ErrorCode::ConnectionsBusy)) && rounds < 60;
             if tried.is_empty() || !again || v.left() < 60 {
-                return Err(why.retry(500));
+                return Err(why.with_retry_after(500));
             }
             // Nobody is asked again before an answer could be proved fresh.
             if n.board.seen(&v.group, |s| s.needed(now(), rule.fresh_ms)).is_some() {
                 tried.clear();
             }
-            rt::sleep(std::time::Duration::from_millis(40)).await;
+            seam::sleep(std::time::Duration::from_millis(40)).await;
             continue;
         };
         let name = c.row.name.clone();
@@ -67,8 +67,8 @@
                 no_link(n, &c.row, &e);
                 why = match e {
                     NoLink::Busy(b) => b,
-                    NoLink::Late(_) => Code::DeadlinePassed.bare(),
-                    NoLink::Broke(e) => Code::ServerBroke.because(e.kind()),
+                    NoLink::Late(_) => ErrorCode::DeadlinePassed.without_detail(),
+                    NoLink::Broke(e) => ErrorCode::ServerFailed.with_detail(e.kind()),
                 };
                 continue;
             }
@@ -97,13 +97,13 @@
                     // It was not run there: others may answer, or this one in a moment.
                     if r.is(server::STARTING) {
                         v.note(format!("{name} is starting"));
-                        why = Code::Stale.bare();
+                        why = ErrorCode::Stale.without_detail();
                         continue;
                     }
                     return Err(declined(&r));
                 }
                 let Some(good) = r.good(&name) else {
-                    why = Code::BadReply.bare();
+                    why = ErrorCode::InvalidReply.without_detail();
                     continue;
                 };
                 if fresh_enough(n, &c, &r.stamp, rule.fresh_ms, asked) {
@@ -111,7 +111,7 @@
                     return Ok(good);
                 }
                 v.note(format!("{name} was behind"));
-                why = Code::Stale.bare();
+                why = ErrorCode::Stale.without_detail();
             }
             Asked::Broke(b) => {
                 v.note(format!("{name} broke"));
@@ -123,17 +123,17 @@
                     let j = n.judges();
                     c.row.health.lock().unwrap().trial_failed(now(), &j, ask_id);
                 }
-                why = Code::DeadlinePassed.bare();
+                why = ErrorCode::DeadlinePassed.without_detail();
             }
         }
     }
-    let b = if why.is(Code::Stale) || why.is(Code::LinksBusy) { why } else { Code::DeadlinePassed.bare() };
-    Err(b.retry(500))
+    let b = if why.has_code(ErrorCode::Stale) || why.has_code(ErrorCode::ConnectionsBusy) { why } else { ErrorCode::DeadlinePassed.without_detail() };
+    Err(b.with_retry_after(500))
 }
 
 /// Proof that the rows are no further behind than the rule allows, on this node's clock alone (§4.8).
-fn fresh_enough(n: &Node, c: &Choice, s: &quincehatch_core::Stamp, fresh: Ms, asked: Ms) -> bool {
-    if rt::broken("stale-lookup") {
+fn fresh_enough(n: &Node, c: &Choice, s: &quincehatch_core::Stamp, fresh: Millis, asked: Millis) -> bool {
+    if seam::injected_bug("stale-lookup") {
         return true;
     }
     if !n.board.has_lease() {
@@ -157,10 +157,10 @@
     // What was not run, as the server does not lead or not yet, says nothing of the statement.
     let not_run = [server::STARTING, server::FENCE_LOW, server::NOT_PRIMARY].iter().any(|c| r.is(c));
     if not_run {
-        return Code::NoPrimary.because("the server does not lead, or not yet; it ran nothing").retry(500);
+        return ErrorCode::NoPrimary.with_detail("the server does not lead, or not yet; it ran nothing").with_retry_after(500);
     }
     let text = r.error.as_ref().map_or_else(String::new, |e| format!("{} {}", e.code, e.text));
-    Code::ServerDeclined.because(text)
+    ErrorCode::ServerRejected.with_detail(text)
 }
 
 /// The verdict's word.
