--- a/crates/store/src/disk_records.rs
+++ b/crates/store/src/disk_records.rs
@@ -8,7 +8,7 @@
 use crate::store::Store;
 use crate::terms::{LOG_MAX_ENTRIES, SNAPSHOT_INTERVAL_ENTRIES};
 use borsh::{BorshDeserialize, BorshSerialize};
-use quincehatch_core::{ChangeNo, Code, Error};
+use quincehatch_core::{ChangeNumber, ErrorCode, Error};
 use redb::{ReadTransaction, ReadableTable, Table, TableDefinition, WriteTransaction};
 use std::collections::VecDeque;
 
@@ -20,7 +20,7 @@
 /// An entry that is kept in the file.
 #[derive(Clone, Copy, Debug)]
 struct Row {
-    n: ChangeNo,
+    n: ChangeNumber,
     bytes: usize,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl Rows {
-    pub fn push(&mut self, n: ChangeNo, bytes: usize, is_in_snapshot: bool) {
+    pub fn push(&mut self, n: ChangeNumber, bytes: usize, is_in_snapshot: bool) {
         self.kept.push_back(Row { n, bytes });
         self.bytes += bytes;
         if !is_in_snapshot {
@@ -44,7 +44,7 @@
     }
 
     /// Drops what the limits leave no room for; the number of the first row that stays.
-    pub fn cut(&mut self, limits: &DiskLimits) -> Option<ChangeNo> {
+    pub fn cut(&mut self, limits: &DiskLimits) -> Option<ChangeNumber> {
         self.since_snapshot = 0;
         self.bytes_since_snapshot = 0;
         while self.kept.len() > LOG_MAX_ENTRIES || (self.kept.len() > 1 && self.bytes > limits.log_bytes) {
@@ -60,11 +60,11 @@
 }
 
 pub(crate) fn broken(e: impl std::fmt::Display) -> Error {
-    Code::DiskBroke.because(e)
+    ErrorCode::DiskFailed.with_detail(e)
 }
 
 pub(crate) fn unusable(e: impl std::fmt::Display) -> Error {
-    Code::DataFolder.because(e)
+    ErrorCode::DataDirectoryUnusable.with_detail(e)
 }
 
 /// A file that cannot be read at this time may be read later; one that is damaged may not.
@@ -101,7 +101,7 @@
 pub(crate) fn write_snapshot(
     tx: &WriteTransaction,
     store: &Store,
-    first_kept: ChangeNo,
+    first_kept: ChangeNumber,
 ) -> Result<(), Error> {
     put_snapshot(tx, store)?;
     let mut entries = tx.open_table(ENTRIES).map_err(broken)?;
@@ -117,7 +117,7 @@
         Record::Served { version } => put(&mut meta, "served", version),
         Record::Entry { entry } => {
             let mut entries = tx.open_table(ENTRIES).map_err(broken)?;
-            entries.insert(entry.n, encode(&entry.bytes).as_slice()).map(drop).map_err(broken)
+            entries.insert(entry.number, encode(&entry.bytes).as_slice()).map(drop).map_err(broken)
         }
         Record::Snapshot { store } => {
             drop(meta);
@@ -129,7 +129,7 @@
 
 /// The snapshot takes the place of what an earlier version kept.
 fn put_snapshot(tx: &WriteTransaction, store: &Store) -> Result<(), Error> {
-    let packed = PackedBytes::of(borsh::to_vec(store).unwrap_or_default());
+    let packed = PackedBytes::pack(borsh::to_vec(store).unwrap_or_default());
     let mut meta = tx.open_table(META).map_err(broken)?;
     put(&mut meta, "snapshot", &packed)?;
     meta.remove("whole").map_err(broken)?;
@@ -161,14 +161,14 @@
         for row in log.iter().map_err(unreadable)? {
             let (n, bytes) = row.map_err(unreadable)?;
             let entry: Entry = decode(&format!("log {}", n.value()), bytes.value())?;
-            take_entry(&mut state, &mut rows, PackedEntry::of(&entry), &entry)?;
+            take_entry(&mut state, &mut rows, PackedEntry::pack(&entry), &entry)?;
         }
     }
     if let Ok(entries) = tx.open_table(ENTRIES) {
         for row in entries.iter().map_err(unreadable)? {
             let (n, bytes) = row.map_err(unreadable)?;
             let what = format!("entry {}", n.value());
-            let packed = PackedEntry { n: n.value(), bytes: decode(&what, bytes.value())? };
+            let packed = PackedEntry { number: n.value(), bytes: decode(&what, bytes.value())? };
             let entry = packed.unpack().ok_or_else(|| damaged(&what))?;
             take_entry(&mut state, &mut rows, packed, &entry)?;
         }
@@ -188,7 +188,7 @@
     packed: PackedEntry,
     entry: &Entry,
 ) -> Result<(), Error> {
-    let is_in_snapshot = entry.number <= state.store.n;
+    let is_in_snapshot = entry.number <= state.store.last_change;
     if !is_in_snapshot && state.store.apply(entry).is_none() {
         return Err(unusable(format_args!("the log has a gap before {}", entry.number)));
     }
--- a/crates/store/src/documents.rs
+++ b/crates/store/src/documents.rs
@@ -1,15 +1,15 @@
 //! Which document of the operator took which number (§5.2).
 use crate::messages::Answer;
-use quincehatch_core::{ChangeNo, Code, Version, hash64, messages};
+use quincehatch_core::{ChangeNumber, ErrorCode, Version, hash64, messages};
 use std::collections::BTreeMap;
 
 /// Numbers whose document is remembered; of more, the lowest are forgotten first.
-pub const DOCUMENTS: usize = 4_096;
+pub const MAX_REMEMBERED_DOCUMENTS: usize = 4_096;
 
 messages! {
     /// A document that took a number: the digest of its bytes, and the log entry that recorded it.
     #[derive(Copy, Eq)]
-    pub struct TakenNumber { pub digest: u64, pub entry: ChangeNo }
+    pub struct TakenNumber { pub digest: u64, pub entry: ChangeNumber }
 
     /// The numbers that were taken. It is part of the replicated store, so log, snapshot and catch-up carry it.
     #[derive(Eq, Default)]
@@ -26,11 +26,11 @@
     /// Its number is above all that were taken: it comes into force.
     Newest,
     /// Its number is free, and below the newest: it takes the number and alters nothing.
-    Overtaken,
+    Superseded,
     /// The same document took the number, in that entry.
-    Repeated { entry: ChangeNo },
+    Repeated { entry: ChangeNumber },
     /// Another document took the number, in that entry.
-    NumberTaken { entry: ChangeNo },
+    NumberTaken { entry: ChangeNumber },
     /// Nobody knows any more which document took the number, if one did.
     NumberForgotten,
 }
@@ -49,7 +49,7 @@
             None if self.forgotten.is_some_and(|highest| number <= highest) => {
                 DocumentOutcome::NumberForgotten
             }
-            None if self.newest().is_some_and(|newest| number < newest) => DocumentOutcome::Overtaken,
+            None if self.highest_number().is_some_and(|newest| number < newest) => DocumentOutcome::Superseded,
             None => DocumentOutcome::Newest,
         }
     }
@@ -57,13 +57,13 @@
     /// Records that the document took the number.
     pub fn record(&mut self, number: u64, document: TakenNumber) {
         self.taken.insert(number, document);
-        while self.taken.len() > DOCUMENTS {
+        while self.taken.len() > MAX_REMEMBERED_DOCUMENTS {
             let Some((lowest, _)) = self.taken.pop_first() else { return };
             self.forgotten = self.forgotten.max(Some(lowest));
         }
     }
 
-    fn newest(&self) -> Option<u64> {
+    fn highest_number(&self) -> Option<u64> {
         self.taken.last_key_value().map(|(number, _)| *number)
     }
 }
@@ -71,11 +71,11 @@
 impl DocumentOutcome {
     /// Does the document take its number now? Any other outcome leaves the store as it is.
     pub fn takes_number(self) -> bool {
-        matches!(self, DocumentOutcome::Newest | DocumentOutcome::Overtaken)
+        matches!(self, DocumentOutcome::Newest | DocumentOutcome::Superseded)
     }
 
     /// The entry that must be committed before the answer is given; none if the answer rests on no single entry.
-    pub fn entry(self) -> Option<ChangeNo> {
+    pub fn entry(self) -> Option<ChangeNumber> {
         match self {
             DocumentOutcome::Repeated { entry } | DocumentOutcome::NumberTaken { entry } => Some(entry),
             _ => None,
@@ -85,8 +85,8 @@
     /// The answer to whoever offered the document; `version` is the one in force.
     pub fn answer(self, version: Version) -> Answer {
         match self {
-            DocumentOutcome::NumberTaken { .. } => Answer::Rejected(Code::NumberTaken.bare()),
-            DocumentOutcome::NumberForgotten => Answer::Rejected(Code::NumberForgotten.bare().unknown()),
+            DocumentOutcome::NumberTaken { .. } => Answer::Rejected(ErrorCode::NumberTaken.without_detail()),
+            DocumentOutcome::NumberForgotten => Answer::Rejected(ErrorCode::NumberForgotten.without_detail().with_unknown_outcome()),
             _ => Answer::Version(version),
         }
     }
--- a/crates/store/src/driver.rs
+++ b/crates/store/src/driver.rs
@@ -1,10 +1,10 @@
 //! Runs a [`KeeperHost`] under tokio: the same steps the simulator runs, with a real disk and wire (§5.1).
-use crate::disk_port::DiskPort;
+use crate::disk_port::StableStorage;
 use crate::host::{Batch, KeeperHost};
 use crate::messages::{KeeperRequest, KeeperResponse, Reply, Request};
 use crate::peers::Peers;
 use crate::step::{Input, Output};
-use quincehatch_core::{Code, Error, Ms};
+use quincehatch_core::{ErrorCode, Error, Millis};
 use quincehatch_runtime::now;
 use quincehatch_wire::{Identity, serve};
 use std::collections::HashMap;
@@ -18,7 +18,7 @@
 /// Messages that may wait for the keeper.
 const WAITING_MAX: usize = 1_024;
 /// A keeper that has left the chain stays so long, for its last messages to go out.
-const FAREWELL: Ms = 100;
+const FAREWELL: Millis = 100;
 /// Steps that share one sync.
 const STEPS_PER_SYNC: usize = 64;
 const TICK: Duration = Duration::from_millis(20);
@@ -26,7 +26,7 @@
 const STALL: Duration = Duration::from_millis(500);
 
 /// What a keeper is told by the process it runs in.
-pub type Inputs = mpsc::Receiver<Input>;
+pub type InputReceiver = mpsc::Receiver<Input>;
 
 /// A message that came in; a request has somebody who waits for the reply.
 enum Incoming {
@@ -35,22 +35,22 @@
 }
 
 /// Serves until the keeper has left the chain or `stop` fires.
-pub async fn run<D: DiskPort>(
+pub async fn run_keeper<D: StableStorage>(
     host: KeeperHost,
     disk: D,
     listener: TcpListener,
     stop: watch::Receiver<bool>,
 ) -> Result<(), Error> {
     let (_none, told) = mpsc::channel(1);
-    run_told(host, disk, listener, stop, told).await
+    run_keeper_with_inputs(host, disk, listener, stop, told).await
 }
 
-pub async fn run_told<D: DiskPort>(
+pub async fn run_keeper_with_inputs<D: StableStorage>(
     host: KeeperHost,
     disk: D,
     listener: TcpListener,
     mut stop: watch::Receiver<bool>,
-    mut told: Inputs,
+    mut told: InputReceiver,
 ) -> Result<(), Error> {
     let (queue, mut incoming) = mpsc::channel(WAITING_MAX);
     let identity = Identity::new(host.name());
@@ -96,7 +96,7 @@
                     let (reply, replied) = oneshot::channel();
                     let _ = queue.send(Incoming::Request(request, reply)).await;
                     let stopping =
-                        || Reply::Rejected { error: Code::ChainDown.because("the keeper is stopping") };
+                        || Reply::Rejected { error: ErrorCode::ChainUnavailable.with_detail("the keeper is stopping") };
                     KeeperResponse::Reply { reply: replied.await.unwrap_or_else(|_| stopping()) }
                 }
             }
@@ -113,9 +113,9 @@
     last_token: u64,
 }
 
-impl<D: DiskPort> Driver<D> {
+impl<D: StableStorage> Driver<D> {
     fn new(mut host: KeeperHost, disk: D, identity: Identity) -> Self {
-        host.note_usage(disk.usage());
+        host.record_disk_usage(disk.usage());
         let peers = Peers::new(identity);
         Self { host, disk: Some(disk), peers, waiting: HashMap::new(), last_token: 0 }
     }
@@ -146,7 +146,7 @@
                 saved = self.write_snapshot_if_due(incoming).await?;
             }
         }
-        let outputs = self.host.saved(now(), saved, batch);
+        let outputs = self.host.complete_save(now(), saved, batch);
         self.deliver(outputs);
         Ok(())
     }
@@ -168,7 +168,7 @@
             return Ok(());
         }
         let probe = self.on_disk(incoming, D::recover).await?;
-        let batch = self.host.probed(now(), probe);
+        let batch = self.host.complete_probe(now(), probe);
         self.commit(batch, incoming).await
     }
 
@@ -178,7 +178,7 @@
         incoming: &mut mpsc::Receiver<Incoming>,
         work: impl FnOnce(&mut D) -> T + Send + 'static,
     ) -> Result<T, Error> {
-        let gone = || Code::DiskBroke.because("the writing thread has ended");
+        let gone = || ErrorCode::DiskFailed.with_detail("the writing thread has ended");
         let mut disk = self.disk.take().ok_or_else(gone)?;
         let mut task = tokio::task::spawn_blocking(move || {
             let result = work(&mut disk);
@@ -193,20 +193,20 @@
                 () = &mut stall, if !is_stalled => {
                     is_stalled = true;
                     log::warn!(target: "chain", "the disk has not answered for {} ms", STALL.as_millis());
-                    let declined = self.host.decline_pending();
+                    let declined = self.host.reject_pending();
                     self.deliver(declined);
                 }
                 Some(message) = incoming.recv(), if is_stalled => self.turn_away(message),
             }
         };
-        self.host.note_usage(disk.usage());
+        self.host.record_disk_usage(disk.usage());
         self.disk = Some(disk);
         Ok(result)
     }
 
     fn turn_away(&self, message: Incoming) {
         if let Incoming::Request(request, reply) = message {
-            let _ = reply.send(self.host.refuse(&request));
+            let _ = reply.send(self.host.unavailable_reply(&request));
         }
     }
 
--- a/crates/store/src/entry_log.rs
+++ b/crates/store/src/entry_log.rs
@@ -2,26 +2,26 @@
 use crate::messages::Entry;
 use crate::packed::PackedBytes;
 use crate::terms::{LOG_MAX_BYTES, LOG_MAX_ENTRIES};
-use quincehatch_core::{ChangeNo, messages};
+use quincehatch_core::{ChangeNumber, messages};
 use std::collections::VecDeque;
 
 messages! {
     /// An entry, serialised and packed once: so it is kept in memory, written to disk and passed down the chain.
     #[derive(Eq)]
-    pub struct PackedEntry { pub n: ChangeNo, pub bytes: PackedBytes }
+    pub struct PackedEntry { pub number: ChangeNumber, pub bytes: PackedBytes }
 }
 
 impl PackedEntry {
-    pub fn of(entry: &Entry) -> Self {
+    pub fn pack(entry: &Entry) -> Self {
         let bytes = borsh::to_vec(entry).unwrap_or_default();
-        Self { n: entry.number, bytes: PackedBytes::of(bytes) }
+        Self { number: entry.number, bytes: PackedBytes::pack(bytes) }
     }
 
     /// The entry; `None` if the bytes are damaged or hold another number.
     pub fn unpack(&self) -> Option<Entry> {
         let bytes = self.bytes.unpack()?;
         let entry: Entry = borsh::from_slice(&bytes).ok()?;
-        (entry.number == self.n).then_some(entry)
+        (entry.number == self.number).then_some(entry)
     }
 
     pub fn size(&self) -> usize {
@@ -74,18 +74,18 @@
     }
 
     /// Does the log hold every entry that follows `n`, as far as there are any?
-    pub fn reaches_back_to(&self, n: ChangeNo) -> bool {
-        self.entries.front().is_some_and(|first| first.n <= n + 1)
+    pub fn reaches_back_to(&self, n: ChangeNumber) -> bool {
+        self.entries.front().is_some_and(|first| first.number <= n + 1)
     }
 
     /// The entries that follow `n`, as many as `most` bytes hold but at least one; `None` if they were dropped.
-    pub fn after(&self, n: ChangeNo, most: usize) -> Option<Vec<PackedEntry>> {
+    pub fn entries_after(&self, n: ChangeNumber, most: usize) -> Option<Vec<PackedEntry>> {
         if !self.reaches_back_to(n) {
             return None;
         }
         let mut taken = Vec::new();
         let mut bytes = 0;
-        for entry in self.entries.iter().filter(|e| e.n > n) {
+        for entry in self.entries.iter().filter(|e| e.number > n) {
             bytes += entry.size();
             if bytes > most && !taken.is_empty() {
                 break;
--- a/crates/store/src/heartbeat.rs
+++ b/crates/store/src/heartbeat.rs
@@ -15,7 +15,7 @@
         self.sent_heartbeats.retain(|_, at| *at >= old);
         let sent = &self.sent_heartbeats;
         self.heartbeat_grants.retain(|s, _| sent.contains_key(s));
-        let m = PeerMessage::Beat { view: self.view.clone(), sequence: seq, last_change: self.store.n };
+        let m = PeerMessage::Beat { view: self.view.clone(), sequence: seq, last_change: self.store.last_change };
         for to in self.view.voters.clone() {
             self.send(&to.name, m.clone());
         }
--- a/crates/store/src/host.rs
+++ b/crates/store/src/host.rs
@@ -5,25 +5,25 @@
 use crate::messages::{KeeperStatus, Reply, Request, View};
 use crate::stale_reply;
 use crate::step::{Input, Output, Record, RecoveredState};
-use quincehatch_core::{Code, Error, Ms, Name};
+use quincehatch_core::{ErrorCode, Error, Millis, Name};
 use std::collections::BTreeSet;
 
 /// Time between two attempts to open the folder of a suspended keeper.
-const PROBE_EVERY: Ms = 250;
+const PROBE_EVERY: Millis = 250;
 /// What clients of a suspended keeper are told to wait.
-const RETRY_AFTER: Ms = 1_000;
+const RETRY_AFTER: Millis = 1_000;
 /// What a client whose write was under way is told to wait.
-pub(crate) const RETRY_PENDING: Ms = 500;
+pub(crate) const RETRY_PENDING_AFTER: Millis = 500;
 
 /// Makes a keeper of what its disk holds.
-pub type KeeperFactory = Box<dyn Fn(RecoveredState, Ms) -> Keeper + Send>;
+pub type KeeperFactory = Box<dyn Fn(RecoveredState, Millis) -> Keeper + Send>;
 
 /// Why and since when a keeper takes no part in the chain.
 #[derive(Debug)]
 struct Suspension {
     why: Error,
-    since: Ms,
-    next_probe: Ms,
+    since: Millis,
+    next_probe: Millis,
     view: View,
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl KeeperHost {
-    pub fn new(state: RecoveredState, now: Ms, make_keeper: KeeperFactory) -> Self {
+    pub fn new(state: RecoveredState, now: Millis, make_keeper: KeeperFactory) -> Self {
         let keeper = make_keeper(state, now);
         Self {
             name: keeper.name.clone(),
@@ -89,7 +89,7 @@
         }
     }
 
-    pub fn note_usage(&mut self, usage: DiskUsage) {
+    pub fn record_disk_usage(&mut self, usage: DiskUsage) {
         self.usage = usage;
         if let State::Running(keeper) = &mut self.state {
             keeper.set_disk_usage(usage);
@@ -97,7 +97,7 @@
     }
 
     /// Takes one input into the batch. A suspended keeper answers requests and ignores its peers.
-    pub fn step(&mut self, now: Ms, input: Input, batch: &mut Batch) {
+    pub fn step(&mut self, now: Millis, input: Input, batch: &mut Batch) {
         if let Input::Seeds(seeds) = &input {
             self.seeds = Some(seeds.clone());
         }
@@ -116,14 +116,14 @@
             }
             State::Suspended(_) => {
                 if let Input::Request { token, request } = input {
-                    batch.outputs.push(Output::Reply(token, self.refuse(&request)));
+                    batch.outputs.push(Output::Reply(token, self.unavailable_reply(&request)));
                 }
             }
         }
     }
 
     /// What may leave, now that the batch's records were saved, or could not be.
-    pub fn saved(&mut self, now: Ms, saved: Result<(), Error>, batch: Batch) -> Vec<Output> {
+    pub fn complete_save(&mut self, now: Millis, saved: Result<(), Error>, batch: Batch) -> Vec<Output> {
         self.is_stalled = false;
         let outputs = match saved {
             Ok(()) => self.confirm(now, batch.outputs),
@@ -133,7 +133,7 @@
     }
 
     /// A write that lasts too long: whoever waits is told to ask again, as others may go on without this keeper.
-    pub fn decline_pending(&mut self) -> Vec<Output> {
+    pub fn reject_pending(&mut self) -> Vec<Output> {
         self.is_stalled = true;
         let declined = self.declines();
         self.pending.clear();
@@ -141,24 +141,24 @@
     }
 
     /// The answer to a request that no keeper can take now.
-    pub fn refuse(&self, request: &Request) -> Reply {
+    pub fn unavailable_reply(&self, request: &Request) -> Reply {
         match request {
             Request::Status => Reply::Status { status: self.status() },
             _ => {
                 let why =
-                    Code::ChainDown.because("the disk of this keeper takes no writes").retry(RETRY_AFTER);
+                    ErrorCode::ChainUnavailable.with_detail("the disk of this keeper takes no writes").with_retry_after(RETRY_AFTER);
                 Reply::Rejected { error: why }
             }
         }
     }
 
     /// Is it time to try the disk of a suspended keeper?
-    pub fn is_probe_due(&self, now: Ms) -> bool {
+    pub fn is_probe_due(&self, now: Millis) -> bool {
         matches!(&self.state, State::Suspended(suspension) if now >= suspension.next_probe)
     }
 
     /// What the attempt to open the folder anew and to write to it gave.
-    pub fn probed(&mut self, now: Ms, probe: Result<RecoveredState, Error>) -> Batch {
+    pub fn complete_probe(&mut self, now: Millis, probe: Result<RecoveredState, Error>) -> Batch {
         let State::Suspended(suspension) = &mut self.state else { return Batch::default() };
         match probe {
             Ok(recovered) => {
@@ -192,7 +192,7 @@
     }
 
     /// Replies that rest on a lease which ended while the disk was written are not given.
-    fn confirm(&mut self, now: Ms, outputs: Vec<Output>) -> Vec<Output> {
+    fn confirm(&mut self, now: Millis, outputs: Vec<Output>) -> Vec<Output> {
         let State::Running(keeper) = &mut self.state else { return outputs };
         keeper.advance_clock(now);
         let is_stale_tail = keeper.is_tail() && !keeper.can_commit();
@@ -206,7 +206,7 @@
         outputs.into_iter().map(recheck).collect()
     }
 
-    fn suspend(&mut self, now: Ms, why: Error) -> Vec<Output> {
+    fn suspend(&mut self, now: Millis, why: Error) -> Vec<Output> {
         let State::Running(keeper) = &self.state else { return Vec::new() };
         let view = keeper.view.clone();
         let mut outputs = self.declines();
@@ -215,10 +215,10 @@
         outputs
     }
 
-    fn resume(&mut self, now: Ms, recovered: RecoveredState, since: Ms) -> Batch {
+    fn resume(&mut self, now: Millis, recovered: RecoveredState, since: Millis) -> Batch {
         let mut keeper = (self.make_keeper)(recovered, now);
         keeper.set_disk_usage(self.usage);
-        let said = format!("the disk takes writes again after {} ms, change {}", now - since, keeper.store.n);
+        let said = format!("the disk takes writes again after {} ms, change {}", now - since, keeper.store.last_change);
         self.state = State::Running(Box::new(keeper));
         let mut batch = Batch { records: Vec::new(), outputs: vec![Output::Log(said)] };
         if let Some(seeds) = self.seeds.clone() {
@@ -229,7 +229,7 @@
 
     /// For each request that waits: whether its write was kept is not known.
     fn declines(&self) -> Vec<Output> {
-        let why = Code::ChainDown.because("the disk has not taken the write").unknown().retry(RETRY_PENDING);
+        let why = ErrorCode::ChainUnavailable.with_detail("the disk has not taken the write").with_unknown_outcome().with_retry_after(RETRY_PENDING_AFTER);
         let decline = |token: &u64| Output::Reply(*token, Reply::Rejected { error: why.clone() });
         self.pending.iter().map(decline).collect()
     }
--- a/crates/store/src/keeper.rs
+++ b/crates/store/src/keeper.rs
@@ -6,21 +6,21 @@
 use crate::lease::Leases;
 use crate::membership::Leaving;
 use crate::messages::{PeerMessage, View};
-use crate::patch::Packed;
+use crate::patch::PackedText;
 use crate::register::{Acceptor, Proposer};
 use crate::requests::{PendingPoll, PendingWrite};
 use crate::snapshot::{IncomingSnapshot, OutgoingSnapshot};
 pub use crate::step::{Input, Output, Record, RecoveredState};
 use crate::store::Store;
 use crate::terms::{NODE_LEASE, SILENT, VIEW_LEASE, with_clock_drift};
-use quincehatch_core::{ChangeNo, Ms, Name, Version, hash64};
-use quincehatch_runtime::rt;
+use quincehatch_core::{ChangeNumber, Millis, Name, Version, hash64};
+use quincehatch_runtime::seam;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 #[derive(Clone, Debug)]
 pub struct Keeper {
     pub name: Name,
-    pub(crate) now: Ms,
+    pub(crate) now: Millis,
     pub(crate) acceptor: Acceptor,
     pub(crate) proposer: Proposer,
     pub view: View,
@@ -31,53 +31,53 @@
     pub(crate) disk_usage: DiskUsage,
     /// The same for nodes, since this process began or took a whole store (§5.10).
     pub(crate) recent_changes: VecDeque<Change>,
-    pub(crate) packed_configuration: Option<(Version, Packed)>,
-    pub committed: ChangeNo,
-    pub in_force: ChangeNo,
+    pub(crate) packed_configuration: Option<(Version, PackedText)>,
+    pub committed: ChangeNumber,
+    pub in_force: ChangeNumber,
     /// A commit is on so many disks at least; a shorter chain commits nothing (§5.9).
     pub(crate) min_replicas: usize,
     pub(crate) discovery: Option<Discovery>,
-    pub(crate) commit_times: VecDeque<(ChangeNo, Ms)>,
-    pub(crate) last_heard: BTreeMap<Name, Ms>,
+    pub(crate) commit_times: VecDeque<(ChangeNumber, Millis)>,
+    pub(crate) last_heard: BTreeMap<Name, Millis>,
     pub(crate) heartbeat_sequence: u64,
     /// The newest own heartbeat that a majority granted.
     pub(crate) confirmed_heartbeat: u64,
-    pub(crate) sent_heartbeats: BTreeMap<u64, Ms>,
+    pub(crate) sent_heartbeats: BTreeMap<u64, Millis>,
     pub(crate) heartbeat_grants: BTreeMap<u64, BTreeSet<Name>>,
-    pub(crate) view_lease_until: Ms,
-    pub(crate) older_leases_until: Ms,
+    pub(crate) view_lease_until: Millis,
+    pub(crate) older_leases_until: Millis,
     pub(crate) in_sync: bool,
     pub(crate) served_version: Version,
     /// Taken into the chain, and its forerunner has not passed it all yet: it neither serves nor leaves others out, as
     /// it may lack what was committed before it came (§5.3).
     pub(crate) catching_up: bool,
     /// Nodes dismissed so lately that a lease of theirs may be out until then (§5.6).
-    pub(crate) dismissed_leases: BTreeMap<Name, Ms>,
+    pub(crate) dismissed_leases: BTreeMap<Name, Millis>,
     /// Until then there may be others: what was dismissed before this process began is not known.
-    pub(crate) unknown_leases_until: Ms,
+    pub(crate) unknown_leases_until: Millis,
     /// What it granted as the tail of the view before, for the tail of this one.
     pub(crate) previous_leases: Option<Leases>,
     pub(crate) leases: Option<Leases>,
     pub(crate) pending_writes: Vec<PendingWrite>,
     pub(crate) pending_polls: Vec<PendingPoll>,
-    pub(crate) view_adopted_at: Ms,
+    pub(crate) view_adopted_at: Millis,
     /// The view just before this one, where this keeper knew it.
     pub(crate) previous_view: Option<View>,
     /// All that was held when the view was taken, and how much the tail has acknowledged in it.
-    pub(crate) number_at_view: ChangeNo,
-    pub(crate) acknowledged: ChangeNo,
+    pub(crate) number_at_view: ChangeNumber,
+    pub(crate) acknowledged: ChangeNumber,
     /// The next view, in which a member offers this keeper a place (§5.9).
     pub(crate) invitation: Option<View>,
     pub(crate) leaving: Option<Leaving>,
-    pub(crate) last_proposal_at: Ms,
-    pub(crate) last_fetch_at: Ms,
-    pub(crate) unfinished_view_since: Option<Ms>,
-    pub(crate) next_heartbeat_at: Ms,
+    pub(crate) last_proposal_at: Millis,
+    pub(crate) last_fetch_at: Millis,
+    pub(crate) unfinished_view_since: Option<Millis>,
+    pub(crate) next_heartbeat_at: Millis,
     pub(crate) outputs: Vec<Output>,
 }
 
 impl Keeper {
-    pub fn new(me: Name, now: Ms, f: RecoveredState) -> Self {
+    pub fn new(me: Name, now: Millis, f: RecoveredState) -> Self {
         // Places in a list that changes are no ranks: no two proposers may ever use one ballot.
         let mut proposer = Proposer::new(hash64(&[me.as_bytes()]));
         proposer.observe_ballot(f.acceptor.promised.number);
@@ -91,13 +91,13 @@
             dismissed_leases: BTreeMap::new(),
             previous_leases: None,
             // An empty chain has enrolled nobody.
-            unknown_leases_until: if f.store.n == 0 { now } else { now + with_clock_drift(NODE_LEASE) },
+            unknown_leases_until: if f.store.last_change == 0 { now } else { now + with_clock_drift(NODE_LEASE) },
             name: me,
             now,
             proposer,
             acceptor: f.acceptor,
             view: f.view,
-            number_at_view: f.store.n,
+            number_at_view: f.store.last_change,
             store: f.store,
             log: f.log,
             outgoing_snapshot: None,
@@ -113,7 +113,7 @@
             last_heard: BTreeMap::new(),
             // A grant of an earlier life must answer no beat of this one, also where the wall clock was stepped back;
             // half of the range is left to count on.
-            heartbeat_sequence: rt::draw_incarnation() >> 1,
+            heartbeat_sequence: seam::draw_incarnation() >> 1,
             confirmed_heartbeat: 0,
             sent_heartbeats: BTreeMap::new(),
             heartbeat_grants: BTreeMap::new(),
@@ -136,7 +136,7 @@
 
     /// The time as the caller has it. A keeper that stood still itself cannot tell who was silent meanwhile: nobody's
     /// silence counts from before then.
-    pub fn advance_clock(&mut self, now: Ms) {
+    pub fn advance_clock(&mut self, now: Millis) {
         let stood_still = now.saturating_sub(self.now);
         self.now = self.now.max(now);
         if stood_still >= SILENT {
@@ -148,7 +148,7 @@
         self.disk_usage = usage;
     }
 
-    pub fn step(&mut self, now: Ms, i: Input) -> Vec<Output> {
+    pub fn step(&mut self, now: Millis, i: Input) -> Vec<Output> {
         self.advance_clock(now);
         match i {
             Input::Peer { from, message } => self.handle_peer_message(&from, message),
@@ -169,7 +169,7 @@
     }
     /// May this keeper answer as the tail at this moment (§5.3)?
     pub fn is_serving(&self) -> bool {
-        let leased = self.now < self.view_lease_until || rt::broken("no-view-lease");
+        let leased = self.now < self.view_lease_until || seam::injected_bug("no-view-lease");
         self.is_tail() && self.in_sync && self.now >= self.older_leases_until && leased
     }
     /// May it commit as well, and hand out what is committed (§5.9)?
@@ -190,7 +190,7 @@
         if self.now >= self.next_heartbeat_at && !self.is_outside_view() {
             self.send_heartbeat();
             if let Some(p) = self.view.neighbour(&self.name, -1).cloned() {
-                self.request_next(&p);
+                self.request_missing_entries(&p);
                 // Said again each time, as it may be lost or have crossed a change of view.
                 let ack = self.acknowledgement();
                 self.send(&p, ack);
--- a/crates/store/src/lease_handover.rs
+++ b/crates/store/src/lease_handover.rs
@@ -1,7 +1,7 @@
 //! Node leases from the tail of one view to the tail of the next (§5.11).
 use crate::keeper::Keeper;
 use crate::messages::{LeaseStatus, PeerMessage};
-use quincehatch_core::{Ms, Name, Version};
+use quincehatch_core::{Millis, Name, Version};
 
 impl Keeper {
     /// Tells the tail which leases this keeper granted when it was the tail of the view before. It grants and serves
@@ -15,7 +15,7 @@
 
     /// What the tail before granted, from itself. That it stands in this view means that it serves no more, and it had
     /// outlasted every tail before it: there is nothing left to wait for.
-    pub(crate) fn handle_hand_over_leases(&mut self, from: &Name, version: Version, rows: &[LeaseStatus], unknown: Ms) {
+    pub(crate) fn handle_hand_over_leases(&mut self, from: &Name, version: Version, rows: &[LeaseStatus], unknown: Millis) {
         // Once it has served in this view it has granted leases itself, perhaps in an earlier life.
         if version != self.view.version || self.served_version == version || !self.is_tail() {
             return;
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -39,4 +39,4 @@
 pub use feed::{Change, FeedEvent, FeedSnapshot, FeedState};
 pub use keeper::Keeper;
 pub use messages::*;
-pub use store::{Adopted, Store};
+pub use store::{AdoptedDocument, Store};
--- a/crates/store/src/membership.rs
+++ b/crates/store/src/membership.rs
@@ -7,17 +7,17 @@
 use crate::keeper::{Keeper, Output};
 use crate::messages::{Voter, PeerMessage, View};
 use crate::terms::{PROPOSAL_INTERVAL, SILENT};
-use quincehatch_core::{Ms, Name};
+use quincehatch_core::{Millis, Name};
 
 /// Time that a leaving keeper keeps for leaving the chain without handing its vote over. Until then it tries to: where
 /// another voter is lost at the same moment, the chain is repaired and served again first (2.3 s, `terms`).
-const LEAVE_RESERVE: Ms = 500;
+const LEAVE_RESERVE: Millis = 500;
 
 /// A keeper that was told to stop.
 #[derive(Clone, Debug)]
 pub(crate) struct Leaving {
     /// It ends by then, whatever it has reached.
-    until: Ms,
+    until: Millis,
 }
 
 impl View {
@@ -81,7 +81,7 @@
     }
 
     /// A silent voter at whose address another keeper runs: the disk behind its name is gone.
-    fn wiped_voter(&self, margin: Ms) -> Option<(Name, Voter)> {
+    fn wiped_voter(&self, margin: Millis) -> Option<(Name, Voter)> {
         let candidates = self.candidates();
         let mut silent = self.view.voters.iter().filter(|m| self.is_absent(&m.name, SILENT + margin));
         silent.find_map(|m| {
@@ -91,7 +91,7 @@
     }
 
     /// A voter that has been silent for long, and anyone who may take its place.
-    fn lost_voter(&self, margin: Ms) -> Option<(Name, Voter)> {
+    fn lost_voter(&self, margin: Millis) -> Option<(Name, Voter)> {
         let replace_after = self.discovery.as_ref()?.settings.replace_after;
         let lost = self.view.voters.iter().find(|m| self.is_absent(&m.name, replace_after + margin))?;
         Some((lost.name.clone(), self.candidates().into_iter().next()?))
@@ -110,7 +110,7 @@
     }
 
     /// Left out of the chain, and not heard of for so long.
-    fn is_absent(&self, voter: &Name, at_least: Ms) -> bool {
+    fn is_absent(&self, voter: &Name, at_least: Millis) -> bool {
         let Some(discovery) = &self.discovery else { return false };
         let heard = self.last_heard.get(voter).copied().unwrap_or(0).max(discovery.undisturbed_since);
         !self.view.is_member(voter) && self.now.saturating_sub(heard) >= at_least
@@ -146,7 +146,7 @@
     /// Asks the tail for its store, or for the next part of it.
     pub(crate) fn fetch_store(&mut self) {
         let Some(tail) = self.view.tail().cloned() else { return };
-        self.fetch_next(&tail);
+        self.request_snapshot_part(&tail);
     }
 
     /// The view to propose with the whole store at hand, if this keeper has a place to go to.
@@ -158,7 +158,7 @@
     }
 
     /// Begins to leave; it is over within `within` at the latest (§5.9).
-    pub(crate) fn begin_leave(&mut self, within: Ms) {
+    pub(crate) fn begin_leave(&mut self, within: Millis) {
         if self.leaving.is_none() {
             self.leaving = Some(Leaving { until: self.now + within });
             self.outputs.push(Output::Log("leaving".into()));
--- a/crates/store/src/messages.rs
+++ b/crates/store/src/messages.rs
@@ -3,8 +3,8 @@
 use crate::entry_log::PackedEntry;
 use crate::feed::{Change, FeedSnapshot};
 use crate::snapshot::{SnapshotPart, SnapshotProgress};
-use crate::store::{Adopted, Store};
-use quincehatch_core::{ChangeNo, Error, Fence, Lead, Ms, Name, ServerRecord, Version, messages};
+use crate::store::{AdoptedDocument, Store};
+use quincehatch_core::{ChangeNumber, Error, FencingToken, PrimaryAssignment, Millis, Name, ServerRecord, Version, messages};
 
 messages! {
     /// The agreed view: who is in the chain, in order, and which disk machines vote (§5.3).
@@ -25,7 +25,7 @@
         /// The next fence for a duty's key (§6.3).
         AcquireFence { duty: Name, by: Name },
         /// Who leads a group now (§5.5).
-        AssignPrimary { group: Name, primary: Lead },
+        AssignPrimary { group: Name, primary: PrimaryAssignment },
         /// A blueprint under its operator's own number: the highest number holds, one that is not above it changes
         /// nothing. `source` is the operator's document word for word (§5.2).
         AdoptDocument { number: u64, text: String, source: String, by: Name },
@@ -37,9 +37,9 @@
         /// (§5.6). `life` tells one process of a node from the next.
         EnrollNode { node: Name, incarnation: u64 },
         /// The process enrolled by that entry holds no lease any more and asks for none.
-        DismissNode { node: Name, enrolled: ChangeNo },
+        DismissNode { node: Name, enrolled: ChangeNumber },
         /// The lead under the fence has all of its log on two of its list: lists from before are let go (§5.5).
-        DropPreviousVoters { group: Name, fence: Fence },
+        DropPreviousVoters { group: Name, fence: FencingToken },
         /// The next fence for a group's duty, if its leadership is still `over`, as its taker planned for: whoever
         /// comes too late takes none, so it never overtakes another only to give up (§5.4).
         AcquireFenceIfUnchanged { group: Name, by: Name, expected: PrimaryState }
@@ -49,18 +49,18 @@
     #[derive(Eq, Default)]
     pub struct PrimaryState {
         /// The newest fence of the group's duty. Above the lead's own: a change of hands is begun and wrote nothing yet.
-        pub fence: Fence,
+        pub fence: FencingToken,
         /// The lead as it was last written.
-        pub primary: Option<Lead>
+        pub primary: Option<PrimaryAssignment>
     }
 
     #[derive(Eq)]
-    pub struct Entry { pub number: ChangeNo, pub key: Name, pub command: Command }
+    pub struct Entry { pub number: ChangeNumber, pub key: Name, pub command: Command }
 
     /// The chain's answer to a write.
     #[derive(Eq)]
     pub enum Answer {
-        Version(Version), Fence(Fence), Done, Rejected(Error), Enrolled(ChangeNo), Lead(Lead)
+        Version(Version), Fence(FencingToken), Done, Rejected(Error), Enrolled(ChangeNumber), Lead(PrimaryAssignment)
     }
 
     pub enum PeerMessage {
@@ -70,23 +70,23 @@
         Accept { ballot: Ballot, base: View, view: View },
         Accepted { ballot: Ballot, ok: bool, highest_promised: Ballot },
         /// Heartbeat: what I hold, and a wish to have my view's lease renewed.
-        Beat { view: View, sequence: u64, last_change: ChangeNo },
+        Beat { view: View, sequence: u64, last_change: ChangeNumber },
         /// The lease of `version` is granted for the beat `seq`.
         GrantViewLease { version: Version, sequence: u64 },
         /// Down the chain.
-        AppendEntries { version: Version, previous_change: ChangeNo, entries: Vec<PackedEntry>, last_change: ChangeNo },
+        AppendEntries { version: Version, previous_change: ChangeNumber, entries: Vec<PackedEntry>, last_change: ChangeNumber },
         /// Up the chain: I hold all to `n`, and `progress` of a snapshot; send what comes next.
-        RequestEntries { version: Version, last_change: ChangeNo, progress: SnapshotProgress },
+        RequestEntries { version: Version, last_change: ChangeNumber, progress: SnapshotProgress },
         /// Up the chain from the tail: committed, and in force everywhere.
-        Acknowledge { version: Version, committed: ChangeNo, in_force: ChangeNo },
+        Acknowledge { version: Version, committed: ChangeNumber, in_force: ChangeNumber },
         /// Down the chain, from a tail that was to the one that is: the leases it granted, and for how long there may be
         /// others.
-        HandOverLeases { version: Version, leases: Vec<LeaseStatus>, unknown_leases_ms: Ms },
+        HandOverLeases { version: Version, leases: Vec<LeaseStatus>, unknown_leases_ms: Millis },
         /// A machine outside the view asks the tail for everything, and tells what it holds of a snapshot.
         FetchSnapshot { version: Version, progress: SnapshotProgress },
         /// `dismissed_leases`: nodes dismissed so lately that a lease may be out, and for how long; `unknown_leases`: for how long there
         /// may be others that the sender does not know (§5.6).
-        Snapshot { version: Version, part: SnapshotPart, joining: bool, dismissed_leases: Vec<(Name, Ms)>, unknown_leases_ms: Ms },
+        Snapshot { version: Version, part: SnapshotPart, joining: bool, dismissed_leases: Vec<(Name, Millis)>, unknown_leases_ms: Millis },
         /// From outside the view: I am reached there, and may take a lost machine's place (§5.9).
         Discover { at: Name },
         /// To one outside: this is the view.
@@ -99,7 +99,7 @@
     /// What nodes and operators ask of a keeper.
     pub enum Request {
         /// `enrolled`: the entry that enrolled the node's process.
-        Feed { node: Name, addr: Name, last_change: ChangeNo, applied: Version, enrolled: ChangeNo },
+        Feed { node: Name, addr: Name, last_change: ChangeNumber, applied: Version, enrolled: ChangeNumber },
         Write { key: Name, command: Command },
         ChangeVoters { version: Version, voters: Vec<Voter> },
         /// The whole store, as committed at the tail.
@@ -110,12 +110,12 @@
     }
 
     pub enum Reply {
-        Changes { changes: Vec<Change>, lease_ms: Ms },
+        Changes { changes: Vec<Change>, lease_ms: Millis },
         /// All that nodes act on, where changes do not reach back.
-        Snapshot { snapshot: Box<FeedSnapshot>, lease_ms: Ms },
+        Snapshot { snapshot: Box<FeedSnapshot>, lease_ms: Millis },
         Store { store: Box<Store> },
-        Answer { number: ChangeNo, answer: Answer },
-        Adopted { adopted: Option<Adopted> },
+        Answer { number: ChangeNumber, answer: Answer },
+        Adopted { adopted: Option<AdoptedDocument> },
         /// No lease: the process is to be enrolled first.
         NotEnrolled,
         /// Ask there instead.
@@ -126,7 +126,7 @@
 
     #[derive(Eq, Default)]
     pub struct KeeperStatus {
-        pub name: Name, pub view: View, pub last_change: ChangeNo, pub committed: ChangeNo, pub in_force: ChangeNo,
+        pub name: Name, pub view: View, pub last_change: ChangeNumber, pub committed: ChangeNumber, pub in_force: ChangeNumber,
         pub version: Version, pub serving: bool, pub reason: String, pub leases: Vec<LeaseStatus>,
         pub disk: DiskUsage, pub log: LogSize
     }
@@ -136,7 +136,7 @@
     pub struct LogSize { pub entries: u64, pub bytes: u64 }
 
     #[derive(Eq, Default)]
-    pub struct LeaseStatus { pub node: Name, pub addr: Name, pub remaining_ms: Ms, pub applied: ChangeNo }
+    pub struct LeaseStatus { pub node: Name, pub addr: Name, pub remaining_ms: Millis, pub applied: ChangeNumber }
 
     /// All that reaches a keeper's door.
     pub enum KeeperRequest { Peer { from: Name, message: PeerMessage }, Node { request: Request } }
--- a/crates/store/src/packed.rs
+++ b/crates/store/src/packed.rs
@@ -17,7 +17,7 @@
 }
 
 impl PackedBytes {
-    pub fn of(bytes: Vec<u8>) -> Self {
+    pub fn pack(bytes: Vec<u8>) -> Self {
         if bytes.len() < COMPRESS_FROM {
             return PackedBytes::Plain { bytes };
         }
--- a/crates/store/src/peer_messages.rs
+++ b/crates/store/src/peer_messages.rs
@@ -29,12 +29,12 @@
             PeerMessage::Acknowledge { version, committed, in_force } => {
                 self.acked(from, version, committed, in_force)
             }
-            PeerMessage::FetchSnapshot { version, progress } => self.fetch(from, version, progress),
+            PeerMessage::FetchSnapshot { version, progress } => self.handle_fetch(from, version, progress),
             PeerMessage::HandOverLeases { version, leases: rows, unknown_leases_ms } => {
                 self.handle_hand_over_leases(from, version, &rows, unknown_leases_ms);
             }
             PeerMessage::Snapshot { version, part, joining: join, dismissed_leases, unknown_leases_ms } => {
-                if self.take_snapshot_part(from, version, part, join) {
+                if self.accept_snapshot_part(from, version, part, join) {
                     self.unknown_leases_until = self.now + unknown_leases_ms;
                     self.dismissed_leases =
                         dismissed_leases.into_iter().map(|(n, left)| (n, self.now + left)).collect();
--- a/crates/store/src/register.rs
+++ b/crates/store/src/register.rs
@@ -6,7 +6,7 @@
 //! declines an older one, so an instance takes no votes of a machine that knows its outcome, and what an acceptor has
 //! accepted is never overwritten by a proposal for an earlier version.
 use crate::messages::{Ballot, PeerMessage, View};
-use quincehatch_core::{Ms, Name, Version, messages};
+use quincehatch_core::{Millis, Name, Version, messages};
 use std::collections::{BTreeMap, BTreeSet};
 
 messages! {
@@ -60,7 +60,7 @@
     ballot: Ballot,
     base: View,
     wanted: View,
-    began: Ms,
+    began: Millis,
     promises: BTreeMap<Name, Option<(Ballot, View)>>,
     proposed: Option<View>,
     accepted_by: BTreeSet<Name>,
@@ -104,12 +104,12 @@
     }
 
     /// Busy with an attempt younger than `most`.
-    pub fn is_busy(&self, now: Ms, most: Ms) -> bool {
+    pub fn is_busy(&self, now: Millis, most: Millis) -> bool {
         self.attempt.as_ref().is_some_and(|a| now < a.began + most)
     }
 
     /// Begins to change the register from the decided view `base` to `wanted`, whose version is the next.
-    pub fn begin(&mut self, now: Ms, base: &View, wanted: View) -> Vec<ProposerAction> {
+    pub fn begin(&mut self, now: Millis, base: &View, wanted: View) -> Vec<ProposerAction> {
         self.highest_ballot += 1;
         let ballot = Ballot { number: self.highest_ballot, by: self.id };
         let to = acceptors(base, &wanted);
@@ -185,7 +185,7 @@
 
 /// A majority of the old set must take part in every change of the register.
 fn old_majority<'a>(base: &View, who: impl Iterator<Item = &'a Name>) -> bool {
-    base.has_majority(who) || quincehatch_runtime::rt::broken("no-old-majority")
+    base.has_majority(who) || quincehatch_runtime::seam::injected_bug("no-old-majority")
 }
 
 /// Who votes on a change: the machines of both views.
--- a/crates/store/src/requests.rs
+++ b/crates/store/src/requests.rs
@@ -5,7 +5,7 @@
 use crate::lease::Leases;
 use crate::messages::{Answer, Command, Entry, Voter, Reply, Request, View};
 use crate::terms::{ADOPT_ACK_DELAY, FEED_POLL_WAIT, NODE_LEASE};
-use quincehatch_core::{ChangeNo, Code, Ms, Name, Version};
+use quincehatch_core::{ChangeNumber, ErrorCode, Millis, Name, Version};
 
 /// Writers that may wait at the head.
 const MAX_PENDING_WRITES: usize = 1024;
@@ -17,12 +17,12 @@
 #[derive(Clone, Debug)]
 pub(crate) struct PendingWrite {
     pub token: u64,
-    pub number: ChangeNo,
+    pub number: ChangeNumber,
     pub answer: Answer,
     pub ack_level: AckLevel,
     /// Where no new entry proves it: a majority must grant a heartbeat sent after that one.
     pub contact_after: Option<u64>,
-    pub deadline: Ms,
+    pub deadline: Millis,
 }
 
 /// A node whose poll waits at the tail for news.
@@ -30,8 +30,8 @@
 pub(crate) struct PendingPoll {
     pub token: u64,
     pub node: Name,
-    pub last_change: ChangeNo,
-    pub deadline: Ms,
+    pub last_change: ChangeNumber,
+    pub deadline: Millis,
 }
 
 impl Keeper {
@@ -63,11 +63,11 @@
 
     /// What came after `have`, at once; if there is nothing, as soon as there is, or after a while (§5.2). The node
     /// counts its lease from before it asked, so it may wait here.
-    fn feed(&mut self, token: u64, node: Name, addr: Name, have: ChangeNo) -> Option<Reply> {
+    fn feed(&mut self, token: u64, node: Name, addr: Name, have: ChangeNumber) -> Option<Reply> {
         let now = self.now;
-        let applied = have.min(self.store.n);
+        let applied = have.min(self.store.last_change);
         let lease_ms = self.leases().grant(now, &node, &addr, applied);
-        if have != self.store.n {
+        if have != self.store.last_change {
             return Some(self.changes_since(have, lease_ms));
         }
         // One poll a node: what an earlier one waits for, this one asks.
@@ -94,20 +94,20 @@
         }
         if self.pending_writes.len() >= MAX_PENDING_WRITES {
             return Some(Reply::Rejected {
-                error: Code::ChainDown.because("too many writes wait").retry(1_000),
+                error: ErrorCode::ChainUnavailable.with_detail("too many writes wait").with_retry_after(1_000),
             });
         }
         let ends = AckLevel::for_command(&cmd);
         let (n, answer, contact_after) = match self.recorded_answer(&key, &cmd) {
             Some(recorded) => (recorded.entry, recorded.answer, Some(self.request_contact(&cmd))),
             None if self.disk_usage.is_reserve_touched() && cmd.is_document() => {
-                let why = Code::ChainDown.because("the disk is nearly full").retry(1_000);
+                let why = ErrorCode::ChainUnavailable.with_detail("the disk is nearly full").with_retry_after(1_000);
                 return Some(Reply::Rejected { error: why });
             }
             None => {
-                let had = self.store.n;
+                let had = self.store.last_change;
                 let e = Entry { number: had + 1, key, command: cmd };
-                let a = self.append_entry(&e, PackedEntry::of(&e))?;
+                let a = self.append_entry(&e, PackedEntry::pack(&e))?;
                 self.forward_entries(had);
                 (had + 1, a, None)
             }
@@ -133,7 +133,7 @@
             self.view.members.iter().filter(|n| machines.iter().any(|m| m.name == **n)).cloned().collect();
         if version != self.view.version || gone + come != 1 || members.is_empty() {
             let why = format!("the view is at {}; {come} would come and {gone} go", self.view.version);
-            return Reply::Rejected { error: Code::MemberChange.because(why) };
+            return Reply::Rejected { error: ErrorCode::MembershipChangeRejected.with_detail(why) };
         }
         let want = View { version: version + 1, members, voters: machines };
         self.propose(want);
@@ -144,7 +144,7 @@
     pub(crate) fn commit_and_answer(&mut self) {
         if self.can_commit() {
             let now = self.now;
-            let n = self.store.n;
+            let n = self.store.last_change;
             if self.served_version != self.view.version {
                 self.served_version = self.view.version;
                 self.outputs.push(Output::Persist(Record::Served { version: self.served_version }));
@@ -158,7 +158,7 @@
                 self.send(&p, m);
             }
         }
-        let (serves, n, at) = (self.can_commit(), self.store.n, self.now);
+        let (serves, n, at) = (self.can_commit(), self.store.last_change, self.now);
         let over = |p: &PendingPoll| !serves || p.last_change < n || at >= p.deadline;
         let (done, rest) = std::mem::take(&mut self.pending_polls).into_iter().partition(over);
         self.pending_polls = rest;
@@ -183,8 +183,8 @@
                 self.outputs.push(Output::Reply(w.token, Reply::Answer { number: w.number, answer: w.answer }));
             } else if now >= w.deadline {
                 let why =
-                    Code::ChainDown.because("not acknowledged yet; ask again with the same key").unknown();
-                self.outputs.push(Output::Reply(w.token, Reply::Rejected { error: why.retry(500) }));
+                    ErrorCode::ChainUnavailable.with_detail("not acknowledged yet; ask again with the same key").with_unknown_outcome();
+                self.outputs.push(Output::Reply(w.token, Reply::Rejected { error: why.with_retry_after(500) }));
             } else {
                 keep.push(w);
             }
@@ -193,7 +193,7 @@
     }
 
     /// For how long, at least, this keeper has known that `n` is committed.
-    fn committed_for(&self, n: ChangeNo) -> Option<Ms> {
+    fn committed_for(&self, n: ChangeNumber) -> Option<Millis> {
         self.commit_times.iter().find(|k| k.0 >= n).map(|k| self.now - k.1)
     }
 }
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -2,7 +2,7 @@
 use crate::packed::PackedBytes;
 use crate::store::Store;
 use crate::terms::TRANSFER_MAX_BYTES;
-use quincehatch_core::{ChangeNo, Name, hash64, messages};
+use quincehatch_core::{ChangeNumber, Name, hash64, messages};
 
 /// Longest packed snapshot that a member takes.
 const SNAPSHOT_MAX: u64 = 32 << 20;
@@ -10,7 +10,7 @@
 messages! {
     /// Which snapshot it is: the store at change `n`, and the length and hash of its packed form.
     #[derive(Copy, Eq, Default)]
-    pub struct SnapshotId { pub n: ChangeNo, pub length: u64, pub hash: u64 }
+    pub struct SnapshotId { pub change: ChangeNumber, pub length: u64, pub hash: u64 }
 
     /// What a receiver holds of a snapshot: its first `offset` bytes.
     #[derive(Copy, Eq, Default)]
@@ -29,16 +29,16 @@
 }
 
 impl OutgoingSnapshot {
-    pub fn of(store: &Store) -> Self {
+    pub fn from_store(store: &Store) -> Self {
         let plain = borsh::to_vec(store).unwrap_or_default();
-        let bytes = borsh::to_vec(&PackedBytes::of(plain)).unwrap_or_default();
-        let id = SnapshotId { n: store.n, length: bytes.len() as u64, hash: hash64(&[&bytes]) };
+        let bytes = borsh::to_vec(&PackedBytes::pack(plain)).unwrap_or_default();
+        let id = SnapshotId { change: store.last_change, length: bytes.len() as u64, hash: hash64(&[&bytes]) };
         Self { id, bytes }
     }
 
     /// The change number of the store it holds.
-    pub fn n(&self) -> ChangeNo {
-        self.id.n
+    pub fn change(&self) -> ChangeNumber {
+        self.id.change
     }
 
     /// The part that follows what the receiver has; the first one if that is of another snapshot.
@@ -69,7 +69,7 @@
     }
 
     /// Takes a part if it is the next one. Was it taken?
-    pub fn take(&mut self, from: &Name, part: SnapshotPart) -> bool {
+    pub fn accept_part(&mut self, from: &Name, part: SnapshotPart) -> bool {
         if part.id.length > SNAPSHOT_MAX {
             return false;
         }
--- a/crates/store/src/status.rs
+++ b/crates/store/src/status.rs
@@ -29,10 +29,10 @@
         KeeperStatus {
             name: self.name.clone(),
             view: self.view.clone(),
-            last_change: self.store.n,
+            last_change: self.store.last_change,
             committed: self.committed,
             in_force: self.in_force,
-            version: self.store.version(),
+            version: self.store.configuration_version(),
             serving: self.is_serving(),
             reason: why.into(),
             leases: self.leases.as_ref().map(|l| l.statuses(self.now)).unwrap_or_default(),
--- a/crates/store/src/step.rs
+++ b/crates/store/src/step.rs
@@ -3,7 +3,7 @@
 use crate::messages::{PeerMessage, Reply, Request, View};
 use crate::register::Acceptor;
 use crate::store::Store;
-use quincehatch_core::{Ms, Name, Version, messages};
+use quincehatch_core::{Millis, Name, Version, messages};
 
 messages! {
     /// What must be on disk before anything of the same step is sent.
@@ -31,7 +31,7 @@
     },
     /// The process is to stop: leave the chain, and end within so many milliseconds (§5.9).
     Leave {
-        within: Ms,
+        within: Millis,
     },
     /// Whom to ask first is another set now (§5.9).
     Seeds(Vec<Name>),
--- a/crates/store/src/terms.rs
+++ b/crates/store/src/terms.rs
@@ -1,23 +1,23 @@
 //! The times of the state plane and the sums that tie them together (§5.6).
-use quincehatch_core::Ms;
+use quincehatch_core::Millis;
 use quincehatch_wire::FRAME_MAX;
 
 /// Two local clocks may run apart by this many parts in a thousand; every wait on another's term adds it.
-pub const CLOCK_DRIFT_PER_MILLE: Ms = 20;
+pub const CLOCK_DRIFT_PER_MILLE: Millis = 20;
 /// Heartbeat between keepers, and renewal of the view lease.
-pub const HEARTBEAT_INTERVAL: Ms = 200;
+pub const HEARTBEAT_INTERVAL: Millis = 200;
 /// A keeper silent this long is mended out of the view.
-pub const SILENT: Ms = 800;
+pub const SILENT: Millis = 800;
 /// Term of the view lease.
-pub const VIEW_LEASE: Ms = 1_000;
+pub const VIEW_LEASE: Millis = 1_000;
 /// Term of a node's lease.
-pub const NODE_LEASE: Ms = 4_000;
+pub const NODE_LEASE: Millis = 4_000;
 /// How long the tail holds a node's poll for news; each renews its lease.
-pub const FEED_POLL_WAIT: Ms = 200;
+pub const FEED_POLL_WAIT: Millis = 200;
 /// An adopted blueprint is acknowledged this long after its commit, if not in force everywhere before.
-pub const ADOPT_ACK_DELAY: Ms = 1_200;
+pub const ADOPT_ACK_DELAY: Millis = 1_200;
 /// Least time between two proposals of one keeper.
-pub const PROPOSAL_INTERVAL: Ms = 250;
+pub const PROPOSAL_INTERVAL: Millis = 250;
 /// Entries kept for feed and catch-up before a snapshot must serve.
 pub const LOG_MAX_ENTRIES: usize = 512;
 /// Their size together, packed as they are kept.
@@ -31,22 +31,22 @@
 pub const TRANSFER_MAX_BYTES: usize = 256 << 10;
 
 /// A wait that surely outlasts another machine's term.
-pub const fn with_clock_drift(term: Ms) -> Ms {
+pub const fn with_clock_drift(term: Millis) -> Millis {
     term + term * CLOCK_DRIFT_PER_MILLE / 1000 + 1
 }
 /// What a holder may count on of a term granted by another machine.
-pub const fn minus_clock_drift(term: Ms) -> Ms {
+pub const fn minus_clock_drift(term: Millis) -> Millis {
     term - term * CLOCK_DRIFT_PER_MILLE / 1000 - 1
 }
 
 /// Least silence after which a voter gives its place to one outside: by then the chain without it is repaired and served.
-const MIN_REPLACE_AFTER: Ms = SILENT + PROPOSAL_INTERVAL + with_clock_drift(VIEW_LEASE);
+const MIN_REPLACE_AFTER: Millis = SILENT + PROPOSAL_INTERVAL + with_clock_drift(VIEW_LEASE);
 /// From then on, at most, until the new voter holds everything: it is known (a discovery message), invited by one of the
 /// first two members, fetches the store, proposes.
-const MAX_REPLACEMENT_TIME: Ms = 500 + PROPOSAL_INTERVAL + 500 + PROPOSAL_INTERVAL;
+const MAX_REPLACEMENT_TIME: Millis = 500 + PROPOSAL_INTERVAL + 500 + PROPOSAL_INTERVAL;
 
 /// The silence after which a voter is lost, where its successor counts as whole `catch_up` after its start (§5.9).
-pub const fn replace_after(catch_up: Ms) -> Ms {
+pub const fn replace_after(catch_up: Millis) -> Millis {
     if catch_up / 2 > MIN_REPLACE_AFTER { catch_up / 2 } else { MIN_REPLACE_AFTER }
 }
 
--- a/crates/store/src/transfer.rs
+++ b/crates/store/src/transfer.rs
@@ -3,33 +3,33 @@
 use crate::messages::PeerMessage;
 use crate::snapshot::{OutgoingSnapshot, SnapshotPart, SnapshotProgress};
 use crate::store::Store;
-use quincehatch_core::{Ms, Name, Version};
+use quincehatch_core::{Millis, Name, Version};
 
 impl Keeper {
     /// Asks the forerunner for what comes next.
-    pub(crate) fn request_next(&mut self, from: &Name) {
+    pub(crate) fn request_missing_entries(&mut self, from: &Name) {
         let progress = self.incoming_snapshot.progress(from);
-        let need = PeerMessage::RequestEntries { version: self.view.version, last_change: self.store.n, progress };
+        let need = PeerMessage::RequestEntries { version: self.view.version, last_change: self.store.last_change, progress };
         self.send(from, need);
     }
 
     /// The next part of a snapshot; an older one is sent to its end as long as the log follows on it.
     pub(crate) fn snapshot_message(&mut self, join: bool, progress: SnapshotProgress) -> PeerMessage {
-        let (log, n) = (&self.log, self.store.n);
-        let follows = |sent: &OutgoingSnapshot| sent.n() == n || log.reaches_back_to(sent.n());
+        let (log, n) = (&self.log, self.store.last_change);
+        let follows = |sent: &OutgoingSnapshot| sent.change() == n || log.reaches_back_to(sent.change());
         let snapshot = match self.outgoing_snapshot.take().filter(follows) {
             Some(sent) => sent,
-            None => OutgoingSnapshot::of(&self.store),
+            None => OutgoingSnapshot::from_store(&self.store),
         };
         let part = self.outgoing_snapshot.insert(snapshot).part_after(progress);
-        let left = |until: &Ms| until.saturating_sub(self.now);
+        let left = |until: &Millis| until.saturating_sub(self.now);
         let dismissed_leases =
             self.dismissed_leases.iter().map(|(n, until)| (n.clone(), left(until))).collect();
         let (version, unknown_leases) = (self.view.version, left(&self.unknown_leases_until));
         PeerMessage::Snapshot { version, part, joining: join, dismissed_leases, unknown_leases_ms: unknown_leases }
     }
 
-    pub(crate) fn fetch(&mut self, from: &Name, _ed: Version, progress: SnapshotProgress) {
+    pub(crate) fn handle_fetch(&mut self, from: &Name, _ed: Version, progress: SnapshotProgress) {
         if self.is_serving() && !self.view.is_member(from) {
             let m = self.snapshot_message(true, progress);
             self.send(from, m);
@@ -38,7 +38,7 @@
 
     /// Part of the whole store, from the tail (to join) or from my forerunner (its log did not reach back to me). Was
     /// the store taken?
-    pub(crate) fn take_snapshot_part(
+    pub(crate) fn accept_snapshot_part(
         &mut self,
         from: &Name,
         ed: Version,
@@ -50,15 +50,15 @@
         }
         let member = self.view.is_member(&self.name);
         let takes = if join { !member } else { member && self.view.neighbour(&self.name, -1) == Some(from) };
-        if !takes || (!join && part.id.n <= self.store.n) || !self.incoming_snapshot.take(from, part) {
+        if !takes || (!join && part.id.change <= self.store.last_change) || !self.incoming_snapshot.accept_part(from, part) {
             return false;
         }
         if let Some(store) = self.incoming_snapshot.finish() {
             return self.install_snapshot(store, join);
         }
         match join {
-            true => self.fetch_next(from),
-            false => self.request_next(from),
+            true => self.request_snapshot_part(from),
+            false => self.request_missing_entries(from),
         }
         false
     }
@@ -83,12 +83,12 @@
         }
         self.in_sync = true;
         self.set_catching_up(false);
-        self.forward_entries(self.store.n);
+        self.forward_entries(self.store.last_change);
         true
     }
 
     /// Asks the tail for the next part of its store.
-    pub(crate) fn fetch_next(&mut self, tail: &Name) {
+    pub(crate) fn request_snapshot_part(&mut self, tail: &Name) {
         self.last_fetch_at = self.now;
         let progress = self.incoming_snapshot.progress(tail);
         let m = PeerMessage::FetchSnapshot { version: self.view.version, progress };
--- a/crates/store/tests/behind.rs
+++ b/crates/store/tests/behind.rs
@@ -3,7 +3,7 @@
 mod samples;
 
 use kit::Net;
-use quincehatch_core::{ChangeNo, Name};
+use quincehatch_core::{ChangeNumber, Name};
 use quincehatch_store::terms::{LOG_MAX_BYTES, LOG_MAX_ENTRIES, TRANSFER_MAX_BYTES};
 use quincehatch_store::{Answer, Command, Reply, Request};
 use samples::{adopt, document, noise};
@@ -38,15 +38,15 @@
 }
 
 /// The longest message that was sent from now on until `name` holds change `n`.
-fn longest_message_until(net: &mut Net, name: &str, n: ChangeNo) -> usize {
+fn longest_message_until(net: &mut Net, name: &str, n: ChangeNumber) -> usize {
     net.sent_lengths.clear();
     for _ in 0..50 {
         net.run(200);
-        if net.ks[name].store.n >= n && net.ks[name].view.is_member(name) {
+        if net.ks[name].store.last_change >= n && net.ks[name].view.is_member(name) {
             return net.sent_lengths.iter().copied().max().unwrap_or_default();
         }
     }
-    panic!("{name} has {} of {n}, view {:?}", net.ks[name].store.n, net.ks[name].view);
+    panic!("{name} has {} of {n}, view {:?}", net.ks[name].store.last_change, net.ks[name].view);
 }
 
 fn caught_up(net: &Net, name: &str) {
@@ -94,7 +94,7 @@
         net.ask("a", n, Request::Write { key: format!("key/{n}").into(), command: adopt(n, noise(n)) });
         net.wire.clear();
     }
-    assert_eq!((net.ks["a"].store.n, net.ks["b"].store.n), (changes, 0));
+    assert_eq!((net.ks["a"].store.last_change, net.ks["b"].store.last_change), (changes, 0));
     net
 }
 
--- a/crates/store/tests/chain.rs
+++ b/crates/store/tests/chain.rs
@@ -3,7 +3,7 @@
 
 use assert_matches::assert_matches;
 use kit::{Net, machine};
-use quincehatch_core::Code;
+use quincehatch_core::ErrorCode;
 use quincehatch_store::{Answer, Command, Voter, Reply, Request, View};
 
 fn push(base: u64, text: &str) -> Command {
@@ -24,8 +24,8 @@
     let of = |t: u64| net.reps.iter().find(|r| r.0 == t).map(|r| r.1.clone());
     assert_matches!(of(1), Some(Reply::Answer { answer: Answer::Version(1), .. }));
     assert_matches!(of(2), Some(Reply::Answer { answer: Answer::Version(1), .. }));
-    assert_matches!(of(3), Some(Reply::Answer { answer: Answer::Rejected(b), .. }) if b.is(Code::PushConflict));
-    assert_matches!(of(4), Some(Reply::Answer { answer: Answer::Rejected(b), .. }) if b.is(Code::BlueprintStale));
+    assert_matches!(of(3), Some(Reply::Answer { answer: Answer::Rejected(b), .. }) if b.has_code(ErrorCode::PushConflict));
+    assert_matches!(of(4), Some(Reply::Answer { answer: Answer::Rejected(b), .. }) if b.has_code(ErrorCode::ConfigurationStale));
     assert_matches!(of(5), Some(Reply::Redirect { .. }));
 }
 
@@ -63,8 +63,8 @@
     net.run(6_000);
     assert_eq!(net.view("k3").members, ["k1", "k3", "k4"]);
     assert!(net.ks["k4"].is_serving());
-    assert_eq!(net.ks["k4"].store.version(), 1);
+    assert_eq!(net.ks["k4"].store.configuration_version(), 1);
     net.ask("k1", 4, Request::ChangeVoters { version: 3, voters: vec![machine("k1")] });
     net.run(100);
-    assert_matches!(net.reps.last(), Some((4, Reply::Rejected { error: why })) if why.is(Code::MemberChange));
+    assert_matches!(net.reps.last(), Some((4, Reply::Rejected { error: why })) if why.has_code(ErrorCode::MembershipChangeRejected));
 }
--- a/crates/store/tests/cut_off.rs
+++ b/crates/store/tests/cut_off.rs
@@ -20,7 +20,7 @@
     let (group, addr, district) = ("g".into(), format!("{server}:1").into(), "z".into());
     let (slots, leaving, role) = (5, false, Role::Replica);
     Command::RegisterServer {
-        at: ServerRecord { server: server.into(), group, addr, district, slots, leaving, role, seq },
+        at: ServerRecord { server: server.into(), group, addr, zone: district, slots, draining: leaving, role, seq },
     }
 }
 
@@ -119,12 +119,12 @@
     net.run(6_000);
     write(&mut net, "k1", 1, "beat/s1/1", register("s1", 1));
     net.run(300);
-    let entries = net.ks["k1"].store.n;
+    let entries = net.ks["k1"].store.last_change;
     for token in 2..40 {
         write(&mut net, "k1", token, &format!("beat/s1/{token}"), register("s1", token));
         net.run(STEP_MS);
         let reply = net.rep(token);
         assert!(matches!(reply, Some(Reply::Answer { answer: Answer::Done, .. })), "{token}: {reply:?}");
     }
-    assert_eq!(net.ks["k1"].store.n, entries);
+    assert_eq!(net.ks["k1"].store.last_change, entries);
 }
--- a/crates/store/tests/disk.rs
+++ b/crates/store/tests/disk.rs
@@ -1,7 +1,7 @@
 //! The keeper's data folder (§5.7): what it keeps, and what it declines to serve from.
-use quincehatch_core::{Code, hash64};
+use quincehatch_core::{ErrorCode, hash64};
 use quincehatch_store::disk::Disk;
-use quincehatch_store::disk_port::DiskPort;
+use quincehatch_store::disk_port::StableStorage;
 use quincehatch_store::entry_log::PackedEntry;
 use quincehatch_store::keeper::Record;
 use quincehatch_store::{Command, Entry, Store, View};
@@ -38,13 +38,13 @@
 fn filled(d: &Dir) {
     let (mut disk, _) = Disk::open(&d.0, "k1", Some(view())).unwrap();
     for n in 1..=3 {
-        disk.save(&[Record::Entry { entry: PackedEntry::of(&entry(n)) }]).unwrap();
+        disk.save(&[Record::Entry { entry: PackedEntry::pack(&entry(n)) }]).unwrap();
     }
 }
 
 fn declined(d: &Dir, name: &str, first: Option<View>, want: &str) {
     let b = Disk::open(&d.0, name, first).map(|_| ()).expect_err("it was opened");
-    assert!(b.is(Code::DataFolder) && b.text.contains(want), "{b}");
+    assert!(b.has_code(ErrorCode::DataDirectoryUnusable) && b.text.contains(want), "{b}");
 }
 
 #[test]
@@ -52,10 +52,10 @@
     let d = Dir::new("again");
     filled(&d);
     let (mut disk, f) = Disk::open(&d.0, "k1", None).unwrap();
-    assert_eq!((f.view, f.store.version(), f.log.len()), (view(), 3, 3));
+    assert_eq!((f.view, f.store.configuration_version(), f.log.len()), (view(), 3, 3));
     let mut store = f.store.clone();
     for n in 4..=400 {
-        disk.save(&[Record::Entry { entry: PackedEntry::of(&entry(n)) }]).unwrap();
+        disk.save(&[Record::Entry { entry: PackedEntry::pack(&entry(n)) }]).unwrap();
         store.apply(&entry(n)).unwrap();
         if disk.is_snapshot_due() {
             disk.write_snapshot(&store).unwrap();
@@ -110,16 +110,16 @@
 #[test]
 fn a_folder_tells_whose_it_is_and_a_half_made_one_is_empty() {
     let d = Dir::new("whose");
-    assert!(Disk::find(&d.0).unwrap().is_none());
+    assert!(Disk::open_existing(&d.0).unwrap().is_none());
     std::fs::create_dir_all(&d.0).unwrap();
     for half in [&b""[..], b"redb\x1a\x0a\xa9\x0d\x0a and then a kill", &[0; 4_096]] {
         std::fs::write(d.0.join("keeper.half"), half).unwrap();
-        assert!(Disk::find(&d.0).unwrap().is_none());
+        assert!(Disk::open_existing(&d.0).unwrap().is_none());
     }
-    let (disk, found) = Disk::make(&d.0, "k1#5", view()).unwrap();
+    let (disk, found) = Disk::create(&d.0, "k1#5", view()).unwrap();
     assert_eq!(found.view, view());
     drop(disk);
-    let (name, _, found) = Disk::find(&d.0).unwrap().unwrap();
+    let (name, _, found) = Disk::open_existing(&d.0).unwrap().unwrap();
     assert_eq!((name.as_str(), found.view), ("k1#5", view()));
     assert_eq!(std::fs::read_dir(&d.0).unwrap().count(), 1);
 }
@@ -134,23 +134,23 @@
     std::fs::rename(d.file(), &away).unwrap();
     for _ in 0..2 {
         let error = disk.recover().map(|_| ()).expect_err("there is no file");
-        assert!(error.is(Code::DiskBroke), "{error}");
+        assert!(error.has_code(ErrorCode::DiskFailed), "{error}");
         let refused = disk.save(&[Record::Served { version: 9 }]).expect_err("it is not open");
-        assert!(refused.is(Code::DiskBroke), "{refused}");
+        assert!(refused.has_code(ErrorCode::DiskFailed), "{refused}");
     }
     std::fs::rename(&away, d.file()).unwrap();
     let recovered = disk.recover().unwrap();
     assert_eq!((&recovered.store, &recovered.view), (&found.store, &found.view));
-    disk.save(&[Record::Entry { entry: PackedEntry::of(&entry(4)) }]).unwrap();
+    disk.save(&[Record::Entry { entry: PackedEntry::pack(&entry(4)) }]).unwrap();
     drop(disk);
-    assert_eq!(Disk::open(&d.0, "k1", None).unwrap().1.store.n, 4);
+    assert_eq!(Disk::open(&d.0, "k1", None).unwrap().1.store.last_change, 4);
 }
 
 /// Folders of versions that kept the store and the entries unpacked.
 #[test]
 fn a_folder_of_an_earlier_version_is_read_and_replaced_by_the_first_snapshot() {
     let d = Dir::new("earlier");
-    drop(Disk::make(&d.0, "k1", view()).unwrap());
+    drop(Disk::create(&d.0, "k1", view()).unwrap());
     let mut store = Store::default();
     store.apply(&entry(1)).unwrap();
     write_earlier_version(&d, &store, &[entry(1), entry(2), entry(3)]);
@@ -159,7 +159,7 @@
     let (mut disk, state) = Disk::open(&d.0, "k1", None).unwrap();
     assert_eq!((&state.store, state.log.len()), (&store, 3));
     disk.write_snapshot(&store).unwrap();
-    disk.save(&[Record::Entry { entry: PackedEntry::of(&entry(4)) }]).unwrap();
+    disk.save(&[Record::Entry { entry: PackedEntry::pack(&entry(4)) }]).unwrap();
     drop(disk);
     store.apply(&entry(4)).unwrap();
     assert_eq!(Disk::open(&d.0, "k1", None).unwrap().1.store, store);
--- a/crates/store/tests/documents.rs
+++ b/crates/store/tests/documents.rs
@@ -4,9 +4,9 @@
 
 use assert_matches::assert_matches;
 use kit::{Net, machine};
-use quincehatch_core::{Code, Name};
-use quincehatch_store::documents::DOCUMENTS;
-use quincehatch_store::store::ANSWERS;
+use quincehatch_core::{ErrorCode, Name};
+use quincehatch_store::documents::MAX_REMEMBERED_DOCUMENTS;
+use quincehatch_store::store::MAX_ANSWERED_WRITES;
 use quincehatch_store::terms::LOG_MAX_ENTRIES;
 use quincehatch_store::{Answer, Command, Entry, Voter, Reply, Request, Store, View};
 
@@ -35,7 +35,7 @@
 }
 
 fn refused(reply: &Reply) -> bool {
-    matches!(reply, Reply::Answer { answer: Answer::Rejected(e), .. } if e.is(Code::NumberTaken))
+    matches!(reply, Reply::Answer { answer: Answer::Rejected(e), .. } if e.has_code(ErrorCode::NumberTaken))
 }
 
 impl Operators {
@@ -97,7 +97,7 @@
     /// So many writes that neither log nor remembered answers reach back.
     fn outrun_log_and_answers(&mut self) {
         let head = self.head();
-        for i in 0..(ANSWERS.max(LOG_MAX_ENTRIES) + 8) as u64 {
+        for i in 0..(MAX_ANSWERED_WRITES.max(LOG_MAX_ENTRIES) + 8) as u64 {
             let cmd = Command::AcquireFence { duty: "d".into(), by: "t".into() };
             self.net.ask(&head, FILL + i, Request::Write { key: format!("f/{i}").into(), command: cmd });
             if i % 200 == 0 {
@@ -127,7 +127,7 @@
     operators.take_three();
     operators.check_all_answers();
     operators.outrun_log_and_answers();
-    assert!(operators.net.ks["k1"].store.past(&key(7, "a")).is_none(), "its answer is no longer remembered");
+    assert!(operators.net.ks["k1"].store.answered_write(&key(7, "a")).is_none(), "its answer is no longer remembered");
     operators.check_all_answers();
 }
 
@@ -205,7 +205,7 @@
 }
 
 fn apply(store: &mut Store, number: u64, content: &str) -> Answer {
-    let n = store.n + 1;
+    let n = store.last_change + 1;
     let entry = Entry { number: n, key: format!("{n}").into(), command: adopt(number, content) };
     store.apply(&entry).unwrap()
 }
@@ -213,14 +213,14 @@
 #[test]
 fn beyond_the_bound_the_lowest_numbers_are_neither_confirmed_nor_refused() {
     let mut store = Store::default();
-    for number in 1..=DOCUMENTS as u64 + 2 {
+    for number in 1..=MAX_REMEMBERED_DOCUMENTS as u64 + 2 {
         assert_matches!(apply(&mut store, number, "a"), Answer::Version(_));
     }
-    assert_eq!(store.documents.taken.len(), DOCUMENTS);
+    assert_eq!(store.documents.taken.len(), MAX_REMEMBERED_DOCUMENTS);
     for (number, content) in [(1, "a"), (2, "b")] {
         let answer = apply(&mut store, number, content);
-        assert_matches!(answer, Answer::Rejected(e) if e.is(Code::NumberForgotten) && e.http() == 503);
+        assert_matches!(answer, Answer::Rejected(e) if e.has_code(ErrorCode::NumberForgotten) && e.http_status() == 503);
     }
     assert_matches!(apply(&mut store, 3, "a"), Answer::Version(_));
-    assert_matches!(apply(&mut store, 3, "b"), Answer::Rejected(e) if e.is(Code::NumberTaken));
+    assert_matches!(apply(&mut store, 3, "b"), Answer::Rejected(e) if e.has_code(ErrorCode::NumberTaken));
 }
--- a/crates/store/tests/grow.rs
+++ b/crates/store/tests/grow.rs
@@ -4,7 +4,7 @@
 use assert_matches::assert_matches;
 use kit::Net;
 use quincehatch_core::Name;
-use quincehatch_store::{Adopted, Answer, Command, Reply, Request, View};
+use quincehatch_store::{AdoptedDocument, Answer, Command, Reply, Request, View};
 
 const SEEDS: [&str; 3] = ["a:1", "b:1", "c:1"];
 const SPARE: [(&str, &str); 5] =
@@ -31,7 +31,7 @@
     net.rep(number)
 }
 
-fn adopted(net: &mut Net, token: u64) -> Option<Adopted> {
+fn adopted(net: &mut Net, token: u64) -> Option<AdoptedDocument> {
     let tail = net.tail()?;
     net.ask(&tail, token, Request::Adopted);
     assert_matches!(net.rep(token), Some(Reply::Adopted { adopted }) => adopted)
--- a/crates/store/tests/hosts/mod.rs
+++ b/crates/store/tests/hosts/mod.rs
@@ -1,27 +1,27 @@
 //! Keepers with disks that refuse or stall, in virtual time (§5.7).
 #![allow(dead_code)]
-use quincehatch_core::{Code, Error, Ms, Name};
-use quincehatch_store::disk_port::{DiskPort, DiskUsage};
+use quincehatch_core::{ErrorCode, Error, Millis, Name};
+use quincehatch_store::disk_port::{StableStorage, DiskUsage};
 use quincehatch_store::host::{Batch, KeeperHost};
 use quincehatch_store::keeper::{Input, Output, Record, RecoveredState};
 use quincehatch_store::{Keeper, Voter, PeerMessage, Reply, Request, Store, View};
 use std::collections::{BTreeMap, VecDeque};
 
-const TICK: Ms = 20;
+const TICK: Millis = 20;
 
 /// A disk in memory that can be told to refuse writes, or to take long over the next one.
 #[derive(Default)]
 pub struct FaultyDisk {
     state: RecoveredState,
     pub refuses: bool,
-    pub stall: Ms,
+    pub stall: Millis,
 }
 
 fn refused() -> Error {
-    Code::DiskBroke.because("No space left on device")
+    ErrorCode::DiskFailed.with_detail("No space left on device")
 }
 
-impl DiskPort for FaultyDisk {
+impl StableStorage for FaultyDisk {
     fn save(&mut self, records: &[Record]) -> Result<(), Error> {
         if self.refuses {
             return Err(refused());
@@ -60,7 +60,7 @@
 
 /// Hosts in one loop, each with its disk; a name is an address too.
 pub struct Hosts {
-    pub now: Ms,
+    pub now: Millis,
     pub hosts: BTreeMap<Name, KeeperHost>,
     pub disks: BTreeMap<Name, FaultyDisk>,
     wire: VecDeque<(Name, Name, PeerMessage)>,
@@ -106,8 +106,8 @@
             self.now += std::mem::take(&mut disk.stall);
         }
         let host = self.hosts.get_mut(name).unwrap();
-        host.note_usage(disk.usage());
-        let outputs = host.saved(self.now, saved, batch);
+        host.record_disk_usage(disk.usage());
+        let outputs = host.complete_save(self.now, saved, batch);
         for output in outputs {
             match output {
                 Output::Send(to, message) => {
@@ -121,7 +121,7 @@
         }
     }
 
-    pub fn run(&mut self, ms: Ms) {
+    pub fn run(&mut self, ms: Millis) {
         let end = self.now + ms;
         let names: Vec<Name> = self.hosts.keys().cloned().collect();
         while self.now < end {
@@ -140,7 +140,7 @@
         let host = self.hosts.get_mut(name).unwrap();
         if host.is_probe_due(self.now) {
             let recovered = self.disks.get_mut(name).unwrap().recover();
-            let batch = host.probed(self.now, recovered);
+            let batch = host.complete_probe(self.now, recovered);
             self.commit(name, batch);
         }
     }
--- a/crates/store/tests/incarnation.rs
+++ b/crates/store/tests/incarnation.rs
@@ -1,6 +1,6 @@
 //! Messages to an earlier life of a keeper count for nothing in a later one (§5.3), whatever the wall clock says.
-use quincehatch_core::{Ms, Name};
-use quincehatch_runtime::rt::{Fut, OnBreak, Pipe, World, within};
+use quincehatch_core::{Millis, Name};
+use quincehatch_runtime::seam::{BoxFuture, OnDisconnect, VirtualConnection, World, with_world};
 use quincehatch_store::keeper::{Input, Output, RecoveredState};
 use quincehatch_store::{Keeper, Voter, PeerMessage, View};
 use std::io;
@@ -11,30 +11,30 @@
 struct Life(u64);
 
 impl World for Life {
-    fn now(&self) -> Ms {
+    fn now(&self) -> Millis {
         1
     }
-    fn wall_ms(&self) -> u64 {
+    fn wall_clock_ms(&self) -> u64 {
         1_000_000
     }
     fn incarnation(&self) -> u64 {
         self.0
     }
-    fn wake_at(&self, _: Ms, _: Waker) -> u64 {
+    fn wake_at(&self, _: Millis, _: Waker) -> u64 {
         0
     }
-    fn cancel(&self, _: u64) {}
-    fn spawn(&self, _: Fut<'static, ()>) {}
-    fn open(&self, _: &str, _: OnBreak) -> Fut<'static, io::Result<Arc<dyn Pipe>>> {
+    fn cancel_timer(&self, _: u64) {}
+    fn spawn(&self, _: BoxFuture<'static, ()>) {}
+    fn connect(&self, _: &str, _: OnDisconnect) -> BoxFuture<'static, io::Result<Arc<dyn VirtualConnection>>> {
         Box::pin(async { Err(io::ErrorKind::ConnectionRefused.into()) })
     }
-    fn call(&self, _: &str, _: Vec<u8>) -> Fut<'static, io::Result<Vec<u8>>> {
+    fn exchange_frame(&self, _: &str, _: Vec<u8>) -> BoxFuture<'static, io::Result<Vec<u8>>> {
         Box::pin(async { Err(io::ErrorKind::ConnectionRefused.into()) })
     }
-    fn broken(&self, _: &str) -> bool {
+    fn injected_bug(&self, _: &str) -> bool {
         false
     }
-    fn point(&self, _: &str) {}
+    fn trace_point(&self, _: &str) {}
 }
 
 fn recovered() -> RecoveredState {
@@ -45,8 +45,8 @@
 }
 
 /// The tail as it starts in that life, and the grants that k1 gives its first heartbeats.
-fn start(life: u64, at: Ms) -> (Keeper, Vec<PeerMessage>) {
-    let mut tail = within(Arc::new(Life(life)), || Keeper::new("k3".into(), at, recovered()));
+fn start(life: u64, at: Millis) -> (Keeper, Vec<PeerMessage>) {
+    let mut tail = with_world(Arc::new(Life(life)), || Keeper::new("k3".into(), at, recovered()));
     let mut grants = Vec::new();
     for step in 0..5 {
         for output in tail.step(at + step * 500, Input::Tick) {
@@ -82,7 +82,7 @@
     let mut recovered = recovered();
     let mut used = Vec::new();
     for life in 0..3 {
-        let mut keeper = within(Arc::new(Life(life)), || Keeper::new("k3".into(), 1_000, recovered.clone()));
+        let mut keeper = with_world(Arc::new(Life(life)), || Keeper::new("k3".into(), 1_000, recovered.clone()));
         // k1 and k2 are silent: it proposes a view without them.
         for step in 0..60 {
             for output in keeper.step(1_000 + step * 100, Input::Tick) {
--- a/crates/store/tests/interleavings.rs
+++ b/crates/store/tests/interleavings.rs
@@ -6,7 +6,7 @@
 
 use kit::fleet::{adopted, is_acknowledged, write};
 use kit::{CATCH_UP, Net};
-use quincehatch_core::{Ms, Name};
+use quincehatch_core::{Millis, Name};
 use quincehatch_store::View;
 use std::collections::BTreeMap;
 
@@ -56,7 +56,7 @@
         self.add(&format!("n{}:1", self.fresh));
     }
 
-    fn run(&mut self, ms: Ms) {
+    fn run(&mut self, ms: Millis) {
         for _ in 0..ms / 20 {
             self.net.run(20);
             self.check();
@@ -121,7 +121,7 @@
         }
     }
 
-    fn lasts(trouble: Trouble) -> Ms {
+    fn lasts(trouble: Trouble) -> Millis {
         if trouble == Trouble::Cut { 5_000 } else { 1_000 }
     }
 
--- a/crates/store/tests/join.rs
+++ b/crates/store/tests/join.rs
@@ -4,7 +4,7 @@
 use assert_matches::assert_matches;
 use kit::{CATCH_UP, Net};
 use quincehatch_core::{Name, Role, ServerRecord};
-use quincehatch_store::{Adopted, Answer, Command, Reply, Request, View, terms};
+use quincehatch_store::{AdoptedDocument, Answer, Command, Reply, Request, View, terms};
 
 const SEEDS: [&str; 3] = ["a:1", "b:1", "c:1"];
 
@@ -31,7 +31,7 @@
     net.ask(&head, token, Request::Write { key: key.into(), command: cmd });
 }
 
-fn adopted(net: &mut Net, token: u64) -> Option<Adopted> {
+fn adopted(net: &mut Net, token: u64) -> Option<AdoptedDocument> {
     let tail = net.tail().unwrap();
     net.ask(&tail, token, Request::Adopted);
     assert_matches!(net.rep(token), Some(Reply::Adopted { adopted }) => adopted)
@@ -191,7 +191,7 @@
 fn stand(seq: u64, leaving: bool, role: Role) -> Command {
     let (server, group, addr, district) = ("s1".into(), "g".into(), "s:1".into(), "z".into());
     Command::RegisterServer {
-        at: ServerRecord { server, group, addr, district, slots: 5, leaving, role, seq },
+        at: ServerRecord { server, group, addr, zone: district, slots: 5, draining: leaving, role, seq },
     }
 }
 
@@ -200,18 +200,18 @@
     let mut net = net();
     write(&mut net, 1, "s1/1", stand(1, false, Role::Replica));
     net.run(100);
-    let n = net.ks["a:1"].store.n;
+    let n = net.ks["a:1"].store.last_change;
     write(&mut net, 2, "s1/2", stand(2, false, Role::Replica));
     net.run(100);
     assert_matches!(net.rep(2), Some(Reply::Answer { answer: Answer::Done, .. }));
-    assert_eq!(net.ks["a:1"].store.n, n);
+    assert_eq!(net.ks["a:1"].store.last_change, n);
     write(&mut net, 3, "s1/5", stand(5, true, Role::Replica));
     net.run(100);
     write(&mut net, 4, "s1/4", stand(4, false, Role::Replica));
     net.run(100);
     assert_matches!(net.rep(4), Some(Reply::Answer { answer: Answer::Done, .. }));
-    assert_eq!(net.ks["a:1"].store.n, n + 1);
-    assert!(net.ks["a:1"].store.servers["s1"].leaving);
+    assert_eq!(net.ks["a:1"].store.last_change, n + 1);
+    assert!(net.ks["a:1"].store.servers["s1"].draining);
     write(&mut net, 5, "s1/gone", Command::DeregisterServer { server: "s1".into() });
     net.run(100);
     assert!(net.ks["a:1"].store.servers.is_empty());
--- a/crates/store/tests/kit/fleet.rs
+++ b/crates/store/tests/kit/fleet.rs
@@ -1,9 +1,9 @@
 //! Three keepers that find their places by themselves, and what may happen to them (§5.9).
 use super::Net;
 use assert_matches::assert_matches;
-use quincehatch_core::{Ms, Name};
+use quincehatch_core::{Millis, Name};
 use quincehatch_store::keeper::Input;
-use quincehatch_store::{Adopted, Answer, Command, Reply, Request, View};
+use quincehatch_store::{AdoptedDocument, Answer, Command, Reply, Request, View};
 
 pub const SEEDS: [&str; 3] = ["a:1", "b:1", "c:1"];
 
@@ -28,14 +28,14 @@
     matches!(net.rep(number), Some(Reply::Answer { answer: Answer::Version(_), .. }))
 }
 
-pub fn adopted(net: &mut Net, token: u64) -> Option<Adopted> {
+pub fn adopted(net: &mut Net, token: u64) -> Option<AdoptedDocument> {
     let tail = net.tail()?;
     net.ask(&tail, token, Request::Adopted);
     assert_matches!(net.rep(token), Some(Reply::Adopted { adopted }) => adopted)
 }
 
 /// One machine goes for good, an empty one comes at another address.
-pub fn replace(net: &mut Net, lost: &str, name: &str, after: Ms) {
+pub fn replace(net: &mut Net, lost: &str, name: &str, after: Millis) {
     net.down.push(lost.into());
     net.run(after);
     let addr = name.split('#').next().unwrap();
@@ -43,14 +43,14 @@
 }
 
 /// Time in which a keeper has left.
-pub const LEAVE_WITHIN: Ms = 4_500;
+pub const LEAVE_WITHIN: Millis = 4_500;
 
 pub fn leave(net: &mut Net, name: &str) {
     net.step(name, Input::Leave { within: LEAVE_WITHIN });
 }
 
 /// Runs until the leaving keeper may end, and ends it; how long that took.
-pub fn until_left(net: &mut Net, name: &str) -> Ms {
+pub fn until_left(net: &mut Net, name: &str) -> Millis {
     let began = net.now;
     while !net.ks[name].has_left() {
         net.run(20);
--- a/crates/store/tests/kit/mod.rs
+++ b/crates/store/tests/kit/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 pub mod fleet;
 
-use quincehatch_core::{ChangeNo, Ms, Name};
+use quincehatch_core::{ChangeNumber, Millis, Name};
 use quincehatch_store::keeper::{Input, Output, Record, RecoveredState};
 use quincehatch_store::{
     Answer, Command, DiscoverySettings, Keeper, KeeperRequest, Voter, PeerMessage, Reply, Request, View,
@@ -11,11 +11,11 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// A new machine counts as whole so long after its start.
-pub const CATCH_UP: Ms = 4_000;
+pub const CATCH_UP: Millis = 4_000;
 
 #[derive(Default)]
 pub struct Net {
-    pub now: Ms,
+    pub now: Millis,
     pub ks: BTreeMap<Name, Keeper>,
     /// Who runs at an address.
     pub at: BTreeMap<Name, Name>,
@@ -122,7 +122,7 @@
             }
         }
     }
-    pub fn run(&mut self, ms: Ms) {
+    pub fn run(&mut self, ms: Millis) {
         let end = self.now + ms;
         while self.now < end {
             self.now += 20;
@@ -141,7 +141,7 @@
         self.step(n, Input::Request { token, request: ask });
     }
     /// Enrolls a node's process; the entry that did.
-    pub fn enroll(&mut self, node: &str, token: u64) -> ChangeNo {
+    pub fn enroll(&mut self, node: &str, token: u64) -> ChangeNumber {
         let head = self.tail().and_then(|t| self.view(&t).head().cloned()).unwrap();
         let cmd = Command::EnrollNode { node: node.into(), incarnation: token };
         self.ask(&head, token, Request::Write { key: format!("enroll/{token}").into(), command: cmd });
@@ -152,7 +152,7 @@
         }
     }
     /// A poll of the node at the tail.
-    pub fn poll(&mut self, node: &str, token: u64, enrolled: ChangeNo, have: ChangeNo) {
+    pub fn poll(&mut self, node: &str, token: u64, enrolled: ChangeNumber, have: ChangeNumber) {
         let tail = self.tail().unwrap();
         let ask = Request::Feed { node: node.into(), addr: node.into(), last_change: have, applied: 0, enrolled };
         self.ask(&tail, token, ask);
--- a/crates/store/tests/leads.rs
+++ b/crates/store/tests/leads.rs
@@ -1,6 +1,6 @@
 //! Which lists of counting servers hold is kept by the chain, whoever writes what (§5.5).
-use quincehatch_core::{Code, Fence, Lead, Name};
-use quincehatch_store::store::duty_of;
+use quincehatch_core::{ErrorCode, FencingToken, PrimaryAssignment, Name};
+use quincehatch_store::store::promotion_duty_key;
 use quincehatch_store::{Answer, Command, Entry, PrimaryState, Store};
 
 #[derive(Default)]
@@ -8,24 +8,24 @@
 
 impl Chain {
     fn write(&mut self, cmd: Command) -> Answer {
-        let n = self.0.n + 1;
+        let n = self.0.last_change + 1;
         self.0.apply(&Entry { number: n, key: format!("{n}").into(), command: cmd }).unwrap()
     }
-    fn take(&mut self) -> Fence {
-        match self.write(Command::AcquireFence { duty: duty_of("g"), by: "n".into() }) {
+    fn take(&mut self) -> FencingToken {
+        match self.write(Command::AcquireFence { duty: promotion_duty_key("g"), by: "n".into() }) {
             Answer::Fence(f) => f,
             a => panic!("{a:?}"),
         }
     }
-    fn lead(&mut self, fence: Fence, server: Option<&str>, counts: &[&str]) -> Answer {
+    fn lead(&mut self, fence: FencingToken, server: Option<&str>, counts: &[&str]) -> Answer {
         let lead =
-            Lead { fence, server: server.map(Name::from), counts: names(counts), ..Default::default() };
+            PrimaryAssignment { fence, server: server.map(Name::from), voters: names(counts), ..Default::default() };
         self.write(Command::AssignPrimary { group: "g".into(), primary: lead })
     }
     /// All lists that hold now.
     fn lists(&self) -> Vec<Vec<Name>> {
-        let l = &self.0.leads["g"];
-        let all = l.before.iter().chain(Some(&l.counts));
+        let l = &self.0.primaries["g"];
+        let all = l.previous_voters.iter().chain(Some(&l.voters));
         all.filter(|l| !l.is_empty()).cloned().collect()
     }
 }
@@ -54,7 +54,7 @@
     c.lead(one, Some("a"), &["a", "b", "c"]);
     let two = c.take();
     let told = |a: Answer| match a {
-        Answer::Lead(l) => l.lists(),
+        Answer::Lead(l) => l.voter_sets(),
         a => panic!("{a:?}"),
     };
     assert_eq!(told(c.lead(two, None, &[])), [names(&["a", "b", "c"])]);
@@ -76,7 +76,7 @@
     let settle = |fence| Command::DropPreviousVoters { group: "g".into(), fence };
     for fence in [one, two] {
         let got = c.write(settle(fence));
-        assert!(matches!(&got, Answer::Rejected(b) if b.is(Code::FenceLow)), "{got:?}");
+        assert!(matches!(&got, Answer::Rejected(b) if b.has_code(ErrorCode::StaleFence)), "{got:?}");
     }
     c.lead(two, Some("b"), &["b", "c", "d"]);
     c.write(settle(two));
@@ -95,8 +95,8 @@
     let one = c.take();
     let over = PrimaryState { fence: one, primary: None };
     assert_eq!(next_fence(&mut c, &over), Answer::Fence(one + 1));
-    assert!(matches!(next_fence(&mut c, &over), Answer::Rejected(b) if b.is(Code::FenceLow)));
-    assert_eq!(c.0.fence(&duty_of("g")), one + 1);
+    assert!(matches!(next_fence(&mut c, &over), Answer::Rejected(b) if b.has_code(ErrorCode::StaleFence)));
+    assert_eq!(c.0.fence(&promotion_duty_key("g")), one + 1);
 }
 
 /// Drawn seed 154: a promoter that had seen the other's fence, but planned before its close, took a higher one and then
@@ -106,9 +106,9 @@
     let mut c = Chain::default();
     let one = c.take();
     c.lead(one, Some("a"), &["a", "b", "c"]);
-    let over = PrimaryState { fence: c.take(), primary: c.0.leads.get("g").cloned() };
+    let over = PrimaryState { fence: c.take(), primary: c.0.primaries.get("g").cloned() };
     c.lead(over.fence, None, &[]);
-    assert!(matches!(next_fence(&mut c, &over), Answer::Rejected(b) if b.is(Code::FenceLow)));
+    assert!(matches!(next_fence(&mut c, &over), Answer::Rejected(b) if b.has_code(ErrorCode::StaleFence)));
     let Answer::Lead(named) = c.lead(over.fence, Some("b"), &[]) else { panic!("it was overtaken") };
     let over = PrimaryState { primary: Some(named), ..over };
     assert_eq!(next_fence(&mut c, &over), Answer::Fence(over.fence + 1));
--- a/crates/store/tests/news.rs
+++ b/crates/store/tests/news.rs
@@ -3,8 +3,8 @@
 
 use assert_matches::assert_matches;
 use kit::Net;
-use quincehatch_core::{Lead, Role, ServerRecord};
-use quincehatch_store::patch::{Packed, Patch};
+use quincehatch_core::{PrimaryAssignment, Role, ServerRecord};
+use quincehatch_store::patch::{PackedText, Patch};
 use quincehatch_store::{Command, FeedSnapshot, FeedState, Reply, Request};
 
 /// A blueprint as long as those of hundreds of databases are.
@@ -26,9 +26,9 @@
         server: server.into(),
         group: "g".into(),
         addr: addr.into(),
-        district: "d".into(),
+        zone: "d".into(),
         slots: 4,
-        leaving: false,
+        draining: false,
         role: Role::Replica,
         seq,
     };
@@ -63,18 +63,18 @@
         self.net.rep(self.token).unwrap()
     }
     fn follow(&mut self, k: &mut FeedState) -> usize {
-        let rep = self.poll(k.n);
+        let rep = self.poll(k.last_change);
         let size = borsh::to_vec(&rep).unwrap().len();
         match rep {
             Reply::Changes { changes, .. } => assert!(changes.iter().all(|c| k.apply(c))),
-            Reply::Snapshot { snapshot, .. } => *k = FeedState::of(*snapshot).unwrap(),
+            Reply::Snapshot { snapshot, .. } => *k = FeedState::from_snapshot(*snapshot).unwrap(),
             other => panic!("{other:?}"),
         }
         size
     }
     fn store(&self) -> FeedState {
         let s = &self.net.ks["c"].store;
-        FeedState::of(FeedSnapshot::of(s, Packed::of(s.blueprint().map_or("", |k| &k.text)))).unwrap()
+        FeedState::from_snapshot(FeedSnapshot::from_store(s, PackedText::pack(s.configuration().map_or("", |k| &k.text)))).unwrap()
     }
 }
 
@@ -96,7 +96,7 @@
 fn who_follows_change_by_change_knows_what_the_store_holds() {
     let mut f = Fed::new();
     let mut k = FeedState::default();
-    let lead = |fence| Lead { fence, server: Some("s2".into()), ..Default::default() };
+    let lead = |fence| PrimaryAssignment { fence, server: Some("s2".into()), ..Default::default() };
     let cmds = [
         stand("s1", "10.0.0.1:1", 1),
         stand("s2", "10.0.0.2:1", 1),
@@ -134,7 +134,7 @@
     f.net.run(8_000);
     let rep = f.poll(0);
     let size = borsh::to_vec(&rep).unwrap().len();
-    assert_matches!(&rep, Reply::Snapshot { snapshot, .. } if snapshot.version == 12);
+    assert_matches!(&rep, Reply::Snapshot { snapshot, .. } if snapshot.configuration_version == 12);
     assert!(size < 40_000, "{size} bytes");
 }
 
@@ -153,9 +153,9 @@
     ];
     for old in &texts {
         for new in &texts {
-            assert_eq!(Patch::of(old, new).on(old).as_ref(), Some(new));
+            assert_eq!(Patch::between(old, new).apply(old).as_ref(), Some(new));
         }
     }
-    let p = Patch::of(&blueprint(40, 1), &blueprint(40, 22));
-    assert_eq!(p.on(""), None, "a patch of another text is none");
+    let p = Patch::between(&blueprint(40, 1), &blueprint(40, 22));
+    assert_eq!(p.apply(""), None, "a patch of another text is none");
 }
--- a/crates/store/tests/reserve.rs
+++ b/crates/store/tests/reserve.rs
@@ -4,7 +4,7 @@
 
 use assert_matches::assert_matches;
 use kit::Net;
-use quincehatch_core::Code;
+use quincehatch_core::ErrorCode;
 use quincehatch_store::disk_port::DiskUsage;
 use quincehatch_store::{Command, Reply, Request};
 use samples::{adopt, document};
@@ -23,7 +23,7 @@
     net.ks.get_mut("a").unwrap().set_disk_usage(DiskUsage { used: 76, allowed: 100 });
     assert_matches!(
         write(&mut net, 2, "second", adopt(2, document(2))),
-        Some(Reply::Rejected { error: why }) if why.is(Code::ChainDown) && why.retry_after_ms.is_some()
+        Some(Reply::Rejected { error: why }) if why.has_code(ErrorCode::ChainUnavailable) && why.retry_after_ms.is_some()
     );
     assert_matches!(write(&mut net, 3, "first", adopt(1, document(1))), Some(Reply::Answer { .. }));
     let fence = Command::AcquireFence { duty: "duty".into(), by: "t".into() };
--- a/crates/store/tests/roll.rs
+++ b/crates/store/tests/roll.rs
@@ -3,20 +3,20 @@
 
 use assert_matches::assert_matches;
 use kit::Net;
-use quincehatch_core::{Lead, Ms, Name};
+use quincehatch_core::{PrimaryAssignment, Millis, Name};
 use quincehatch_store::terms::NODE_LEASE;
 use quincehatch_store::{Answer, Command, Reply, Request};
 
 fn close(net: &mut Net, token: u64) {
     let head = net.tail().and_then(|t| net.view(&t).head().cloned()).unwrap();
-    let cmd = Command::AssignPrimary { group: "g".into(), primary: Lead { fence: 1, ..Default::default() } };
+    let cmd = Command::AssignPrimary { group: "g".into(), primary: PrimaryAssignment { fence: 1, ..Default::default() } };
     net.ask(&head, token, Request::Write { key: "close".into(), command: cmd });
 }
 fn closed(net: &Net, token: u64) -> bool {
     matches!(net.rep(token), Some(Reply::Answer { answer: Answer::Lead(_), .. }))
 }
 /// Runs until another keeper than `old` is the tail.
-fn new_tail(net: &mut Net, old: &Name) -> Ms {
+fn new_tail(net: &mut Net, old: &Name) -> Millis {
     let began = net.now;
     net.down.push(old.clone());
     while net.tail().is_none() {
--- a/crates/store/tests/space.rs
+++ b/crates/store/tests/space.rs
@@ -2,7 +2,7 @@
 mod samples;
 
 use quincehatch_store::disk::Disk;
-use quincehatch_store::disk_port::DiskPort;
+use quincehatch_store::disk_port::StableStorage;
 use quincehatch_store::entry_log::PackedEntry;
 use quincehatch_store::keeper::{Record, RecoveredState};
 use quincehatch_store::{Store, View};
@@ -22,11 +22,11 @@
     }
     fn make(&self, allowed: u64) -> Disk {
         let view = View { version: 1, members: vec!["k1".into()], voters: vec![] };
-        Disk::make(&self.0, "k1", view).unwrap().0.allowing(allowed)
+        Disk::create(&self.0, "k1", view).unwrap().0.with_size_limit(allowed)
     }
     fn open(&self, allowed: u64) -> (Disk, RecoveredState) {
         let (disk, state) = Disk::open(&self.0, "k1", None).unwrap();
-        (disk.allowing(allowed), state)
+        (disk.with_size_limit(allowed), state)
     }
 }
 
@@ -38,9 +38,9 @@
 
 /// One more change, as a keeper saves it.
 fn change(disk: &mut Disk, store: &mut Store, text: String) {
-    let entry = entry(store.n + 1, text);
+    let entry = entry(store.last_change + 1, text);
     store.apply(&entry).unwrap();
-    disk.save(&[Record::Entry { entry: PackedEntry::of(&entry) }]).unwrap();
+    disk.save(&[Record::Entry { entry: PackedEntry::pack(&entry) }]).unwrap();
     if disk.is_snapshot_due() {
         disk.write_snapshot(store).unwrap();
     }
@@ -89,7 +89,7 @@
         assert!(!disk.is_snapshot_due(), "after {} entries", n - 1);
         let entry = entry(n, "text".into());
         store.apply(&entry).unwrap();
-        disk.save(&[Record::Entry { entry: PackedEntry::of(&entry) }]).unwrap();
+        disk.save(&[Record::Entry { entry: PackedEntry::pack(&entry) }]).unwrap();
     }
     assert!(disk.is_snapshot_due());
 }
--- a/crates/store/tests/suspended.rs
+++ b/crates/store/tests/suspended.rs
@@ -3,7 +3,7 @@
 
 use assert_matches::assert_matches;
 use hosts::Hosts;
-use quincehatch_core::{Code, End};
+use quincehatch_core::{ErrorCode, Outcome};
 use quincehatch_store::host::Batch;
 use quincehatch_store::keeper::{Input, Output};
 use quincehatch_store::terms::VIEW_LEASE;
@@ -37,7 +37,7 @@
 }
 
 fn assert_asked_again(replies: &[&Reply]) {
-    assert_matches!(replies, [Reply::Rejected { error: why }] if why.is(Code::ChainDown) && why.retry_after_ms.is_some());
+    assert_matches!(replies, [Reply::Rejected { error: why }] if why.has_code(ErrorCode::ChainUnavailable) && why.retry_after_ms.is_some());
 }
 
 #[test]
@@ -76,7 +76,7 @@
     net.ask(HEAD, 1, take_fence(1));
     // The write that met the refusal: whether it was kept is not known.
     assert_asked_again(&net.replies_to(1));
-    assert_matches!(net.replies_to(1)[..], [Reply::Rejected { error: why }] if why.end == End::Unknown);
+    assert_matches!(net.replies_to(1)[..], [Reply::Rejected { error: why }] if why.outcome == Outcome::Unknown);
     net.ask(HEAD, 2, take_fence(2));
     net.ask(HEAD, 3, Request::ReadStore);
     net.ask(HEAD, 4, Request::Adopted);
@@ -143,7 +143,7 @@
         let host = net.hosts.get_mut(TAIL).unwrap();
         let mut batch = Batch::default();
         host.step(now, Input::Request { token: 1, request: Request::ReadStore }, &mut batch);
-        let outputs = host.saved(now + stall, Ok(()), batch);
+        let outputs = host.complete_save(now + stall, Ok(()), batch);
         let is_given = outputs.iter().any(|o| matches!(o, Output::Reply(1, Reply::Store { .. })));
         let is_elsewhere = outputs.iter().any(|o| matches!(o, Output::Reply(1, Reply::Redirect { .. })));
         assert_eq!((is_given, is_elsewhere), (!is_stale, is_stale), "after {stall} ms");
@@ -158,10 +158,10 @@
     let host = net.hosts.get_mut(HEAD).unwrap();
     let mut batch = Batch::default();
     host.step(now, Input::Request { token: 1, request: take_fence(1) }, &mut batch);
-    let declined = host.decline_pending();
+    let declined = host.reject_pending();
     assert_eq!(declined.len(), 1);
     assert!(host.status().reason.contains("stalls"));
-    let late = host.saved(now + 500, Ok(()), batch);
+    let late = host.complete_save(now + 500, Ok(()), batch);
     assert!(!late.iter().any(|o| matches!(o, Output::Reply(..))));
     assert!(!host.status().reason.contains("stalls"));
 }
--- a/crates/testbed/src/aftermath.rs
+++ b/crates/testbed/src/aftermath.rs
@@ -4,7 +4,7 @@
 use crate::load::{Caller, World};
 use crate::scenario::{lab, status};
 use crate::stand::journal;
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -28,7 +28,7 @@
             if end == crate::history::End::Kept || sealed {
                 break;
             }
-            rt::sleep(Duration::from_millis(200)).await;
+            seam::sleep(Duration::from_millis(200)).await;
         }
     }
 }
--- a/crates/testbed/src/calls.rs
+++ b/crates/testbed/src/calls.rs
@@ -2,7 +2,7 @@
 use crate::history::{End, ReadRow};
 use crate::load::{Caller, ORDER_MS};
 use quincehatch_runtime::now;
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use serde_json::{Value, json};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -26,7 +26,7 @@
             if !matches!(end, End::Unknown | End::Lost) || self.w.stop.load(Ordering::Relaxed) {
                 break;
             }
-            rt::sleep(Duration::from_millis(200)).await;
+            seam::sleep(Duration::from_millis(200)).await;
             end = self.ask_after(&key).await;
         }
     }
@@ -82,7 +82,7 @@
                 return self.told(key, now(), &not_sent());
             }
             let pause = self.rng.below(40);
-            rt::sleep(Duration::from_millis(pause)).await;
+            seam::sleep(Duration::from_millis(pause)).await;
         }
         let asked = now();
         let commit = json!({"session": id, "version": e, "try": key, "deadline_ms": ORDER_MS});
--- a/crates/testbed/src/db.rs
+++ b/crates/testbed/src/db.rs
@@ -1,6 +1,6 @@
 //! A stand-in's data: a log under fences, kept on two of three, tries and seals in it (§3). Sans-IO; the
 //! simulator runs this same code.
-use quincehatch_core::{Fence, Name, Position, Role};
+use quincehatch_core::{FencingToken, Name, Position, Role};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -51,7 +51,7 @@
 pub enum Line {
     Rec(Rec),
     Cut(u64),
-    Fence(Fence, Role),
+    Fence(FencingToken, Role),
     Counts(Vec<Name>),
 }
 
@@ -59,7 +59,7 @@
 pub struct Db {
     pub name: Name,
     pub role: Role,
-    pub fence: Fence,
+    pub fence: FencingToken,
     pub log: Vec<Rec>,
     /// Records on two servers, and so visible.
     pub commit: u64,
@@ -76,13 +76,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pull {
     pub server: Name,
-    pub fence: Fence,
+    pub fence: FencingToken,
     pub have: Position,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pulled {
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// The end that was asked with: what comes goes on from there.
     pub have: Position,
     pub commit: u64,
@@ -99,7 +99,7 @@
             Kind::Commit { key, .. } => format!("commit {key}"),
             Kind::Seal { key } => format!("seal {key}"),
         };
-        format!("{}.{} {what}", self.pos.fence, self.pos.n)
+        format!("{}.{} {what}", self.pos.fence, self.pos.number)
     }
 }
 
@@ -131,13 +131,13 @@
     }
     fn push(&mut self, kind: Kind) -> u64 {
         let n = self.log.len() as u64 + 1;
-        let r = Rec { pos: Position { fence: self.fence, n }, kind };
+        let r = Rec { pos: Position { fence: self.fence, number: n }, kind };
         self.lines.push(Line::Rec(r.clone()));
         self.log.push(r);
         n
     }
     /// From now on lower fences are declined; a primary under one leads no more.
-    pub fn set_fence(&mut self, f: Fence) -> bool {
+    pub fn set_fence(&mut self, f: FencingToken) -> bool {
         if f > self.fence {
             self.fence = f;
             self.role = Role::Replica;
@@ -147,7 +147,7 @@
         f >= self.fence
     }
     /// Leads from now on; only these others count towards its commits, or any if none are named.
-    pub fn promote(&mut self, f: Fence, counts: Vec<Name>) -> bool {
+    pub fn promote(&mut self, f: FencingToken, counts: Vec<Name>) -> bool {
         if f < self.fence {
             return false;
         }
@@ -172,7 +172,7 @@
     pub fn hide(&mut self, on: bool) {
         self.whole_at = if on { u64::MAX } else { 0 };
     }
-    pub fn leads(&self, f: Fence) -> bool {
+    pub fn leads(&self, f: FencingToken) -> bool {
         self.role == Role::Primary && self.fence == f
     }
 
@@ -182,7 +182,7 @@
                 Kind::Commit { key: k, .. } | Kind::Seal { key: k } => k == key,
                 Kind::Start => false,
             });
-            at.map_or(Outcome::NotKept, |r| Outcome::Running(r.pos.n))
+            at.map_or(Outcome::NotKept, |r| Outcome::Running(r.pos.number))
         })
     }
     /// Appends a commit; whoever calls waits until `commit` has reached the number.
@@ -193,7 +193,7 @@
         self.push(Kind::Seal { key: key.into() })
     }
     /// True while the record at `n` is the one this primary wrote under `f`.
-    pub fn still(&self, n: u64, f: Fence) -> bool {
+    pub fn still(&self, n: u64, f: FencingToken) -> bool {
         self.log.get(n as usize - 1).is_some_and(|r| r.pos.fence == f)
     }
 
--- a/crates/testbed/src/db_repl.rs
+++ b/crates/testbed/src/db_repl.rs
@@ -8,7 +8,7 @@
         if self.role != Role::Primary || p.fence > self.fence {
             return None;
         }
-        let have = p.have.n;
+        let have = p.have.number;
         let same = have == 0 || self.log.get(have as usize - 1).is_some_and(|r| r.pos == p.have);
         if !same {
             let mut fences: Vec<Position> = Vec::new();
@@ -54,7 +54,7 @@
         }
         self.set_fence(p.fence);
         if let Some(fences) = p.fences {
-            let agree = |r: &Rec| fences.iter().any(|l| l.fence == r.pos.fence && r.pos.n <= l.n);
+            let agree = |r: &Rec| fences.iter().any(|l| l.fence == r.pos.fence && r.pos.number <= l.number);
             let keep = self.log.iter().take_while(|r| agree(r)).count();
             // Never below what is visible: that is on two servers and so in the primary's log too.
             let keep = keep.max(self.commit as usize);
@@ -63,7 +63,7 @@
             return true;
         }
         for r in p.recs {
-            if r.pos.n == self.log.len() as u64 + 1 {
+            if r.pos.number == self.log.len() as u64 + 1 {
                 self.lines.push(Line::Rec(r.clone()));
                 self.log.push(r);
             }
--- a/crates/testbed/src/history/pushed.rs
+++ b/crates/testbed/src/history/pushed.rs
@@ -1,11 +1,11 @@
 //! Pushes against what their operators were told (§1 N11).
 use super::{History, PUSHED, PushEnd, PushTry};
-use quincehatch_core::Code;
+use quincehatch_core::ErrorCode;
 use std::collections::{BTreeMap, BTreeSet};
 
 pub(super) fn pushes(h: &History, bad: &mut Vec<String>) {
-    let invalid = PushEnd::Declined(Code::BlueprintInvalid.number().into());
-    let stale = PushEnd::Declined(Code::BlueprintStale.number().into());
+    let invalid = PushEnd::Declined(ErrorCode::ConfigurationInvalid.number().into());
+    let stale = PushEnd::Declined(ErrorCode::ConfigurationStale.number().into());
     let mut won: BTreeMap<&str, BTreeSet<u64>> = BTreeMap::new();
     let mut races: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
     for t in &h.push_tries {
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -3,7 +3,7 @@
 use crate::stand::journal::id_of;
 use quincehatch_runtime::now;
 use quincehatch_runtime::rng::Rng;
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use quincehatch_wire::http::{Call, Wire, post};
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -77,7 +77,7 @@
             let (st, v) =
                 post(&self.w.platform, "/v1/place", &place, Duration::from_millis(500)).await.ok()?;
             let door = v["door"].as_str().filter(|_| st == 200)?.to_owned();
-            let wire = rt::timeout(Duration::from_millis(500), Wire::open(&door, None)).await.ok()?.ok()?;
+            let wire = seam::timeout(Duration::from_millis(500), Wire::open(&door, None)).await.ok()?.ok()?;
             self.wire = Some((wire, door));
         }
         self.note_sent(path, &body);
@@ -85,7 +85,7 @@
         let asked = now();
         let c = Call { method: "POST", path, body: &body, token: None };
         let (wire, _) = self.wire.as_mut()?;
-        let got = rt::timeout(Duration::from_millis(within + 500), wire.ask(&c)).await;
+        let got = seam::timeout(Duration::from_millis(within + 500), wire.ask(&c)).await;
         let Ok(Ok((st, v))) = got else {
             self.wire = None;
             return None;
@@ -198,7 +198,7 @@
     pub async fn run(mut self, until: u64, pause_ms: u64) {
         while !self.w.stop.load(Ordering::Relaxed) && now() < until {
             let pause = pause_ms / 2 + self.rng.below(pause_ms.max(1));
-            rt::sleep(Duration::from_millis(pause)).await;
+            seam::sleep(Duration::from_millis(pause)).await;
             // Callers move between districts and take their sessions along.
             if self.rng.chance(self.w.move_pm) {
                 let to = self.rng.below(self.w.districts as u64) + 1;
--- a/crates/testbed/src/platform.rs
+++ b/crates/testbed/src/platform.rs
@@ -6,7 +6,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use quincehatch_wire::http::{Call, once, post};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -44,11 +44,11 @@
 pub async fn run(addr: &str, nodes: Vec<(String, String)>) -> std::io::Result<()> {
     let lst = TcpListener::bind(addr).await?;
     let st = Platform::new(nodes);
-    rt::spawn(ask_ready(st.clone()));
+    seam::spawn(ask_ready(st.clone()));
     loop {
         let Ok((sock, _)) = lst.accept().await else { continue };
         let st = st.clone();
-        rt::spawn(async move {
+        seam::spawn(async move {
             let svc = service_fn(move |r| answer(st.clone(), r));
             let _ =
                 hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(sock), svc).await;
@@ -62,13 +62,13 @@
         let doors: Vec<String> = st.0.lock().unwrap().nodes.iter().map(|n| n.1.clone()).collect();
         for d in doors {
             let st = st.clone();
-            rt::spawn(async move {
+            seam::spawn(async move {
                 let c = Call { method: "GET", path: "/ready", body: &Value::Null, token: None };
                 let ok = once(&d, &c, Duration::from_millis(400)).await.is_ok_and(|(s, _)| s == 200);
                 st.0.lock().unwrap().nodes.iter_mut().filter(|n| n.1 == d).for_each(|n| n.2 = ok);
             });
         }
-        rt::sleep(Duration::from_millis(250)).await;
+        seam::sleep(Duration::from_millis(250)).await;
     }
 }
 
--- a/crates/testbed/src/pushing.rs
+++ b/crates/testbed/src/pushing.rs
@@ -3,9 +3,9 @@
 use crate::load::World;
 use crate::scenario::{op, status};
 use crate::script::{broken, marked};
-use quincehatch_core::Code;
+use quincehatch_core::ErrorCode;
 use quincehatch_runtime::now;
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use serde_json::json;
 use std::sync::Arc;
 use std::time::Duration;
@@ -45,7 +45,7 @@
             if let PushEnd::Version(version) = end {
                 self.w.book.lock().unwrap().pushes.push(PushRow { version, acked: now() });
             }
-            let codes = [Code::BlueprintInvalid, Code::BlueprintStale, Code::PushConflict]
+            let codes = [ErrorCode::ConfigurationInvalid, ErrorCode::ConfigurationStale, ErrorCode::PushConflict]
                 .map(|c| u64::from(c.number()));
             let done = matches!(end, PushEnd::Version(_))
                 || matches!(end, PushEnd::Declined(c) if codes.contains(&c));
@@ -53,7 +53,7 @@
                 break Some(end).filter(|_| done);
             }
             at += 1;
-            rt::sleep(Duration::from_millis(200)).await;
+            seam::sleep(Duration::from_millis(200)).await;
         };
         self.w.book.lock().unwrap().push_tries.push(row);
         last
@@ -79,7 +79,7 @@
         let base = status(desks).await["version"].as_u64().unwrap_or(base);
         let alone = push(base, marked(text, mark + 2), format!("c{mark}/{i}"));
         // Another's push came first: it builds on that one then.
-        let stale = PushEnd::Declined(Code::BlueprintStale.number().into());
+        let stale = PushEnd::Declined(ErrorCode::ConfigurationStale.number().into());
         if alone.send(i, None, true).await != Some(stale) {
             return;
         }
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -7,7 +7,7 @@
 use crate::running::Running;
 use crate::script::{Act, Step, Who};
 use quincehatch_runtime::now;
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use quincehatch_wire::http::{Call, once, post};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -150,17 +150,17 @@
     let mut hit = BTreeMap::new();
     let mut faults = Vec::new();
     for s in &script {
-        rt::sleep(Duration::from_millis((began + s.at).saturating_sub(now()))).await;
+        seam::sleep(Duration::from_millis((began + s.at).saturating_sub(now()))).await;
         let at = now();
         let name = act(r, &w, s, &mut hit).await;
         let word = if s.last { "final" } else { "fault" };
         faults.push((at, format!("{word} {:?} {}", s.act, name.unwrap_or_else(|| "nobody".into()))));
     }
-    rt::sleep(Duration::from_millis((began + o.seconds * 1_000).saturating_sub(now()))).await;
+    seam::sleep(Duration::from_millis((began + o.seconds * 1_000).saturating_sub(now()))).await;
     w.stop.store(true, Ordering::SeqCst);
     let end = now();
     for t in tasks {
-        let _ = rt::timeout(Duration::from_secs(10), t).await;
+        let _ = seam::timeout(Duration::from_secs(10), t).await;
     }
     settle(&w, o.seed).await;
     let got = facts(&r.plan.desks(), &r.plan.servers).await;
--- a/crates/testbed/src/stand/calls.rs
+++ b/crates/testbed/src/stand/calls.rs
@@ -4,8 +4,8 @@
 use super::net::Cut;
 use super::{Stand, repl};
 use crate::stmt::{self, Ctx, Txn};
-use quincehatch_core::Fence;
-use quincehatch_runtime::rt;
+use quincehatch_core::FencingToken;
+use quincehatch_runtime::seam;
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -70,7 +70,7 @@
     }
 }
 
-pub(super) fn leads(s: &Stand, f: Fence) -> Result<(), Value> {
+pub(super) fn leads(s: &Stand, f: FencingToken) -> Result<(), Value> {
     let (leads, own) = s.with(|d| (d.leads(f), d.fence));
     match (leads, f < own) {
         (true, _) => Ok(()),
@@ -115,7 +115,7 @@
                 return Err(Cut);
             }
             if s.faults.one(&s.faults.mute) {
-                rt::sleep(Duration::from_secs(2)).await;
+                seam::sleep(Duration::from_secs(2)).await;
             }
             if s.faults.one(&s.faults.forge) {
                 return Ok(json!({"rows": [["rolled back"]]}));
@@ -157,7 +157,7 @@
     if ran.sleep_ms > 0 {
         let (link, stop) = (quincehatch_core::Name::from(txt(b, "link")), Arc::new(Notify::new()));
         s.running.lock().unwrap().insert(link.clone(), stop.clone());
-        let over = rt::first(rt::sleep(Duration::from_millis(ran.sleep_ms)), stop.notified()).await;
+        let over = seam::select_first(seam::sleep(Duration::from_millis(ran.sleep_ms)), stop.notified()).await;
         s.running.lock().unwrap().remove(&link);
         if over.is_err() {
             return Ok(s.bad("statement", "it was cancelled"));
--- a/crates/testbed/src/stand/faults.rs
+++ b/crates/testbed/src/stand/faults.rs
@@ -1,5 +1,5 @@
 //! What can be made to go wrong inside a stand-in (§9.2).
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use serde::{Deserialize, Serialize};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -95,7 +95,7 @@
             if !self.is(f) {
                 return;
             }
-            let _ = rt::timeout(Duration::from_millis(200), n).await;
+            let _ = seam::timeout(Duration::from_millis(200), n).await;
         }
     }
     /// Before a statement touches storage.
@@ -103,7 +103,7 @@
         self.while_up(&self.stall).await;
         let ms = self.slow_ms.load(Ordering::SeqCst);
         if ms > 0 {
-            rt::sleep(Duration::from_millis(ms)).await;
+            seam::sleep(Duration::from_millis(ms)).await;
         }
     }
 }
--- a/crates/testbed/src/stand/keep.rs
+++ b/crates/testbed/src/stand/keep.rs
@@ -3,8 +3,8 @@
 use super::calls::{leads, num, txt};
 use super::net::Cut;
 use crate::db::Outcome;
-use quincehatch_core::Fence;
-use quincehatch_runtime::{now, rt};
+use quincehatch_core::FencingToken;
+use quincehatch_runtime::{now, seam};
 use serde_json::{Value, json};
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
         Err(o) => return Ok(told(s, sum, o)),
     };
     // The lab's own bug: a server that acknowledges what it alone holds.
-    if rt::broken("early-ack") {
+    if seam::injected_bug("early-ack") {
         s.with(|d| d.commit = d.commit.max(n));
         return Ok(s.good(json!([["ok"]])));
     }
@@ -57,7 +57,7 @@
 }
 
 /// Waits until record `n`, written under `f`, is on a second server.
-async fn wait(s: &Stand, n: u64, f: Fence) -> bool {
+async fn wait(s: &Stand, n: u64, f: FencingToken) -> bool {
     let until = now() + DOUBT.as_millis() as u64;
     loop {
         let moved = s.moved.notified();
@@ -68,7 +68,7 @@
         if !still || now() >= until {
             return false;
         }
-        let _ = rt::timeout(Duration::from_millis(100), moved).await;
+        let _ = seam::timeout(Duration::from_millis(100), moved).await;
     }
 }
 
--- a/crates/testbed/src/stand/lab.rs
+++ b/crates/testbed/src/stand/lab.rs
@@ -1,6 +1,6 @@
 //! The lab's own calls to a stand-in: faults, leaving, and what it holds (§9.2).
 use super::Stand;
-use quincehatch_core::State;
+use quincehatch_core::ServerState;
 use quincehatch_runtime::now;
 use serde_json::{Value, json};
 
@@ -13,7 +13,7 @@
             json!({})
         }
         "/lab/leave" => {
-            let st = if b.get("back").is_some() { State::Up } else { State::Leaving };
+            let st = if b.get("back").is_some() { ServerState::Up } else { ServerState::Draining };
             *s.state.lock().unwrap() = (st, now());
             json!({})
         }
--- a/crates/testbed/src/stand/mod.rs
+++ b/crates/testbed/src/stand/mod.rs
@@ -10,9 +10,9 @@
 use crate::db::{Db, Line};
 use faults::Faults;
 use journal::{Entry, Journal};
-use quincehatch_core::{Beat, Labels, Position, Role, Stamp, State};
+use quincehatch_core::{ServerHeartbeat, Labels, Position, Role, Stamp, ServerState};
 use quincehatch_runtime::now;
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use serde_json::{Value, json};
 use std::io::Write as _;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -52,7 +52,7 @@
     pub db: Mutex<Db>,
     pub moved: tokio::sync::Notify,
     pub faults: Arc<Faults>,
-    pub state: Mutex<(State, u64)>,
+    pub state: Mutex<(ServerState, u64)>,
     pub journal: Arc<Journal>,
     pub declined: AtomicU64,
     /// Long statements that run, by link, so that they can be cancelled.
@@ -68,7 +68,7 @@
         let mut db = Db::new(&args.name);
         let (mut file, mut journal) = (None, Arc::<Journal>::default());
         // The boot number rises with each start: from the wall clock, as only this server's own order matters.
-        let boot = rt::wall_ms();
+        let boot = seam::wall_clock_ms();
         if let Some(dir) = &args.data {
             std::fs::create_dir_all(dir)?;
             let path = dir.join(format!("{}.log", args.name));
@@ -87,7 +87,7 @@
             db: Mutex::new(db),
             moved: tokio::sync::Notify::new(),
             faults: Arc::default(),
-            state: Mutex::new((State::Up, 0)),
+            state: Mutex::new((ServerState::Up, 0)),
             journal,
             declined: AtomicU64::new(0),
             running: Mutex::default(),
@@ -129,21 +129,21 @@
         let db = self.db.lock().unwrap();
         Stamp { server: db.name.clone(), fence: db.fence, position: db.position(), role: db.role }
     }
-    pub fn beat(&self) -> Beat {
+    pub fn beat(&self) -> ServerHeartbeat {
         let (role, fence, position, log_end, whole) = {
             let db = self.db.lock().unwrap();
             (db.role, db.fence, db.position(), db.end(), db.whole())
         };
         let state = self.state.lock().unwrap().0;
         let shown = self.args.shown.as_ref().unwrap_or(&self.args.addr);
-        Beat {
+        ServerHeartbeat {
             server: self.args.name.as_str().into(),
             boot: self.boot,
             seq: self.seq.fetch_add(1, Ordering::Relaxed),
             addr: shown.as_str().into(),
             labels: self.args.labels.clone(),
             role,
-            state: if state == State::Up && !whole { State::Starting } else { state },
+            state: if state == ServerState::Up && !whole { ServerState::Starting } else { state },
             fence,
             position,
             log_end,
@@ -168,7 +168,7 @@
     /// New work is counted once the server has been leaving for over 7 s (§1 N9).
     pub fn new_work(&self) {
         let (s, at) = *self.state.lock().unwrap();
-        if s == State::Leaving && now() > at + 7_000 {
+        if s == ServerState::Draining && now() > at + 7_000 {
             self.journal.note(Entry::Late);
         }
     }
@@ -182,7 +182,7 @@
     if let Some(at) = &s.args.shown {
         crate::relay::run(at, s.args.addr.clone(), s.faults.clone()).await?;
     }
-    rt::spawn(repl::follow(s.clone()));
-    rt::spawn(repl::beats(s.clone()));
+    seam::spawn(repl::follow(s.clone()));
+    seam::spawn(repl::beats(s.clone()));
     net::serve(s, lst).await
 }
--- a/crates/testbed/src/stand/repl.rs
+++ b/crates/testbed/src/stand/repl.rs
@@ -1,7 +1,7 @@
 //! Replication and beats of a stand-in (§3.2, §3.3).
 use super::Stand;
 use crate::db::{Pull, Pulled};
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 use quincehatch_wire::http::{Call, Wire, post};
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -16,20 +16,20 @@
         if s.leads() || s.args.peers.is_empty() || s.faults.is(&s.faults.deaf) || s.faults.is(&s.faults.dark)
         {
             wire = None;
-            rt::sleep(Duration::from_millis(20)).await;
+            seam::sleep(Duration::from_millis(20)).await;
             continue;
         }
         let lag = s.faults.lag_ms.load(Ordering::SeqCst);
         if lag > 0 {
-            rt::sleep(Duration::from_millis(lag)).await;
+            seam::sleep(Duration::from_millis(lag)).await;
         }
         let peer = s.args.peers[at % s.args.peers.len()].clone();
-        let got = rt::timeout(Duration::from_millis(1_500), ask(&s, &peer, &mut wire)).await;
+        let got = seam::timeout(Duration::from_millis(1_500), ask(&s, &peer, &mut wire)).await;
         let took = got.ok().flatten().is_some_and(|p| s.with(|d| d.take(p)));
         if !took {
             wire = None;
             at += 1;
-            rt::sleep(Duration::from_millis(30)).await;
+            seam::sleep(Duration::from_millis(30)).await;
         }
     }
 }
@@ -58,7 +58,7 @@
             Some((g, c)) if !g.recs.is_empty() || g.fences.is_some() || c > had => return json!(g),
             Some(_) => {}
         }
-        let _ = rt::timeout(Duration::from_millis(100), moved).await;
+        let _ = seam::timeout(Duration::from_millis(100), moved).await;
     }
     s.with(|d| d.pull(&p, 512))
         .map_or_else(|| s.bad("not-primary", "this server does not lead"), |g| json!(g))
@@ -73,12 +73,12 @@
             for i in 0..2.min(s.args.desks.len()) {
                 let desk = s.args.desks[(at + i) % s.args.desks.len()].clone();
                 let beat = beat.clone();
-                rt::spawn(async move {
+                seam::spawn(async move {
                     let _ = post(&desk, "/beat", &beat, Duration::from_millis(800)).await;
                 });
             }
             at += 1;
         }
-        rt::sleep(Duration::from_millis(500)).await;
+        seam::sleep(Duration::from_millis(500)).await;
     }
 }
--- a/crates/testbed/tests/choice/main.rs
+++ b/crates/testbed/tests/choice/main.rs
@@ -3,8 +3,8 @@
 mod net;
 
 use net::{Act, Net, Size};
-use quincehatch_core::Ms;
-use quincehatch_runtime::rt::{self, Fut, OnBreak, Pipe, World};
+use quincehatch_core::Millis;
+use quincehatch_runtime::seam::{self, BoxFuture, OnDisconnect, VirtualConnection, World};
 use std::collections::HashSet;
 use std::sync::Arc;
 use std::task::Waker;
@@ -13,30 +13,30 @@
 struct Broken(&'static str);
 
 impl World for Broken {
-    fn now(&self) -> Ms {
+    fn now(&self) -> Millis {
         1
     }
-    fn wall_ms(&self) -> u64 {
+    fn wall_clock_ms(&self) -> u64 {
         1
     }
     fn incarnation(&self) -> u64 {
         1
     }
-    fn wake_at(&self, _: Ms, _: Waker) -> u64 {
+    fn wake_at(&self, _: Millis, _: Waker) -> u64 {
         0
     }
-    fn cancel(&self, _: u64) {}
-    fn spawn(&self, _: Fut<'static, ()>) {}
-    fn open(&self, _: &str, _: OnBreak) -> Fut<'static, std::io::Result<Arc<dyn Pipe>>> {
+    fn cancel_timer(&self, _: u64) {}
+    fn spawn(&self, _: BoxFuture<'static, ()>) {}
+    fn connect(&self, _: &str, _: OnDisconnect) -> BoxFuture<'static, std::io::Result<Arc<dyn VirtualConnection>>> {
         Box::pin(async { Err(std::io::ErrorKind::ConnectionRefused.into()) })
     }
-    fn call(&self, _: &str, _: Vec<u8>) -> Fut<'static, std::io::Result<Vec<u8>>> {
+    fn exchange_frame(&self, _: &str, _: Vec<u8>) -> BoxFuture<'static, std::io::Result<Vec<u8>>> {
         Box::pin(async { Err(std::io::ErrorKind::ConnectionRefused.into()) })
     }
-    fn broken(&self, bug: &str) -> bool {
+    fn injected_bug(&self, bug: &str) -> bool {
         self.0 == bug
     }
-    fn point(&self, _: &str) {}
+    fn trace_point(&self, _: &str) {}
 }
 
 /// The way to a world, newest act first.
@@ -99,7 +99,7 @@
 #[test]
 fn each_bug_of_the_choice_is_found() {
     for bug in ["short-log", "unfenced", "old-list", "unlisted"] {
-        let got = rt::within(Arc::new(Broken(bug)), || search(FOUR));
+        let got = seam::with_world(Arc::new(Broken(bug)), || search(FOUR));
         println!("{bug}: {got:?}");
         assert!(got.is_err(), "{bug} went unseen");
     }
--- a/crates/testbed/tests/choice/net.rs
+++ b/crates/testbed/tests/choice/net.rs
@@ -1,9 +1,9 @@
 //! A small world of one group: the chain's store, promotions' steps and servers' logs as they ship, and every act that
 //! the network and the processes may do next (§5.5).
-use quincehatch_core::{Fence, Lead, Name, Position, Role};
+use quincehatch_core::{FencingToken, PrimaryAssignment, Name, Position, Role};
 use quincehatch_failover::promotion::{In, Out, Phase, Plan, Promotion};
-use quincehatch_runtime::rt;
-use quincehatch_store::store::duty_of;
+use quincehatch_runtime::seam;
+use quincehatch_store::store::promotion_duty_key;
 use quincehatch_store::{Answer, Command, Entry, Store};
 use quincehatch_testbed::db::{Db, Pull, Pulled};
 use serde_json::Value;
@@ -60,14 +60,14 @@
     wire: Vec<Option<Arc<Asked>>>,
     all: Vec<Arc<At>>,
     /// Leads that were named; nodes may still have orders on the way to them.
-    named: Vec<(Fence, usize)>,
+    named: Vec<(FencingToken, usize)>,
     orders: usize,
 }
 
 fn names(letters: &str) -> Vec<Name> {
     letters.chars().map(|c| c.to_string().into()).collect()
 }
-fn set_lead(lead: Lead) -> Command {
+fn set_lead(lead: PrimaryAssignment) -> Command {
     Command::AssignPrimary { group: "g".into(), primary: lead }
 }
 
@@ -82,11 +82,11 @@
             named: vec![(1, 0)],
             orders: 0,
         };
-        n.write(Command::AcquireFence { duty: duty_of("g"), by: "n".into() });
-        n.write(set_lead(Lead {
+        n.write(Command::AcquireFence { duty: promotion_duty_key("g"), by: "n".into() });
+        n.write(set_lead(PrimaryAssignment {
             fence: 1,
             server: Some("a".into()),
-            counts: names("abc"),
+            voters: names("abc"),
             ..Default::default()
         }));
         n.db(0).promote(1, names("abc"));
@@ -94,7 +94,7 @@
     }
     fn write(&mut self, cmd: Command) -> Option<Answer> {
         let store = Arc::make_mut(&mut self.store);
-        let at = store.n + 1;
+        let at = store.last_change + 1;
         let got = store.apply(&Entry { number: at, key: format!("{at}").into(), command: cmd });
         store.answers.clear();
         got.filter(|a| !matches!(a, Answer::Rejected(_)))
@@ -125,7 +125,7 @@
     /// All that may come next; some of it turns out to be impossible.
     pub fn acts(&self, z: Size) -> Vec<Act> {
         let (mut out, n) = (vec![], self.dbs.len());
-        if self.store.leads["g"].before.iter().any(|l| !l.is_empty()) {
+        if self.store.primaries["g"].previous_voters.iter().any(|l| !l.is_empty()) {
             out.push(Act::Settle);
         }
         if self.all.len() < z.promotions {
@@ -166,7 +166,7 @@
         match a {
             Act::Begin(list) => {
                 let by: Name = format!("n{}", n.all.len()).into();
-                let Answer::Fence(f) = n.write(Command::AcquireFence { duty: duty_of("g"), by: by.clone() })?
+                let Answer::Fence(f) = n.write(Command::AcquireFence { duty: promotion_duty_key("g"), by: by.clone() })?
                 else {
                     return None;
                 };
@@ -191,7 +191,7 @@
             Act::Fence(i, s) => {
                 // As in the nodes' own call: the bug asks no server.
                 let f = n.all[i].p.fence;
-                if !rt::broken("unfenced") && !n.db(s).set_fence(f) {
+                if !seam::injected_bug("unfenced") && !n.db(s).set_fence(f) {
                     return None;
                 }
                 let end = n.dbs[s].end();
@@ -234,7 +234,7 @@
                 n.db(s).add_commit("t", "x", vec![], Value::Null);
             }
             Act::Settle => {
-                let l = n.store.leads["g"].clone();
+                let l = n.store.primaries["g"].clone();
                 let s = n.index(l.server.as_ref()?);
                 if !n.dbs[s].leads(l.fence) || !n.dbs[s].whole() {
                     return None;
--- a/crates/testbed/tests/choice/net/look.rs
+++ b/crates/testbed/tests/choice/net/look.rs
@@ -30,14 +30,14 @@
             match asks {
                 Some(Out::Promote { server, counts, .. }) => (1, p.fence, server, counts).hash(&mut h),
                 Some(Out::SetLead { lead, .. }) if p.fence == newest => {
-                    (2, p.fence, &lead.server, &lead.counts).hash(&mut h);
+                    (2, p.fence, &lead.server, &lead.voters).hash(&mut h);
                 }
                 _ if p.phase == Phase::Fencing => (3, p.fence, &p.plan.counts, heard).hash(&mut h),
                 _ => 0.hash(&mut h),
             }
         }
-        let l = self.store.leads.get("g");
-        l.map(|l| (l.fence, &l.server, l.lists())).hash(&mut h);
+        let l = self.store.primaries.get("g");
+        l.map(|l| (l.fence, &l.server, l.voter_sets())).hash(&mut h);
         let leads: Vec<_> = self.named.iter().filter(|(f, s)| self.dbs[*s].leads(*f)).collect();
         (newest, leads, self.orders).hash(&mut h);
         h.finish()
@@ -53,7 +53,7 @@
                 return Some(format!("{} and {} show different records", self.dbs[a].name, self.dbs[b].name));
             }
         }
-        let lead = self.store.leads.get("g")?;
+        let lead = self.store.primaries.get("g")?;
         let l = self.index(lead.server.as_ref()?);
         let d = &self.dbs[l];
         let lost = (0..n).find(|i| !logs[l].starts_with(shown(*i)));
--- a/crates/testbed/tests/kit/mod.rs
+++ b/crates/testbed/tests/kit/mod.rs
@@ -1,7 +1,7 @@
 //! Three stand-ins and a node in one process; the plan is put on the blackboard by hand.
 use quincehatch_config::blueprint::Blueprint;
 use quincehatch_config::settings::NodeSettings;
-use quincehatch_core::Lead;
+use quincehatch_core::PrimaryAssignment;
 use quincehatch_proxy::alone::Alone;
 use quincehatch_proxy::board::Plan;
 use quincehatch_proxy::judge::{Ending, Sign};
@@ -62,18 +62,18 @@
             log: "off".into(),
             threads: 1,
         };
-        let node = Node::new(set, Box::new(Alone::default()), quincehatch_runtime::rt::Spawner::here());
+        let node = Node::new(set, Box::new(Alone::default()), quincehatch_runtime::seam::Spawner::current());
         for s in &stands {
             node.board.beat(s.beat());
         }
         let blueprint = Some(Arc::new(Blueprint::read(&format!("{BASE}{more}")).unwrap()));
-        let lead = Lead {
+        let lead = PrimaryAssignment {
             fence: 1,
             server: Some("s1".into()),
-            closed: None,
-            by: "n1".into(),
-            counts: vec![],
-            before: vec![],
+            demoted: None,
+            assigned_by: "n1".into(),
+            voters: vec![],
+            previous_voters: vec![],
         };
         let leads = [("g1".into(), lead)].into();
         node.board.set_plan(Plan { n: 1, version: 1, blueprint, leads, ..Default::default() });
@@ -109,7 +109,7 @@
         self.stands[i].faults.wish(&serde_json::from_value(wish).unwrap());
     }
     pub fn leave(&self, i: usize) {
-        *self.stands[i].state.lock().unwrap() = (quincehatch_core::State::Leaving, now());
+        *self.stands[i].state.lock().unwrap() = (quincehatch_core::ServerState::Draining, now());
     }
     /// A primary that does not show all of its log.
     pub fn starting(&self, i: usize, on: bool) {
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -4,7 +4,7 @@
 };
 use crate::{Call, CallError, Destination, Identity, ProcessId, Repeat};
 use compact_str::format_compact;
-use quincehatch_runtime::rt::{self, World};
+use quincehatch_runtime::seam::{self, World};
 use std::collections::HashMap;
 use std::future::Future;
 use std::io;
@@ -112,13 +112,13 @@
     ) -> Result<Q::Answer, CallError> {
         let progress = Progress::default();
         let work = async {
-            match rt::world() {
+            match seam::current_world() {
                 Some(world) => self.call_in_world(world, to, request, &progress).await,
                 None => self.call_connected(to, request, &progress).await,
             }
         };
         let late = || progress.error(request.repeat(), format_args!("{}: no answer in time", to.addr));
-        rt::timeout(within, work).await.unwrap_or_else(|_| Err(late()))
+        seam::timeout(within, work).await.unwrap_or_else(|_| Err(late()))
     }
 
     async fn call_connected<Q: Call>(
@@ -176,7 +176,7 @@
         let broke = |e: io::Error| progress.error(request.repeat(), format_args!("{}: {e}", to.addr));
         let (call, frame) = self.encode(to.receiver(), request).map_err(broke)?;
         progress.set(true);
-        let frame = world.call(to.addr, frame).await.map_err(broke)?;
+        let frame = world.exchange_frame(to.addr, frame).await.map_err(broke)?;
         let (responder, answer) = decode::<Q>(&frame, call).map_err(broke)?;
         let answer = answer.ok_or(CallError::Declined { by: responder })?;
         if !to.is(responder) {
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,7 +1,7 @@
 //! How a call fails, and what is known of its effect then.
 use crate::{ProcessId, Repeat};
 use compact_str::{CompactString, format_compact};
-use quincehatch_core::{Code, Error};
+use quincehatch_core::{ErrorCode, Error};
 
 /// Why a call brought no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -40,9 +40,9 @@
 impl From<CallError> for Error {
     fn from(error: CallError) -> Error {
         match error {
-            CallError::NotSent(why) | CallError::NoAnswer(why) => Code::Unreachable.because(why),
-            CallError::Declined { .. } => Code::WrongReceiver.bare(),
-            CallError::OutcomeUnknown(why) => Code::OutcomeUnknown.because(why).unknown(),
+            CallError::NotSent(why) | CallError::NoAnswer(why) => ErrorCode::Unreachable.with_detail(why),
+            CallError::Declined { .. } => ErrorCode::WrongReceiver.without_detail(),
+            CallError::OutcomeUnknown(why) => ErrorCode::OutcomeUnknown.with_detail(why).with_unknown_outcome(),
         }
     }
 }
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -3,8 +3,8 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::client::conn::http1::SendRequest;
 use hyper_util::rt::TokioIo;
-pub use quincehatch_runtime::rt::OnBreak;
-use quincehatch_runtime::rt::Pipe;
+pub use quincehatch_runtime::seam::OnDisconnect;
+use quincehatch_runtime::seam::VirtualConnection;
 use serde_json::Value;
 use socket2::{SockRef, TcpKeepalive};
 use std::sync::Arc;
@@ -57,7 +57,7 @@
 
 enum Way {
     Real { tx: SendRequest<Full<Bytes>>, host: String },
-    Virtual(Arc<dyn Pipe>),
+    Virtual(Arc<dyn VirtualConnection>),
 }
 
 /// Tells a close that says something of the peer from one that does not.
@@ -95,16 +95,16 @@
 
     /// `on_break` is called when the idle link breaks with an error of the kernel's: a reset, or a time-out of its
     /// own probes. An orderly close is none (§4.5).
-    pub async fn open_with(addr: &str, w: Option<Watch>, on_break: OnBreak) -> std::io::Result<Self> {
+    pub async fn open_with(addr: &str, w: Option<Watch>, on_break: OnDisconnect) -> std::io::Result<Self> {
         let flags = Arc::new(Flags::default());
         let f = flags.clone();
-        let on_break: OnBreak = Box::new(move |e| {
+        let on_break: OnDisconnect = Box::new(move |e| {
             if !f.ours.load(Ordering::SeqCst) && !f.asking.load(Ordering::SeqCst) {
                 on_break(e);
             }
         });
-        if let Some(world) = quincehatch_runtime::rt::world() {
-            let way = Way::Virtual(world.open(addr, on_break).await?);
+        if let Some(world) = quincehatch_runtime::seam::current_world() {
+            let way = Way::Virtual(world.connect(addr, on_break).await?);
             return Ok(Self { way, flags });
         }
         let s = TcpStream::connect(addr).await?;
@@ -144,7 +144,7 @@
 
     async fn ask_it(&mut self, call: &Call<'_>) -> std::io::Result<(u16, Value)> {
         if let Way::Virtual(p) = &self.way {
-            return p.ask(call.path.to_owned(), call.body.clone(), call.token.map(str::to_owned)).await;
+            return p.request(call.path.to_owned(), call.body.clone(), call.token.map(str::to_owned)).await;
         }
         let (st, buf) = self.send(call, &[]).await?;
         let v = if buf.is_empty() { Value::Null } else { serde_json::from_slice(&buf).map_err(other)? };
@@ -209,7 +209,7 @@
 
 /// A single call over a link of its own.
 pub async fn once(addr: &str, call: &Call<'_>, within: Duration) -> std::io::Result<(u16, Value)> {
-    quincehatch_runtime::rt::timeout(within, async { Wire::open(addr, None).await?.ask(call).await })
+    quincehatch_runtime::seam::timeout(within, async { Wire::open(addr, None).await?.ask(call).await })
         .await
         .unwrap_or_else(|_| Err(std::io::Error::new(std::io::ErrorKind::TimedOut, "no answer in time")))
 }
@@ -222,7 +222,7 @@
     within: Duration,
 ) -> std::io::Result<u16> {
     let work = async { Wire::open(addr, None).await?.send(call, more).await };
-    match quincehatch_runtime::rt::timeout(within, work).await {
+    match quincehatch_runtime::seam::timeout(within, work).await {
         Ok(got) => got.map(|r| r.0),
         Err(_) => Err(std::io::ErrorKind::TimedOut.into()),
     }
--- a/crates/wire/src/identity.rs
+++ b/crates/wire/src/identity.rs
@@ -1,7 +1,7 @@
 //! Who is at one end of a call: a process's name and its incarnation, as short numbers.
 use borsh::{BorshDeserialize, BorshSerialize};
 use quincehatch_core::{Name, hash64};
-use quincehatch_runtime::rt;
+use quincehatch_runtime::seam;
 
 /// A receiver tag of requests to whichever process listens at the address.
 pub const ANY_RECEIVER: u32 = 0;
@@ -43,7 +43,7 @@
 impl Identity {
     /// This process under that name, in its present incarnation.
     pub fn new(name: &str) -> Identity {
-        Identity::with_incarnation(name, rt::incarnation())
+        Identity::with_incarnation(name, seam::incarnation())
     }
     /// A process of that name in a given incarnation.
     pub fn with_incarnation(name: &str, incarnation: u64) -> Identity {
