--- a/crates/capacity/src/counted.rs
+++ b/crates/capacity/src/counted.rs
@@ -115,8 +115,8 @@
             let f = on.clone();
             Box::pin(async move { mesh_driver::respond(&f, &b).await }) as seam::BoxFuture<'_, _>
         };
-        c.listen_frames(&s.mesh, pid, Arc::new(on_frame));
-        tap(c, &s.mesh, to_node, &to);
+        c.listen_frames(&s.gossip_listener, pid, Arc::new(on_frame));
+        tap(c, &s.gossip_listener, to_node, &to);
         f.go();
         *l.lock().unwrap() = Some(f);
     };
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -80,10 +80,10 @@
     let none = || "127.0.0.1:1".to_owned();
     NodeSettings {
         name: format!("n{i:04}"),
-        district: format!("d{}", i % 5),
-        door: none(),
-        desk: none(),
-        mesh,
+        zone: format!("d{}", i % 5),
+        client_listener: none(),
+        operator_listener: none(),
+        gossip_listener: mesh,
         seeds,
         keepers,
         platform: none(),
--- a/crates/capacity/src/parts.rs
+++ b/crates/capacity/src/parts.rs
@@ -64,7 +64,7 @@
 /// A blueprint's text, and what it takes to read and check it: milliseconds and bytes.
 pub fn read_blueprint(groups: usize) -> (f64, f64) {
     let text = blueprint(groups, 0);
-    let (ms, got) = cost(|| quincehatch_config::blueprint::Blueprint::read(&text));
+    let (ms, got) = cost(|| quincehatch_config::configuration::Configuration::parse(&text));
     assert!(got.is_ok(), "{got:?}");
     (ms, text.len() as f64)
 }
--- a/crates/capacity/src/sessions.rs
+++ b/crates/capacity/src/sessions.rs
@@ -2,7 +2,7 @@
 use super::port::Hollow;
 use super::{blueprint, resident_kib, settings, used_ms};
 use bytes::{Bytes, BytesMut};
-use quincehatch_config::blueprint::Blueprint;
+use quincehatch_config::configuration::Configuration;
 use quincehatch_core::{ServerHeartbeat, PrimaryAssignment};
 use quincehatch_proxy::Node;
 use quincehatch_proxy::alone::Alone;
@@ -24,7 +24,7 @@
         node.board.beat(ServerHeartbeat { server: at.server, seq: 1, labels, role: at.role, ..Default::default() });
     }
     let lead = PrimaryAssignment { fence: 1, server: Some("s0000-0".into()), ..Default::default() };
-    let blueprint = Blueprint::read(&blueprint(1, 0)).ok().map(Arc::new);
+    let blueprint = Configuration::parse(&blueprint(1, 0)).ok().map(Arc::new);
     let by_db = Arc::new([("db0000".into(), 0)].into());
     node.board.set_plan(Plan { n: 1, version: 1, blueprint, leads: [("g0000".into(), lead)].into(), by_db });
     node.board.renew_lease(now() + 3_600_000);
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,12 +1,12 @@
 //! Whole checks of a blueprint (§7.3): they refer to nothing but the blueprint itself.
-use crate::blueprint::{Blueprint, Selector};
+use crate::configuration::{Configuration, Selector};
 use crate::shadow::Earlier;
 use quincehatch_core::{Millis, Name};
 use std::collections::BTreeSet;
 
-impl Blueprint {
+impl Configuration {
     /// All that is wrong, each with its path.
-    pub fn check(&self) -> Vec<String> {
+    pub fn validate(&self) -> Vec<String> {
         let mut w = Vec::new();
         let mut seen = BTreeSet::new();
         if self.placements.is_empty() {
@@ -26,7 +26,7 @@
             }
         }
         seen.clear();
-        for (i, d) in self.districts.iter().enumerate() {
+        for (i, d) in self.zones.iter().enumerate() {
             let at = format!("districts[{i}]");
             name_ok(&mut w, &format!("{at}.name"), &d.name, &mut seen);
             for (k, v) in &d.labels {
@@ -42,7 +42,7 @@
         }
         seen.clear();
         let mut earlier = Earlier::default();
-        for (i, r) in self.rules.iter().enumerate() {
+        for (i, r) in self.routes.iter().enumerate() {
             let at = format!("rules[{i}]");
             name_ok(&mut w, &format!("{at}.name"), &r.name, &mut seen);
             selector_ok(&mut w, &format!("{at}.when"), &r.when, false);
@@ -58,16 +58,16 @@
                 Some(_) => {}
             }
             range(&mut w, &format!("{at}.timeout_ms"), r.timeout_ms, 50, 60_000);
-            range(&mut w, &format!("{at}.fresh_ms"), r.fresh_ms, 500, 1_500);
-            let q = r.query_timeout_ms.unwrap_or(self.judges.query_timeout_ms);
+            range(&mut w, &format!("{at}.fresh_ms"), r.max_staleness_ms, 500, 1_500);
+            let q = r.query_timeout_ms.unwrap_or(self.health.query_timeout_ms);
             range(&mut w, &format!("{at}.query_timeout_ms"), q, 100, 600_000);
             if r.query_timeout_ms.is_some_and(|q| q < r.timeout_ms) {
                 w.push(format!("{at}.query_timeout_ms: is shorter than the rule's timeout_ms"));
             }
-            if r.long && r.class == "order" {
+            if r.long_running && r.class == "order" {
                 w.push(format!("{at}.long: only a lookup can be long"));
             }
-            if earlier.takes_all(&self.rules, r) {
+            if earlier.takes_all(&self.routes, r) {
                 w.push(format!("{at}.when: an earlier rule takes all of these visits"));
             }
             earlier.add(i, r);
@@ -76,7 +76,7 @@
         for (i, g) in self.groups.iter().enumerate() {
             let at = format!("groups[{i}]");
             name_ok(&mut w, &format!("{at}.name"), &g.name, &mut seen);
-            range(&mut w, &format!("{at}.links"), g.links, 1, 100_000);
+            range(&mut w, &format!("{at}.links"), g.connections, 1, 100_000);
         }
         self.check_districts(&mut w);
         self.check_sums(&mut w);
@@ -89,14 +89,14 @@
         let of = |at: &str, i: usize, key: &str| format!("{at}[{i}].{key}");
         let places =
             self.placements.iter().enumerate().map(|(i, p)| (of("placements", i, "select"), &p.select));
-        let rules = self.rules.iter().enumerate().map(|(i, r)| (of("rules", i, "when"), &r.when));
-        for (at, sel) in places.chain(rules).filter(|_| !self.districts.is_empty()) {
+        let rules = self.routes.iter().enumerate().map(|(i, r)| (of("rules", i, "when"), &r.when));
+        for (at, sel) in places.chain(rules).filter(|_| !self.zones.is_empty()) {
             let Some(named) = sel.get("district") else { continue };
-            for n in named.iter().filter(|n| self.district(n).is_none()) {
+            for n in named.iter().filter(|n| self.zone(n).is_none()) {
                 w.push(format!("{at}.district: {n:?} is not among the districts"));
             }
             for (k, vs) in sel {
-                let bears = |n: &String| self.district(n).and_then(|d| d.labels.get(k));
+                let bears = |n: &String| self.zone(n).and_then(|d| d.labels.get(k));
                 let other = named.iter().all(|n| bears(n).is_some_and(|v| !vs.contains(v)));
                 if other && !named.is_empty() {
                     w.push(format!("{at}.{k}: every district that is named bears another {k}"));
@@ -106,31 +106,31 @@
     }
 
     fn check_sums(&self, w: &mut Vec<String>) {
-        let j = &self.judges;
+        let j = &self.health;
         range(w, "judges.query_timeout_ms", j.query_timeout_ms, 100, 600_000);
         range(w, "judges.keepalive_idle_ms", j.keepalive_idle_ms, 1_000, 300_000);
         range(w, "judges.user_timeout_ms", j.user_timeout_ms, 500, 4_000);
-        range(w, "judges.return_after_ms", j.return_after_ms, 500, 600_000);
-        range(w, "judges.trial_good", j.trial_good, 1, 100);
-        range(w, "judges.aside_at", j.aside_at, 1, 1_000);
+        range(w, "judges.return_after_ms", j.probation_after_ms, 500, 600_000);
+        range(w, "judges.trial_good", j.probation_successes, 1, 100);
+        range(w, "judges.aside_at", j.eject_at, 1, 1_000);
         range(w, "judges.evidence_ms", j.evidence_ms, 100, 600_000);
         for (k, v) in [("reset", j.reset_weight), ("overdue", j.overdue_weight)] {
-            if v < j.aside_at {
+            if v < j.eject_at {
                 w.push(format!(
                     "judges.{k}_weight: {v} is under aside_at {}; this judge must suffice",
-                    j.aside_at
+                    j.eject_at
                 ));
             }
         }
-        if j.return_most_ms < j.return_after_ms {
+        if j.probation_after_max_ms < j.probation_after_ms {
             w.push("judges.return_most_ms: is shorter than return_after_ms".into());
         }
-        range(w, "links.per_replica", self.links.per_replica, 1, 1_024);
-        range(w, "links.per_primary", self.links.per_primary, 2, 1_024);
-        range(w, "links.lookup_share", self.links.lookup_share, 1, 90);
-        range(w, "holding.most", self.holding.most, 1, 65_536);
-        range(w, "holding.sessions", self.holding.sessions, 1, 1_000_000);
-        range(w, "holding.txn_idle_ms", self.holding.txn_idle_ms, 100, 600_000);
+        range(w, "links.per_replica", self.connections.per_replica, 1, 1_024);
+        range(w, "links.per_primary", self.connections.per_primary, 2, 1_024);
+        range(w, "links.lookup_share", self.connections.primary_lookup_percent, 1, 90);
+        range(w, "holding.most", self.queue.max_waiting, 1, 65_536);
+        range(w, "holding.sessions", self.queue.max_sessions, 1, 1_000_000);
+        range(w, "holding.txn_idle_ms", self.queue.txn_idle_ms, 100, 600_000);
     }
 }
 
@@ -172,22 +172,22 @@
 
 #[cfg(test)]
 mod tests {
-    use crate::blueprint::Blueprint;
+    use crate::configuration::Configuration;
     use quincehatch_core::ErrorCode;
 
     const GOOD: &str = "[[placements]]\nname=\"p\"\nselect={group=[\"g\"]}\n[[rules]]\nname=\"r\"\n\
                         class=\"order\"\nplacement=\"p\"\n";
 
     fn wrong(text: &str, want: &str) {
-        let b = Blueprint::read(text).expect_err("it was taken");
+        let b = Configuration::parse(text).expect_err("it was taken");
         assert!(b.has_code(ErrorCode::ConfigurationInvalid) && b.text.contains(want), "{b} lacks {want:?}");
     }
 
     #[test]
     fn a_good_one_is_read_from_toml_and_json_alike() {
-        let a = Blueprint::read(GOOD).unwrap();
-        assert_eq!(Blueprint::read(&a.to_json()).unwrap(), a);
-        assert_eq!(a.judges.query_timeout_ms, 30_000);
+        let a = Configuration::parse(GOOD).unwrap();
+        assert_eq!(Configuration::parse(&a.to_stored_json()).unwrap(), a);
+        assert_eq!(a.health.query_timeout_ms, 30_000);
     }
 
     #[test]
@@ -195,17 +195,17 @@
         let t = "[[placements]]\nname=\"west\"\nselect={group=[\"g\"],coast=[\"west\"]}\n[[rules]]\nname=\"r\"\n\
                  class=\"lookup\"\nplacement=\"west\"\nwhen={coast=[\"west\"]}\n[[districts]]\nname=\"d1\"\n\
                  labels={coast=\"west\"}\n[[districts]]\nname=\"d2\"\nlabels={coast=\"east\"}\n";
-        let bp = Blueprint::read(t).unwrap();
+        let bp = Configuration::parse(t).unwrap();
         let l = |own: &[(&str, &str)]| own.iter().map(|(k, v)| ((*k).into(), (*v).into())).collect();
         let p = &bp.placements[0];
-        assert!(bp.holds(p, &l(&[("group", "g"), ("district", "d1")])));
-        assert!(!bp.holds(p, &l(&[("group", "g"), ("district", "d2")])));
+        assert!(bp.placement_includes(p, &l(&[("group", "g"), ("district", "d1")])));
+        assert!(!bp.placement_includes(p, &l(&[("group", "g"), ("district", "d2")])));
         assert!(
-            bp.holds(p, &l(&[("group", "g"), ("district", "d2"), ("coast", "west")])),
+            bp.placement_includes(p, &l(&[("group", "g"), ("district", "d2"), ("coast", "west")])),
             "its own label wins"
         );
-        assert!(bp.rule("lookup", &l(&[("district", "d1")])).is_some());
-        assert!(bp.rule("lookup", &l(&[("district", "d2")])).is_none());
+        assert!(bp.route_for("lookup", &l(&[("district", "d1")])).is_some());
+        assert!(bp.route_for("lookup", &l(&[("district", "d2")])).is_none());
         wrong(&t.replace("name=\"d2\"", "name=\"d1\""), "districts[1].name: \"d1\" is used twice");
         wrong(&t.replace("coast=\"east\"", "group=\"east\""), "districts[1].labels.group: is a server's own");
         wrong(
--- a/crates/config/src/blueprint.rs
+++ b/crates/config/src/configuration.rs
@@ -18,14 +18,14 @@
 
 /// A district and its labels: servers and visits there have them beside their own (§7.1).
 #[derive(Config, Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct District {
+pub struct Zone {
     pub name: String,
     pub labels: BTreeMap<String, String>,
 }
 
 /// What a visit is to be done with.
 #[derive(Config, Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rule {
+pub struct Route {
     pub name: String,
     /// `order` or `lookup`.
     pub class: String,
@@ -36,12 +36,12 @@
     pub timeout_ms: u64,
     pub query_timeout_ms: Option<u64>,
     /// The rule's statements are known to run long: a reply is owed only at the query timeout (§4.5).
-    pub long: bool,
+    pub long_running: bool,
     /// How far behind a lookup may be.
     #[setting(default = 1500)]
-    pub fresh_ms: u64,
+    pub max_staleness_ms: u64,
     /// The time the rule's visits aim at: what cannot be begun well within it is declined at once (§4.10).
-    pub aim_ms: Option<u64>,
+    pub latency_target_ms: Option<u64>,
     /// Of the visits that wait, those with the lowest number go first.
     #[setting(default = 1)]
     pub priority: u64,
@@ -53,14 +53,14 @@
     pub name: String,
     /// Links that each of its servers takes from all nodes together.
     #[setting(default = 64)]
-    pub links: u64,
+    pub connections: u64,
     /// A commit is acknowledged once so many replicas received it; none: once a majority did.
     pub sync_replicas: Option<u64>,
 }
 
 /// How the judges weigh and wait (§4.5).
 #[derive(Config, Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Judges {
+pub struct HealthSettings {
     #[setting(default = 30000)]
     pub query_timeout_ms: u64,
     #[setting(default = 30000)]
@@ -68,12 +68,12 @@
     #[setting(default = 4000)]
     pub user_timeout_ms: u64,
     #[setting(default = 30000)]
-    pub return_after_ms: u64,
+    pub probation_after_ms: u64,
     #[setting(default = 240000)]
-    pub return_most_ms: u64,
+    pub probation_after_max_ms: u64,
     /// Good origin lookups that end a trial.
     #[setting(default = 3)]
-    pub trial_good: u64,
+    pub probation_successes: u64,
     #[setting(default = 100)]
     pub reset_weight: u64,
     #[setting(default = 100)]
@@ -85,93 +85,93 @@
     pub late_weight: u64,
     /// Evidence at which a replica is set aside.
     #[setting(default = 100)]
-    pub aside_at: u64,
+    pub eject_at: u64,
     /// How long a piece of evidence counts.
     #[setting(default = 10000)]
     pub evidence_ms: u64,
 }
 
 #[derive(Config, Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Links {
+pub struct ConnectionLimits {
     #[setting(default = 16)]
     pub per_replica: u64,
     #[setting(default = 64)]
     pub per_primary: u64,
     /// Share of the primary's links, in percent, that lookups may take when every replica is set aside.
     #[setting(default = 25)]
-    pub lookup_share: u64,
+    pub primary_lookup_percent: u64,
 }
 
 #[derive(Config, Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Holding {
+pub struct QueueLimits {
     #[setting(default = 512)]
-    pub most: u64,
+    pub max_waiting: u64,
     #[setting(default = 4096)]
-    pub sessions: u64,
+    pub max_sessions: u64,
     /// Longest a transaction may idle between steps.
     #[setting(default = 10000)]
     pub txn_idle_ms: u64,
 }
 
 #[derive(Config, Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Blueprint {
+pub struct Configuration {
     #[setting(nested)]
     pub placements: Vec<Placement>,
     #[setting(nested)]
-    pub rules: Vec<Rule>,
+    pub routes: Vec<Route>,
     /// Where any are listed, all are.
     #[setting(nested)]
-    pub districts: Vec<District>,
+    pub zones: Vec<Zone>,
     #[setting(nested)]
     pub groups: Vec<Group>,
     #[setting(nested)]
-    pub judges: Judges,
+    pub health: HealthSettings,
     #[setting(nested)]
-    pub links: Links,
+    pub connections: ConnectionLimits,
     #[setting(nested)]
-    pub holding: Holding,
+    pub queue: QueueLimits,
 }
 
 /// The judges' starting values, for a node that has no blueprint yet.
-pub fn default_judges() -> &'static Judges {
-    static J: std::sync::OnceLock<Judges> = std::sync::OnceLock::new();
+pub fn default_health_settings() -> &'static HealthSettings {
+    static J: std::sync::OnceLock<HealthSettings> = std::sync::OnceLock::new();
     J.get_or_init(|| {
-        ConfigLoader::<Judges>::new().load().map(|r| r.config).unwrap_or_else(|e| panic!("no defaults: {e}"))
+        ConfigLoader::<HealthSettings>::new().load().map(|r| r.config).unwrap_or_else(|e| panic!("no defaults: {e}"))
     })
 }
 
 /// Labels of a server or a visit, and behind them those of its district.
-struct Worn<'a> {
+struct EffectiveLabels<'a> {
     own: &'a Labels,
-    district: Option<&'a District>,
+    district: Option<&'a Zone>,
 }
 
-impl Worn<'_> {
+impl EffectiveLabels<'_> {
     fn get(&self, k: &str) -> Option<&str> {
         let behind = || self.district.and_then(|d| d.labels.get(k)).map(String::as_str);
         self.own.get(k).map(|v| v.as_str()).or_else(behind)
     }
     /// True when every key of the selector is held with one of its values.
-    fn meets(&self, sel: &Selector) -> bool {
+    fn matches(&self, sel: &Selector) -> bool {
         sel.iter().all(|(k, vs)| self.get(k).is_some_and(|v| vs.iter().any(|x| x == v)))
     }
 }
 
-impl Blueprint {
-    fn worn<'a>(&'a self, own: &'a Labels) -> Worn<'a> {
-        Worn { own, district: own.get("district").and_then(|d| self.district(d)) }
+impl Configuration {
+    fn effective_labels<'a>(&'a self, own: &'a Labels) -> EffectiveLabels<'a> {
+        EffectiveLabels { own, district: own.get("district").and_then(|d| self.zone(d)) }
     }
-    pub fn district(&self, name: &str) -> Option<&District> {
-        self.districts.iter().find(|d| d.name == name)
+    pub fn zone(&self, name: &str) -> Option<&Zone> {
+        self.zones.iter().find(|d| d.name == name)
     }
     /// Is a server with these labels in the placement?
-    pub fn holds(&self, p: &Placement, labels: &Labels) -> bool {
-        let w = self.worn(labels);
-        w.meets(&p.select) && (p.except.is_empty() || !w.meets(&p.except))
+    pub fn placement_includes(&self, p: &Placement, labels: &Labels) -> bool {
+        let w = self.effective_labels(labels);
+        w.matches(&p.select) && (p.except.is_empty() || !w.matches(&p.except))
     }
-    pub fn rule(&self, class: &str, labels: &Labels) -> Option<&Rule> {
-        let w = self.worn(labels);
-        self.rules.iter().find(|r| r.class == class && w.meets(&r.when))
+    pub fn route_for(&self, class: &str, labels: &Labels) -> Option<&Route> {
+        let w = self.effective_labels(labels);
+        self.routes.iter().find(|r| r.class == class && w.matches(&r.when))
     }
     pub fn group(&self, name: &str) -> Option<&Group> {
         self.groups.iter().find(|g| g.name == name)
@@ -180,30 +180,30 @@
         self.placements.iter().find(|p| p.name == name)
     }
     /// Reads TOML, JSON or Kubernetes-style objects and checks the whole; every mistake is listed (§7.3).
-    pub fn read(text: &str) -> Result<Blueprint, Error> {
+    pub fn parse(text: &str) -> Result<Configuration, Error> {
         if crate::objects::are_objects(text) {
-            return crate::objects::to_json(text).and_then(|t| Blueprint::read_plain(&t));
+            return crate::objects::to_json(text).and_then(|t| Configuration::parse_document(&t));
         }
-        Blueprint::read_plain(text)
+        Configuration::parse_document(text)
     }
 
     /// Reads what was checked before it was kept: as [`Blueprint::to_json`] wrote it, or as an operator did.
-    pub fn held(text: &str) -> Result<Blueprint, Error> {
-        serde_json::from_str(text).or_else(|_| Blueprint::read(text))
+    pub fn parse_stored(text: &str) -> Result<Configuration, Error> {
+        serde_json::from_str(text).or_else(|_| Configuration::parse(text))
     }
 
-    fn read_plain(text: &str) -> Result<Blueprint, Error> {
+    fn parse_document(text: &str) -> Result<Configuration, Error> {
         let json = text.trim_start().starts_with('{');
         let invalid = |e: &dyn std::fmt::Display| ErrorCode::ConfigurationInvalid.with_detail(e);
-        let bp = ConfigLoader::<Blueprint>::new()
+        let bp = ConfigLoader::<Configuration>::new()
             .code(text, if json { "blueprint.json" } else { "blueprint.toml" })
             .and_then(|l| l.load())
             .map_err(|e| invalid(&crate::settings::plain(&e)))?
             .config;
-        let wrong = bp.check();
+        let wrong = bp.validate();
         if wrong.is_empty() { Ok(bp) } else { Err(invalid(&wrong.join("; "))) }
     }
-    pub fn to_json(&self) -> String {
+    pub fn to_stored_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 }
--- a/crates/config/src/objects.rs
+++ b/crates/config/src/objects.rs
@@ -140,7 +140,7 @@
 
 #[cfg(test)]
 mod tests {
-    use crate::blueprint::Blueprint;
+    use crate::configuration::Configuration;
 
     const GOOD: &str = "
 apiVersion: quincehatch/v1
@@ -167,8 +167,8 @@
 
     #[test]
     fn objects_are_a_blueprint_like_any_other() {
-        let a = Blueprint::read(GOOD).unwrap();
-        let b = Blueprint::read(
+        let a = Configuration::parse(GOOD).unwrap();
+        let b = Configuration::parse(
             "[[placements]]\nname=\"scrips\"\nselect={group=[\"rx\"]}\nexcept={tier=[\"old\"]}\n[[rules]]\nname=\"orders\"\n\
              class=\"order\"\nplacement=\"scrips\"\ntimeout_ms=800\nwhen={db=[\"rx\"]}\n[judges]\nreturn_after_ms=20000\n",
         );
@@ -186,7 +186,7 @@
             ("matchLabels: { group: rx }", "matchLabels: { host: rx }", "chosen by labels"),
             ("kind: Placement", "kind: [", "document 1"),
         ] {
-            let b = Blueprint::read(&GOOD.replace(from, to)).expect_err(to);
+            let b = Configuration::parse(&GOOD.replace(from, to)).expect_err(to);
             assert!(
                 b.has_code(quincehatch_core::ErrorCode::ConfigurationInvalid) && b.text.contains(want),
                 "{b} lacks {want:?}"
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -6,13 +6,13 @@
 #[derive(Config, Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeSettings {
     pub name: String,
-    pub district: String,
+    pub zone: String,
     /// Where origins and the platform call (HTTP).
-    pub door: String,
+    pub client_listener: String,
     /// Where servers beat and operators call (HTTP).
-    pub desk: String,
+    pub operator_listener: String,
     /// Where the project's own processes call (borsh).
-    pub mesh: String,
+    pub gossip_listener: String,
     /// Mesh addresses of up to three other nodes.
     pub seeds: Vec<String>,
     /// Addresses of the keepers.
@@ -32,7 +32,7 @@
     pub addr: String,
     /// Names and addresses of all disk machines, this one too: `name=ip:port`.
     pub keepers: Vec<String>,
-    pub data: String,
+    pub data_dir: String,
     #[setting(default = "info")]
     pub log: String,
 }
@@ -66,7 +66,7 @@
 }
 
 /// Reads a TOML settings file of kind `T`.
-pub fn read<T: Config>(path: &str) -> Result<T, Error> {
+pub fn read_file<T: Config>(path: &str) -> Result<T, Error> {
     let wrong = |e: String| ErrorCode::InvalidSettings.with_detail(format_args!("{path}: {e}"));
     let text = std::fs::read_to_string(path).map_err(|e| wrong(e.to_string()))?;
     ConfigLoader::<T>::new()
@@ -87,15 +87,15 @@
 }
 
 impl NodeSettings {
-    pub fn check(&self) -> Result<(), Error> {
+    pub fn validate(&self) -> Result<(), Error> {
         let mut w = Vec::new();
-        for (at, v) in [("name", &self.name), ("district", &self.district), ("token", &self.token)] {
+        for (at, v) in [("name", &self.name), ("district", &self.zone), ("token", &self.token)] {
             if v.is_empty() {
                 w.push(format!("{at}: must be given"));
             }
         }
         for (at, v) in
-            [("door", &self.door), ("desk", &self.desk), ("mesh", &self.mesh), ("platform", &self.platform)]
+            [("door", &self.client_listener), ("desk", &self.operator_listener), ("mesh", &self.gossip_listener), ("platform", &self.platform)]
         {
             addr(&mut w, at, v);
         }
@@ -116,13 +116,13 @@
 
 impl KeeperSettings {
     /// The disk machines as pairs of name and address.
-    pub fn machines(&self) -> Vec<(String, String)> {
+    pub fn voters(&self) -> Vec<(String, String)> {
         self.keepers.iter().filter_map(|k| k.split_once('=')).map(|(n, a)| (n.into(), a.into())).collect()
     }
-    pub fn check(&self) -> Result<(), Error> {
+    pub fn validate(&self) -> Result<(), Error> {
         let mut w = Vec::new();
         addr(&mut w, "addr", &self.addr);
-        if self.data.is_empty() {
+        if self.data_dir.is_empty() {
             w.push("data: a folder must be given".into());
         }
         for k in &self.keepers {
@@ -131,7 +131,7 @@
                 _ => w.push(format!("keepers: {k:?} is not name=ip:port")),
             }
         }
-        let me = self.machines().into_iter().find(|(n, _)| *n == self.name);
+        let me = self.voters().into_iter().find(|(n, _)| *n == self.name);
         if me.is_none_or(|(_, a)| a != self.addr) {
             w.push(format!("keepers: does not list {}={}", self.name, self.addr));
         }
--- a/crates/config/src/shadow.rs
+++ b/crates/config/src/shadow.rs
@@ -1,5 +1,5 @@
 //! Whether an earlier rule takes all visits of a later one (§7.3), found by their first labels: blueprints have thousands.
-use crate::blueprint::Rule;
+use crate::configuration::Route;
 use std::collections::HashMap;
 
 /// Rules by class and by each value of the first label they ask for; those that ask for none take all.
@@ -10,7 +10,7 @@
 }
 
 impl<'a> Earlier<'a> {
-    pub fn add(&mut self, i: usize, r: &'a Rule) {
+    pub fn add(&mut self, i: usize, r: &'a Route) {
         match r.when.iter().next() {
             None => self.any.push(i),
             Some((k, vs)) => {
@@ -19,7 +19,7 @@
             }
         }
     }
-    pub fn takes_all(&self, rules: &[Rule], r: &Rule) -> bool {
+    pub fn takes_all(&self, rules: &[Route], r: &Route) -> bool {
         // Whoever takes all of them holds each value that the later one asks for, so its first too.
         let firsts = r.when.iter().filter_map(|(k, vs)| vs.first().map(|v| (k.as_str(), v.as_str())));
         let near = firsts.filter_map(|(k, v)| self.by_first.get(&(r.class.as_str(), k, v)));
@@ -27,7 +27,7 @@
     }
 }
 
-fn covers(e: &Rule, r: &Rule) -> bool {
+fn covers(e: &Route, r: &Route) -> bool {
     let held =
         |(k, vs): (&String, &Vec<String>)| r.when.get(k).is_some_and(|rv| rv.iter().all(|x| vs.contains(x)));
     e.class == r.class && e.when.iter().all(held)
--- a/crates/config/tests/shadow.rs
+++ b/crates/config/tests/shadow.rs
@@ -1,8 +1,8 @@
 //! Which rules an earlier one leaves nothing (§7.3), however many there are.
-use quincehatch_config::blueprint::{Blueprint, Rule};
+use quincehatch_config::configuration::{Configuration, Route};
 use quincehatch_runtime::rng::Rng;
 
-fn covers(e: &Rule, r: &Rule) -> bool {
+fn covers(e: &Route, r: &Route) -> bool {
     e.class == r.class
         && e.when.iter().all(|(k, vs)| r.when.get(k).is_some_and(|rv| rv.iter().all(|x| vs.contains(x))))
 }
@@ -23,7 +23,7 @@
 #[test]
 fn the_same_rules_are_named_as_by_comparing_each_with_each() {
     let start = r#"{"placements":[{"name":"p","select":{"group":["g"]}}],"rules":[{"name":"x","class":"order","placement":"p","when":{"db":["x"]}}]}"#;
-    let whole = Blueprint::read(start).unwrap();
+    let whole = Configuration::parse(start).unwrap();
     let (mut some, mut none) = (0, 0);
     for seed in 0..300 {
         let mut rng = Rng::new(seed);
@@ -33,14 +33,14 @@
             r#"{{"placements":[{{"name":"p","select":{{"group":["g"]}}}}],"rules":[{}]}}"#,
             rules.join(",")
         );
-        let said = Blueprint::read(&text).map_or_else(|b| b.to_string(), |_| String::new());
+        let said = Configuration::parse(&text).map_or_else(|b| b.to_string(), |_| String::new());
         // The rules themselves, read one by one, as no check compares one with itself.
         let read = |r: &String| {
             let one =
                 format!(r#"{{"placements":[{{"name":"p","select":{{"group":["g"]}}}}],"rules":[{r}]}}"#);
-            Blueprint::read(&one).unwrap().rules.remove(0)
+            Configuration::parse(&one).unwrap().routes.remove(0)
         };
-        let all: Vec<Rule> = rules.iter().map(read).collect();
+        let all: Vec<Route> = rules.iter().map(read).collect();
         for i in 0..n {
             let taken = all[..i].iter().any(|e| covers(e, &all[i]));
             let named = said.contains(&format!("rules[{i}].when: an earlier rule"));
@@ -48,13 +48,13 @@
             if taken { some += 1 } else { none += 1 }
         }
     }
-    assert!(some > 50 && none > 50 && whole.rules.len() == 1, "{some} {none}");
+    assert!(some > 50 && none > 50 && whole.routes.len() == 1, "{some} {none}");
 }
 
 #[test]
 fn what_was_checked_is_read_again_as_it_was() {
     let text = r#"{"placements":[{"name":"p","select":{"group":["g"]}}],"rules":[{"name":"x","class":"order","placement":"p","when":{"db":["x"]}}],"groups":[{"name":"g","sync_replicas":1}]}"#;
-    let bp = Blueprint::read(text).unwrap();
-    assert_eq!(Blueprint::held(&bp.to_json()).unwrap(), bp);
-    assert_eq!(Blueprint::held(text).unwrap(), bp, "as an operator wrote it, with what stands for the rest");
+    let bp = Configuration::parse(text).unwrap();
+    assert_eq!(Configuration::parse_stored(&bp.to_stored_json()).unwrap(), bp);
+    assert_eq!(Configuration::parse_stored(text).unwrap(), bp, "as an operator wrote it, with what stands for the rest");
 }
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -1,5 +1,5 @@
 //! quincehatch-keeper: a chain keeper, on a machine with a disk (§5).
-use quincehatch_config::settings::{KeeperSettings, read};
+use quincehatch_config::settings::{KeeperSettings, read_file};
 use quincehatch_core::{ErrorCode, Error, Name};
 use quincehatch_runtime::now;
 use quincehatch_store::disk::Disk;
@@ -61,17 +61,17 @@
 
 fn settings(a: &Args) -> Result<KeeperSettings, Error> {
     let file = a.file.as_ref().ok_or_else(|| bad("--settings is missing"))?;
-    let mut s: KeeperSettings = read(file)?;
+    let mut s: KeeperSettings = read_file(file)?;
     if let Some(l) = &a.log {
         s.log = l.clone();
     }
-    s.check().map(|()| s)
+    s.validate().map(|()| s)
 }
 
 /// The view a fresh folder begins with: all machines at first, none for one that joins.
 fn first(a: &Args, s: &KeeperSettings) -> Option<View> {
     let machines: Vec<Voter> =
-        s.machines().into_iter().map(|(n, ad)| Voter { name: n.into(), addr: ad.into() }).collect();
+        s.voters().into_iter().map(|(n, ad)| Voter { name: n.into(), addr: ad.into() }).collect();
     let members = machines.iter().map(|m| m.name.clone()).collect();
     match (a.init, a.join) {
         (true, _) => Some(View { version: 1, members, voters: machines }),
@@ -109,7 +109,7 @@
 
 async fn serve(a: &Args, set: &KeeperSettings) -> Result<(), Error> {
     let _log = quincehatch_runtime::logging::start(&set.log).map_err(bad)?;
-    let (disk, found) = Disk::open(std::path::Path::new(&set.data), &set.name, first(a, set))?;
+    let (disk, found) = Disk::open(std::path::Path::new(&set.data_dir), &set.name, first(a, set))?;
     let lst = tokio::net::TcpListener::bind(&set.addr)
         .await
         .map_err(|e| ErrorCode::PortInUse.with_detail(format_args!("{}: {e}", set.addr)))?;
--- a/crates/node/src/args.rs
+++ b/crates/node/src/args.rs
@@ -1,5 +1,5 @@
 //! Flags and settings of quincehatch-node (§8.1). A flag wins over the file.
-use quincehatch_config::settings::{NodeSettings, read as read_file};
+use quincehatch_config::settings::{NodeSettings, read_file as read_file};
 use quincehatch_core::{ErrorCode, Error};
 use quincehatch_runtime::logging::LogHandle;
 use std::time::{Duration, SystemTime};
@@ -72,10 +72,10 @@
     for (k, v) in over {
         match k.as_str() {
             "name" => s.name = v,
-            "district" => s.district = v,
-            "door" => s.door = v,
-            "desk" => s.desk = v,
-            "mesh" => s.mesh = v,
+            "district" => s.zone = v,
+            "door" => s.client_listener = v,
+            "desk" => s.operator_listener = v,
+            "mesh" => s.gossip_listener = v,
             "seed" => s.seeds.push(v),
             "keeper" => s.keepers.push(v),
             "platform" => s.platform = v,
@@ -84,17 +84,17 @@
             _ => s.threads = v.parse().map_err(|_| bad(format_args!("--threads: {v:?} is not a number")))?,
         }
     }
-    s.check().map(|()| Some((s, check)))
+    s.validate().map(|()| Some((s, check)))
 }
 
 fn empty() -> NodeSettings {
     let none = String::new;
     NodeSettings {
         name: none(),
-        district: none(),
-        door: none(),
-        desk: none(),
-        mesh: none(),
+        zone: none(),
+        client_listener: none(),
+        operator_listener: none(),
+        gossip_listener: none(),
         seeds: vec![],
         keepers: vec![],
         platform: none(),
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -1,6 +1,6 @@
 //! Follows the numbered feed from the tail and holds the node's lease along it (§5.2, §5.6).
 use crate::Fleet;
-use quincehatch_config::blueprint::Blueprint;
+use quincehatch_config::configuration::Configuration;
 use quincehatch_core::{ServerHeartbeat, ChangeNumber, Name, ServerRecord, ServerState};
 use quincehatch_proxy::board::Plan;
 use quincehatch_runtime::now;
@@ -18,7 +18,7 @@
 const BYE: Duration = Duration::from_millis(400);
 
 pub async fn run(f: Arc<Fleet>) {
-    let (name, addr) = (f.node.set.name.as_str(), f.node.set.mesh.as_str());
+    let (name, addr) = (f.node.set.name.as_str(), f.node.set.gossip_listener.as_str());
     let mut to = f.chain.tail();
     let mut had = false;
     let mut stood = BTreeMap::new();
@@ -133,10 +133,10 @@
     if had.version == version {
         return Plan { n, version, leads, ..had.clone() };
     }
-    let blueprint = Blueprint::held(&k.configuration_json)
+    let blueprint = Configuration::parse_stored(&k.configuration_json)
         .map_err(|b| log::error!(target: "feed", "version {version} cannot be read: {b}"))
         .ok();
-    let dbs = blueprint.iter().flat_map(|b| b.rules.iter().enumerate());
+    let dbs = blueprint.iter().flat_map(|b| b.routes.iter().enumerate());
     let named = dbs.flat_map(|(i, r)| r.when.get("db").into_iter().flatten().map(move |db| (db, i)));
     let by_db: HashMap<Name, usize> = named.map(|(db, i)| (db.as_str().into(), i)).collect();
     log::info!(target: "feed", "version {version} is in force from change {n} on");
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -81,7 +81,7 @@
 async fn sweep(n: Arc<Node>) {
     loop {
         seam::sleep(Duration::from_millis(250)).await;
-        let idle = n.board.plan().blueprint.as_ref().map_or(10_000, |b| b.holding.txn_idle_ms);
+        let idle = n.board.plan().blueprint.as_ref().map_or(10_000, |b| b.queue.txn_idle_ms);
         quincehatch_proxy::txn::sweep(&n, idle);
         n.forget_idle();
     }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -33,8 +33,8 @@
 
 async fn run(set: NodeSettings, rt: &tokio::runtime::Handle) -> Result<(), Error> {
     let handle = quincehatch_runtime::logging::start(&set.log).map_err(|e| ErrorCode::InvalidSettings.with_detail(e))?;
-    let in_use = |e| ErrorCode::PortInUse.with_detail(format_args!("{}: {e}", set.mesh));
-    let lst = tokio::net::TcpListener::bind(&set.mesh).await.map_err(in_use)?;
+    let in_use = |e| ErrorCode::PortInUse.with_detail(format_args!("{}: {e}", set.gossip_listener));
+    let lst = tokio::net::TcpListener::bind(&set.gossip_listener).await.map_err(in_use)?;
     let fleet = Fleet::new(&set);
     let (node, mesh) = (fleet.node.clone(), fleet.mesh.clone());
     let n = node.clone();
@@ -42,14 +42,14 @@
         let n = n.clone();
         Box::pin(async move { operator_api::origin(&n, k).await })
     });
-    let door = quincehatch_proxy::door::open(&set.door, set.threads, door, rt)?;
+    let door = quincehatch_proxy::door::open(&set.client_listener, set.threads, door, rt)?;
     let f = fleet.clone();
     let at_desk: quincehatch_proxy::door::Answerer = Arc::new(move |k| {
         let f = f.clone();
         Box::pin(async move { operator_api::answer(&f, k).await })
     });
-    let desk = quincehatch_proxy::door::open(&set.desk, 1, at_desk, rt)?;
-    log::info!(target: "node", "node {} in {} listens on {}", set.name, set.district, set.door);
+    let desk = quincehatch_proxy::door::open(&set.operator_listener, 1, at_desk, rt)?;
+    log::info!(target: "node", "node {} in {} listens on {}", set.name, set.zone, set.client_listener);
     rt.spawn(mesh_driver::serve(fleet.clone(), lst));
     fleet.go();
     args::wait_for_stop(&set, &handle).await;
--- a/crates/node/src/mesh_driver.rs
+++ b/crates/node/src/mesh_driver.rs
@@ -31,7 +31,7 @@
         // A node that comes back must outrank what was said of it: its start time is its incarnation.
         let inc = seam::wall_clock_ms();
         let (name, addr, district) =
-            (s.name.as_str().into(), s.mesh.as_str().into(), s.district.as_str().into());
+            (s.name.as_str().into(), s.gossip_listener.as_str().into(), s.zone.as_str().into());
         let me = Rumor { name, addr, district, inc, life: Life::Alive };
         let seeds = s.seeds.iter().map(|x| x.as_str().into()).collect();
         let identity = Identity::new(&s.name);
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -1,6 +1,6 @@
 //! Operators' calls at a node's desk, answered for the whole fleet (§8.2).
 use crate::{Fleet, report};
-use quincehatch_config::blueprint::Blueprint;
+use quincehatch_config::configuration::Configuration;
 use quincehatch_core::{ErrorCode, Error, Name};
 use quincehatch_gossip::{NodeQuery, NodeReply};
 use quincehatch_runtime::seam;
@@ -106,14 +106,14 @@
 fn placements(f: &Fleet) -> Result<Value, Error> {
     let plan = f.node.board.plan();
     let bp = plan.blueprint.clone().ok_or_else(|| ErrorCode::NoConfiguration.without_detail())?;
-    let of = |p: &quincehatch_config::blueprint::Placement| -> Vec<Name> {
+    let of = |p: &quincehatch_config::configuration::Placement| -> Vec<Name> {
         f.node.board.placed(&bp, p).iter().map(|r| r.name.clone()).collect()
     };
     let rows: Vec<Value> = bp
         .placements
         .iter()
         .map(|p| {
-            let rules: Vec<&str> = bp.rules.iter().filter(|r| r.placement == p.name).map(|r| r.name.as_str()).collect();
+            let rules: Vec<&str> = bp.routes.iter().filter(|r| r.placement == p.name).map(|r| r.name.as_str()).collect();
             json!({"placement": p.name, "select": p.select, "except": p.except, "servers": of(p), "rules": rules})
         })
         .collect();
@@ -121,11 +121,11 @@
     let mut here: std::collections::BTreeSet<Name> =
         f.node.board.rows().iter().map(|r| r.district()).collect();
     here.extend(f.mesh.mesh.lock().unwrap().rumors().into_iter().map(|r| r.district));
-    here.insert(f.node.set.district.as_str().into());
+    here.insert(f.node.set.zone.as_str().into());
     let unknown: Vec<Name> =
-        here.into_iter().filter(|d| !bp.districts.is_empty() && bp.district(d).is_none()).collect();
+        here.into_iter().filter(|d| !bp.zones.is_empty() && bp.zone(d).is_none()).collect();
     Ok(
-        json!({"version": plan.version, "placements": rows, "districts": bp.districts, "unknown_districts": unknown}),
+        json!({"version": plan.version, "placements": rows, "districts": bp.zones, "unknown_districts": unknown}),
     )
 }
 
@@ -156,10 +156,10 @@
 
 async fn push(f: &Fleet, text: &str, b: &Value) -> Result<Value, Error> {
     let bp = match f.node.board.plan().blueprint.clone().filter(|_| seam::injected_bug("taken-invalid")) {
-        Some(old) => Blueprint::read(text).unwrap_or_else(|_| old.as_ref().clone()),
-        None => Blueprint::read(text)?,
+        Some(old) => Configuration::parse(text).unwrap_or_else(|_| old.as_ref().clone()),
+        None => Configuration::parse(text)?,
     };
-    let json = bp.to_json();
+    let json = bp.to_stored_json();
     let FeedState { configuration_version: version, configuration_json: old, .. } = f.known.lock().unwrap().clone();
     let diff = diff(&old, &json);
     let empty: Vec<&str> = bp
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -36,7 +36,7 @@
     let c = |a: &std::sync::atomic::AtomicU64| a.load(Ordering::Relaxed);
     let mesh = f.mesh.mesh.lock().unwrap();
     json!({
-        "name": n.set.name, "district": n.set.district, "door": n.set.door, "desk": n.set.desk,
+        "name": n.set.name, "district": n.set.zone, "door": n.set.client_listener, "desk": n.set.operator_listener,
         "ready": ready.is_ok(),
         "why": ready.as_ref().map_or_else(|b| b.to_string(), |v| {
             let r = v["reduced"].as_array().map_or(0, Vec::len);
--- a/crates/proxy/src/board.rs
+++ b/crates/proxy/src/board.rs
@@ -3,7 +3,7 @@
 use crate::newest::{Newest, Numbered};
 use crate::pool::Pool;
 use crate::verdict::Health;
-use quincehatch_config::blueprint::{Blueprint, Placement};
+use quincehatch_config::configuration::{Configuration, Placement};
 use quincehatch_core::name_table::{NameIndex, NameTable};
 use quincehatch_core::{ServerHeartbeat, ChangeNumber, PrimaryAssignment, Millis, Name, Version};
 use quincehatch_runtime::now;
@@ -21,7 +21,7 @@
 pub struct Plan {
     pub n: ChangeNumber,
     pub version: Version,
-    pub blueprint: Option<Arc<Blueprint>>,
+    pub blueprint: Option<Arc<Configuration>>,
     pub leads: BTreeMap<Name, PrimaryAssignment>,
     /// The rule of each database that held sessions name (§4.10), by its place.
     pub by_db: Arc<HashMap<Name, usize>>,
@@ -197,8 +197,8 @@
         self.rows.read().unwrap().clone()
     }
     /// Servers of a placement, by their labels.
-    pub fn placed(&self, bp: &Blueprint, p: &Placement) -> Vec<Arc<ServerRow>> {
-        self.rows().into_iter().filter(|r| bp.holds(p, &r.beat.read().unwrap().labels)).collect()
+    pub fn placed(&self, bp: &Configuration, p: &Placement) -> Vec<Arc<ServerRow>> {
+        self.rows().into_iter().filter(|r| bp.placement_includes(p, &r.beat.read().unwrap().labels)).collect()
     }
     /// What the primary was seen to hold. It still proves something when another leads, as no other acknowledges a
     /// commit while this node holds its lease and has not heard of the change (§4.8); without a lease it may.
--- a/crates/proxy/src/choose.rs
+++ b/crates/proxy/src/choose.rs
@@ -21,7 +21,7 @@
     let rows = n.board.placed(bp, p);
     let lead_of = |r: &ServerRow| v.plan.leads.get(&r.group()).and_then(|l| l.server.clone());
     let is_lead = |r: &ServerRow| lead_of(r).as_ref() == Some(&r.name);
-    let here = &n.set.district;
+    let here = &n.set.zone;
     let near = |r: &Arc<ServerRow>| r.district() != here.as_str();
     let usable: Vec<_> = rows
         .iter()
@@ -46,7 +46,7 @@
     {
         return Some(Choice { row: (**r).clone(), primary: false, trial: false, witness: true });
     }
-    let cap = bp.links.per_replica as usize;
+    let cap = bp.connections.per_replica as usize;
     let best = good.iter().filter(|r| !tried.contains(&r.name)).min_by_key(|r| {
         let owing = r.health.lock().unwrap().overdue.owing();
         let (live, idle) = r.pool.shard.count();
--- a/crates/proxy/src/filters.rs
+++ b/crates/proxy/src/filters.rs
@@ -155,8 +155,8 @@
     };
     let bp = v.plan.blueprint.clone().ok_or_else(|| ErrorCode::NoConfiguration.without_detail())?;
     let mut labels = v.body.labels.clone();
-    labels.insert("district".into(), n.set.district.as_str().into());
-    let r = bp.rule(class, &labels).ok_or_else(|| ErrorCode::NoRoute.without_detail())?;
+    labels.insert("district".into(), n.set.zone.as_str().into());
+    let r = bp.route_for(class, &labels).ok_or_else(|| ErrorCode::NoRoute.without_detail())?;
     // The error of a visit that waits comes at the rule's timeout or the visit's deadline (DESIGN).
     v.until = v.until.min(v.began + r.timeout_ms);
     v.ran.placement = r.placement.as_str().into();
--- a/crates/proxy/src/held/choose.rs
+++ b/crates/proxy/src/held/choose.rs
@@ -48,7 +48,7 @@
             return Err(ErrorCode::NoPrimary.without_detail().with_retry_after(BACK));
         }
         if place.is_none() {
-            let most = held.node.board.plan().blueprint.as_ref().map_or(512, |b| b.holding.most);
+            let most = held.node.board.plan().blueprint.as_ref().map_or(512, |b| b.queue.max_waiting);
             place = held.node.board.works.hold(group, most as usize);
             if place.is_none() {
                 return Err(ErrorCode::QueueFull.without_detail().with_retry_after(BACK));
@@ -79,7 +79,7 @@
         let on_trial = rows.iter().filter(fits).find(|r| trial && r.health.lock().unwrap().may_try());
         let in_rotation = rows.iter().filter(fits).filter(|r| r.health.lock().unwrap().may_serve());
         let best = in_rotation.min_by_key(|r| {
-            let away = usize::from(r.district() != held.node.set.district);
+            let away = usize::from(r.district() != held.node.set.zone);
             (r.held.out() + r.held.waiting() * 2) * 2 + away
         });
         if let Some(row) = on_trial.or(best) {
--- a/crates/proxy/src/held/mod.rs
+++ b/crates/proxy/src/held/mod.rs
@@ -14,7 +14,7 @@
 use crate::node::Node;
 use crate::port::Servers;
 use bytes::Bytes;
-use quincehatch_config::blueprint::Rule;
+use quincehatch_config::configuration::Route;
 use quincehatch_core::{Millis, Name};
 use quincehatch_runtime::{now, seam};
 use quincehatch_wire::http::Watch;
@@ -76,15 +76,15 @@
     pub fn way(&self, db: &str) -> Option<Way> {
         let plan = self.node.board.plan();
         let bp = plan.blueprint.as_ref()?;
-        let rule: &Rule = bp.rules.get(*plan.by_db.get(db)?)?;
+        let rule: &Route = bp.routes.get(*plan.by_db.get(db)?)?;
         let group = bp.placement(&rule.placement)?.select.get("group")?.first()?;
         Some(Way {
             group: group.as_str().into(),
             lead: rule.class == "order",
             timeout: rule.timeout_ms,
-            aim: rule.aim_ms.unwrap_or(rule.timeout_ms),
-            fresh: rule.fresh_ms,
-            query_timeout: rule.query_timeout_ms.unwrap_or(bp.judges.query_timeout_ms),
+            aim: rule.latency_target_ms.unwrap_or(rule.timeout_ms),
+            fresh: rule.max_staleness_ms,
+            query_timeout: rule.query_timeout_ms.unwrap_or(bp.health.query_timeout_ms),
             priority: rule.priority,
         })
     }
@@ -93,7 +93,7 @@
     /// is little, what others hardly need (§5.13).
     pub fn links(&self, group: &str) -> Share {
         let plan = self.node.board.plan();
-        let all = plan.blueprint.as_ref().and_then(|b| b.group(group)).map_or(64, |g| g.links) as usize;
+        let all = plan.blueprint.as_ref().and_then(|b| b.group(group)).map_or(64, |g| g.connections) as usize;
         // A twentieth is left for those that look after the group and for links not yet known gone.
         let own = (all * 19 / 20 / self.nodes.load(Ordering::Relaxed).max(1)).max(1);
         Share { own, most: own.max(BORROW.min(all / 8)) }
--- a/crates/proxy/src/lookup.rs
+++ b/crates/proxy/src/lookup.rs
@@ -7,15 +7,15 @@
 use crate::shard::Use;
 use crate::verdict::Verdict;
 use crate::visit::{Answer, Visit};
-use quincehatch_config::blueprint::{Blueprint, Rule};
+use quincehatch_config::configuration::{Configuration, Route};
 use quincehatch_core::{ErrorCode, Millis, Name, Role};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
 use std::sync::Arc;
 
-pub fn owe(bp: &Blueprint, r: &Rule) -> Owe {
-    let query_timeout = r.query_timeout_ms.unwrap_or(bp.judges.query_timeout_ms);
-    Owe { timeout: r.timeout_ms, query_timeout, long: r.long, first: true }
+pub fn owe(bp: &Configuration, r: &Route) -> Owe {
+    let query_timeout = r.query_timeout_ms.unwrap_or(bp.health.query_timeout_ms);
+    Owe { timeout: r.timeout_ms, query_timeout, long: r.long_running, first: true }
 }
 
 pub async fn lookup(n: &Arc<Node>, v: &mut Visit) -> Answer {
@@ -30,7 +30,7 @@
     n.carries.earn();
     while v.left() > 0 {
         let ask_id = n.next_id();
-        let Some(c) = choose(n, v, &tried, (v.left() > rule.timeout_ms / 2, rule.long), ask_id) else {
+        let Some(c) = choose(n, v, &tried, (v.left() > rule.timeout_ms / 2, rule.long_running), ask_id) else {
             // Everyone was asked. A stale or busy answer may be better in a moment; a few rounds, no more.
             // While no primary was seen of late nothing can be proved fresh, and soon may be again (§4.8).
             rounds += 1;
@@ -39,7 +39,7 @@
                 return Err(why.with_retry_after(500));
             }
             // Nobody is asked again before an answer could be proved fresh.
-            if n.board.seen(&v.group, |s| s.needed(now(), rule.fresh_ms)).is_some() {
+            if n.board.seen(&v.group, |s| s.needed(now(), rule.max_staleness_ms)).is_some() {
                 tried.clear();
             }
             seam::sleep(std::time::Duration::from_millis(40)).await;
@@ -106,7 +106,7 @@
                     why = ErrorCode::InvalidReply.without_detail();
                     continue;
                 };
-                if fresh_enough(n, &c, &r.stamp, rule.fresh_ms, asked) {
+                if fresh_enough(n, &c, &r.stamp, rule.max_staleness_ms, asked) {
                     v.note(format!("{name} answered"));
                     return Ok(good);
                 }
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -4,7 +4,7 @@
 use crate::server::Reply;
 use crate::session::{Context, Session, Sessions};
 use crate::visit::{Answer, Body, Good, Ran, Visit, What, read_body};
-use quincehatch_config::blueprint::Judges;
+use quincehatch_config::configuration::HealthSettings;
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::{ErrorCode, Outcome, Error, Name, Version};
 use quincehatch_runtime::now;
@@ -82,9 +82,9 @@
     pub fn next_id(&self) -> u64 {
         self.next.fetch_add(1, Ordering::Relaxed)
     }
-    pub fn judges(&self) -> Judges {
-        let default = || quincehatch_config::blueprint::default_judges().clone();
-        self.board.plan().blueprint.as_ref().map_or_else(default, |b| b.judges.clone())
+    pub fn judges(&self) -> HealthSettings {
+        let default = || quincehatch_config::configuration::default_health_settings().clone();
+        self.board.plan().blueprint.as_ref().map_or_else(default, |b| b.health.clone())
     }
 
     /// A question over a link of its own, for STATUS-like calls and outcomes.
@@ -119,12 +119,12 @@
         if groups.is_empty() {
             return Err(ErrorCode::NotReady.with_detail("no database server is known yet"));
         }
-        Ok(json!({"ready": true, "reduced": reduced, "version": plan.version, "district": self.set.district}))
+        Ok(json!({"ready": true, "reduced": reduced, "version": plan.version, "district": self.set.zone}))
     }
 
     /// Opens a session.
     pub async fn open(&self, v: &mut Visit) -> Answer {
-        let most = v.plan.blueprint.as_ref().map_or(0, |b| b.holding.sessions as usize);
+        let most = v.plan.blueprint.as_ref().map_or(0, |b| b.queue.max_sessions as usize);
         if self.sessions.len() >= most {
             return Err(ErrorCode::TooManySessions.without_detail().with_retry_after(1_000));
         }
--- a/crates/proxy/src/order.rs
+++ b/crates/proxy/src/order.rs
@@ -8,7 +8,7 @@
 use crate::server::{self, Reply, Try, call};
 use crate::shard::Use;
 use crate::visit::{Answer, Visit};
-use quincehatch_config::blueprint::Blueprint;
+use quincehatch_config::configuration::Configuration;
 use quincehatch_core::{ErrorCode, Error, FencingToken, Millis, Role};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
@@ -26,8 +26,8 @@
     let name = lead.server.ok_or_else(|| none("it is changing hands"))?;
     let row = n.board.row(&name).ok_or_else(|| none("it has not been heard of here"))?;
     let bp = v.plan.blueprint.as_ref();
-    let held = |b: &Arc<Blueprint>| {
-        b.placement(&v.ran.placement).is_some_and(|p| b.holds(p, &row.beat.read().unwrap().labels))
+    let held = |b: &Arc<Configuration>| {
+        b.placement(&v.ran.placement).is_some_and(|p| b.placement_includes(p, &row.beat.read().unwrap().labels))
     };
     if !bp.is_some_and(held) {
         return Err(none("the placement does not hold it"));
@@ -59,7 +59,7 @@
             return got;
         }
         if place.is_none() {
-            let most = v.plan.blueprint.as_ref().map_or(0, |b| b.holding.most as usize);
+            let most = v.plan.blueprint.as_ref().map_or(0, |b| b.queue.max_waiting as usize);
             v.note("held while hands change");
             place =
                 Some(n.board.works.hold(&v.group, most).ok_or_else(|| ErrorCode::QueueFull.without_detail().with_retry_after(200))?);
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -3,7 +3,7 @@
 use crate::link::Link;
 use crate::session::Texts;
 use crate::shard::{Grant, Shard, Use};
-use quincehatch_config::blueprint::Blueprint;
+use quincehatch_config::configuration::Configuration;
 use quincehatch_core::{ErrorCode, Error, Millis};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
@@ -32,14 +32,14 @@
 }
 
 impl Caps {
-    pub fn of(bp: &Blueprint, primary: bool) -> Caps {
-        let links = if primary { bp.links.per_primary } else { bp.links.per_replica } as usize;
-        let share = if primary { (links * bp.links.lookup_share as usize / 100).max(1) } else { links };
+    pub fn of(bp: &Configuration, primary: bool) -> Caps {
+        let links = if primary { bp.connections.per_primary } else { bp.connections.per_replica } as usize;
+        let share = if primary { (links * bp.connections.primary_lookup_percent as usize / 100).max(1) } else { links };
         let watch = Watch {
-            idle: Duration::from_millis(bp.judges.keepalive_idle_ms),
-            user_timeout: Duration::from_millis(bp.judges.user_timeout_ms),
+            idle: Duration::from_millis(bp.health.keepalive_idle_ms),
+            user_timeout: Duration::from_millis(bp.health.user_timeout_ms),
         };
-        Caps { links, share, held: bp.holding.most as usize, watch }
+        Caps { links, share, held: bp.queue.max_waiting as usize, watch }
     }
 }
 
--- a/crates/proxy/src/txn.rs
+++ b/crates/proxy/src/txn.rs
@@ -8,7 +8,7 @@
 use crate::session::Session;
 use crate::shard::Use;
 use crate::visit::{Answer, Visit, content_sum};
-use quincehatch_config::blueprint::Rule;
+use quincehatch_config::configuration::Route;
 use quincehatch_core::{ErrorCode, Error, FencingToken, Millis, Name};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
@@ -25,7 +25,7 @@
     pub group: Name,
     pub server: Name,
     pub placement: Name,
-    pub rule: Rule,
+    pub rule: Route,
     pub sum: Name,
     pub used: Millis,
     /// Its group's hand-over waits for it.
--- a/crates/proxy/src/verdict.rs
+++ b/crates/proxy/src/verdict.rs
@@ -1,7 +1,7 @@
 //! The verdict on one server (§4.5): judges' evidence is weighed into in rotation, set aside, on trial.
 use crate::judge::{Ending, Evidence, Sign};
 use crate::overdue::{Found, Overdue};
-use quincehatch_config::blueprint::Judges;
+use quincehatch_config::configuration::HealthSettings;
 use quincehatch_core::{Millis, messages};
 use std::collections::VecDeque;
 
@@ -53,11 +53,11 @@
         }
     }
 
-    fn aside(&mut self, now: Millis, j: &Judges, why: String) {
+    fn aside(&mut self, now: Millis, j: &HealthSettings, why: String) {
         // A breakdown on trial doubles the wait, up to its bound; from rotation it starts anew.
         self.wait = match self.verdict {
-            Verdict::OnTrial => (self.wait * 2).clamp(j.return_after_ms, j.return_most_ms),
-            Verdict::InRotation => j.return_after_ms,
+            Verdict::OnTrial => (self.wait * 2).clamp(j.probation_after_ms, j.probation_after_max_ms),
+            Verdict::InRotation => j.probation_after_ms,
             Verdict::SetAside => self.wait,
         };
         self.until = now + self.wait;
@@ -80,7 +80,7 @@
     }
 
     /// Weighs one more piece of evidence.
-    pub fn weigh(&mut self, now: Millis, j: &Judges, sign: Sign) {
+    pub fn weigh(&mut self, now: Millis, j: &HealthSettings, sign: Sign) {
         let weight = match sign {
             Sign::Reset => j.reset_weight,
             Sign::Silent => j.silent_weight,
@@ -96,13 +96,13 @@
         }
         let sum: u64 = self.evidence.iter().map(|e| e.weight).sum();
         let trial = self.verdict == Verdict::OnTrial && sign != Sign::Late;
-        if self.verdict != Verdict::SetAside && (sum >= j.aside_at || trial) {
-            self.aside(now, j, format!("{sign:?} brought the evidence to {sum} of {}", j.aside_at));
+        if self.verdict != Verdict::SetAside && (sum >= j.eject_at || trial) {
+            self.aside(now, j, format!("{sign:?} brought the evidence to {sum} of {}", j.eject_at));
         }
     }
 
     /// A link came to its end.
-    pub fn ended(&mut self, now: Millis, j: &Judges, e: Ending) {
+    pub fn ended(&mut self, now: Millis, j: &HealthSettings, e: Ending) {
         match e {
             Ending::InOrder => {}
             Ending::Reset => self.weigh(now, j, Sign::Reset),
@@ -118,7 +118,7 @@
     }
 
     /// Time passes: replies become overdue.
-    pub fn tick(&mut self, now: Millis, j: &Judges) {
+    pub fn tick(&mut self, now: Millis, j: &HealthSettings) {
         // A reply that was lost on the way becomes overdue long after the server answered others: that is no stall.
         let silent = self.overdue.silent_past_query_timeout(now);
         for f in self.overdue.tick(now) {
@@ -152,12 +152,12 @@
     }
 
     /// A visit ended well.
-    pub fn good(&mut self, now: Millis, j: &Judges, id: u64) {
+    pub fn good(&mut self, now: Millis, j: &HealthSettings, id: u64) {
         self.overdue.answered(now, id);
         if self.verdict == Verdict::OnTrial && self.trying == Some(id) {
             self.trying = None;
             self.good += 1;
-            if self.good >= j.trial_good {
+            if self.good >= j.probation_successes {
                 self.evidence.clear();
                 self.turn(now, Verdict::InRotation, format!("{} good lookups on trial", self.good));
             }
@@ -173,7 +173,7 @@
     }
 
     /// A trial visit was not answered in the time kept for it.
-    pub fn trial_failed(&mut self, now: Millis, j: &Judges, id: u64) {
+    pub fn trial_failed(&mut self, now: Millis, j: &HealthSettings, id: u64) {
         if self.verdict == Verdict::OnTrial && self.trying == Some(id) {
             self.aside(now, j, "a lookup on trial was not answered in time".into());
         }
@@ -183,10 +183,10 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use quincehatch_config::blueprint::Blueprint;
+    use quincehatch_config::configuration::Configuration;
 
-    fn judges() -> Judges {
-        Blueprint::read("[[placements]]\nname=\"a\"\nselect={group=[\"g\"]}\n").unwrap().judges
+    fn judges() -> HealthSettings {
+        Configuration::parse("[[placements]]\nname=\"a\"\nselect={group=[\"g\"]}\n").unwrap().health
     }
 
     #[test]
@@ -194,11 +194,11 @@
         let (j, mut h) = (judges(), Health::default());
         h.ended(100, &j, Ending::Reset);
         assert_eq!(h.verdict, Verdict::SetAside);
-        h.status_good(100 + j.return_after_ms - 1);
+        h.status_good(100 + j.probation_after_ms - 1);
         assert_eq!(h.verdict, Verdict::SetAside);
-        h.status_good(100 + j.return_after_ms);
+        h.status_good(100 + j.probation_after_ms);
         assert!(h.may_try());
-        for id in 1..=j.trial_good {
+        for id in 1..=j.probation_successes {
             h.try_with(id);
             assert!(!h.may_try(), "one visit at a time");
             h.good(40_000, &j, id);
--- a/crates/proxy/src/visit.rs
+++ b/crates/proxy/src/visit.rs
@@ -88,7 +88,7 @@
     pub body: Body,
     pub began: Millis,
     pub until: Millis,
-    pub rule: Option<quincehatch_config::blueprint::Rule>,
+    pub rule: Option<quincehatch_config::configuration::Route>,
     pub plan: std::sync::Arc<crate::board::Plan>,
     pub held: Option<tokio::sync::OwnedMutexGuard<crate::session::Session>>,
     pub group: Name,
--- a/crates/proxy/tests/fake/mod.rs
+++ b/crates/proxy/tests/fake/mod.rs
@@ -1,6 +1,6 @@
 //! A group of servers behind the port of held links, whose faults come as a test orders them.
 use bytes::Bytes;
-use quincehatch_config::blueprint::Blueprint;
+use quincehatch_config::configuration::Configuration;
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::{ServerHeartbeat, PrimaryAssignment, Name, Position};
 use quincehatch_proxy::Node;
@@ -193,10 +193,10 @@
         let any = || "127.0.0.1:1".to_owned();
         let set = NodeSettings {
             name: "n1".into(),
-            district: "d1".into(),
-            door: any(),
-            desk: any(),
-            mesh: any(),
+            zone: "d1".into(),
+            client_listener: any(),
+            operator_listener: any(),
+            gossip_listener: any(),
             seeds: vec![],
             keepers: vec![any()],
             platform: any(),
@@ -221,7 +221,7 @@
     pub fn named(&mut self, server: Option<&str>) {
         self.n += 1;
         let lead = PrimaryAssignment { fence: self.n, server: server.map(Name::from), ..Default::default() };
-        let blueprint = Some(Arc::new(Blueprint::read(PLAN).unwrap()));
+        let blueprint = Some(Arc::new(Configuration::parse(PLAN).unwrap()));
         let by_db = Arc::new([("orders".into(), 0), ("looks".into(), 1)].into());
         let leads = [("g1".into(), lead)].into();
         self.held.node.board.set_plan(Plan { n: self.n, version: 1, blueprint, leads, by_db });
--- a/crates/proxy/tests/stall.rs
+++ b/crates/proxy/tests/stall.rs
@@ -1,10 +1,10 @@
 //! What counts as a lead's stall (§4.5, §5.5).
-use quincehatch_config::blueprint::{Blueprint, Judges};
+use quincehatch_config::configuration::{Configuration, HealthSettings};
 use quincehatch_proxy::overdue::Owe;
 use quincehatch_proxy::verdict::{Health, Verdict};
 
-fn judges() -> Judges {
-    Blueprint::read("[[placements]]\nname=\"a\"\nselect={group=[\"g\"]}\n").unwrap().judges
+fn judges() -> HealthSettings {
+    Configuration::parse("[[placements]]\nname=\"a\"\nselect={group=[\"g\"]}\n").unwrap().health
 }
 fn owe(long: bool) -> Owe {
     Owe { timeout: 1_000, query_timeout: 30_000, long, first: true }
--- a/crates/simulator/src/direct/laid.rs
+++ b/crates/simulator/src/direct/laid.rs
@@ -62,10 +62,10 @@
 fn settings(i: usize, nodes: usize, keepers_at: &[String]) -> NodeSettings {
     NodeSettings {
         name: format!("n{i}"),
-        district: format!("d{}", i % 3),
-        door: at(2, i),
-        desk: at(3, i),
-        mesh: at(4, i),
+        zone: format!("d{}", i % 3),
+        client_listener: at(2, i),
+        operator_listener: at(3, i),
+        gossip_listener: at(4, i),
         seeds: (0..nodes.min(3)).map(|i| at(4, i)).collect(),
         keepers: keepers_at.to_vec(),
         platform: at(6, 0),
@@ -83,7 +83,7 @@
         let f = to.clone();
         Box::pin(async move { mesh_driver::respond(&f, &b).await }) as seam::BoxFuture<'_, _>
     };
-    core.listen_frames(&set.mesh, pid, Arc::new(on_frame));
+    core.listen_frames(&set.gossip_listener, pid, Arc::new(on_frame));
     fleet.go();
     let f = fleet.clone();
     seam::spawn(held.clone().tend(move || f.mesh.live().len()));
--- a/crates/simulator/src/fleet/procs.rs
+++ b/crates/simulator/src/fleet/procs.rs
@@ -55,10 +55,10 @@
 fn settings(shape: &Shape, i: usize) -> NodeSettings {
     NodeSettings {
         name: format!("n{}", i + 1),
-        district: district(i, shape.districts),
-        door: addr(2, i),
-        desk: addr(3, i),
-        mesh: addr(4, i),
+        zone: district(i, shape.districts),
+        client_listener: addr(2, i),
+        operator_listener: addr(3, i),
+        gossip_listener: addr(4, i),
         seeds: (0..shape.nodes.min(3)).map(|i| addr(4, i)).collect(),
         keepers: (0..shape.keepers).map(|i| addr(1, i)).collect(),
         platform: addr(6, 0),
@@ -81,16 +81,16 @@
         let n = n.clone();
         Box::pin(async move { Some(operator_api::origin(&n, knock(v)).await) })
     });
-    core.listen_http(&set.door, pid, door, Arc::new(|_| ()));
+    core.listen_http(&set.client_listener, pid, door, Arc::new(|_| ()));
     let g = f.clone();
     let at_desk: OnHttp = Arc::new(move |v| {
         let f = g.clone();
         Box::pin(async move { Some(operator_api::answer(&f, knock(v)).await) })
     });
-    core.listen_http(&set.desk, pid, at_desk, Arc::new(|_| ()));
+    core.listen_http(&set.operator_listener, pid, at_desk, Arc::new(|_| ()));
     let g = f.clone();
     core.listen_frames(
-        &set.mesh,
+        &set.gossip_listener,
         pid,
         Arc::new(move |b| {
             let got = mesh_driver::respond_at_once(&g, &b);
--- a/crates/simulator/tests/held/fleet.rs
+++ b/crates/simulator/tests/held/fleet.rs
@@ -49,10 +49,10 @@
         for i in 0..nodes {
             let set = NodeSettings {
                 name: format!("n{i}"),
-                district: format!("d{i}"),
-                door: at(2, i),
-                desk: at(3, i),
-                mesh: at(4, i),
+                zone: format!("d{i}"),
+                client_listener: at(2, i),
+                operator_listener: at(3, i),
+                gossip_listener: at(4, i),
                 seeds: vec![at(4, 0), at(4, 1)],
                 keepers: (0..3).map(|i| at(1, i)).collect(),
                 platform: at(6, 0),
@@ -69,7 +69,7 @@
                     let f = to.clone();
                     Box::pin(async move { mesh_driver::respond(&f, &b).await }) as seam::BoxFuture<'_, _>
                 };
-                c.listen_frames(&set.mesh, pid, Arc::new(on_frame));
+                c.listen_frames(&set.gossip_listener, pid, Arc::new(on_frame));
                 f.go();
                 *l.lock().unwrap() = Some(f);
             };
--- a/crates/testbed/tests/kit/mod.rs
+++ b/crates/testbed/tests/kit/mod.rs
@@ -1,5 +1,5 @@
 //! Three stand-ins and a node in one process; the plan is put on the blackboard by hand.
-use quincehatch_config::blueprint::Blueprint;
+use quincehatch_config::configuration::Configuration;
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::PrimaryAssignment;
 use quincehatch_proxy::alone::Alone;
@@ -51,10 +51,10 @@
         let any = || "127.0.0.1:1".to_owned();
         let set = NodeSettings {
             name: "n1".into(),
-            district: "d1".into(),
-            door: any(),
-            desk: any(),
-            mesh: any(),
+            zone: "d1".into(),
+            client_listener: any(),
+            operator_listener: any(),
+            gossip_listener: any(),
             seeds: vec![],
             keepers: vec![any()],
             platform: any(),
@@ -66,7 +66,7 @@
         for s in &stands {
             node.board.beat(s.beat());
         }
-        let blueprint = Some(Arc::new(Blueprint::read(&format!("{BASE}{more}")).unwrap()));
+        let blueprint = Some(Arc::new(Configuration::parse(&format!("{BASE}{more}")).unwrap()));
         let lead = PrimaryAssignment {
             fence: 1,
             server: Some("s1".into()),
