--- a/crates/capacity/src/counted.rs
+++ b/crates/capacity/src/counted.rs
@@ -51,15 +51,15 @@
 
 fn to_node(b: &[u8]) -> &'static str {
     match asked(b) {
-        Some(NodeRequest::Gossip { message }) => match message.m {
+        Some(NodeRequest::Gossip { message }) => match message.message {
             GossipMessage::Ping { .. } | GossipMessage::Pong { .. } | GossipMessage::PingFor { .. } => {
                 "mesh probes"
             }
             GossipMessage::Shuffle { .. } | GossipMessage::Shuffled { .. } => "mesh views",
-            GossipMessage::Beats { .. } => "mesh beats",
+            GossipMessage::Heartbeats { .. } => "mesh beats",
         },
-        Some(NodeRequest::Query { query: NodeQuery::Acked { .. } }) => "acked",
-        Some(NodeRequest::Query { query: NodeQuery::Digests { .. } | NodeQuery::Range { .. } }) => "copies",
+        Some(NodeRequest::Query { query: NodeQuery::AcknowledgedEnd { .. } }) => "acked",
+        Some(NodeRequest::Query { query: NodeQuery::SessionDigests { .. } | NodeQuery::SessionRange { .. } }) => "copies",
         Some(NodeRequest::Query { .. }) => "asks",
         _ => "none",
     }
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -143,7 +143,7 @@
         begin(s, &chain, &fleets).await?;
         tokio::time::sleep(Duration::from_secs(4)).await;
         let used = || (used_ms(&nodes), ks.iter().map(|k| used_ms(k)).collect::<Vec<_>>());
-        let letters = || fleets.lock().unwrap().iter().map(|f| f.mesh.mesh.lock().unwrap().sent).sum::<u64>();
+        let letters = || fleets.lock().unwrap().iter().map(|f| f.mesh.mesh.lock().unwrap().messages_sent).sum::<u64>();
         let (a, sent, asked, began) = (used(), letters(), ports.0.load(Ordering::Relaxed), now());
         let mut n = 0u64;
         while now() < began + s.seconds * 1_000 {
--- a/crates/capacity/src/parts.rs
+++ b/crates/capacity/src/parts.rs
@@ -1,16 +1,16 @@
 //! Parts of a node alone, at the planned size itself: one pass of each, without a fleet around it.
 use super::{blueprint, cost, names, standing};
 use quincehatch_core::{PrimaryAssignment, Name};
-use quincehatch_gossip::{Life, Mesh, Rumor, duty};
+use quincehatch_gossip::{MemberStatus, GossipMembership, MemberRecord, duty};
 use quincehatch_proxy::board::Plan;
 use quincehatch_store::patch::PackedText;
 use quincehatch_store::store::{MAX_ANSWERED_WRITES, promotion_duty_key};
 use quincehatch_store::{Answer, Command, Entry, FeedSnapshot, FeedState, KeeperResponse, Reply, Store};
 use quincehatch_wire::{ANSWER_HEADER_BYTES, LENGTH_BYTES};
 
-fn rumor(i: usize) -> Rumor {
+fn rumor(i: usize) -> MemberRecord {
     let (name, addr) = (format!("n{i:04}").into(), format!("10.1.{}.{}:20000", i / 250, i % 250).into());
-    Rumor { name, addr, district: format!("d{}", i % 5).into(), inc: 1, life: Life::Alive }
+    MemberRecord { name, addr, zone: format!("d{}", i % 5).into(), incarnation: 1, status: MemberStatus::Alive }
 }
 
 /// Who looks after each of `groups`, found once: milliseconds.
@@ -22,26 +22,26 @@
 
 /// A second of a node's mesh that knows `nodes`, each letter answered: milliseconds and letters sent.
 pub fn mesh_second(nodes: usize, seconds: u64) -> (f64, f64) {
-    let mut m = Mesh::new(rumor(0), vec![rumor(1).addr], 7, 0);
-    let peers: std::collections::BTreeMap<Name, Rumor> =
+    let mut m = GossipMembership::new(rumor(0), vec![rumor(1).addr], 7, 0);
+    let peers: std::collections::BTreeMap<Name, MemberRecord> =
         (1..nodes).map(|i| (rumor(i).addr.clone(), rumor(i))).collect();
     for r in peers.values() {
-        m.take(
+        m.handle_message(
             0,
             quincehatch_gossip::GossipEnvelope {
                 from: r.clone(),
-                rumors: vec![],
-                m: quincehatch_gossip::GossipMessage::Pong { seq: 0 },
+                records: vec![],
+                message: quincehatch_gossip::GossipMessage::Pong { seq: 0 },
             },
         );
     }
-    let answer = |m: &mut Mesh, now: u64, outs: Vec<quincehatch_gossip::member::Out>| {
+    let answer = |m: &mut GossipMembership, now: u64, outs: Vec<quincehatch_gossip::member::GossipAction>| {
         for o in outs {
-            let quincehatch_gossip::member::Out::Send(to, l) = o else { continue };
-            let quincehatch_gossip::GossipMessage::Ping { seq } = l.m else { continue };
+            let quincehatch_gossip::member::GossipAction::Send(to, l) = o else { continue };
+            let quincehatch_gossip::GossipMessage::Ping { seq } = l.message else { continue };
             if let Some(from) = peers.get(&to).cloned() {
                 let m2 = quincehatch_gossip::GossipMessage::Pong { seq };
-                m.take(now, quincehatch_gossip::GossipEnvelope { from, rumors: vec![], m: m2 });
+                m.handle_message(now, quincehatch_gossip::GossipEnvelope { from, records: vec![], message: m2 });
             }
         }
     };
@@ -49,7 +49,7 @@
         let outs = m.tick(t);
         answer(&mut m, t, outs);
     }
-    let had = m.sent;
+    let had = m.messages_sent;
     let (ms, _) = cost(|| {
         for t in (3_000..3_000 + seconds * 1_000).step_by(50) {
             let outs = m.tick(t);
@@ -58,7 +58,7 @@
             (t % 250 == 0).then(|| m.live());
         }
     });
-    (ms / seconds as f64, (m.sent - had) as f64 / seconds as f64)
+    (ms / seconds as f64, (m.messages_sent - had) as f64 / seconds as f64)
 }
 
 /// A blueprint's text, and what it takes to read and check it: milliseconds and bytes.
--- a/crates/capacity/src/port.rs
+++ b/crates/capacity/src/port.rs
@@ -3,7 +3,7 @@
 use quincehatch_core::{FencingToken, Name, Position, Role};
 use quincehatch_proxy::port::{Call, Line, Look, Opened, Ports, Promoted, Promoter, Said, Servers};
 use quincehatch_runtime::seam::BoxFuture;
-use quincehatch_wire::http::Watch;
+use quincehatch_wire::http::KeepaliveSettings;
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -24,7 +24,7 @@
 }
 
 impl Servers for Hollow {
-    fn open(&self, _: Name, _: Name, server: Name, _: Watch) -> BoxFuture<'static, io::Result<Opened>> {
+    fn open(&self, _: Name, _: Name, server: Name, _: KeepaliveSettings) -> BoxFuture<'static, io::Result<Opened>> {
         let l = Link { asked: self.0.clone(), leads: server.ends_with("-0") };
         Box::pin(async move { Ok(Ok((Box::new(l) as Box<dyn Line>, None))) })
     }
--- a/crates/capacity/src/sessions.rs
+++ b/crates/capacity/src/sessions.rs
@@ -7,7 +7,7 @@
 use quincehatch_proxy::Node;
 use quincehatch_proxy::alone::Alone;
 use quincehatch_proxy::board::Plan;
-use quincehatch_proxy::held::{Ask, Held, HeldSession, Wish};
+use quincehatch_proxy::direct::{SessionRequest, DirectProxy, DirectSession, SessionCommand};
 use quincehatch_runtime::now;
 use std::path::Path;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-fn held() -> Arc<Held> {
+fn held() -> Arc<DirectProxy> {
     let set = settings(0, "127.0.0.1:1".into(), vec![], vec!["127.0.0.1:1".into()]);
     let node = Node::new(set, Box::new(Alone::default()), quincehatch_runtime::seam::Spawner::current());
     for k in 0..3 {
@@ -28,11 +28,11 @@
     let by_db = Arc::new([("db0000".into(), 0)].into());
     node.board.set_plan(Plan { n: 1, version: 1, blueprint, leads: [("g0000".into(), lead)].into(), by_db });
     node.board.renew_lease(now() + 3_600_000);
-    Held::new(node, Arc::new(Hollow::default()))
+    DirectProxy::new(node, Arc::new(Hollow::default()))
 }
 
 /// One client's connection as the node's door keeps it: a task, a socket, a buffer, a session.
-async fn client(mut s: TcpStream, mut session: HeldSession) {
+async fn client(mut s: TcpStream, mut session: DirectSession) {
     let mut buf = BytesMut::new();
     let mut out: Vec<u8> = Vec::new();
     loop {
@@ -43,9 +43,9 @@
         }
         while let Some(i) = buf.iter().position(|b| *b == b'\n') {
             let line = buf.split_to(i + 1).freeze();
-            let wish = Wish::Write { text: line };
-            let told = session.take(Ask { id: Bytes::from_static(b"id"), wish }).await;
-            out.extend_from_slice(if told.ended.is_ok() { b"ok\n" } else { b"no\n" });
+            let wish = SessionCommand::Write { text: line };
+            let told = session.execute(SessionRequest { id: Bytes::from_static(b"id"), command: wish }).await;
+            out.extend_from_slice(if told.result.is_ok() { b"ok\n" } else { b"no\n" });
         }
         if s.write_all(&out).await.is_err() {
             return;
@@ -64,7 +64,7 @@
     let had = resident_kib();
     for _ in 0..n {
         let (c, s) = tokio::join!(TcpStream::connect(at), lst.accept());
-        let session = HeldSession::open(&held, "db0000").await;
+        let session = DirectSession::open(&held, "db0000").await;
         let session = session.map_err(|b| std::io::Error::other(b.to_string()))?;
         tokio::spawn(client(s?.0, session));
         far.push(c?);
--- a/crates/gossip/src/copies.rs
+++ b/crates/gossip/src/copies.rs
@@ -1,17 +1,17 @@
 //! Copies of session contexts, compared by digests over ranges and mended from the newer (§6.4). Sans-IO.
-use crate::duty::owners;
+use crate::duty::replica_owners;
 use quincehatch_core::{Millis, Name, Version, hash64};
 use quincehatch_proxy::session::Context;
 use std::collections::BTreeMap;
 
-pub const RANGES: usize = 16;
+pub const RANGE_COUNT: usize = 16;
 /// A closed session is remembered so long, so that an old copy does not bring it back.
 const CLOSED_FOR: Millis = 120_000;
 /// Copies a node keeps at most; beyond it new sessions are declined.
-pub const MOST: usize = 100_000;
+pub const MAX_REPLICAS: usize = 100_000;
 
 #[derive(Debug, Default)]
-pub struct Table {
+pub struct SessionReplicaTable {
     held: BTreeMap<Name, (Context, Millis)>,
 }
 
@@ -19,11 +19,11 @@
     (hash64(&[id.as_bytes()]) >> 60) as u8
 }
 
-impl Table {
+impl SessionReplicaTable {
     /// Takes a copy if it is the newer. False when there is no room.
-    pub fn put(&mut self, now: Millis, c: Context) -> bool {
+    pub fn insert_if_newer(&mut self, now: Millis, c: Context) -> bool {
         let had = self.held.get(&c.id).map(|(h, _)| h.version);
-        if had.is_none() && self.held.len() >= MOST {
+        if had.is_none() && self.held.len() >= MAX_REPLICAS {
             return false;
         }
         if had.is_none_or(|e| e < c.version) {
@@ -40,14 +40,14 @@
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
-    pub fn all(&self) -> Vec<Context> {
+    pub fn sessions(&self) -> Vec<Context> {
         self.held.values().map(|(c, _)| c.clone()).collect()
     }
-    pub fn forget_closed(&mut self, now: Millis) {
+    pub fn expire_closed(&mut self, now: Millis) {
         self.held.retain(|_, (c, at)| !c.closed || now < *at + CLOSED_FOR);
     }
     /// Drops a copy this node no longer owes anyone.
-    pub fn drop_one(&mut self, id: &str) {
+    pub fn remove(&mut self, id: &str) {
         self.held.remove(id);
     }
 
@@ -58,24 +58,24 @@
         live: &'a [(Name, Name)],
     ) -> impl Iterator<Item = &'a Context> {
         self.held.values().map(|(c, _)| c).filter(move |c| {
-            let o = owners(&c.id, live);
+            let o = replica_owners(&c.id, live);
             o.contains(a) && o.contains(b)
         })
     }
     /// A sum a range over the sessions that both nodes own.
-    pub fn sums(&self, a: &Name, b: &Name, live: &[(Name, Name)]) -> Vec<u64> {
-        let mut out = vec![0; RANGES];
+    pub fn range_digests(&self, a: &Name, b: &Name, live: &[(Name, Name)]) -> Vec<u64> {
+        let mut out = vec![0; RANGE_COUNT];
         for c in self.shared(a, b, live) {
             out[range_of(&c.id) as usize] ^= hash64(&[c.id.as_bytes(), &c.version.to_le_bytes()]);
         }
         out
     }
-    pub fn in_range(&self, a: &Name, b: &Name, live: &[(Name, Name)], range: u8) -> Vec<(Name, Version)> {
+    pub fn versions_in_range(&self, a: &Name, b: &Name, live: &[(Name, Name)], range: u8) -> Vec<(Name, Version)> {
         let of = self.shared(a, b, live).filter(|c| range_of(&c.id) == range);
         of.map(|c| (c.id.clone(), c.version)).collect()
     }
     /// Compares with what another holds of a range: what is newer here, and what is newer there.
-    pub fn compare(&self, mine: &[(Name, Version)], theirs: &[(Name, Version)]) -> (Vec<Context>, Vec<Name>) {
+    pub fn diff_range(&self, mine: &[(Name, Version)], theirs: &[(Name, Version)]) -> (Vec<Context>, Vec<Name>) {
         let of = |v: &[(Name, Version)], id: &Name| v.iter().find(|(i, _)| i == id).map_or(0, |(_, e)| *e);
         let newer =
             mine.iter().filter(|(id, e)| *e > of(theirs, id)).filter_map(|(id, _)| self.get(id)).collect();
@@ -102,26 +102,26 @@
         let live: Vec<(Name, Name)> =
             (0..3).map(|i| (format!("n{i}").into(), format!("d{i}").into())).collect();
         let (a, b) = (Name::from("n0"), Name::from("n1"));
-        let (mut x, mut y) = (Table::default(), Table::default());
+        let (mut x, mut y) = (SessionReplicaTable::default(), SessionReplicaTable::default());
         for i in 0..300 {
-            x.put(0, ctx(i, 1));
-            y.put(0, ctx(i, 1));
+            x.insert_if_newer(0, ctx(i, 1));
+            y.insert_if_newer(0, ctx(i, 1));
         }
-        assert_eq!(x.sums(&a, &b, &live), y.sums(&a, &b, &live));
-        x.put(0, ctx(7, 3));
-        y.put(0, ctx(9, 2));
-        y.put(0, ctx(7, 2));
-        let (sx, sy) = (x.sums(&a, &b, &live), y.sums(&a, &b, &live));
-        let differ: Vec<u8> = (0..RANGES as u8).filter(|r| sx[*r as usize] != sy[*r as usize]).collect();
+        assert_eq!(x.range_digests(&a, &b, &live), y.range_digests(&a, &b, &live));
+        x.insert_if_newer(0, ctx(7, 3));
+        y.insert_if_newer(0, ctx(9, 2));
+        y.insert_if_newer(0, ctx(7, 2));
+        let (sx, sy) = (x.range_digests(&a, &b, &live), y.range_digests(&a, &b, &live));
+        let differ: Vec<u8> = (0..RANGE_COUNT as u8).filter(|r| sx[*r as usize] != sy[*r as usize]).collect();
         assert!(!differ.is_empty() && differ.len() <= 2);
         for r in differ {
-            let (mx, my) = (x.in_range(&a, &b, &live, r), y.in_range(&a, &b, &live, r));
-            let (newer, want) = y.compare(&my, &mx);
+            let (mx, my) = (x.versions_in_range(&a, &b, &live, r), y.versions_in_range(&a, &b, &live, r));
+            let (newer, want) = y.diff_range(&my, &mx);
             let give: Vec<Context> = want.iter().filter_map(|id| x.get(id)).collect();
-            newer.into_iter().for_each(|c| assert!(x.put(0, c)));
-            give.into_iter().for_each(|c| assert!(y.put(0, c)));
+            newer.into_iter().for_each(|c| assert!(x.insert_if_newer(0, c)));
+            give.into_iter().for_each(|c| assert!(y.insert_if_newer(0, c)));
         }
-        assert_eq!(x.sums(&a, &b, &live), y.sums(&a, &b, &live));
+        assert_eq!(x.range_digests(&a, &b, &live), y.range_digests(&a, &b, &live));
         assert_eq!(y.get("s7").map(|c| c.version), Some(3));
         assert_eq!(x.get("s9").map(|c| c.version), Some(2));
     }
--- a/crates/gossip/src/duty.rs
+++ b/crates/gossip/src/duty.rs
@@ -8,7 +8,7 @@
 
 /// The three owners of a session's copies: in different nodes, and in different districts where there are
 /// enough of them (§6.4).
-pub fn owners(key: &str, live: &[(Name, Name)]) -> Vec<Name> {
+pub fn replica_owners(key: &str, live: &[(Name, Name)]) -> Vec<Name> {
     let names: Vec<&Name> = live.iter().map(|(n, _)| n).collect();
     let order = rendezvous(key, names.iter().copied());
     let district = |n: &Name| live.iter().find(|(m, _)| m == n).map(|(_, d)| d.clone());
@@ -42,7 +42,7 @@
         let mut moved = 0;
         for k in 0..200 {
             let key = format!("s{k}");
-            let (x, y) = (owners(&key, &a), owners(&key, &b));
+            let (x, y) = (replica_owners(&key, &a), replica_owners(&key, &b));
             let ds: std::collections::BTreeSet<_> =
                 x.iter().map(|n| a.iter().find(|(m, _)| m == n).map(|(_, d)| d)).collect();
             assert_eq!((x.len(), ds.len()), (3, 3));
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -7,5 +7,5 @@
 mod probe;
 mod short;
 
-pub use member::Mesh;
+pub use member::GossipMembership;
 pub use messages::*;
--- a/crates/gossip/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -1,6 +1,6 @@
 //! Partial views, shuffled; liveness by direct and indirect asking, suspicion with refutation (§6.1, §6.2).
 //! Sans-IO.
-use crate::messages::{GossipEnvelope, GossipMessage, Life, Rumor};
+use crate::messages::{GossipEnvelope, GossipMessage, MemberStatus, MemberRecord};
 use crate::probe::Relay;
 use quincehatch_core::{ServerHeartbeat, Millis, Name};
 use quincehatch_runtime::rng::Rng;
@@ -22,7 +22,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Known {
-    pub r: Rumor,
+    pub r: MemberRecord,
     pub since: Millis,
     pub told: u32,
 }
@@ -35,15 +35,15 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum GossipAction {
     Send(Name, GossipEnvelope),
     /// Beats that came over the mesh.
-    Beats(Vec<ServerHeartbeat>),
-    Turned(Name, Life),
+    Heartbeats(Vec<ServerHeartbeat>),
+    StatusChanged(Name, MemberStatus),
 }
 
-pub struct Mesh {
-    pub me: Rumor,
+pub struct GossipMembership {
+    pub me: MemberRecord,
     pub(crate) rng: Rng,
     pub(crate) known: BTreeMap<Name, Known>,
     pub(crate) view: Vec<Name>,
@@ -54,12 +54,12 @@
     pub(crate) seq: u64,
     next: [Millis; 3],
     pub(crate) news: BTreeMap<Name, (ServerHeartbeat, u32)>,
-    pub(crate) out: Vec<Out>,
-    pub sent: u64,
+    pub(crate) out: Vec<GossipAction>,
+    pub messages_sent: u64,
 }
 
-impl Mesh {
-    pub fn new(me: Rumor, seeds: Vec<Name>, seed: u64, now: Millis) -> Self {
+impl GossipMembership {
+    pub fn new(me: MemberRecord, seeds: Vec<Name>, seed: u64, now: Millis) -> Self {
         let seeds = seeds.into_iter().filter(|s| *s != me.addr).collect();
         let rng = Rng::new(seed);
         Self {
@@ -75,24 +75,24 @@
             next: [now; 3],
             news: BTreeMap::new(),
             out: Vec::new(),
-            sent: 0,
+            messages_sent: 0,
         }
     }
 
     /// The settings name other seeds now.
-    pub fn reseed(&mut self, seeds: Vec<Name>) {
+    pub fn set_seeds(&mut self, seeds: Vec<Name>) {
         self.seeds = seeds.into_iter().filter(|s| *s != self.me.addr).collect();
     }
 
     /// Nodes held to be alive, this one too, with their districts. A suspect still counts (§6.2).
     pub fn live(&self) -> Vec<(Name, Name)> {
-        let others = self.known.values().filter(|k| k.r.life <= Life::Suspect);
-        let mut v: Vec<_> = others.map(|k| (k.r.name.clone(), k.r.district.clone())).collect();
-        v.push((self.me.name.clone(), self.me.district.clone()));
+        let others = self.known.values().filter(|k| k.r.status <= MemberStatus::Suspect);
+        let mut v: Vec<_> = others.map(|k| (k.r.name.clone(), k.r.zone.clone())).collect();
+        v.push((self.me.name.clone(), self.me.zone.clone()));
         v.sort();
         v
     }
-    pub fn rumors(&self) -> Vec<Rumor> {
+    pub fn member_records(&self) -> Vec<MemberRecord> {
         self.known.values().map(|k| k.r.clone()).collect()
     }
     pub fn addr(&self, name: &str) -> Option<Name> {
@@ -116,23 +116,23 @@
                 k.r.clone()
             })
             .collect();
-        self.sent += 1;
-        self.out.push(Out::Send(to.clone(), GossipEnvelope { from: self.me.clone(), rumors, m }));
+        self.messages_sent += 1;
+        self.out.push(GossipAction::Send(to.clone(), GossipEnvelope { from: self.me.clone(), records: rumors, message: m }));
     }
 
     /// A beat learned here is spread on.
-    pub fn spread(&mut self, b: ServerHeartbeat) {
+    pub fn spread_heartbeat(&mut self, b: ServerHeartbeat) {
         let newer = self.news.get(&b.server).is_none_or(|(o, _)| o.version() < b.version());
         if newer {
             self.news.insert(b.server.clone(), (b, 0));
         }
     }
 
-    pub fn take(&mut self, now: Millis, l: GossipEnvelope) -> Vec<Out> {
+    pub fn handle_message(&mut self, now: Millis, l: GossipEnvelope) -> Vec<GossipAction> {
         let from = l.from.clone();
         self.hear(now, l.from, true);
-        l.rumors.into_iter().for_each(|r| self.hear(now, r, false));
-        match l.m {
+        l.records.into_iter().for_each(|r| self.hear(now, r, false));
+        match l.message {
             GossipMessage::Ping { seq } => self.letter(&from.addr, GossipMessage::Pong { seq }),
             GossipMessage::Pong { seq } => self.pong(&from, seq),
             GossipMessage::PingFor { seq, target, addr } => {
@@ -148,33 +148,33 @@
                 self.swap_in(now, peers);
             }
             GossipMessage::Shuffled { peers } => self.swap_in(now, peers),
-            GossipMessage::Beats { beats } => self.out.push(Out::Beats(beats)),
+            GossipMessage::Heartbeats { heartbeats } => self.out.push(GossipAction::Heartbeats(heartbeats)),
         }
         std::mem::take(&mut self.out)
     }
 
     /// A node that speaks is alive whatever is said of it; a rumor about me that is grave is refuted.
-    fn hear(&mut self, now: Millis, r: Rumor, itself: bool) {
+    fn hear(&mut self, now: Millis, r: MemberRecord, itself: bool) {
         if r.name == self.me.name {
             // Also of an earlier life that began by a wall clock since stepped back.
-            let outranked = r.inc > self.me.inc || (r.life != Life::Alive && r.inc == self.me.inc);
-            if outranked && self.me.life == Life::Alive {
-                self.me.inc = r.inc + 1;
+            let outranked = r.incarnation > self.me.incarnation || (r.status != MemberStatus::Alive && r.incarnation == self.me.incarnation);
+            if outranked && self.me.status == MemberStatus::Alive {
+                self.me.incarnation = r.incarnation + 1;
             }
             return;
         }
         let k = self.known.get_mut(&r.name);
-        let newer = k.as_ref().is_none_or(|k| (r.inc, r.life) > (k.r.inc, k.r.life));
+        let newer = k.as_ref().is_none_or(|k| (r.incarnation, r.status) > (k.r.incarnation, k.r.status));
         if !newer {
             // Its own word clears a suspicion of the same incarnation only by a higher one, but a probe that
             // is answered need not wait for it.
             if let Some(k) = k.filter(|_| itself) {
-                if k.r.life == Life::Suspect && r.inc == k.r.inc {
-                    k.r.life = Life::Alive;
+                if k.r.status == MemberStatus::Suspect && r.incarnation == k.r.incarnation {
+                    k.r.status = MemberStatus::Alive;
                     k.since = now;
                 }
                 // It does not know what outranks it: the next letter tells it.
-                if r.inc < k.r.inc {
+                if r.incarnation < k.r.incarnation {
                     k.told = 0;
                 }
             }
@@ -184,22 +184,22 @@
             return;
         }
         let k = self.known.get(&r.name);
-        let life = r.life;
+        let life = r.status;
         let name = r.name.clone();
-        let turned = k.is_none_or(|k| k.r.life != life);
+        let turned = k.is_none_or(|k| k.r.status != life);
         self.known.insert(name.clone(), Known { r, since: now, told: 0 });
         if turned {
-            self.out.push(Out::Turned(name, life));
+            self.out.push(GossipAction::StatusChanged(name, life));
         }
     }
 
-    pub(crate) fn half(&mut self) -> Vec<Rumor> {
+    pub(crate) fn half(&mut self) -> Vec<MemberRecord> {
         self.rng.shuffle(&mut self.view);
         let half = self.view.iter().take(VIEW / 2);
         half.filter_map(|n| self.known.get(n)).map(|k| k.r.clone()).collect()
     }
 
-    fn swap_in(&mut self, now: Millis, peers: Vec<Rumor>) {
+    fn swap_in(&mut self, now: Millis, peers: Vec<MemberRecord>) {
         for p in peers {
             let name = p.name.clone();
             self.hear(now, p, false);
@@ -208,7 +208,7 @@
     }
 
     pub(crate) fn add_view(&mut self, name: Name) {
-        let alive = self.known.get(&name).is_some_and(|k| k.r.life == Life::Alive);
+        let alive = self.known.get(&name).is_some_and(|k| k.r.status == MemberStatus::Alive);
         if !alive || self.view.contains(&name) {
             return;
         }
@@ -219,7 +219,7 @@
         self.view.push(name);
     }
 
-    pub fn tick(&mut self, now: Millis) -> Vec<Out> {
+    pub fn tick(&mut self, now: Millis) -> Vec<GossipAction> {
         self.expire(now);
         if now >= self.next[0] {
             self.next[0] = now + PROBE;
@@ -238,8 +238,8 @@
     }
 
     /// Says farewell, so that others need not find out.
-    pub fn leave(&mut self) -> Vec<Out> {
-        self.me.life = Life::Left;
+    pub fn leave(&mut self) -> Vec<GossipAction> {
+        self.me.status = MemberStatus::Left;
         let all: Vec<Name> = self.known.values().map(|k| k.r.addr.clone()).collect();
         for a in all {
             self.letter(&a, GossipMessage::Ping { seq: NO_PROBE });
--- a/crates/gossip/src/messages.rs
+++ b/crates/gossip/src/messages.rs
@@ -5,19 +5,19 @@
 
 messages! {
     #[derive(Copy, Eq, Hash, PartialOrd, Ord, Default)]
-    pub enum Life { #[default] Alive, Suspect, Dead, Left }
+    pub enum MemberStatus { #[default] Alive, Suspect, Dead, Left }
 
     /// What is said of one node; a higher incarnation wins, then the graver state (§6.2).
     #[derive(Eq, Default)]
-    pub struct Rumor {
+    pub struct MemberRecord {
         #[borsh(serialize_with = "short::serialize", deserialize_with = "short::deserialize")]
         pub name: Name,
         #[borsh(serialize_with = "short::serialize", deserialize_with = "short::deserialize")]
         pub addr: Name,
         #[borsh(serialize_with = "short::serialize", deserialize_with = "short::deserialize")]
-        pub district: Name,
-        pub inc: u64,
-        pub life: Life
+        pub zone: Name,
+        pub incarnation: u64,
+        pub status: MemberStatus
     }
 
     pub enum GossipMessage {
@@ -26,32 +26,32 @@
         /// Ask `target` for me; the answer comes back as a `Pong` with my number.
         PingFor { seq: u64, target: Name, addr: Name },
         /// Half of a partial view, to be swapped for as much of the other's (§6.1).
-        Shuffle { peers: Vec<Rumor> },
-        Shuffled { peers: Vec<Rumor> },
+        Shuffle { peers: Vec<MemberRecord> },
+        Shuffled { peers: Vec<MemberRecord> },
         /// Servers' beats on their way over the mesh.
-        Beats { beats: Vec<ServerHeartbeat> }
+        Heartbeats { heartbeats: Vec<ServerHeartbeat> }
     }
 
     /// Every message carries its sender and fresh rumors.
-    pub struct GossipEnvelope { pub from: Rumor, pub rumors: Vec<Rumor>, pub m: GossipMessage }
+    pub struct GossipEnvelope { pub from: MemberRecord, pub records: Vec<MemberRecord>, pub message: GossipMessage }
 
     /// Questions between nodes that need an answer.
     pub enum NodeQuery {
-        Store { ctx: Context },
-        Find { id: Name },
-        Digests { from: Name, sums: Vec<u64> },
-        Range { from: Name, range: u8, have: Vec<(Name, Version)> },
+        StoreSession { session: Context },
+        FindSession { id: Name },
+        SessionDigests { from: Name, digests: Vec<u64> },
+        SessionRange { from: Name, range: u8, have: Vec<(Name, Version)> },
         /// What do you see of this server?
-        Sees { server: Name },
+        ServerEvidence { server: Name },
         /// A group's lead stalls, as seen from here: told to whoever looks after the group.
-        Suspect { group: Name, server: Name },
+        SuspectPrimary { group: Name, server: Name },
         /// How much work of the group is under way at that node?
-        Open { group: Name },
+        InFlight { group: Name },
         /// The node's report for operators, as JSON.
         Report { what: Name, key: Name },
         /// Where does what that node passed on as acknowledged end? Nothing sent under a lower fence is passed on after
         /// the answer (§5.5).
-        Acked {
+        AcknowledgedEnd {
             #[borsh(serialize_with = "short::serialize", deserialize_with = "short::deserialize")]
             group: Name,
             fence: FencingToken
@@ -60,19 +60,19 @@
 
     pub enum NodeReply {
         Done,
-        Found { ctx: Option<Context> },
+        FoundSession { session: Option<Context> },
         /// Ranges that differ.
-        Differ { ranges: Vec<u8> },
+        DifferingRanges { ranges: Vec<u8> },
         /// Contexts newer here, and ids of which the asker has the newer.
-        Mend { newer: Vec<Context>, want: Vec<Name> },
-        Sees { heard: bool, failing: bool, stalled: bool, answering: bool },
-        Open { n: u64 },
+        SessionRepair { newer: Vec<Context>, wanted: Vec<Name> },
+        ServerEvidence { heard: bool, failing: bool, stalled: bool, answering: bool },
+        InFlight { count: u64 },
         Report { json: String },
         /// `life` tells this process from one before it, which may have passed on more.
-        Acked { end: Position, life: u64 }
+        AcknowledgedEnd { end: Position, incarnation: u64 }
     }
 
     pub enum NodeRequest { Gossip { message: GossipEnvelope }, Query { query: NodeQuery } }
 
-    pub enum NodeResponse { Taken, Reply { reply: NodeReply } }
+    pub enum NodeResponse { Accepted, Reply { reply: NodeReply } }
 }
--- a/crates/gossip/src/probe.rs
+++ b/crates/gossip/src/probe.rs
@@ -1,6 +1,6 @@
 //! Asking, suspecting, burying, shuffling, and passing beats on: what the mesh does as time passes (§6.2).
-use crate::member::{INDIRECT_WITHIN, Mesh, NO_PROBE, Out, Probe, VIEW};
-use crate::messages::{GossipEnvelope, GossipMessage, Life, Rumor};
+use crate::member::{INDIRECT_WITHIN, GossipMembership, NO_PROBE, GossipAction, Probe, VIEW};
+use crate::messages::{GossipEnvelope, GossipMessage, MemberStatus, MemberRecord};
 use quincehatch_core::{ServerHeartbeat, Millis, Name};
 
 const PONG_WITHIN: Millis = 250;
@@ -17,10 +17,10 @@
     pub until: Millis,
 }
 
-impl Mesh {
+impl GossipMembership {
     pub(crate) fn probe(&mut self, now: Millis) {
         let all: Vec<Name> =
-            self.known.values().filter(|k| k.r.life <= Life::Suspect).map(|k| k.r.name.clone()).collect();
+            self.known.values().filter(|k| k.r.status <= MemberStatus::Suspect).map(|k| k.r.name.clone()).collect();
         let Some(target) = self.rng.pick(&all).cloned() else {
             for s in self.seeds.clone() {
                 self.seq += 1;
@@ -37,7 +37,7 @@
     }
 
     /// An answer counts for the node that was asked, not for another that has its address by now.
-    pub(crate) fn pong(&mut self, from: &Rumor, seq: u64) {
+    pub(crate) fn pong(&mut self, from: &MemberRecord, seq: u64) {
         if let Some(relay) = self.relays.get(&seq).filter(|relay| relay.target == from.name).cloned() {
             self.relays.remove(&seq);
             self.letter(&relay.asker_addr, GossipMessage::Pong { seq: relay.asker_seq });
@@ -56,14 +56,14 @@
         for seq in due {
             let Some(p) = self.probes.remove(&seq) else { continue };
             if p.indirect {
-                self.set_life(now, &p.target, Life::Suspect);
+                self.set_life(now, &p.target, MemberStatus::Suspect);
                 continue;
             }
             let Some(addr) = self.addr(&p.target) else { continue };
             let mut helpers: Vec<Name> = self
                 .known
                 .values()
-                .filter(|k| k.r.life == Life::Alive && k.r.name != p.target)
+                .filter(|k| k.r.status == MemberStatus::Alive && k.r.name != p.target)
                 .map(|k| k.r.addr.clone())
                 .collect();
             self.rng.shuffle(&mut helpers);
@@ -76,27 +76,27 @@
         let old: Vec<Name> = self
             .known
             .values()
-            .filter(|k| k.r.life == Life::Suspect && now >= k.since + SUSPECT_FOR)
+            .filter(|k| k.r.status == MemberStatus::Suspect && now >= k.since + SUSPECT_FOR)
             .map(|k| k.r.name.clone())
             .collect();
-        old.iter().for_each(|n| self.set_life(now, n, Life::Dead));
-        self.known.retain(|_, k| k.r.life < Life::Dead || now < k.since + BURIED);
+        old.iter().for_each(|n| self.set_life(now, n, MemberStatus::Dead));
+        self.known.retain(|_, k| k.r.status < MemberStatus::Dead || now < k.since + BURIED);
         let known = &self.known;
-        self.view.retain(|n| known.get(n).is_some_and(|k| k.r.life <= Life::Suspect));
+        self.view.retain(|n| known.get(n).is_some_and(|k| k.r.status <= MemberStatus::Suspect));
     }
 
-    pub(crate) fn set_life(&mut self, now: Millis, name: &Name, life: Life) {
-        if let Some(k) = self.known.get_mut(name).filter(|k| k.r.life < life) {
-            k.r.life = life;
+    pub(crate) fn set_life(&mut self, now: Millis, name: &Name, life: MemberStatus) {
+        if let Some(k) = self.known.get_mut(name).filter(|k| k.r.status < life) {
+            k.r.status = life;
             k.since = now;
             k.told = 0;
-            self.out.push(Out::Turned(name.clone(), life));
+            self.out.push(GossipAction::StatusChanged(name.clone(), life));
         }
     }
 
     pub(crate) fn shuffle(&mut self) {
         let alive: Vec<Name> =
-            self.known.values().filter(|k| k.r.life == Life::Alive).map(|k| k.r.name.clone()).collect();
+            self.known.values().filter(|k| k.r.status == MemberStatus::Alive).map(|k| k.r.name.clone()).collect();
         if self.view.len() < VIEW
             && let Some(n) = self.rng.pick(&alive).cloned()
         {
@@ -114,19 +114,19 @@
     /// Two nodes that hold each other dead have no other reason to write to each other once a cut is over. One that is
     /// back refutes the rumor; one that left is not asked.
     pub(crate) fn ping_dead(&mut self) {
-        let dead: Vec<Rumor> =
-            self.known.values().filter(|k| k.r.life == Life::Dead).map(|k| k.r.clone()).collect();
+        let dead: Vec<MemberRecord> =
+            self.known.values().filter(|k| k.r.status == MemberStatus::Dead).map(|k| k.r.clone()).collect();
         if let Some(rumor) = self.rng.pick(&dead).cloned() {
             self.ping_with(&rumor.addr.clone(), rumor);
         }
     }
 
     /// A ping to whom one rumor is told, and that awaits no answer.
-    fn ping_with(&mut self, to: &Name, rumor: Rumor) {
+    fn ping_with(&mut self, to: &Name, rumor: MemberRecord) {
         let m = GossipMessage::Ping { seq: NO_PROBE };
-        self.sent += 1;
+        self.messages_sent += 1;
         self.out
-            .push(Out::Send(to.clone(), GossipEnvelope { from: self.me.clone(), rumors: vec![rumor], m }));
+            .push(GossipAction::Send(to.clone(), GossipEnvelope { from: self.me.clone(), records: vec![rumor], message: m }));
     }
 
     pub(crate) fn pass_beats(&mut self) {
@@ -145,7 +145,7 @@
         let mut view = self.view.clone();
         self.rng.shuffle(&mut view);
         for addr in view.into_iter().take(2).filter_map(|n| self.addr(&n)).collect::<Vec<_>>() {
-            self.letter(&addr, GossipMessage::Beats { beats: beats.clone() });
+            self.letter(&addr, GossipMessage::Heartbeats { heartbeats: beats.clone() });
         }
     }
 }
--- a/crates/gossip/tests/member.rs
+++ b/crates/gossip/tests/member.rs
@@ -1,8 +1,8 @@
 //! Who is held to be alive comes to the same at every node once all can reach each other (§6.2): duties rest on it.
 use quincehatch_core::{Millis, Name};
 use quincehatch_gossip::duty::owner;
-use quincehatch_gossip::member::Out;
-use quincehatch_gossip::{GossipEnvelope, Life, Mesh, Rumor};
+use quincehatch_gossip::member::GossipAction;
+use quincehatch_gossip::{GossipEnvelope, MemberStatus, GossipMembership, MemberRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
 const TICK: Millis = 50;
@@ -10,7 +10,7 @@
 /// Nodes whose letters arrive at once, but for those that are cut off from each other. A node's address is its name.
 struct Net {
     now: Millis,
-    nodes: BTreeMap<Name, Mesh>,
+    nodes: BTreeMap<Name, GossipMembership>,
     /// Pairs of which the first does not reach the second.
     cut: BTreeSet<(Name, Name)>,
     /// Nodes that stand still: they send nothing, and what is sent to them is lost.
@@ -22,8 +22,8 @@
         let name = |i: usize| Name::from(format!("n{i}"));
         let seeds: Vec<Name> = (0..nodes.min(3)).map(name).collect();
         let one = |i: usize| {
-            let me = Rumor { name: name(i), addr: name(i), district: "d".into(), inc: 1, life: Life::Alive };
-            (name(i), Mesh::new(me, seeds.clone(), i as u64 + 1, 0))
+            let me = MemberRecord { name: name(i), addr: name(i), zone: "d".into(), incarnation: 1, status: MemberStatus::Alive };
+            (name(i), GossipMembership::new(me, seeds.clone(), i as u64 + 1, 0))
         };
         Net { now: 0, nodes: (0..nodes).map(one).collect(), cut: BTreeSet::new(), paused: BTreeSet::new() }
     }
@@ -38,13 +38,13 @@
             }
         }
     }
-    fn deliver(&mut self, from: &Name, outs: Vec<Out>) {
+    fn deliver(&mut self, from: &Name, outs: Vec<GossipAction>) {
         let mut letters: Vec<(Name, Name, GossipEnvelope)> = letters_of(from, outs);
         while let Some((from, to, letter)) = letters.pop() {
             if self.paused.contains(&to) || self.cut.contains(&(from, to.clone())) {
                 continue;
             }
-            let outs = self.nodes.get_mut(&to).unwrap().take(self.now, letter);
+            let outs = self.nodes.get_mut(&to).unwrap().handle_message(self.now, letter);
             letters.extend(letters_of(&to, outs));
         }
     }
@@ -66,9 +66,9 @@
     }
 }
 
-fn letters_of(from: &Name, outs: Vec<Out>) -> Vec<(Name, Name, GossipEnvelope)> {
+fn letters_of(from: &Name, outs: Vec<GossipAction>) -> Vec<(Name, Name, GossipEnvelope)> {
     let letter = |o| match o {
-        Out::Send(to, letter) => Some((from.clone(), to, letter)),
+        GossipAction::Send(to, letter) => Some((from.clone(), to, letter)),
         _ => None,
     };
     outs.into_iter().filter_map(letter).collect()
--- a/crates/gossip/tests/probes.rs
+++ b/crates/gossip/tests/probes.rs
@@ -1,27 +1,27 @@
 //! An answer to a probe counts for the node that was probed, in this life of the prober (§6.2).
 use quincehatch_core::{Millis, Name};
-use quincehatch_gossip::member::Out;
-use quincehatch_gossip::{GossipEnvelope, GossipMessage, Life, Mesh, Rumor};
+use quincehatch_gossip::member::GossipAction;
+use quincehatch_gossip::{GossipEnvelope, GossipMessage, MemberStatus, GossipMembership, MemberRecord};
 
-fn node(name: &str, addr: &str, inc: u64) -> Rumor {
-    Rumor { name: name.into(), addr: addr.into(), district: "d".into(), inc, life: Life::Alive }
+fn node(name: &str, addr: &str, inc: u64) -> MemberRecord {
+    MemberRecord { name: name.into(), addr: addr.into(), zone: "d".into(), incarnation: inc, status: MemberStatus::Alive }
 }
 
-fn letter(from: &Rumor, m: GossipMessage) -> GossipEnvelope {
-    GossipEnvelope { from: from.clone(), rumors: Vec::new(), m }
+fn letter(from: &MemberRecord, m: GossipMessage) -> GossipEnvelope {
+    GossipEnvelope { from: from.clone(), records: Vec::new(), message: m }
 }
 
-fn life_of(mesh: &Mesh, name: &str) -> Option<Life> {
-    mesh.rumors().into_iter().find(|r| r.name == name).map(|r| r.life)
+fn life_of(mesh: &GossipMembership, name: &str) -> Option<MemberStatus> {
+    mesh.member_records().into_iter().find(|r| r.name == name).map(|r| r.status)
 }
 
 /// Answers each probe of `mesh` as `who` until `end`.
-fn answered_by(mesh: &mut Mesh, who: &Rumor, end: Millis) {
+fn answered_by(mesh: &mut GossipMembership, who: &MemberRecord, end: Millis) {
     for now in (0..end).step_by(50) {
         for out in mesh.tick(now) {
-            let Out::Send(to, GossipEnvelope { m: GossipMessage::Ping { seq }, .. }) = out else { continue };
+            let GossipAction::Send(to, GossipEnvelope { message: GossipMessage::Ping { seq }, .. }) = out else { continue };
             if to == who.addr {
-                mesh.take(now, letter(who, GossipMessage::Pong { seq }));
+                mesh.handle_message(now, letter(who, GossipMessage::Pong { seq }));
             }
         }
     }
@@ -30,54 +30,54 @@
 #[test]
 fn another_process_at_a_nodes_address_does_not_answer_for_it() {
     let (old, new) = (node("n2", "there", 1), node("n9", "there", 1));
-    let mut mesh = Mesh::new(node("n1", "here", 1), vec![], 7, 0);
-    mesh.take(0, letter(&old, GossipMessage::Ping { seq: 1 }));
+    let mut mesh = GossipMembership::new(node("n1", "here", 1), vec![], 7, 0);
+    mesh.handle_message(0, letter(&old, GossipMessage::Ping { seq: 1 }));
     answered_by(&mut mesh, &new, 6_000);
-    assert_eq!(life_of(&mesh, "n2"), Some(Life::Dead));
-    assert_eq!(life_of(&mesh, "n9"), Some(Life::Alive));
+    assert_eq!(life_of(&mesh, "n2"), Some(MemberStatus::Dead));
+    assert_eq!(life_of(&mesh, "n9"), Some(MemberStatus::Alive));
 }
 
 #[test]
 fn a_node_that_answers_itself_stays_alive() {
     let peer = node("n2", "there", 1);
-    let mut mesh = Mesh::new(node("n1", "here", 1), vec![], 7, 0);
-    mesh.take(0, letter(&peer, GossipMessage::Ping { seq: 1 }));
+    let mut mesh = GossipMembership::new(node("n1", "here", 1), vec![], 7, 0);
+    mesh.handle_message(0, letter(&peer, GossipMessage::Ping { seq: 1 }));
     answered_by(&mut mesh, &peer, 6_000);
-    assert_eq!(life_of(&mesh, "n2"), Some(Life::Alive));
+    assert_eq!(life_of(&mesh, "n2"), Some(MemberStatus::Alive));
 }
 
 /// The helper passes on only the answer of the node that it was to ask.
 #[test]
 fn a_helper_passes_on_only_the_answer_of_the_node_it_was_to_ask() {
     let (asker, wrong, right) = (node("n2", "asker", 1), node("n9", "there", 1), node("n3", "there", 1));
-    let mut helper = Mesh::new(node("n1", "here", 1), vec![], 7, 0);
+    let mut helper = GossipMembership::new(node("n1", "here", 1), vec![], 7, 0);
     let ask = GossipMessage::PingFor { seq: 5, target: "n3".into(), addr: "there".into() };
-    let outs = helper.take(0, letter(&asker, ask));
+    let outs = helper.handle_message(0, letter(&asker, ask));
     let sent = outs.into_iter().find_map(|out| match out {
-        Out::Send(to, GossipEnvelope { m: GossipMessage::Ping { seq }, .. }) if to == "there" => Some(seq),
+        GossipAction::Send(to, GossipEnvelope { message: GossipMessage::Ping { seq }, .. }) if to == "there" => Some(seq),
         _ => None,
     });
     let seq = sent.expect("it asks");
-    let pongs = |outs: Vec<Out>| -> Vec<(Name, u64)> {
+    let pongs = |outs: Vec<GossipAction>| -> Vec<(Name, u64)> {
         let pong = |out| match out {
-            Out::Send(to, GossipEnvelope { m: GossipMessage::Pong { seq }, .. }) => Some((to, seq)),
+            GossipAction::Send(to, GossipEnvelope { message: GossipMessage::Pong { seq }, .. }) => Some((to, seq)),
             _ => None,
         };
         outs.into_iter().filter_map(pong).collect()
     };
-    assert_eq!(pongs(helper.take(1, letter(&wrong, GossipMessage::Pong { seq }))), []);
-    assert_eq!(pongs(helper.take(2, letter(&right, GossipMessage::Pong { seq }))), [("asker".into(), 5)]);
+    assert_eq!(pongs(helper.handle_message(1, letter(&wrong, GossipMessage::Pong { seq }))), []);
+    assert_eq!(pongs(helper.handle_message(2, letter(&right, GossipMessage::Pong { seq }))), [("asker".into(), 5)]);
 }
 
 #[test]
 fn an_answer_to_a_probe_of_an_earlier_life_answers_none_of_this_one() {
     let peer = node("n2", "there", 1);
     let probed = |seed: u64| {
-        let mut mesh = Mesh::new(node("n1", "here", 1), vec![], seed, 0);
-        mesh.take(0, letter(&peer, GossipMessage::Ping { seq: 1 }));
+        let mut mesh = GossipMembership::new(node("n1", "here", 1), vec![], seed, 0);
+        mesh.handle_message(0, letter(&peer, GossipMessage::Ping { seq: 1 }));
         let outs = mesh.tick(300);
         let seq = outs.into_iter().find_map(|out| match out {
-            Out::Send(_, GossipEnvelope { m: GossipMessage::Ping { seq }, .. }) => Some(seq),
+            GossipAction::Send(_, GossipEnvelope { message: GossipMessage::Ping { seq }, .. }) => Some(seq),
             _ => None,
         });
         seq.expect("it probes")
@@ -88,36 +88,36 @@
 /// A node whose wall clock was stepped back between two starts begins with a lower incarnation than others remember.
 #[test]
 fn a_node_that_comes_back_with_a_lower_incarnation_is_alive_again_at_once() {
-    for known in [Life::Dead, Life::Alive] {
-        let mut other = Mesh::new(node("n1", "here", 1), vec![], 7, 0);
-        other.take(0, letter(&node("n2", "old", 100), GossipMessage::Ping { seq: 1 }));
-        let rumor = Rumor { life: known, ..node("n2", "old", 100) };
-        other.take(
+    for known in [MemberStatus::Dead, MemberStatus::Alive] {
+        let mut other = GossipMembership::new(node("n1", "here", 1), vec![], 7, 0);
+        other.handle_message(0, letter(&node("n2", "old", 100), GossipMessage::Ping { seq: 1 }));
+        let rumor = MemberRecord { status: known, ..node("n2", "old", 100) };
+        other.handle_message(
             0,
             GossipEnvelope {
                 from: node("n3", "third", 1),
-                rumors: vec![rumor],
-                m: GossipMessage::Pong { seq: 0 },
+                records: vec![rumor],
+                message: GossipMessage::Pong { seq: 0 },
             },
         );
         // All that is fresh has been told often enough by now.
         for seq in 0..20 {
-            other.take(0, letter(&node("n3", "third", 1), GossipMessage::Ping { seq }));
+            other.handle_message(0, letter(&node("n3", "third", 1), GossipMessage::Ping { seq }));
         }
-        let mut back = Mesh::new(node("n2", "new", 50), vec!["here".into()], 8, 0);
+        let mut back = GossipMembership::new(node("n2", "new", 50), vec!["here".into()], 8, 0);
         let mut now = 0;
         for _ in 0..3 {
             now += 300;
-            let mut outs = other.take(now, letter(&back.me, GossipMessage::Ping { seq: 1 }));
+            let mut outs = other.handle_message(now, letter(&back.me, GossipMessage::Ping { seq: 1 }));
             for out in outs.drain(..) {
-                if let Out::Send(to, l) = out
+                if let GossipAction::Send(to, l) = out
                     && to == "new"
                 {
-                    back.take(now, l);
+                    back.handle_message(now, l);
                 }
             }
         }
-        assert_eq!(life_of(&other, "n2"), Some(Life::Alive), "{known:?}");
+        assert_eq!(life_of(&other, "n2"), Some(MemberStatus::Alive), "{known:?}");
         assert_eq!(other.addr("n2").as_deref(), Some("new"), "{known:?}");
     }
 }
--- a/crates/gossip/tests/sessions.rs
+++ b/crates/gossip/tests/sessions.rs
@@ -1,7 +1,7 @@
 //! A session's promises under moves, cut-off owners and mending (§6.4): it is whole, or it is lost; never less.
 use quincehatch_core::Name;
-use quincehatch_gossip::copies::{RANGES, Table};
-use quincehatch_gossip::duty::owners;
+use quincehatch_gossip::copies::{RANGE_COUNT, SessionReplicaTable};
+use quincehatch_gossip::duty::replica_owners;
 use quincehatch_proxy::session::Context;
 use quincehatch_runtime::rng::Rng;
 use std::collections::BTreeMap;
@@ -12,14 +12,14 @@
 struct World {
     rng: Rng,
     live: Vec<(Name, Name)>,
-    tables: BTreeMap<Name, Table>,
+    tables: BTreeMap<Name, SessionReplicaTable>,
 }
 
 impl World {
     fn new(seed: u64) -> Self {
         let live: Vec<(Name, Name)> =
             (0..NODES).map(|i| (format!("n{i}").into(), format!("d{}", i % 3).into())).collect();
-        let tables = live.iter().map(|(n, _)| (n.clone(), Table::default())).collect();
+        let tables = live.iter().map(|(n, _)| (n.clone(), SessionReplicaTable::default())).collect();
         Self { rng: Rng::new(seed), live, tables }
     }
     fn names(&self) -> Vec<Name> {
@@ -31,11 +31,11 @@
         names.into_iter().filter(|_| !self.rng.chance(300)).collect()
     }
     fn put(&mut self, at: &Name, c: &Context) {
-        self.tables.get_mut(at).unwrap().put(0, c.clone());
+        self.tables.get_mut(at).unwrap().insert_if_newer(0, c.clone());
     }
     fn store(&mut self, c: &Context) -> bool {
         let up = self.reach();
-        let own = owners(ID, &self.live).into_iter().filter(|o| up.contains(o)).collect::<Vec<_>>();
+        let own = replica_owners(ID, &self.live).into_iter().filter(|o| up.contains(o)).collect::<Vec<_>>();
         own.iter().for_each(|o| self.put(o, c));
         own.len() >= 2
     }
@@ -45,7 +45,7 @@
     fn find(&mut self, echo: u64, trail: bool) -> Option<Context> {
         let ok = |c: &Context| if trail { c.knows(echo) } else { c.version >= echo };
         let up = self.reach();
-        let own = owners(ID, &self.live).into_iter().filter(|o| up.contains(o)).collect::<Vec<_>>();
+        let own = replica_owners(ID, &self.live).into_iter().filter(|o| up.contains(o)).collect::<Vec<_>>();
         let best = self.newest(&own, ok).filter(|_| own.len() >= 2);
         best.or_else(|| self.newest(&up, ok))
     }
@@ -53,11 +53,11 @@
         let names = self.names();
         let (a, b) = (self.rng.pick(&names).cloned().unwrap(), self.rng.pick(&names).cloned().unwrap());
         let (x, y) = (&self.tables[&a], &self.tables[&b]);
-        let (sx, sy) = (x.sums(&a, &b, &self.live), y.sums(&a, &b, &self.live));
+        let (sx, sy) = (x.range_digests(&a, &b, &self.live), y.range_digests(&a, &b, &self.live));
         let (mut to_x, mut to_y) = (Vec::new(), Vec::new());
-        for r in (0..RANGES as u8).filter(|r| sx[*r as usize] != sy[*r as usize]) {
-            let (mx, my) = (x.in_range(&a, &b, &self.live, r), y.in_range(&a, &b, &self.live, r));
-            let (newer, want) = y.compare(&my, &mx);
+        for r in (0..RANGE_COUNT as u8).filter(|r| sx[*r as usize] != sy[*r as usize]) {
+            let (mx, my) = (x.versions_in_range(&a, &b, &self.live, r), y.versions_in_range(&a, &b, &self.live, r));
+            let (newer, want) = y.diff_range(&my, &mx);
             to_x.extend(newer);
             to_y.extend(want.iter().filter_map(|id| x.get(id)));
         }
--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -4,7 +4,7 @@
 use quincehatch_runtime::now;
 use quincehatch_testbed::running::Running;
 use quincehatch_testbed::scenario::op;
-use quincehatch_wire::http::{Call, Wire};
+use quincehatch_wire::http::{Call, HttpConnection};
 use serde_json::{Value, json};
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
     }
 }
 
-async fn post(w: &mut Wire, path: &str, body: &Value) -> Result<Value, String> {
+async fn post(w: &mut HttpConnection, path: &str, body: &Value) -> Result<Value, String> {
     let c = Call { method: "POST", path, body, token: None };
     w.ask(&c).await.map(|r| r.1).map_err(|e| e.to_string())
 }
@@ -49,7 +49,7 @@
     let lead = lead_of(&st).ok_or("no lead")?;
     let at =
         |n: &str| r.plan.servers.iter().find(|s| s.name == n).map(|s| s.addr.clone()).unwrap_or_default();
-    let open = |a: String| async move { Wire::open(&a, None).await.map_err(|e| e.to_string()) };
+    let open = |a: String| async move { HttpConnection::open(&a, None).await.map_err(|e| e.to_string()) };
     let (mut direct, mut node) = (open(at(&lead)).await?, open(r.plan.nodes[0].door.clone()).await?);
     let mut n = 0;
     let (mut orders, mut looks) = (Vec::new(), Vec::new());
@@ -130,7 +130,7 @@
                     tokio::spawn(async move {
                         let text = if fastrand::u64(..1_000) < long_pm { "sleep 4000" } else { "get x" };
                         let b = json!({"text": text, "labels": {"db": "g1"}});
-                        let _ = quincehatch_wire::http::post(&door, "/v1/lookup", &b, Duration::from_secs(4))
+                        let _ = quincehatch_wire::http::post_once(&door, "/v1/lookup", &b, Duration::from_secs(4))
                             .await;
                     });
                     tokio::time::sleep(Duration::from_millis(25)).await;
@@ -139,7 +139,7 @@
             tokio::time::sleep(Duration::from_millis(1_500)).await;
             let began = now();
             let _ =
-                quincehatch_wire::http::post(&victim.addr, "/lab/fault", &wish, Duration::from_secs(1)).await;
+                quincehatch_wire::http::post_once(&victim.addr, "/lab/fault", &wish, Duration::from_secs(1)).await;
             while verdict(&r, 0, &victim.name).await.as_deref() != Some("set-aside") && now() < began + 40_000
             {
                 tokio::time::sleep(Duration::from_millis(5)).await;
--- a/crates/lab/src/bench_fleet.rs
+++ b/crates/lab/src/bench_fleet.rs
@@ -14,7 +14,7 @@
             tokio::spawn(async move {
                 tokio::time::sleep(Duration::from_millis(i as u64 * gap)).await;
                 let b = json!({"text": text, "labels": {"db": "g1"}});
-                let got = quincehatch_wire::http::post(&door, "/v1/lookup", &b, Duration::from_secs(9)).await;
+                let got = quincehatch_wire::http::post_once(&door, "/v1/lookup", &b, Duration::from_secs(9)).await;
                 got.is_ok_and(|(s, _)| s == 200)
             })
         })
@@ -64,7 +64,7 @@
         let lead = st["leads"][0]["server"].as_str().unwrap_or_default().to_owned();
         for s in r.plan.servers.iter().filter(|s| s.name != lead) {
             let w = json!({"stall": true});
-            let _ = quincehatch_wire::http::post(&s.addr, "/lab/fault", &w, Duration::from_secs(1)).await;
+            let _ = quincehatch_wire::http::post_once(&s.addr, "/lab/fault", &w, Duration::from_secs(1)).await;
         }
         let (good, bad) = lookups(&r.plan.nodes[0].door, "get x", 400, 25).await;
         println!("  {good} answered, {bad} not");
--- a/crates/lab/src/up.rs
+++ b/crates/lab/src/up.rs
@@ -2,7 +2,7 @@
 use crate::args::Up;
 use quincehatch_testbed::fleet::{Plan, Shape, TOKEN, plan};
 use quincehatch_testbed::running::Running;
-use quincehatch_wire::http::{Call, once};
+use quincehatch_wire::http::{Call, call_once};
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
@@ -26,7 +26,7 @@
     let until = Instant::now() + within;
     loop {
         let c = Call { method: "POST", path: "/op/push", body: &body, token: Some(TOKEN) };
-        let got = once(&p.nodes[0].desk, &c, Duration::from_secs(13)).await;
+        let got = call_once(&p.nodes[0].desk, &c, Duration::from_secs(13)).await;
         match got {
             Ok((200, _)) => return Ok(()),
             _ if Instant::now() < until => tokio::time::sleep(Duration::from_millis(200)).await,
@@ -41,7 +41,7 @@
     for n in &p.nodes {
         loop {
             let c = Call { method: "GET", path: "/ready", body: &Value::Null, token: None };
-            let got = once(&n.door, &c, Duration::from_secs(1)).await;
+            let got = call_once(&n.door, &c, Duration::from_secs(1)).await;
             let whole = got
                 .as_ref()
                 .is_ok_and(|(s, v)| *s == 200 && v["reduced"].as_array().is_some_and(Vec::is_empty));
--- a/crates/node/src/acknowledged.rs
+++ b/crates/node/src/acknowledged.rs
@@ -42,9 +42,9 @@
     nodes.sort();
     nodes.dedup();
     let mut out = BTreeMap::new();
-    for (n, r) in f.mesh.ask_all(nodes, NodeQuery::Acked { group: g.clone(), fence }).await {
+    for (n, r) in f.mesh.ask_all(nodes, NodeQuery::AcknowledgedEnd { group: g.clone(), fence }).await {
         match r {
-            Some(NodeReply::Acked { end, life }) => drop(out.insert(n, (end, life))),
+            Some(NodeReply::AcknowledgedEnd { end, incarnation: life }) => drop(out.insert(n, (end, life))),
             _ => whole = false,
         }
     }
--- a/crates/node/src/copies.rs
+++ b/crates/node/src/copies.rs
@@ -2,7 +2,7 @@
 use crate::Fleet;
 use crate::mesh_driver::Net;
 use quincehatch_core::{ErrorCode, Error, Name, Version};
-use quincehatch_gossip::duty::owners;
+use quincehatch_gossip::duty::replica_owners;
 use quincehatch_gossip::{NodeQuery, NodeReply};
 use quincehatch_proxy::node::{Copies, BoxFuture};
 use quincehatch_proxy::session::Context;
@@ -14,39 +14,39 @@
 pub async fn mend(f: Arc<Fleet>) {
     let live = f.mesh.live();
     let me = f.mesh.me.clone();
-    f.mesh.table.lock().unwrap().forget_closed(now());
+    f.mesh.table.lock().unwrap().expire_closed(now());
     let others: Vec<Name> = live.iter().map(|(n, _)| n.clone()).filter(|n| *n != me).collect();
     let Some(peer) = others.get(fastrand::usize(..others.len().max(1))).cloned() else { return };
-    let sums = f.mesh.table.lock().unwrap().sums(&me, &peer, &live);
-    let ask = NodeQuery::Digests { from: me.clone(), sums };
-    let Ok(NodeReply::Differ { ranges }) = f.mesh.ask(&peer, ask).await else { return };
+    let sums = f.mesh.table.lock().unwrap().range_digests(&me, &peer, &live);
+    let ask = NodeQuery::SessionDigests { from: me.clone(), digests: sums };
+    let Ok(NodeReply::DifferingRanges { ranges }) = f.mesh.ask(&peer, ask).await else { return };
     for range in ranges.into_iter().take(4) {
-        let have = f.mesh.table.lock().unwrap().in_range(&me, &peer, &live, range);
-        let ask = NodeQuery::Range { from: me.clone(), range, have };
-        let Ok(NodeReply::Mend { newer, want }) = f.mesh.ask(&peer, ask).await else { return };
+        let have = f.mesh.table.lock().unwrap().versions_in_range(&me, &peer, &live, range);
+        let ask = NodeQuery::SessionRange { from: me.clone(), range, have };
+        let Ok(NodeReply::SessionRepair { newer, wanted }) = f.mesh.ask(&peer, ask).await else { return };
         for c in newer {
-            f.mesh.table.lock().unwrap().put(now(), c);
+            f.mesh.table.lock().unwrap().insert_if_newer(now(), c);
         }
-        for id in want.into_iter().take(256) {
+        for id in wanted.into_iter().take(256) {
             let ctx = f.mesh.table.lock().unwrap().get(&id);
             if let Some(ctx) = ctx {
-                let _ = f.mesh.ask(&peer, NodeQuery::Store { ctx }).await;
+                let _ = f.mesh.ask(&peer, NodeQuery::StoreSession { session: ctx }).await;
             }
         }
     }
     // Held here but owned by others now: hand each on to all its owners, then let it go.
     let strays: Vec<Context> = {
         let t = f.mesh.table.lock().unwrap();
-        t.all().into_iter().filter(|c| !owners(&c.id, &live).contains(&me)).take(64).collect()
+        t.sessions().into_iter().filter(|c| !replica_owners(&c.id, &live).contains(&me)).take(64).collect()
     };
     for c in strays {
-        let to = owners(&c.id, &live);
+        let to = replica_owners(&c.id, &live);
         let n = to.len();
-        let got = f.mesh.ask_all(to, NodeQuery::Store { ctx: c.clone() }).await;
+        let got = f.mesh.ask_all(to, NodeQuery::StoreSession { session: c.clone() }).await;
         if n == 3 && got.iter().all(|(_, r)| matches!(r, Some(NodeReply::Done))) {
             let mut t = f.mesh.table.lock().unwrap();
             if t.get(&c.id).is_some_and(|h| h.version == c.version) {
-                t.drop_one(&c.id);
+                t.remove(&c.id);
             }
         }
     }
@@ -57,9 +57,9 @@
 impl Copies for MeshCopies {
     fn store(&self, c: Context) -> BoxFuture<'_, Result<(), Error>> {
         Box::pin(async move {
-            let to = owners(&c.id, &self.0.live());
+            let to = replica_owners(&c.id, &self.0.live());
             let n = to.len();
-            let got = self.0.ask_all(to, NodeQuery::Store { ctx: c }).await;
+            let got = self.0.ask_all(to, NodeQuery::StoreSession { session: c }).await;
             let done = got.iter().filter(|(_, r)| matches!(r, Some(NodeReply::Done))).count();
             // A fleet of fewer than three nodes has fewer owners; a majority of those there are.
             if done * 2 > n {
@@ -72,14 +72,14 @@
     fn find<'a>(&'a self, id: &'a str, knows: Version) -> BoxFuture<'a, Result<Option<Context>, Error>> {
         Box::pin(async move {
             let live = self.0.live();
-            let to = owners(id, &live);
-            let ask = NodeQuery::Find { id: id.into() };
+            let to = replica_owners(id, &live);
+            let ask = NodeQuery::FindSession { id: id.into() };
             let newest = |got: Vec<(Name, Option<NodeReply>)>| {
                 let answered = got.iter().filter(|(_, r)| r.is_some()).count();
                 let copies: Vec<Context> = got
                     .into_iter()
                     .filter_map(|(_, r)| match r {
-                        Some(NodeReply::Found { ctx }) => ctx,
+                        Some(NodeReply::FoundSession { session }) => session,
                         _ => None,
                     })
                     .collect();
--- a/crates/node/src/duties.rs
+++ b/crates/node/src/duties.rs
@@ -83,7 +83,7 @@
         return;
     }
     st.told_at = now();
-    let (f, ask, owner) = (f.clone(), NodeQuery::Suspect { group: g.clone(), server }, owner.clone());
+    let (f, ask, owner) = (f.clone(), NodeQuery::SuspectPrimary { group: g.clone(), server }, owner.clone());
     seam::spawn(async move { drop(f.mesh.ask(&owner, ask).await) });
 }
 
@@ -182,8 +182,8 @@
         others.truncate(WITNESSES);
     }
     let mut c = Count::begin(dead, eye(f, &server), others.len());
-    for (_, r) in f.mesh.ask_all(others, NodeQuery::Sees { server }).await {
-        if let Some(NodeReply::Sees { heard, failing, stalled, answering }) = r {
+    for (_, r) in f.mesh.ask_all(others, NodeQuery::ServerEvidence { server }).await {
+        if let Some(NodeReply::ServerEvidence { heard, failing, stalled, answering }) = r {
             c.add(dead, Eye { heard, failing, stalled, answering });
         }
     }
--- a/crates/node/src/mesh_driver.rs
+++ b/crates/node/src/mesh_driver.rs
@@ -2,10 +2,10 @@
 use crate::{Fleet, report};
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::{ErrorCode, Error, Name};
-use quincehatch_gossip::copies::Table;
-use quincehatch_gossip::member::Out;
+use quincehatch_gossip::copies::SessionReplicaTable;
+use quincehatch_gossip::member::GossipAction;
 use quincehatch_gossip::{
-    GossipEnvelope, Life, Mesh, NodeQuery, NodeReply, NodeRequest, NodeResponse, Rumor,
+    GossipEnvelope, MemberStatus, GossipMembership, NodeQuery, NodeReply, NodeRequest, NodeResponse, MemberRecord,
 };
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
@@ -21,8 +21,8 @@
 pub struct Net {
     pub me: Name,
     identity: Identity,
-    pub mesh: Mutex<Mesh>,
-    pub table: Mutex<Table>,
+    pub mesh: Mutex<GossipMembership>,
+    pub table: Mutex<SessionReplicaTable>,
     caller: Arc<Caller>,
 }
 
@@ -32,13 +32,13 @@
         let inc = seam::wall_clock_ms();
         let (name, addr, district) =
             (s.name.as_str().into(), s.gossip_listener.as_str().into(), s.zone.as_str().into());
-        let me = Rumor { name, addr, district, inc, life: Life::Alive };
+        let me = MemberRecord { name, addr, zone: district, incarnation: inc, status: MemberStatus::Alive };
         let seeds = s.seeds.iter().map(|x| x.as_str().into()).collect();
         let identity = Identity::new(&s.name);
         Arc::new(Net {
             me: me.name.clone(),
             identity: identity.clone(),
-            mesh: Mutex::new(Mesh::new(me, seeds, fastrand::u64(..), now())),
+            mesh: Mutex::new(GossipMembership::new(me, seeds, fastrand::u64(..), now())),
             table: Mutex::default(),
             caller: Caller::new(identity),
         })
@@ -52,7 +52,7 @@
         let to = Destination::process(node, &addr);
         match self.caller.call(to, &NodeRequest::Query { query: ask }, QUERY_WITHIN).await? {
             NodeResponse::Reply { reply } => Ok(reply),
-            NodeResponse::Taken => Err(ErrorCode::Unreachable.with_detail("an answer that is none")),
+            NodeResponse::Accepted => Err(ErrorCode::Unreachable.with_detail("an answer that is none")),
         }
     }
     /// The same question to many, side by side; whoever does not answer in time is left out.
@@ -83,7 +83,7 @@
     pub async fn leave(self: &Arc<Self>) {
         let outs = self.mesh.lock().unwrap().leave();
         outs.into_iter().for_each(|o| {
-            if let Out::Send(to, l) = o {
+            if let GossipAction::Send(to, l) = o {
                 self.send(to, l);
             }
         });
@@ -91,14 +91,14 @@
     }
 }
 
-fn act(f: &Arc<Fleet>, outs: Vec<Out>) {
+fn act(f: &Arc<Fleet>, outs: Vec<GossipAction>) {
     for o in outs {
         match o {
-            Out::Send(to, l) => f.mesh.send(to, l),
-            Out::Beats(bs) => bs.into_iter().for_each(|b| {
+            GossipAction::Send(to, l) => f.mesh.send(to, l),
+            GossipAction::Heartbeats(bs) => bs.into_iter().for_each(|b| {
                 heard_beat(f, b);
             }),
-            Out::Turned(n, l) => log::info!(target: "mesh", "node {n} is now {l:?}"),
+            GossipAction::StatusChanged(n, l) => log::info!(target: "mesh", "node {n} is now {l:?}"),
         }
     }
 }
@@ -107,7 +107,7 @@
 pub fn heard_beat(f: &Fleet, b: quincehatch_core::ServerHeartbeat) -> bool {
     let news = f.node.board.beat(b.clone());
     if news {
-        f.mesh.mesh.lock().unwrap().spread(b);
+        f.mesh.mesh.lock().unwrap().spread_heartbeat(b);
     }
     news
 }
@@ -116,9 +116,9 @@
 pub fn knock(f: &Arc<Fleet>, k: NodeRequest) -> NodeResponse {
     match k {
         NodeRequest::Gossip { message } => {
-            let outs = f.mesh.mesh.lock().unwrap().take(now(), message);
+            let outs = f.mesh.mesh.lock().unwrap().handle_message(now(), message);
             act(f, outs);
-            NodeResponse::Taken
+            NodeResponse::Accepted
         }
         NodeRequest::Query { query } => NodeResponse::Reply { reply: answer(f, query) },
     }
@@ -126,7 +126,7 @@
 
 /// The same where servers are met over held links: what was not seen of one lately is looked at first (§5.5).
 pub async fn knock_held(f: &Arc<Fleet>, k: NodeRequest) -> NodeResponse {
-    if let NodeRequest::Query { query: NodeQuery::Sees { server } } = &k
+    if let NodeRequest::Query { query: NodeQuery::ServerEvidence { server } } = &k
         && f.ports.is_some()
     {
         crate::held_watch::look_again(f, server).await;
@@ -144,9 +144,9 @@
     let me = &f.mesh.identity;
     match quincehatch_wire::receive::<NodeRequest>(me, frame).ok()? {
         Received::Request { call, request } => {
-            quincehatch_wire::answer_to::<NodeRequest>(me, call, &knock(f, request)).ok()
+            quincehatch_wire::encode_answer_frame::<NodeRequest>(me, call, &knock(f, request)).ok()
         }
-        Received::Declined(frame) => Some(frame),
+        Received::Rejected(frame) => Some(frame),
     }
 }
 
@@ -177,35 +177,35 @@
     let live = f.mesh.live();
     let mut t = f.mesh.table.lock().unwrap();
     match ask {
-        NodeQuery::Store { ctx } => {
-            if t.put(now(), ctx) {
+        NodeQuery::StoreSession { session } => {
+            if t.insert_if_newer(now(), session) {
                 NodeReply::Done
             } else {
-                NodeReply::Found { ctx: None }
+                NodeReply::FoundSession { session: None }
             }
         }
-        NodeQuery::Find { id } => NodeReply::Found { ctx: t.get(&id) },
-        NodeQuery::Digests { from, sums } => {
-            let mine = t.sums(&f.mesh.me, &from, &live);
+        NodeQuery::FindSession { id } => NodeReply::FoundSession { session: t.get(&id) },
+        NodeQuery::SessionDigests { from, digests: sums } => {
+            let mine = t.range_digests(&f.mesh.me, &from, &live);
             let ranges = (0..mine.len()).filter(|i| sums.get(*i) != mine.get(*i)).map(|i| i as u8).collect();
-            NodeReply::Differ { ranges }
+            NodeReply::DifferingRanges { ranges }
         }
-        NodeQuery::Range { from, range, have } => {
-            let mine = t.in_range(&f.mesh.me, &from, &live, range);
-            let (newer, want) = t.compare(&mine, &have);
-            NodeReply::Mend { newer, want }
+        NodeQuery::SessionRange { from, range, have } => {
+            let mine = t.versions_in_range(&f.mesh.me, &from, &live, range);
+            let (newer, want) = t.diff_range(&mine, &have);
+            NodeReply::SessionRepair { newer, wanted: want }
         }
-        NodeQuery::Sees { server } => {
+        NodeQuery::ServerEvidence { server } => {
             let e = crate::duties::eye(f, &server);
-            NodeReply::Sees { heard: e.heard, failing: e.failing, stalled: e.stalled, answering: e.answering }
+            NodeReply::ServerEvidence { heard: e.heard, failing: e.failing, stalled: e.stalled, answering: e.answering }
         }
-        NodeQuery::Suspect { group, server } => {
+        NodeQuery::SuspectPrimary { group, server } => {
             f.duty.suspect(group, server);
             NodeReply::Done
         }
-        NodeQuery::Open { group } => NodeReply::Open { n: f.node.board.works.open(&group) as u64 },
-        NodeQuery::Acked { group, fence } => {
-            NodeReply::Acked { end: f.node.board.tell_acked(&group, fence), life: f.duty.life.0 }
+        NodeQuery::InFlight { group } => NodeReply::InFlight { count: f.node.board.works.open(&group) as u64 },
+        NodeQuery::AcknowledgedEnd { group, fence } => {
+            NodeReply::AcknowledgedEnd { end: f.node.board.tell_acked(&group, fence), incarnation: f.duty.life.0 }
         }
         NodeQuery::Report { what, key } => {
             drop(t);
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -61,7 +61,7 @@
 
 /// Every node's account, side by side; one that does not answer is listed as silent.
 async fn fan_out(f: &Arc<Fleet>, what: &str, key: &str) -> Value {
-    let mut names: Vec<Name> = f.mesh.mesh.lock().unwrap().rumors().into_iter().map(|r| r.name).collect();
+    let mut names: Vec<Name> = f.mesh.mesh.lock().unwrap().member_records().into_iter().map(|r| r.name).collect();
     names.push(f.mesh.me.clone());
     let got = f.mesh.ask_all(names, NodeQuery::Report { what: what.into(), key: key.into() }).await;
     let rows = got.into_iter().map(|(n, r)| match r {
@@ -120,7 +120,7 @@
     // Where districts are listed, one that is not has no labels there: its servers and nodes may be missed.
     let mut here: std::collections::BTreeSet<Name> =
         f.node.board.rows().iter().map(|r| r.district()).collect();
-    here.extend(f.mesh.mesh.lock().unwrap().rumors().into_iter().map(|r| r.district));
+    here.extend(f.mesh.mesh.lock().unwrap().member_records().into_iter().map(|r| r.zone));
     here.insert(f.node.set.zone.as_str().into());
     let unknown: Vec<Name> =
         here.into_iter().filter(|d| !bp.zones.is_empty() && bp.zone(d).is_none()).collect();
--- a/crates/node/src/promoting.rs
+++ b/crates/node/src/promoting.rs
@@ -9,7 +9,7 @@
 use quincehatch_runtime::seam;
 use quincehatch_store::store::promotion_duty_key;
 use quincehatch_store::{Answer, Command, PrimaryState};
-use quincehatch_wire::http::post;
+use quincehatch_wire::http::post_once;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
@@ -115,8 +115,8 @@
 /// Nodes that do not answer may have work under way; the drain's own bound ends the wait for them.
 async fn count_open(f: &Fleet, group: &Name) -> In {
     let live = f.mesh.live().into_iter().map(|(n, _)| n).collect();
-    let got = f.mesh.ask_all(live, NodeQuery::Open { group: group.clone() }).await;
-    let none = got.iter().all(|(_, r)| matches!(r, Some(NodeReply::Open { n: 0 })));
+    let got = f.mesh.ask_all(live, NodeQuery::InFlight { group: group.clone() }).await;
+    let none = got.iter().all(|(_, r)| matches!(r, Some(NodeReply::InFlight { count: 0 })));
     if none { In::Drained } else { In::Tick }
 }
 
@@ -139,7 +139,7 @@
 async fn promote_one(f: &Fleet, plan: &Plan, server: Name, fence: FencingToken, counts: &[Name]) -> In {
     let Some(row) = f.node.board.row(&server) else { return In::NotPromoted(server) };
     let (path, body) = platform::promote(&plan.group, &server, &row.addr(), fence, &plan.by, counts);
-    let status = post(&f.node.set.platform, path, &body, CALL).await.ok().map(|r| r.0);
+    let status = post_once(&f.node.set.platform, path, &body, CALL).await.ok().map(|r| r.0);
     match platform::promoted(status) {
         Promoted::Done => In::Promoted(server),
         Promoted::Overtaken => In::Overtaken,
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -46,7 +46,7 @@
         "sessions": n.sessions.len(), "copies": f.mesh.table.lock().unwrap().len(),
         "in_hand": n.in_hand.load(Ordering::Relaxed),
         "kept": c(&n.counts.kept), "nothing": c(&n.counts.nothing), "unknown": c(&n.counts.unknown),
-        "live": mesh.live().len(), "view": mesh.view(), "letters": mesh.sent,
+        "live": mesh.live().len(), "view": mesh.view(), "letters": mesh.messages_sent,
     })
 }
 
--- a/crates/node/src/server_queries.rs
+++ b/crates/node/src/server_queries.rs
@@ -3,7 +3,7 @@
 use quincehatch_core::{Millis, Name, Position, Role};
 use quincehatch_proxy::port::{Call, Line, Look, No, Said};
 use quincehatch_runtime::{now, seam};
-use quincehatch_wire::http::Watch;
+use quincehatch_wire::http::KeepaliveSettings;
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::Mutex;
@@ -83,7 +83,7 @@
     }
     let none = || io::Error::from(io::ErrorKind::Unsupported);
     let ports = f.ports.clone().ok_or_else(none)?;
-    match ports.servers.open(addr.clone(), group, server.clone(), Watch::default()).await? {
+    match ports.servers.open(addr.clone(), group, server.clone(), KeepaliveSettings::default()).await? {
         Ok((mut line, _)) => {
             let said = line.ask(call).await?;
             f.duty.asking.links.lock().unwrap().insert(server.clone(), (addr, now(), line));
--- a/crates/node/tests/calls.rs
+++ b/crates/node/tests/calls.rs
@@ -2,7 +2,7 @@
 use quincehatch_core::{ErrorCode, Outcome, Error, Name};
 use quincehatch_node::chain_client::Chain;
 use quincehatch_store::{KeeperRequest, KeeperResponse, KeeperStatus, Voter, Reply, Request, View};
-use quincehatch_wire::{Identity, Incoming, RequestHeader, answer_to, read_frame, write_frame};
+use quincehatch_wire::{Identity, Incoming, RequestHeader, encode_answer_frame, read_frame, write_frame};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -48,7 +48,7 @@
         }
         let status = KeeperStatus { view: view(&addr), ..Default::default() };
         let answer = KeeperResponse::Reply { reply: Reply::Status { status } };
-        let back = answer_to::<KeeperRequest>(&me, header.call, &answer).unwrap();
+        let back = encode_answer_frame::<KeeperRequest>(&me, header.call, &answer).unwrap();
         write_frame(&mut stream, &back).await.unwrap();
     }
 }
--- a/crates/proxy/src/board.rs
+++ b/crates/proxy/src/board.rs
@@ -41,7 +41,7 @@
     pub health: Mutex<Health>,
     pub pool: Pool,
     /// Links of held sessions (§4.10).
-    pub held: crate::held::pool::HeldPool,
+    pub held: crate::direct::pool::DirectPool,
     /// How idle links broke since the judges last looked.
     pub broke: Mutex<Vec<std::io::Error>>,
     /// Newest STATUS: when asked, and whether it says that the server leaves.
@@ -159,7 +159,7 @@
         drop(cur);
         if moved || reborn {
             row.pool.shut(false);
-            row.held.shut();
+            row.held.close();
         }
         row.note_leaving(leaving);
         true
--- a/crates/proxy/src/carry.rs
+++ b/crates/proxy/src/carry.rs
@@ -9,7 +9,7 @@
 use quincehatch_core::Millis;
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
-use quincehatch_wire::http::post;
+use quincehatch_wire::http::post_once;
 use serde_json::Value;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -80,7 +80,7 @@
                 ours.say();
                 n.rt.spawn(async move {
                     let (path, body) = call::cancel(&lid);
-                    let _ = post(&addr, path, &body, Duration::from_secs(2)).await;
+                    let _ = post_once(&addr, path, &body, Duration::from_secs(2)).await;
                 });
                 let most = Duration::from_millis(owe.query_timeout + ABANDON_MORE);
                 seam::timeout(most, &mut asking).await.ok()
--- a/crates/proxy/src/held/wish.rs
+++ b/crates/proxy/src/direct/command.rs
@@ -4,7 +4,7 @@
 use quincehatch_core::{ErrorCode, Error, Position};
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Wish {
+pub enum SessionCommand {
     Begin {
         read: bool,
     },
@@ -23,54 +23,54 @@
     Prepare {
         name: Bytes,
         write: bool,
-        shape: Bytes,
+        template: Bytes,
     },
     Execute {
         name: Bytes,
-        rest: Bytes,
+        arguments: Bytes,
     },
-    Forget {
+    Deallocate {
         name: Bytes,
     },
     /// Nothing that this side knows.
-    Strange,
+    Unknown,
 }
 
 /// One wish under the id that the origin gave it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct SessionRequest {
     pub id: Bytes,
-    pub wish: Wish,
+    pub command: SessionCommand,
 }
 
 /// How a wish ended: with a server's stamp, or none where this node answers by itself.
-pub type Ended = Result<Option<Bytes>, Gone>;
+pub type StatementResult = Result<Option<Bytes>, StatementError>;
 
 /// Why it was not done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Gone {
+pub enum StatementError {
     /// The server's own word, passed on.
     Server(No, Bytes),
     /// This node's: its end says whether something may have been kept.
-    Ours(Error),
+    Proxy(Error),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct StatementResponse {
     pub rows: Vec<Bytes>,
-    pub ended: Ended,
-    pub stage: Stage,
-    pub end: Option<Position>,
+    pub result: StatementResult,
+    pub transaction_state: Stage,
+    pub log_end: Option<Position>,
 }
 
-impl Told {
-    pub fn done(stage: Stage) -> Told {
-        Told { rows: Vec::new(), ended: Ok(None), stage, end: None }
+impl StatementResponse {
+    pub fn done(stage: Stage) -> StatementResponse {
+        StatementResponse { rows: Vec::new(), result: Ok(None), transaction_state: stage, log_end: None }
     }
-    pub fn gone(b: Error, stage: Stage) -> Told {
-        Told { rows: Vec::new(), ended: Err(Gone::Ours(b)), stage, end: None }
+    pub fn failed(b: Error, stage: Stage) -> StatementResponse {
+        StatementResponse { rows: Vec::new(), result: Err(StatementError::Proxy(b)), transaction_state: stage, log_end: None }
     }
-    pub fn malformed(stage: Stage) -> Told {
-        Told::gone(ErrorCode::Malformed.with_detail("not possible here"), stage)
+    pub fn malformed(stage: Stage) -> StatementResponse {
+        StatementResponse::failed(ErrorCode::Malformed.with_detail("not possible here"), stage)
     }
 }
--- a/crates/proxy/src/held/link.rs
+++ b/crates/proxy/src/direct/connection.rs
@@ -1,6 +1,6 @@
 //! A held link and the context it stands in (§4.3, §4.10).
 use crate::board::ServerRow;
-use crate::held::Held;
+use crate::direct::DirectProxy;
 use crate::judge::{Ending, ending};
 use crate::overdue::Owe;
 use crate::port::{Call, Line, No, Said, Stage};
@@ -18,7 +18,7 @@
 
 pub type Values = BTreeMap<Bytes, Bytes>;
 
-pub struct Link {
+pub struct Connection {
     line: Box<dyn Line>,
     pub values: Values,
     pub prepared: HashSet<Name>,
@@ -27,9 +27,9 @@
     owes_answer: bool,
 }
 
-impl Link {
-    pub fn new(line: Box<dyn Line>) -> Link {
-        Link { line, values: Values::new(), prepared: HashSet::new(), used: now(), owes_answer: false }
+impl Connection {
+    pub fn new(line: Box<dyn Line>) -> Connection {
+        Connection { line, values: Values::new(), prepared: HashSet::new(), used: now(), owes_answer: false }
     }
     pub fn broken(&mut self) -> Option<io::Error> {
         self.line.broken()
@@ -42,31 +42,31 @@
 
 /// Why a link did not bring an answer.
 #[derive(Debug)]
-pub enum Lost {
+pub enum ConnectionError {
     /// It broke, or said what no server says.
     Broke(io::Error),
     /// It was silent for as long as the rule gives it.
-    Silent,
+    TimedOut,
 }
 
-fn strange(why: &str) -> Lost {
-    Lost::Broke(io::Error::new(io::ErrorKind::InvalidData, why))
+fn strange(why: &str) -> ConnectionError {
+    ConnectionError::Broke(io::Error::new(io::ErrorKind::InvalidData, why))
 }
 
 /// Whose work it is that goes to the server, for the judges (§4.5).
-pub struct Watched<'a> {
-    pub held: &'a Held,
+pub struct CallContext<'a> {
+    pub held: &'a DirectProxy,
     pub row: &'a Arc<ServerRow>,
     pub owe: Owe,
     /// Set where only the lead may answer: its group, and the fence under which it led when the work began.
     pub under: Option<(&'a Name, FencingToken)>,
 }
 
-impl Watched<'_> {
+impl CallContext<'_> {
     /// Ends once another server is named the lead in place of this one.
     async fn overtaken(&self) {
         let Some((group, fence)) = self.under else { return std::future::pending().await };
-        let board = &self.held.node.board;
+        let board = &self.held.proxy.board;
         loop {
             let changed = board.changed.notified();
             let other = |l: &PrimaryAssignment| l.fence > fence && l.server.as_ref().is_some_and(|s| *s != self.row.name);
@@ -94,14 +94,14 @@
     }
 }
 
-impl Link {
+impl Connection {
     /// One call and its answer, watched by the judges; after `Err` the link is not used again.
-    pub async fn ask(&mut self, w: &Watched<'_>, c: &Call, within: Millis) -> Result<Said, Lost> {
+    pub async fn ask(&mut self, w: &CallContext<'_>, c: &Call, within: Millis) -> Result<Said, ConnectionError> {
         if !self.is_usable() {
             return Err(strange("an answer is still owed on this link"));
         }
         self.owes_answer = true;
-        let (id, asked) = (w.held.node.next_id(), now());
+        let (id, asked) = (w.held.proxy.next_id(), now());
         w.row.health.lock().unwrap().overdue.sent(asked, id, w.owe);
         let mut owed = Owed { row: w.row, id, open: true };
         let work = seam::timeout(Duration::from_millis(within.max(1)), self.line.ask(c));
@@ -112,7 +112,7 @@
         };
         owed.open = false;
         self.used = now();
-        let j = w.held.node.judges();
+        let j = w.held.proxy.judges();
         match got {
             Ok(Ok(said)) => {
                 self.owes_answer = false;
@@ -130,19 +130,19 @@
                 if end != Ending::InOrder {
                     w.row.ailing(asked, false);
                 }
-                Err(Lost::Broke(e))
+                Err(ConnectionError::Broke(e))
             }
             Err(_) => {
                 // It stays owed until the judges have seen it (§4.5); the link is closed, which ends the query.
                 w.row.health.lock().unwrap().trial_failed(now(), &j, id);
                 w.row.ailing(asked, false);
-                Err(Lost::Silent)
+                Err(ConnectionError::TimedOut)
             }
         }
     }
 
     /// Brings the link into the session's context: exactly its values (§1 N7).
-    pub async fn suit(&mut self, w: &Watched<'_>, want: &Values, within: Millis) -> Result<(), Lost> {
+    pub async fn suit(&mut self, w: &CallContext<'_>, want: &Values, within: Millis) -> Result<(), ConnectionError> {
         let bare = seam::injected_bug("held-no-reset") && want.is_empty();
         if (self.values == *want || bare) && self.prepared.len() <= PREPARED {
             return Ok(());
@@ -156,7 +156,7 @@
     }
 
     /// Sets what differs; what a transaction's session has set since it began.
-    pub async fn set_all(&mut self, w: &Watched<'_>, want: &Values, within: Millis) -> Result<(), Lost> {
+    pub async fn set_all(&mut self, w: &CallContext<'_>, want: &Values, within: Millis) -> Result<(), ConnectionError> {
         for (k, v) in want {
             if self.values.get(k) != Some(v) {
                 self.plain(w, &Call::Set { name: k.clone(), value: v.clone() }, within).await?;
@@ -168,12 +168,12 @@
 
     pub async fn prepare(
         &mut self,
-        w: &Watched<'_>,
+        w: &CallContext<'_>,
         name: &Name,
         write: bool,
         shape: &Bytes,
         within: Millis,
-    ) -> Result<(), Lost> {
+    ) -> Result<(), ConnectionError> {
         if !self.prepared.contains(name) {
             let c = Call::Prepare { name: name.clone(), write, shape: shape.clone() };
             self.plain(w, &c, within).await?;
@@ -183,7 +183,7 @@
     }
 
     /// A call of ours that must simply be done.
-    async fn plain(&mut self, w: &Watched<'_>, c: &Call, within: Millis) -> Result<(), Lost> {
+    async fn plain(&mut self, w: &CallContext<'_>, c: &Call, within: Millis) -> Result<(), ConnectionError> {
         let said = self.ask(w, c, within).await?;
         match said.no {
             None => Ok(()),
--- a/crates/proxy/src/held/mod.rs
+++ b/crates/proxy/src/direct/mod.rs
@@ -1,15 +1,15 @@
 //! Sessions that live as long as their origin's connection, before servers met over held links (§4.10).
 pub mod choose;
-pub mod link;
+pub mod connection;
 pub mod pool;
 pub mod run;
 pub mod session;
 pub mod single;
-pub mod txn;
-pub mod wish;
+pub mod transaction;
+pub mod command;
 
-pub use session::HeldSession;
-pub use wish::{Ask, Told, Wish};
+pub use session::DirectSession;
+pub use command::{SessionRequest, StatementResponse, SessionCommand};
 
 use crate::node::Node;
 use crate::port::Servers;
@@ -17,7 +17,7 @@
 use quincehatch_config::configuration::Route;
 use quincehatch_core::{Millis, Name};
 use quincehatch_runtime::{now, seam};
-use quincehatch_wire::http::Watch;
+use quincehatch_wire::http::KeepaliveSettings;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -29,28 +29,28 @@
 const BORROW: usize = 4;
 
 /// What all held sessions of a node share.
-pub struct Held {
-    pub node: Arc<Node>,
+pub struct DirectProxy {
+    pub proxy: Arc<Node>,
     pub servers: Arc<dyn Servers>,
     /// Nodes that share the servers' links, this one too.
-    pub nodes: AtomicUsize,
+    pub live_nodes: AtomicUsize,
     /// This side's names of prepared texts: the same text has one name, whatever origins call it (§4.10).
     names: Mutex<HashMap<(bool, Bytes), Name>>,
-    pub open: AtomicUsize,
+    pub open_sessions: AtomicUsize,
 }
 
 /// Links of one node to one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Share {
+pub struct ConnectionShare {
     /// Its even part.
-    pub own: usize,
+    pub even: usize,
     /// What it may hold while the server takes them.
-    pub most: usize,
+    pub max: usize,
 }
 
 /// A rule as a held visit follows it, with the version it is of.
 #[derive(Clone, Debug)]
-pub struct Way {
+pub struct ResolvedRoute {
     pub group: Name,
     /// Only the lead may run it.
     pub lead: bool,
@@ -61,24 +61,24 @@
     pub priority: u64,
 }
 
-impl Held {
-    pub fn new(node: Arc<Node>, servers: Arc<dyn Servers>) -> Arc<Held> {
+impl DirectProxy {
+    pub fn new(node: Arc<Node>, servers: Arc<dyn Servers>) -> Arc<DirectProxy> {
         let (nodes, open) = (AtomicUsize::new(1), AtomicUsize::new(0));
-        Arc::new(Held { node, servers, nodes, names: Mutex::default(), open })
+        Arc::new(DirectProxy { proxy: node, servers, live_nodes: nodes, names: Mutex::default(), open_sessions: open })
     }
 
     /// Does this node know which rules are in force?
-    pub fn knows(&self) -> bool {
-        self.node.board.has_lease() && self.node.board.plan().blueprint.is_some()
+    pub fn knows_configuration(&self) -> bool {
+        self.proxy.board.has_lease() && self.proxy.board.plan().blueprint.is_some()
     }
 
     /// The way of a database's visits under the blueprint in force; none where no rule takes them.
-    pub fn way(&self, db: &str) -> Option<Way> {
-        let plan = self.node.board.plan();
+    pub fn resolve_route(&self, db: &str) -> Option<ResolvedRoute> {
+        let plan = self.proxy.board.plan();
         let bp = plan.blueprint.as_ref()?;
         let rule: &Route = bp.routes.get(*plan.by_db.get(db)?)?;
         let group = bp.placement(&rule.placement)?.select.get("group")?.first()?;
-        Some(Way {
+        Some(ResolvedRoute {
             group: group.as_str().into(),
             lead: rule.class == "order",
             timeout: rule.timeout_ms,
@@ -91,22 +91,22 @@
 
     /// How many links this node may hold to one server of the group: its part of what all nodes share, and where that
     /// is little, what others hardly need (§5.13).
-    pub fn links(&self, group: &str) -> Share {
-        let plan = self.node.board.plan();
+    pub fn connection_share(&self, group: &str) -> ConnectionShare {
+        let plan = self.proxy.board.plan();
         let all = plan.blueprint.as_ref().and_then(|b| b.group(group)).map_or(64, |g| g.connections) as usize;
         // A twentieth is left for those that look after the group and for links not yet known gone.
-        let own = (all * 19 / 20 / self.nodes.load(Ordering::Relaxed).max(1)).max(1);
-        Share { own, most: own.max(BORROW.min(all / 8)) }
+        let own = (all * 19 / 20 / self.live_nodes.load(Ordering::Relaxed).max(1)).max(1);
+        ConnectionShare { even: own, max: own.max(BORROW.min(all / 8)) }
     }
 
     /// Closes idle links that were not needed lately, all but one a server: what is not held by someone is there for
     /// those who come back after a loss of power, while the links they lost still count at the servers (§4.10).
-    pub async fn tend(self: Arc<Self>, live: impl Fn() -> usize + Send) {
+    pub async fn trim_idle_connections(self: Arc<Self>, live: impl Fn() -> usize + Send) {
         loop {
-            self.nodes.store(live(), Ordering::Relaxed);
-            for r in self.node.board.rows() {
+            self.live_nodes.store(live(), Ordering::Relaxed);
+            for r in self.proxy.board.rows() {
                 // Where a node's part is small, one kept by each node would be all that a server takes.
-                let own = self.links(&r.group()).own.min(BORROW);
+                let own = self.connection_share(&r.group()).even.min(BORROW);
                 let idle = IDLE * own as Millis / BORROW as Millis;
                 r.held.trim(now().saturating_sub(idle), usize::from(own == BORROW));
             }
@@ -114,16 +114,16 @@
         }
     }
 
-    pub fn watch(&self) -> Watch {
-        let j = self.node.judges();
-        Watch {
+    pub fn keepalive_settings(&self) -> KeepaliveSettings {
+        let j = self.proxy.judges();
+        KeepaliveSettings {
             idle: Duration::from_millis(j.keepalive_idle_ms),
             user_timeout: Duration::from_millis(j.user_timeout_ms),
         }
     }
 
     /// This side's name of a prepared text.
-    pub fn name_of(&self, write: bool, shape: &Bytes) -> Name {
+    pub fn prepared_name(&self, write: bool, shape: &Bytes) -> Name {
         let mut names = self.names.lock().unwrap();
         let next = names.len();
         names.entry((write, shape.clone())).or_insert_with(|| format!("p{next}").into()).clone()
--- a/crates/proxy/src/held/pool.rs
+++ b/crates/proxy/src/direct/pool.rs
@@ -1,7 +1,7 @@
 //! The held links to one server (§4.3, §4.10): counted under one lock, lent to one visit or transaction at a time.
 use crate::board::ServerRow;
-use crate::held::Held;
-use crate::held::link::{Link, Values};
+use crate::direct::DirectProxy;
+use crate::direct::connection::{Connection, Values};
 use crate::judge::{Sign, ending};
 use crate::port::No;
 use quincehatch_core::{ErrorCode, Millis};
@@ -21,11 +21,11 @@
 
 #[derive(Default)]
 struct Inner {
-    idle: Vec<Link>,
+    idle: Vec<Connection>,
     /// Lent ones and those on their way.
     out: usize,
     /// By priority, then by age. Whoever waits gets a link or leave to open one.
-    waits: BTreeMap<(u64, u64), oneshot::Sender<Lent>>,
+    waits: BTreeMap<(u64, u64), oneshot::Sender<Checkout>>,
     next: u64,
     /// Changes when the server leaves or starts anew: links from before are not kept.
     age: u64,
@@ -34,13 +34,13 @@
 }
 
 #[derive(Default)]
-pub struct HeldPool {
+pub struct DirectPool {
     inner: Mutex<Inner>,
 }
 
 /// Why no link was had. Nothing was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoLink {
+pub enum CheckoutError {
     /// None came free in time.
     Busy,
     /// The server takes no more.
@@ -49,38 +49,38 @@
     Broke,
 }
 
-impl NoLink {
+impl CheckoutError {
     pub fn code(self) -> ErrorCode {
         match self {
-            NoLink::Busy | NoLink::Full => ErrorCode::ConnectionsBusy,
-            NoLink::Broke => ErrorCode::ServerFailed,
+            CheckoutError::Busy | CheckoutError::Full => ErrorCode::ConnectionsBusy,
+            CheckoutError::Broke => ErrorCode::ServerFailed,
         }
     }
 }
 
 /// A link that is lent; dropped without [`Lent::back`] it is closed, which rolls back what is open on it.
-pub struct Lent {
+pub struct Checkout {
     pub row: Arc<ServerRow>,
-    pub link: Option<Link>,
+    pub connection: Option<Connection>,
     age: u64,
     /// It is counted no more.
     over: bool,
 }
 
-impl Drop for Lent {
+impl Drop for Checkout {
     fn drop(&mut self) {
-        drop(self.link.take());
+        drop(self.connection.take());
         self.free(None);
     }
 }
 
-impl Lent {
+impl Checkout {
     /// Gives the link back in good order; one on which an answer is owed is closed instead.
-    pub fn back(mut self) {
-        let link = self.link.take().filter(Link::is_usable);
+    pub fn check_in(mut self) {
+        let link = self.connection.take().filter(Connection::is_usable);
         self.free(link);
     }
-    fn free(&mut self, link: Option<Link>) {
+    fn free(&mut self, link: Option<Connection>) {
         if !std::mem::replace(&mut self.over, true) {
             freed(&self.row, link, self.age);
         }
@@ -89,17 +89,17 @@
 
 /// One is out no more. Whoever waits first gets the link, or leave to open one: lent on the way already, so that nothing
 /// is lost where the one who waited is gone.
-fn freed(row: &Arc<ServerRow>, link: Option<Link>, age: u64) {
+fn freed(row: &Arc<ServerRow>, link: Option<Connection>, age: u64) {
     let mut p = row.held.inner.lock().unwrap();
     p.out -= 1;
     let mut link = link.filter(|_| age == p.age);
     while let Some((_, w)) = p.waits.pop_first() {
         p.out += 1;
-        let lent = Lent { row: row.clone(), link: link.take(), age: p.age, over: false };
+        let lent = Checkout { row: row.clone(), connection: link.take(), age: p.age, over: false };
         match w.send(lent) {
             Ok(()) => return,
             Err(mut l) => {
-                (link, l.over) = (l.link.take(), true);
+                (link, l.over) = (l.connection.take(), true);
                 p.out -= 1;
             }
         }
@@ -109,14 +109,14 @@
     p.idle.extend(link.filter(|_| !crowded));
 }
 
-impl HeldPool {
+impl DirectPool {
     /// Links from before are closed as they come back: the server leaves, or is not the same any more.
-    pub fn shut(&self) {
+    pub fn close(&self) {
         let mut p = self.inner.lock().unwrap();
         p.age += 1;
         p.idle.clear();
     }
-    pub fn out(&self) -> usize {
+    pub fn checked_out(&self) -> usize {
         self.inner.lock().unwrap().out
     }
     pub fn waiting(&self) -> usize {
@@ -138,7 +138,7 @@
     }
 
     /// An idle link, one in the wanted context first.
-    fn idle(&self, row: &Arc<ServerRow>, held: &Held, want: &Values) -> Option<Lent> {
+    fn idle(&self, row: &Arc<ServerRow>, held: &DirectProxy, want: &Values) -> Option<Checkout> {
         loop {
             let mut p = self.inner.lock().unwrap();
             let i = p.idle.iter().rposition(|l| l.values == *want).or(p.idle.len().checked_sub(1))?;
@@ -147,24 +147,24 @@
             let Some(e) = link.broken() else {
                 p.out += 1;
                 drop(p);
-                return Some(Lent { row: row.clone(), link: Some(link), age, over: false });
+                return Some(Checkout { row: row.clone(), connection: Some(link), age, over: false });
             };
             drop(p);
-            let j = held.node.judges();
+            let j = held.proxy.judges();
             row.health.lock().unwrap().ended(now(), &j, ending(&e, false, row.leaving()));
         }
     }
 }
 
 /// Takes a link to `row` until `until`: an idle one, a new one within the share, or the next that comes free.
-pub async fn take(
-    held: &Held,
+pub async fn check_out(
+    held: &DirectProxy,
     row: &Arc<ServerRow>,
     want: &Values,
     prio: u64,
     until: Millis,
-) -> Result<Lent, NoLink> {
-    let most = held.links(&row.group()).most;
+) -> Result<Checkout, CheckoutError> {
+    let most = held.connection_share(&row.group()).max;
     loop {
         if let Some(l) = row.held.idle(row, held, want) {
             return Ok(l);
@@ -185,7 +185,7 @@
             }
         };
         let mut lent = match wait {
-            Err(age) => Lent { row: row.clone(), link: None, age, over: false },
+            Err(age) => Checkout { row: row.clone(), connection: None, age, over: false },
             Ok((key, mut rx, again)) => {
                 let left = Duration::from_millis(again.saturating_sub(now()).max(1));
                 let got = seam::timeout(left, &mut rx).await.ok().and_then(Result::ok);
@@ -195,47 +195,47 @@
                     rx.try_recv().ok()
                 });
                 match got {
-                    None if now() >= until => return Err(NoLink::Busy),
+                    None if now() >= until => return Err(CheckoutError::Busy),
                     None => continue,
-                    Some(lent) if lent.link.is_some() => return Ok(lent),
+                    Some(lent) if lent.connection.is_some() => return Ok(lent),
                     Some(lent) => lent,
                 }
             }
         };
-        lent.link = Some(open(held, row).await?);
+        lent.connection = Some(open(held, row).await?);
         return Ok(lent);
     }
 }
 
-async fn open(held: &Held, row: &Arc<ServerRow>) -> Result<Link, NoLink> {
+async fn open(held: &DirectProxy, row: &Arc<ServerRow>) -> Result<Connection, CheckoutError> {
     let asked = now();
-    let fut = held.servers.open(row.addr(), row.group(), row.name.clone(), held.watch());
-    let j = held.node.judges();
+    let fut = held.servers.open(row.addr(), row.group(), row.name.clone(), held.keepalive_settings());
+    let j = held.proxy.judges();
     match seam::timeout(Duration::from_millis(OPEN_WITHIN), fut).await {
         Ok(Ok(Ok((line, _)))) => {
             row.well(asked);
-            Ok(Link::new(line))
+            Ok(Connection::new(line))
         }
         Ok(Ok(Err((No::Full, _)))) => {
             row.held.inner.lock().unwrap().full_until = now() + FULL + fastrand::u64(0..FULL);
-            Err(NoLink::Full)
+            Err(CheckoutError::Full)
         }
-        Ok(Ok(Err((No::Busy, _)))) => Err(NoLink::Busy),
+        Ok(Ok(Err((No::Busy, _)))) => Err(CheckoutError::Busy),
         Ok(Ok(Err(_))) => {
             // Another server has the address by now.
             row.ailing(asked, true);
             row.health.lock().unwrap().weigh(now(), &j, Sign::Reset);
-            Err(NoLink::Broke)
+            Err(CheckoutError::Broke)
         }
         Ok(Err(e)) => {
             row.ailing(asked, e.kind() == std::io::ErrorKind::ConnectionRefused);
             row.health.lock().unwrap().ended(now(), &j, ending(&e, true, row.leaving()));
-            Err(NoLink::Broke)
+            Err(CheckoutError::Broke)
         }
         Err(_) => {
             row.ailing(asked, false);
             row.health.lock().unwrap().weigh(now(), &j, Sign::Silent);
-            Err(NoLink::Broke)
+            Err(CheckoutError::Broke)
         }
     }
 }
--- a/crates/proxy/src/held/run.rs
+++ b/crates/proxy/src/direct/run.rs
@@ -1,7 +1,7 @@
 //! One statement on one link, and what its answer means (§4.6, §4.10).
 use crate::board::ServerRow;
-use crate::held::link::{Link, Lost, Values, Watched};
-use crate::held::{Held, Way, choose};
+use crate::direct::connection::{Connection, ConnectionError, Values, CallContext};
+use crate::direct::{DirectProxy, ResolvedRoute, choose};
 use crate::overdue::Owe;
 use crate::port::{Call, No, Said};
 use bytes::Bytes;
@@ -11,14 +11,14 @@
 
 /// A read or a write as the origin gave it.
 #[derive(Clone, Debug)]
-pub struct Stmt {
+pub struct Statement {
     pub id: Bytes,
     pub write: bool,
-    pub body: Body,
+    pub body: StatementBody,
 }
 
 #[derive(Clone, Debug)]
-pub enum Body {
+pub enum StatementBody {
     Text(Bytes),
     /// A prepared text, under this side's name.
     Named {
@@ -28,88 +28,88 @@
     },
 }
 
-impl Stmt {
+impl Statement {
     fn call(&self, floor: Option<Position>) -> Call {
         let (id, floor) = (self.id.clone(), floor.filter(|_| !self.write && !seam::injected_bug("held-no-floor")));
         match &self.body {
-            Body::Text(t) => Call::Run { id, text: t.clone(), floor },
-            Body::Named { name, rest, .. } => {
+            StatementBody::Text(t) => Call::Run { id, text: t.clone(), floor },
+            StatementBody::Named { name, rest, .. } => {
                 Call::Execute { id, name: name.clone(), rest: rest.clone(), floor }
             }
         }
     }
 }
 
-pub fn watched<'a>(held: &'a Held, row: &'a Arc<ServerRow>, way: &'a Way) -> Watched<'a> {
+pub fn watched<'a>(held: &'a DirectProxy, row: &'a Arc<ServerRow>, way: &'a ResolvedRoute) -> CallContext<'a> {
     let owe = Owe { timeout: way.timeout, query_timeout: way.query_timeout, long: false, first: true };
     let under = choose::leads(held, &way.group, row).map(|fence| (&way.group, fence));
-    Watched { held, row, owe, under }
+    CallContext { held, row, owe, under }
 }
 
 /// How far it came.
-pub enum Ran {
+pub enum StatementAttempt {
     Said(Said),
     /// Nothing was sent of the statement itself.
-    NotSent(Lost),
-    Lost(Lost),
+    NotSent(ConnectionError),
+    Lost(ConnectionError),
 }
 
 /// Brings the link into the session's context and runs the statement there.
 pub async fn once(
-    w: &Watched<'_>,
-    link: &mut Link,
+    w: &CallContext<'_>,
+    link: &mut Connection,
     values: &Values,
     in_txn: bool,
-    s: &Stmt,
+    s: &Statement,
     floor: Option<Position>,
     until: Millis,
-) -> Ran {
+) -> StatementAttempt {
     let left = || until.saturating_sub(now());
     let suited = match in_txn {
         true => link.set_all(w, values, left()).await,
         false => link.suit(w, values, left()).await,
     };
     if let Err(e) = suited {
-        return Ran::NotSent(e);
+        return StatementAttempt::NotSent(e);
     }
-    if let Body::Named { name, shape, .. } = &s.body
+    if let StatementBody::Named { name, shape, .. } = &s.body
         && let Err(e) = link.prepare(w, name, s.write, shape, left()).await
     {
-        return Ran::NotSent(e);
+        return StatementAttempt::NotSent(e);
     }
     match link.ask(w, &s.call(floor), left()).await {
         Ok(said) => {
             if said.no.as_ref().is_some_and(|n| n.0 == No::Unprepared) {
                 link.prepared.clear();
             }
-            Ran::Said(said)
+            StatementAttempt::Said(said)
         }
-        Err(e) => Ran::Lost(e),
+        Err(e) => StatementAttempt::Lost(e),
     }
 }
 
 /// What a lead's answer shows of its log is kept for the lookups to come (§4.8): only while it leads, as seen here.
-pub fn seen(held: &Held, way: &Way, row: &ServerRow, asked: Millis, said: &Said) {
+pub fn seen(held: &DirectProxy, way: &ResolvedRoute, row: &ServerRow, asked: Millis, said: &Said) {
     if let Some(end) = said.end.filter(|_| choose::leads(held, &way.group, row).is_some()) {
-        held.node.board.note_seen(&way.group, asked, end);
+        held.proxy.board.note_seen(&way.group, asked, end);
     }
 }
 
 /// A commit that was sent under `fence` may be told as acknowledged only if whoever chooses the next lead can still
 /// learn of it (§5.5); else whether it is kept is not known.
-pub fn acked(held: &Held, way: &Way, fence: FencingToken, said: Said) -> Result<Said, Error> {
+pub fn acked(held: &DirectProxy, way: &ResolvedRoute, fence: FencingToken, said: Said) -> Result<Said, Error> {
     let noted =
-        said.no.is_some() || said.end.is_some_and(|e| held.node.board.note_acked(&way.group, fence, e));
+        said.no.is_some() || said.end.is_some_and(|e| held.proxy.board.note_acked(&way.group, fence, e));
     let doubt = || ErrorCode::Unknown.with_detail("another lead is being chosen").with_unknown_outcome();
     noted.then_some(said).ok_or_else(doubt)
 }
 
 /// The breakdown of a statement whose answer did not come.
-pub fn lost(l: &Lost, may_be_kept: bool) -> Error {
+pub fn lost(l: &ConnectionError, may_be_kept: bool) -> Error {
     match (l, may_be_kept) {
-        (Lost::Broke(e), true) => ErrorCode::Unknown.with_detail(e.kind()).with_unknown_outcome(),
-        (Lost::Silent, true) => ErrorCode::Unknown.with_detail("no answer in the rule's time").with_unknown_outcome(),
-        (Lost::Broke(e), false) => ErrorCode::ServerFailed.with_detail(e.kind()).with_retry_after(50),
-        (Lost::Silent, false) => ErrorCode::DeadlinePassed.with_detail("no answer in the rule's time").with_unknown_outcome(),
+        (ConnectionError::Broke(e), true) => ErrorCode::Unknown.with_detail(e.kind()).with_unknown_outcome(),
+        (ConnectionError::TimedOut, true) => ErrorCode::Unknown.with_detail("no answer in the rule's time").with_unknown_outcome(),
+        (ConnectionError::Broke(e), false) => ErrorCode::ServerFailed.with_detail(e.kind()).with_retry_after(50),
+        (ConnectionError::TimedOut, false) => ErrorCode::DeadlinePassed.with_detail("no answer in the rule's time").with_unknown_outcome(),
     }
 }
--- a/crates/proxy/src/held/single.rs
+++ b/crates/proxy/src/direct/single.rs
@@ -1,9 +1,9 @@
 //! One statement outside a transaction (§4.6, §4.7, §4.10).
 use crate::board::ServerRow;
-use crate::held::link::{Lost, Values, clean, not_run};
-use crate::held::run::{Ran, Stmt, acked, lost, once, seen, watched};
-use crate::held::wish::{Gone, Told};
-use crate::held::{Held, Way, choose, pool};
+use crate::direct::connection::{ConnectionError, Values, clean, not_run};
+use crate::direct::run::{StatementAttempt, Statement, acked, lost, once, seen, watched};
+use crate::direct::command::{StatementError, StatementResponse};
+use crate::direct::{DirectProxy, ResolvedRoute, choose, pool};
 use crate::port::{No, Said, Stage};
 use quincehatch_core::{ErrorCode, Error, Millis};
 use quincehatch_runtime::now;
@@ -19,18 +19,18 @@
 /// No read is asked a second time sooner.
 const SOON: Millis = 60;
 
-pub fn told(said: Said, stage: Stage) -> Told {
+pub fn told(said: Said, stage: Stage) -> StatementResponse {
     let ended = match said.no {
-        Some((no, text)) => Err(Gone::Server(no, text)),
+        Some((no, text)) => Err(StatementError::Server(no, text)),
         // A success without a stamp is none (§1 N4).
-        None => said.stamp.map(Some).ok_or_else(|| Gone::Ours(ErrorCode::InvalidReply.with_detail("no stamp").with_unknown_outcome())),
+        None => said.stamp.map(Some).ok_or_else(|| StatementError::Proxy(ErrorCode::InvalidReply.with_detail("no stamp").with_unknown_outcome())),
     };
     let rows = if ended.is_ok() { said.rows } else { Vec::new() };
-    Told { rows, ended, stage, end: said.end }
+    StatementResponse { rows, result: ended, transaction_state: stage, log_end: said.end }
 }
 
 /// The time within which something must be begun; after it the visit is declined at once.
-pub fn patience(way: &Way) -> Millis {
+pub fn patience(way: &ResolvedRoute) -> Millis {
     way.aim.min(way.timeout)
 }
 
@@ -44,8 +44,8 @@
 
 /// One statement where its rule says. A read that is not answered in half its aim is asked a second time, a lookup at
 /// another server, and the first good answer counts; no more than a share of all are (§4.7).
-pub async fn run(held: &Held, way: &Way, values: &Values, s: &Stmt) -> Told {
-    held.node.carries.earn();
+pub async fn run(held: &DirectProxy, way: &ResolvedRoute, values: &Values, s: &Statement) -> StatementResponse {
+    held.proxy.carries.earn();
     let tried = Tried::default();
     match (s.write, way.lead) {
         (true, _) => on_lead(held, way, values, s).await,
@@ -54,60 +54,60 @@
     }
 }
 
-async fn twice<F: Future<Output = Told>>(held: &Held, way: &Way, ask: impl Fn() -> F) -> Told {
+async fn twice<F: Future<Output = StatementResponse>>(held: &DirectProxy, way: &ResolvedRoute, ask: impl Fn() -> F) -> StatementResponse {
     let mut a = pin!(ask());
     let soon = Duration::from_millis((way.aim / 2).max(SOON));
     if let Ok(t) = seam::timeout(soon, a.as_mut()).await {
         return t;
     }
-    if !held.node.carries.spend() {
+    if !held.proxy.carries.spend() {
         return a.await;
     }
     let mut b = pin!(ask());
     match seam::select_first(a.as_mut(), b.as_mut()).await {
-        Ok(t) | Err(t) if t.ended.is_ok() => t,
+        Ok(t) | Err(t) if t.result.is_ok() => t,
         Ok(_) => b.await,
         Err(_) => a.await,
     }
 }
 
 /// On the lead: orders, and reads that may miss nothing.
-async fn on_lead(held: &Held, way: &Way, values: &Values, s: &Stmt) -> Told {
+async fn on_lead(held: &DirectProxy, way: &ResolvedRoute, values: &Values, s: &Statement) -> StatementResponse {
     let began = now();
     let (patient, until) = (began + patience(way), began + way.timeout);
     let mut n = 0;
     let mut why = ErrorCode::ConnectionsBusy.without_detail();
     loop {
         // Work is counted before the lead is looked up: a hand-over either sees it or is seen (§5.5).
-        let work = held.node.board.works.begin(&way.group);
+        let work = held.proxy.board.works.begin(&way.group);
         let row = match choose::lead(held, &way.group, patient).await {
             Ok(r) => r,
-            Err(b) => return Told::gone(b, Stage::Idle),
+            Err(b) => return StatementResponse::failed(b, Stage::Idle),
         };
         let w = watched(held, &row, way);
-        let ran = match pool::take(held, &row, values, way.priority, patient).await {
+        let ran = match pool::check_out(held, &row, values, way.priority, patient).await {
             Err(e) => {
                 why = e.code().without_detail();
                 None
             }
-            Ok(mut lent) => match (choose::takes(held, &way.group, &row), lent.link.as_mut()) {
+            Ok(mut lent) => match (choose::takes(held, &way.group, &row), lent.connection.as_mut()) {
                 (Some(fence), Some(link)) => {
                     let asked = now();
                     let ran = once(&w, link, values, false, s, None, until).await;
                     Some((ran, lent, asked, fence))
                 }
                 _ => {
-                    lent.back();
+                    lent.check_in();
                     None
                 }
             },
         };
         match ran {
             None => {}
-            Some((Ran::Said(said), lent, asked, fence)) => {
+            Some((StatementAttempt::Said(said), lent, asked, fence)) => {
                 seen(held, way, &row, asked, &said);
                 if clean(&said) {
-                    lent.back();
+                    lent.check_in();
                 }
                 match said.no.as_ref().map(|n| n.0) {
                     Some(no) if not_run(no) => {
@@ -119,24 +119,24 @@
                     _ if s.write => {
                         return match acked(held, way, fence, said) {
                             Ok(said) => told(said, Stage::Idle),
-                            Err(b) => Told::gone(b, Stage::Idle),
+                            Err(b) => StatementResponse::failed(b, Stage::Idle),
                         };
                     }
                     _ => return told(said, Stage::Idle),
                 }
             }
-            Some((Ran::NotSent(l), ..)) => why = lost(&l, false),
-            Some((Ran::Lost(l), ..)) => {
-                let again = seam::injected_bug("held-resend") && !matches!(l, Lost::Silent);
-                if (s.write && !again) || matches!(l, Lost::Silent) {
-                    return Told::gone(lost(&l, s.write), Stage::Idle);
+            Some((StatementAttempt::NotSent(l), ..)) => why = lost(&l, false),
+            Some((StatementAttempt::Lost(l), ..)) => {
+                let again = seam::injected_bug("held-resend") && !matches!(l, ConnectionError::TimedOut);
+                if (s.write && !again) || matches!(l, ConnectionError::TimedOut) {
+                    return StatementResponse::failed(lost(&l, s.write), Stage::Idle);
                 }
                 why = lost(&l, false);
             }
         }
         drop(work);
         if now() >= patient {
-            return Told::gone(why.with_retry_after(100), Stage::Idle);
+            return StatementResponse::failed(why.with_retry_after(100), Stage::Idle);
         }
         pause(n).await;
         n += 1;
@@ -154,7 +154,7 @@
 }
 
 /// On a replica that is fresh enough, or on the lead.
-async fn lookup(held: &Held, way: &Way, values: &Values, s: &Stmt, tried: &Tried) -> Told {
+async fn lookup(held: &DirectProxy, way: &ResolvedRoute, values: &Values, s: &Statement, tried: &Tried) -> StatementResponse {
     let began = now();
     let (patient, until) = (began + patience(way), began + way.timeout);
     let mut why = ErrorCode::AllReplicasEjected.without_detail();
@@ -166,9 +166,9 @@
             t.extend(place.iter().map(|p| p.row.clone()));
             place
         };
-        let Some(choose::Place { row, floor }) = place else {
+        let Some(choose::ReadTarget { row, floor }) = place else {
             if now() >= patient || tried.lock().unwrap().len() > TRIES {
-                return Told::gone(why.with_retry_after(100), Stage::Idle);
+                return StatementResponse::failed(why.with_retry_after(100), Stage::Idle);
             }
             tried.lock().unwrap().clear();
             pause(n).await;
@@ -176,17 +176,17 @@
             continue;
         };
         let w = watched(held, &row, way);
-        match pool::take(held, &row, values, way.priority, patient).await {
+        match pool::check_out(held, &row, values, way.priority, patient).await {
             Err(e) => why = e.code().without_detail(),
-            Ok(lent) if floor.is_none() && choose::takes(held, &way.group, &row).is_none() => lent.back(),
+            Ok(lent) if floor.is_none() && choose::takes(held, &way.group, &row).is_none() => lent.check_in(),
             Ok(mut lent) => {
                 let asked = now();
-                let Some(link) = lent.link.as_mut() else { continue };
+                let Some(link) = lent.connection.as_mut() else { continue };
                 match once(&w, link, values, false, s, floor, until).await {
-                    Ran::Said(said) => {
+                    StatementAttempt::Said(said) => {
                         seen(held, way, &row, asked, &said);
                         if clean(&said) {
-                            lent.back();
+                            lent.check_in();
                         }
                         match said.no {
                             Some((no, _)) if not_run(no) => why = declined(no),
@@ -194,13 +194,13 @@
                             _ => return told(said, Stage::Idle),
                         }
                     }
-                    Ran::Lost(Lost::Silent) => return Told::gone(lost(&Lost::Silent, false), Stage::Idle),
-                    Ran::NotSent(l) | Ran::Lost(l) => why = lost(&l, false),
+                    StatementAttempt::Lost(ConnectionError::TimedOut) => return StatementResponse::failed(lost(&ConnectionError::TimedOut, false), Stage::Idle),
+                    StatementAttempt::NotSent(l) | StatementAttempt::Lost(l) => why = lost(&l, false),
                 }
             }
         }
         if now() >= patient {
-            return Told::gone(why.with_retry_after(100), Stage::Idle);
+            return StatementResponse::failed(why.with_retry_after(100), Stage::Idle);
         }
     }
 }
--- a/crates/proxy/src/held/txn.rs
+++ b/crates/proxy/src/direct/transaction.rs
@@ -1,21 +1,21 @@
 //! A transaction of a held session: one link from its first statement to its end (§4.3, §4.10).
-use crate::held::link::{Link, Lost, Values, Watched, clean, not_run};
-use crate::held::pool::{self, Lent};
-use crate::held::run::{Ran, Stmt, acked, lost, once, seen, watched};
-use crate::held::single::{declined, patience, pause, told};
-use crate::held::wish::{Gone, Told};
-use crate::held::{Held, Way, choose};
+use crate::direct::connection::{Connection, ConnectionError, Values, CallContext, clean, not_run};
+use crate::direct::pool::{self, Checkout};
+use crate::direct::run::{StatementAttempt, Statement, acked, lost, once, seen, watched};
+use crate::direct::single::{declined, patience, pause, told};
+use crate::direct::command::{StatementError, StatementResponse};
+use crate::direct::{DirectProxy, ResolvedRoute, choose};
 use crate::port::{Call, No, Said, Stage};
 use crate::work::Work;
 use bytes::Bytes;
 use quincehatch_core::{ErrorCode, Error, FencingToken, Millis};
 use quincehatch_runtime::now;
 
-pub enum Txn {
+pub enum Transaction {
     /// Begun, but nothing was sent yet.
     Lazy {
         read: bool,
-        way: Way,
+        way: ResolvedRoute,
     },
     Open(Box<Running>),
     /// It failed; ending it rolls back, and anything else is declined.
@@ -23,8 +23,8 @@
 }
 
 pub struct Running {
-    lent: Lent,
-    way: Way,
+    lent: Checkout,
+    way: ResolvedRoute,
     wrote: bool,
     on_lead: bool,
     /// Under which its server led when it began.
@@ -38,35 +38,35 @@
 
 /// How long a statement within a transaction may go unanswered. Nothing of it is committed, so giving it up leaves the
 /// origin the time to begin anew; a commit or a write of its own has no such way out.
-fn silence(way: &Way) -> Millis {
+fn silence(way: &ResolvedRoute) -> Millis {
     (way.aim * 2).clamp(200, way.timeout.max(200))
 }
 
 /// Sends BEGIN to a server that fits; what is begun so holds its link.
-pub async fn open(held: &Held, way: &Way, read: bool, values: &Values) -> Result<Running, Error> {
+pub async fn open(held: &DirectProxy, way: &ResolvedRoute, read: bool, values: &Values) -> Result<Running, Error> {
     let (patient, until) = (now() + patience(way), now() + silence(way));
     let anywhere = read && !way.lead;
     let (mut tried, mut n) = (Vec::new(), 0);
     let mut why = ErrorCode::ConnectionsBusy.without_detail();
     loop {
-        let work = (!anywhere).then(|| held.node.board.works.begin(&way.group));
+        let work = (!anywhere).then(|| held.proxy.board.works.begin(&way.group));
         let place = match anywhere {
             true => choose::lookup(held, way, &tried, false),
             false => {
                 let row = choose::lead(held, &way.group, patient).await?;
-                Some(choose::Place { row, floor: None })
+                Some(choose::ReadTarget { row, floor: None })
             }
         };
-        if let Some(choose::Place { row, floor }) = place {
+        if let Some(choose::ReadTarget { row, floor }) = place {
             let on_lead = floor.is_none();
-            match pool::take(held, &row, values, way.priority, patient).await {
+            match pool::check_out(held, &row, values, way.priority, patient).await {
                 Err(e) => why = e.code().without_detail(),
-                Ok(lent) if on_lead && choose::takes(held, &way.group, &row).is_none() => lent.back(),
+                Ok(lent) if on_lead && choose::takes(held, &way.group, &row).is_none() => lent.check_in(),
                 Ok(mut lent) => {
                     let w = watched(held, &row, way);
                     let fence = choose::leads(held, &way.group, &row).unwrap_or_default();
                     let begin = Call::Begin { read, floor };
-                    let got = match lent.link.as_mut() {
+                    let got = match lent.connection.as_mut() {
                         Some(l) => begun(&w, l, values, &begin, until).await,
                         None => continue,
                     };
@@ -77,7 +77,7 @@
                         }
                         Ok(s) => {
                             if clean(&s) {
-                                lent.back();
+                                lent.check_in();
                             }
                             let no = s.no.map_or(No::Other, |n| n.0);
                             if no == No::NotLead && on_lead {
@@ -103,28 +103,28 @@
     }
 }
 
-async fn begun(w: &Watched<'_>, l: &mut Link, values: &Values, c: &Call, until: Millis) -> Result<Said, Lost> {
+async fn begun(w: &CallContext<'_>, l: &mut Connection, values: &Values, c: &Call, until: Millis) -> Result<Said, ConnectionError> {
     l.suit(w, values, until.saturating_sub(now())).await?;
     l.ask(w, c, until.saturating_sub(now())).await
 }
 
 impl Running {
     /// One statement. An error of it leaves the transaction broken unless the server says otherwise.
-    pub async fn run(mut self: Box<Self>, held: &Held, values: &Values, s: &Stmt) -> (Told, Txn) {
+    pub async fn run(mut self: Box<Self>, held: &DirectProxy, values: &Values, s: &Statement) -> (StatementResponse, Transaction) {
         let until = now() + silence(&self.way);
         let patient = now() + patience(&self.way);
         self.wrote |= s.write;
         let row = self.lent.row.clone();
         let mut n = 0;
         loop {
-            let Some(link) = self.lent.link.as_mut() else {
-                return (Told::gone(aborted("its link is gone"), Stage::Broken), Txn::Broken);
+            let Some(link) = self.lent.connection.as_mut() else {
+                return (StatementResponse::failed(aborted("its link is gone"), Stage::Broken), Transaction::Broken);
             };
             let under = self.on_lead.then_some((&self.way.group, self.fence));
-            let w = Watched { under, ..watched(held, &row, &self.way) };
+            let w = CallContext { under, ..watched(held, &row, &self.way) };
             let asked = now();
             match once(&w, link, values, true, s, None, until).await {
-                Ran::Said(said) => {
+                StatementAttempt::Said(said) => {
                     if self.on_lead {
                         seen(held, &self.way, &row, asked, &said);
                     }
@@ -137,24 +137,24 @@
                     }
                     if said.stage == Stage::Open {
                         let t = told(said, Stage::Open);
-                        return (t, Txn::Open(self));
+                        return (t, Transaction::Open(self));
                     }
                     // What the server rolls back by itself is rolled back; dropping the link makes it certain.
-                    return (told(said, Stage::Broken), Txn::Broken);
+                    return (told(said, Stage::Broken), Transaction::Broken);
                 }
                 // Nothing of it was committed, and closing the link rolls it back.
-                Ran::NotSent(l) | Ran::Lost(l) => {
+                StatementAttempt::NotSent(l) | StatementAttempt::Lost(l) => {
                     let why = match l {
-                        Lost::Broke(e) => aborted(&e.kind().to_string()),
-                        Lost::Silent => aborted("no answer in the rule's time"),
+                        ConnectionError::Broke(e) => aborted(&e.kind().to_string()),
+                        ConnectionError::TimedOut => aborted("no answer in the rule's time"),
                     };
-                    return (Told::gone(why, Stage::Broken), Txn::Broken);
+                    return (StatementResponse::failed(why, Stage::Broken), Transaction::Broken);
                 }
             }
         }
     }
 
-    pub async fn commit(self: Box<Self>, held: &Held, id: Bytes) -> Told {
+    pub async fn commit(self: Box<Self>, held: &DirectProxy, id: Bytes) -> StatementResponse {
         let Running { mut lent, way, wrote, on_lead, fence, _work } = *self;
         let until = now() + way.timeout;
         let patient = now() + patience(&way);
@@ -162,11 +162,11 @@
         let call = Call::Commit { id };
         let mut n = 0;
         loop {
-            let Some(link) = lent.link.as_mut() else {
-                return Told::gone(aborted("its link is gone"), Stage::Idle);
+            let Some(link) = lent.connection.as_mut() else {
+                return StatementResponse::failed(aborted("its link is gone"), Stage::Idle);
             };
             let under = on_lead.then_some((&way.group, fence));
-            let w = Watched { under, ..watched(held, &row, &way) };
+            let w = CallContext { under, ..watched(held, &row, &way) };
             let asked = now();
             match link.ask(&w, &call, until.saturating_sub(now())).await {
                 Ok(said) => {
@@ -180,44 +180,44 @@
                         continue;
                     }
                     if clean(&said) {
-                        lent.back();
+                        lent.check_in();
                     }
                     if no.is_some_and(not_run) {
                         // It was not run, and its link is rolled back or closed: nothing is kept.
-                        return Told::gone(aborted("the commit was not run"), Stage::Idle);
+                        return StatementResponse::failed(aborted("the commit was not run"), Stage::Idle);
                     }
                     if wrote {
                         return match acked(held, &way, fence, said) {
                             Ok(said) => told(said, Stage::Idle),
-                            Err(b) => Told::gone(b, Stage::Idle),
+                            Err(b) => StatementResponse::failed(b, Stage::Idle),
                         };
                     }
                     return told(said, Stage::Idle);
                 }
-                Err(l) if wrote => return Told::gone(lost(&l, true), Stage::Idle),
-                Err(_) => return Told::gone(aborted("its link broke"), Stage::Idle),
+                Err(l) if wrote => return StatementResponse::failed(lost(&l, true), Stage::Idle),
+                Err(_) => return StatementResponse::failed(aborted("its link broke"), Stage::Idle),
             }
         }
     }
 
     /// Rolls back in the background; the origin need not wait for it.
-    pub fn rollback(mut self: Box<Self>, held: std::sync::Arc<Held>) {
+    pub fn rollback(mut self: Box<Self>, held: std::sync::Arc<DirectProxy>) {
         quincehatch_runtime::seam::spawn(async move {
             let row = self.lent.row.clone();
             let w = watched(&held, &row, &self.way);
             let within = self.way.timeout;
-            let got = match self.lent.link.as_mut() {
+            let got = match self.lent.connection.as_mut() {
                 Some(l) => l.ask(&w, &Call::Rollback, within).await,
                 None => return,
             };
             if got.is_ok_and(|s| s.no.is_none() && clean(&s)) {
-                self.lent.back();
+                self.lent.check_in();
             }
         });
     }
 }
 
 /// What a server said no to in words of its own.
-pub fn by_server(t: &Told) -> bool {
-    matches!(t.ended, Err(Gone::Server(..)))
+pub fn by_server(t: &StatementResponse) -> bool {
+    matches!(t.result, Err(StatementError::Server(..)))
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod door;
 pub mod filters;
 pub mod fresh;
-pub mod held;
+pub mod direct;
 pub mod link;
 pub mod lookup;
 pub mod newest;
--- a/crates/proxy/src/link.rs
+++ b/crates/proxy/src/link.rs
@@ -4,7 +4,7 @@
 use quincehatch_core::{ErrorCode, Millis, Name};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
-use quincehatch_wire::http::{Call, OnDisconnect, Ours, Watch, Wire};
+use quincehatch_wire::http::{Call, OnDisconnect, Ours, KeepaliveSettings, HttpConnection};
 use serde_json::Value;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 static NEXT: AtomicU64 = AtomicU64::new(1);
 
 pub struct Link {
-    wire: Wire,
+    wire: HttpConnection,
     pub id: Name,
     pub server: Name,
     pub addr: Name,
@@ -35,10 +35,10 @@
         me: &str,
         server: &Name,
         addr: &Name,
-        w: Watch,
+        w: KeepaliveSettings,
         on_break: OnDisconnect,
     ) -> std::io::Result<Link> {
-        let wire = Wire::open_with(addr, Some(w), on_break).await?;
+        let wire = HttpConnection::open_watched(addr, Some(w), on_break).await?;
         let id = format!("{me}/{}/{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed)).into();
         Ok(Link {
             wire,
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -9,7 +9,7 @@
 use quincehatch_core::{ErrorCode, Outcome, Error, Name, Version};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
-use quincehatch_wire::http::post;
+use quincehatch_wire::http::post_once;
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -89,7 +89,7 @@
 
     /// A question over a link of its own, for STATUS-like calls and outcomes.
     pub async fn once(&self, addr: &str, path: &str, body: Value, within: Duration) -> Option<Reply> {
-        post(addr, path, &body, within).await.ok().and_then(|(_, v)| Reply::read(v))
+        post_once(addr, path, &body, within).await.ok().and_then(|(_, v)| Reply::read(v))
     }
 
     /// Whether the platform may send origins here, and why not (docs/origin.md).
--- a/crates/proxy/src/noted.rs
+++ b/crates/proxy/src/noted.rs
@@ -22,7 +22,7 @@
                 st.left = Some(now());
                 drop(st);
                 self.pool.shut(true);
-                self.held.shut();
+                self.held.close();
                 log::info!(target: "verdict", "server {} leaves, no new work goes there", self.name);
             }
             (false, Some(_)) => {
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -7,7 +7,7 @@
 use quincehatch_core::{ErrorCode, Error, Millis};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
-use quincehatch_wire::http::Watch;
+use quincehatch_wire::http::KeepaliveSettings;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
@@ -28,14 +28,14 @@
     pub links: usize,
     pub share: usize,
     pub held: usize,
-    pub watch: Watch,
+    pub watch: KeepaliveSettings,
 }
 
 impl Caps {
     pub fn of(bp: &Configuration, primary: bool) -> Caps {
         let links = if primary { bp.connections.per_primary } else { bp.connections.per_replica } as usize;
         let share = if primary { (links * bp.connections.primary_lookup_percent as usize / 100).max(1) } else { links };
-        let watch = Watch {
+        let watch = KeepaliveSettings {
             idle: Duration::from_millis(bp.health.keepalive_idle_ms),
             user_timeout: Duration::from_millis(bp.health.user_timeout_ms),
         };
--- a/crates/proxy/src/port.rs
+++ b/crates/proxy/src/port.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use quincehatch_core::{FencingToken, Name, Position, Role};
 use quincehatch_runtime::seam::BoxFuture;
-use quincehatch_wire::http::Watch;
+use quincehatch_wire::http::KeepaliveSettings;
 use std::io;
 use std::sync::Arc;
 
@@ -125,7 +125,7 @@
 
 pub trait Servers: Send + Sync {
     /// Opens a link to `server` of `group`, or learns that another is there.
-    fn open(&self, addr: Name, group: Name, server: Name, watch: Watch) -> BoxFuture<'static, io::Result<Opened>>;
+    fn open(&self, addr: Name, group: Name, server: Name, watch: KeepaliveSettings) -> BoxFuture<'static, io::Result<Opened>>;
 }
 
 /// What the answer to a promotion means.
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -7,7 +7,7 @@
 use quincehatch_core::{ServerHeartbeat, Millis, Role, ServerState};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
-use quincehatch_wire::http::{Call, Wire};
+use quincehatch_wire::http::{Call, HttpConnection};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -65,7 +65,7 @@
 }
 
 async fn watch(n: Arc<Node>, row: Arc<ServerRow>) {
-    let mut wire: Option<(Wire, quincehatch_core::Name)> = None;
+    let mut wire: Option<(HttpConnection, quincehatch_core::Name)> = None;
     loop {
         let lead = n.board.lead(&row.group());
         let leads = lead.as_ref().is_some_and(|l| l.server.as_ref() == Some(&row.name));
@@ -83,7 +83,7 @@
 
 async fn one(
     row: &Arc<ServerRow>,
-    wire: &mut Option<(Wire, quincehatch_core::Name)>,
+    wire: &mut Option<(HttpConnection, quincehatch_core::Name)>,
 ) -> std::io::Result<Reply> {
     let addr = row.addr();
     let (path, body) = call::status();
@@ -91,7 +91,7 @@
     let work = async {
         let mut w = match wire.take() {
             Some((w, a)) if a == addr && !w.is_closed() => w,
-            _ => Wire::open_with(&addr, None, row.on_break()).await?,
+            _ => HttpConnection::open_watched(&addr, None, row.on_break()).await?,
         };
         let (_, v) = w.ask(&c).await?;
         *wire = Some((w, addr));
--- a/crates/proxy/tests/fake/mod.rs
+++ b/crates/proxy/tests/fake/mod.rs
@@ -6,12 +6,12 @@
 use quincehatch_proxy::Node;
 use quincehatch_proxy::alone::Alone;
 use quincehatch_proxy::board::Plan;
-use quincehatch_proxy::held::wish::{Ask, Told, Wish};
-use quincehatch_proxy::held::{Held, HeldSession};
+use quincehatch_proxy::direct::command::{SessionRequest, StatementResponse, SessionCommand};
+use quincehatch_proxy::direct::{DirectProxy, DirectSession};
 use quincehatch_proxy::port::{Call, Line, No, Opened, Said, Servers, Stage};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam::BoxFuture;
-use quincehatch_wire::http::Watch;
+use quincehatch_wire::http::KeepaliveSettings;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -62,7 +62,7 @@
 }
 
 impl Servers for Group {
-    fn open(&self, _: Name, _: Name, server: Name, _: Watch) -> BoxFuture<'static, io::Result<Opened>> {
+    fn open(&self, _: Name, _: Name, server: Name, _: KeepaliveSettings) -> BoxFuture<'static, io::Result<Opened>> {
         let db = self.clone();
         Box::pin(async move {
             let mut d = db.0.lock().unwrap();
@@ -183,7 +183,7 @@
 
 pub struct Kit {
     pub group: Group,
-    pub held: Arc<Held>,
+    pub held: Arc<DirectProxy>,
     n: u64,
 }
 
@@ -211,10 +211,10 @@
             node.board.beat(ServerHeartbeat { server: s.into(), seq: 1, labels, ..Default::default() });
             group.0.lock().unwrap().srv.insert(s.into(), Srv::default());
         }
-        let held = Held::new(node, Arc::new(group.clone()));
+        let held = DirectProxy::new(node, Arc::new(group.clone()));
         let mut k = Kit { group, held, n: 0 };
         k.named(Some("s1"));
-        k.held.node.board.renew_lease(now() + 600_000);
+        k.held.proxy.board.renew_lease(now() + 600_000);
         k
     }
     /// The chain names another lead, or none.
@@ -224,10 +224,10 @@
         let blueprint = Some(Arc::new(Configuration::parse(PLAN).unwrap()));
         let by_db = Arc::new([("orders".into(), 0), ("looks".into(), 1)].into());
         let leads = [("g1".into(), lead)].into();
-        self.held.node.board.set_plan(Plan { n: self.n, version: 1, blueprint, leads, by_db });
+        self.held.proxy.board.set_plan(Plan { n: self.n, version: 1, blueprint, leads, by_db });
     }
-    pub async fn session(&self, db: &str) -> HeldSession {
-        HeldSession::open(&self.held, db).await.unwrap()
+    pub async fn session(&self, db: &str) -> DirectSession {
+        DirectSession::open(&self.held, db).await.unwrap()
     }
     pub fn fault(&self, server: &str, f: Fault) {
         self.group.0.lock().unwrap().srv.get_mut(server).unwrap().faults.push_back(f);
@@ -240,12 +240,12 @@
     }
 }
 
-pub async fn ask(s: &mut HeldSession, wish: Wish) -> Told {
-    s.take(Ask { id: Bytes::from_static(b"id"), wish }).await
+pub async fn ask(s: &mut DirectSession, wish: SessionCommand) -> StatementResponse {
+    s.execute(SessionRequest { id: Bytes::from_static(b"id"), command: wish }).await
 }
-pub fn read(t: &str) -> Wish {
-    Wish::Read { text: Bytes::from(format!("READ {t}")) }
+pub fn read(t: &str) -> SessionCommand {
+    SessionCommand::Read { text: Bytes::from(format!("READ {t}")) }
 }
-pub fn write(t: &str) -> Wish {
-    Wish::Write { text: Bytes::from(format!("WRITE {t}")) }
+pub fn write(t: &str) -> SessionCommand {
+    SessionCommand::Write { text: Bytes::from(format!("WRITE {t}")) }
 }
--- a/crates/proxy/tests/held.rs
+++ b/crates/proxy/tests/held.rs
@@ -4,19 +4,19 @@
 use bytes::Bytes;
 use fake::{Fault, Kit, ask, read, write};
 use quincehatch_core::{ErrorCode, Outcome, Position};
-use quincehatch_proxy::held::HeldSession;
-use quincehatch_proxy::held::wish::{Gone, Told, Wish};
+use quincehatch_proxy::direct::DirectSession;
+use quincehatch_proxy::direct::command::{StatementError, StatementResponse, SessionCommand};
 use quincehatch_proxy::port::{No, Stage};
 use quincehatch_runtime::now;
 
-fn ours(t: &Told) -> (u16, Outcome) {
-    match &t.ended {
-        Err(Gone::Ours(b)) => (b.code, b.outcome),
+fn ours(t: &StatementResponse) -> (u16, Outcome) {
+    match &t.result {
+        Err(StatementError::Proxy(b)) => (b.code, b.outcome),
         other => panic!("not a breakdown of ours: {other:?}"),
     }
 }
-fn good(t: &Told) {
-    assert_matches!(t.ended, Ok(Some(_)), "no success with a stamp");
+fn good(t: &StatementResponse) {
+    assert_matches!(t.result, Ok(Some(_)), "no success with a stamp");
 }
 
 #[tokio::test]
@@ -52,7 +52,7 @@
     let began = now();
     let t = ask(&mut s, write("a")).await;
     assert_eq!(ours(&t).1, Outcome::NotApplied);
-    assert_matches!(&t.ended, Err(Gone::Ours(b)) if b.retry_after_ms.is_some());
+    assert_matches!(&t.result, Err(StatementError::Proxy(b)) if b.retry_after_ms.is_some());
     assert!(now() - began < 400 && k.kept().is_empty());
 }
 
@@ -60,26 +60,26 @@
 async fn prepared_names_of_two_origins_do_not_meet() {
     let k = Kit::new();
     let (mut a, mut b) = (k.session("orders").await, k.session("orders").await);
-    let prep = |shape: &str| Wish::Prepare {
+    let prep = |shape: &str| SessionCommand::Prepare {
         name: Bytes::from_static(b"s1"),
         write: false,
-        shape: Bytes::copy_from_slice(shape.as_bytes()),
+        template: Bytes::copy_from_slice(shape.as_bytes()),
     };
     ask(&mut a, prep("qa")).await;
     ask(&mut b, prep("qb")).await;
-    let run = || Wish::Execute { name: Bytes::from_static(b"s1"), rest: Bytes::from_static(b"1") };
+    let run = || SessionCommand::Execute { name: Bytes::from_static(b"s1"), arguments: Bytes::from_static(b"1") };
     good(&ask(&mut a, run()).await);
     good(&ask(&mut b, run()).await);
     assert_eq!(k.ran("s1"), ["qa 1 []", "qb 1 []"]);
-    ask(&mut b, Wish::Forget { name: Bytes::from_static(b"s1") }).await;
-    assert_matches!(ask(&mut b, run()).await.ended, Err(Gone::Server(No::Unprepared, _)));
+    ask(&mut b, SessionCommand::Deallocate { name: Bytes::from_static(b"s1") }).await;
+    assert_matches!(ask(&mut b, run()).await.result, Err(StatementError::Server(No::Unprepared, _)));
 }
 
 #[tokio::test]
 async fn settings_go_with_their_session_and_with_no_other() {
     let k = Kit::new();
     let (mut a, mut b) = (k.session("orders").await, k.session("orders").await);
-    let set = |v: &'static str| Wish::Set {
+    let set = |v: &'static str| SessionCommand::Set {
         name: Bytes::from_static(b"x"),
         value: Bytes::from_static(v.as_bytes()),
     };
@@ -87,7 +87,7 @@
     good(&ask(&mut a, read("a")).await);
     good(&ask(&mut b, read("b")).await);
     good(&ask(&mut a, read("c")).await);
-    ask(&mut a, Wish::Begin { read: false }).await;
+    ask(&mut a, SessionCommand::Begin { read: false }).await;
     good(&ask(&mut a, read("d")).await);
     ask(&mut a, set("2")).await;
     good(&ask(&mut a, read("e")).await);
@@ -98,13 +98,13 @@
 async fn a_transaction_that_lost_its_link_before_its_commit_kept_nothing() {
     let k = Kit::new();
     let mut s = k.session("orders").await;
-    assert_eq!(ask(&mut s, Wish::Begin { read: false }).await.stage, Stage::Open);
+    assert_eq!(ask(&mut s, SessionCommand::Begin { read: false }).await.transaction_state, Stage::Open);
     good(&ask(&mut s, write("a")).await);
     k.fault("s1", Fault::Lose);
     let t = ask(&mut s, write("b")).await;
-    assert_eq!((ours(&t), t.stage), ((ErrorCode::TransactionLost.number(), Outcome::NotApplied), Stage::Broken));
+    assert_eq!((ours(&t), t.transaction_state), ((ErrorCode::TransactionLost.number(), Outcome::NotApplied), Stage::Broken));
     assert_eq!(ours(&ask(&mut s, read("c")).await).0, ErrorCode::Malformed.number());
-    assert_eq!(ask(&mut s, Wish::Rollback).await.stage, Stage::Idle);
+    assert_eq!(ask(&mut s, SessionCommand::Rollback).await.transaction_state, Stage::Idle);
     assert!(k.kept().is_empty());
     good(&ask(&mut s, write("d")).await);
 }
@@ -113,15 +113,15 @@
 async fn a_commit_whose_answer_is_lost_is_in_doubt_and_one_in_a_broken_transaction_is_none() {
     let k = Kit::new();
     let mut s = k.session("orders").await;
-    ask(&mut s, Wish::Begin { read: false }).await;
+    ask(&mut s, SessionCommand::Begin { read: false }).await;
     good(&ask(&mut s, write("a")).await);
     k.fault("s1", Fault::Lose);
-    let t = ask(&mut s, Wish::Commit).await;
-    assert_eq!((ours(&t).1, t.stage), (Outcome::Unknown, Stage::Idle));
-    ask(&mut s, Wish::Begin { read: false }).await;
+    let t = ask(&mut s, SessionCommand::Commit).await;
+    assert_eq!((ours(&t).1, t.transaction_state), (Outcome::Unknown, Stage::Idle));
+    ask(&mut s, SessionCommand::Begin { read: false }).await;
     good(&ask(&mut s, write("b")).await);
-    s.rest();
-    assert_eq!(ours(&ask(&mut s, Wish::Commit).await), (ErrorCode::TransactionLost.number(), Outcome::NotApplied));
+    s.abort_transaction();
+    assert_eq!(ours(&ask(&mut s, SessionCommand::Commit).await), (ErrorCode::TransactionLost.number(), Outcome::NotApplied));
     assert_eq!(k.kept(), ["WRITE a"]);
 }
 
@@ -144,7 +144,7 @@
 async fn a_replica_whose_link_broke_is_set_aside_and_the_lookup_goes_elsewhere() {
     let k = Kit::new();
     let mut s = k.session("looks").await;
-    k.held.node.board.note_seen("g1", now(), Position { fence: 1, number: 0 });
+    k.held.proxy.board.note_seen("g1", now(), Position { fence: 1, number: 0 });
     k.fault("s2", Fault::Cut);
     k.fault("s3", Fault::Cut);
     good(&ask(&mut s, read("a")).await);
@@ -171,7 +171,7 @@
 async fn without_a_lease_nothing_goes_to_the_lead() {
     let k = Kit::new();
     let mut s = k.session("orders").await;
-    k.held.node.board.lease_for_test(0);
+    k.held.proxy.board.lease_for_test(0);
     let t = ask(&mut s, write("a")).await;
     assert_eq!(ours(&t), (ErrorCode::NoLease.number(), Outcome::NotApplied));
     assert!(k.ran("s1").is_empty());
@@ -181,14 +181,14 @@
 #[tokio::test]
 async fn a_node_without_a_lease_does_not_say_that_there_is_no_rule() {
     let k = Kit::new();
-    k.held.node.board.lease_for_test(0);
+    k.held.proxy.board.lease_for_test(0);
     for db in ["orders", "nowhere"] {
-        let no = HeldSession::open(&k.held, db).await.err().unwrap();
+        let no = DirectSession::open(&k.held, db).await.err().unwrap();
         assert!(no.has_code(ErrorCode::NotReady) && no.retry_after_ms.is_some(), "{no}");
     }
-    k.held.node.board.renew_lease(now() + 10_000);
-    assert!(HeldSession::open(&k.held, "orders").await.is_ok());
-    assert!(HeldSession::open(&k.held, "nowhere").await.is_err_and(|b| b.has_code(ErrorCode::NoRoute)));
+    k.held.proxy.board.renew_lease(now() + 10_000);
+    assert!(DirectSession::open(&k.held, "orders").await.is_ok());
+    assert!(DirectSession::open(&k.held, "nowhere").await.is_err_and(|b| b.has_code(ErrorCode::NoRoute)));
 }
 
 /// The answer got lost without a word: a read is asked again elsewhere, a transaction is given up while there is time.
@@ -196,7 +196,7 @@
 async fn silence_costs_a_read_no_more_than_half_its_aim() {
     let k = Kit::new();
     let mut s = k.session("looks").await;
-    k.held.node.board.note_seen("g1", now(), Position { fence: 1, number: 0 });
+    k.held.proxy.board.note_seen("g1", now(), Position { fence: 1, number: 0 });
     k.fault("s2", Fault::Silent);
     good(&ask(&mut s, read("a")).await);
     assert_eq!((k.ran("s2").len(), k.ran("s3").len()), (1, 1));
@@ -205,7 +205,7 @@
     let began = now();
     good(&ask(&mut o, read("b")).await);
     assert!(now() - began < 300);
-    ask(&mut o, Wish::Begin { read: false }).await;
+    ask(&mut o, SessionCommand::Begin { read: false }).await;
     good(&ask(&mut o, write("c")).await);
     k.fault("s1", Fault::Silent);
     assert_eq!(ours(&ask(&mut o, write("d")).await), (ErrorCode::TransactionLost.number(), Outcome::NotApplied));
--- a/crates/proxy/tests/held_calls.rs
+++ b/crates/proxy/tests/held_calls.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use fake::{Fault, Kit, ask, read, write};
 use quincehatch_core::Outcome;
-use quincehatch_proxy::held::HeldSession;
-use quincehatch_proxy::held::wish::{Gone, Told, Wish};
+use quincehatch_proxy::direct::DirectSession;
+use quincehatch_proxy::direct::command::{StatementError, StatementResponse, SessionCommand};
 use quincehatch_proxy::port::{No, Stage};
 use std::cell::Cell;
 use virtual_time::Virtual;
@@ -61,25 +61,25 @@
     all
 }
 
-fn execute(name: &str) -> [Wish; 2] {
+fn execute(name: &str) -> [SessionCommand; 2] {
     let name = Bytes::copy_from_slice(name.as_bytes());
     let shape = Bytes::from_static(b"READ shape");
     [
-        Wish::Prepare { name: name.clone(), write: false, shape },
-        Wish::Execute { name, rest: Bytes::from_static(b"x") },
+        SessionCommand::Prepare { name: name.clone(), write: false, template: shape },
+        SessionCommand::Execute { name, arguments: Bytes::from_static(b"x") },
     ]
 }
 
 /// What sessions do; the mark tells the texts of one unit from another's.
-fn units(mark: &str) -> Vec<Vec<Wish>> {
-    let begin = || Wish::Begin { read: false };
+fn units(mark: &str) -> Vec<Vec<SessionCommand>> {
+    let begin = || SessionCommand::Begin { read: false };
     vec![
         vec![write(mark)],
         vec![read(mark)],
         execute(mark).to_vec(),
-        vec![begin(), write(mark), Wish::Commit],
-        vec![begin(), read(mark), write(mark), Wish::Commit],
-        vec![begin(), write(mark), Wish::Rollback],
+        vec![begin(), write(mark), SessionCommand::Commit],
+        vec![begin(), read(mark), write(mark), SessionCommand::Commit],
+        vec![begin(), write(mark), SessionCommand::Rollback],
     ]
 }
 
@@ -95,7 +95,7 @@
         CALLS - self.kit.group.0.lock().unwrap().srv["s1"].faults.len().min(CALLS)
     }
     /// None where it was cancelled.
-    fn one(&self, session: &mut HeldSession, wish: Wish) -> Option<Told> {
+    fn one(&self, session: &mut DirectSession, wish: SessionCommand) -> Option<StatementResponse> {
         let before = Cell::new(self.calls());
         let cancelled = || {
             let taken = self.calls();
@@ -112,11 +112,11 @@
         ["s1", "s2", "s3"].iter().flat_map(|s| self.kit.ran(s)).filter(|ran| ran.starts_with(text)).count()
     }
     /// Runs the wishes; what was told of the last one, if all came that far.
-    fn unit(&self, session: &mut HeldSession, wishes: &[Wish]) -> Option<Told> {
+    fn unit(&self, session: &mut DirectSession, wishes: &[SessionCommand]) -> Option<StatementResponse> {
         let mut last = None;
         for wish in wishes {
             last = self.one(session, wish.clone());
-            if last.as_ref().is_none_or(|told| told.ended.is_err()) {
+            if last.as_ref().is_none_or(|told| told.result.is_err()) {
                 break;
             }
         }
@@ -124,31 +124,31 @@
     }
 }
 
-fn check(run: &Run<'_>, mark: &str, wishes: &[Wish], told: Option<&Told>) {
+fn check(run: &Run<'_>, mark: &str, wishes: &[SessionCommand], told: Option<&StatementResponse>) {
     let text = format!("WRITE {mark}");
     let (kept, ran) = (run.kept(&text), run.ran(&text));
     let said = || format!("{wishes:?}, fates {:?}, told {told:?}: ran {ran}, kept {kept}", run.fates);
     assert!(ran <= 1 && kept <= 1, "{}", said());
     let Some(told) = told else { return };
     let writes = wishes.contains(&write(mark));
-    match (&told.ended, wishes.last()) {
-        (Ok(_), Some(Wish::Rollback)) => assert_eq!(kept, 0, "{}", said()),
+    match (&told.result, wishes.last()) {
+        (Ok(_), Some(SessionCommand::Rollback)) => assert_eq!(kept, 0, "{}", said()),
         (Ok(_), _) if writes => assert_eq!(kept, 1, "{}", said()),
-        (Err(Gone::Ours(error)), _) if error.outcome == Outcome::NotApplied => assert_eq!(kept, 0, "{}", said()),
+        (Err(StatementError::Proxy(error)), _) if error.outcome == Outcome::NotApplied => assert_eq!(kept, 0, "{}", said()),
         _ => {}
     }
 }
 
 /// After a failed or cancelled step the origin ends its transaction, as it must before it goes on.
-fn end(run: &Run<'_>, session: &mut HeldSession) {
-    if session.stage() != Stage::Idle {
-        let told = run.one(session, Wish::Rollback);
-        assert!(told.is_none_or(|told| told.ended.is_ok()));
+fn end(run: &Run<'_>, session: &mut DirectSession) {
+    if session.transaction_state() != Stage::Idle {
+        let told = run.one(session, SessionCommand::Rollback);
+        assert!(told.is_none_or(|told| told.result.is_ok()));
     }
-    assert_eq!(session.stage(), Stage::Idle);
+    assert_eq!(session.transaction_state(), Stage::Idle);
 }
 
-fn play(fates: &[Fate], first: &[Wish], second: &[Wish]) {
+fn play(fates: &[Fate], first: &[SessionCommand], second: &[SessionCommand]) {
     let world = Virtual::default();
     let kit = world.enter(Kit::new);
     fates.iter().for_each(|fate| kit.fault("s1", fate.fault()));
@@ -156,9 +156,9 @@
     let mut session = world.run(kit.session("orders"), || false).unwrap();
     for (mark, wishes) in [("a", first), ("b", second)] {
         let told = run.unit(&mut session, wishes);
-        let begun = wishes.first().is_some_and(|wish| matches!(wish, Wish::Begin { .. }));
-        if told.is_none() && begun && !matches!(wishes.last(), Some(Wish::Rollback)) {
-            assert_ne!(session.stage(), Stage::Open, "a cancelled step leaves no transaction open");
+        let begun = wishes.first().is_some_and(|wish| matches!(wish, SessionCommand::Begin { .. }));
+        if told.is_none() && begun && !matches!(wishes.last(), Some(SessionCommand::Rollback)) {
+            assert_ne!(session.transaction_state(), Stage::Open, "a cancelled step leaves no transaction open");
         }
         check(&run, mark, wishes, told.as_ref());
         end(&run, &mut session);
@@ -167,7 +167,7 @@
     kit.group.0.lock().unwrap().srv.get_mut("s1").unwrap().faults.clear();
     let mut other = world.run(kit.session("orders"), || false).unwrap();
     let told = run.one(&mut other, write("z")).unwrap();
-    assert!(told.ended.is_ok() && run.kept("WRITE z") == 1, "fates {fates:?}: {told:?}");
+    assert!(told.result.is_ok() && run.kept("WRITE z") == 1, "fates {fates:?}: {told:?}");
     world.enter(|| drop((session, other, kit)));
 }
 
@@ -189,11 +189,11 @@
     let kit = world.enter(Kit::new);
     kit.fault("s1", Fault::Silent);
     let mut session = world.run(kit.session("orders"), || false).unwrap();
-    assert!(world.run(ask(&mut session, Wish::Begin { read: false }), || false).is_some());
+    assert!(world.run(ask(&mut session, SessionCommand::Begin { read: false }), || false).is_some());
     assert!(world.run(ask(&mut session, write("a")), || true).is_none());
-    assert_eq!(session.stage(), Stage::Broken);
+    assert_eq!(session.transaction_state(), Stage::Broken);
     let told = world.run(ask(&mut session, write("b")), || false).unwrap();
-    assert!(told.ended.is_err());
+    assert!(told.result.is_err());
     assert_eq!(kit.kept(), Vec::<String>::new());
     world.enter(|| drop((session, kit)));
 }
--- a/crates/proxy/tests/held_links.rs
+++ b/crates/proxy/tests/held_links.rs
@@ -3,8 +3,8 @@
 mod fake;
 
 use fake::{Fault, Kit, ask, read, write};
-use quincehatch_proxy::held::pool;
-use quincehatch_proxy::held::wish::Wish;
+use quincehatch_proxy::direct::pool;
+use quincehatch_proxy::direct::command::SessionCommand;
 use quincehatch_runtime::{now, seam};
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -12,16 +12,16 @@
 #[tokio::test]
 async fn a_node_whose_even_part_is_one_link_serves_two_transactions_at_once() {
     let k = Kit::new();
-    k.held.nodes.store(40, Ordering::SeqCst);
-    assert_eq!(k.held.links("g1").own, 1);
+    k.held.live_nodes.store(40, Ordering::SeqCst);
+    assert_eq!(k.held.connection_share("g1").even, 1);
     let (mut a, mut b) = (k.session("orders").await, k.session("orders").await);
     for s in [&mut a, &mut b] {
-        ask(s, Wish::Begin { read: false }).await;
+        ask(s, SessionCommand::Begin { read: false }).await;
         let told = ask(s, write("x")).await;
-        assert!(told.ended.is_ok(), "{told:?}");
+        assert!(told.result.is_ok(), "{told:?}");
     }
     for s in [&mut a, &mut b] {
-        assert!(ask(s, Wish::Commit).await.ended.is_ok());
+        assert!(ask(s, SessionCommand::Commit).await.result.is_ok());
     }
     assert_eq!(k.kept().len(), 2);
 }
@@ -30,9 +30,9 @@
 async fn what_is_borrowed_is_bounded_by_what_the_server_takes() {
     let k = Kit::new();
     for nodes in [1, 2, 9, 40, 400] {
-        k.held.nodes.store(nodes, Ordering::SeqCst);
-        let s = k.held.links("g1");
-        assert!(s.most >= s.own && s.most <= s.own.max(20 / 8), "{nodes} nodes: {s:?}");
+        k.held.live_nodes.store(nodes, Ordering::SeqCst);
+        let s = k.held.connection_share("g1");
+        assert!(s.max >= s.even && s.max <= s.even.max(20 / 8), "{nodes} nodes: {s:?}");
     }
 }
 
@@ -43,22 +43,22 @@
     let mut s = k.session("orders").await;
     let began = Instant::now();
     let told = ask(&mut s, read("x")).await;
-    assert!(told.ended.is_ok(), "{told:?}");
+    assert!(told.result.is_ok(), "{told:?}");
     assert!(began.elapsed() < Duration::from_millis(250), "{:?}", began.elapsed());
 }
 
 #[tokio::test]
 async fn a_read_that_was_answered_elsewhere_is_owed_by_nobody() {
     let k = Kit::new();
-    k.held.node.board.note_seen("g1", quincehatch_runtime::now(), Default::default());
+    k.held.proxy.board.note_seen("g1", quincehatch_runtime::now(), Default::default());
     let mut s = k.session("looks").await;
     for server in ["s2", "s3"] {
-        (0..4).for_each(|_| k.held.node.carries.earn());
+        (0..4).for_each(|_| k.held.proxy.carries.earn());
         k.fault(server, Fault::Silent);
         let told = ask(&mut s, read("x")).await;
-        assert!(told.ended.is_ok(), "{told:?}");
+        assert!(told.result.is_ok(), "{told:?}");
     }
-    for r in k.held.node.board.rows() {
+    for r in k.held.proxy.board.rows() {
         assert_eq!(r.health.lock().unwrap().overdue.owing(), 0, "{}", r.name);
     }
 }
@@ -68,18 +68,18 @@
 #[tokio::test]
 async fn a_link_handed_to_one_who_is_gone_is_not_lost() {
     let k = Kit::new();
-    let row = k.held.node.board.row("s1").unwrap();
-    let most = k.held.links("g1").most;
+    let row = k.held.proxy.board.row("s1").unwrap();
+    let most = k.held.connection_share("g1").max;
     let none = Default::default();
     for _ in 0..3 * most {
         let mut out = Vec::new();
         for _ in 0..most {
-            out.push(pool::take(&k.held, &row, &none, 1, now() + 1_000).await.unwrap());
+            out.push(pool::check_out(&k.held, &row, &none, 1, now() + 1_000).await.unwrap());
         }
-        let mut waits = Box::pin(pool::take(&k.held, &row, &none, 1, now() + 1_000));
+        let mut waits = Box::pin(pool::check_out(&k.held, &row, &none, 1, now() + 1_000));
         assert!(seam::select_first(waits.as_mut(), std::future::ready(())).await.is_err());
-        out.into_iter().for_each(|l| l.back());
+        out.into_iter().for_each(|l| l.check_in());
         drop(waits);
-        assert_eq!(row.held.out(), 0);
+        assert_eq!(row.held.checked_out(), 0);
     }
 }
--- a/crates/simulator/src/control/intake.rs
+++ b/crates/simulator/src/control/intake.rs
@@ -18,7 +18,7 @@
         let received = quincehatch_wire::receive::<KeeperRequest>(&me, &bytes);
         let (call, waiting) = match received {
             Ok(Received::Request { call, request }) => (call, take(&process, request)),
-            Ok(Received::Declined(frame)) => return Box::pin(async { Some(frame) }) as BoxFuture<'static, _>,
+            Ok(Received::Rejected(frame)) => return Box::pin(async { Some(frame) }) as BoxFuture<'static, _>,
             Err(_) => return Box::pin(async { None }) as BoxFuture<'static, _>,
         };
         let me = me.clone();
@@ -27,7 +27,7 @@
                 None => KeeperResponse::Delivered,
                 Some(reply) => KeeperResponse::Reply { reply: reply.await.ok()? },
             };
-            quincehatch_wire::answer_to::<KeeperRequest>(&me, call, &answer).ok()
+            quincehatch_wire::encode_answer_frame::<KeeperRequest>(&me, call, &answer).ok()
         }) as BoxFuture<'static, Option<Vec<u8>>>
     };
     cluster.core.listen_frames(address, pid, Arc::new(on_frame));
--- a/crates/simulator/src/direct/conn.rs
+++ b/crates/simulator/src/direct/conn.rs
@@ -3,7 +3,7 @@
 use super::laid::{Laid, NodeAt};
 use bytes::Bytes;
 use quincehatch_core::{ErrorCode, Outcome, Millis};
-use quincehatch_proxy::held::{Ask, Held, HeldSession, Told, Wish, wish::Gone};
+use quincehatch_proxy::direct::{SessionRequest, DirectProxy, DirectSession, StatementResponse, SessionCommand, command::StatementError};
 use quincehatch_proxy::port::No;
 use quincehatch_runtime::seam;
 use std::collections::BTreeMap;
@@ -15,22 +15,22 @@
 pub const TXN_IDLE: Millis = 3_000;
 const ANSWER_WITHIN: Millis = 3_000;
 
-type Wire = mpsc::UnboundedSender<(Ask, oneshot::Sender<Told>)>;
+type Wire = mpsc::UnboundedSender<(SessionRequest, oneshot::Sender<StatementResponse>)>;
 
 /// A session's task at its node, as the node's door has one.
 async fn serve(
-    held: Arc<Held>,
+    held: Arc<DirectProxy>,
     db: &'static str,
-    mut rx: mpsc::UnboundedReceiver<(Ask, oneshot::Sender<Told>)>,
+    mut rx: mpsc::UnboundedReceiver<(SessionRequest, oneshot::Sender<StatementResponse>)>,
     opened: oneshot::Sender<bool>,
 ) {
-    let session = HeldSession::open(&held, db).await.ok();
+    let session = DirectSession::open(&held, db).await.ok();
     let _ = opened.send(session.is_some());
     let Some(mut s) = session else { return };
     loop {
-        let got = if s.holds() {
+        let got = if s.holds_connection() {
             let Ok(got) = seam::timeout(Duration::from_millis(TXN_IDLE), rx.recv()).await else {
-                s.rest();
+                s.abort_transaction();
                 continue;
             };
             got
@@ -38,7 +38,7 @@
             rx.recv().await
         };
         let Some((ask, tx)) = got else { return };
-        let told = s.take(ask).await;
+        let told = s.execute(ask).await;
         let _ = tx.send(told);
     }
 }
@@ -53,12 +53,12 @@
 }
 
 /// Is it a promise that nothing of the try is kept? The words of the platform's line say it so.
-pub fn promise(g: &Gone) -> bool {
+pub fn promise(g: &StatementError) -> bool {
     match g {
-        Gone::Server(no, _) => {
+        StatementError::Server(no, _) => {
             matches!(no, No::Busy | No::Behind | No::NotLead | No::Stranger | No::Full)
         }
-        Gone::Ours(b) => {
+        StatementError::Proxy(b) => {
             let other =
                 [ErrorCode::DeadlinePassed, ErrorCode::NoRoute, ErrorCode::Malformed, ErrorCode::TooLarge, ErrorCode::ServerRejected];
             b.outcome == Outcome::NotApplied && !other.iter().any(|c| b.has_code(*c))
@@ -104,10 +104,10 @@
         })
     }
     /// One wish and its answer; silence ends the session.
-    pub async fn ask(&mut self, id: u64, wish: Wish) -> Option<Told> {
+    pub async fn ask(&mut self, id: u64, wish: SessionCommand) -> Option<StatementResponse> {
         hop().await;
         let (tx, rx) = oneshot::channel();
-        let sent = self.wire.send((Ask { id: Bytes::from(id.to_string()), wish }, tx));
+        let sent = self.wire.send((SessionRequest { id: Bytes::from(id.to_string()), command: wish }, tx));
         let got = match sent {
             Ok(()) => seam::timeout(Duration::from_millis(ANSWER_WITHIN), rx).await.ok().and_then(Result::ok),
             Err(_) => None,
@@ -132,12 +132,12 @@
             (self.order && fastrand::bool(), Bytes::from(format!("q{}", fastrand::u64(0..9))));
         let value = Bytes::from(fastrand::u64(0..5).to_string());
         let wish = match set {
-            true => Wish::Set { name: name.clone(), value: value.clone() },
-            false => Wish::Prepare { name: name.clone(), write, shape: shape.clone() },
+            true => SessionCommand::Set { name: name.clone(), value: value.clone() },
+            false => SessionCommand::Prepare { name: name.clone(), write, template: shape.clone() },
         };
         match self.ask(id, wish).await {
-            Some(t) if t.ended.is_ok() && set => drop(self.values.insert(name, value)),
-            Some(t) if t.ended.is_ok() => drop(self.prepared.insert(name, (write, shape))),
+            Some(t) if t.result.is_ok() && set => drop(self.values.insert(name, value)),
+            Some(t) if t.result.is_ok() => drop(self.prepared.insert(name, (write, shape))),
             _ => self.dead = true,
         }
     }
@@ -147,7 +147,7 @@
         &mut self,
         txn: Option<(u64, bool)>,
         from: Option<Millis>,
-    ) -> (u64, bool, Option<Told>) {
+    ) -> (u64, bool, Option<StatementResponse>) {
         let id = self.next();
         let read_only = txn.is_some_and(|t| t.1);
         let named = self.prepared.iter().filter(|(_, p)| !(read_only && p.0));
@@ -175,17 +175,17 @@
         };
         self.register(id, a);
         let wish = match (named, write) {
-            (Some((name, _)), _) => Wish::Execute { name, rest: text },
-            (None, true) => Wish::Write { text },
-            (None, false) => Wish::Read { text },
+            (Some((name, _)), _) => SessionCommand::Execute { name, arguments: text },
+            (None, true) => SessionCommand::Write { text },
+            (None, false) => SessionCommand::Read { text },
         };
         (id, write, self.ask(id, wish).await)
     }
 
     /// What an answer to a read, write or commit means to the books and to the origin.
-    pub fn note(&mut self, id: u64, kept: bool, writes: &[u64], t: &Option<Told>) -> Ended {
+    pub fn note(&mut self, id: u64, kept: bool, writes: &[u64], t: &Option<StatementResponse>) -> Ended {
         let at = self.at();
-        self.l.site.with(|s| match t.as_ref().map(|t| &t.ended) {
+        self.l.site.with(|s| match t.as_ref().map(|t| &t.result) {
             Some(Ok(stamp)) => {
                 let rows = t.as_ref().map_or(&[][..], |t| &t.rows);
                 s.book.succeeded(at, id, stamp.as_ref(), rows);
@@ -198,7 +198,7 @@
                 s.book.promised(at, writes);
                 Ended::Again
             }
-            Some(Err(Gone::Server(No::Failed, _))) if writes.is_empty() => Ended::Again,
+            Some(Err(StatementError::Server(No::Failed, _))) if writes.is_empty() => Ended::Again,
             _ => Ended::Over,
         })
     }
--- a/crates/simulator/src/direct/laid.rs
+++ b/crates/simulator/src/direct/laid.rs
@@ -6,7 +6,7 @@
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::{Name, Role};
 use quincehatch_node::{Fleet, mesh_driver};
-use quincehatch_proxy::held::Held;
+use quincehatch_proxy::direct::DirectProxy;
 use quincehatch_runtime::seam;
 use quincehatch_store::keeper::RecoveredState;
 use quincehatch_store::{Voter, View};
@@ -18,7 +18,7 @@
 /// One life of a node's process.
 pub struct Live {
     pub fleet: Arc<Fleet>,
-    pub held: Arc<Held>,
+    pub held: Arc<DirectProxy>,
 }
 
 #[derive(Clone)]
@@ -77,7 +77,7 @@
 
 fn start_node(core: &Arc<Core>, pid: Pid, set: &NodeSettings, site: &Arc<Site>) -> Arc<Live> {
     let fleet = Fleet::with(set, Some(ports::ports(site, pid)));
-    let held = Held::new(fleet.node.clone(), ports::servers(site, pid));
+    let held = DirectProxy::new(fleet.node.clone(), ports::servers(site, pid));
     let to = fleet.clone();
     let on_frame = move |b: Vec<u8>| {
         let f = to.clone();
@@ -86,7 +86,7 @@
     core.listen_frames(&set.gossip_listener, pid, Arc::new(on_frame));
     fleet.go();
     let f = fleet.clone();
-    seam::spawn(held.clone().tend(move || f.mesh.live().len()));
+    seam::spawn(held.clone().trim_idle_connections(move || f.mesh.live().len()));
     Arc::new(Live { fleet, held })
 }
 
--- a/crates/simulator/src/direct/operator.rs
+++ b/crates/simulator/src/direct/operator.rs
@@ -153,7 +153,7 @@
             let Some(live) = n.live().filter(|_| up) else { continue };
             let newest = acked.last().map_or(1, |e| e.0) + 4;
             let least = acked.iter().rev().nth(ASKED).map_or(1, |e| e.0);
-            let has = |v: &u64| live.held.way(&format!("v{v}")).is_some();
+            let has = |v: &u64| live.held.resolve_route(&format!("v{v}")).is_some();
             let is = l.core.within(n.pid, || (least..=newest).rev().find(has)).unwrap_or(0);
             let before = had.insert(n.pid, (life, is)).filter(|b| b.0 == life).map_or(0, |b| b.1);
             let touch = l.site.with(|s| s.in_touch(n.pid, now));
--- a/crates/simulator/src/direct/origin.rs
+++ b/crates/simulator/src/direct/origin.rs
@@ -4,7 +4,7 @@
 use super::conn::{Conn, Ended, connect};
 use super::laid::Laid;
 use quincehatch_core::Millis;
-use quincehatch_proxy::held::Wish;
+use quincehatch_proxy::direct::SessionCommand;
 use quincehatch_proxy::port::Stage;
 use quincehatch_runtime::{now, seam};
 use std::sync::Arc;
@@ -19,14 +19,14 @@
         let (id, write, told) = self.statement(None, None).await;
         let writes: &[u64] = if write { &[id] } else { &[] };
         let ended = self.note(id, write, writes, &told);
-        self.dead |= told.is_some_and(|t| t.stage != Stage::Idle);
+        self.dead |= told.is_some_and(|t| t.transaction_state != Stage::Idle);
         ended
     }
 
     async fn transaction(&mut self) -> Ended {
         let (no, read, from) = (self.next(), fastrand::u64(0..3) == 0, self.at());
-        let Some(t) = self.ask(no, Wish::Begin { read }).await else { return Ended::Over };
-        if t.ended.is_err() {
+        let Some(t) = self.ask(no, SessionCommand::Begin { read }).await else { return Ended::Over };
+        if t.result.is_err() {
             return Ended::Again;
         }
         let mut writes = Vec::new();
@@ -43,9 +43,9 @@
             match self.note(id, false, &writes, &told) {
                 Ended::Good => {}
                 ended => {
-                    if told.is_some_and(|t| t.stage != Stage::Idle) {
+                    if told.is_some_and(|t| t.transaction_state != Stage::Idle) {
                         self.dead |=
-                            self.ask(no, Wish::Rollback).await.is_none_or(|t| t.stage != Stage::Idle);
+                            self.ask(no, SessionCommand::Rollback).await.is_none_or(|t| t.transaction_state != Stage::Idle);
                     }
                     // Its commit was not sent.
                     return if ended == Ended::Over { Ended::Again } else { ended };
@@ -58,7 +58,7 @@
                 return Ended::Over;
             }
             1 | 2 => {
-                self.dead |= self.ask(no, Wish::Rollback).await.is_none_or(|t| t.stage != Stage::Idle);
+                self.dead |= self.ask(no, SessionCommand::Rollback).await.is_none_or(|t| t.transaction_state != Stage::Idle);
                 return Ended::Good;
             }
             _ => {}
@@ -66,8 +66,8 @@
         let id = self.next();
         let txn = Some((no, read));
         self.register(id, Asked { txn, commit: true, order: self.order, from, ..Asked::default() });
-        let told = self.ask(id, Wish::Commit).await;
-        self.dead |= told.as_ref().is_some_and(|t| t.stage != Stage::Idle);
+        let told = self.ask(id, SessionCommand::Commit).await;
+        self.dead |= told.as_ref().is_some_and(|t| t.transaction_state != Stage::Idle);
         self.note(id, !writes.is_empty(), &writes, &told)
     }
 }
--- a/crates/simulator/src/direct/ports.rs
+++ b/crates/simulator/src/direct/ports.rs
@@ -6,7 +6,7 @@
 use quincehatch_core::{FencingToken, Name, Position};
 use quincehatch_proxy::port::{Call, Line, No, Opened, Ports, Promoted, Promoter, Said, Servers};
 use quincehatch_runtime::seam::{self, BoxFuture};
-use quincehatch_wire::http::Watch;
+use quincehatch_wire::http::KeepaliveSettings;
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -63,7 +63,7 @@
 type Begun = io::Result<Result<(u64, Arc<AtomicBool>, Position), No>>;
 
 impl Servers for From {
-    fn open(&self, addr: Name, _: Name, server: Name, _: Watch) -> BoxFuture<'static, io::Result<Opened>> {
+    fn open(&self, addr: Name, _: Name, server: Name, _: KeepaliveSettings) -> BoxFuture<'static, io::Result<Opened>> {
         let (site, node) = (self.site.clone(), self.node);
         let (tx, rx) = oneshot::channel::<Begun>();
         if let (Some(core), Some(to)) = (site.core(), site.with(|s| s.at(&addr))) {
--- a/crates/simulator/src/fleet/keeper.rs
+++ b/crates/simulator/src/fleet/keeper.rs
@@ -58,7 +58,7 @@
         Arc::new(move |bytes| {
             let (call, ask) = match quincehatch_wire::receive::<KeeperRequest>(&me, &bytes) {
                 Ok(Received::Request { call, request: KeeperRequest::Node { request } }) => (call, request),
-                Ok(Received::Declined(frame)) => return Box::pin(async { Some(frame) }),
+                Ok(Received::Rejected(frame)) => return Box::pin(async { Some(frame) }),
                 _ => return Box::pin(async { None }),
             };
             let (tx, rx) = oneshot::channel();
@@ -82,7 +82,7 @@
             let me = me.clone();
             Box::pin(async move {
                 let answer = KeeperResponse::Reply { reply: rx.await.ok()? };
-                quincehatch_wire::answer_to::<KeeperRequest>(&me, call, &answer).ok()
+                quincehatch_wire::encode_answer_frame::<KeeperRequest>(&me, call, &answer).ok()
             })
         }),
     );
--- a/crates/simulator/tests/held/group.rs
+++ b/crates/simulator/tests/held/group.rs
@@ -2,7 +2,7 @@
 use quincehatch_core::{FencingToken, Name, Position, Role};
 use quincehatch_proxy::port::{Call, Line, Look, Opened, Ports, Promoted, Promoter, Said, Servers};
 use quincehatch_runtime::seam::{self, BoxFuture};
-use quincehatch_wire::http::Watch;
+use quincehatch_wire::http::KeepaliveSettings;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -131,7 +131,7 @@
 }
 
 impl Servers for From {
-    fn open(&self, _: Name, _: Name, server: Name, _: Watch) -> BoxFuture<'static, io::Result<Opened>> {
+    fn open(&self, _: Name, _: Name, server: Name, _: KeepaliveSettings) -> BoxFuture<'static, io::Result<Opened>> {
         let (group, node) = (self.group.clone(), self.node.clone());
         Box::pin(async move {
             seam::sleep(HOP).await;
--- a/crates/store/src/calls.rs
+++ b/crates/store/src/calls.rs
@@ -1,28 +1,28 @@
 //! Which calls to a keeper may be sent again, and what they are recognized by then (§2.6).
 use crate::messages::{KeeperRequest, KeeperResponse, PeerMessage, Request};
-use quincehatch_wire::{Call, Key, Repeat};
+use quincehatch_wire::{Call, IdempotencyKey, RetrySafety};
 
 impl Call for KeeperRequest {
     type Answer = KeeperResponse;
-    fn repeat(&self) -> Repeat {
+    fn retry_safety(&self) -> RetrySafety {
         match self {
-            KeeperRequest::Peer { message: m, .. } => m.repeat(),
-            KeeperRequest::Node { request } => request.repeat(),
+            KeeperRequest::Peer { message: m, .. } => m.retry_safety(),
+            KeeperRequest::Node { request } => request.retry_safety(),
         }
     }
 }
 
 impl PeerMessage {
     /// Keepers send each other nothing that counts twice: the protocol itself repeats whatever is lost.
-    pub fn repeat(&self) -> Repeat {
+    pub fn retry_safety(&self) -> RetrySafety {
         match self {
             // An acceptor answers the same ballot alike, and a proposer counts machines, not answers.
             PeerMessage::Prepare { .. }
             | PeerMessage::Promise { .. }
             | PeerMessage::Accept { .. }
-            | PeerMessage::Accepted { .. } => Repeat::Recognized(Key::Ballot),
+            | PeerMessage::Accepted { .. } => RetrySafety::Idempotent(IdempotencyKey::Ballot),
             // A grant counts for the one heartbeat with its number, which no other life of the sender has used.
-            PeerMessage::Beat { .. } | PeerMessage::GrantViewLease { .. } => Repeat::Recognized(Key::Number),
+            PeerMessage::Beat { .. } | PeerMessage::GrantViewLease { .. } => RetrySafety::Idempotent(IdempotencyKey::Number),
             // Entries apply at their own number only, acknowledgements only rise, and what is left of a lease is counted
             // from the arrival, so that a later copy says no less.
             PeerMessage::AppendEntries { .. }
@@ -30,24 +30,24 @@
             | PeerMessage::HandOverLeases { .. }
             | PeerMessage::Snapshot { .. }
             | PeerMessage::Discover { .. }
-            | PeerMessage::CurrentView { .. } => Repeat::Recognized(Key::Number),
+            | PeerMessage::CurrentView { .. } => RetrySafety::Idempotent(IdempotencyKey::Number),
             // Its receiver proposes the view only while the version it builds on is the newest known.
-            PeerMessage::Invite { .. } => Repeat::Recognized(Key::Number),
-            PeerMessage::RequestEntries { .. } | PeerMessage::FetchSnapshot { .. } => Repeat::Read,
+            PeerMessage::Invite { .. } => RetrySafety::Idempotent(IdempotencyKey::Number),
+            PeerMessage::RequestEntries { .. } | PeerMessage::FetchSnapshot { .. } => RetrySafety::ReadOnly,
         }
     }
 }
 
 impl Request {
     /// What nodes and operators ask.
-    pub fn repeat(&self) -> Repeat {
+    pub fn retry_safety(&self) -> RetrySafety {
         match self {
             // It renews the lease of the same entry; the node counts its term from before it first asked.
-            Request::Feed { .. } => Repeat::Recognized(Key::Number),
-            Request::Write { .. } => Repeat::Recognized(Key::Write),
+            Request::Feed { .. } => RetrySafety::Idempotent(IdempotencyKey::Number),
+            Request::Write { .. } => RetrySafety::Idempotent(IdempotencyKey::Write),
             // Repeated after it took effect it would be declined, as the view has moved: a wrong answer.
-            Request::ChangeVoters { .. } => Repeat::Never,
-            Request::ReadStore | Request::Adopted | Request::Status => Repeat::Read,
+            Request::ChangeVoters { .. } => RetrySafety::Never,
+            Request::ReadStore | Request::Adopted | Request::Status => RetrySafety::ReadOnly,
         }
     }
 }
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -4,7 +4,7 @@
 use quincehatch_runtime::now;
 use quincehatch_runtime::rng::Rng;
 use quincehatch_runtime::seam;
-use quincehatch_wire::http::{Call, Wire, post};
+use quincehatch_wire::http::{Call, HttpConnection, post_once};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -36,7 +36,7 @@
     pub id: usize,
     pub rng: Rng,
     district: String,
-    wire: Option<(Wire, String)>,
+    wire: Option<(HttpConnection, String)>,
     pub(crate) session: Option<(String, u64)>,
     pub(crate) n: u64,
     marks: u64,
@@ -75,9 +75,9 @@
         if self.wire.is_none() {
             let place = json!({"district": self.district});
             let (st, v) =
-                post(&self.w.platform, "/v1/place", &place, Duration::from_millis(500)).await.ok()?;
+                post_once(&self.w.platform, "/v1/place", &place, Duration::from_millis(500)).await.ok()?;
             let door = v["door"].as_str().filter(|_| st == 200)?.to_owned();
-            let wire = seam::timeout(Duration::from_millis(500), Wire::open(&door, None)).await.ok()?.ok()?;
+            let wire = seam::timeout(Duration::from_millis(500), HttpConnection::open(&door, None)).await.ok()?.ok()?;
             self.wire = Some((wire, door));
         }
         self.note_sent(path, &body);
--- a/crates/testbed/src/platform.rs
+++ b/crates/testbed/src/platform.rs
@@ -7,7 +7,7 @@
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
 use quincehatch_runtime::seam;
-use quincehatch_wire::http::{Call, once, post};
+use quincehatch_wire::http::{Call, call_once, post_once};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -64,7 +64,7 @@
             let st = st.clone();
             seam::spawn(async move {
                 let c = Call { method: "GET", path: "/ready", body: &Value::Null, token: None };
-                let ok = once(&d, &c, Duration::from_millis(400)).await.is_ok_and(|(s, _)| s == 200);
+                let ok = call_once(&d, &c, Duration::from_millis(400)).await.is_ok_and(|(s, _)| s == 200);
                 st.0.lock().unwrap().nodes.iter_mut().filter(|n| n.1 == d).for_each(|n| n.2 = ok);
             });
         }
@@ -107,7 +107,7 @@
         }
         st.fences.insert(group, (fence, node, server));
     }
-    match post(
+    match post_once(
         &addr,
         "/v1/promote",
         &json!({"fence": fence, "counts": b["counts"]}),
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -8,7 +8,7 @@
 use crate::script::{Act, Step, Who};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
-use quincehatch_wire::http::{Call, once, post};
+use quincehatch_wire::http::{Call, call_once, post_once};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -40,7 +40,7 @@
 pub async fn op(desk: &str, what: &str, body: &Value, ms: u64) -> Option<(u16, Value)> {
     let path = format!("/op/{what}");
     let c = Call { method: "POST", path: &path, body, token: Some(TOKEN) };
-    once(desk, &c, Duration::from_millis(ms)).await.ok()
+    call_once(desk, &c, Duration::from_millis(ms)).await.ok()
 }
 
 /// The fleet's status, from whichever node answers.
@@ -80,7 +80,7 @@
 
 pub async fn lab(servers: &[ServerAt], server: &str, path: &str, body: &Value) -> Option<Value> {
     let addr = servers.iter().find(|s| s.name == server)?.addr.clone();
-    post(&addr, path, body, Duration::from_secs(5)).await.ok().map(|(_, v)| v)
+    post_once(&addr, path, body, Duration::from_secs(5)).await.ok().map(|(_, v)| v)
 }
 
 async fn act(
--- a/crates/testbed/src/stand/repl.rs
+++ b/crates/testbed/src/stand/repl.rs
@@ -2,7 +2,7 @@
 use super::Stand;
 use crate::db::{Pull, Pulled};
 use quincehatch_runtime::seam;
-use quincehatch_wire::http::{Call, Wire, post};
+use quincehatch_wire::http::{Call, HttpConnection, post_once};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -11,7 +11,7 @@
 /// Follows whichever peer leads; one link is kept while it answers.
 pub async fn follow(s: Arc<Stand>) {
     let mut at = 0;
-    let mut wire: Option<Wire> = None;
+    let mut wire: Option<HttpConnection> = None;
     loop {
         if s.leads() || s.args.peers.is_empty() || s.faults.is(&s.faults.deaf) || s.faults.is(&s.faults.dark)
         {
@@ -34,11 +34,11 @@
     }
 }
 
-async fn ask(s: &Stand, peer: &str, wire: &mut Option<Wire>) -> Option<Pulled> {
+async fn ask(s: &Stand, peer: &str, wire: &mut Option<HttpConnection>) -> Option<Pulled> {
     let p = s.with(|d| Pull { server: d.name.clone(), fence: d.fence, have: d.end() });
     let body = json!(p);
     if wire.is_none() {
-        *wire = Wire::open(peer, None).await.ok();
+        *wire = HttpConnection::open(peer, None).await.ok();
     }
     let c = Call { method: "POST", path: "/v1/pull", body: &body, token: None };
     let (_, v) = wire.as_mut()?.ask(&c).await.ok()?;
@@ -74,7 +74,7 @@
                 let desk = s.args.desks[(at + i) % s.args.desks.len()].clone();
                 let beat = beat.clone();
                 seam::spawn(async move {
-                    let _ = post(&desk, "/beat", &beat, Duration::from_millis(800)).await;
+                    let _ = post_once(&desk, "/beat", &beat, Duration::from_millis(800)).await;
                 });
             }
             at += 1;
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -3,7 +3,7 @@
 
 /// What a receiver recognizes a repeated call by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Key {
+pub enum IdempotencyKey {
     /// The key of a write, kept with its answer in the replicated store (§5.2).
     Write,
     /// A ballot of the view register, synced before it is answered (§5.3).
@@ -13,7 +13,7 @@
     /// A fence, which only rises.
     Fence,
     /// The version of a session's copy: an older one alters nothing.
-    SessionEdition,
+    SessionVersion,
     /// The incarnation of a mesh member and the number of a probe.
     Incarnation,
     /// A group and a server: the same report twice is one report.
@@ -22,21 +22,21 @@
 
 /// May a call be sent again when its frame may have arrived and no answer came?
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetrySafety {
     /// Yes: it alters nothing.
-    Read,
+    ReadOnly,
     /// Yes: the receiver recognizes it, and two arrivals have the effect of one.
-    Recognized(Key),
+    Idempotent(IdempotencyKey),
     /// No: it ends with [`crate::CallError::OutcomeUnknown`].
     Never,
 }
 
-impl Repeat {
+impl RetrySafety {
     /// May it be sent again after it may have arrived?
-    pub fn is_allowed(self) -> bool {
+    pub fn allows_retry(self) -> bool {
         match self {
-            Repeat::Read | Repeat::Recognized(_) => true,
-            Repeat::Never => false,
+            RetrySafety::ReadOnly | RetrySafety::Idempotent(_) => true,
+            RetrySafety::Never => false,
         }
     }
 }
@@ -47,5 +47,5 @@
     /// What the receiver answers.
     type Answer: BorshSerialize + BorshDeserialize + Send + Sync + 'static;
     /// Whether this request may be sent again.
-    fn repeat(&self) -> Repeat;
+    fn retry_safety(&self) -> RetrySafety;
 }
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -2,7 +2,7 @@
 use crate::frame::{
     AnswerHeader, FrameKind, Incoming, RequestHeader, encode, invalid, read_frame, write_frame,
 };
-use crate::{Call, CallError, Destination, Identity, ProcessId, Repeat};
+use crate::{Call, CallError, Destination, Identity, ProcessId, RetrySafety};
 use compact_str::format_compact;
 use quincehatch_runtime::seam::{self, World};
 use std::collections::HashMap;
@@ -80,7 +80,7 @@
     fn set(&self, written: bool) {
         self.written.store(written, Ordering::Relaxed);
     }
-    fn error(&self, repeat: Repeat, why: impl std::fmt::Display) -> CallError {
+    fn error(&self, repeat: RetrySafety, why: impl std::fmt::Display) -> CallError {
         match self.written.load(Ordering::Relaxed) {
             true => CallError::unanswered(repeat, why),
             false => CallError::NotSent(format_compact!("{why}")),
@@ -117,7 +117,7 @@
                 None => self.call_connected(to, request, &progress).await,
             }
         };
-        let late = || progress.error(request.repeat(), format_args!("{}: no answer in time", to.addr));
+        let late = || progress.error(request.retry_safety(), format_args!("{}: no answer in time", to.addr));
         seam::timeout(within, work).await.unwrap_or_else(|_| Err(late()))
     }
 
@@ -128,10 +128,10 @@
         progress: &Progress,
     ) -> Result<Q::Answer, CallError> {
         // A kept connection may have ended unnoticed: what must not go out twice is worth a new one.
-        let kept = if request.repeat().is_allowed() { self.take_idle(&to) } else { None };
+        let kept = if request.retry_safety().allows_retry() { self.take_idle(&to) } else { None };
         if let Some(connection) = kept {
             match self.attempt(connection, to, request, progress).await {
-                Err(error) if error.allows(request.repeat()) => progress.set(false),
+                Err(error) if error.allows_retry(request.retry_safety()) => progress.set(false),
                 ended => return ended,
             }
         }
@@ -148,7 +148,7 @@
         request: &Q,
         progress: &Progress,
     ) -> Result<Q::Answer, CallError> {
-        let broke = |e: io::Error| progress.error(request.repeat(), format_args!("{}: {e}", to.addr));
+        let broke = |e: io::Error| progress.error(request.retry_safety(), format_args!("{}: {e}", to.addr));
         let (call, frame) = self.encode(connection.receiver(&to), request).map_err(broke)?;
         progress.set(true);
         if let Err(e) = write_frame(&mut connection.stream, &frame).await {
@@ -158,7 +158,7 @@
         }
         let frame = read_frame(&mut connection.stream).await.map_err(broke)?;
         let (responder, answer) = decode::<Q>(&frame, call).map_err(broke)?;
-        let answer = answer.ok_or(CallError::Declined { by: responder })?;
+        let answer = answer.ok_or(CallError::WrongReceiver { by: responder })?;
         if !connection.expects(&to, responder) {
             return Err(broke(invalid("another process answers")));
         }
@@ -173,12 +173,12 @@
         request: &Q,
         progress: &Progress,
     ) -> Result<Q::Answer, CallError> {
-        let broke = |e: io::Error| progress.error(request.repeat(), format_args!("{}: {e}", to.addr));
+        let broke = |e: io::Error| progress.error(request.retry_safety(), format_args!("{}: {e}", to.addr));
         let (call, frame) = self.encode(to.receiver(), request).map_err(broke)?;
         progress.set(true);
         let frame = world.exchange_frame(to.addr, frame).await.map_err(broke)?;
         let (responder, answer) = decode::<Q>(&frame, call).map_err(broke)?;
-        let answer = answer.ok_or(CallError::Declined { by: responder })?;
+        let answer = answer.ok_or(CallError::WrongReceiver { by: responder })?;
         if !to.is(responder) {
             return Err(broke(invalid("another process answers")));
         }
@@ -222,7 +222,7 @@
     }
     match kind {
         FrameKind::Answer => Ok((header.responder, Some(borsh::from_slice(message)?))),
-        FrameKind::Declined => Ok((header.responder, None)),
+        FrameKind::Rejected => Ok((header.responder, None)),
         FrameKind::Request => Err(invalid("a request in place of an answer")),
     }
 }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,5 +1,5 @@
 //! How a call fails, and what is known of its effect then.
-use crate::{ProcessId, Repeat};
+use crate::{ProcessId, RetrySafety};
 use compact_str::{CompactString, format_compact};
 use quincehatch_core::{ErrorCode, Error};
 
@@ -9,7 +9,7 @@
     /// There was no connection, or the frame was not written whole: the receiver cannot have acted on it.
     NotSent(CompactString),
     /// The process at the address is not the one that was meant, and has done nothing.
-    Declined {
+    WrongReceiver {
         /// Who listens there.
         by: ProcessId,
     },
@@ -21,18 +21,18 @@
 
 impl CallError {
     /// The error of a call whose frame may have arrived.
-    pub(super) fn unanswered(repeat: Repeat, why: impl std::fmt::Display) -> CallError {
+    pub(super) fn unanswered(repeat: RetrySafety, why: impl std::fmt::Display) -> CallError {
         let why = format_compact!("{why}");
         match repeat {
-            Repeat::Read => CallError::NoAnswer(why),
-            Repeat::Recognized(_) | Repeat::Never => CallError::OutcomeUnknown(why),
+            RetrySafety::ReadOnly => CallError::NoAnswer(why),
+            RetrySafety::Idempotent(_) | RetrySafety::Never => CallError::OutcomeUnknown(why),
         }
     }
     /// May the call be sent on another connection after this?
-    pub fn allows(&self, repeat: Repeat) -> bool {
+    pub fn allows_retry(&self, repeat: RetrySafety) -> bool {
         match self {
-            CallError::NotSent(_) | CallError::Declined { .. } => true,
-            CallError::NoAnswer(_) | CallError::OutcomeUnknown(_) => repeat.is_allowed(),
+            CallError::NotSent(_) | CallError::WrongReceiver { .. } => true,
+            CallError::NoAnswer(_) | CallError::OutcomeUnknown(_) => repeat.allows_retry(),
         }
     }
 }
@@ -41,7 +41,7 @@
     fn from(error: CallError) -> Error {
         match error {
             CallError::NotSent(why) | CallError::NoAnswer(why) => ErrorCode::Unreachable.with_detail(why),
-            CallError::Declined { .. } => ErrorCode::WrongReceiver.without_detail(),
+            CallError::WrongReceiver { .. } => ErrorCode::WrongReceiver.without_detail(),
             CallError::OutcomeUnknown(why) => ErrorCode::OutcomeUnknown.with_detail(why).with_unknown_outcome(),
         }
     }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -26,17 +26,17 @@
     /// The answer to a request.
     Answer,
     /// The process is not the receiver; there is no message.
-    Declined,
+    Rejected,
 }
 
 impl FrameKind {
-    const ALL: [FrameKind; 3] = [FrameKind::Request, FrameKind::Answer, FrameKind::Declined];
+    const ALL: [FrameKind; 3] = [FrameKind::Request, FrameKind::Answer, FrameKind::Rejected];
 
     fn number(self) -> u8 {
         match self {
             FrameKind::Request => 1,
             FrameKind::Answer => 2,
-            FrameKind::Declined => 3,
+            FrameKind::Rejected => 3,
         }
     }
     fn byte(self) -> u8 {
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -17,40 +17,40 @@
 
 /// How a socket to a server watches itself (§4.4): DESIGN's two kernel layers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Watch {
+pub struct KeepaliveSettings {
     pub idle: Duration,
     pub user_timeout: Duration,
 }
 
-impl Default for Watch {
+impl Default for KeepaliveSettings {
     fn default() -> Self {
         Self { idle: Duration::from_secs(30), user_timeout: Duration::from_secs(4) }
     }
 }
 
-pub trait WatchExt {
-    fn watch(&self, w: Watch) -> std::io::Result<()>;
-    fn watched(&self) -> std::io::Result<Watch>;
+pub trait KeepaliveExt {
+    fn watch(&self, w: KeepaliveSettings) -> std::io::Result<()>;
+    fn watched(&self) -> std::io::Result<KeepaliveSettings>;
 }
 
-impl WatchExt for TcpStream {
-    fn watch(&self, w: Watch) -> std::io::Result<()> {
+impl KeepaliveExt for TcpStream {
+    fn watch(&self, w: KeepaliveSettings) -> std::io::Result<()> {
         let s = SockRef::from(self);
         s.set_tcp_nodelay(true)?;
         let step = Duration::from_secs((w.idle.as_secs() / 3).max(1));
         s.set_tcp_keepalive(&TcpKeepalive::new().with_time(w.idle).with_interval(step).with_retries(3))?;
         s.set_tcp_user_timeout(Some(w.user_timeout))
     }
-    fn watched(&self) -> std::io::Result<Watch> {
+    fn watched(&self) -> std::io::Result<KeepaliveSettings> {
         let s = SockRef::from(self);
         let on = s.keepalive()?;
         let idle = if on { s.tcp_keepalive_time()? } else { Duration::ZERO };
-        Ok(Watch { idle, user_timeout: s.tcp_user_timeout()?.unwrap_or_default() })
+        Ok(KeepaliveSettings { idle, user_timeout: s.tcp_user_timeout()?.unwrap_or_default() })
     }
 }
 
 /// An open HTTP link.
-pub struct Wire {
+pub struct HttpConnection {
     way: Way,
     flags: Arc<Flags>,
 }
@@ -79,7 +79,7 @@
     }
 }
 
-impl Drop for Wire {
+impl Drop for HttpConnection {
     fn drop(&mut self) {
         self.flags.ours.store(true, Ordering::SeqCst);
         if let Way::Virtual(p) = &self.way {
@@ -88,14 +88,14 @@
     }
 }
 
-impl Wire {
-    pub async fn open(addr: &str, w: Option<Watch>) -> std::io::Result<Self> {
-        Self::open_with(addr, w, Box::new(|_| ())).await
+impl HttpConnection {
+    pub async fn open(addr: &str, w: Option<KeepaliveSettings>) -> std::io::Result<Self> {
+        Self::open_watched(addr, w, Box::new(|_| ())).await
     }
 
     /// `on_break` is called when the idle link breaks with an error of the kernel's: a reset, or a time-out of its
     /// own probes. An orderly close is none (§4.5).
-    pub async fn open_with(addr: &str, w: Option<Watch>, on_break: OnDisconnect) -> std::io::Result<Self> {
+    pub async fn open_watched(addr: &str, w: Option<KeepaliveSettings>, on_break: OnDisconnect) -> std::io::Result<Self> {
         let flags = Arc::new(Flags::default());
         let f = flags.clone();
         let on_break: OnDisconnect = Box::new(move |e| {
@@ -208,20 +208,20 @@
 }
 
 /// A single call over a link of its own.
-pub async fn once(addr: &str, call: &Call<'_>, within: Duration) -> std::io::Result<(u16, Value)> {
-    quincehatch_runtime::seam::timeout(within, async { Wire::open(addr, None).await?.ask(call).await })
+pub async fn call_once(addr: &str, call: &Call<'_>, within: Duration) -> std::io::Result<(u16, Value)> {
+    quincehatch_runtime::seam::timeout(within, async { HttpConnection::open(addr, None).await?.ask(call).await })
         .await
         .unwrap_or_else(|_| Err(std::io::Error::new(std::io::ErrorKind::TimedOut, "no answer in time")))
 }
 
 /// A call with further headers over a link of its own, of which only the status matters.
-pub async fn status_of(
+pub async fn call_for_status(
     addr: &str,
     call: &Call<'_>,
     more: &[(&str, &str)],
     within: Duration,
 ) -> std::io::Result<u16> {
-    let work = async { Wire::open(addr, None).await?.send(call, more).await };
+    let work = async { HttpConnection::open(addr, None).await?.send(call, more).await };
     match quincehatch_runtime::seam::timeout(within, work).await {
         Ok(got) => got.map(|r| r.0),
         Err(_) => Err(std::io::ErrorKind::TimedOut.into()),
@@ -229,8 +229,8 @@
 }
 
 /// POST of `body` over a link of its own.
-pub async fn post(addr: &str, path: &str, body: &Value, within: Duration) -> std::io::Result<(u16, Value)> {
-    once(addr, &Call { method: "POST", path, body, token: None }, within).await
+pub async fn post_once(addr: &str, path: &str, body: &Value, within: Duration) -> std::io::Result<(u16, Value)> {
+    call_once(addr, &Call { method: "POST", path, body, token: None }, within).await
 }
 
 #[cfg(test)]
@@ -242,8 +242,8 @@
     async fn a_socket_to_a_server_carries_keep_alive_and_user_timeout() {
         let lst = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let s = TcpStream::connect(lst.local_addr().unwrap()).await.unwrap();
-        assert_ne!(s.watched().unwrap(), Watch::default());
-        s.watch(Watch::default()).unwrap();
+        assert_ne!(s.watched().unwrap(), KeepaliveSettings::default());
+        s.watch(KeepaliveSettings::default()).unwrap();
         let w = s.watched().unwrap();
         assert_eq!((w.idle.as_secs(), w.user_timeout.as_secs()), (30, 4));
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -12,7 +12,7 @@
 mod identity;
 mod server;
 
-pub use call::{Call, Key, Repeat};
+pub use call::{Call, IdempotencyKey, RetrySafety};
 pub use caller::{Caller, Connector, Tcp};
 pub use destination::Destination;
 pub use error::CallError;
@@ -21,4 +21,4 @@
     REQUEST_HEADER_BYTES, RequestHeader, encode, read_frame, write_frame,
 };
 pub use identity::{Identity, ProcessId};
-pub use server::{Received, answer_to, receive, respond, serve};
+pub use server::{Received, encode_answer_frame, receive, respond, serve};
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -65,7 +65,7 @@
         request: Q,
     },
     /// It is for another process; the frame tells the caller so.
-    Declined(Vec<u8>),
+    Rejected(Vec<u8>),
 }
 
 /// Reads a request frame. What is not for this process is declined.
@@ -76,13 +76,13 @@
     }
     let (header, message) = incoming.header::<RequestHeader>()?;
     if !me.is_receiver(header.receiver) {
-        return Ok(Received::Declined(encode_answer::<Q>(me, header.call, None)?));
+        return Ok(Received::Rejected(encode_answer::<Q>(me, header.call, None)?));
     }
     Ok(Received::Request { call: header.call, request: borsh::from_slice(message)? })
 }
 
 /// The frame that answers a call.
-pub fn answer_to<Q: Call>(me: &Identity, call: u16, answer: &Q::Answer) -> io::Result<Vec<u8>> {
+pub fn encode_answer_frame<Q: Call>(me: &Identity, call: u16, answer: &Q::Answer) -> io::Result<Vec<u8>> {
     encode_answer::<Q>(me, call, Some(answer))
 }
 
@@ -94,8 +94,8 @@
     Fut: Future<Output = Q::Answer>,
 {
     match receive::<Q>(me, frame)? {
-        Received::Request { call, request } => answer_to::<Q>(me, call, &answer(request).await),
-        Received::Declined(frame) => Ok(frame),
+        Received::Request { call, request } => encode_answer_frame::<Q>(me, call, &answer(request).await),
+        Received::Rejected(frame) => Ok(frame),
     }
 }
 
@@ -103,6 +103,6 @@
     let header = AnswerHeader { call, responder: me.id() };
     match answer {
         Some(answer) => encode(FrameKind::Answer, &header, answer),
-        None => encode(FrameKind::Declined, &header, &()),
+        None => encode(FrameKind::Rejected, &header, &()),
     }
 }
