--- a/crates/wire/tests/wire/main.rs
+++ b/crates/wire/tests/wire/main.rs
@@ -5,7 +5,7 @@
 mod sockets;
 
 use borsh::{BorshDeserialize, BorshSerialize};
-use quincehatch_wire::{Call, Key, Repeat};
+use quincehatch_wire::{Call, IdempotencyKey, RetrySafety};
 
 /// One request of each kind; the answer to each is its own number.
 #[derive(Clone, Copy, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
@@ -25,11 +25,11 @@
 
 impl Call for Ask {
     type Answer = u32;
-    fn repeat(&self) -> Repeat {
+    fn retry_safety(&self) -> RetrySafety {
         match self {
-            Ask::Read(_) => Repeat::Read,
-            Ask::Write(_) => Repeat::Recognized(Key::Write),
-            Ask::Once(_) => Repeat::Never,
+            Ask::Read(_) => RetrySafety::ReadOnly,
+            Ask::Write(_) => RetrySafety::Idempotent(IdempotencyKey::Write),
+            Ask::Once(_) => RetrySafety::Never,
         }
     }
 }
--- a/crates/wire/tests/wire/model.rs
+++ b/crates/wire/tests/wire/model.rs
@@ -85,7 +85,7 @@
         let said = format!("{ask:?} ended with {got:?} and ran {runs} times, after {events:?}");
         match got {
             Ok(number) => assert!(*number == ask.number() && runs > 0, "{said}"),
-            Err(CallError::NotSent(_) | CallError::Declined { .. }) => {
+            Err(CallError::NotSent(_) | CallError::WrongReceiver { .. }) => {
                 assert!(runs == 0 || !matches!(ask, Ask::Once(_)), "{said}");
             }
             Err(CallError::NoAnswer(_)) => assert!(matches!(ask, Ask::Read(_)), "{said}"),
--- a/crates/wire/tests/wire/sockets.rs
+++ b/crates/wire/tests/wire/sockets.rs
@@ -199,7 +199,7 @@
     for ask in [Ask::Read(2), Ask::Write(3), Ask::Once(4)] {
         let got = caller.call(to, &ask, WITHIN).await;
         let by = Identity::with_incarnation("b", 1).id();
-        assert_eq!(got, Err(CallError::Declined { by }));
+        assert_eq!(got, Err(CallError::WrongReceiver { by }));
     }
     assert_eq!(caller.call(Destination::address(&addr), &Ask::Read(5), WITHIN).await, Ok(5));
     assert_eq!(*other.ran.lock().unwrap(), [Ask::Read(5)]);
@@ -220,7 +220,7 @@
         let frame = encode(FrameKind::Request, &header, &Ask::Once(1)).unwrap();
         let back = respond(&me, &frame, ran).await.unwrap();
         let incoming = Incoming::parse(&back).unwrap();
-        assert_eq!(incoming.kind, FrameKind::Declined);
+        assert_eq!(incoming.kind, FrameKind::Rejected);
         assert_eq!(
             incoming.header::<AnswerHeader>().unwrap().0,
             AnswerHeader { call: 9, responder: me.id() }
@@ -229,7 +229,7 @@
     let earlier = Identity::with_incarnation("a", 2).id().tag();
     let header = RequestHeader { call: 9, sender: 1, receiver: earlier };
     let frame = encode(FrameKind::Request, &header, &Ask::Once(1)).unwrap();
-    assert_eq!(Incoming::parse(&respond(&me, &frame, ran).await.unwrap()).unwrap().kind, FrameKind::Declined);
+    assert_eq!(Incoming::parse(&respond(&me, &frame, ran).await.unwrap()).unwrap().kind, FrameKind::Rejected);
     let mut frame =
         encode(FrameKind::Request, &RequestHeader { receiver: 0, ..header }, &Ask::Once(1)).unwrap();
     frame[0] ^= 0x10;
