--- a/crates/capacity/src/parts.rs
+++ b/crates/capacity/src/parts.rs
@@ -2,7 +2,7 @@
 use super::{blueprint, cost, names, standing};
 use quincehatch_core::{PrimaryAssignment, Name};
 use quincehatch_gossip::{MemberStatus, GossipMembership, MemberRecord, duty};
-use quincehatch_proxy::board::Plan;
+use quincehatch_proxy::registry::ClusterState;
 use quincehatch_store::patch::PackedText;
 use quincehatch_store::store::{MAX_ANSWERED_WRITES, promotion_duty_key};
 use quincehatch_store::{Answer, Command, Entry, FeedSnapshot, FeedState, KeeperResponse, Reply, Store};
@@ -130,7 +130,7 @@
     let mut s = store(groups, 2);
     let text = PackedText::pack(s.configuration().map_or("", |k| &k.text));
     let mut k = FeedState::from_snapshot(FeedSnapshot::from_store(&s, text)).expect("what was packed");
-    let had = quincehatch_node::feed::plan_of(&k, &Plan::default());
+    let had = quincehatch_node::feed::plan_of(&k, &ClusterState::default());
     let c = adopt(&mut s, groups, 9);
     let (adopted, plan) = cost(|| {
         assert!(k.apply(&c));
@@ -150,9 +150,9 @@
     let rt = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     let _in = rt.enter();
     let set = super::settings(0, "127.0.0.1:1".into(), vec![], vec!["127.0.0.1:1".into()]);
-    let node = quincehatch_proxy::Node::new(
+    let node = quincehatch_proxy::Proxy::new(
         set,
-        Box::new(quincehatch_proxy::alone::Alone::default()),
+        Box::new(quincehatch_proxy::local_replicas::LocalOnlyReplicas::default()),
         quincehatch_runtime::seam::Spawner::current(),
     );
     for i in 0..n {
@@ -166,9 +166,9 @@
             role: at.role,
             ..Default::default()
         };
-        node.board.beat(beat);
+        node.registry.apply_heartbeat(beat);
     }
     // Ten looks a second by the judges; the loop over duties looks at each server's verdict four times (§6.3).
     let (ms, _) = cost(|| (0..10).for_each(|_| quincehatch_proxy::probe::judge(&node)));
-    (node.board.rows().len() as f64, ms)
+    (node.registry.servers().len() as f64, ms)
 }
--- a/crates/gossip/src/copies.rs
+++ b/crates/gossip/src/copies.rs
@@ -1,7 +1,7 @@
 //! Copies of session contexts, compared by digests over ranges and mended from the newer (§6.4). Sans-IO.
 use crate::duty::replica_owners;
 use quincehatch_core::{Millis, Name, Version, hash64};
-use quincehatch_proxy::session::Context;
+use quincehatch_proxy::session::SessionState;
 use std::collections::BTreeMap;
 
 pub const RANGE_COUNT: usize = 16;
@@ -12,7 +12,7 @@
 
 #[derive(Debug, Default)]
 pub struct SessionReplicaTable {
-    held: BTreeMap<Name, (Context, Millis)>,
+    held: BTreeMap<Name, (SessionState, Millis)>,
 }
 
 pub fn range_of(id: &str) -> u8 {
@@ -21,7 +21,7 @@
 
 impl SessionReplicaTable {
     /// Takes a copy if it is the newer. False when there is no room.
-    pub fn insert_if_newer(&mut self, now: Millis, c: Context) -> bool {
+    pub fn insert_if_newer(&mut self, now: Millis, c: SessionState) -> bool {
         let had = self.held.get(&c.id).map(|(h, _)| h.version);
         if had.is_none() && self.held.len() >= MAX_REPLICAS {
             return false;
@@ -31,7 +31,7 @@
         }
         true
     }
-    pub fn get(&self, id: &str) -> Option<Context> {
+    pub fn get(&self, id: &str) -> Option<SessionState> {
         self.held.get(id).map(|(c, _)| c.clone())
     }
     pub fn len(&self) -> usize {
@@ -40,7 +40,7 @@
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
-    pub fn sessions(&self) -> Vec<Context> {
+    pub fn sessions(&self) -> Vec<SessionState> {
         self.held.values().map(|(c, _)| c.clone()).collect()
     }
     pub fn expire_closed(&mut self, now: Millis) {
@@ -56,7 +56,7 @@
         a: &'a Name,
         b: &'a Name,
         live: &'a [(Name, Name)],
-    ) -> impl Iterator<Item = &'a Context> {
+    ) -> impl Iterator<Item = &'a SessionState> {
         self.held.values().map(|(c, _)| c).filter(move |c| {
             let o = replica_owners(&c.id, live);
             o.contains(a) && o.contains(b)
@@ -75,7 +75,7 @@
         of.map(|c| (c.id.clone(), c.version)).collect()
     }
     /// Compares with what another holds of a range: what is newer here, and what is newer there.
-    pub fn diff_range(&self, mine: &[(Name, Version)], theirs: &[(Name, Version)]) -> (Vec<Context>, Vec<Name>) {
+    pub fn diff_range(&self, mine: &[(Name, Version)], theirs: &[(Name, Version)]) -> (Vec<SessionState>, Vec<Name>) {
         let of = |v: &[(Name, Version)], id: &Name| v.iter().find(|(i, _)| i == id).map_or(0, |(_, e)| *e);
         let newer =
             mine.iter().filter(|(id, e)| *e > of(theirs, id)).filter_map(|(id, _)| self.get(id)).collect();
@@ -93,8 +93,8 @@
 mod tests {
     use super::*;
 
-    fn ctx(i: usize, version: Version) -> Context {
-        Context { id: format!("s{i}").into(), version, ..Default::default() }
+    fn ctx(i: usize, version: Version) -> SessionState {
+        SessionState { id: format!("s{i}").into(), version, ..Default::default() }
     }
 
     #[test]
@@ -117,7 +117,7 @@
         for r in differ {
             let (mx, my) = (x.versions_in_range(&a, &b, &live, r), y.versions_in_range(&a, &b, &live, r));
             let (newer, want) = y.diff_range(&my, &mx);
-            let give: Vec<Context> = want.iter().filter_map(|id| x.get(id)).collect();
+            let give: Vec<SessionState> = want.iter().filter_map(|id| x.get(id)).collect();
             newer.into_iter().for_each(|c| assert!(x.insert_if_newer(0, c)));
             give.into_iter().for_each(|c| assert!(y.insert_if_newer(0, c)));
         }
--- a/crates/gossip/src/messages.rs
+++ b/crates/gossip/src/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between nodes (§6).
 use crate::short;
 use quincehatch_core::{ServerHeartbeat, FencingToken, Name, Position, Version, messages};
-use quincehatch_proxy::session::Context;
+use quincehatch_proxy::session::SessionState;
 
 messages! {
     #[derive(Copy, Eq, Hash, PartialOrd, Ord, Default)]
@@ -37,7 +37,7 @@
 
     /// Questions between nodes that need an answer.
     pub enum NodeQuery {
-        StoreSession { session: Context },
+        StoreSession { session: SessionState },
         FindSession { id: Name },
         SessionDigests { from: Name, digests: Vec<u64> },
         SessionRange { from: Name, range: u8, have: Vec<(Name, Version)> },
@@ -60,11 +60,11 @@
 
     pub enum NodeReply {
         Done,
-        FoundSession { session: Option<Context> },
+        FoundSession { session: Option<SessionState> },
         /// Ranges that differ.
         DifferingRanges { ranges: Vec<u8> },
         /// Contexts newer here, and ids of which the asker has the newer.
-        SessionRepair { newer: Vec<Context>, wanted: Vec<Name> },
+        SessionRepair { newer: Vec<SessionState>, wanted: Vec<Name> },
         ServerEvidence { heard: bool, failing: bool, stalled: bool, answering: bool },
         InFlight { count: u64 },
         Report { json: String },
--- a/crates/gossip/tests/sessions.rs
+++ b/crates/gossip/tests/sessions.rs
@@ -2,7 +2,7 @@
 use quincehatch_core::Name;
 use quincehatch_gossip::copies::{RANGE_COUNT, SessionReplicaTable};
 use quincehatch_gossip::duty::replica_owners;
-use quincehatch_proxy::session::Context;
+use quincehatch_proxy::session::SessionState;
 use quincehatch_runtime::rng::Rng;
 use std::collections::BTreeMap;
 
@@ -30,20 +30,20 @@
         let names = self.names();
         names.into_iter().filter(|_| !self.rng.chance(300)).collect()
     }
-    fn put(&mut self, at: &Name, c: &Context) {
+    fn put(&mut self, at: &Name, c: &SessionState) {
         self.tables.get_mut(at).unwrap().insert_if_newer(0, c.clone());
     }
-    fn store(&mut self, c: &Context) -> bool {
+    fn store(&mut self, c: &SessionState) -> bool {
         let up = self.reach();
         let own = replica_owners(ID, &self.live).into_iter().filter(|o| up.contains(o)).collect::<Vec<_>>();
         own.iter().for_each(|o| self.put(o, c));
         own.len() >= 2
     }
-    fn newest(&self, of: &[Name], ok: impl Fn(&Context) -> bool) -> Option<Context> {
+    fn newest(&self, of: &[Name], ok: impl Fn(&SessionState) -> bool) -> Option<SessionState> {
         of.iter().filter_map(|n| self.tables[n].get(ID)).filter(ok).max_by_key(|c| c.version)
     }
-    fn find(&mut self, echo: u64, trail: bool) -> Option<Context> {
-        let ok = |c: &Context| if trail { c.knows(echo) } else { c.version >= echo };
+    fn find(&mut self, echo: u64, trail: bool) -> Option<SessionState> {
+        let ok = |c: &SessionState| if trail { c.includes(echo) } else { c.version >= echo };
         let up = self.reach();
         let own = replica_owners(ID, &self.live).into_iter().filter(|o| up.contains(o)).collect::<Vec<_>>();
         let best = self.newest(&own, ok).filter(|_| own.len() >= 2);
@@ -69,7 +69,7 @@
 /// One origin, moving about; how often its session was found whole and how often lost, or what was missing.
 fn run(seed: u64, trail: bool) -> Result<(usize, usize), String> {
     let mut w = World::new(seed);
-    let mut here = Context { id: ID.into(), ..Default::default() }.next(0, false);
+    let mut here = SessionState { id: ID.into(), ..Default::default() }.next_version(0, false);
     let (mut echo, mut burnt, mut moved) = (here.version, 0, false);
     let mut promised: Vec<String> = Vec::new();
     w.store(&here);
@@ -77,7 +77,7 @@
     for i in 0..400 {
         match w.rng.below(10) {
             0..5 => {
-                let mut next = here.next(burnt, moved);
+                let mut next = here.next_version(burnt, moved);
                 burnt = next.version;
                 next.settings.push(format!("x{i}=1"));
                 if w.store(&next) {
--- a/crates/node/src/acknowledged.rs
+++ b/crates/node/src/acknowledged.rs
@@ -4,7 +4,7 @@
 use crate::server_queries::ask;
 use quincehatch_core::{FencingToken, Name, Position};
 use quincehatch_gossip::{NodeQuery, NodeReply};
-use quincehatch_proxy::port::Call;
+use quincehatch_proxy::ports::ServerCall;
 use quincehatch_runtime::seam;
 use quincehatch_store::{Reply, Request};
 use std::collections::BTreeMap;
@@ -65,9 +65,9 @@
     if !whole {
         return None;
     }
-    let end = ask(f, server, Call::Status).await?.received;
+    let end = ask(f, server, ServerCall::Status).await?.received;
     for i in 0..TIMES {
-        let looks = seam::join_all(holders.iter().map(|h| ask(f, h, Call::Status))).await;
+        let looks = seam::join_all(holders.iter().map(|h| ask(f, h, ServerCall::Status))).await;
         if looks.iter().all(|l| l.is_some_and(|l| l.received >= end)) {
             let nodes = nodes.into_iter().map(|(n, (_, life))| (n, life)).collect();
             f.duty.settled.lock().unwrap().insert(g.clone(), Settled { lead, end, nodes });
--- a/crates/node/src/commit_lists.rs
+++ b/crates/node/src/commit_lists.rs
@@ -9,20 +9,20 @@
 
 /// How the group's servers look from here.
 pub fn seen(f: &Fleet, g: &Name) -> Vec<Seen> {
-    let of = |r: &Arc<quincehatch_proxy::board::ServerRow>| {
+    let of = |r: &Arc<quincehatch_proxy::registry::ServerEntry>| {
         let st = r.status.lock().unwrap();
-        let failing = st.failing.map(|at| now().saturating_sub(at)).or((st.answered == 0).then_some(0));
-        Seen { name: r.name.clone(), leaving: st.left.is_some(), failing }
+        let failing = st.failing_since.map(|at| now().saturating_sub(at)).or((st.answered_at == 0).then_some(0));
+        Seen { name: r.name.clone(), leaving: st.draining_since.is_some(), failing }
     };
-    f.node.board.rows().iter().filter(|r| r.group() == *g).map(of).collect()
+    f.node.registry.servers().iter().filter(|r| r.group() == *g).map(of).collect()
 }
 
 /// Once the lead shows all of its log, it is on two of the servers that count now: lists from before are let go.
 pub fn settle_lists(f: &Arc<Fleet>, g: &Name, s: &Sight) {
     let Some(lead) = s.lead.clone().filter(|l| !l.previous_voters.is_empty() && s.wrong.is_none()) else { return };
-    let row = lead.server.as_ref().and_then(|n| f.node.board.row(n));
+    let row = lead.server.as_ref().and_then(|n| f.node.registry.server(n));
     let shows = row.is_some_and(|r| {
-        let b = r.beat.read().unwrap();
+        let b = r.heartbeat.read().unwrap();
         b.role == quincehatch_core::Role::Primary && b.fence == lead.fence && b.state == ServerState::Up
     });
     if shows {
--- a/crates/node/src/copies.rs
+++ b/crates/node/src/copies.rs
@@ -4,8 +4,8 @@
 use quincehatch_core::{ErrorCode, Error, Name, Version};
 use quincehatch_gossip::duty::replica_owners;
 use quincehatch_gossip::{NodeQuery, NodeReply};
-use quincehatch_proxy::node::{Copies, BoxFuture};
-use quincehatch_proxy::session::Context;
+use quincehatch_proxy::proxy::{SessionReplicas, BoxFuture};
+use quincehatch_proxy::session::SessionState;
 use quincehatch_runtime::now;
 use std::sync::Arc;
 
@@ -35,7 +35,7 @@
         }
     }
     // Held here but owned by others now: hand each on to all its owners, then let it go.
-    let strays: Vec<Context> = {
+    let strays: Vec<SessionState> = {
         let t = f.mesh.table.lock().unwrap();
         t.sessions().into_iter().filter(|c| !replica_owners(&c.id, &live).contains(&me)).take(64).collect()
     };
@@ -54,8 +54,8 @@
 
 pub struct MeshCopies(pub Arc<Net>);
 
-impl Copies for MeshCopies {
-    fn store(&self, c: Context) -> BoxFuture<'_, Result<(), Error>> {
+impl SessionReplicas for MeshCopies {
+    fn store(&self, c: SessionState) -> BoxFuture<'_, Result<(), Error>> {
         Box::pin(async move {
             let to = replica_owners(&c.id, &self.0.live());
             let n = to.len();
@@ -69,14 +69,14 @@
             }
         })
     }
-    fn find<'a>(&'a self, id: &'a str, knows: Version) -> BoxFuture<'a, Result<Option<Context>, Error>> {
+    fn find<'a>(&'a self, id: &'a str, knows: Version) -> BoxFuture<'a, Result<Option<SessionState>, Error>> {
         Box::pin(async move {
             let live = self.0.live();
             let to = replica_owners(id, &live);
             let ask = NodeQuery::FindSession { id: id.into() };
             let newest = |got: Vec<(Name, Option<NodeReply>)>| {
                 let answered = got.iter().filter(|(_, r)| r.is_some()).count();
-                let copies: Vec<Context> = got
+                let copies: Vec<SessionState> = got
                     .into_iter()
                     .filter_map(|(_, r)| match r {
                         Some(NodeReply::FoundSession { session }) => session,
@@ -84,7 +84,7 @@
                     })
                     .collect();
                 let any = !copies.is_empty();
-                (answered, any, copies.into_iter().filter(|c| c.knows(knows)).max_by_key(|c| c.version))
+                (answered, any, copies.into_iter().filter(|c| c.includes(knows)).max_by_key(|c| c.version))
             };
             let n = to.len();
             let (answered, _, best) = newest(self.0.ask_all(to, ask.clone()).await);
--- a/crates/node/src/duties.rs
+++ b/crates/node/src/duties.rs
@@ -22,13 +22,13 @@
 
 /// What this node sees of a server.
 pub fn eye(f: &Fleet, server: &str) -> Eye {
-    f.node.board.row(server).map_or_else(Eye::default, |r| {
-        let failing = r.status.lock().unwrap().failing.is_some();
+    f.node.registry.server(server).map_or_else(Eye::default, |r| {
+        let failing = r.status.lock().unwrap().failing_since.is_some();
         let h = r.health.lock().unwrap();
         Eye {
             heard: true,
             failing,
-            stalled: h.stalled(now()).is_some(),
+            stalled: h.stalled_for(now()).is_some(),
             answering: h.overdue.answered_within(now(), ANSWERING),
         }
     })
@@ -42,12 +42,12 @@
         if f.ports.is_some() {
             held_watch::try_again(&f);
         }
-        if !f.node.board.has_lease() || f.node.board.is_stopping() {
+        if !f.node.registry.has_lease() || f.node.registry.is_stopping() {
             continue;
         }
         let live: Vec<Name> = f.mesh.live().into_iter().map(|(n, _)| n).collect();
         let names: std::collections::BTreeSet<Name> =
-            f.node.board.rows().iter().map(|r| r.group()).filter(|g| !g.is_empty()).collect();
+            f.node.registry.servers().iter().map(|r| r.group()).filter(|g| !g.is_empty()).collect();
         mine = false;
         for g in names {
             let st = groups.entry(g.clone()).or_default();
@@ -88,10 +88,10 @@
 }
 
 fn sight(f: &Fleet, g: &Name, st: &mut Group) -> Sight {
-    let rows: Vec<_> = f.node.board.rows().into_iter().filter(|r| r.group() == *g).collect();
+    let rows: Vec<_> = f.node.registry.servers().into_iter().filter(|r| r.group() == *g).collect();
     let copies = rows
         .iter()
-        .filter_map(|r| r.beat.read().unwrap().labels.get("copies").and_then(|c| c.parse().ok()))
+        .filter_map(|r| r.heartbeat.read().unwrap().labels.get("copies").and_then(|c| c.parse().ok()))
         .max()
         .unwrap_or(3);
     let mut s = Sight {
@@ -113,13 +113,13 @@
         return s;
     };
     let status = row.status.lock().unwrap().clone();
-    s.failing = status.failing.map(|at| now().saturating_sub(at));
-    s.declined = status.declined;
-    s.leaving = row.leaving();
-    s.stalled = f.duty.suspected(g, &row.name).max(row.health.lock().unwrap().stalled(now()));
-    let b = row.beat.read().unwrap().clone();
+    s.failing = status.failing_since.map(|at| now().saturating_sub(at));
+    s.declined = status.refused;
+    s.leaving = row.is_draining();
+    s.stalled = f.duty.suspected(g, &row.name).max(row.health.lock().unwrap().stalled_for(now()));
+    let b = row.heartbeat.read().unwrap().clone();
     let leads = b.role == quincehatch_core::Role::Primary && b.fence == fence && b.state != ServerState::Starting;
-    let wrong_now = !leads && status.failing.is_none() && status.answered > 0;
+    let wrong_now = !leads && status.failing_since.is_none() && status.answered_at > 0;
     st.wrong = if wrong_now { st.wrong.or(Some(now())) } else { None };
     s.wrong = st.wrong.map(|at| now().saturating_sub(at));
     s
@@ -198,12 +198,12 @@
     }
     st.fenced_at = now();
     for r in
-        f.node.board.rows().into_iter().filter(|r| r.group() == *g && Some(&r.name) != lead.server.as_ref())
+        f.node.registry.servers().into_iter().filter(|r| r.group() == *g && Some(&r.name) != lead.server.as_ref())
     {
-        let low = r.beat.read().unwrap().fence < lead.fence;
-        if low && r.status.lock().unwrap().failing.is_none() {
-            let (path, body) = quincehatch_proxy::server::call::fence(lead.fence);
-            let _ = f.node.once(&r.addr(), path, body, Duration::from_millis(500)).await;
+        let low = r.heartbeat.read().unwrap().fence < lead.fence;
+        if low && r.status.lock().unwrap().failing_since.is_none() {
+            let (path, body) = quincehatch_proxy::server_protocol::call::fence(lead.fence);
+            let _ = f.node.call_once(&r.addr(), path, body, Duration::from_millis(500)).await;
         }
     }
 }
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -2,7 +2,7 @@
 use crate::Fleet;
 use quincehatch_config::configuration::Configuration;
 use quincehatch_core::{ServerHeartbeat, ChangeNumber, Name, ServerRecord, ServerState};
-use quincehatch_proxy::board::Plan;
+use quincehatch_proxy::registry::ClusterState;
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
 use quincehatch_store::terms::minus_clock_drift;
@@ -18,7 +18,7 @@
 const BYE: Duration = Duration::from_millis(400);
 
 pub async fn run(f: Arc<Fleet>) {
-    let (name, addr) = (f.node.set.name.as_str(), f.node.set.gossip_listener.as_str());
+    let (name, addr) = (f.node.settings.name.as_str(), f.node.settings.gossip_listener.as_str());
     let mut to = f.chain.tail();
     let mut had = false;
     let mut stood = BTreeMap::new();
@@ -73,9 +73,9 @@
             publish(&f, &mut stood);
         }
         if let Some(lease_ms) = news.filter(|_| !f.left.load(Ordering::SeqCst)) {
-            f.node.board.renew_lease(asked + minus_clock_drift(lease_ms));
+            f.node.registry.renew_lease(asked + minus_clock_drift(lease_ms));
         }
-        let has = f.node.board.has_lease();
+        let has = f.node.registry.has_lease();
         if has != had {
             let w = if has { "holds its lease" } else { "has lost its lease and takes no visits" };
             log::info!(target: "lease", "node {name} {w}");
@@ -92,7 +92,7 @@
 
 /// Enters this process among those that may hold leases (§5.6); 0 if that could not be had.
 async fn enroll(f: &Fleet, tried: u64) -> ChangeNumber {
-    let (node, life) = (Name::from(f.node.set.name.as_str()), seam::incarnation());
+    let (node, life) = (Name::from(f.node.settings.name.as_str()), seam::incarnation());
     let key = format!("enroll/{node}/{life:x}/{tried}");
     match f.chain.write(&key, Command::EnrollNode { node, incarnation: life }, ENROLL).await {
         Ok(Answer::Enrolled(n)) => n,
@@ -106,10 +106,10 @@
 /// The process ends in order: it uses its lease no more, and says so, so that nobody waits for it.
 pub async fn leave(f: &Fleet) {
     f.left.store(true, Ordering::SeqCst);
-    f.node.board.give_up_lease();
+    f.node.registry.release_lease();
     let enrolled = f.enrolled.load(Ordering::SeqCst);
     if enrolled > 0 {
-        let node = Name::from(f.node.set.name.as_str());
+        let node = Name::from(f.node.settings.name.as_str());
         let key = format!("dismiss/{node}/{enrolled}");
         let _ = f.chain.write(&key, Command::DismissNode { node, enrolled }, BYE).await;
     }
@@ -120,18 +120,18 @@
     if f.ports.is_some() {
         stand(f, stood);
     }
-    let p = plan_of(&f.known.lock().unwrap(), &f.node.board.plan());
-    let (n, version) = (p.n, p.version);
-    if f.node.board.set_plan(p) {
+    let p = plan_of(&f.known.lock().unwrap(), &f.node.registry.cluster_state());
+    let (n, version) = (p.number, p.version);
+    if f.node.registry.set_cluster_state(p) {
         log::debug!(target: "feed", "change {n} is applied, version {version} is in force");
     }
 }
 
 /// What is known as a plan; while the blueprint stays, so does what was read of it.
-pub fn plan_of(k: &FeedState, had: &Plan) -> Plan {
+pub fn plan_of(k: &FeedState, had: &ClusterState) -> ClusterState {
     let (n, version, leads) = (k.last_change, k.configuration_version, k.primaries.clone());
     if had.version == version {
-        return Plan { n, version, leads, ..had.clone() };
+        return ClusterState { number: n, version, primaries: leads, ..had.clone() };
     }
     let blueprint = Configuration::parse_stored(&k.configuration_json)
         .map_err(|b| log::error!(target: "feed", "version {version} cannot be read: {b}"))
@@ -140,7 +140,7 @@
     let named = dbs.flat_map(|(i, r)| r.when.get("db").into_iter().flatten().map(move |db| (db, i)));
     let by_db: HashMap<Name, usize> = named.map(|(db, i)| (db.as_str().into(), i)).collect();
     log::info!(target: "feed", "version {version} is in force from change {n} on");
-    Plan { n, version, blueprint: blueprint.map(Arc::new), leads, by_db: Arc::new(by_db) }
+    ClusterState { number: n, version, configuration: blueprint.map(Arc::new), primaries: leads, route_by_database: Arc::new(by_db) }
 }
 
 /// Servers that the chain knows come on the blackboard as if they had beaten here (§3.5); `stood` is what was put there
@@ -160,10 +160,10 @@
             state: if s.draining { ServerState::Draining } else { ServerState::Up },
             ..Default::default()
         };
-        f.node.board.beat(beat);
+        f.node.registry.apply_heartbeat(beat);
     }
-    for r in stood.keys().filter(|s| !servers.contains_key(*s)).filter_map(|s| f.node.board.row(s)) {
-        r.note_leaving(true);
+    for r in stood.keys().filter(|s| !servers.contains_key(*s)).filter_map(|s| f.node.registry.server(s)) {
+        r.set_draining(true);
     }
     *stood = servers;
 }
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -6,7 +6,7 @@
 use crate::server_queries::{self, ask};
 use quincehatch_core::{FencingToken, PrimaryAssignment, Millis, Name, Position, Role};
 use quincehatch_failover::promotion::Plan;
-use quincehatch_proxy::port::{Call, Promoted};
+use quincehatch_proxy::ports::{ServerCall, PromotionOutcome};
 use quincehatch_runtime::{now, seam};
 use quincehatch_store::{Command, PrimaryState};
 use std::sync::Arc;
@@ -40,7 +40,7 @@
     seam::trace_point("hand-over: others stand still");
     let done = whole && {
         let said = ports.promoter.promote(plan.group.clone(), heir.clone(), plan.by.clone(), fence).await;
-        said != Promoted::Declined && leads(f, &heir).await
+        said != PromotionOutcome::Rejected && leads(f, &heir).await
     };
     if !done {
         for o in others {
@@ -73,8 +73,8 @@
 async fn heir(f: &Fleet, plan: &Plan, old: &Name) -> Option<Name> {
     let leaving = plan.sync.as_ref().map_or(&[][..], |s| &s.leaving);
     let may: Vec<&Name> = plan.servers.iter().filter(|s| *s != old && !leaving.contains(s)).collect();
-    let looks = seam::join_all(may.iter().map(|s| ask(f, s, Call::Status))).await;
-    let of = |(s, l): (&&Name, Option<quincehatch_proxy::port::Look>)| l.map(|l| (l.received, (*s).clone()));
+    let looks = seam::join_all(may.iter().map(|s| ask(f, s, ServerCall::Status))).await;
+    let of = |(s, l): (&&Name, Option<quincehatch_proxy::ports::ServerStatus>)| l.map(|l| (l.received, (*s).clone()));
     let all: Vec<(Position, Name)> = may.iter().zip(looks).filter_map(of).collect();
     let wanted = plan.want.as_ref().and_then(|w| all.iter().find(|(_, s)| s == w));
     wanted.or_else(|| all.iter().max_by_key(|(end, _)| *end)).map(|(_, s)| s.clone())
@@ -97,10 +97,10 @@
 
 /// Has the heir received what the old lead has by now?
 async fn caught_up(f: &Fleet, old: &Name, heir: &Name) -> bool {
-    let Some(all) = ask(f, old, Call::Status).await.filter(|l| l.role == Role::Primary) else { return false };
+    let Some(all) = ask(f, old, ServerCall::Status).await.filter(|l| l.role == Role::Primary) else { return false };
     let until = now() + CATCH_UP;
     while now() < until {
-        if ask(f, heir, Call::Status).await.is_some_and(|l| l.received >= all.received) {
+        if ask(f, heir, ServerCall::Status).await.is_some_and(|l| l.received >= all.received) {
             return true;
         }
         seam::sleep(AGAIN).await;
@@ -111,7 +111,7 @@
 async fn leads(f: &Fleet, heir: &Name) -> bool {
     let until = now() + LEADS;
     while now() < until {
-        if ask(f, heir, Call::Status).await.is_some_and(|l| l.role == Role::Primary) {
+        if ask(f, heir, ServerCall::Status).await.is_some_and(|l| l.role == Role::Primary) {
             return true;
         }
         seam::sleep(AGAIN).await;
--- a/crates/node/src/held_duty.rs
+++ b/crates/node/src/held_duty.rs
@@ -8,7 +8,7 @@
 use quincehatch_failover::promotion::Plan;
 use quincehatch_failover::sync::{self, dead, need};
 use quincehatch_failover::watch::{Need, Sight};
-use quincehatch_proxy::board::ServerRow;
+use quincehatch_proxy::registry::ServerEntry;
 use quincehatch_runtime::{now, seam};
 use quincehatch_store::store::promotion_duty_key;
 use quincehatch_store::{Command, PrimaryState};
@@ -26,22 +26,22 @@
 const WRITE: Duration = Duration::from_secs(3);
 
 /// The group's servers as the chain knows them.
-fn rows(f: &Fleet, g: &Name) -> Vec<Arc<ServerRow>> {
+fn rows(f: &Fleet, g: &Name) -> Vec<Arc<ServerEntry>> {
     let names: Vec<Name> = {
         let s = f.known.lock().unwrap();
         s.servers.values().filter(|s| s.group == *g).map(|s| s.server.clone()).collect()
     };
-    names.iter().filter_map(|n| f.node.board.row(n)).collect()
+    names.iter().filter_map(|n| f.node.registry.server(n)).collect()
 }
 
 /// Servers that went away lately, at whose address nobody is known yet: their log may be with someone who is there
 /// already, and receives and counts before the chain hears of it.
-fn gone(f: &Fleet, g: &Name, rows: &[Arc<ServerRow>]) -> Vec<Name> {
-    let left = |r: &ServerRow| r.status.lock().unwrap().left;
-    let all: Vec<_> = f.node.board.rows().into_iter().filter(|r| r.group() == *g).collect();
-    let lately = |r: &ServerRow| left(r).is_some_and(|at| now() < at + GONE);
-    let heir = |r: &ServerRow| {
-        let at = |x: &ServerRow| x.name != r.name && x.addr() == r.addr();
+fn gone(f: &Fleet, g: &Name, rows: &[Arc<ServerEntry>]) -> Vec<Name> {
+    let left = |r: &ServerEntry| r.status.lock().unwrap().draining_since;
+    let all: Vec<_> = f.node.registry.servers().into_iter().filter(|r| r.group() == *g).collect();
+    let lately = |r: &ServerEntry| left(r).is_some_and(|at| now() < at + GONE);
+    let heir = |r: &ServerEntry| {
+        let at = |x: &ServerEntry| x.name != r.name && x.addr() == r.addr();
         rows.iter().any(|x| x.name == r.name || at(x)) || all.iter().any(|x| at(x) && left(x) > left(r))
     };
     all.iter().filter(|r| lately(r) && !heir(r)).map(|r| r.name.clone()).collect()
@@ -50,12 +50,12 @@
 /// Servers that may hold what was acknowledged: all that are known, and those known when the lead was named, unless
 /// one said that it leaves and its log went to a new server at its address. One that a stranger pushed out of its
 /// address said nothing, and took its log with it.
-fn holders(f: &Fleet, g: &Name, rows: &[Arc<ServerRow>], lead: Option<&PrimaryAssignment>) -> Vec<Name> {
+fn holders(f: &Fleet, g: &Name, rows: &[Arc<ServerEntry>], lead: Option<&PrimaryAssignment>) -> Vec<Name> {
     let mut out: Vec<Name> = rows.iter().map(|r| r.name.clone()).chain(gone(f, g, rows)).collect();
     for n in lead.map_or(&[][..], |l| &l.voters) {
-        let row = f.node.board.row(n);
+        let row = f.node.registry.server(n);
         let passed_on = row.is_some_and(|o| {
-            o.beat.read().unwrap().state == ServerState::Draining
+            o.heartbeat.read().unwrap().state == ServerState::Draining
                 && rows.iter().any(|r| r.name != o.name && r.addr() == o.addr())
         });
         if !out.contains(n) && !passed_on {
@@ -67,7 +67,7 @@
     out
 }
 
-fn sight(f: &Fleet, g: &Name, rows: &[Arc<ServerRow>], st: &mut Group) -> Sight {
+fn sight(f: &Fleet, g: &Name, rows: &[Arc<ServerEntry>], st: &mut Group) -> Sight {
     let mut s = Sight {
         lead: st.lead.clone(),
         lead_for: now().saturating_sub(st.since),
@@ -81,12 +81,12 @@
         s.lead_for = s.lead_for.max(sync::STUCK);
     }
     let Some(server) = s.lead.as_ref().and_then(|l| l.server.clone()) else { return s };
-    let Some(row) = f.node.board.row(&server) else { return s };
+    let Some(row) = f.node.registry.server(&server) else { return s };
     let status = row.status.lock().unwrap().clone();
-    s.failing = status.failing.map(|at| now().saturating_sub(at));
-    s.declined = status.declined;
-    s.leaving = row.leaving();
-    s.stalled = f.duty.suspected(g, &server).max(row.health.lock().unwrap().stalled(now()));
+    s.failing = status.failing_since.map(|at| now().saturating_sub(at));
+    s.declined = status.refused;
+    s.leaving = row.is_draining();
+    s.stalled = f.duty.suspected(g, &server).max(row.health.lock().unwrap().stalled_for(now()));
     let not = f.duty.asking.look(&server).is_some_and(|(at, l)| at >= st.since && l.role != Role::Primary);
     st.wrong = if not { st.wrong.or(Some(now())) } else { None };
     s.wrong = st.wrong.map(|at| now().saturating_sub(at));
@@ -100,7 +100,7 @@
     }
     watch(f, &rows, st);
     mend(f, &rows, st);
-    let heard = |r: &ServerRow| r.status.lock().unwrap().failing.is_none() && r.heard_of();
+    let heard = |r: &ServerEntry| r.status.lock().unwrap().failing_since.is_none() && r.answered_recently();
     if now() < st.rest_until {
         return;
     }
@@ -113,7 +113,7 @@
     let s = sight(f, g, &rows, st);
     settle(f, g, &rows, st, &s);
     let old = s.lead.as_ref().and_then(|l| l.server.clone().or_else(|| l.demoted.clone()));
-    let heir = rows.iter().any(|r| Some(&r.name) != old.as_ref() && !r.leaving() && heard(r));
+    let heir = rows.iter().any(|r| Some(&r.name) != old.as_ref() && !r.is_draining() && heard(r));
     let cut =
         heir && st.minded.behind >= sync::CUT && (st.minded.cut == 0 || now() >= st.minded.cut + CUT_REST);
     let planned = match need(&s, heir) {
@@ -137,17 +137,17 @@
 fn promote(
     f: &Arc<Fleet>,
     g: &Name,
-    rows: &[Arc<ServerRow>],
+    rows: &[Arc<ServerEntry>],
     st: &mut Group,
     old: Option<Name>,
     planned: bool,
 ) {
     let want = f.duty.wants.lock().unwrap().remove(g).flatten();
-    let bp = f.node.board.plan().blueprint.clone();
+    let bp = f.node.registry.cluster_state().configuration.clone();
     let group = sync::Group {
         n: bp.and_then(|b| b.group(g).and_then(|x| x.sync_replicas)).unwrap_or(0),
         holders: holders(f, g, rows, st.lead.as_ref()),
-        leaving: rows.iter().filter(|r| r.leaving()).map(|r| r.name.clone()).collect(),
+        leaving: rows.iter().filter(|r| r.is_draining()).map(|r| r.name.clone()).collect(),
         lead: f.duty.settled.lock().unwrap().get(g).map(|s| s.lead),
     };
     let plan = Plan {
@@ -176,7 +176,7 @@
     }));
 }
 
-fn settle(f: &Arc<Fleet>, g: &Name, rows: &[Arc<ServerRow>], st: &mut Group, s: &Sight) {
+fn settle(f: &Arc<Fleet>, g: &Name, rows: &[Arc<ServerEntry>], st: &mut Group, s: &Sight) {
     let Some(lead) = s.lead.as_ref().filter(|_| s.failing.is_none()) else { return };
     let Some(server) = lead.server.clone() else { return };
     let busy = st.minded.settling.as_ref().is_some_and(|t| !t.is_finished());
@@ -196,12 +196,12 @@
 }
 
 /// No lead yet: the one server that says it leads is taken as it is; nobody is suspended or promoted for that.
-fn first(f: &Arc<Fleet>, g: &Name, rows: &[Arc<ServerRow>], st: &mut Group) {
+fn first(f: &Arc<Fleet>, g: &Name, rows: &[Arc<ServerEntry>], st: &mut Group) {
     let looks: Vec<_> = rows.iter().map(|r| f.duty.asking.look(&r.name).map(|(_, l)| l.role)).collect();
     let say: Vec<&Name> = rows
         .iter()
         .zip(&looks)
-        .filter(|(r, l)| l.map_or(r.beat.read().unwrap().role == Role::Primary, |l| l == Role::Primary))
+        .filter(|(r, l)| l.map_or(r.heartbeat.read().unwrap().role == Role::Primary, |l| l == Role::Primary))
         .map(|(r, _)| &r.name)
         .collect();
     if let [one] = say[..] {
--- a/crates/node/src/held_promotion.rs
+++ b/crates/node/src/held_promotion.rs
@@ -3,7 +3,7 @@
 use crate::server_queries::{self, ask};
 use quincehatch_core::{FencingToken, Name, Role};
 use quincehatch_failover::promotion::{In, Plan};
-use quincehatch_proxy::port::{Call, Promoted};
+use quincehatch_proxy::ports::{ServerCall, PromotionOutcome};
 use quincehatch_runtime::{now, seam};
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,12 +22,12 @@
 pub async fn promote_one(f: &Arc<Fleet>, plan: &Plan, server: Name, fence: FencingToken) -> In {
     let Some(ports) = &f.ports else { return In::NotPromoted(server) };
     let said = ports.promoter.promote(plan.group.clone(), server.clone(), plan.by.clone(), fence).await;
-    if said == Promoted::Declined {
+    if said == PromotionOutcome::Rejected {
         return In::Overtaken;
     }
     let until = now() + LEADS_WITHIN;
     while now() < until {
-        if let Some(l) = ask(f, &server, Call::Status).await.filter(|l| l.role == Role::Primary) {
+        if let Some(l) = ask(f, &server, ServerCall::Status).await.filter(|l| l.role == Role::Primary) {
             for s in plan.servers.iter().filter(|s| **s != server).cloned() {
                 seam::spawn(follow(f.clone(), s, l.term));
             }
@@ -40,10 +40,10 @@
 
 /// A replica that is held receives again, from whoever leads in `term`; a primary of a lower term leads no more.
 pub async fn follow(f: Arc<Fleet>, server: Name, term: u64) {
-    let Some(l) = ask(&f, &server, Call::Status).await else { return };
+    let Some(l) = ask(&f, &server, ServerCall::Status).await else { return };
     let call = match l.role {
-        Role::Primary if l.term < term => Call::Demote { term },
-        Role::Replica if l.held > 0 => Call::Resume,
+        Role::Primary if l.term < term => ServerCall::Demote { term },
+        Role::Replica if l.suspended_term > 0 => ServerCall::Resume,
         _ => return,
     };
     f.duty.tell(format!("server {server} is told {call:?}, as another leads term {term}"));
@@ -55,8 +55,8 @@
     let Some(old) = plan.old.as_ref().filter(|_| counted == In::Drained) else { return counted };
     let leaving = plan.sync.as_ref().map_or(&[][..], |s| &s.leaving);
     let heirs = plan.servers.iter().filter(|s| *s != old && !leaving.contains(s));
-    let Some(all) = ask(f, old, Call::Status).await.map(|l| l.received) else { return In::Drained };
-    let looks = seam::join_all(heirs.map(|s| ask(f, s, Call::Status))).await;
+    let Some(all) = ask(f, old, ServerCall::Status).await.map(|l| l.received) else { return In::Drained };
+    let looks = seam::join_all(heirs.map(|s| ask(f, s, ServerCall::Status))).await;
     if looks.iter().flatten().any(|l| l.received >= all) { In::Drained } else { In::Tick }
 }
 
--- a/crates/node/src/held_watch.rs
+++ b/crates/node/src/held_watch.rs
@@ -4,9 +4,9 @@
 use crate::{Fleet, held_promotion};
 use quincehatch_core::{Millis, Name, Role};
 use quincehatch_failover::sync::Mark;
-use quincehatch_proxy::board::ServerRow;
-use quincehatch_proxy::port::Call;
-use quincehatch_proxy::verdict::Verdict;
+use quincehatch_proxy::registry::ServerEntry;
+use quincehatch_proxy::ports::ServerCall;
+use quincehatch_proxy::state::HealthState;
 use quincehatch_runtime::{now, seam};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -39,17 +39,17 @@
 
 /// Asks the server itself where nothing was heard of it lately, for another node's question.
 pub async fn look_again(f: &Arc<Fleet>, server: &Name) {
-    let Some(row) = f.node.board.row(server) else { return };
+    let Some(row) = f.node.registry.server(server) else { return };
     let st = row.status.lock().unwrap().clone();
     // A silence that this node sees itself needs no other question.
-    let silent = st.failing.is_some_and(|at| now() >= at + SILENT_HERE);
-    if !silent && now() >= st.answered + SEEN {
-        ask(f, server, Call::Status).await;
+    let silent = st.failing_since.is_some_and(|at| now() >= at + SILENT_HERE);
+    if !silent && now() >= st.answered_at + SEEN {
+        ask(f, server, ServerCall::Status).await;
     }
 }
 
 /// Asks those servers that are due, each by a task of its own.
-pub fn watch(f: &Arc<Fleet>, rows: &[Arc<ServerRow>], st: &mut Group) {
+pub fn watch(f: &Arc<Fleet>, rows: &[Arc<ServerEntry>], st: &mut Group) {
     let lead = st.lead.as_ref().and_then(|l| l.server.clone());
     st.minded.asked.retain(|n, _| rows.iter().any(|r| r.name == *n));
     let seen = |n: &Name| f.duty.asking.look(n).filter(|(at, _)| *at >= st.since);
@@ -68,31 +68,31 @@
         let status = r.status.lock().unwrap().clone();
         // Whoever is silent is asked oftener: the count of its silence must not wait.
         let gap = if leads || lead.is_none() || st.minded.behind > SOON { LEAD } else { OTHER };
-        let fresh = leads && status.failing.is_none() && now() < status.answered + FRESH;
+        let fresh = leads && status.failing_since.is_none() && now() < status.answered_at + FRESH;
         // Whoever declined as one that does not lead is asked at once.
-        let wrong = leads && (st.wrong.is_some() || status.not_lead.is_some_and(|t| t > *at));
-        let gap = if leads && status.not_lead.is_some_and(|t| t > *at) { SOON / 5 } else { gap };
+        let wrong = leads && (st.wrong.is_some() || status.denied_primary_at.is_some_and(|t| t > *at));
+        let gap = if leads && status.denied_primary_at.is_some_and(|t| t > *at) { SOON / 5 } else { gap };
         if busy || (fresh && !wrong && *at > 0 && now() < *at + OTHER) || (*at > 0 && now() < *at + gap) {
             continue;
         }
         *at = now();
         let (f, name) = (f.clone(), r.name.clone());
         *task = Some(seam::spawn(async move {
-            let _ = ask(&f, &name, Call::Status).await;
+            let _ = ask(&f, &name, ServerCall::Status).await;
         }));
     }
 }
 
 /// An old primary of a lower term that comes back is told, and replicas that someone left held receive again: not at
 /// once, as whoever holds them may be about to choose among them.
-pub fn mend(f: &Arc<Fleet>, rows: &[Arc<ServerRow>], st: &mut Group) {
+pub fn mend(f: &Arc<Fleet>, rows: &[Arc<ServerEntry>], st: &mut Group) {
     let Some(lead) = st.lead.as_ref().and_then(|l| l.server.as_ref()) else { return };
     let look = |s: &Name| f.duty.asking.look(s).filter(|(at, _)| *at >= st.since).map(|(_, l)| l);
     let term = look(lead).filter(|l| l.role == Role::Primary).map(|l| l.term);
     for r in rows {
         let odd = term.is_some_and(|term| {
             let l = look(&r.name).filter(|_| r.name != *lead);
-            l.is_some_and(|l| if l.role == Role::Primary { l.term < term } else { l.held > 0 })
+            l.is_some_and(|l| if l.role == Role::Primary { l.term < term } else { l.suspended_term > 0 })
         });
         if !odd {
             st.minded.odd.remove(&r.name);
@@ -112,20 +112,20 @@
 pub fn try_again(f: &Arc<Fleet>) {
     let times = crowd(f.mesh.live().len());
     f.duty.asking.forget(times, |s| f.known.lock().unwrap().servers.contains_key(s));
-    for r in f.node.board.rows() {
+    for r in f.node.registry.servers() {
         let h = r.health.lock().unwrap();
-        let due = h.verdict == Verdict::SetAside && now() >= h.until;
+        let due = h.state == HealthState::Ejected && now() >= h.ejected_until;
         drop(h);
-        if !due || now() < r.status.lock().unwrap().asked + LEAD * times {
+        if !due || now() < r.status.lock().unwrap().asked_at + LEAD * times {
             continue;
         }
-        r.status.lock().unwrap().asked = now();
+        r.status.lock().unwrap().asked_at = now();
         let f = f.clone();
         seam::spawn(async move {
-            let Some(l) = ask(&f, &r.name, Call::Status).await else { return };
-            let needed = f.node.board.seen(&r.group(), |s| s.needed(now(), 1_500));
+            let Some(l) = ask(&f, &r.name, ServerCall::Status).await else { return };
+            let needed = f.node.registry.with_primary_positions(&r.group(), |s| s.needed(now(), 1_500));
             if needed.is_some_and(|p| l.received >= p) {
-                r.health.lock().unwrap().status_good(now());
+                r.health.lock().unwrap().status_succeeded(now());
             }
         });
     }
--- a/crates/node/src/lease_roll.rs
+++ b/crates/node/src/lease_roll.rs
@@ -24,7 +24,7 @@
             missed.entry(n.clone()).or_insert(now());
         }
         let mine = quincehatch_gossip::duty::owner("nodes", &live) == Some(&f.mesh.me);
-        if !mine || !f.node.board.has_lease() {
+        if !mine || !f.node.registry.has_lease() {
             continue;
         }
         let gone = missed.iter().filter(|(_, at)| now() >= **at + GONE).map(|(n, _)| n.clone());
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -38,33 +38,33 @@
     let fleet = Fleet::new(&set);
     let (node, mesh) = (fleet.node.clone(), fleet.mesh.clone());
     let n = node.clone();
-    let door: quincehatch_proxy::door::Answerer = Arc::new(move |k| {
+    let door: quincehatch_proxy::listener::JsonHandler = Arc::new(move |k| {
         let n = n.clone();
         Box::pin(async move { operator_api::origin(&n, k).await })
     });
-    let door = quincehatch_proxy::door::open(&set.client_listener, set.threads, door, rt)?;
+    let door = quincehatch_proxy::listener::listen(&set.client_listener, set.threads, door, rt)?;
     let f = fleet.clone();
-    let at_desk: quincehatch_proxy::door::Answerer = Arc::new(move |k| {
+    let at_desk: quincehatch_proxy::listener::JsonHandler = Arc::new(move |k| {
         let f = f.clone();
         Box::pin(async move { operator_api::answer(&f, k).await })
     });
-    let desk = quincehatch_proxy::door::open(&set.operator_listener, 1, at_desk, rt)?;
+    let desk = quincehatch_proxy::listener::listen(&set.operator_listener, 1, at_desk, rt)?;
     log::info!(target: "node", "node {} in {} listens on {}", set.name, set.zone, set.client_listener);
     rt.spawn(mesh_driver::serve(fleet.clone(), lst));
     fleet.go();
     args::wait_for_stop(&set, &handle).await;
     log::info!(target: "node", "stopping: no new visits are taken");
-    node.board.stopping.store(true, Ordering::SeqCst);
+    node.registry.stopping.store(true, Ordering::SeqCst);
     // The platform needs a moment to see that this node is not ready; open transactions get theirs.
     tokio::time::sleep(Duration::from_millis(500)).await;
     let until = now() + STOP_WITHIN;
-    while now() < until && (node.in_hand.load(Ordering::SeqCst) > 0 || open_txns(&node) > 0) {
+    while now() < until && (node.requests_in_flight.load(Ordering::SeqCst) > 0 || open_txns(&node) > 0) {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     quincehatch_node::feed::leave(&fleet).await;
     mesh.leave().await;
     door.close();
     desk.close();
-    log::info!(target: "node", "stopped with {} visits in hand", node.in_hand.load(Ordering::SeqCst));
+    log::info!(target: "node", "stopped with {} visits in hand", node.requests_in_flight.load(Ordering::SeqCst));
     Ok(())
 }
--- a/crates/node/src/mesh_driver.rs
+++ b/crates/node/src/mesh_driver.rs
@@ -105,7 +105,7 @@
 
 /// A server's beat, from itself or over the mesh: news is put on the blackboard and spread on.
 pub fn heard_beat(f: &Fleet, b: quincehatch_core::ServerHeartbeat) -> bool {
-    let news = f.node.board.beat(b.clone());
+    let news = f.node.registry.apply_heartbeat(b.clone());
     if news {
         f.mesh.mesh.lock().unwrap().spread_heartbeat(b);
     }
@@ -203,9 +203,9 @@
             f.duty.suspect(group, server);
             NodeReply::Done
         }
-        NodeQuery::InFlight { group } => NodeReply::InFlight { count: f.node.board.works.open(&group) as u64 },
+        NodeQuery::InFlight { group } => NodeReply::InFlight { count: f.node.registry.in_flight.open_count(&group) as u64 },
         NodeQuery::AcknowledgedEnd { group, fence } => {
-            NodeReply::AcknowledgedEnd { end: f.node.board.tell_acked(&group, fence), incarnation: f.duty.life.0 }
+            NodeReply::AcknowledgedEnd { end: f.node.registry.seal_acknowledged(&group, fence), incarnation: f.duty.life.0 }
         }
         NodeQuery::Report { what, key } => {
             drop(t);
--- a/crates/node/src/operator_api.rs
+++ b/crates/node/src/operator_api.rs
@@ -1,21 +1,21 @@
 //! What comes to the doors: origins' visits, the platform's question, beats, operators (§4.1, §8).
 use crate::{Fleet, mesh_driver, ops};
 use quincehatch_core::{ServerHeartbeat, ErrorCode, Error};
-use quincehatch_proxy::Node;
-use quincehatch_proxy::door::Knock;
-use quincehatch_proxy::visit::breakdown_json;
+use quincehatch_proxy::Proxy;
+use quincehatch_proxy::listener::HttpRequest;
+use quincehatch_proxy::request::error_json;
 use serde_json::{Value, json};
 use std::sync::Arc;
 
 fn said(r: Result<Value, Error>) -> (u16, Value) {
-    r.map_or_else(|b| (b.http_status(), breakdown_json(&b)), |v| (200, v))
+    r.map_or_else(|b| (b.http_status(), error_json(&b)), |v| (200, v))
 }
 
 /// The door of origins and the platform.
-pub async fn origin(n: &Arc<Node>, k: Knock) -> (u16, Value) {
+pub async fn origin(n: &Arc<Proxy>, k: HttpRequest) -> (u16, Value) {
     match (k.method.as_str(), k.path.as_str()) {
         ("GET", "/ready") => {
-            let r = n.ready();
+            let r = n.readiness();
             let st = if r.is_ok() { 200 } else { 503 };
             (st, r.unwrap_or_else(|b| json!({"ready": false, "error": {"code": b.code, "text": b.text}})))
         }
@@ -25,7 +25,7 @@
 }
 
 /// The desk of servers and operators.
-pub async fn answer(f: &Arc<Fleet>, k: Knock) -> (u16, Value) {
+pub async fn answer(f: &Arc<Fleet>, k: HttpRequest) -> (u16, Value) {
     if k.path == "/beat" {
         let beat = serde_json::from_slice::<ServerHeartbeat>(&k.body).map_err(|e| ErrorCode::Malformed.with_detail(e));
         return said(beat.and_then(|b| check_beat(&b).map(|()| b)).map(|b| {
@@ -34,7 +34,7 @@
         }));
     }
     let Some(what) = k.path.strip_prefix("/op/") else { return said(Err(ErrorCode::NoSuchCall.without_detail())) };
-    if k.token.as_deref() != Some(f.node.set.token.as_str()) {
+    if k.token.as_deref() != Some(f.node.settings.token.as_str()) {
         return said(Err(ErrorCode::Unauthorized.without_detail()));
     }
     let body: Result<Value, Error> = if k.body.is_empty() {
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -17,7 +17,7 @@
     match what {
         "status" => Ok(status(f).await),
         "nodes" => Ok(fan_out(f, "node", "").await),
-        "servers" => Ok(json!({"node": f.node.set.name, "servers": report::of(f, "servers", "")})),
+        "servers" => Ok(json!({"node": f.node.settings.name, "servers": report::of(f, "servers", "")})),
         "placements" => placements(f),
         "push" => push(f, &txt("text"), b).await,
         "history" => history(f).await,
@@ -32,7 +32,7 @@
         }
         "promote" => {
             let g: Name = txt("group").into();
-            if f.node.board.lead(&g).is_none() {
+            if f.node.registry.primary(&g).is_none() {
                 return Err(ErrorCode::NoSuchServer.with_detail(format_args!("no group is called {g:?}")));
             }
             let to = Some(Name::from(txt("to"))).filter(|t| !t.is_empty());
@@ -92,22 +92,22 @@
         })
         .collect();
     let v = f.chain.view();
-    let plan = f.node.board.plan();
+    let plan = f.node.registry.cluster_state();
     let leads: Vec<Value> = plan
-        .leads
+        .primaries
         .iter()
         .map(|(g, l)| json!({"group": g, "server": l.server, "fence": l.fence, "by": l.assigned_by}))
         .collect();
     let nodes = fan_out(f, "node", "").await;
-    json!({"version": plan.version, "change": plan.n, "view": v, "keepers": keepers, "leads": leads,
+    json!({"version": plan.version, "change": plan.number, "view": v, "keepers": keepers, "leads": leads,
         "nodes": nodes["nodes"]})
 }
 
 fn placements(f: &Fleet) -> Result<Value, Error> {
-    let plan = f.node.board.plan();
-    let bp = plan.blueprint.clone().ok_or_else(|| ErrorCode::NoConfiguration.without_detail())?;
+    let plan = f.node.registry.cluster_state();
+    let bp = plan.configuration.clone().ok_or_else(|| ErrorCode::NoConfiguration.without_detail())?;
     let of = |p: &quincehatch_config::configuration::Placement| -> Vec<Name> {
-        f.node.board.placed(&bp, p).iter().map(|r| r.name.clone()).collect()
+        f.node.registry.servers_in_placement(&bp, p).iter().map(|r| r.name.clone()).collect()
     };
     let rows: Vec<Value> = bp
         .placements
@@ -119,9 +119,9 @@
         .collect();
     // Where districts are listed, one that is not has no labels there: its servers and nodes may be missed.
     let mut here: std::collections::BTreeSet<Name> =
-        f.node.board.rows().iter().map(|r| r.district()).collect();
+        f.node.registry.servers().iter().map(|r| r.zone()).collect();
     here.extend(f.mesh.mesh.lock().unwrap().member_records().into_iter().map(|r| r.zone));
-    here.insert(f.node.set.zone.as_str().into());
+    here.insert(f.node.settings.zone.as_str().into());
     let unknown: Vec<Name> =
         here.into_iter().filter(|d| !bp.zones.is_empty() && bp.zone(d).is_none()).collect();
     Ok(
@@ -155,7 +155,7 @@
 }
 
 async fn push(f: &Fleet, text: &str, b: &Value) -> Result<Value, Error> {
-    let bp = match f.node.board.plan().blueprint.clone().filter(|_| seam::injected_bug("taken-invalid")) {
+    let bp = match f.node.registry.cluster_state().configuration.clone().filter(|_| seam::injected_bug("taken-invalid")) {
         Some(old) => Configuration::parse(text).unwrap_or_else(|_| old.as_ref().clone()),
         None => Configuration::parse(text)?,
     };
@@ -165,7 +165,7 @@
     let empty: Vec<&str> = bp
         .placements
         .iter()
-        .filter(|p| f.node.board.placed(&bp, p).is_empty())
+        .filter(|p| f.node.registry.servers_in_placement(&bp, p).is_empty())
         .map(|p| p.name.as_str())
         .collect();
     if b.get("dry_run").and_then(Value::as_bool) == Some(true) {
--- a/crates/node/src/promoting.rs
+++ b/crates/node/src/promoting.rs
@@ -4,7 +4,7 @@
 use quincehatch_core::{ErrorCode, FencingToken, Name};
 use quincehatch_failover::promotion::{In, Out, Plan, Promotion};
 use quincehatch_gossip::{NodeQuery, NodeReply};
-use quincehatch_proxy::platform::{self, Promoted};
+use quincehatch_proxy::platform_api::{self, PromotionOutcome};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
 use quincehatch_store::store::promotion_duty_key;
@@ -121,13 +121,13 @@
 }
 
 async fn fence_one(f: &Fleet, server: Name, fence: FencingToken) -> In {
-    let Some(row) = f.node.board.row(&server) else { return In::Tick };
+    let Some(row) = f.node.registry.server(&server) else { return In::Tick };
     if seam::injected_bug("unfenced") {
-        return In::Fenced(server, row.beat.read().unwrap().log_end);
+        return In::Fenced(server, row.heartbeat.read().unwrap().log_end);
     }
-    let (path, body) = quincehatch_proxy::server::call::fence(fence);
-    let Some(r) = f.node.once(&row.addr(), path, body, CALL).await else { return In::Tick };
-    if r.is(quincehatch_proxy::server::FENCE_LOW) {
+    let (path, body) = quincehatch_proxy::server_protocol::call::fence(fence);
+    let Some(r) = f.node.call_once(&row.addr(), path, body, CALL).await else { return In::Tick };
+    if r.has_error_code(quincehatch_proxy::server_protocol::FENCE_LOW) {
         return In::Overtaken;
     }
     match r.status().filter(|s| s.stamp.server == server && s.stamp.fence == fence) {
@@ -137,12 +137,12 @@
 }
 
 async fn promote_one(f: &Fleet, plan: &Plan, server: Name, fence: FencingToken, counts: &[Name]) -> In {
-    let Some(row) = f.node.board.row(&server) else { return In::NotPromoted(server) };
-    let (path, body) = platform::promote(&plan.group, &server, &row.addr(), fence, &plan.by, counts);
-    let status = post_once(&f.node.set.platform, path, &body, CALL).await.ok().map(|r| r.0);
-    match platform::promoted(status) {
-        Promoted::Done => In::Promoted(server),
-        Promoted::Overtaken => In::Overtaken,
-        Promoted::InDoubt => In::NotPromoted(server),
+    let Some(row) = f.node.registry.server(&server) else { return In::NotPromoted(server) };
+    let (path, body) = platform_api::promote(&plan.group, &server, &row.addr(), fence, &plan.by, counts);
+    let status = post_once(&f.node.settings.platform, path, &body, CALL).await.ok().map(|r| r.0);
+    match platform_api::promotion_outcome(status) {
+        PromotionOutcome::Done => In::Promoted(server),
+        PromotionOutcome::Superseded => In::Overtaken,
+        PromotionOutcome::InDoubt => In::NotPromoted(server),
     }
 }
--- a/crates/node/src/server_queries.rs
+++ b/crates/node/src/server_queries.rs
@@ -1,7 +1,7 @@
 //! Questions of the control plane to servers met over held links: one kept link a server (§3.6, §5.5).
 use crate::Fleet;
 use quincehatch_core::{Millis, Name, Position, Role};
-use quincehatch_proxy::port::{Call, Line, Look, No, Said};
+use quincehatch_proxy::ports::{ServerCall, ServerConnection, ServerStatus, RejectReason, ServerReply};
 use quincehatch_runtime::{now, seam};
 use quincehatch_wire::http::KeepaliveSettings;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 const WITHIN: Duration = Duration::from_millis(400);
 
 /// Where it leads, when it was last used, and the link.
-type Kept = (Name, Millis, Box<dyn Line>);
+type Kept = (Name, Millis, Box<dyn ServerConnection>);
 
 /// A link not used for so long is closed.
 const IDLE: Millis = 5_000;
@@ -22,18 +22,18 @@
 #[derive(Default)]
 pub struct Asking {
     links: Mutex<BTreeMap<Name, Kept>>,
-    looks: Mutex<BTreeMap<Name, (Millis, Look)>>,
+    looks: Mutex<BTreeMap<Name, (Millis, ServerStatus)>>,
 }
 
 impl Asking {
     /// When it was asked, and what it said.
-    pub fn look(&self, server: &str) -> Option<(Millis, Look)> {
+    pub fn look(&self, server: &str) -> Option<(Millis, ServerStatus)> {
         self.looks.lock().unwrap().get(server).copied()
     }
     /// The newest term that any of these has heard of.
     pub fn newest(&self, servers: &[Name]) -> u64 {
         let looks = self.looks.lock().unwrap();
-        let of = |s: &Name| looks.get(s).map(|(_, l)| l.term.max(l.held).max(l.received.fence));
+        let of = |s: &Name| looks.get(s).map(|(_, l)| l.term.max(l.suspended_term).max(l.received.fence));
         servers.iter().filter_map(of).max().unwrap_or(0)
     }
     /// Lets go of links that are not in use, and of what servers said that are gone.
@@ -46,17 +46,17 @@
 }
 
 /// Asks a server; what it says of itself is kept, and so is that it answered or did not.
-pub async fn ask(f: &Fleet, server: &Name, call: Call) -> Option<Look> {
-    let row = f.node.board.row(server)?;
+pub async fn ask(f: &Fleet, server: &Name, call: ServerCall) -> Option<ServerStatus> {
+    let row = f.node.registry.server(server)?;
     let asked = now();
     let got = seam::timeout(WITHIN, once(f, server, row.addr(), row.group(), &call)).await;
     match got.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())) {
         Ok(said) => {
-            row.well(asked);
-            let look = said.look?;
-            let leads = || f.node.board.lead(&row.group()).is_some_and(|l| l.server.as_ref() == Some(server));
+            row.note_answer(asked);
+            let look = said.status?;
+            let leads = || f.node.registry.primary(&row.group()).is_some_and(|l| l.server.as_ref() == Some(server));
             if look.role == Role::Primary && leads() {
-                f.node.board.note_seen(&row.group(), asked, look.received);
+                f.node.registry.record_primary_position(&row.group(), asked, look.received);
             }
             let mut looks = f.duty.asking.looks.lock().unwrap();
             if looks.get(server).is_none_or(|(at, _)| *at <= asked) {
@@ -65,47 +65,47 @@
             Some(look)
         }
         Err(e) => {
-            row.ailing(asked, matches!(e.kind(), io::ErrorKind::ConnectionRefused));
+            row.note_failure(asked, matches!(e.kind(), io::ErrorKind::ConnectionRefused));
             None
         }
     }
 }
 
 /// Over the kept link if it still holds, else over a new one.
-async fn once(f: &Fleet, server: &Name, addr: Name, group: Name, call: &Call) -> io::Result<Said> {
+async fn once(f: &Fleet, server: &Name, addr: Name, group: Name, call: &ServerCall) -> io::Result<ServerReply> {
     let kept = f.duty.asking.links.lock().unwrap().remove(server);
     if let Some((at, _, mut line)) = kept.filter(|(at, _, _)| *at == addr)
         && line.broken().is_none()
-        && let Ok(said) = line.ask(call).await
+        && let Ok(said) = line.call(call).await
     {
         f.duty.asking.links.lock().unwrap().insert(server.clone(), (at, now(), line));
         return Ok(said);
     }
     let none = || io::Error::from(io::ErrorKind::Unsupported);
     let ports = f.ports.clone().ok_or_else(none)?;
-    match ports.servers.open(addr.clone(), group, server.clone(), KeepaliveSettings::default()).await? {
+    match ports.servers.connect(addr.clone(), group, server.clone(), KeepaliveSettings::default()).await? {
         Ok((mut line, _)) => {
-            let said = line.ask(call).await?;
+            let said = line.call(call).await?;
             f.duty.asking.links.lock().unwrap().insert(server.clone(), (addr, now(), line));
             Ok(said)
         }
         // Another server is there now: this one is not.
-        Err((No::Stranger, _)) => Err(io::ErrorKind::ConnectionRefused.into()),
+        Err((RejectReason::WrongServer, _)) => Err(io::ErrorKind::ConnectionRefused.into()),
         // It lives, and says no more.
-        Err((no, text)) => Ok(Said { no: Some((no, text)), ..Default::default() }),
+        Err((no, text)) => Ok(ServerReply { rejection: Some((no, text)), ..Default::default() }),
     }
 }
 
 /// Makes a server's log stand still: a replica is suspended, a primary of a lower term leads no more. Its log's end.
 pub async fn stand_still(f: &Fleet, server: &Name, all: &[Name]) -> Option<Position> {
-    let look = ask(f, server, Call::Status).await?;
+    let look = ask(f, server, ServerCall::Status).await?;
     let term = f.duty.asking.newest(all) + 1;
     let call = match look.role {
-        Role::Primary => Call::Demote { term },
-        Role::Replica => Call::Suspend { term },
+        Role::Primary => ServerCall::Demote { term },
+        Role::Replica => ServerCall::Suspend { term },
     };
     let held = ask(f, server, call).await?;
     // A primary that was demoted gets nothing more until another is promoted.
-    let still = held.role == Role::Replica && (look.role == Role::Primary || held.held >= term);
+    let still = held.role == Role::Replica && (look.role == Role::Primary || held.suspended_term >= term);
     still.then_some(held.received)
 }
--- a/crates/proxy/src/noted.rs
+++ b/crates/proxy/src/commit_notes.rs
@@ -1,5 +1,5 @@
 //! What words and answers of servers leave on the blackboard (§4.9, §5.5).
-use crate::board::{Board, ServerRow};
+use crate::registry::{Registry, ServerEntry};
 use quincehatch_core::{FencingToken, Millis, Position};
 use quincehatch_runtime::{now, seam};
 
@@ -10,23 +10,23 @@
 /// and 7 s after the leave no new work may come (§1 N9, §3.5).
 const LEAVING: Millis = 3_000;
 
-impl ServerRow {
+impl ServerEntry {
     /// Word that the server leaves, or that it is back (§4.9).
-    pub fn note_leaving(&self, leaving: bool) {
+    pub fn set_draining(&self, leaving: bool) {
         if seam::injected_bug("work-after-leaving") {
             return;
         }
         let mut st = self.status.lock().unwrap();
-        match (leaving, st.left) {
+        match (leaving, st.draining_since) {
             (true, None) => {
-                st.left = Some(now());
+                st.draining_since = Some(now());
                 drop(st);
                 self.pool.shut(true);
-                self.held.close();
+                self.direct_pool.close();
                 log::info!(target: "verdict", "server {} leaves, no new work goes there", self.name);
             }
             (false, Some(_)) => {
-                st.left = None;
+                st.draining_since = None;
                 drop(st);
                 self.pool.shut(false);
                 log::info!(target: "verdict", "server {} is back", self.name);
@@ -35,31 +35,31 @@
         }
     }
     /// Has it answered STATUS so lately that a word of its leaving cannot have been missed for 7 s (§4.9)?
-    pub fn heard_of(&self) -> bool {
-        now() < self.status.lock().unwrap().answered + HEARD
+    pub fn answered_recently(&self) -> bool {
+        now() < self.status.lock().unwrap().answered_at + HEARD
     }
     /// Has it been leaving for so long, as heard here, that even its lead takes no new work?
-    pub fn left_long(&self) -> bool {
-        self.status.lock().unwrap().left.is_some_and(|at| now() >= at + LEAVING)
+    pub fn past_drain_grace(&self) -> bool {
+        self.status.lock().unwrap().draining_since.is_some_and(|at| now() >= at + LEAVING)
     }
     /// It declined as one that does not lead: kept for whoever looks after the group.
-    pub fn not_lead(&self, at: Millis) {
-        self.status.lock().unwrap().not_lead = Some(at);
+    pub fn note_not_primary(&self, at: Millis) {
+        self.status.lock().unwrap().denied_primary_at = Some(at);
     }
     /// It answered something that was asked at `asked`.
-    pub fn well(&self, asked: Millis) {
+    pub fn note_answer(&self, asked: Millis) {
         let mut s = self.status.lock().unwrap();
-        s.asked = s.asked.max(asked);
-        s.answered = now();
-        (s.failing, s.declined) = (None, false);
+        s.asked_at = s.asked_at.max(asked);
+        s.answered_at = now();
+        (s.failing_since, s.refused) = (None, false);
     }
     /// It did not answer what was asked at `asked`, or nobody listens there; a later answer speaks against it.
-    pub fn ailing(&self, asked: Millis, declined: bool) {
+    pub fn note_failure(&self, asked: Millis, declined: bool) {
         let mut s = self.status.lock().unwrap();
-        if asked >= s.answered {
-            s.asked = s.asked.max(asked);
-            s.failing = s.failing.or(Some(asked));
-            s.declined = declined;
+        if asked >= s.answered_at {
+            s.asked_at = s.asked_at.max(asked);
+            s.failing_since = s.failing_since.or(Some(asked));
+            s.refused = declined;
         }
     }
 }
@@ -72,16 +72,16 @@
     told: FencingToken,
 }
 
-impl Board {
+impl Registry {
     /// A commit that was sent under `fence` and ends here is about to be passed on as acknowledged. False if it must
     /// not be, as whether it is kept is not known: the end was told already to whoever chooses another lead, or the
     /// lead may be closed. Servers that stand still under a close may be let go by a word of an earlier one that comes
     /// late; what is passed on only before the close was on a replica before.
     #[must_use]
-    pub fn note_acked(&self, group: &str, fence: FencingToken, end: Position) -> bool {
+    pub fn record_acknowledged(&self, group: &str, fence: FencingToken, end: Position) -> bool {
         let mut all = self.acked.lock().unwrap();
         let a = all.entry(group.into()).or_default();
-        let closed = !self.has_lease() || self.lead(group).is_some_and(|l| l.fence > fence);
+        let closed = !self.has_lease() || self.primary(group).is_some_and(|l| l.fence > fence);
         if (fence < a.told || closed) && !seam::injected_bug("acked-untold") {
             return false;
         }
@@ -89,11 +89,11 @@
         true
     }
     /// The end of all that this process passed on as acknowledged.
-    pub fn acked(&self, group: &str) -> Position {
+    pub fn acknowledged_end(&self, group: &str) -> Position {
         self.acked.lock().unwrap().get(group).map_or_else(Position::default, |a| a.end)
     }
     /// The same, and nothing sent under a lower fence than `fence` is passed on after this.
-    pub fn tell_acked(&self, group: &str, fence: FencingToken) -> Position {
+    pub fn seal_acknowledged(&self, group: &str, fence: FencingToken) -> Position {
         let mut all = self.acked.lock().unwrap();
         let a = all.entry(group.into()).or_default();
         a.told = a.told.max(fence);
--- a/crates/proxy/src/link.rs
+++ b/crates/proxy/src/connection.rs
@@ -1,6 +1,6 @@
 //! One link to one server: one connection, one server-side context (§4.3).
-use crate::server::{Reply, call};
-use crate::session::{Context, Texts};
+use crate::server_protocol::{Reply, call};
+use crate::session::{SessionState, SessionSetup};
 use quincehatch_core::{ErrorCode, Millis, Name};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
@@ -17,13 +17,13 @@
     pub server: Name,
     pub addr: Name,
     /// What the link wears; `None` while that is not known.
-    worn: Option<Texts>,
+    worn: Option<SessionSetup>,
     pub used: u64,
 }
 
 /// How asking over a link can fail.
 #[derive(Debug)]
-pub enum LinkBroke {
+pub enum ExchangeError {
     /// The link itself; whatever was sent may have reached the server.
     Io(std::io::Error),
     /// An answer that is not the server's own.
@@ -45,7 +45,7 @@
             id,
             server: server.clone(),
             addr: addr.clone(),
-            worn: Some(Texts::default()),
+            worn: Some(SessionSetup::default()),
             used: 0,
         })
     }
@@ -55,35 +55,35 @@
     pub fn is_closed(&self) -> bool {
         self.wire.is_closed()
     }
-    pub fn wears(&self, t: &Texts) -> bool {
+    pub fn wears(&self, t: &SessionSetup) -> bool {
         self.worn.as_ref() == Some(t)
     }
-    pub async fn ask(&mut self, (path, body): (&str, Value)) -> Result<Reply, LinkBroke> {
+    pub async fn ask(&mut self, (path, body): (&str, Value)) -> Result<Reply, ExchangeError> {
         self.used += 1;
         let c = Call { method: "POST", path, body: &body, token: None };
-        let (_, v) = self.wire.ask(&c).await.map_err(LinkBroke::Io)?;
-        Reply::read(v).filter(|r| r.stamp.server == self.server).ok_or(LinkBroke::Bad)
+        let (_, v) = self.wire.ask(&c).await.map_err(ExchangeError::Io)?;
+        Reply::read(v).filter(|r| r.stamp.server == self.server).ok_or(ExchangeError::Bad)
     }
 
     /// Gives the link exactly the session's context: the origin's own verbatim texts and nothing else (§4.3).
     /// A server that does not take it in time has the link dropped, as its context is not known then.
-    pub async fn wear(&mut self, ctx: &Context, until: Millis) -> Result<Option<Reply>, LinkBroke> {
+    pub async fn wear(&mut self, ctx: &SessionState, until: Millis) -> Result<Option<Reply>, ExchangeError> {
         let left = Duration::from_millis(until.saturating_sub(now()));
         seam::timeout(left, self.change(ctx))
             .await
-            .unwrap_or_else(|_| Err(LinkBroke::Io(std::io::ErrorKind::TimedOut.into())))
+            .unwrap_or_else(|_| Err(ExchangeError::Io(std::io::ErrorKind::TimedOut.into())))
     }
 
-    async fn change(&mut self, ctx: &Context) -> Result<Option<Reply>, LinkBroke> {
-        let want = ctx.texts();
+    async fn change(&mut self, ctx: &SessionState) -> Result<Option<Reply>, ExchangeError> {
+        let want = ctx.setup();
         if self.wears(&want)
-            || (quincehatch_runtime::seam::injected_bug("no-reset") && !self.wears(&Texts::default()))
+            || (quincehatch_runtime::seam::injected_bug("no-reset") && !self.wears(&SessionSetup::default()))
         {
             return Ok(None);
         }
         let id = self.id.clone();
         let mut calls = Vec::new();
-        if !self.wears(&Texts::default()) {
+        if !self.wears(&SessionSetup::default()) {
             calls.push(call::reset(&id));
         }
         calls.extend(ctx.settings.iter().map(|t| call::set(&id, t)));
@@ -100,11 +100,11 @@
     }
 }
 
-impl LinkBroke {
+impl ExchangeError {
     pub fn breakdown(&self) -> quincehatch_core::Error {
         match self {
-            LinkBroke::Io(e) => ErrorCode::ServerFailed.with_detail(e.kind()),
-            LinkBroke::Bad => ErrorCode::InvalidReply.without_detail(),
+            ExchangeError::Io(e) => ErrorCode::ServerFailed.with_detail(e.kind()),
+            ExchangeError::Bad => ErrorCode::InvalidReply.without_detail(),
         }
     }
 }
--- a/crates/proxy/src/direct/command.rs
+++ b/crates/proxy/src/direct/command.rs
@@ -1,5 +1,5 @@
 //! What an origin asks on a held session and what it is told (§4.10).
-use crate::port::{No, Stage};
+use crate::ports::{RejectReason, TransactionState};
 use bytes::Bytes;
 use quincehatch_core::{ErrorCode, Error, Position};
 
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum StatementError {
     /// The server's own word, passed on.
-    Server(No, Bytes),
+    Server(RejectReason, Bytes),
     /// This node's: its end says whether something may have been kept.
     Proxy(Error),
 }
@@ -59,18 +59,18 @@
 pub struct StatementResponse {
     pub rows: Vec<Bytes>,
     pub result: StatementResult,
-    pub transaction_state: Stage,
+    pub transaction_state: TransactionState,
     pub log_end: Option<Position>,
 }
 
 impl StatementResponse {
-    pub fn done(stage: Stage) -> StatementResponse {
+    pub fn done(stage: TransactionState) -> StatementResponse {
         StatementResponse { rows: Vec::new(), result: Ok(None), transaction_state: stage, log_end: None }
     }
-    pub fn failed(b: Error, stage: Stage) -> StatementResponse {
+    pub fn failed(b: Error, stage: TransactionState) -> StatementResponse {
         StatementResponse { rows: Vec::new(), result: Err(StatementError::Proxy(b)), transaction_state: stage, log_end: None }
     }
-    pub fn malformed(stage: Stage) -> StatementResponse {
+    pub fn malformed(stage: TransactionState) -> StatementResponse {
         StatementResponse::failed(ErrorCode::Malformed.with_detail("not possible here"), stage)
     }
 }
--- a/crates/proxy/src/direct/connection.rs
+++ b/crates/proxy/src/direct/connection.rs
@@ -1,9 +1,9 @@
 //! A held link and the context it stands in (§4.3, §4.10).
-use crate::board::ServerRow;
+use crate::registry::ServerEntry;
 use crate::direct::DirectProxy;
-use crate::judge::{Ending, ending};
-use crate::overdue::Owe;
-use crate::port::{Call, Line, No, Said, Stage};
+use crate::evidence::{ConnectionEnd, classify_end};
+use crate::overdue_replies::PendingReply;
+use crate::ports::{ServerCall, ServerConnection, RejectReason, ServerReply, TransactionState};
 use bytes::Bytes;
 use quincehatch_core::{FencingToken, PrimaryAssignment, Millis, Name};
 use quincehatch_runtime::now;
@@ -19,7 +19,7 @@
 pub type Values = BTreeMap<Bytes, Bytes>;
 
 pub struct Connection {
-    line: Box<dyn Line>,
+    line: Box<dyn ServerConnection>,
     pub values: Values,
     pub prepared: HashSet<Name>,
     pub used: Millis,
@@ -28,7 +28,7 @@
 }
 
 impl Connection {
-    pub fn new(line: Box<dyn Line>) -> Connection {
+    pub fn new(line: Box<dyn ServerConnection>) -> Connection {
         Connection { line, values: Values::new(), prepared: HashSet::new(), used: now(), owes_answer: false }
     }
     pub fn broken(&mut self) -> Option<io::Error> {
@@ -56,8 +56,8 @@
 /// Whose work it is that goes to the server, for the judges (§4.5).
 pub struct CallContext<'a> {
     pub held: &'a DirectProxy,
-    pub row: &'a Arc<ServerRow>,
-    pub owe: Owe,
+    pub row: &'a Arc<ServerEntry>,
+    pub owe: PendingReply,
     /// Set where only the lead may answer: its group, and the fence under which it led when the work began.
     pub under: Option<(&'a Name, FencingToken)>,
 }
@@ -66,11 +66,11 @@
     /// Ends once another server is named the lead in place of this one.
     async fn overtaken(&self) {
         let Some((group, fence)) = self.under else { return std::future::pending().await };
-        let board = &self.held.proxy.board;
+        let board = &self.held.proxy.registry;
         loop {
             let changed = board.changed.notified();
             let other = |l: &PrimaryAssignment| l.fence > fence && l.server.as_ref().is_some_and(|s| *s != self.row.name);
-            if board.plan().leads.get(group).is_some_and(other) {
+            if board.cluster_state().primaries.get(group).is_some_and(other) {
                 return;
             }
             changed.await;
@@ -81,7 +81,7 @@
 /// A reply that nobody waits for any more, as another server answered first: the link is closed and nothing is owed on
 /// it. Left standing it would be found overdue later, at a server that would have answered (§4.5).
 struct Owed<'a> {
-    row: &'a ServerRow,
+    row: &'a ServerEntry,
     id: u64,
     open: bool,
 }
@@ -89,22 +89,22 @@
 impl Drop for Owed<'_> {
     fn drop(&mut self) {
         if self.open {
-            self.row.health.lock().unwrap().overdue.gone(self.id);
+            self.row.health.lock().unwrap().overdue.forget(self.id);
         }
     }
 }
 
 impl Connection {
     /// One call and its answer, watched by the judges; after `Err` the link is not used again.
-    pub async fn ask(&mut self, w: &CallContext<'_>, c: &Call, within: Millis) -> Result<Said, ConnectionError> {
+    pub async fn ask(&mut self, w: &CallContext<'_>, c: &ServerCall, within: Millis) -> Result<ServerReply, ConnectionError> {
         if !self.is_usable() {
             return Err(strange("an answer is still owed on this link"));
         }
         self.owes_answer = true;
-        let (id, asked) = (w.held.proxy.next_id(), now());
-        w.row.health.lock().unwrap().overdue.sent(asked, id, w.owe);
+        let (id, asked) = (w.held.proxy.next_request_id(), now());
+        w.row.health.lock().unwrap().overdue.record_sent(asked, id, w.owe);
         let mut owed = Owed { row: w.row, id, open: true };
-        let work = seam::timeout(Duration::from_millis(within.max(1)), self.line.ask(c));
+        let work = seam::timeout(Duration::from_millis(within.max(1)), self.line.call(c));
         let got = match seam::select_first(work, w.overtaken()).await {
             Ok(got) => got,
             // Whoever led lost the lead in that moment: it will not answer this any more, or declines it.
@@ -112,30 +112,30 @@
         };
         owed.open = false;
         self.used = now();
-        let j = w.held.proxy.judges();
+        let j = w.held.proxy.health_settings();
         match got {
             Ok(Ok(said)) => {
                 self.owes_answer = false;
-                w.row.health.lock().unwrap().good(now(), &j, id);
-                w.row.well(asked);
+                w.row.health.lock().unwrap().request_succeeded(now(), &j, id);
+                w.row.note_answer(asked);
                 Ok(said)
             }
             Ok(Err(e)) => {
                 let ours = e.kind() == io::ErrorKind::ConnectionAborted;
-                let end = if ours { Ending::InOrder } else { ending(&e, true, w.row.leaving()) };
+                let end = if ours { ConnectionEnd::Graceful } else { classify_end(&e, true, w.row.is_draining()) };
                 let mut h = w.row.health.lock().unwrap();
-                h.overdue.gone(id);
-                h.ended(now(), &j, end);
+                h.overdue.forget(id);
+                h.connection_ended(now(), &j, end);
                 drop(h);
-                if end != Ending::InOrder {
-                    w.row.ailing(asked, false);
+                if end != ConnectionEnd::Graceful {
+                    w.row.note_failure(asked, false);
                 }
                 Err(ConnectionError::Broke(e))
             }
             Err(_) => {
                 // It stays owed until the judges have seen it (§4.5); the link is closed, which ends the query.
-                w.row.health.lock().unwrap().trial_failed(now(), &j, id);
-                w.row.ailing(asked, false);
+                w.row.health.lock().unwrap().probation_failed(now(), &j, id);
+                w.row.note_failure(asked, false);
                 Err(ConnectionError::TimedOut)
             }
         }
@@ -148,7 +148,7 @@
             return Ok(());
         }
         if self.prepared.len() > PREPARED || self.values.keys().any(|k| !want.contains_key(k)) {
-            self.plain(w, &Call::Reset, within).await?;
+            self.plain(w, &ServerCall::Reset, within).await?;
             self.values.clear();
             self.prepared.clear();
         }
@@ -159,7 +159,7 @@
     pub async fn set_all(&mut self, w: &CallContext<'_>, want: &Values, within: Millis) -> Result<(), ConnectionError> {
         for (k, v) in want {
             if self.values.get(k) != Some(v) {
-                self.plain(w, &Call::Set { name: k.clone(), value: v.clone() }, within).await?;
+                self.plain(w, &ServerCall::Set { name: k.clone(), value: v.clone() }, within).await?;
                 self.values.insert(k.clone(), v.clone());
             }
         }
@@ -175,7 +175,7 @@
         within: Millis,
     ) -> Result<(), ConnectionError> {
         if !self.prepared.contains(name) {
-            let c = Call::Prepare { name: name.clone(), write, shape: shape.clone() };
+            let c = ServerCall::Prepare { name: name.clone(), write, shape: shape.clone() };
             self.plain(w, &c, within).await?;
             self.prepared.insert(name.clone());
         }
@@ -183,9 +183,9 @@
     }
 
     /// A call of ours that must simply be done.
-    async fn plain(&mut self, w: &CallContext<'_>, c: &Call, within: Millis) -> Result<(), ConnectionError> {
+    async fn plain(&mut self, w: &CallContext<'_>, c: &ServerCall, within: Millis) -> Result<(), ConnectionError> {
         let said = self.ask(w, c, within).await?;
-        match said.no {
+        match said.rejection {
             None => Ok(()),
             Some(_) => Err(strange("a setting was declined")),
         }
@@ -193,11 +193,11 @@
 }
 
 /// Is the server's no one after which nothing was run?
-pub fn not_run(no: No) -> bool {
-    matches!(no, No::Busy | No::Behind | No::NotLead | No::Stranger | No::Full | No::Unprepared)
+pub fn not_run(no: RejectReason) -> bool {
+    matches!(no, RejectReason::Busy | RejectReason::Behind | RejectReason::NotPrimary | RejectReason::WrongServer | RejectReason::TooManyConnections | RejectReason::Unprepared)
 }
 
 /// A link is clean when no transaction is left on it.
-pub fn clean(s: &Said) -> bool {
-    s.stage == Stage::Idle
+pub fn clean(s: &ServerReply) -> bool {
+    s.transaction_state == TransactionState::Idle
 }
--- a/crates/proxy/src/direct/mod.rs
+++ b/crates/proxy/src/direct/mod.rs
@@ -11,8 +11,8 @@
 pub use session::DirectSession;
 pub use command::{SessionRequest, StatementResponse, SessionCommand};
 
-use crate::node::Node;
-use crate::port::Servers;
+use crate::proxy::Proxy;
+use crate::ports::ServerConnector;
 use bytes::Bytes;
 use quincehatch_config::configuration::Route;
 use quincehatch_core::{Millis, Name};
@@ -30,8 +30,8 @@
 
 /// What all held sessions of a node share.
 pub struct DirectProxy {
-    pub proxy: Arc<Node>,
-    pub servers: Arc<dyn Servers>,
+    pub proxy: Arc<Proxy>,
+    pub servers: Arc<dyn ServerConnector>,
     /// Nodes that share the servers' links, this one too.
     pub live_nodes: AtomicUsize,
     /// This side's names of prepared texts: the same text has one name, whatever origins call it (§4.10).
@@ -62,21 +62,21 @@
 }
 
 impl DirectProxy {
-    pub fn new(node: Arc<Node>, servers: Arc<dyn Servers>) -> Arc<DirectProxy> {
+    pub fn new(node: Arc<Proxy>, servers: Arc<dyn ServerConnector>) -> Arc<DirectProxy> {
         let (nodes, open) = (AtomicUsize::new(1), AtomicUsize::new(0));
         Arc::new(DirectProxy { proxy: node, servers, live_nodes: nodes, names: Mutex::default(), open_sessions: open })
     }
 
     /// Does this node know which rules are in force?
     pub fn knows_configuration(&self) -> bool {
-        self.proxy.board.has_lease() && self.proxy.board.plan().blueprint.is_some()
+        self.proxy.registry.has_lease() && self.proxy.registry.cluster_state().configuration.is_some()
     }
 
     /// The way of a database's visits under the blueprint in force; none where no rule takes them.
     pub fn resolve_route(&self, db: &str) -> Option<ResolvedRoute> {
-        let plan = self.proxy.board.plan();
-        let bp = plan.blueprint.as_ref()?;
-        let rule: &Route = bp.routes.get(*plan.by_db.get(db)?)?;
+        let plan = self.proxy.registry.cluster_state();
+        let bp = plan.configuration.as_ref()?;
+        let rule: &Route = bp.routes.get(*plan.route_by_database.get(db)?)?;
         let group = bp.placement(&rule.placement)?.select.get("group")?.first()?;
         Some(ResolvedRoute {
             group: group.as_str().into(),
@@ -92,8 +92,8 @@
     /// How many links this node may hold to one server of the group: its part of what all nodes share, and where that
     /// is little, what others hardly need (§5.13).
     pub fn connection_share(&self, group: &str) -> ConnectionShare {
-        let plan = self.proxy.board.plan();
-        let all = plan.blueprint.as_ref().and_then(|b| b.group(group)).map_or(64, |g| g.connections) as usize;
+        let plan = self.proxy.registry.cluster_state();
+        let all = plan.configuration.as_ref().and_then(|b| b.group(group)).map_or(64, |g| g.connections) as usize;
         // A twentieth is left for those that look after the group and for links not yet known gone.
         let own = (all * 19 / 20 / self.live_nodes.load(Ordering::Relaxed).max(1)).max(1);
         ConnectionShare { even: own, max: own.max(BORROW.min(all / 8)) }
@@ -104,18 +104,18 @@
     pub async fn trim_idle_connections(self: Arc<Self>, live: impl Fn() -> usize + Send) {
         loop {
             self.live_nodes.store(live(), Ordering::Relaxed);
-            for r in self.proxy.board.rows() {
+            for r in self.proxy.registry.servers() {
                 // Where a node's part is small, one kept by each node would be all that a server takes.
                 let own = self.connection_share(&r.group()).even.min(BORROW);
                 let idle = IDLE * own as Millis / BORROW as Millis;
-                r.held.trim(now().saturating_sub(idle), usize::from(own == BORROW));
+                r.direct_pool.trim(now().saturating_sub(idle), usize::from(own == BORROW));
             }
             seam::sleep(Duration::from_millis(IDLE / BORROW as Millis)).await;
         }
     }
 
     pub fn keepalive_settings(&self) -> KeepaliveSettings {
-        let j = self.proxy.judges();
+        let j = self.proxy.health_settings();
         KeepaliveSettings {
             idle: Duration::from_millis(j.keepalive_idle_ms),
             user_timeout: Duration::from_millis(j.user_timeout_ms),
--- a/crates/proxy/src/direct/pool.rs
+++ b/crates/proxy/src/direct/pool.rs
@@ -1,9 +1,9 @@
 //! The held links to one server (§4.3, §4.10): counted under one lock, lent to one visit or transaction at a time.
-use crate::board::ServerRow;
+use crate::registry::ServerEntry;
 use crate::direct::DirectProxy;
 use crate::direct::connection::{Connection, Values};
-use crate::judge::{Sign, ending};
-use crate::port::No;
+use crate::evidence::{HealthSignal, classify_end};
+use crate::ports::RejectReason;
 use quincehatch_core::{ErrorCode, Millis};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
@@ -60,7 +60,7 @@
 
 /// A link that is lent; dropped without [`Lent::back`] it is closed, which rolls back what is open on it.
 pub struct Checkout {
-    pub row: Arc<ServerRow>,
+    pub row: Arc<ServerEntry>,
     pub connection: Option<Connection>,
     age: u64,
     /// It is counted no more.
@@ -89,8 +89,8 @@
 
 /// One is out no more. Whoever waits first gets the link, or leave to open one: lent on the way already, so that nothing
 /// is lost where the one who waited is gone.
-fn freed(row: &Arc<ServerRow>, link: Option<Connection>, age: u64) {
-    let mut p = row.held.inner.lock().unwrap();
+fn freed(row: &Arc<ServerEntry>, link: Option<Connection>, age: u64) {
+    let mut p = row.direct_pool.inner.lock().unwrap();
     p.out -= 1;
     let mut link = link.filter(|_| age == p.age);
     while let Some((_, w)) = p.waits.pop_first() {
@@ -138,7 +138,7 @@
     }
 
     /// An idle link, one in the wanted context first.
-    fn idle(&self, row: &Arc<ServerRow>, held: &DirectProxy, want: &Values) -> Option<Checkout> {
+    fn idle(&self, row: &Arc<ServerEntry>, held: &DirectProxy, want: &Values) -> Option<Checkout> {
         loop {
             let mut p = self.inner.lock().unwrap();
             let i = p.idle.iter().rposition(|l| l.values == *want).or(p.idle.len().checked_sub(1))?;
@@ -150,8 +150,8 @@
                 return Some(Checkout { row: row.clone(), connection: Some(link), age, over: false });
             };
             drop(p);
-            let j = held.proxy.judges();
-            row.health.lock().unwrap().ended(now(), &j, ending(&e, false, row.leaving()));
+            let j = held.proxy.health_settings();
+            row.health.lock().unwrap().connection_ended(now(), &j, classify_end(&e, false, row.is_draining()));
         }
     }
 }
@@ -159,18 +159,18 @@
 /// Takes a link to `row` until `until`: an idle one, a new one within the share, or the next that comes free.
 pub async fn check_out(
     held: &DirectProxy,
-    row: &Arc<ServerRow>,
+    row: &Arc<ServerEntry>,
     want: &Values,
     prio: u64,
     until: Millis,
 ) -> Result<Checkout, CheckoutError> {
     let most = held.connection_share(&row.group()).max;
     loop {
-        if let Some(l) = row.held.idle(row, held, want) {
+        if let Some(l) = row.direct_pool.idle(row, held, want) {
             return Ok(l);
         }
         let wait = {
-            let mut p = row.held.inner.lock().unwrap();
+            let mut p = row.direct_pool.inner.lock().unwrap();
             let full = p.full_until > now();
             if p.out + p.idle.len() < most && !full {
                 p.out += 1;
@@ -191,7 +191,7 @@
                 let got = seam::timeout(left, &mut rx).await.ok().and_then(Result::ok);
                 let got = got.or_else(|| {
                     // It may have come in the very moment in which the time was over.
-                    row.held.inner.lock().unwrap().waits.remove(&key);
+                    row.direct_pool.inner.lock().unwrap().waits.remove(&key);
                     rx.try_recv().ok()
                 });
                 match got {
@@ -207,34 +207,34 @@
     }
 }
 
-async fn open(held: &DirectProxy, row: &Arc<ServerRow>) -> Result<Connection, CheckoutError> {
+async fn open(held: &DirectProxy, row: &Arc<ServerEntry>) -> Result<Connection, CheckoutError> {
     let asked = now();
-    let fut = held.servers.open(row.addr(), row.group(), row.name.clone(), held.keepalive_settings());
-    let j = held.proxy.judges();
+    let fut = held.servers.connect(row.addr(), row.group(), row.name.clone(), held.keepalive_settings());
+    let j = held.proxy.health_settings();
     match seam::timeout(Duration::from_millis(OPEN_WITHIN), fut).await {
         Ok(Ok(Ok((line, _)))) => {
-            row.well(asked);
+            row.note_answer(asked);
             Ok(Connection::new(line))
         }
-        Ok(Ok(Err((No::Full, _)))) => {
-            row.held.inner.lock().unwrap().full_until = now() + FULL + fastrand::u64(0..FULL);
+        Ok(Ok(Err((RejectReason::TooManyConnections, _)))) => {
+            row.direct_pool.inner.lock().unwrap().full_until = now() + FULL + fastrand::u64(0..FULL);
             Err(CheckoutError::Full)
         }
-        Ok(Ok(Err((No::Busy, _)))) => Err(CheckoutError::Busy),
+        Ok(Ok(Err((RejectReason::Busy, _)))) => Err(CheckoutError::Busy),
         Ok(Ok(Err(_))) => {
             // Another server has the address by now.
-            row.ailing(asked, true);
-            row.health.lock().unwrap().weigh(now(), &j, Sign::Reset);
+            row.note_failure(asked, true);
+            row.health.lock().unwrap().add_evidence(now(), &j, HealthSignal::Reset);
             Err(CheckoutError::Broke)
         }
         Ok(Err(e)) => {
-            row.ailing(asked, e.kind() == std::io::ErrorKind::ConnectionRefused);
-            row.health.lock().unwrap().ended(now(), &j, ending(&e, true, row.leaving()));
+            row.note_failure(asked, e.kind() == std::io::ErrorKind::ConnectionRefused);
+            row.health.lock().unwrap().connection_ended(now(), &j, classify_end(&e, true, row.is_draining()));
             Err(CheckoutError::Broke)
         }
         Err(_) => {
-            row.ailing(asked, false);
-            row.health.lock().unwrap().weigh(now(), &j, Sign::Silent);
+            row.note_failure(asked, false);
+            row.health.lock().unwrap().add_evidence(now(), &j, HealthSignal::Silent);
             Err(CheckoutError::Broke)
         }
     }
--- a/crates/proxy/src/direct/run.rs
+++ b/crates/proxy/src/direct/run.rs
@@ -1,9 +1,9 @@
 //! One statement on one link, and what its answer means (§4.6, §4.10).
-use crate::board::ServerRow;
+use crate::registry::ServerEntry;
 use crate::direct::connection::{Connection, ConnectionError, Values, CallContext};
 use crate::direct::{DirectProxy, ResolvedRoute, choose};
-use crate::overdue::Owe;
-use crate::port::{Call, No, Said};
+use crate::overdue_replies::PendingReply;
+use crate::ports::{ServerCall, RejectReason, ServerReply};
 use bytes::Bytes;
 use quincehatch_core::{ErrorCode, Error, FencingToken, Millis, Name, Position};
 use quincehatch_runtime::{now, seam};
@@ -29,26 +29,26 @@
 }
 
 impl Statement {
-    fn call(&self, floor: Option<Position>) -> Call {
+    fn call(&self, floor: Option<Position>) -> ServerCall {
         let (id, floor) = (self.id.clone(), floor.filter(|_| !self.write && !seam::injected_bug("held-no-floor")));
         match &self.body {
-            StatementBody::Text(t) => Call::Run { id, text: t.clone(), floor },
+            StatementBody::Text(t) => ServerCall::Run { id, text: t.clone(), floor },
             StatementBody::Named { name, rest, .. } => {
-                Call::Execute { id, name: name.clone(), rest: rest.clone(), floor }
+                ServerCall::Execute { id, name: name.clone(), rest: rest.clone(), floor }
             }
         }
     }
 }
 
-pub fn watched<'a>(held: &'a DirectProxy, row: &'a Arc<ServerRow>, way: &'a ResolvedRoute) -> CallContext<'a> {
-    let owe = Owe { timeout: way.timeout, query_timeout: way.query_timeout, long: false, first: true };
+pub fn watched<'a>(held: &'a DirectProxy, row: &'a Arc<ServerEntry>, way: &'a ResolvedRoute) -> CallContext<'a> {
+    let owe = PendingReply { timeout: way.timeout, query_timeout: way.query_timeout, long_running: false, first: true };
     let under = choose::leads(held, &way.group, row).map(|fence| (&way.group, fence));
     CallContext { held, row, owe, under }
 }
 
 /// How far it came.
 pub enum StatementAttempt {
-    Said(Said),
+    Said(ServerReply),
     /// Nothing was sent of the statement itself.
     NotSent(ConnectionError),
     Lost(ConnectionError),
@@ -79,7 +79,7 @@
     }
     match link.ask(w, &s.call(floor), left()).await {
         Ok(said) => {
-            if said.no.as_ref().is_some_and(|n| n.0 == No::Unprepared) {
+            if said.rejection.as_ref().is_some_and(|n| n.0 == RejectReason::Unprepared) {
                 link.prepared.clear();
             }
             StatementAttempt::Said(said)
@@ -89,17 +89,17 @@
 }
 
 /// What a lead's answer shows of its log is kept for the lookups to come (§4.8): only while it leads, as seen here.
-pub fn seen(held: &DirectProxy, way: &ResolvedRoute, row: &ServerRow, asked: Millis, said: &Said) {
-    if let Some(end) = said.end.filter(|_| choose::leads(held, &way.group, row).is_some()) {
-        held.proxy.board.note_seen(&way.group, asked, end);
+pub fn seen(held: &DirectProxy, way: &ResolvedRoute, row: &ServerEntry, asked: Millis, said: &ServerReply) {
+    if let Some(end) = said.log_end.filter(|_| choose::leads(held, &way.group, row).is_some()) {
+        held.proxy.registry.record_primary_position(&way.group, asked, end);
     }
 }
 
 /// A commit that was sent under `fence` may be told as acknowledged only if whoever chooses the next lead can still
 /// learn of it (§5.5); else whether it is kept is not known.
-pub fn acked(held: &DirectProxy, way: &ResolvedRoute, fence: FencingToken, said: Said) -> Result<Said, Error> {
+pub fn acked(held: &DirectProxy, way: &ResolvedRoute, fence: FencingToken, said: ServerReply) -> Result<ServerReply, Error> {
     let noted =
-        said.no.is_some() || said.end.is_some_and(|e| held.proxy.board.note_acked(&way.group, fence, e));
+        said.rejection.is_some() || said.log_end.is_some_and(|e| held.proxy.registry.record_acknowledged(&way.group, fence, e));
     let doubt = || ErrorCode::Unknown.with_detail("another lead is being chosen").with_unknown_outcome();
     noted.then_some(said).ok_or_else(doubt)
 }
--- a/crates/proxy/src/direct/session.rs
+++ b/crates/proxy/src/direct/session.rs
@@ -5,7 +5,7 @@
 use crate::direct::transaction::{self, Transaction};
 use crate::direct::command::{SessionRequest, StatementError, StatementResponse, SessionCommand};
 use crate::direct::{DirectProxy, ResolvedRoute, single};
-use crate::port::{No, Stage};
+use crate::ports::{RejectReason, TransactionState};
 use bytes::Bytes;
 use quincehatch_core::{ErrorCode, Error, Millis, Name};
 use quincehatch_runtime::{now, seam};
@@ -48,7 +48,7 @@
             if now() >= until {
                 return Err(ErrorCode::NotReady.with_detail("no lease yet").with_retry_after(250));
             }
-            let changed = held.proxy.board.changed.notified();
+            let changed = held.proxy.registry.changed.notified();
             let _ = seam::timeout(Duration::from_millis(25), changed).await;
         }
         held.resolve_route(db).ok_or_else(|| ErrorCode::NoRoute.without_detail())?;
@@ -57,11 +57,11 @@
         Ok(DirectSession { held: held.clone(), db: db.into(), values, prepared, txn: None })
     }
 
-    pub fn transaction_state(&self) -> Stage {
+    pub fn transaction_state(&self) -> TransactionState {
         match &self.txn {
-            None => Stage::Idle,
-            Some(Transaction::Broken) => Stage::Broken,
-            Some(_) => Stage::Open,
+            None => TransactionState::Idle,
+            Some(Transaction::Broken) => TransactionState::Failed,
+            Some(_) => TransactionState::Open,
         }
     }
     /// Does it hold a link?
@@ -87,18 +87,18 @@
                 None => StatementResponse::malformed(stage),
                 Some(Transaction::Open(r)) => {
                     r.rollback(self.held.clone());
-                    StatementResponse::done(Stage::Idle)
+                    StatementResponse::done(TransactionState::Idle)
                 }
-                Some(_) => StatementResponse::done(Stage::Idle),
+                Some(_) => StatementResponse::done(TransactionState::Idle),
             },
             SessionCommand::Commit => self.commit(a.id).await,
-            _ if stage == Stage::Broken => StatementResponse::malformed(stage),
-            SessionCommand::Begin { .. } if stage == Stage::Open => StatementResponse::malformed(stage),
+            _ if stage == TransactionState::Failed => StatementResponse::malformed(stage),
+            SessionCommand::Begin { .. } if stage == TransactionState::Open => StatementResponse::malformed(stage),
             SessionCommand::Begin { read } => match self.way() {
                 Err(t) => t,
                 Ok(way) => {
                     self.txn = Some(Transaction::Lazy { read, way });
-                    StatementResponse::done(Stage::Open)
+                    StatementResponse::done(TransactionState::Open)
                 }
             },
             SessionCommand::Set { name, value } => {
@@ -122,7 +122,7 @@
             },
             SessionCommand::Execute { name, arguments: rest } => match self.prepared.get(&name) {
                 None => {
-                    let stage = if stage == Stage::Open { self.broke() } else { stage };
+                    let stage = if stage == TransactionState::Open { self.broke() } else { stage };
                     self.unprepared(stage, name)
                 }
                 Some(p) => {
@@ -136,12 +136,12 @@
         }
     }
 
-    fn unprepared(&self, stage: Stage, name: Bytes) -> StatementResponse {
-        StatementResponse { rows: Vec::new(), result: Err(StatementError::Server(No::Unprepared, name)), transaction_state: stage, log_end: None }
+    fn unprepared(&self, stage: TransactionState, name: Bytes) -> StatementResponse {
+        StatementResponse { rows: Vec::new(), result: Err(StatementError::Server(RejectReason::Unprepared, name)), transaction_state: stage, log_end: None }
     }
-    fn broke(&mut self) -> Stage {
+    fn broke(&mut self) -> TransactionState {
         self.txn = Some(Transaction::Broken);
-        Stage::Broken
+        TransactionState::Failed
     }
 
     async fn run(&mut self, s: Statement) -> StatementResponse {
@@ -174,13 +174,13 @@
 
     async fn commit(&mut self, id: Bytes) -> StatementResponse {
         let told = match self.begin_step() {
-            None => StatementResponse::malformed(Stage::Idle),
-            Some(Transaction::Broken) => StatementResponse::failed(transaction::aborted("it had failed and is rolled back"), Stage::Idle),
+            None => StatementResponse::malformed(TransactionState::Idle),
+            Some(Transaction::Broken) => StatementResponse::failed(transaction::aborted("it had failed and is rolled back"), TransactionState::Idle),
             Some(Transaction::Open(r)) => r.commit(&self.held, id).await,
             // Nothing was run in it; the commit goes to a server all the same, as its success is the server's.
             Some(Transaction::Lazy { read, way }) => match transaction::open(&self.held, &way, read, &self.values).await {
                 Ok(r) => Box::new(r).commit(&self.held, id).await,
-                Err(b) => StatementResponse::failed(b, Stage::Idle),
+                Err(b) => StatementResponse::failed(b, TransactionState::Idle),
             },
         };
         self.txn = None;
--- a/crates/proxy/src/direct/single.rs
+++ b/crates/proxy/src/direct/single.rs
@@ -1,10 +1,10 @@
 //! One statement outside a transaction (§4.6, §4.7, §4.10).
-use crate::board::ServerRow;
+use crate::registry::ServerEntry;
 use crate::direct::connection::{ConnectionError, Values, clean, not_run};
 use crate::direct::run::{StatementAttempt, Statement, acked, lost, once, seen, watched};
 use crate::direct::command::{StatementError, StatementResponse};
 use crate::direct::{DirectProxy, ResolvedRoute, choose, pool};
-use crate::port::{No, Said, Stage};
+use crate::ports::{RejectReason, ServerReply, TransactionState};
 use quincehatch_core::{ErrorCode, Error, Millis};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
@@ -19,14 +19,14 @@
 /// No read is asked a second time sooner.
 const SOON: Millis = 60;
 
-pub fn told(said: Said, stage: Stage) -> StatementResponse {
-    let ended = match said.no {
+pub fn told(said: ServerReply, stage: TransactionState) -> StatementResponse {
+    let ended = match said.rejection {
         Some((no, text)) => Err(StatementError::Server(no, text)),
         // A success without a stamp is none (§1 N4).
         None => said.stamp.map(Some).ok_or_else(|| StatementError::Proxy(ErrorCode::InvalidReply.with_detail("no stamp").with_unknown_outcome())),
     };
     let rows = if ended.is_ok() { said.rows } else { Vec::new() };
-    StatementResponse { rows, result: ended, transaction_state: stage, log_end: said.end }
+    StatementResponse { rows, result: ended, transaction_state: stage, log_end: said.log_end }
 }
 
 /// The time within which something must be begun; after it the visit is declined at once.
@@ -40,12 +40,12 @@
 }
 
 /// Servers that a visit was brought to.
-type Tried = Mutex<Vec<Arc<ServerRow>>>;
+type Tried = Mutex<Vec<Arc<ServerEntry>>>;
 
 /// One statement where its rule says. A read that is not answered in half its aim is asked a second time, a lookup at
 /// another server, and the first good answer counts; no more than a share of all are (§4.7).
 pub async fn run(held: &DirectProxy, way: &ResolvedRoute, values: &Values, s: &Statement) -> StatementResponse {
-    held.proxy.carries.earn();
+    held.proxy.retry_budget.earn();
     let tried = Tried::default();
     match (s.write, way.lead) {
         (true, _) => on_lead(held, way, values, s).await,
@@ -60,7 +60,7 @@
     if let Ok(t) = seam::timeout(soon, a.as_mut()).await {
         return t;
     }
-    if !held.proxy.carries.spend() {
+    if !held.proxy.retry_budget.try_spend() {
         return a.await;
     }
     let mut b = pin!(ask());
@@ -79,10 +79,10 @@
     let mut why = ErrorCode::ConnectionsBusy.without_detail();
     loop {
         // Work is counted before the lead is looked up: a hand-over either sees it or is seen (§5.5).
-        let work = held.proxy.board.works.begin(&way.group);
+        let work = held.proxy.registry.in_flight.begin(&way.group);
         let row = match choose::lead(held, &way.group, patient).await {
             Ok(r) => r,
-            Err(b) => return StatementResponse::failed(b, Stage::Idle),
+            Err(b) => return StatementResponse::failed(b, TransactionState::Idle),
         };
         let w = watched(held, &row, way);
         let ran = match pool::check_out(held, &row, values, way.priority, patient).await {
@@ -109,45 +109,45 @@
                 if clean(&said) {
                     lent.check_in();
                 }
-                match said.no.as_ref().map(|n| n.0) {
+                match said.rejection.as_ref().map(|n| n.0) {
                     Some(no) if not_run(no) => {
                         why = declined(no);
-                        if no == No::NotLead {
-                            row.not_lead(now());
+                        if no == RejectReason::NotPrimary {
+                            row.note_not_primary(now());
                         }
                     }
                     _ if s.write => {
                         return match acked(held, way, fence, said) {
-                            Ok(said) => told(said, Stage::Idle),
-                            Err(b) => StatementResponse::failed(b, Stage::Idle),
+                            Ok(said) => told(said, TransactionState::Idle),
+                            Err(b) => StatementResponse::failed(b, TransactionState::Idle),
                         };
                     }
-                    _ => return told(said, Stage::Idle),
+                    _ => return told(said, TransactionState::Idle),
                 }
             }
             Some((StatementAttempt::NotSent(l), ..)) => why = lost(&l, false),
             Some((StatementAttempt::Lost(l), ..)) => {
                 let again = seam::injected_bug("held-resend") && !matches!(l, ConnectionError::TimedOut);
                 if (s.write && !again) || matches!(l, ConnectionError::TimedOut) {
-                    return StatementResponse::failed(lost(&l, s.write), Stage::Idle);
+                    return StatementResponse::failed(lost(&l, s.write), TransactionState::Idle);
                 }
                 why = lost(&l, false);
             }
         }
         drop(work);
         if now() >= patient {
-            return StatementResponse::failed(why.with_retry_after(100), Stage::Idle);
+            return StatementResponse::failed(why.with_retry_after(100), TransactionState::Idle);
         }
         pause(n).await;
         n += 1;
     }
 }
 
-pub fn declined(no: No) -> Error {
+pub fn declined(no: RejectReason) -> Error {
     match no {
-        No::Busy | No::Full => ErrorCode::ConnectionsBusy.with_detail("the server has no slot left"),
-        No::Behind => ErrorCode::Stale.without_detail(),
-        No::NotLead => ErrorCode::NoPrimary.without_detail(),
+        RejectReason::Busy | RejectReason::TooManyConnections => ErrorCode::ConnectionsBusy.with_detail("the server has no slot left"),
+        RejectReason::Behind => ErrorCode::Stale.without_detail(),
+        RejectReason::NotPrimary => ErrorCode::NoPrimary.without_detail(),
         _ => ErrorCode::ServerFailed.without_detail(),
     }
     .with_retry_after(100)
@@ -168,7 +168,7 @@
         };
         let Some(choose::ReadTarget { row, floor }) = place else {
             if now() >= patient || tried.lock().unwrap().len() > TRIES {
-                return StatementResponse::failed(why.with_retry_after(100), Stage::Idle);
+                return StatementResponse::failed(why.with_retry_after(100), TransactionState::Idle);
             }
             tried.lock().unwrap().clear();
             pause(n).await;
@@ -188,19 +188,19 @@
                         if clean(&said) {
                             lent.check_in();
                         }
-                        match said.no {
+                        match said.rejection {
                             Some((no, _)) if not_run(no) => why = declined(no),
-                            Some((No::Failed, _)) if now() < patient => why = ErrorCode::ServerRejected.without_detail(),
-                            _ => return told(said, Stage::Idle),
+                            Some((RejectReason::Failed, _)) if now() < patient => why = ErrorCode::ServerRejected.without_detail(),
+                            _ => return told(said, TransactionState::Idle),
                         }
                     }
-                    StatementAttempt::Lost(ConnectionError::TimedOut) => return StatementResponse::failed(lost(&ConnectionError::TimedOut, false), Stage::Idle),
+                    StatementAttempt::Lost(ConnectionError::TimedOut) => return StatementResponse::failed(lost(&ConnectionError::TimedOut, false), TransactionState::Idle),
                     StatementAttempt::NotSent(l) | StatementAttempt::Lost(l) => why = lost(&l, false),
                 }
             }
         }
         if now() >= patient {
-            return StatementResponse::failed(why.with_retry_after(100), Stage::Idle);
+            return StatementResponse::failed(why.with_retry_after(100), TransactionState::Idle);
         }
     }
 }
--- a/crates/proxy/src/direct/transaction.rs
+++ b/crates/proxy/src/direct/transaction.rs
@@ -5,8 +5,8 @@
 use crate::direct::single::{declined, patience, pause, told};
 use crate::direct::command::{StatementError, StatementResponse};
 use crate::direct::{DirectProxy, ResolvedRoute, choose};
-use crate::port::{Call, No, Said, Stage};
-use crate::work::Work;
+use crate::ports::{ServerCall, RejectReason, ServerReply, TransactionState};
+use crate::in_flight::InFlightGuard;
 use bytes::Bytes;
 use quincehatch_core::{ErrorCode, Error, FencingToken, Millis};
 use quincehatch_runtime::now;
@@ -29,7 +29,7 @@
     on_lead: bool,
     /// Under which its server led when it began.
     fence: FencingToken,
-    _work: Option<Work>,
+    _work: Option<InFlightGuard>,
 }
 
 pub fn aborted(why: &str) -> Error {
@@ -49,7 +49,7 @@
     let (mut tried, mut n) = (Vec::new(), 0);
     let mut why = ErrorCode::ConnectionsBusy.without_detail();
     loop {
-        let work = (!anywhere).then(|| held.proxy.board.works.begin(&way.group));
+        let work = (!anywhere).then(|| held.proxy.registry.in_flight.begin(&way.group));
         let place = match anywhere {
             true => choose::lookup(held, way, &tried, false),
             false => {
@@ -65,13 +65,13 @@
                 Ok(mut lent) => {
                     let w = watched(held, &row, way);
                     let fence = choose::leads(held, &way.group, &row).unwrap_or_default();
-                    let begin = Call::Begin { read, floor };
+                    let begin = ServerCall::Begin { read, floor };
                     let got = match lent.connection.as_mut() {
                         Some(l) => begun(&w, l, values, &begin, until).await,
                         None => continue,
                     };
                     match got {
-                        Ok(s) if s.no.is_none() && s.stage == Stage::Open => {
+                        Ok(s) if s.rejection.is_none() && s.transaction_state == TransactionState::Open => {
                             let way = way.clone();
                             return Ok(Running { lent, way, wrote: false, on_lead, fence, _work: work });
                         }
@@ -79,9 +79,9 @@
                             if clean(&s) {
                                 lent.check_in();
                             }
-                            let no = s.no.map_or(No::Other, |n| n.0);
-                            if no == No::NotLead && on_lead {
-                                row.not_lead(now());
+                            let no = s.rejection.map_or(RejectReason::Other, |n| n.0);
+                            if no == RejectReason::NotPrimary && on_lead {
+                                row.note_not_primary(now());
                             }
                             why = declined(no);
                         }
@@ -103,7 +103,7 @@
     }
 }
 
-async fn begun(w: &CallContext<'_>, l: &mut Connection, values: &Values, c: &Call, until: Millis) -> Result<Said, ConnectionError> {
+async fn begun(w: &CallContext<'_>, l: &mut Connection, values: &Values, c: &ServerCall, until: Millis) -> Result<ServerReply, ConnectionError> {
     l.suit(w, values, until.saturating_sub(now())).await?;
     l.ask(w, c, until.saturating_sub(now())).await
 }
@@ -118,7 +118,7 @@
         let mut n = 0;
         loop {
             let Some(link) = self.lent.connection.as_mut() else {
-                return (StatementResponse::failed(aborted("its link is gone"), Stage::Broken), Transaction::Broken);
+                return (StatementResponse::failed(aborted("its link is gone"), TransactionState::Failed), Transaction::Broken);
             };
             let under = self.on_lead.then_some((&self.way.group, self.fence));
             let w = CallContext { under, ..watched(held, &row, &self.way) };
@@ -128,19 +128,19 @@
                     if self.on_lead {
                         seen(held, &self.way, &row, asked, &said);
                     }
-                    let no = said.no.as_ref().map(|n| n.0);
-                    let again = no.is_some_and(|n| matches!(n, No::Busy | No::Unprepared));
-                    if again && said.stage == Stage::Open && now() < patient {
+                    let no = said.rejection.as_ref().map(|n| n.0);
+                    let again = no.is_some_and(|n| matches!(n, RejectReason::Busy | RejectReason::Unprepared));
+                    if again && said.transaction_state == TransactionState::Open && now() < patient {
                         pause(n).await;
                         n += 1;
                         continue;
                     }
-                    if said.stage == Stage::Open {
-                        let t = told(said, Stage::Open);
+                    if said.transaction_state == TransactionState::Open {
+                        let t = told(said, TransactionState::Open);
                         return (t, Transaction::Open(self));
                     }
                     // What the server rolls back by itself is rolled back; dropping the link makes it certain.
-                    return (told(said, Stage::Broken), Transaction::Broken);
+                    return (told(said, TransactionState::Failed), Transaction::Broken);
                 }
                 // Nothing of it was committed, and closing the link rolls it back.
                 StatementAttempt::NotSent(l) | StatementAttempt::Lost(l) => {
@@ -148,7 +148,7 @@
                         ConnectionError::Broke(e) => aborted(&e.kind().to_string()),
                         ConnectionError::TimedOut => aborted("no answer in the rule's time"),
                     };
-                    return (StatementResponse::failed(why, Stage::Broken), Transaction::Broken);
+                    return (StatementResponse::failed(why, TransactionState::Failed), Transaction::Broken);
                 }
             }
         }
@@ -159,11 +159,11 @@
         let until = now() + way.timeout;
         let patient = now() + patience(&way);
         let row = lent.row.clone();
-        let call = Call::Commit { id };
+        let call = ServerCall::Commit { id };
         let mut n = 0;
         loop {
             let Some(link) = lent.connection.as_mut() else {
-                return StatementResponse::failed(aborted("its link is gone"), Stage::Idle);
+                return StatementResponse::failed(aborted("its link is gone"), TransactionState::Idle);
             };
             let under = on_lead.then_some((&way.group, fence));
             let w = CallContext { under, ..watched(held, &row, &way) };
@@ -173,8 +173,8 @@
                     if on_lead {
                         seen(held, &way, &row, asked, &said);
                     }
-                    let no = said.no.as_ref().map(|n| n.0);
-                    if no == Some(No::Busy) && said.stage == Stage::Open && now() < patient {
+                    let no = said.rejection.as_ref().map(|n| n.0);
+                    if no == Some(RejectReason::Busy) && said.transaction_state == TransactionState::Open && now() < patient {
                         pause(n).await;
                         n += 1;
                         continue;
@@ -184,18 +184,18 @@
                     }
                     if no.is_some_and(not_run) {
                         // It was not run, and its link is rolled back or closed: nothing is kept.
-                        return StatementResponse::failed(aborted("the commit was not run"), Stage::Idle);
+                        return StatementResponse::failed(aborted("the commit was not run"), TransactionState::Idle);
                     }
                     if wrote {
                         return match acked(held, &way, fence, said) {
-                            Ok(said) => told(said, Stage::Idle),
-                            Err(b) => StatementResponse::failed(b, Stage::Idle),
+                            Ok(said) => told(said, TransactionState::Idle),
+                            Err(b) => StatementResponse::failed(b, TransactionState::Idle),
                         };
                     }
-                    return told(said, Stage::Idle);
+                    return told(said, TransactionState::Idle);
                 }
-                Err(l) if wrote => return StatementResponse::failed(lost(&l, true), Stage::Idle),
-                Err(_) => return StatementResponse::failed(aborted("its link broke"), Stage::Idle),
+                Err(l) if wrote => return StatementResponse::failed(lost(&l, true), TransactionState::Idle),
+                Err(_) => return StatementResponse::failed(aborted("its link broke"), TransactionState::Idle),
             }
         }
     }
@@ -207,10 +207,10 @@
             let w = watched(&held, &row, &self.way);
             let within = self.way.timeout;
             let got = match self.lent.connection.as_mut() {
-                Some(l) => l.ask(&w, &Call::Rollback, within).await,
+                Some(l) => l.ask(&w, &ServerCall::Rollback, within).await,
                 None => return,
             };
-            if got.is_ok_and(|s| s.no.is_none() && clean(&s)) {
+            if got.is_ok_and(|s| s.rejection.is_none() && clean(&s)) {
                 self.lent.check_in();
             }
         });
--- a/crates/proxy/src/work.rs
+++ b/crates/proxy/src/in_flight.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 
 #[derive(Debug, Default)]
-pub struct Works {
+pub struct InFlightCounts {
     of: Mutex<BTreeMap<Name, Arc<Count>>>,
 }
 
@@ -17,9 +17,9 @@
 
 /// One piece of work; it is over when this is dropped.
 #[derive(Debug)]
-pub struct Work(Arc<Count>);
+pub struct InFlightGuard(Arc<Count>);
 
-impl Drop for Work {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::SeqCst);
     }
@@ -27,33 +27,33 @@
 
 /// One visit that is held until the group has a lead again.
 #[derive(Debug)]
-pub struct Holding(Arc<Count>);
+pub struct QueueSlot(Arc<Count>);
 
-impl Drop for Holding {
+impl Drop for QueueSlot {
     fn drop(&mut self) {
         self.0.held.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-impl Works {
+impl InFlightCounts {
     fn count(&self, group: &str) -> Arc<Count> {
         self.of.lock().unwrap().entry(group.into()).or_default().clone()
     }
-    pub fn begin(&self, group: &str) -> Work {
+    pub fn begin(&self, group: &str) -> InFlightGuard {
         let c = self.count(group);
         c.open.fetch_add(1, Ordering::SeqCst);
-        Work(c)
+        InFlightGuard(c)
     }
-    pub fn open(&self, group: &str) -> usize {
+    pub fn open_count(&self, group: &str) -> usize {
         self.count(group).open.load(Ordering::SeqCst)
     }
     /// A place among those that are held, if one is left.
-    pub fn hold(&self, group: &str, most: usize) -> Option<Holding> {
+    pub fn enter_queue(&self, group: &str, most: usize) -> Option<QueueSlot> {
         let c = self.count(group);
-        let h = Holding(c.clone());
+        let h = QueueSlot(c.clone());
         (c.held.fetch_add(1, Ordering::SeqCst) < most).then_some(h)
     }
-    pub fn held(&self, group: &str) -> usize {
+    pub fn queued_count(&self, group: &str) -> usize {
         self.count(group).held.load(Ordering::SeqCst)
     }
 }
@@ -64,15 +64,15 @@
 
     #[test]
     fn places_are_bounded_and_given_back() {
-        let w = Works::default();
-        let a = w.hold("g", 1);
-        assert!(a.is_some() && w.hold("g", 1).is_none());
-        assert_eq!(w.held("g"), 1);
+        let w = InFlightCounts::default();
+        let a = w.enter_queue("g", 1);
+        assert!(a.is_some() && w.enter_queue("g", 1).is_none());
+        assert_eq!(w.queued_count("g"), 1);
         drop(a);
-        assert!(w.hold("g", 1).is_some());
+        assert!(w.enter_queue("g", 1).is_some());
         let b = w.begin("g");
-        assert_eq!((w.open("g"), w.open("h")), (1, 0));
+        assert_eq!((w.open_count("g"), w.open_count("h")), (1, 0));
         drop(b);
-        assert_eq!(w.open("g"), 0);
+        assert_eq!(w.open_count("g"), 0);
     }
 }
--- a/crates/proxy/src/newest.rs
+++ b/crates/proxy/src/latest.rs
@@ -8,11 +8,11 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Newest<T> {
+pub struct Latest<T> {
     cell: RwLock<Arc<T>>,
 }
 
-impl<T: Numbered> Newest<T> {
+impl<T: Numbered> Latest<T> {
     pub fn new(t: T) -> Self {
         Self { cell: RwLock::new(Arc::new(t)) }
     }
--- a/crates/proxy/src/door.rs
+++ b/crates/proxy/src/listener.rs
@@ -1,5 +1,5 @@
 //! The HTTP doors, on xitca-web: one for origins and platform, one for servers' beats and operators (§4.1).
-use crate::visit::breakdown_json as visit_json;
+use crate::request::error_json as visit_json;
 use quincehatch_core::{ErrorCode, Error};
 use serde_json::Value;
 use std::net::TcpListener;
@@ -14,10 +14,10 @@
 use xitca_web::{App, WebContext, bytes::Bytes};
 
 /// Longest body taken.
-pub const BODY_MAX: usize = 64 << 10;
+pub const MAX_BODY_BYTES: usize = 64 << 10;
 
 /// A knock at a door.
-pub struct Knock {
+pub struct HttpRequest {
     pub method: String,
     pub path: String,
     pub token: Option<String>,
@@ -25,27 +25,27 @@
 }
 
 pub type Said = Pin<Box<dyn Future<Output = (u16, Value)> + Send>>;
-pub type Answerer = Arc<dyn Fn(Knock) -> Said + Send + Sync>;
+pub type JsonHandler = Arc<dyn Fn(HttpRequest) -> Said + Send + Sync>;
 
 /// An answer as it leaves: JSON as text, and when to come again.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plain {
+pub struct HttpResponse {
     pub status: u16,
     pub body: String,
     pub retry_after_s: Option<u64>,
 }
 
-impl From<(u16, Value)> for Plain {
-    fn from((status, v): (u16, Value)) -> Plain {
-        Plain { status, body: v.to_string(), retry_after_s: None }
+impl From<(u16, Value)> for HttpResponse {
+    fn from((status, v): (u16, Value)) -> HttpResponse {
+        HttpResponse { status, body: v.to_string(), retry_after_s: None }
     }
 }
 
-pub type PlainAnswerer = Arc<dyn Fn(Knock) -> Pin<Box<dyn Future<Output = Plain> + Send>> + Send + Sync>;
+pub type HttpHandler = Arc<dyn Fn(HttpRequest) -> Pin<Box<dyn Future<Output = HttpResponse> + Send>> + Send + Sync>;
 
 #[derive(Clone)]
-struct Door {
-    answer: PlainAnswerer,
+struct ListenerState {
+    answer: HttpHandler,
     rt: tokio::runtime::Handle,
 }
 
@@ -67,7 +67,7 @@
 }
 
 async fn any<const MAX: usize>(
-    ctx: &WebContext<'_, Door>,
+    ctx: &WebContext<'_, ListenerState>,
     body: Result<(Bytes, Limit<MAX>), WebError>,
 ) -> Result<WebResponse, WebError> {
     let req = ctx.req();
@@ -80,10 +80,10 @@
     let (method, path) = (req.method().as_str().to_owned(), req.uri().path().to_owned());
     let door = ctx.state();
     let said = match whole_body(req.headers(), body) {
-        Err(error) => Plain::from((error.http_status(), visit_json(&error))),
+        Err(error) => HttpResponse::from((error.http_status(), visit_json(&error))),
         Ok(body) => {
             // The visit runs in a task of its own: an origin that hangs up does not cut it short.
-            let fut = (door.answer)(Knock { method, path, token, body });
+            let fut = (door.answer)(HttpRequest { method, path, token, body });
             door.rt.spawn(fut).await.unwrap_or_else(|_| {
                 let b = ErrorCode::NotReady.with_detail("the visit broke off").with_unknown_outcome();
                 (500, visit_json(&b)).into()
@@ -100,40 +100,40 @@
 }
 
 /// A door that is open; dropping it leaves it open until [`Open::close`].
-pub struct Open {
+pub struct ListenerHandle {
     stop: Box<dyn Fn() + Send + Sync>,
 }
 
-impl Open {
+impl ListenerHandle {
     pub fn close(&self) {
         (self.stop)();
     }
 }
 
 /// Listens on `addr`; a port in use is told before anything serves.
-pub fn open(
+pub fn listen(
     addr: &str,
     threads: usize,
-    answer: Answerer,
+    answer: JsonHandler,
     rt: &tokio::runtime::Handle,
-) -> Result<Open, Error> {
-    let plain: PlainAnswerer = Arc::new(move |k| {
+) -> Result<ListenerHandle, Error> {
+    let plain: HttpHandler = Arc::new(move |k| {
         let said = answer(k);
         Box::pin(async move { said.await.into() })
     });
-    open_for::<BODY_MAX>(addr, threads, plain, rt)
+    listen_with_body_limit::<MAX_BODY_BYTES>(addr, threads, plain, rt)
 }
 
 /// The same for bodies of up to `MAX` bytes.
-pub fn open_for<const MAX: usize>(
+pub fn listen_with_body_limit<const MAX: usize>(
     addr: &str,
     threads: usize,
-    answer: PlainAnswerer,
+    answer: HttpHandler,
     rt: &tokio::runtime::Handle,
-) -> Result<Open, Error> {
+) -> Result<ListenerHandle, Error> {
     let in_use = |e: std::io::Error| ErrorCode::PortInUse.with_detail(format_args!("{addr}: {e}"));
     let lst = TcpListener::bind(addr).map_err(in_use)?;
-    let state = Door { answer, rt: rt.clone() };
+    let state = ListenerState { answer, rt: rt.clone() };
     let mut fut = App::new()
         .with_state(state)
         .at("/{*any}", handler_service(any::<MAX>))
@@ -146,5 +146,5 @@
         .run();
     let handle = fut.handle().map_err(in_use)?;
     std::thread::Builder::new().name("door".into()).spawn(move || fut.wait()).map_err(in_use)?;
-    Ok(Open { stop: Box::new(move || handle.stop(true)) })
+    Ok(ListenerHandle { stop: Box::new(move || handle.stop(true)) })
 }
--- a/crates/proxy/src/outcome.rs
+++ b/crates/proxy/src/outcome_query.rs
@@ -1,9 +1,9 @@
 //! How a try ended (§4.6): asked of whoever leads by then, and settled by a seal.
-use crate::board::ServerRow;
-use crate::node::Node;
-use crate::order::{LAST, primary, unknown};
-use crate::server::{Reply, call};
-use crate::visit::{Answer, Visit};
+use crate::registry::ServerEntry;
+use crate::proxy::Proxy;
+use crate::write::{LAST, primary, unknown};
+use crate::server_protocol::{Reply, call};
+use crate::request::{RequestResult, ClientRequest};
 use quincehatch_core::{ErrorCode, FencingToken, Name, Role};
 use quincehatch_runtime::seam;
 use std::sync::Arc;
@@ -11,18 +11,18 @@
 
 /// Asks a try's outcome of whoever leads, until it is known or the deadline is here. With `seal` a try that
 /// was not kept is made impossible first, and only then called so (§4.6).
-pub async fn settle(n: &Arc<Node>, v: &mut Visit, key: &str, seal: bool) -> Answer {
+pub async fn settle(n: &Arc<Proxy>, v: &mut ClientRequest, key: &str, seal: bool) -> RequestResult {
     v.note("asks the outcome");
     while v.left() > LAST {
         let within = Duration::from_millis(v.left().saturating_sub(LAST));
         if let Ok((row, fence)) = primary(n, v) {
             v.ran.server = row.name.clone();
-            v.ran.district = row.district();
+            v.ran.district = row.zone();
             v.ran.verdict = "primary".into();
             if let Some(r) = ask_outcome(n, &row, key, seal, fence, within).await
                 && r.stamp.fence == fence
                 && r.stamp.role == Role::Primary
-                && n.board.has_lease()
+                && n.registry.has_lease()
             {
                 match r.outcome.as_deref() {
                     // It proves nothing of what else is visible at a primary that just took over (§4.8).
@@ -44,8 +44,8 @@
 }
 
 async fn ask_outcome(
-    n: &Node,
-    row: &ServerRow,
+    n: &Proxy,
+    row: &ServerEntry,
     key: &str,
     seal: bool,
     fence: FencingToken,
@@ -53,6 +53,6 @@
 ) -> Option<Reply> {
     let (path, body) = call::outcome(key, seal && !seam::injected_bug("no-seal"), fence);
     let addr: Name = row.addr();
-    let r = n.once(&addr, path, body, within).await?;
+    let r = n.call_once(&addr, path, body, within).await?;
     Some(r).filter(|r| r.error.is_none() && r.stamp.server == row.name)
 }
--- a/crates/proxy/src/overdue.rs
+++ b/crates/proxy/src/overdue_replies.rs
@@ -17,16 +17,16 @@
 
 /// How a reply is watched.
 #[derive(Clone, Copy, Debug)]
-pub struct Owe {
+pub struct PendingReply {
     pub timeout: Millis,
     pub query_timeout: Millis,
-    pub long: bool,
+    pub long_running: bool,
     pub first: bool,
 }
 
 /// Watches replies owed by one server: the only layer that sees a stall in storage (§4.5).
 #[derive(Clone, Debug, Default)]
-pub struct Overdue {
+pub struct OverdueReplies {
     owed: BTreeMap<u64, Owed>,
     last_answer: Millis,
     last_sent: Millis,
@@ -51,13 +51,13 @@
     Late,
 }
 
-impl Overdue {
-    pub fn sent(&mut self, now: Millis, id: u64, w: Owe) {
+impl OverdueReplies {
+    pub fn record_sent(&mut self, now: Millis, id: u64, w: PendingReply) {
         let o = Owed {
             sent: now,
             late_at: now + w.timeout,
             overdue_at: now + w.query_timeout,
-            long: w.long,
+            long: w.long_running,
             first: w.first,
             told: false,
             stalled: false,
@@ -66,13 +66,13 @@
         self.owed.insert(id, o);
     }
     /// Any answer, late or in time, is a sign of life on that link.
-    pub fn answered(&mut self, now: Millis, id: u64) -> Option<Millis> {
+    pub fn record_answer(&mut self, now: Millis, id: u64) -> Option<Millis> {
         self.last_answer = self.last_answer.max(now);
         self.tally.0 += 1;
         self.owed.remove(&id).map(|o| now.saturating_sub(o.sent))
     }
     /// The link is known gone: nothing is owed on it any more, and that is no sign of life.
-    pub fn gone(&mut self, id: u64) {
+    pub fn forget(&mut self, id: u64) {
         self.owed.remove(&id);
     }
     /// Was anything answered within the last `ms`?
@@ -82,7 +82,7 @@
     pub fn answered_since(&self, at: Millis) -> bool {
         self.last_answer > at
     }
-    pub fn owing(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.owed.len()
     }
 
@@ -93,7 +93,7 @@
     }
     /// Some reply is getting late and nothing was answered meanwhile: is it long, or does the server stall? A visit
     /// that goes there now, with time kept to go elsewhere, tells (§4.5).
-    pub fn wants_witness(&self, now: Millis) -> bool {
+    pub fn wants_canary(&self, now: Millis) -> bool {
         let getting_late = |o: &Owed| {
             let quarter = (o.late_at - o.sent) / 4;
             !o.long && now >= o.sent + quarter && now >= self.last_answer + quarter
@@ -148,19 +148,19 @@
 mod tests {
     use super::*;
 
-    fn owe(timeout: Millis, query_timeout: Millis, long: bool) -> Owe {
-        Owe { timeout, query_timeout, long, first: true }
+    fn owe(timeout: Millis, query_timeout: Millis, long: bool) -> PendingReply {
+        PendingReply { timeout, query_timeout, long_running: long, first: true }
     }
-    fn sent(j: &mut Overdue, now: Millis, ids: std::ops::RangeInclusive<u64>) {
-        ids.for_each(|id| j.sent(now, id, owe(1_000, 30_000, false)));
+    fn sent(j: &mut OverdueReplies, now: Millis, ids: std::ops::RangeInclusive<u64>) {
+        ids.for_each(|id| j.record_sent(now, id, owe(1_000, 30_000, false)));
     }
 
     #[test]
     fn one_slow_reply_among_answers_is_a_long_query() {
-        let mut j = Overdue::default();
+        let mut j = OverdueReplies::default();
         sent(&mut j, 0, 1..=1);
         sent(&mut j, 500, 2..=2);
-        j.answered(600, 2);
+        j.record_answer(600, 2);
         assert_eq!(j.tick(999), vec![]);
         assert_eq!(j.tick(1_000), vec![], "as many were in time: it is a long query");
         assert_eq!(j.tick(1_599), vec![]);
@@ -169,21 +169,21 @@
 
     #[test]
     fn a_server_that_is_late_more_often_than_not_is_slow() {
-        let mut j = Overdue::default();
+        let mut j = OverdueReplies::default();
         sent(&mut j, 0, 1..=4);
-        j.answered(990, 4);
+        j.record_answer(990, 4);
         assert_eq!(j.tick(1_000), vec![Found::Late]);
     }
 
     #[test]
     fn silence_is_a_stall_only_with_enough_witnesses() {
         for n in [WITNESSES - 1, WITNESSES] {
-            let mut j = Overdue::default();
-            j.answered(5, 99);
+            let mut j = OverdueReplies::default();
+            j.record_answer(5, 99);
             sent(&mut j, 10, 1..=1);
-            assert!(!j.wants_witness(200) && j.wants_witness(300));
+            assert!(!j.wants_canary(200) && j.wants_canary(300));
             sent(&mut j, 300, 2..=n as u64);
-            assert!(!j.wants_witness(310), "one at a time");
+            assert!(!j.wants_canary(310), "one at a time");
             assert_eq!(j.tick(1_009), vec![]);
             let found = j.tick(1_010);
             assert_eq!(found.contains(&Found::Stall), n == WITNESSES);
@@ -192,31 +192,31 @@
 
     #[test]
     fn a_witness_that_is_answered_makes_it_a_long_query() {
-        let mut j = Overdue::default();
+        let mut j = OverdueReplies::default();
         sent(&mut j, 0, 1..=WITNESSES as u64);
         sent(&mut j, 700, 9..=9);
-        j.answered(702, 9);
+        j.record_answer(702, 9);
         assert!(!j.tick(1_000).contains(&Found::Stall));
-        assert!(!j.wants_witness(800));
+        assert!(!j.wants_canary(800));
     }
 
     #[test]
     fn carried_visits_are_no_witnesses_and_no_sign_of_slowness() {
-        let mut j = Overdue::default();
+        let mut j = OverdueReplies::default();
         for id in 1..=20 {
-            j.sent(0, id, Owe { first: false, ..owe(1_000, 30_000, false) });
+            j.record_sent(0, id, PendingReply { first: false, ..owe(1_000, 30_000, false) });
         }
         assert_eq!(j.tick(1_500), vec![]);
-        j.answered(1_600, 1);
+        j.record_answer(1_600, 1);
         assert_eq!(j.tick(1_700), vec![]);
     }
 
     #[test]
     fn a_stall_that_began_after_other_answers_is_still_seen() {
-        let mut j = Overdue::default();
+        let mut j = OverdueReplies::default();
         sent(&mut j, 0, 1..=3);
         sent(&mut j, 600, 4..=4);
-        j.answered(601, 4);
+        j.record_answer(601, 4);
         sent(&mut j, 610, 5..=12);
         assert_eq!(j.tick(1_000), vec![Found::Late]);
         assert_eq!(j.tick(1_100), vec![]);
@@ -226,7 +226,7 @@
 
     #[test]
     fn a_lone_link_has_twice_its_time() {
-        let mut j = Overdue::default();
+        let mut j = OverdueReplies::default();
         sent(&mut j, 0, 1..=1);
         assert_eq!(j.tick(1_999), vec![]);
         assert_eq!(j.tick(2_000), vec![Found::Stall]);
@@ -234,10 +234,10 @@
 
     #[test]
     fn a_long_rule_owes_only_at_its_query_timeout() {
-        let mut j = Overdue::default();
-        j.sent(0, 1, owe(1_000, 20_000, true));
-        j.sent(0, 2, owe(1_000, 20_000, true));
-        assert!(!j.wants_witness(900));
+        let mut j = OverdueReplies::default();
+        j.record_sent(0, 1, owe(1_000, 20_000, true));
+        j.record_sent(0, 2, owe(1_000, 20_000, true));
+        assert!(!j.wants_canary(900));
         assert_eq!(j.tick(19_999), vec![]);
         assert_eq!(j.tick(20_000), vec![Found::Overdue, Found::Overdue]);
     }
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform_api.rs
@@ -19,18 +19,18 @@
 
 /// What the platform's answer to a promotion means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Promoted {
+pub enum PromotionOutcome {
     Done,
     /// A higher fence is out, or this one named another server.
-    Overtaken,
+    Superseded,
     /// Not known: the server may have been promoted all the same.
     InDoubt,
 }
 
-pub fn promoted(status: Option<u16>) -> Promoted {
+pub fn promotion_outcome(status: Option<u16>) -> PromotionOutcome {
     match status {
-        Some(200) => Promoted::Done,
-        Some(409) => Promoted::Overtaken,
-        _ => Promoted::InDoubt,
+        Some(200) => PromotionOutcome::Done,
+        Some(409) => PromotionOutcome::Superseded,
+        _ => PromotionOutcome::InDoubt,
     }
 }
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -1,8 +1,8 @@
 //! Links of one server, shared between transactions, never inside one (§4.3).
-use crate::judge::{Ending, ending};
-use crate::link::Link;
-use crate::session::Texts;
-use crate::shard::{Grant, Shard, Use};
+use crate::evidence::{ConnectionEnd, classify_end};
+use crate::connection::Link;
+use crate::session::SessionSetup;
+use crate::slots::{Grant, ConnectionSlots, ConnectionUse};
 use quincehatch_config::configuration::Configuration;
 use quincehatch_core::{ErrorCode, Error, Millis};
 use quincehatch_runtime::now;
@@ -14,54 +14,54 @@
 use tokio::sync::Notify;
 
 #[derive(Default)]
-pub struct Pool {
-    pub shard: Shard<Link>,
+pub struct ConnectionPool {
+    pub slots: ConnectionSlots<Link>,
     free: Notify,
     /// Visits held for want of a link.
-    pub held: AtomicUsize,
+    pub queued: AtomicUsize,
     epoch: AtomicUsize,
 }
 
 /// Caps that hold at a visit's time.
 #[derive(Clone, Copy)]
-pub struct Caps {
+pub struct PoolLimits {
     pub links: usize,
     pub share: usize,
     pub held: usize,
     pub watch: KeepaliveSettings,
 }
 
-impl Caps {
-    pub fn of(bp: &Configuration, primary: bool) -> Caps {
+impl PoolLimits {
+    pub fn of(bp: &Configuration, primary: bool) -> PoolLimits {
         let links = if primary { bp.connections.per_primary } else { bp.connections.per_replica } as usize;
         let share = if primary { (links * bp.connections.primary_lookup_percent as usize / 100).max(1) } else { links };
         let watch = KeepaliveSettings {
             idle: Duration::from_millis(bp.health.keepalive_idle_ms),
             user_timeout: Duration::from_millis(bp.health.user_timeout_ms),
         };
-        Caps { links, share, held: bp.queue.max_waiting as usize, watch }
+        PoolLimits { links, share, held: bp.queue.max_waiting as usize, watch }
     }
 }
 
 /// A link on loan. Dropped without a word it counts as gone.
-pub struct Loan {
+pub struct Checkout {
     pub link: Option<Link>,
-    row: Arc<crate::board::ServerRow>,
-    use_: Use,
-    caps: Caps,
+    row: Arc<crate::registry::ServerEntry>,
+    use_: ConnectionUse,
+    caps: PoolLimits,
     epoch: usize,
     settled: bool,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Drops idle links; with `close` none is granted until it is called with `false`.
     pub fn shut(&self, close: bool) {
         self.epoch.fetch_add(1, Ordering::SeqCst);
-        self.shard.clear(close);
+        self.slots.clear(close);
         self.free.notify_waiters();
     }
-    pub fn sweep(&self) {
-        if self.shard.sweep(|l| !l.is_closed()) > 0 {
+    pub fn prune(&self) {
+        if self.slots.prune(|l| !l.is_closed()) > 0 {
             self.free.notify_waiters();
         }
     }
@@ -78,21 +78,21 @@
 
 /// Takes a link of `row` within the time, holding the visit when all are busy.
 pub async fn take(
-    row: &Arc<crate::board::ServerRow>,
+    row: &Arc<crate::registry::ServerEntry>,
     me: &str,
-    u: Use,
-    caps: Caps,
-    ctx: &Texts,
+    u: ConnectionUse,
+    caps: PoolLimits,
+    ctx: &SessionSetup,
     until: Millis,
-) -> Result<Loan, NoLink> {
+) -> Result<Checkout, NoLink> {
     loop {
         let woken = row.pool.free.notified();
         tokio::pin!(woken);
         woken.as_mut().enable();
         let epoch = row.pool.epoch.load(Ordering::SeqCst);
         let fits = |l: &Link| !l.is_closed() && l.wears(ctx);
-        let loan = |link| Loan { link, row: row.clone(), use_: u, caps, epoch, settled: false };
-        match row.pool.shard.take(u, caps.links, caps.share, fits) {
+        let loan = |link| Checkout { link, row: row.clone(), use_: u, caps, epoch, settled: false };
+        match row.pool.slots.check_out(u, caps.links, caps.share, fits) {
             Grant::Idle(l) if l.is_closed() => {
                 drop(loan(None));
                 continue;
@@ -111,10 +111,10 @@
             }
             Grant::Full => {}
         }
-        if row.leaving() {
+        if row.is_draining() {
             return Err(NoLink::Busy(ErrorCode::ServerFailed.with_detail("the server is leaving")));
         }
-        let held = row.pool.held.fetch_add(1, Ordering::SeqCst);
+        let held = row.pool.queued.fetch_add(1, Ordering::SeqCst);
         let wait = async {
             if held >= caps.held {
                 return Err(ErrorCode::QueueFull.without_detail().with_retry_after(200));
@@ -125,41 +125,41 @@
                 .map_err(|_| ErrorCode::ConnectionsBusy.without_detail().with_retry_after(200))
         };
         let r = wait.await;
-        row.pool.held.fetch_sub(1, Ordering::SeqCst);
+        row.pool.queued.fetch_sub(1, Ordering::SeqCst);
         r.map_err(NoLink::Busy)?;
     }
 }
 
-impl Loan {
-    pub fn link(&mut self) -> &mut Link {
+impl Checkout {
+    pub fn connection(&mut self) -> &mut Link {
         self.link.as_mut().expect("a loan in use has its link")
     }
-    pub fn row(&self) -> &Arc<crate::board::ServerRow> {
+    pub fn row(&self) -> &Arc<crate::registry::ServerEntry> {
         &self.row
     }
     /// Gives the link back in good order.
-    pub fn give_back(mut self) {
+    pub fn check_in(mut self) {
         let Some(l) = self.link.take() else { return };
         let stale = self.epoch != self.row.pool.epoch.load(Ordering::SeqCst);
         if stale || l.is_closed() {
-            self.row.pool.shard.gone(self.use_);
+            self.row.pool.slots.release(self.use_);
         } else {
-            drop(self.row.pool.shard.put(self.use_, self.caps.links, l));
+            drop(self.row.pool.slots.check_in(self.use_, self.caps.links, l));
         }
         self.row.pool.free.notify_one();
         self.settled = true;
     }
-    pub fn ending_of(&self, e: &std::io::Error, owing: bool) -> Ending {
-        ending(e, owing, self.row.leaving())
+    pub fn ending_of(&self, e: &std::io::Error, owing: bool) -> ConnectionEnd {
+        classify_end(e, owing, self.row.is_draining())
     }
 }
 
-impl Drop for Loan {
+impl Drop for Checkout {
     fn drop(&mut self) {
         if self.settled {
             return;
         }
-        self.row.pool.shard.gone(self.use_);
+        self.row.pool.slots.release(self.use_);
         self.row.pool.free.notify_one();
     }
 }
--- a/crates/proxy/src/port.rs
+++ b/crates/proxy/src/ports.rs
@@ -9,7 +9,7 @@
 
 /// One thing to be done on a held link. Texts of statements go as the origin gave them (§1 N8).
 #[derive(Clone, Debug, PartialEq)]
-pub enum Call {
+pub enum ServerCall {
     Begin {
         read: bool,
         floor: Option<Position>,
@@ -56,17 +56,17 @@
 
 /// Why a server did not do it. Of the first five nothing was run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum No {
+pub enum RejectReason {
     /// Every slot is taken.
     Busy,
     /// Its log lacks the floor.
     Behind,
     /// It does not lead.
-    NotLead,
+    NotPrimary,
     /// Another server, or another group's.
-    Stranger,
+    WrongServer,
     /// It holds as many links as it may.
-    Full,
+    TooManyConnections,
     /// No such prepared text.
     Unprepared,
     /// It ran and failed, or ran out of time: what it did is undone only with its transaction.
@@ -78,73 +78,73 @@
 
 /// Where a link's transaction stands after an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Stage {
+pub enum TransactionState {
     #[default]
     Idle,
     Open,
-    Broken,
+    Failed,
 }
 
 /// What STATUS, SUSPEND, RESUME and DEMOTE tell.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Look {
+pub struct ServerStatus {
     pub role: Role,
     /// The newest term it has heard of.
     pub term: u64,
     /// The end of what it has received.
     pub received: Position,
     /// The term up to which it is held; none: 0.
-    pub held: u64,
+    pub suspended_term: u64,
     pub lag_ms: u64,
-    pub busy: u64,
-    pub links: u64,
+    pub busy_slots: u64,
+    pub connections: u64,
 }
 
 /// A whole answer.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Said {
+pub struct ServerReply {
     pub rows: Vec<Bytes>,
     /// The server's own stamp, on success; none on what it answers without running anything.
     pub stamp: Option<Bytes>,
-    pub no: Option<(No, Bytes)>,
-    pub stage: Stage,
+    pub rejection: Option<(RejectReason, Bytes)>,
+    pub transaction_state: TransactionState,
     /// The end of its log, as it said behind the answer.
-    pub end: Option<Position>,
-    pub look: Option<Look>,
+    pub log_end: Option<Position>,
+    pub status: Option<ServerStatus>,
 }
 
 /// A link to one server that holds one session there. After an error of its own it is not used again.
-pub trait Line: Send {
-    fn ask<'a>(&'a mut self, c: &'a Call) -> BoxFuture<'a, io::Result<Said>>;
+pub trait ServerConnection: Send {
+    fn call<'a>(&'a mut self, c: &'a ServerCall) -> BoxFuture<'a, io::Result<ServerReply>>;
     /// An idle link on which something came, or that has ended, is broken.
     fn broken(&mut self) -> Option<io::Error>;
 }
 
 /// How a new link began: with the end of the server's log, or with its no.
-pub type Opened = Result<(Box<dyn Line>, Option<Position>), (No, Bytes)>;
+pub type OpenResult = Result<(Box<dyn ServerConnection>, Option<Position>), (RejectReason, Bytes)>;
 
-pub trait Servers: Send + Sync {
+pub trait ServerConnector: Send + Sync {
     /// Opens a link to `server` of `group`, or learns that another is there.
-    fn open(&self, addr: Name, group: Name, server: Name, watch: KeepaliveSettings) -> BoxFuture<'static, io::Result<Opened>>;
+    fn connect(&self, addr: Name, group: Name, server: Name, watch: KeepaliveSettings) -> BoxFuture<'static, io::Result<OpenResult>>;
 }
 
 /// What the answer to a promotion means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Promoted {
+pub enum PromotionOutcome {
     Done,
     /// A higher fence is out, or that server is not running.
-    Declined,
+    Rejected,
     /// Not known: the server may lead all the same.
     InDoubt,
 }
 
 pub trait Promoter: Send + Sync {
-    fn promote(&self, group: Name, server: Name, holder: Name, fence: FencingToken) -> BoxFuture<'static, Promoted>;
+    fn promote(&self, group: Name, server: Name, holder: Name, fence: FencingToken) -> BoxFuture<'static, PromotionOutcome>;
 }
 
 /// The ports a node is given.
 #[derive(Clone)]
-pub struct Ports {
-    pub servers: Arc<dyn Servers>,
+pub struct ServerPorts {
+    pub servers: Arc<dyn ServerConnector>,
     pub promoter: Arc<dyn Promoter>,
 }
--- a/crates/proxy/src/lookup.rs
+++ b/crates/proxy/src/read.rs
@@ -1,35 +1,35 @@
 //! Carrying lookups: same district first, fresh or not at all, never outside the placement (§4.7, §4.8).
-use crate::carry::{Asked, Owe, ask_on, no_link};
-use crate::choose::{Choice, choose, patience, stay};
-use crate::node::Node;
-use crate::pool::{Caps, NoLink, take};
-use crate::server::{self, call};
-use crate::shard::Use;
-use crate::verdict::Verdict;
-use crate::visit::{Answer, Visit};
+use crate::attempt::{Asked, PendingReply, ask_on, no_link};
+use crate::server_choice::{Choice, choose, patience, stay};
+use crate::proxy::Proxy;
+use crate::pool::{PoolLimits, NoLink, take};
+use crate::server_protocol::{self, call};
+use crate::slots::ConnectionUse;
+use crate::state::HealthState;
+use crate::request::{RequestResult, ClientRequest};
 use quincehatch_config::configuration::{Configuration, Route};
 use quincehatch_core::{ErrorCode, Millis, Name, Role};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
 use std::sync::Arc;
 
-pub fn owe(bp: &Configuration, r: &Route) -> Owe {
+pub fn owe(bp: &Configuration, r: &Route) -> PendingReply {
     let query_timeout = r.query_timeout_ms.unwrap_or(bp.health.query_timeout_ms);
-    Owe { timeout: r.timeout_ms, query_timeout, long: r.long_running, first: true }
+    PendingReply { timeout: r.timeout_ms, query_timeout, long_running: r.long_running, first: true }
 }
 
-pub async fn lookup(n: &Arc<Node>, v: &mut Visit) -> Answer {
-    let (Some(bp), Some(rule)) = (v.plan.blueprint.clone(), v.rule.clone()) else {
+pub async fn lookup(n: &Arc<Proxy>, v: &mut ClientRequest) -> RequestResult {
+    let (Some(bp), Some(rule)) = (v.plan.configuration.clone(), v.rule.clone()) else {
         return Err(ErrorCode::NoRoute.without_detail());
     };
     let o = owe(&bp, &rule);
-    let ctx = v.held.as_ref().map(|h| h.ctx.clone()).unwrap_or_default();
+    let ctx = v.held.as_ref().map(|h| h.state.clone()).unwrap_or_default();
     let mut tried: Vec<Name> = Vec::new();
     let mut why = ErrorCode::AllReplicasEjected.without_detail();
     let mut rounds = 0;
-    n.carries.earn();
+    n.retry_budget.earn();
     while v.left() > 0 {
-        let ask_id = n.next_id();
+        let ask_id = n.next_request_id();
         let Some(c) = choose(n, v, &tried, (v.left() > rule.timeout_ms / 2, rule.long_running), ask_id) else {
             // Everyone was asked. A stale or busy answer may be better in a moment; a few rounds, no more.
             // While no primary was seen of late nothing can be proved fresh, and soon may be again (§4.8).
@@ -39,7 +39,7 @@
                 return Err(why.with_retry_after(500));
             }
             // Nobody is asked again before an answer could be proved fresh.
-            if n.board.seen(&v.group, |s| s.needed(now(), rule.max_staleness_ms)).is_some() {
+            if n.registry.with_primary_positions(&v.group, |s| s.needed(now(), rule.max_staleness_ms)).is_some() {
                 tried.clear();
             }
             seam::sleep(std::time::Duration::from_millis(40)).await;
@@ -49,19 +49,19 @@
         tried.push(name.clone());
         v.group = c.row.group();
         v.ran.server = name.clone();
-        v.ran.district = c.row.district();
+        v.ran.district = c.row.zone();
         v.ran.verdict = Name::from(match (c.primary, c.trial) {
             (true, _) => "primary-share",
             (_, true) => "on-trial",
             _ => "in-rotation",
         });
-        let till = patience(v, o.long && !c.trial, &c);
-        let caps = Caps::of(&bp, c.primary);
-        let mut loan = match take(&c.row, &n.set.name, Use::Lookup, caps, &ctx.texts(), till).await {
+        let till = patience(v, o.long_running && !c.trial, &c);
+        let caps = PoolLimits::of(&bp, c.primary);
+        let mut loan = match take(&c.row, &n.settings.name, ConnectionUse::Lookup, caps, &ctx.setup(), till).await {
             Ok(l) => l,
             Err(e) => {
                 if c.trial {
-                    c.row.health.lock().unwrap().no_matter(ask_id);
+                    c.row.health.lock().unwrap().request_inconclusive(ask_id);
                 }
                 v.note(format!("{name} no link"));
                 no_link(n, &c.row, &e);
@@ -73,29 +73,29 @@
                 continue;
             }
         };
-        match loan.link().wear(&ctx, till).await {
+        match loan.connection().wear(&ctx, till).await {
             Ok(None) => {}
             Ok(Some(r)) => return Err(declined(&r)),
             Err(e) => {
-                c.row.health.lock().unwrap().no_matter(ask_id);
+                c.row.health.lock().unwrap().request_inconclusive(ask_id);
                 why = e.breakdown();
                 continue;
             }
         }
-        let q = call::run(&loan.link().id.clone(), v.text(), &v.body.params);
+        let q = call::run(&loan.connection().id.clone(), v.text(), &v.body.params);
         let asked = now();
-        let owe = Owe { first: tried.len() == 1 && rounds == 0, ..o };
+        let owe = PendingReply { first: tried.len() == 1 && rounds == 0, ..o };
         let until = v.until;
         match ask_on(n, loan, q, owe, ask_id, till, || stay(n, &c, until)).await {
             Asked::Reply(r, loan) => {
-                loan.give_back();
+                loan.check_in();
                 if r.error.is_some() {
-                    if r.is(server::LEAVING) {
-                        c.row.note_leaving(true);
+                    if r.has_error_code(server_protocol::LEAVING) {
+                        c.row.set_draining(true);
                         continue;
                     }
                     // It was not run there: others may answer, or this one in a moment.
-                    if r.is(server::STARTING) {
+                    if r.has_error_code(server_protocol::STARTING) {
                         v.note(format!("{name} is starting"));
                         why = ErrorCode::Stale.without_detail();
                         continue;
@@ -120,8 +120,8 @@
             Asked::Silent => {
                 v.note(format!("{name} silent"));
                 if c.trial {
-                    let j = n.judges();
-                    c.row.health.lock().unwrap().trial_failed(now(), &j, ask_id);
+                    let j = n.health_settings();
+                    c.row.health.lock().unwrap().probation_failed(now(), &j, ask_id);
                 }
                 why = ErrorCode::DeadlinePassed.without_detail();
             }
@@ -132,30 +132,30 @@
 }
 
 /// Proof that the rows are no further behind than the rule allows, on this node's clock alone (§4.8).
-fn fresh_enough(n: &Node, c: &Choice, s: &quincehatch_core::Stamp, fresh: Millis, asked: Millis) -> bool {
+fn fresh_enough(n: &Proxy, c: &Choice, s: &quincehatch_core::Stamp, fresh: Millis, asked: Millis) -> bool {
     if seam::injected_bug("stale-lookup") {
         return true;
     }
-    if !n.board.has_lease() {
+    if !n.registry.has_lease() {
         return false;
     }
     let group = c.row.group();
     if c.primary {
-        let lead = n.board.lead(&group);
+        let lead = n.registry.primary(&group);
         // Fresh when it was asked; a node that was paused since must not pass it on as fresh now.
-        let late = now() > asked + fresh.saturating_sub(crate::fresh::MARGIN);
+        let late = now() > asked + fresh.saturating_sub(crate::freshness::MARGIN);
         return !late
             && s.role == Role::Primary
             && lead.is_some_and(|l| l.fence == s.fence && l.server.as_ref() == Some(&s.server));
     }
-    n.board.seen(&group, |seen| seen.needed(now(), fresh)).is_some_and(|p| s.position >= p)
+    n.registry.with_primary_positions(&group, |seen| seen.needed(now(), fresh)).is_some_and(|p| s.position >= p)
 }
 
 /// The server's own no, in its words' kind only: its text may hold what must not be logged, so it goes to the
 /// origin alone.
-pub fn declined(r: &crate::server::Reply) -> quincehatch_core::Error {
+pub fn declined(r: &crate::server_protocol::Reply) -> quincehatch_core::Error {
     // What was not run, as the server does not lead or not yet, says nothing of the statement.
-    let not_run = [server::STARTING, server::FENCE_LOW, server::NOT_PRIMARY].iter().any(|c| r.is(c));
+    let not_run = [server_protocol::STARTING, server_protocol::FENCE_LOW, server_protocol::NOT_PRIMARY].iter().any(|c| r.has_error_code(c));
     if not_run {
         return ErrorCode::NoPrimary.with_detail("the server does not lead, or not yet; it ran nothing").with_retry_after(500);
     }
@@ -164,10 +164,10 @@
 }
 
 /// The verdict's word.
-pub fn word(v: Verdict) -> &'static str {
+pub fn health_label(v: HealthState) -> &'static str {
     match v {
-        Verdict::InRotation => "in-rotation",
-        Verdict::SetAside => "set-aside",
-        Verdict::OnTrial => "on-trial",
+        HealthState::Healthy => "in-rotation",
+        HealthState::Ejected => "set-aside",
+        HealthState::Probation => "on-trial",
     }
 }
--- a/crates/proxy/src/visit.rs
+++ b/crates/proxy/src/request.rs
@@ -25,7 +25,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum Operation {
     Open,
     Set,
     Prepare,
@@ -39,33 +39,33 @@
     Outcome,
 }
 
-impl What {
-    pub fn of(path: &str) -> Option<What> {
+impl Operation {
+    pub fn of(path: &str) -> Option<Operation> {
         Some(match path {
-            "/v1/open" => What::Open,
-            "/v1/set" => What::Set,
-            "/v1/prepare" => What::Prepare,
-            "/v1/close" => What::Close,
-            "/v1/order" => What::Order,
-            "/v1/lookup" => What::Lookup,
-            "/v1/begin" => What::Begin,
-            "/v1/run" => What::Run,
-            "/v1/commit" => What::Commit,
-            "/v1/rollback" => What::Rollback,
-            "/v1/outcome" => What::Outcome,
+            "/v1/open" => Operation::Open,
+            "/v1/set" => Operation::Set,
+            "/v1/prepare" => Operation::Prepare,
+            "/v1/close" => Operation::Close,
+            "/v1/order" => Operation::Order,
+            "/v1/lookup" => Operation::Lookup,
+            "/v1/begin" => Operation::Begin,
+            "/v1/run" => Operation::Run,
+            "/v1/commit" => Operation::Commit,
+            "/v1/rollback" => Operation::Rollback,
+            "/v1/outcome" => Operation::Outcome,
             _ => return None,
         })
     }
     /// Must the visit come within a session?
     pub fn in_session(self) -> bool {
-        use What::*;
+        use Operation::*;
         matches!(self, Set | Prepare | Close | Begin | Run | Commit | Rollback)
     }
 }
 
 /// Where a visit ran (docs/origin.md).
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Ran {
+pub struct ExecutionSite {
     pub node: Name,
     pub server: Name,
     pub placement: Name,
@@ -77,29 +77,29 @@
 /// A success. What a server did has its own stamp and rows, unchanged; there is no success of a server's
 /// without them (§1 N4). What the nodes alone took on is promised.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Good {
-    Kept { rows: Value, stamp: Stamp },
-    Promised,
+pub enum Success {
+    Committed { rows: Value, stamp: Stamp },
+    Accepted,
 }
 
-pub struct Visit {
+pub struct ClientRequest {
     pub id: u64,
-    pub what: What,
+    pub what: Operation,
     pub body: Body,
     pub began: Millis,
     pub until: Millis,
     pub rule: Option<quincehatch_config::configuration::Route>,
-    pub plan: std::sync::Arc<crate::board::Plan>,
+    pub plan: std::sync::Arc<crate::registry::ClusterState>,
     pub held: Option<tokio::sync::OwnedMutexGuard<crate::session::Session>>,
     pub group: Name,
-    pub ran: Ran,
+    pub ran: ExecutionSite,
     /// The filters and carries it passed, for `quincehatchctl explain`.
     pub path: Vec<String>,
 }
 
-pub type Answer = Result<Good, Error>;
+pub type RequestResult = Result<Success, Error>;
 
-impl Visit {
+impl ClientRequest {
     pub fn left(&self) -> Millis {
         self.until.saturating_sub(now())
     }
@@ -108,7 +108,7 @@
     }
     /// Sum of an order's content: a try key used again must bring the same (§4.6).
     pub fn sum(&self) -> Name {
-        content_sum("", self.text(), &self.body.params)
+        content_digest("", self.text(), &self.body.params)
     }
     pub fn note(&mut self, s: impl Into<String>) {
         if self.path.len() < 32 {
@@ -116,23 +116,23 @@
         }
     }
     /// The reply to the origin as status and JSON.
-    pub fn reply(&self, a: &Answer) -> (u16, Value) {
+    pub fn reply(&self, a: &RequestResult) -> (u16, Value) {
         let mut v = match a {
-            Ok(Good::Kept { rows, stamp })
+            Ok(Success::Committed { rows, stamp })
                 if quincehatch_runtime::seam::injected_bug("foreign-stamp") && self.id.is_multiple_of(50) =>
             {
                 json!({"end": "kept", "rows": rows, "stamp": Stamp { server: "g1s9".into(), ..stamp.clone() }})
             }
-            Ok(Good::Kept { rows, stamp }) => json!({"end": "kept", "rows": rows, "stamp": stamp}),
-            Ok(Good::Promised) => json!({"end": "promised"}),
-            Err(b) => breakdown_json(b),
+            Ok(Success::Committed { rows, stamp }) => json!({"end": "kept", "rows": rows, "stamp": stamp}),
+            Ok(Success::Accepted) => json!({"end": "promised"}),
+            Err(b) => error_json(b),
         };
         if let Some(m) = v.as_object_mut() {
             m.insert("visit".into(), json!(self.id));
             m.insert("where".into(), json!(self.ran));
             if let Some(h) = &self.held {
-                m.insert("session".into(), json!(h.ctx.id));
-                m.insert("version".into(), json!(h.ctx.version));
+                m.insert("session".into(), json!(h.state.id));
+                m.insert("version".into(), json!(h.state.version));
             }
         }
         (a.as_ref().map_or_else(Error::http_status, |_| 200), v)
@@ -140,7 +140,7 @@
 }
 
 /// Adds a statement to a digest over what an order does (SHA-256, in hex): equal only for equal content.
-pub fn content_sum(so_far: &str, text: &str, params: &Value) -> Name {
+pub fn content_digest(so_far: &str, text: &str, params: &Value) -> Name {
     let mut d = Sha256::new();
     for part in [so_far, text, &params.to_string()] {
         d.update((part.len() as u64).to_le_bytes());
@@ -149,7 +149,7 @@
     d.finalize().iter().map(|b| format!("{b:02x}")).collect()
 }
 
-pub fn breakdown_json(b: &Error) -> Value {
+pub fn error_json(b: &Error) -> Value {
     let end = match b.outcome {
         Outcome::Committed => "kept",
         Outcome::NotApplied => "nothing",
@@ -163,7 +163,7 @@
 }
 
 /// Reads a body; the sentence names what is wrong but never repeats a value (§2.5).
-pub fn read_body(bytes: &[u8]) -> Result<Body, Error> {
+pub fn parse_body(bytes: &[u8]) -> Result<Body, Error> {
     if bytes.is_empty() {
         return Ok(Body::default());
     }
@@ -184,14 +184,14 @@
     #[test]
     fn content_is_known_by_a_digest_that_keeps_its_parts_apart() {
         let p = json!(["t1"]);
-        let one = content_sum("", "append l $1", &p);
-        assert_eq!((one.len(), &one), (64, &content_sum("", "append l $1", &json!(["t1"]))));
-        let two = content_sum(&one, "add total 1", &Value::Null);
+        let one = content_digest("", "append l $1", &p);
+        assert_eq!((one.len(), &one), (64, &content_digest("", "append l $1", &json!(["t1"]))));
+        let two = content_digest(&one, "add total 1", &Value::Null);
         let others = [
-            content_sum("", "append l $", &json!("1[\"t1\"]")),
-            content_sum("", "append l $1", &json!(["t1", null])),
-            content_sum("", "add total 1", &Value::Null),
-            content_sum(&content_sum("", "add total 1", &Value::Null), "append l $1", &p),
+            content_digest("", "append l $", &json!("1[\"t1\"]")),
+            content_digest("", "append l $1", &json!(["t1", null])),
+            content_digest("", "add total 1", &Value::Null),
+            content_digest(&content_digest("", "add total 1", &Value::Null), "append l $1", &p),
         ];
         assert!(!others.contains(&one) && !others.contains(&two));
     }
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server_protocol.rs
@@ -1,5 +1,5 @@
 //! The wire shapes of database servers, all in this one module (§3, docs/server.md).
-use crate::visit::Good;
+use crate::request::Success;
 use quincehatch_core::{ServerHeartbeat, FencingToken, Name, Position, Stamp, ServerState};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -101,15 +101,15 @@
         serde_json::from_value(v).ok()
     }
     /// The success stamped by the very server that was asked; anything else is no success (§1 N4).
-    pub fn good(&self, server: &str) -> Option<Good> {
+    pub fn good(&self, server: &str) -> Option<Success> {
         let rows = self.rows.as_ref().filter(|_| self.error.is_none() && self.stamp.server == server)?;
-        Some(Good::Kept { rows: rows.clone(), stamp: self.stamp.clone() })
+        Some(Success::Committed { rows: rows.clone(), stamp: self.stamp.clone() })
     }
     pub fn status(self) -> Option<Status> {
         let stamp = self.stamp;
         self.beat.map(|beat| Status { beat, stamp })
     }
-    pub fn is(&self, code: &str) -> bool {
+    pub fn has_error_code(&self, code: &str) -> bool {
         self.error.as_ref().is_some_and(|e| e.code == code)
     }
 }
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -4,43 +4,43 @@
 use std::sync::{Arc, Mutex};
 
 /// Settings and prepared texts one session may hold.
-pub const TEXTS: usize = 64;
+pub const MAX_TEXTS: usize = 64;
 const SHARDS: usize = 16;
 
 messages! {
     /// All that a session was promised. Copied whole to its owners before it is promised (§6.4).
     #[derive(Eq, Default)]
-    pub struct Context {
+    pub struct SessionState {
         pub id: Name, pub version: Version, pub settings: Vec<String>, pub prepared: Vec<(Name, String)>,
         pub closed: bool,
         /// Versions this one grew out of, newest last: it holds all that they promised.
-        pub trail: Vec<Version>
+        pub ancestors: Vec<Version>
     }
 }
 
 /// What a link wears, by its content: links are told apart by the texts themselves, not by a sum (§4.3).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Texts {
+pub struct SessionSetup {
     pub settings: Vec<String>,
     pub prepared: Vec<(Name, String)>,
 }
 
-impl Context {
+impl SessionState {
     /// What a link must wear for this session.
-    pub fn texts(&self) -> Texts {
-        Texts { settings: self.settings.clone(), prepared: self.prepared.clone() }
+    pub fn setup(&self) -> SessionSetup {
+        SessionSetup { settings: self.settings.clone(), prepared: self.prepared.clone() }
     }
 }
 
 /// One session at this node.
 pub struct Session {
-    pub ctx: Context,
-    pub txn: Option<crate::txn::Open>,
-    pub used: Millis,
+    pub state: SessionState,
+    pub transaction: Option<crate::transaction::Open>,
+    pub last_used: Millis,
     /// The highest version tried here: copies of an update that was never acknowledged may be about (§6.4).
-    pub burnt: Version,
+    pub highest_attempted: Version,
     /// The session came from elsewhere since its last update.
-    pub moved: bool,
+    pub adopted: bool,
 }
 
 /// Low bits of a version are drawn, so that two nodes never give the same one.
@@ -50,20 +50,20 @@
 /// Versions a context remembers to have grown out of.
 const TRAIL: usize = 32;
 
-impl Context {
+impl SessionState {
     /// Does this copy hold all that was promised up to that version? A copy of an update that was never
     /// acknowledged may bear a higher number and yet lack it (§6.4).
-    pub fn knows(&self, version: Version) -> bool {
-        version == self.version || self.trail.contains(&version)
+    pub fn includes(&self, version: Version) -> bool {
+        version == self.version || self.ancestors.contains(&version)
     }
     /// The next version, to be changed and placed: above all that was tried here.
-    pub fn next(&self, burnt: Version, moved: bool) -> Context {
+    pub fn next_version(&self, burnt: Version, moved: bool) -> SessionState {
         let at = (self.version.max(burnt) >> DRAWN) + if moved { LEAP } else { 1 };
         let mut c = self.clone();
         c.version = at << DRAWN | u64::from(fastrand::u16(..));
-        c.trail.push(self.version);
-        if c.trail.len() > TRAIL {
-            c.trail.remove(0);
+        c.ancestors.push(self.version);
+        if c.ancestors.len() > TRAIL {
+            c.ancestors.remove(0);
         }
         c
     }
@@ -90,16 +90,16 @@
     pub fn get(&self, id: &str) -> Option<Held> {
         self.shard(id).lock().unwrap().get(id).cloned()
     }
-    pub fn put(&self, ctx: Context, now: Millis, moved: bool) -> Held {
+    pub fn insert(&self, ctx: SessionState, now: Millis, moved: bool) -> Held {
         let mut s = self.shard(&ctx.id).lock().unwrap();
         let id = ctx.id.clone();
         s.entry(id)
             .or_insert_with(|| {
-                Arc::new(tokio::sync::Mutex::new(Session { ctx, txn: None, used: now, burnt: 0, moved }))
+                Arc::new(tokio::sync::Mutex::new(Session { state: ctx, transaction: None, last_used: now, highest_attempted: 0, adopted: moved }))
             })
             .clone()
     }
-    pub fn drop_one(&self, id: &str) {
+    pub fn remove(&self, id: &str) {
         self.shard(id).lock().unwrap().remove(id);
     }
     pub fn len(&self) -> usize {
--- a/crates/proxy/src/shard.rs
+++ b/crates/proxy/src/slots.rs
@@ -3,7 +3,7 @@
 
 /// Why a link is wanted: lookups may take only a share of a primary's links (§4.7).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
+pub enum ConnectionUse {
     Order,
     Lookup,
 }
@@ -27,21 +27,21 @@
 }
 
 #[derive(Debug)]
-pub struct Shard<L> {
+pub struct ConnectionSlots<L> {
     room: Mutex<Room<L>>,
 }
 
-impl<L> Default for Shard<L> {
+impl<L> Default for ConnectionSlots<L> {
     fn default() -> Self {
         Self { room: Mutex::new(Room { idle: Vec::new(), live: 0, lookups: 0, closed: false }) }
     }
 }
 
-impl<L> Shard<L> {
+impl<L> ConnectionSlots<L> {
     /// Takes an idle link (one that `fits` first), or room to open one.
-    pub fn take(&self, u: Use, cap: usize, share: usize, fits: impl Fn(&L) -> bool) -> Grant<L> {
+    pub fn check_out(&self, u: ConnectionUse, cap: usize, share: usize, fits: impl Fn(&L) -> bool) -> Grant<L> {
         let mut r = self.room.lock().unwrap();
-        if r.closed || (u == Use::Lookup && r.lookups >= share) {
+        if r.closed || (u == ConnectionUse::Lookup && r.lookups >= share) {
             return Grant::Full;
         }
         let at = r.idle.iter().rposition(&fits).or_else(|| r.idle.len().checked_sub(1));
@@ -53,15 +53,15 @@
             }
             None => return Grant::Full,
         };
-        if u == Use::Lookup {
+        if u == ConnectionUse::Lookup {
             r.lookups += 1;
         }
         g
     }
     /// Gives a link back for others. Over a lowered cap, or after closing, it is handed back to be dropped.
-    pub fn put(&self, u: Use, cap: usize, link: L) -> Option<L> {
+    pub fn check_in(&self, u: ConnectionUse, cap: usize, link: L) -> Option<L> {
         let mut r = self.room.lock().unwrap();
-        if u == Use::Lookup {
+        if u == ConnectionUse::Lookup {
             r.lookups -= 1;
         }
         if r.closed || r.live > cap {
@@ -72,10 +72,10 @@
         None
     }
     /// A link is gone for good. One whose query was abandoned counts until this is said (§4.5).
-    pub fn gone(&self, u: Use) {
+    pub fn release(&self, u: ConnectionUse) {
         let mut r = self.room.lock().unwrap();
         r.live -= 1;
-        if u == Use::Lookup {
+        if u == ConnectionUse::Lookup {
             r.lookups -= 1;
         }
     }
@@ -88,7 +88,7 @@
         out
     }
     /// Drops idle links that `keep` does not want.
-    pub fn sweep(&self, keep: impl FnMut(&L) -> bool) -> usize {
+    pub fn prune(&self, keep: impl FnMut(&L) -> bool) -> usize {
         let mut r = self.room.lock().unwrap();
         let had = r.idle.len();
         r.idle.retain(keep);
--- a/crates/proxy/src/txn.rs
+++ b/crates/proxy/src/transaction.rs
@@ -1,13 +1,13 @@
 //! Transactions of an origin: one link, one visit at a time, ended on the link they began on (§4.3).
-use crate::carry::{Asked, ask};
-use crate::lookup::{declined, owe};
-use crate::node::Node;
-use crate::order::{finish, not_yet, read_reply, to_primary};
-use crate::pool::{Caps, Loan, take};
-use crate::server::{Try, call};
+use crate::attempt::{Asked, ask};
+use crate::read::{declined, owe};
+use crate::proxy::Proxy;
+use crate::write::{finish, not_yet, read_reply, to_primary};
+use crate::pool::{PoolLimits, Checkout, take};
+use crate::server_protocol::{Try, call};
 use crate::session::Session;
-use crate::shard::Use;
-use crate::visit::{Answer, Visit, content_sum};
+use crate::slots::ConnectionUse;
+use crate::request::{RequestResult, ClientRequest, content_digest};
 use quincehatch_config::configuration::Route;
 use quincehatch_core::{ErrorCode, Error, FencingToken, Millis, Name};
 use quincehatch_runtime::now;
@@ -20,7 +20,7 @@
 
 /// A transaction that is open on a link.
 pub struct Open {
-    pub loan: Option<Loan>,
+    pub checkout: Option<Checkout>,
     pub fence: FencingToken,
     pub group: Name,
     pub server: Name,
@@ -29,35 +29,35 @@
     pub sum: Name,
     pub used: Millis,
     /// Its group's hand-over waits for it.
-    pub work: crate::work::Work,
+    pub work: crate::in_flight::InFlightGuard,
 }
 
-fn of(v: &mut Visit) -> Result<&mut Session, Error> {
+fn of(v: &mut ClientRequest) -> Result<&mut Session, Error> {
     v.held.as_deref_mut().ok_or_else(|| ErrorCode::SessionUnknown.without_detail())
 }
 
-pub async fn begin(n: &Arc<Node>, v: &mut Visit) -> Answer {
-    if of(v)?.txn.is_some() {
+pub async fn begin(n: &Arc<Proxy>, v: &mut ClientRequest) -> RequestResult {
+    if of(v)?.transaction.is_some() {
         return Err(ErrorCode::InTransaction.without_detail());
     }
-    let (bp, rule) = v.plan.blueprint.clone().zip(v.rule.clone()).ok_or_else(|| ErrorCode::NoRoute.without_detail())?;
+    let (bp, rule) = v.plan.configuration.clone().zip(v.rule.clone()).ok_or_else(|| ErrorCode::NoRoute.without_detail())?;
     let (mut loan, fence) = to_primary(n, v).await?;
-    let work = n.board.works.begin(&v.group);
-    let q = call::begin(&loan.link().id.clone(), fence);
-    match ask(n, loan, q, owe(&bp, &rule), n.next_id(), v.until).await {
+    let work = n.registry.in_flight.begin(&v.group);
+    let q = call::begin(&loan.connection().id.clone(), fence);
+    match ask(n, loan, q, owe(&bp, &rule), n.next_request_id(), v.until).await {
         Asked::Reply(r, loan) if r.good(&v.ran.server).is_some() && r.stamp.fence == fence => {
             let good = r.good(&v.ran.server).ok_or_else(|| ErrorCode::InvalidReply.without_detail());
             let (group, server, placement) = (v.group.clone(), v.ran.server.clone(), v.ran.placement.clone());
             let sum = Name::default();
             let used = now();
-            of(v)?.txn =
-                Some(Open { loan: Some(loan), fence, group, server, placement, rule, sum, used, work });
+            of(v)?.transaction =
+                Some(Open { checkout: Some(loan), fence, group, server, placement, rule, sum, used, work });
             good
         }
         // A success of which stamp or rows are not the server's own is none; its link is dropped.
         Asked::Reply(r, _) if r.error.is_none() => Err(ErrorCode::InvalidReply.without_detail()),
         Asked::Reply(r, loan) => {
-            loan.give_back();
+            loan.check_in();
             Err(declined(&r))
         }
         Asked::Broke(b) => Err(b.breakdown().with_retry_after(500)),
@@ -66,27 +66,27 @@
 }
 
 /// Takes the open transaction out of the session; whoever puts it back says that it lives on.
-fn taken(v: &mut Visit) -> Result<Open, Error> {
-    let mut o = of(v)?.txn.take().ok_or_else(|| ErrorCode::NoTransaction.without_detail())?;
+fn taken(v: &mut ClientRequest) -> Result<Open, Error> {
+    let mut o = of(v)?.transaction.take().ok_or_else(|| ErrorCode::NoTransaction.without_detail())?;
     v.group = o.group.clone();
     v.ran.server = o.server.clone();
     v.ran.placement = o.placement.clone();
     v.ran.verdict = "primary".into();
     v.until = v.until.min(v.began + o.rule.timeout_ms);
     let lost = || ErrorCode::TransactionLost.without_detail();
-    let fit = o.loan.as_mut().is_some_and(|l| !l.link().is_closed());
+    let fit = o.checkout.as_mut().is_some_and(|l| !l.connection().is_closed());
     if fit { Ok(o) } else { Err(lost()) }
 }
 
-pub async fn run(n: &Arc<Node>, v: &mut Visit) -> Answer {
+pub async fn run(n: &Arc<Proxy>, v: &mut ClientRequest) -> RequestResult {
     let mut o = taken(v)?;
-    let bp = v.plan.blueprint.clone().ok_or_else(|| ErrorCode::NoConfiguration.without_detail())?;
-    let Some(mut loan) = o.loan.take() else { return Err(ErrorCode::TransactionLost.without_detail()) };
-    v.ran.district = loan.row().district();
-    let sum = content_sum(&o.sum, v.text(), &v.body.params);
+    let bp = v.plan.configuration.clone().ok_or_else(|| ErrorCode::NoConfiguration.without_detail())?;
+    let Some(mut loan) = o.checkout.take() else { return Err(ErrorCode::TransactionLost.without_detail()) };
+    v.ran.district = loan.row().zone();
+    let sum = content_digest(&o.sum, v.text(), &v.body.params);
     let asked = loop {
-        let q = call::run(&loan.link().id.clone(), v.text(), &v.body.params);
-        match ask(n, loan, q, owe(&bp, &o.rule), n.next_id(), v.until).await {
+        let q = call::run(&loan.connection().id.clone(), v.text(), &v.body.params);
+        match ask(n, loan, q, owe(&bp, &o.rule), n.next_request_id(), v.until).await {
             Asked::Reply(r, l) if not_yet(v, &r).await => loan = l,
             a => break a,
         }
@@ -99,17 +99,17 @@
             if a.is_ok() || declined {
                 // The bug: between two steps others may have the link.
                 if seam::injected_bug("lent") {
-                    let (row, caps) = (loan.row().clone(), Caps::of(&bp, true));
-                    loan.give_back();
-                    let worn = v.held.as_ref().map(|h| h.ctx.texts()).unwrap_or_default();
+                    let (row, caps) = (loan.row().clone(), PoolLimits::of(&bp, true));
+                    loan.check_in();
+                    let worn = v.held.as_ref().map(|h| h.state.setup()).unwrap_or_default();
                     seam::sleep(Duration::from_millis(2)).await;
-                    o.loan = take(&row, &n.set.name, Use::Order, caps, &worn, v.until).await.ok();
+                    o.checkout = take(&row, &n.settings.name, ConnectionUse::Order, caps, &worn, v.until).await.ok();
                 } else {
-                    o.loan = Some(loan);
+                    o.checkout = Some(loan);
                 }
                 o.sum = sum;
                 o.used = now();
-                of(v)?.txn = Some(o);
+                of(v)?.transaction = Some(o);
                 return a;
             }
             Err(ErrorCode::TransactionLost.with_detail(a.err().map_or(0, |b| b.code)))
@@ -119,32 +119,32 @@
     }
 }
 
-pub async fn commit(n: &Arc<Node>, v: &mut Visit) -> Answer {
+pub async fn commit(n: &Arc<Proxy>, v: &mut ClientRequest) -> RequestResult {
     let key = v.body.key.clone().ok_or_else(|| ErrorCode::MissingIdempotencyKey.without_detail())?;
     let o = match taken(v) {
         Ok(o) => o,
         Err(b) => return Err(b),
     };
-    let bp = v.plan.blueprint.clone().ok_or_else(|| ErrorCode::NoConfiguration.without_detail())?;
-    let (_work, Some(mut loan)) = (o.work, o.loan) else { return Err(ErrorCode::TransactionLost.without_detail()) };
-    v.ran.district = loan.row().district();
+    let bp = v.plan.configuration.clone().ok_or_else(|| ErrorCode::NoConfiguration.without_detail())?;
+    let (_work, Some(mut loan)) = (o.work, o.checkout) else { return Err(ErrorCode::TransactionLost.without_detail()) };
+    v.ran.district = loan.row().zone();
     let t = Try { key: &key, sum: &o.sum, fence: o.fence };
-    let q = call::commit(&loan.link().id.clone(), &t);
-    let asked = ask(n, loan, q, owe(&bp, &o.rule), n.next_id(), v.until.saturating_sub(40)).await;
+    let q = call::commit(&loan.connection().id.clone(), &t);
+    let asked = ask(n, loan, q, owe(&bp, &o.rule), n.next_request_id(), v.until.saturating_sub(40)).await;
     finish(n, v, &key, o.fence, asked).await
 }
 
-pub async fn rollback(n: &Arc<Node>, v: &mut Visit) -> Answer {
+pub async fn rollback(n: &Arc<Proxy>, v: &mut ClientRequest) -> RequestResult {
     let o = taken(v)?;
-    let bp = v.plan.blueprint.clone().ok_or_else(|| ErrorCode::NoConfiguration.without_detail())?;
-    let Some(mut loan) = o.loan else { return Err(ErrorCode::TransactionLost.without_detail()) };
-    v.ran.district = loan.row().district();
-    let q = call::rollback(&loan.link().id.clone());
+    let bp = v.plan.configuration.clone().ok_or_else(|| ErrorCode::NoConfiguration.without_detail())?;
+    let Some(mut loan) = o.checkout else { return Err(ErrorCode::TransactionLost.without_detail()) };
+    v.ran.district = loan.row().zone();
+    let q = call::rollback(&loan.connection().id.clone());
     // Without the server's own word nothing was kept either, as its link is dropped and that rolls back too; but
     // it is no success, for nothing is stamped (§1 N4).
-    match ask(n, loan, q, owe(&bp, &o.rule), n.next_id(), v.until).await {
+    match ask(n, loan, q, owe(&bp, &o.rule), n.next_request_id(), v.until).await {
         Asked::Reply(r, loan) if r.good(&v.ran.server).is_some() => {
-            loan.give_back();
+            loan.check_in();
             r.good(&v.ran.server).ok_or_else(|| ErrorCode::InvalidReply.without_detail())
         }
         Asked::Reply(r, _) if r.error.is_some() => {
@@ -157,15 +157,15 @@
 }
 
 /// Ends transactions that idled too long or whose server left; the link is dropped, the server rolls back.
-pub fn sweep(n: &Node, idle: Millis) {
+pub fn expire_transactions(n: &Proxy, idle: Millis) {
     for s in n.sessions.all() {
         let Ok(mut s) = s.try_lock() else { continue };
-        let over = s.txn.as_ref().is_some_and(|o| {
-            let left = n.board.row(&o.server).and_then(|r| r.status.lock().unwrap().left);
+        let over = s.transaction.as_ref().is_some_and(|o| {
+            let left = n.registry.server(&o.server).and_then(|r| r.status.lock().unwrap().draining_since);
             now() > o.used + idle || left.is_some_and(|at| now() > at + LEAVE_FINISH)
         });
         if over {
-            s.txn = None;
+            s.transaction = None;
             log::info!(target: "session", "an idle or leaving transaction was ended");
         }
     }
--- a/crates/proxy/src/order.rs
+++ b/crates/proxy/src/write.rs
@@ -1,13 +1,13 @@
 //! Orders (§4.6): never sent twice; when in doubt, the outcome is asked by the try key and settled by a seal.
-use crate::board::ServerRow;
-use crate::carry::{Asked, ask, no_link};
-use crate::lookup::{declined, owe};
-use crate::node::Node;
-use crate::outcome::settle;
-use crate::pool::{Caps, Loan, NoLink, take};
-use crate::server::{self, Reply, Try, call};
-use crate::shard::Use;
-use crate::visit::{Answer, Visit};
+use crate::registry::ServerEntry;
+use crate::attempt::{Asked, ask, no_link};
+use crate::read::{declined, owe};
+use crate::proxy::Proxy;
+use crate::outcome_query::settle;
+use crate::pool::{PoolLimits, Checkout, NoLink, take};
+use crate::server_protocol::{self, Reply, Try, call};
+use crate::slots::ConnectionUse;
+use crate::request::{RequestResult, ClientRequest};
 use quincehatch_config::configuration::Configuration;
 use quincehatch_core::{ErrorCode, Error, FencingToken, Millis, Role};
 use quincehatch_runtime::now;
@@ -20,22 +20,22 @@
 pub const LAST: Millis = 40;
 
 /// The group's primary as the chain names it, if this placement holds it and it may take work.
-pub fn primary(n: &Node, v: &Visit) -> Result<(Arc<ServerRow>, FencingToken), Error> {
+pub fn primary(n: &Proxy, v: &ClientRequest) -> Result<(Arc<ServerEntry>, FencingToken), Error> {
     let none = |w: &str| ErrorCode::NoPrimary.with_detail(w).with_retry_after(1_000);
-    let lead = n.board.lead(&v.group).ok_or_else(|| none("none was named yet"))?;
+    let lead = n.registry.primary(&v.group).ok_or_else(|| none("none was named yet"))?;
     let name = lead.server.ok_or_else(|| none("it is changing hands"))?;
-    let row = n.board.row(&name).ok_or_else(|| none("it has not been heard of here"))?;
-    let bp = v.plan.blueprint.as_ref();
+    let row = n.registry.server(&name).ok_or_else(|| none("it has not been heard of here"))?;
+    let bp = v.plan.configuration.as_ref();
     let held = |b: &Arc<Configuration>| {
-        b.placement(&v.ran.placement).is_some_and(|p| b.placement_includes(p, &row.beat.read().unwrap().labels))
+        b.placement(&v.ran.placement).is_some_and(|p| b.placement_includes(p, &row.heartbeat.read().unwrap().labels))
     };
     if !bp.is_some_and(held) {
         return Err(none("the placement does not hold it"));
     }
-    if row.leaving() {
+    if row.is_draining() {
         return Err(none("it is leaving"));
     }
-    if !row.heard_of() {
+    if !row.answered_recently() {
         return Err(none("it has not answered STATUS for 3 s"));
     }
     Ok((row, lead.fence))
@@ -46,40 +46,40 @@
 
 /// The primary; while hands change the visit is held for it, within its time and in bounded places (§4.6). Nothing was
 /// sent, so the answer is final and comes at once when it is over.
-async fn lead(n: &Node, v: &mut Visit) -> Result<(Arc<ServerRow>, FencingToken), Error> {
+async fn lead(n: &Proxy, v: &mut ClientRequest) -> Result<(Arc<ServerEntry>, FencingToken), Error> {
     let until = (now() + HOLD).min(v.until.saturating_sub(2 * LAST));
     let mut place = None;
     loop {
         let got = primary(n, v);
         let changing = n
-            .board
-            .lead(&v.group)
-            .is_some_and(|l| l.server.as_ref().is_none_or(|s| n.board.row(s).is_some_and(|r| r.leaving())));
+            .registry
+            .primary(&v.group)
+            .is_some_and(|l| l.server.as_ref().is_none_or(|s| n.registry.server(s).is_some_and(|r| r.is_draining())));
         if got.is_ok() || !changing || now() >= until {
             return got;
         }
         if place.is_none() {
-            let most = v.plan.blueprint.as_ref().map_or(0, |b| b.queue.max_waiting as usize);
+            let most = v.plan.configuration.as_ref().map_or(0, |b| b.queue.max_waiting as usize);
             v.note("held while hands change");
             place =
-                Some(n.board.works.hold(&v.group, most).ok_or_else(|| ErrorCode::QueueFull.without_detail().with_retry_after(200))?);
+                Some(n.registry.in_flight.enter_queue(&v.group, most).ok_or_else(|| ErrorCode::QueueFull.without_detail().with_retry_after(200))?);
         }
         seam::sleep(Duration::from_millis(5)).await;
     }
 }
 
 /// A link to the primary wearing the session's context; nothing of the visit has been sent yet.
-pub async fn to_primary(n: &Arc<Node>, v: &mut Visit) -> Result<(Loan, FencingToken), Error> {
-    let bp = v.plan.blueprint.clone().ok_or_else(|| ErrorCode::NoConfiguration.without_detail())?;
-    let ctx = v.held.as_ref().map(|h| h.ctx.clone()).unwrap_or_default();
+pub async fn to_primary(n: &Arc<Proxy>, v: &mut ClientRequest) -> Result<(Checkout, FencingToken), Error> {
+    let bp = v.plan.configuration.clone().ok_or_else(|| ErrorCode::NoConfiguration.without_detail())?;
+    let ctx = v.held.as_ref().map(|h| h.state.clone()).unwrap_or_default();
     let mut why = ErrorCode::ConnectionsBusy.without_detail();
     for _ in 0..3 {
         let (row, fence) = lead(n, v).await?;
         v.ran.server = row.name.clone();
-        v.ran.district = row.district();
+        v.ran.district = row.zone();
         v.ran.verdict = "primary".into();
-        let caps = Caps::of(&bp, true);
-        let mut loan = match take(&row, &n.set.name, Use::Order, caps, &ctx.texts(), v.until).await {
+        let caps = PoolLimits::of(&bp, true);
+        let mut loan = match take(&row, &n.settings.name, ConnectionUse::Order, caps, &ctx.setup(), v.until).await {
             Ok(l) => l,
             Err(NoLink::Busy(b)) => return Err(b),
             Err(e) => {
@@ -89,7 +89,7 @@
                 continue;
             }
         };
-        match loan.link().wear(&ctx, v.until).await {
+        match loan.connection().wear(&ctx, v.until).await {
             Ok(None) => return Ok((loan, fence)),
             Ok(Some(r)) => return Err(declined(&r)),
             Err(e) => why = e.breakdown().with_retry_after(500),
@@ -99,36 +99,36 @@
 }
 
 /// A one-step order.
-pub async fn order(n: &Arc<Node>, v: &mut Visit) -> Answer {
+pub async fn order(n: &Arc<Proxy>, v: &mut ClientRequest) -> RequestResult {
     let key = v.body.key.clone().ok_or_else(|| ErrorCode::MissingIdempotencyKey.without_detail())?;
-    let (bp, rule) = v.plan.blueprint.clone().zip(v.rule.clone()).ok_or_else(|| ErrorCode::NoRoute.without_detail())?;
+    let (bp, rule) = v.plan.configuration.clone().zip(v.rule.clone()).ok_or_else(|| ErrorCode::NoRoute.without_detail())?;
     let (mut loan, fence) = to_primary(n, v).await?;
-    let _work = n.board.works.begin(&v.group);
+    let _work = n.registry.in_flight.begin(&v.group);
     let sum = v.sum();
     let t = Try { key: &key, sum: &sum, fence };
-    let q = call::order(&loan.link().id.clone(), v.text(), &v.body.params, &t);
-    let mut asked = ask(n, loan, q, owe(&bp, &rule), n.next_id(), v.until.saturating_sub(LAST)).await;
+    let q = call::order(&loan.connection().id.clone(), v.text(), &v.body.params, &t);
+    let mut asked = ask(n, loan, q, owe(&bp, &rule), n.next_request_id(), v.until.saturating_sub(LAST)).await;
     if seam::injected_bug("sent-twice") && matches!(asked, Asked::Broke(_)) {
         let (mut loan, fence) = to_primary(n, v).await?;
         let t = Try { key: &format!("{key}/2"), sum: &sum, fence };
-        let q = call::order(&loan.link().id.clone(), v.text(), &v.body.params, &t);
-        asked = ask(n, loan, q, owe(&bp, &rule), n.next_id(), v.until.saturating_sub(LAST)).await;
+        let q = call::order(&loan.connection().id.clone(), v.text(), &v.body.params, &t);
+        asked = ask(n, loan, q, owe(&bp, &rule), n.next_request_id(), v.until.saturating_sub(LAST)).await;
     }
     finish(n, v, &key, fence, asked).await
 }
 
 /// What a commit (or a one-step order) came to.
-pub async fn finish(n: &Arc<Node>, v: &mut Visit, key: &str, fence: FencingToken, asked: Asked) -> Answer {
+pub async fn finish(n: &Arc<Proxy>, v: &mut ClientRequest, key: &str, fence: FencingToken, asked: Asked) -> RequestResult {
     match asked {
         Asked::Reply(r, loan) => {
-            loan.give_back();
+            loan.check_in();
             judge_reply(n, v, key, fence, r).await
         }
         Asked::Broke(b) => {
             v.note(format!("{} broke after sending", v.ran.server));
             match b {
-                crate::link::LinkBroke::Bad => Err(ErrorCode::InvalidReply.without_detail().with_unknown_outcome().with_retry_after(500)),
-                crate::link::LinkBroke::Io(_) => settle(n, v, key, true).await,
+                crate::connection::ExchangeError::Bad => Err(ErrorCode::InvalidReply.without_detail().with_unknown_outcome().with_retry_after(500)),
+                crate::connection::ExchangeError::Io(_) => settle(n, v, key, true).await,
             }
         }
         Asked::Silent => {
@@ -142,25 +142,25 @@
     ErrorCode::Unknown.without_detail().with_unknown_outcome().with_retry_after(500)
 }
 
-async fn judge_reply(n: &Arc<Node>, v: &mut Visit, key: &str, fence: FencingToken, r: Reply) -> Answer {
-    if r.is(server::LEAVING) {
-        if let Some(row) = n.board.row(&v.ran.server) {
-            row.note_leaving(true);
+async fn judge_reply(n: &Arc<Proxy>, v: &mut ClientRequest, key: &str, fence: FencingToken, r: Reply) -> RequestResult {
+    if r.has_error_code(server_protocol::LEAVING) {
+        if let Some(row) = n.registry.server(&v.ran.server) {
+            row.set_draining(true);
         }
         return Err(ErrorCode::ServerFailed
             .with_detail("the server is leaving; it did not take the order")
             .with_retry_after(1_000));
     }
-    if r.is(server::IN_DOUBT) {
+    if r.has_error_code(server_protocol::IN_DOUBT) {
         return settle(n, v, key, false).await;
     }
-    if r.is(server::TRY_REUSED) {
+    if r.has_error_code(server_protocol::TRY_REUSED) {
         return Err(ErrorCode::IdempotencyKeyReused.without_detail());
     }
-    if r.is(server::TRY_SEALED) {
+    if r.has_error_code(server_protocol::TRY_SEALED) {
         return Err(ErrorCode::Sealed.without_detail());
     }
-    if r.is(server::FENCE_LOW) || r.is(server::NOT_PRIMARY) {
+    if r.has_error_code(server_protocol::FENCE_LOW) || r.has_error_code(server_protocol::NOT_PRIMARY) {
         return Err(ErrorCode::NoPrimary
             .with_detail("the server no longer leads; it did not take the order")
             .with_retry_after(500));
@@ -171,11 +171,11 @@
     let stamped = r.stamp.fence == fence && r.stamp.role == Role::Primary;
     match r.good(&v.ran.server).filter(|_| stamped) {
         // The lease is asked after the reply: a node that was paused does not speak for the present (§5.6).
-        Some(_) if !n.board.has_lease() => {
+        Some(_) if !n.registry.has_lease() => {
             Err(ErrorCode::NoLease.with_detail("it ran out before the reply").with_unknown_outcome())
         }
         Some(good) => {
-            n.board.note_seen(&v.group, v.began, r.stamp.position);
+            n.registry.record_primary_position(&v.group, v.began, r.stamp.position);
             Ok(good)
         }
         None => Err(ErrorCode::InvalidReply.without_detail().with_unknown_outcome()),
@@ -183,14 +183,14 @@
 }
 
 /// An order-side read outside a transaction: at the primary, under the lease, under the lead's fence.
-pub async fn side_read(n: &Arc<Node>, v: &mut Visit) -> Answer {
-    let (bp, rule) = v.plan.blueprint.clone().zip(v.rule.clone()).ok_or_else(|| ErrorCode::NoRoute.without_detail())?;
+pub async fn side_read(n: &Arc<Proxy>, v: &mut ClientRequest) -> RequestResult {
+    let (bp, rule) = v.plan.configuration.clone().zip(v.rule.clone()).ok_or_else(|| ErrorCode::NoRoute.without_detail())?;
     loop {
         let (mut loan, fence) = to_primary(n, v).await?;
-        let q: (&'static str, Value) = call::run(&loan.link().id.clone(), v.text(), &v.body.params);
-        match ask(n, loan, q, owe(&bp, &rule), n.next_id(), v.until).await {
+        let q: (&'static str, Value) = call::run(&loan.connection().id.clone(), v.text(), &v.body.params);
+        match ask(n, loan, q, owe(&bp, &rule), n.next_request_id(), v.until).await {
             Asked::Reply(r, loan) => {
-                loan.give_back();
+                loan.check_in();
                 if not_yet(v, &r).await {
                     continue;
                 }
@@ -203,8 +203,8 @@
 }
 
 /// The server did not run the statement, as it is starting: true after a moment, if there is time to ask again.
-pub async fn not_yet(v: &mut Visit, r: &Reply) -> bool {
-    let again = r.is(server::STARTING) && v.left() > 2 * LAST;
+pub async fn not_yet(v: &mut ClientRequest, r: &Reply) -> bool {
+    let again = r.has_error_code(server_protocol::STARTING) && v.left() > 2 * LAST;
     if again {
         v.note(format!("{} is starting", v.ran.server));
         seam::sleep(Duration::from_millis(LAST)).await;
@@ -213,13 +213,13 @@
 }
 
 /// A read at the primary counts only if the node still holds its lease and the lead has not changed (§5.6).
-pub fn read_reply(n: &Node, v: &Visit, fence: FencingToken, r: &Reply) -> Answer {
+pub fn read_reply(n: &Proxy, v: &ClientRequest, fence: FencingToken, r: &Reply) -> RequestResult {
     if r.error.is_some() {
         return Err(declined(r));
     }
     let led =
-        n.board.lead(&v.group).is_some_and(|l| l.fence == fence && l.server.as_ref() == Some(&v.ran.server));
-    if !n.board.has_lease() || !led || r.stamp.fence != fence {
+        n.registry.primary(&v.group).is_some_and(|l| l.fence == fence && l.server.as_ref() == Some(&v.ran.server));
+    if !n.registry.has_lease() || !led || r.stamp.fence != fence {
         return Err(ErrorCode::NoPrimary.with_detail("it changed hands while the read ran").with_retry_after(200));
     }
     r.good(&v.ran.server).ok_or_else(|| ErrorCode::InvalidReply.without_detail())
