--- a/crates/proxy/tests/fake/mod.rs
+++ b/crates/proxy/tests/fake/mod.rs
@@ -3,12 +3,12 @@
 use quincehatch_config::configuration::Configuration;
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::{ServerHeartbeat, PrimaryAssignment, Name, Position};
-use quincehatch_proxy::Node;
-use quincehatch_proxy::alone::Alone;
-use quincehatch_proxy::board::Plan;
+use quincehatch_proxy::Proxy;
+use quincehatch_proxy::local_replicas::LocalOnlyReplicas;
+use quincehatch_proxy::registry::ClusterState;
 use quincehatch_proxy::direct::command::{SessionRequest, StatementResponse, SessionCommand};
 use quincehatch_proxy::direct::{DirectProxy, DirectSession};
-use quincehatch_proxy::port::{Call, Line, No, Opened, Said, Servers, Stage};
+use quincehatch_proxy::ports::{ServerCall, ServerConnection, RejectReason, OpenResult, ServerReply, ServerConnector, TransactionState};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam::BoxFuture;
 use quincehatch_wire::http::KeepaliveSettings;
@@ -19,7 +19,7 @@
 /// What becomes of the next read, write or commit at a server.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    Decline(No),
+    Decline(RejectReason),
     /// The link breaks before it runs.
     Cut,
     /// It runs and the link breaks.
@@ -61,8 +61,8 @@
     owes: bool,
 }
 
-impl Servers for Group {
-    fn open(&self, _: Name, _: Name, server: Name, _: KeepaliveSettings) -> BoxFuture<'static, io::Result<Opened>> {
+impl ServerConnector for Group {
+    fn connect(&self, _: Name, _: Name, server: Name, _: KeepaliveSettings) -> BoxFuture<'static, io::Result<OpenResult>> {
         let db = self.clone();
         Box::pin(async move {
             let mut d = db.0.lock().unwrap();
@@ -73,13 +73,13 @@
             }
             if s.full > 0 {
                 s.full -= 1;
-                return Ok(Err((No::Full, Bytes::new())));
+                return Ok(Err((RejectReason::TooManyConnections, Bytes::new())));
             }
             drop(d);
             let (values, prepared) = (BTreeMap::new(), HashMap::new());
             let l =
                 Link { db, server, values, prepared, open: false, wrote: vec![], dead: false, owes: false };
-            Ok(Ok((Box::new(l) as Box<dyn Line>, None)))
+            Ok(Ok((Box::new(l) as Box<dyn ServerConnection>, None)))
         })
     }
 }
@@ -89,16 +89,16 @@
 }
 
 impl Link {
-    fn stage(&self) -> Stage {
-        if self.open { Stage::Open } else { Stage::Idle }
+    fn stage(&self) -> TransactionState {
+        if self.open { TransactionState::Open } else { TransactionState::Idle }
     }
-    fn done(&self, stamp: bool) -> Said {
+    fn done(&self, stamp: bool) -> ServerReply {
         let n = self.db.0.lock().unwrap().kept.len() as u64;
         let stamp = stamp.then(|| Bytes::from(format!("stamp-{}", self.server)));
-        Said { stamp, stage: self.stage(), end: Some(Position { fence: 1, number: n }), ..Default::default() }
+        ServerReply { stamp, transaction_state: self.stage(), log_end: Some(Position { fence: 1, number: n }), ..Default::default() }
     }
     /// Runs it, unless a fault says otherwise.
-    async fn run(&mut self, what: String, write: bool, commit: bool) -> io::Result<Said> {
+    async fn run(&mut self, what: String, write: bool, commit: bool) -> io::Result<ServerReply> {
         let fault = {
             let mut d = self.db.0.lock().unwrap();
             let s = d.srv.get_mut(&self.server).unwrap();
@@ -119,20 +119,20 @@
         };
         match fault {
             Some(Fault::Decline(no)) => {
-                Ok(Said { no: Some((no, Bytes::new())), stamp: None, ..self.done(false) })
+                Ok(ServerReply { rejection: Some((no, Bytes::new())), stamp: None, ..self.done(false) })
             }
             Some(Fault::Cut | Fault::Lose) => {
                 self.dead = true;
                 Err(io::ErrorKind::ConnectionReset.into())
             }
             Some(Fault::Silent) => std::future::pending().await,
-            None | Some(Fault::Run) => Ok(Said { rows: vec![Bytes::from_static(b"row")], ..self.done(true) }),
+            None | Some(Fault::Run) => Ok(ServerReply { rows: vec![Bytes::from_static(b"row")], ..self.done(true) }),
         }
     }
 }
 
-impl Line for Link {
-    fn ask<'a>(&'a mut self, c: &'a Call) -> BoxFuture<'a, io::Result<Said>> {
+impl ServerConnection for Link {
+    fn call<'a>(&'a mut self, c: &'a ServerCall) -> BoxFuture<'a, io::Result<ServerReply>> {
         Box::pin(async move {
             assert!(!self.owes, "a call on a link whose answer is owed");
             self.owes = true;
@@ -147,29 +147,29 @@
 }
 
 impl Link {
-    async fn answer(&mut self, c: &Call) -> io::Result<Said> {
+    async fn answer(&mut self, c: &ServerCall) -> io::Result<ServerReply> {
         match c {
-            Call::Begin { .. } => self.open = true,
-            Call::Rollback => {
+            ServerCall::Begin { .. } => self.open = true,
+            ServerCall::Rollback => {
                 self.open = false;
                 self.wrote.clear();
             }
-            Call::Set { name, value } => drop(self.values.insert(name.clone(), value.clone())),
-            Call::Prepare { name, shape, .. } => drop(self.prepared.insert(name.clone(), text(shape))),
-            Call::Reset => {
+            ServerCall::Set { name, value } => drop(self.values.insert(name.clone(), value.clone())),
+            ServerCall::Prepare { name, shape, .. } => drop(self.prepared.insert(name.clone(), text(shape))),
+            ServerCall::Reset => {
                 self.values.clear();
                 self.prepared.clear();
             }
-            Call::Run { text: t, floor, .. } => {
+            ServerCall::Run { text: t, floor, .. } => {
                 let t = text(t);
                 let at = floor.map_or_else(String::new, |f| format!("@{}.{} ", f.fence, f.number));
                 return self.run(format!("{at}{t}"), t.starts_with("WRITE"), false).await;
             }
-            Call::Execute { name, rest, .. } => {
+            ServerCall::Execute { name, rest, .. } => {
                 let shape = self.prepared.get(name).cloned().unwrap();
                 return self.run(format!("{shape} {}", text(rest)), false, false).await;
             }
-            Call::Commit { .. } => return self.run("COMMIT".into(), false, true).await,
+            ServerCall::Commit { .. } => return self.run("COMMIT".into(), false, true).await,
             _ => {}
         }
         Ok(self.done(false))
@@ -204,17 +204,17 @@
             log: "off".into(),
             threads: 1,
         };
-        let node = Node::new(set, Box::new(Alone::default()), quincehatch_runtime::seam::Spawner::current());
+        let node = Proxy::new(set, Box::new(LocalOnlyReplicas::default()), quincehatch_runtime::seam::Spawner::current());
         let group = Group::default();
         for s in ["s1", "s2", "s3"] {
             let labels = [("group".into(), "g1".into()), ("district".into(), "d1".into())].into();
-            node.board.beat(ServerHeartbeat { server: s.into(), seq: 1, labels, ..Default::default() });
+            node.registry.apply_heartbeat(ServerHeartbeat { server: s.into(), seq: 1, labels, ..Default::default() });
             group.0.lock().unwrap().srv.insert(s.into(), Srv::default());
         }
         let held = DirectProxy::new(node, Arc::new(group.clone()));
         let mut k = Kit { group, held, n: 0 };
         k.named(Some("s1"));
-        k.held.proxy.board.renew_lease(now() + 600_000);
+        k.held.proxy.registry.renew_lease(now() + 600_000);
         k
     }
     /// The chain names another lead, or none.
@@ -224,7 +224,7 @@
         let blueprint = Some(Arc::new(Configuration::parse(PLAN).unwrap()));
         let by_db = Arc::new([("orders".into(), 0), ("looks".into(), 1)].into());
         let leads = [("g1".into(), lead)].into();
-        self.held.proxy.board.set_plan(Plan { n: self.n, version: 1, blueprint, leads, by_db });
+        self.held.proxy.registry.set_cluster_state(ClusterState { number: self.n, version: 1, configuration: blueprint, primaries: leads, route_by_database: by_db });
     }
     pub async fn session(&self, db: &str) -> DirectSession {
         DirectSession::open(&self.held, db).await.unwrap()
--- a/crates/proxy/tests/held.rs
+++ b/crates/proxy/tests/held.rs
@@ -6,7 +6,7 @@
 use quincehatch_core::{ErrorCode, Outcome, Position};
 use quincehatch_proxy::direct::DirectSession;
 use quincehatch_proxy::direct::command::{StatementError, StatementResponse, SessionCommand};
-use quincehatch_proxy::port::{No, Stage};
+use quincehatch_proxy::ports::{RejectReason, TransactionState};
 use quincehatch_runtime::now;
 
 fn ours(t: &StatementResponse) -> (u16, Outcome) {
@@ -36,7 +36,7 @@
 async fn what_a_server_declined_to_run_is_sent_again_and_runs_once() {
     let k = Kit::new();
     let mut s = k.session("orders").await;
-    for no in [No::Busy, No::Full, No::NotLead, No::Stranger] {
+    for no in [RejectReason::Busy, RejectReason::TooManyConnections, RejectReason::NotPrimary, RejectReason::WrongServer] {
         k.fault("s1", Fault::Decline(no));
     }
     good(&ask(&mut s, write("a")).await);
@@ -48,7 +48,7 @@
 async fn a_busy_server_is_given_up_on_with_a_promise() {
     let k = Kit::new();
     let mut s = k.session("orders").await;
-    (0..500).for_each(|_| k.fault("s1", Fault::Decline(No::Busy)));
+    (0..500).for_each(|_| k.fault("s1", Fault::Decline(RejectReason::Busy)));
     let began = now();
     let t = ask(&mut s, write("a")).await;
     assert_eq!(ours(&t).1, Outcome::NotApplied);
@@ -72,7 +72,7 @@
     good(&ask(&mut b, run()).await);
     assert_eq!(k.ran("s1"), ["qa 1 []", "qb 1 []"]);
     ask(&mut b, SessionCommand::Deallocate { name: Bytes::from_static(b"s1") }).await;
-    assert_matches!(ask(&mut b, run()).await.result, Err(StatementError::Server(No::Unprepared, _)));
+    assert_matches!(ask(&mut b, run()).await.result, Err(StatementError::Server(RejectReason::Unprepared, _)));
 }
 
 #[tokio::test]
@@ -98,13 +98,13 @@
 async fn a_transaction_that_lost_its_link_before_its_commit_kept_nothing() {
     let k = Kit::new();
     let mut s = k.session("orders").await;
-    assert_eq!(ask(&mut s, SessionCommand::Begin { read: false }).await.transaction_state, Stage::Open);
+    assert_eq!(ask(&mut s, SessionCommand::Begin { read: false }).await.transaction_state, TransactionState::Open);
     good(&ask(&mut s, write("a")).await);
     k.fault("s1", Fault::Lose);
     let t = ask(&mut s, write("b")).await;
-    assert_eq!((ours(&t), t.transaction_state), ((ErrorCode::TransactionLost.number(), Outcome::NotApplied), Stage::Broken));
+    assert_eq!((ours(&t), t.transaction_state), ((ErrorCode::TransactionLost.number(), Outcome::NotApplied), TransactionState::Failed));
     assert_eq!(ours(&ask(&mut s, read("c")).await).0, ErrorCode::Malformed.number());
-    assert_eq!(ask(&mut s, SessionCommand::Rollback).await.transaction_state, Stage::Idle);
+    assert_eq!(ask(&mut s, SessionCommand::Rollback).await.transaction_state, TransactionState::Idle);
     assert!(k.kept().is_empty());
     good(&ask(&mut s, write("d")).await);
 }
@@ -117,7 +117,7 @@
     good(&ask(&mut s, write("a")).await);
     k.fault("s1", Fault::Lose);
     let t = ask(&mut s, SessionCommand::Commit).await;
-    assert_eq!((ours(&t).1, t.transaction_state), (Outcome::Unknown, Stage::Idle));
+    assert_eq!((ours(&t).1, t.transaction_state), (Outcome::Unknown, TransactionState::Idle));
     ask(&mut s, SessionCommand::Begin { read: false }).await;
     good(&ask(&mut s, write("b")).await);
     s.abort_transaction();
@@ -134,8 +134,8 @@
     good(&ask(&mut s, read("b")).await);
     let on = if k.ran("s2").is_empty() { ("s3", "s2") } else { ("s2", "s3") };
     assert_eq!(k.ran(on.0), ["@1.0 READ b []"]);
-    k.fault(on.0, Fault::Decline(No::Behind));
-    k.fault(on.1, Fault::Decline(No::Behind));
+    k.fault(on.0, Fault::Decline(RejectReason::Behind));
+    k.fault(on.1, Fault::Decline(RejectReason::Behind));
     good(&ask(&mut s, read("c")).await);
     assert_eq!(k.ran("s1").last().unwrap(), "READ c []", "both replicas were behind");
 }
@@ -144,7 +144,7 @@
 async fn a_replica_whose_link_broke_is_set_aside_and_the_lookup_goes_elsewhere() {
     let k = Kit::new();
     let mut s = k.session("looks").await;
-    k.held.proxy.board.note_seen("g1", now(), Position { fence: 1, number: 0 });
+    k.held.proxy.registry.record_primary_position("g1", now(), Position { fence: 1, number: 0 });
     k.fault("s2", Fault::Cut);
     k.fault("s3", Fault::Cut);
     good(&ask(&mut s, read("a")).await);
@@ -171,7 +171,7 @@
 async fn without_a_lease_nothing_goes_to_the_lead() {
     let k = Kit::new();
     let mut s = k.session("orders").await;
-    k.held.proxy.board.lease_for_test(0);
+    k.held.proxy.registry.set_lease_for_test(0);
     let t = ask(&mut s, write("a")).await;
     assert_eq!(ours(&t), (ErrorCode::NoLease.number(), Outcome::NotApplied));
     assert!(k.ran("s1").is_empty());
@@ -181,12 +181,12 @@
 #[tokio::test]
 async fn a_node_without_a_lease_does_not_say_that_there_is_no_rule() {
     let k = Kit::new();
-    k.held.proxy.board.lease_for_test(0);
+    k.held.proxy.registry.set_lease_for_test(0);
     for db in ["orders", "nowhere"] {
         let no = DirectSession::open(&k.held, db).await.err().unwrap();
         assert!(no.has_code(ErrorCode::NotReady) && no.retry_after_ms.is_some(), "{no}");
     }
-    k.held.proxy.board.renew_lease(now() + 10_000);
+    k.held.proxy.registry.renew_lease(now() + 10_000);
     assert!(DirectSession::open(&k.held, "orders").await.is_ok());
     assert!(DirectSession::open(&k.held, "nowhere").await.is_err_and(|b| b.has_code(ErrorCode::NoRoute)));
 }
@@ -196,7 +196,7 @@
 async fn silence_costs_a_read_no_more_than_half_its_aim() {
     let k = Kit::new();
     let mut s = k.session("looks").await;
-    k.held.proxy.board.note_seen("g1", now(), Position { fence: 1, number: 0 });
+    k.held.proxy.registry.record_primary_position("g1", now(), Position { fence: 1, number: 0 });
     k.fault("s2", Fault::Silent);
     good(&ask(&mut s, read("a")).await);
     assert_eq!((k.ran("s2").len(), k.ran("s3").len()), (1, 1));
--- a/crates/proxy/tests/held_calls.rs
+++ b/crates/proxy/tests/held_calls.rs
@@ -8,7 +8,7 @@
 use quincehatch_core::Outcome;
 use quincehatch_proxy::direct::DirectSession;
 use quincehatch_proxy::direct::command::{StatementError, StatementResponse, SessionCommand};
-use quincehatch_proxy::port::{No, Stage};
+use quincehatch_proxy::ports::{RejectReason, TransactionState};
 use std::cell::Cell;
 use virtual_time::Virtual;
 
@@ -32,8 +32,8 @@
     fn fault(self) -> Fault {
         match self {
             Fate::Run => Fault::Run,
-            Fate::Busy => Fault::Decline(No::Busy),
-            Fate::NotLead => Fault::Decline(No::NotLead),
+            Fate::Busy => Fault::Decline(RejectReason::Busy),
+            Fate::NotLead => Fault::Decline(RejectReason::NotPrimary),
             Fate::Cut => Fault::Cut,
             Fate::Lose => Fault::Lose,
             Fate::Silent | Fate::Cancelled => Fault::Silent,
@@ -141,11 +141,11 @@
 
 /// After a failed or cancelled step the origin ends its transaction, as it must before it goes on.
 fn end(run: &Run<'_>, session: &mut DirectSession) {
-    if session.transaction_state() != Stage::Idle {
+    if session.transaction_state() != TransactionState::Idle {
         let told = run.one(session, SessionCommand::Rollback);
         assert!(told.is_none_or(|told| told.result.is_ok()));
     }
-    assert_eq!(session.transaction_state(), Stage::Idle);
+    assert_eq!(session.transaction_state(), TransactionState::Idle);
 }
 
 fn play(fates: &[Fate], first: &[SessionCommand], second: &[SessionCommand]) {
@@ -158,7 +158,7 @@
         let told = run.unit(&mut session, wishes);
         let begun = wishes.first().is_some_and(|wish| matches!(wish, SessionCommand::Begin { .. }));
         if told.is_none() && begun && !matches!(wishes.last(), Some(SessionCommand::Rollback)) {
-            assert_ne!(session.transaction_state(), Stage::Open, "a cancelled step leaves no transaction open");
+            assert_ne!(session.transaction_state(), TransactionState::Open, "a cancelled step leaves no transaction open");
         }
         check(&run, mark, wishes, told.as_ref());
         end(&run, &mut session);
@@ -191,7 +191,7 @@
     let mut session = world.run(kit.session("orders"), || false).unwrap();
     assert!(world.run(ask(&mut session, SessionCommand::Begin { read: false }), || false).is_some());
     assert!(world.run(ask(&mut session, write("a")), || true).is_none());
-    assert_eq!(session.transaction_state(), Stage::Broken);
+    assert_eq!(session.transaction_state(), TransactionState::Failed);
     let told = world.run(ask(&mut session, write("b")), || false).unwrap();
     assert!(told.result.is_err());
     assert_eq!(kit.kept(), Vec::<String>::new());
--- a/crates/proxy/tests/held_links.rs
+++ b/crates/proxy/tests/held_links.rs
@@ -50,16 +50,16 @@
 #[tokio::test]
 async fn a_read_that_was_answered_elsewhere_is_owed_by_nobody() {
     let k = Kit::new();
-    k.held.proxy.board.note_seen("g1", quincehatch_runtime::now(), Default::default());
+    k.held.proxy.registry.record_primary_position("g1", quincehatch_runtime::now(), Default::default());
     let mut s = k.session("looks").await;
     for server in ["s2", "s3"] {
-        (0..4).for_each(|_| k.held.proxy.carries.earn());
+        (0..4).for_each(|_| k.held.proxy.retry_budget.earn());
         k.fault(server, Fault::Silent);
         let told = ask(&mut s, read("x")).await;
         assert!(told.result.is_ok(), "{told:?}");
     }
-    for r in k.held.proxy.board.rows() {
-        assert_eq!(r.health.lock().unwrap().overdue.owing(), 0, "{}", r.name);
+    for r in k.held.proxy.registry.servers() {
+        assert_eq!(r.health.lock().unwrap().overdue.pending_count(), 0, "{}", r.name);
     }
 }
 
@@ -68,7 +68,7 @@
 #[tokio::test]
 async fn a_link_handed_to_one_who_is_gone_is_not_lost() {
     let k = Kit::new();
-    let row = k.held.proxy.board.row("s1").unwrap();
+    let row = k.held.proxy.registry.server("s1").unwrap();
     let most = k.held.connection_share("g1").max;
     let none = Default::default();
     for _ in 0..3 * most {
@@ -80,6 +80,6 @@
         assert!(seam::select_first(waits.as_mut(), std::future::ready(())).await.is_err());
         out.into_iter().for_each(|l| l.check_in());
         drop(waits);
-        assert_eq!(row.held.checked_out(), 0);
+        assert_eq!(row.direct_pool.checked_out(), 0);
     }
 }
--- a/crates/proxy/tests/starting.rs
+++ b/crates/proxy/tests/starting.rs
@@ -1,6 +1,6 @@
 //! Which primaries prove positions (§4.8).
 use quincehatch_core::{ServerHeartbeat, Role, ServerState};
-use quincehatch_proxy::board::StatusRow;
+use quincehatch_proxy::registry::StatusRecord;
 
 fn beat(boot: u64, fence: u64, role: Role, state: ServerState) -> ServerHeartbeat {
     ServerHeartbeat { boot, fence, role, state, ..Default::default() }
@@ -12,13 +12,13 @@
 fn a_leaving_primary_proves_nothing_until_it_was_seen_whole_under_its_fence() {
     use Role::{Primary, Replica};
     use ServerState::{Draining, Starting, Up};
-    let mut s = StatusRow::default();
+    let mut s = StatusRecord::default();
     // Up as a replica that was fenced says nothing of it as a primary.
-    assert!(!s.shows_all(&beat(1, 5, Replica, Up)));
-    assert!(!s.shows_all(&beat(1, 5, Primary, Draining)));
-    assert!(!s.shows_all(&beat(1, 5, Primary, Starting)));
-    assert!(s.shows_all(&beat(1, 5, Primary, Up)));
-    assert!(s.shows_all(&beat(1, 5, Primary, Draining)));
-    assert!(!s.shows_all(&beat(2, 5, Primary, Draining)), "another life");
-    assert!(!s.shows_all(&beat(1, 6, Primary, Draining)), "another fence");
+    assert!(!s.shows_complete_log(&beat(1, 5, Replica, Up)));
+    assert!(!s.shows_complete_log(&beat(1, 5, Primary, Draining)));
+    assert!(!s.shows_complete_log(&beat(1, 5, Primary, Starting)));
+    assert!(s.shows_complete_log(&beat(1, 5, Primary, Up)));
+    assert!(s.shows_complete_log(&beat(1, 5, Primary, Draining)));
+    assert!(!s.shows_complete_log(&beat(2, 5, Primary, Draining)), "another life");
+    assert!(!s.shows_complete_log(&beat(1, 6, Primary, Draining)), "another fence");
 }
--- a/crates/simulator/src/direct/conn.rs
+++ b/crates/simulator/src/direct/conn.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use quincehatch_core::{ErrorCode, Outcome, Millis};
 use quincehatch_proxy::direct::{SessionRequest, DirectProxy, DirectSession, StatementResponse, SessionCommand, command::StatementError};
-use quincehatch_proxy::port::No;
+use quincehatch_proxy::ports::RejectReason;
 use quincehatch_runtime::seam;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -56,7 +56,7 @@
 pub fn promise(g: &StatementError) -> bool {
     match g {
         StatementError::Server(no, _) => {
-            matches!(no, No::Busy | No::Behind | No::NotLead | No::Stranger | No::Full)
+            matches!(no, RejectReason::Busy | RejectReason::Behind | RejectReason::NotPrimary | RejectReason::WrongServer | RejectReason::TooManyConnections)
         }
         StatementError::Proxy(b) => {
             let other =
@@ -198,7 +198,7 @@
                 s.book.promised(at, writes);
                 Ended::Again
             }
-            Some(Err(StatementError::Server(No::Failed, _))) if writes.is_empty() => Ended::Again,
+            Some(Err(StatementError::Server(RejectReason::Failed, _))) if writes.is_empty() => Ended::Again,
             _ => Ended::Over,
         })
     }
--- a/crates/simulator/src/direct/exec.rs
+++ b/crates/simulator/src/direct/exec.rs
@@ -5,7 +5,7 @@
 use crate::fleet::core::Core;
 use bytes::Bytes;
 use quincehatch_core::Millis;
-use quincehatch_proxy::port::{Call, No, Said};
+use quincehatch_proxy::ports::{ServerCall, RejectReason, ServerReply};
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -17,7 +17,7 @@
 
 impl Site {
     /// A question leaves a node.
-    pub fn ask(self: &Arc<Self>, id: u64, call: Call, reply: Reply) {
+    pub fn ask(self: &Arc<Self>, id: u64, call: ServerCall, reply: Reply) {
         let Some(core) = self.core() else { return };
         let ends = self.with(|s| {
             let l = s.links.get_mut(&id)?;
@@ -41,14 +41,14 @@
         carry(&core, node, pid, move |_, _| site.with(|s| s.closed(id)));
     }
 
-    fn arrived(self: &Arc<Self>, c: &Arc<Core>, id: u64, call: Call, sent: Millis, reply: Reply) {
-        let takes = !matches!(call, Call::Set { .. } | Call::Prepare { .. } | Call::Reset | Call::Rollback);
+    fn arrived(self: &Arc<Self>, c: &Arc<Core>, id: u64, call: ServerCall, sent: Millis, reply: Reply) {
+        let takes = !matches!(call, ServerCall::Set { .. } | ServerCall::Prepare { .. } | ServerCall::Reset | ServerCall::Rollback);
         let now = c.now();
         let work = self.with(|st| {
             let l = st.links.get(&id)?;
             let (i, node) = (l.server, l.node);
             let first = l.txn.as_ref().is_none_or(|t| t.of.is_none() && t.writes.is_empty());
-            let new = first && matches!(call, Call::Run { .. } | Call::Execute { .. });
+            let new = first && matches!(call, ServerCall::Run { .. } | ServerCall::Execute { .. });
             let late = st.servers[i].left.filter(|t| sent > t + DRAIN && st.in_touch(node, sent));
             if let Some(t) = late.filter(|_| new) {
                 let name = st.servers[i].name.clone();
@@ -67,8 +67,8 @@
                 let end = st.servers[i].seen_end(now);
                 let l = st.links.get_mut(&id)?;
                 l.asked -= 1;
-                let no = Some((No::Busy, Bytes::new()));
-                Some(Said { no, stage: l.stage(), end: Some(end), ..Said::default() })
+                let no = Some((RejectReason::Busy, Bytes::new()));
+                Some(ServerReply { rejection: no, transaction_state: l.stage(), log_end: Some(end), ..ServerReply::default() })
             });
             return said.map_or((), |said| self.say(c, id, said, reply));
         };
@@ -83,7 +83,7 @@
         c: &Arc<Core>,
         at: (u64, usize, u64),
         takes: bool,
-        call: Call,
+        call: ServerCall,
         reply: Reply,
     ) {
         let (id, i, life) = at;
@@ -109,8 +109,8 @@
             let done = st.run(now, &mut l, &call, fails);
             let mut done = Some(done);
             if let Some(Done::Said(said)) = &mut done {
-                said.end = Some(st.servers[i].seen_end(now));
-                if let Call::Run { id, .. } | Call::Execute { id, .. } | Call::Commit { id } = &call {
+                said.log_end = Some(st.servers[i].seen_end(now));
+                if let ServerCall::Run { id, .. } | ServerCall::Execute { id, .. } | ServerCall::Commit { id } = &call {
                     st.stamp(number(id), i, said);
                 }
             }
@@ -127,7 +127,7 @@
     }
 
     /// An answer leaves a server, unless it is lost with or without its link.
-    pub fn say(self: &Arc<Self>, c: &Arc<Core>, id: u64, said: Said, reply: Reply) {
+    pub fn say(self: &Arc<Self>, c: &Arc<Core>, id: u64, said: ServerReply, reply: Reply) {
         let resets = c.lock().rng.chance(500);
         let ends = self.with(|st| {
             let l = st.links.get(&id)?;
@@ -168,8 +168,8 @@
             l.broken.store(true, Ordering::SeqCst);
         }
     }
-    pub fn stamp(&mut self, id: u64, server: usize, said: &mut Said) {
-        if said.no.is_some() {
+    pub fn stamp(&mut self, id: u64, server: usize, said: &mut ServerReply) {
+        if said.rejection.is_some() {
             return;
         }
         let n = self.book.stamps.len();
--- a/crates/simulator/src/direct/origin.rs
+++ b/crates/simulator/src/direct/origin.rs
@@ -5,7 +5,7 @@
 use super::laid::Laid;
 use quincehatch_core::Millis;
 use quincehatch_proxy::direct::SessionCommand;
-use quincehatch_proxy::port::Stage;
+use quincehatch_proxy::ports::TransactionState;
 use quincehatch_runtime::{now, seam};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,7 +19,7 @@
         let (id, write, told) = self.statement(None, None).await;
         let writes: &[u64] = if write { &[id] } else { &[] };
         let ended = self.note(id, write, writes, &told);
-        self.dead |= told.is_some_and(|t| t.transaction_state != Stage::Idle);
+        self.dead |= told.is_some_and(|t| t.transaction_state != TransactionState::Idle);
         ended
     }
 
@@ -43,9 +43,9 @@
             match self.note(id, false, &writes, &told) {
                 Ended::Good => {}
                 ended => {
-                    if told.is_some_and(|t| t.transaction_state != Stage::Idle) {
+                    if told.is_some_and(|t| t.transaction_state != TransactionState::Idle) {
                         self.dead |=
-                            self.ask(no, SessionCommand::Rollback).await.is_none_or(|t| t.transaction_state != Stage::Idle);
+                            self.ask(no, SessionCommand::Rollback).await.is_none_or(|t| t.transaction_state != TransactionState::Idle);
                     }
                     // Its commit was not sent.
                     return if ended == Ended::Over { Ended::Again } else { ended };
@@ -58,7 +58,7 @@
                 return Ended::Over;
             }
             1 | 2 => {
-                self.dead |= self.ask(no, SessionCommand::Rollback).await.is_none_or(|t| t.transaction_state != Stage::Idle);
+                self.dead |= self.ask(no, SessionCommand::Rollback).await.is_none_or(|t| t.transaction_state != TransactionState::Idle);
                 return Ended::Good;
             }
             _ => {}
@@ -67,7 +67,7 @@
         let txn = Some((no, read));
         self.register(id, Asked { txn, commit: true, order: self.order, from, ..Asked::default() });
         let told = self.ask(id, SessionCommand::Commit).await;
-        self.dead |= told.as_ref().is_some_and(|t| t.transaction_state != Stage::Idle);
+        self.dead |= told.as_ref().is_some_and(|t| t.transaction_state != TransactionState::Idle);
         self.note(id, !writes.is_empty(), &writes, &told)
     }
 }
--- a/crates/simulator/src/direct/ports.rs
+++ b/crates/simulator/src/direct/ports.rs
@@ -4,7 +4,7 @@
 use crate::fleet::core::Pid;
 use bytes::Bytes;
 use quincehatch_core::{FencingToken, Name, Position};
-use quincehatch_proxy::port::{Call, Line, No, Opened, Ports, Promoted, Promoter, Said, Servers};
+use quincehatch_proxy::ports::{ServerCall, ServerConnection, RejectReason, OpenResult, ServerPorts, PromotionOutcome, Promoter, ServerReply, ServerConnector};
 use quincehatch_runtime::seam::{self, BoxFuture};
 use quincehatch_wire::http::KeepaliveSettings;
 use std::io;
@@ -21,12 +21,12 @@
     node: Pid,
 }
 
-pub fn ports(site: &Arc<Site>, node: Pid) -> Ports {
+pub fn ports(site: &Arc<Site>, node: Pid) -> ServerPorts {
     let from = || From { site: site.clone(), node };
-    Ports { servers: Arc::new(from()), promoter: Arc::new(from()) }
+    ServerPorts { servers: Arc::new(from()), promoter: Arc::new(from()) }
 }
 
-pub fn servers(site: &Arc<Site>, node: Pid) -> Arc<dyn Servers> {
+pub fn servers(site: &Arc<Site>, node: Pid) -> Arc<dyn ServerConnector> {
     Arc::new(From { site: site.clone(), node })
 }
 
@@ -42,8 +42,8 @@
     }
 }
 
-impl Line for NodeEnd {
-    fn ask<'a>(&'a mut self, c: &'a Call) -> BoxFuture<'a, io::Result<Said>> {
+impl ServerConnection for NodeEnd {
+    fn call<'a>(&'a mut self, c: &'a ServerCall) -> BoxFuture<'a, io::Result<ServerReply>> {
         let (tx, rx) = oneshot::channel();
         self.site.ask(self.id, c.clone(), tx);
         Box::pin(async move {
@@ -60,10 +60,10 @@
 }
 
 /// What the server said to a new link: its own number of it, and its log's end.
-type Begun = io::Result<Result<(u64, Arc<AtomicBool>, Position), No>>;
+type Begun = io::Result<Result<(u64, Arc<AtomicBool>, Position), RejectReason>>;
 
-impl Servers for From {
-    fn open(&self, addr: Name, _: Name, server: Name, _: KeepaliveSettings) -> BoxFuture<'static, io::Result<Opened>> {
+impl ServerConnector for From {
+    fn connect(&self, addr: Name, _: Name, server: Name, _: KeepaliveSettings) -> BoxFuture<'static, io::Result<OpenResult>> {
         let (site, node) = (self.site.clone(), self.node);
         let (tx, rx) = oneshot::channel::<Begun>();
         if let (Some(core), Some(to)) = (site.core(), site.with(|s| s.at(&addr))) {
@@ -86,7 +86,7 @@
             let reset = || io::Error::from(io::ErrorKind::ConnectionReset);
             Ok(match rx.await.unwrap_or_else(|_| Err(reset()))? {
                 Ok((id, broken, end)) => {
-                    Ok((Box::new(NodeEnd { site, id, broken }) as Box<dyn Line>, Some(end)))
+                    Ok((Box::new(NodeEnd { site, id, broken }) as Box<dyn ServerConnection>, Some(end)))
                 }
                 Err(no) => Err((no, Bytes::new())),
             })
@@ -105,13 +105,13 @@
         node: Pid,
         server: usize,
         name: &Name,
-    ) -> Result<(u64, Arc<AtomicBool>, Position), No> {
+    ) -> Result<(u64, Arc<AtomicBool>, Position), RejectReason> {
         let s = &mut self.servers[server];
         if s.name != *name {
-            return Err(No::Stranger);
+            return Err(RejectReason::WrongServer);
         }
         if self.links.values().filter(|l| l.server == server).count() >= LINKS {
-            return Err(No::Full);
+            return Err(RejectReason::TooManyConnections);
         }
         let end = s.seen_end(now);
         let broken = Arc::new(AtomicBool::new(false));
@@ -132,7 +132,7 @@
 }
 
 impl Promoter for From {
-    fn promote(&self, _: Name, server: Name, _: Name, fence: FencingToken) -> BoxFuture<'static, Promoted> {
+    fn promote(&self, _: Name, server: Name, _: Name, fence: FencingToken) -> BoxFuture<'static, PromotionOutcome> {
         let (tx, rx) = oneshot::channel();
         if let Some(core) = self.site.core() {
             let (site, node) = (self.site.clone(), self.node);
@@ -147,7 +147,7 @@
             });
         }
         Box::pin(async move {
-            seam::timeout(PROMOTE_WITHIN, rx).await.ok().and_then(Result::ok).unwrap_or(Promoted::InDoubt)
+            seam::timeout(PROMOTE_WITHIN, rx).await.ok().and_then(Result::ok).unwrap_or(PromotionOutcome::InDoubt)
         })
     }
 }
--- a/crates/simulator/src/direct/promote.rs
+++ b/crates/simulator/src/direct/promote.rs
@@ -2,7 +2,7 @@
 use super::site::{Site, State, Waiting};
 use crate::fleet::core::Core;
 use quincehatch_core::{FencingToken, Millis, Role};
-use quincehatch_proxy::port::Promoted;
+use quincehatch_proxy::ports::PromotionOutcome;
 use std::sync::Arc;
 
 /// A replica that was cut back declines everything for so long.
@@ -10,7 +10,7 @@
 
 impl Site {
     /// `POST` of a promotion: the server named leads some hundred ms later, with what it has received then.
-    pub fn promote(self: &Arc<Self>, c: &Arc<Core>, server: &str, fence: FencingToken) -> Promoted {
+    pub fn promote(self: &Arc<Self>, c: &Arc<Core>, server: &str, fence: FencingToken) -> PromotionOutcome {
         let now = c.now();
         let there = self.with(|st| {
             st.book.story.push(format!("{now} {server} is to lead under {fence}, seen {}", st.fence));
@@ -19,10 +19,10 @@
             st.index(server).filter(|_| !low)
         });
         let Some(i) = there.filter(|i| c.lock().hosts[self.with(|s| s.servers[*i].pid)].up) else {
-            return Promoted::Declined;
+            return PromotionOutcome::Rejected;
         };
         if self.with(|st| st.lead() == Some(i)) {
-            return Promoted::Done;
+            return PromotionOutcome::Done;
         }
         let after = now + 150 + c.lock().rng.below(400);
         // One promotion takes effect after the other, in the order in which they were taken.
@@ -39,7 +39,7 @@
             });
             site.give_up(c, gone);
         });
-        Promoted::Done
+        PromotionOutcome::Done
     }
 }
 
--- a/crates/simulator/src/direct/replicate.rs
+++ b/crates/simulator/src/direct/replicate.rs
@@ -4,7 +4,7 @@
 use crate::fleet::core::Core;
 use bytes::Bytes;
 use quincehatch_core::{Millis, Position, Role};
-use quincehatch_proxy::port::{Call, Look, No, Said};
+use quincehatch_proxy::ports::{ServerCall, ServerStatus, RejectReason, ServerReply};
 use std::sync::Arc;
 
 /// How often a lead sends its replicas what they lack.
@@ -12,18 +12,18 @@
 
 impl State {
     /// STATUS and the calls that change how a server stands.
-    pub fn told(&mut self, now: Millis, server: usize, call: &Call, links: u64) -> Look {
+    pub fn told(&mut self, now: Millis, server: usize, call: &ServerCall, links: u64) -> ServerStatus {
         let s = &mut self.servers[server];
         match call {
-            Call::Suspend { term } if s.role == Role::Replica && *term > s.term.max(s.held) => s.held = *term,
-            Call::Resume => s.held = 0,
-            Call::Demote { term } if s.role == Role::Primary && *term > s.term => {
+            ServerCall::Suspend { term } if s.role == Role::Replica && *term > s.term.max(s.held) => s.held = *term,
+            ServerCall::Resume => s.held = 0,
+            ServerCall::Demote { term } if s.role == Role::Primary && *term > s.term => {
                 (s.role, s.term) = (Role::Replica, *term);
             }
             _ => {}
         }
         let (look, name) = (s.look(s.lag, links), s.name.clone());
-        if !matches!(call, Call::Status) {
+        if !matches!(call, ServerCall::Status) {
             self.book.story.push(format!("{now} {name} {call:?}: {look:?}"));
         }
         look
@@ -40,7 +40,7 @@
             let entry = Arc::new(Entry { at, ids });
             s.log.push(entry.clone());
             st.book.committed(now, of.1, &entry);
-            let mut said = Said { rows: Vec::new(), end: Some(at), ..Said::default() };
+            let mut said = ServerReply { rows: Vec::new(), log_end: Some(at), ..ServerReply::default() };
             st.stamp(of.1, i, &mut said);
             st.servers[i].waiting.push(Waiting { entry, link: of.0, said, reply });
         });
@@ -113,8 +113,8 @@
     /// Commits that nobody will answer any more: they ran, and what became of them is not said.
     pub fn give_up(self: &Arc<Self>, c: &Arc<Core>, waiting: Vec<Waiting>) {
         for w in waiting {
-            let no = Some((No::TimedOut, Bytes::new()));
-            self.say(c, w.link, Said { no, ..Said::default() }, w.reply);
+            let no = Some((RejectReason::TimedOut, Bytes::new()));
+            self.say(c, w.link, ServerReply { rejection: no, ..ServerReply::default() }, w.reply);
         }
     }
 }
--- a/crates/simulator/src/direct/site.rs
+++ b/crates/simulator/src/direct/site.rs
@@ -3,14 +3,14 @@
 use crate::fleet::core::{Core, Pid};
 use bytes::Bytes;
 use quincehatch_core::{FencingToken, Millis, Name, Position, Role};
-use quincehatch_proxy::port::{Look, Said};
+use quincehatch_proxy::ports::{ServerStatus, ServerReply};
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex, Weak};
 use tokio::sync::oneshot;
 
-pub type Reply = oneshot::Sender<io::Result<Said>>;
+pub type Reply = oneshot::Sender<io::Result<ServerReply>>;
 
 /// A commit in a server's log, and the ids of the writes in it.
 #[derive(Debug, PartialEq)]
@@ -23,7 +23,7 @@
 pub struct Waiting {
     pub entry: Arc<Entry>,
     pub link: u64,
-    pub said: Said,
+    pub said: ServerReply,
     pub reply: Reply,
 }
 
@@ -151,9 +151,9 @@
         }
         ahead
     }
-    pub fn look(&self, lag_ms: u64, links: u64) -> Look {
+    pub fn look(&self, lag_ms: u64, links: u64) -> ServerStatus {
         let (role, term, held, busy) = (self.role, self.term, self.held, self.busy as u64);
-        Look { role, term, received: self.end(), held, lag_ms, busy, links }
+        ServerStatus { role, term, received: self.end(), suspended_term: held, lag_ms, busy_slots: busy, connections: links }
     }
 }
 
--- a/crates/simulator/src/fleet/last.rs
+++ b/crates/simulator/src/fleet/last.rs
@@ -7,7 +7,7 @@
 pub fn strike(l: &Arc<Laid>, seed: u64) -> String {
     let dark = l.core.lock().rng.chance(500);
     let fleet = l.fleets.iter().find_map(|f| f.lock().unwrap().clone());
-    let lead = fleet.as_ref().and_then(|f| f.node.board.lead("g1")).and_then(|x| x.server);
+    let lead = fleet.as_ref().and_then(|f| f.node.registry.primary("g1")).and_then(|x| x.server);
     let lead = l
         .servers
         .iter()
--- a/crates/simulator/src/fleet/procs.rs
+++ b/crates/simulator/src/fleet/procs.rs
@@ -7,7 +7,7 @@
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::Name;
 use quincehatch_node::{Fleet, mesh_driver, operator_api};
-use quincehatch_proxy::door::Knock;
+use quincehatch_proxy::listener::HttpRequest;
 use quincehatch_runtime::seam;
 use quincehatch_store::keeper::RecoveredState;
 use quincehatch_store::{Voter, View};
@@ -68,10 +68,10 @@
     }
 }
 
-fn knock(v: super::net::Visit) -> Knock {
+fn knock(v: super::net::Visit) -> HttpRequest {
     let method = if v.path == "/ready" { "GET" } else { "POST" }.to_owned();
     let body = if v.body.is_null() { Bytes::new() } else { Bytes::from(v.body.to_string()) };
-    Knock { method, path: v.path, token: v.token, body }
+    HttpRequest { method, path: v.path, token: v.token, body }
 }
 
 fn start_node(core: &Arc<Core>, pid: Pid, set: &NodeSettings) -> Arc<Fleet> {
--- a/crates/simulator/tests/held/fleet.rs
+++ b/crates/simulator/tests/held/fleet.rs
@@ -123,7 +123,7 @@
         });
     }
     pub fn lead(&self) -> Option<PrimaryAssignment> {
-        self.fleets[0].node.board.lead("g").filter(|l| l.server.is_some())
+        self.fleets[0].node.registry.primary("g").filter(|l| l.server.is_some())
     }
     pub fn led_by(&self, server: &str) -> bool {
         self.lead().is_some_and(|l| l.server.as_deref() == Some(server))
@@ -136,13 +136,13 @@
                 seam::spawn(async move {
                     loop {
                         seam::sleep(Duration::from_millis(20)).await;
-                        let Some(l) = f.node.board.lead("g") else { continue };
+                        let Some(l) = f.node.registry.primary("g") else { continue };
                         let Some(server) = l.server else { continue };
-                        let _work = f.node.board.works.begin("g");
+                        let _work = f.node.registry.in_flight.begin("g");
                         let Some(end) = group.with(|s| s.commit(&server)) else { continue };
                         // The answer is a while on its way.
                         seam::sleep(Duration::from_millis(5)).await;
-                        if f.node.board.note_acked("g", l.fence, end) {
+                        if f.node.registry.record_acknowledged("g", l.fence, end) {
                             group.with(|s| s.acked = s.acked.max(end));
                         }
                     }
--- a/crates/simulator/tests/held/group.rs
+++ b/crates/simulator/tests/held/group.rs
@@ -1,6 +1,6 @@
 //! A group of servers behind held links, and who promotes them, as the ports show them (§3.6).
 use quincehatch_core::{FencingToken, Name, Position, Role};
-use quincehatch_proxy::port::{Call, Line, Look, Opened, Ports, Promoted, Promoter, Said, Servers};
+use quincehatch_proxy::ports::{ServerCall, ServerConnection, ServerStatus, OpenResult, ServerPorts, PromotionOutcome, Promoter, ServerReply, ServerConnector};
 use quincehatch_runtime::seam::{self, BoxFuture};
 use quincehatch_wire::http::KeepaliveSettings;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,7 +10,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct One {
-    pub look: Look,
+    pub look: ServerStatus,
     pub up: bool,
     /// It answers but receives nothing.
     pub deaf: bool,
@@ -66,7 +66,7 @@
                 && s.up
                 && !s.deaf
                 && l.role == Role::Replica
-                && l.held == 0
+                && l.suspended_term == 0
                 && l.term <= end.fence
             {
                 (l.received, l.term, got) = (end, end.fence, true);
@@ -74,19 +74,19 @@
         }
         got.then_some(end)
     }
-    fn call(&mut self, server: &Name, c: &Call) -> Look {
-        let Some(s) = self.servers.get_mut(server) else { return Look::default() };
+    fn call(&mut self, server: &Name, c: &ServerCall) -> ServerStatus {
+        let Some(s) = self.servers.get_mut(server) else { return ServerStatus::default() };
         let l = &mut s.look;
         match c {
-            Call::Suspend { term } if l.role == Role::Replica && *term > l.term.max(l.held) => l.held = *term,
-            Call::Resume => l.held = 0,
-            Call::Demote { term } if l.role == Role::Primary && *term > l.term => {
+            ServerCall::Suspend { term } if l.role == Role::Replica && *term > l.term.max(l.suspended_term) => l.suspended_term = *term,
+            ServerCall::Resume => l.suspended_term = 0,
+            ServerCall::Demote { term } if l.role == Role::Primary && *term > l.term => {
                 (l.role, l.term) = (Role::Replica, *term);
             }
             _ => {}
         }
         let look = *l;
-        if !matches!(c, Call::Status) {
+        if !matches!(c, ServerCall::Status) {
             self.told.push(format!("{server} {c:?}"));
         }
         look
@@ -100,7 +100,7 @@
         for (n, s) in &mut self.servers {
             let l = &mut s.look;
             if n == server {
-                (l.role, l.term, l.held) = (Role::Primary, term, 0);
+                (l.role, l.term, l.suspended_term) = (Role::Primary, term, 0);
             } else if s.up {
                 (l.role, l.received) = (Role::Replica, l.received.min(end));
             }
@@ -113,7 +113,7 @@
         let g = Group::default();
         for (i, s) in servers.iter().enumerate() {
             let role = if i == 0 { Role::Primary } else { Role::Replica };
-            let look = Look { role, term: 1, received: Position { fence: 1, number: 0 }, ..Look::default() };
+            let look = ServerStatus { role, term: 1, received: Position { fence: 1, number: 0 }, ..ServerStatus::default() };
             g.with(|st| st.servers.insert((*s).into(), One { look, up: true, deaf: false }));
         }
         g
@@ -121,37 +121,37 @@
     pub fn with<T>(&self, f: impl FnOnce(&mut State) -> T) -> T {
         f(&mut self.0.lock().unwrap())
     }
-    pub fn ports(&self, node: &str) -> Ports {
+    pub fn ports(&self, node: &str) -> ServerPorts {
         let from = || From { group: self.clone(), node: node.into() };
-        Ports { servers: Arc::new(from()), promoter: Arc::new(from()) }
+        ServerPorts { servers: Arc::new(from()), promoter: Arc::new(from()) }
     }
     pub fn change(&self, server: &str, f: impl FnOnce(&mut One)) {
         self.with(|s| f(s.servers.get_mut(server).unwrap()));
     }
 }
 
-impl Servers for From {
-    fn open(&self, _: Name, _: Name, server: Name, _: KeepaliveSettings) -> BoxFuture<'static, io::Result<Opened>> {
+impl ServerConnector for From {
+    fn connect(&self, _: Name, _: Name, server: Name, _: KeepaliveSettings) -> BoxFuture<'static, io::Result<OpenResult>> {
         let (group, node) = (self.group.clone(), self.node.clone());
         Box::pin(async move {
             seam::sleep(HOP).await;
             if !group.with(|s| s.reached(&node, &server)) {
                 return std::future::pending().await;
             }
-            Ok(Ok((Box::new(Link { group, node, server }) as Box<dyn Line>, None)))
+            Ok(Ok((Box::new(Link { group, node, server }) as Box<dyn ServerConnection>, None)))
         })
     }
 }
 
-impl Line for Link {
-    fn ask<'a>(&'a mut self, c: &'a Call) -> BoxFuture<'a, io::Result<Said>> {
+impl ServerConnection for Link {
+    fn call<'a>(&'a mut self, c: &'a ServerCall) -> BoxFuture<'a, io::Result<ServerReply>> {
         Box::pin(async move {
             seam::sleep(HOP).await;
             if !self.group.with(|s| s.reached(&self.node, &self.server)) {
                 return std::future::pending().await;
             }
             let look = Some(self.group.with(|s| s.call(&self.server, c)));
-            Ok(Said { look, ..Said::default() })
+            Ok(ServerReply { status: look, ..ServerReply::default() })
         })
     }
     fn broken(&mut self) -> Option<io::Error> {
@@ -160,7 +160,7 @@
 }
 
 impl Promoter for From {
-    fn promote(&self, _: Name, server: Name, _: Name, fence: FencingToken) -> BoxFuture<'static, Promoted> {
+    fn promote(&self, _: Name, server: Name, _: Name, fence: FencingToken) -> BoxFuture<'static, PromotionOutcome> {
         let group = self.group.clone();
         Box::pin(async move {
             seam::sleep(HOP).await;
@@ -171,14 +171,14 @@
                 good
             });
             if !good {
-                return Promoted::Declined;
+                return PromotionOutcome::Rejected;
             }
             let g = group.clone();
             seam::spawn(async move {
                 seam::sleep(TAKES).await;
                 g.with(|s| s.lead(&server));
             });
-            Promoted::Done
+            PromotionOutcome::Done
         })
     }
 }
--- a/crates/simulator/tests/held_lead.rs
+++ b/crates/simulator/tests/held_lead.rs
@@ -45,7 +45,7 @@
         let acked = w.group.with(|s| s.acked);
         w.run(1_000);
         assert!(
-            w.group.with(|s| s.acked > acked && s.servers.values().all(|x| x.look.held == 0)),
+            w.group.with(|s| s.acked > acked && s.servers.values().all(|x| x.look.suspended_term == 0)),
             "{:#?}",
             w.story()
         );
--- a/crates/testbed/tests/kit/mod.rs
+++ b/crates/testbed/tests/kit/mod.rs
@@ -2,11 +2,11 @@
 use quincehatch_config::configuration::Configuration;
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::PrimaryAssignment;
-use quincehatch_proxy::alone::Alone;
-use quincehatch_proxy::board::Plan;
-use quincehatch_proxy::judge::{Ending, Sign};
-use quincehatch_proxy::verdict::Verdict;
-use quincehatch_proxy::{Node, probe};
+use quincehatch_proxy::local_replicas::LocalOnlyReplicas;
+use quincehatch_proxy::registry::ClusterState;
+use quincehatch_proxy::evidence::{ConnectionEnd, HealthSignal};
+use quincehatch_proxy::state::HealthState;
+use quincehatch_proxy::{Proxy, probe};
 use quincehatch_runtime::now;
 use quincehatch_testbed::stand::{Args, Stand, net, repl};
 use serde_json::{Value, json};
@@ -17,7 +17,7 @@
     placement = \"p\"\ntimeout_ms = 2000\n[[rules]]\nname = \"l\"\nclass = \"lookup\"\nplacement = \"p\"\ntimeout_ms = 1000\n";
 
 pub struct Kit {
-    pub node: Arc<Node>,
+    pub node: Arc<Proxy>,
     stands: Vec<Arc<Stand>>,
 }
 
@@ -62,9 +62,9 @@
             log: "off".into(),
             threads: 1,
         };
-        let node = Node::new(set, Box::new(Alone::default()), quincehatch_runtime::seam::Spawner::current());
+        let node = Proxy::new(set, Box::new(LocalOnlyReplicas::default()), quincehatch_runtime::seam::Spawner::current());
         for s in &stands {
-            node.board.beat(s.beat());
+            node.registry.apply_heartbeat(s.beat());
         }
         let blueprint = Some(Arc::new(Configuration::parse(&format!("{BASE}{more}")).unwrap()));
         let lead = PrimaryAssignment {
@@ -76,14 +76,14 @@
             previous_voters: vec![],
         };
         let leads = [("g1".into(), lead)].into();
-        node.board.set_plan(Plan { n: 1, version: 1, blueprint, leads, ..Default::default() });
-        node.board.renew_lease(now() + 600_000);
-        tokio::spawn(probe::run(node.clone()));
+        node.registry.set_cluster_state(ClusterState { number: 1, version: 1, configuration: blueprint, primaries: leads, ..Default::default() });
+        node.registry.renew_lease(now() + 600_000);
+        tokio::spawn(probe::run_status_probes(node.clone()));
         let k = Kit { node, stands };
         k.until("all to be up and fresh", || {
-            let seen = k.node.board.seen("g1", |s| s.needed(now(), 1_500));
+            let seen = k.node.registry.with_primary_positions("g1", |s| s.needed(now(), 1_500));
             let end = k.stands[0].end();
-            let up = k.node.board.rows().iter().all(|r| r.status.lock().unwrap().answered > 0);
+            let up = k.node.registry.servers().iter().all(|r| r.status.lock().unwrap().answered_at > 0);
             up && seen == Some(end) && k.stands.iter().all(|s| s.stamp().position == end)
         })
         .await;
@@ -126,37 +126,37 @@
     /// Links open to a stand-in, the node's own STATUS link and replication's left out by counting contexts.
     pub fn links(&self, i: usize) -> usize {
         let name = format!("s{}", i + 1);
-        let row = self.node.board.row(&name).unwrap();
+        let row = self.node.registry.server(&name).unwrap();
         let open = self.node.sessions.all().iter().any(|s| {
             s.try_lock().is_ok_and(|mut s| {
-                s.txn.as_mut().and_then(|t| t.loan.as_mut()).is_some_and(|l| !l.link().is_closed())
+                s.transaction.as_mut().and_then(|t| t.checkout.as_mut()).is_some_and(|l| !l.connection().is_closed())
             })
         });
-        usize::from(open) * row.pool.shard.count().0
+        usize::from(open) * row.pool.slots.count().0
     }
     pub fn lease_ms(&self, ms: u64) {
-        self.node.board.lease_for_test(now() + ms);
+        self.node.registry.set_lease_for_test(now() + ms);
     }
     pub fn owing(&self, server: &str) -> usize {
-        self.node.board.row(server).unwrap().health.lock().unwrap().overdue.owing()
+        self.node.registry.server(server).unwrap().health.lock().unwrap().overdue.pending_count()
     }
     pub fn set_aside(&self, server: &str) {
-        let j = self.node.judges();
-        self.node.board.row(server).unwrap().health.lock().unwrap().ended(now(), &j, Ending::Reset);
+        let j = self.node.health_settings();
+        self.node.registry.server(server).unwrap().health.lock().unwrap().connection_ended(now(), &j, ConnectionEnd::Reset);
     }
-    pub fn verdict(&self, server: &str) -> Verdict {
-        self.node.board.row(server).unwrap().health.lock().unwrap().verdict
+    pub fn verdict(&self, server: &str) -> HealthState {
+        self.node.registry.server(server).unwrap().health.lock().unwrap().state
     }
     /// The signs that made the last turn.
-    pub fn signs(&self, server: &str) -> Vec<Sign> {
-        let row = self.node.board.row(server).unwrap();
+    pub fn signs(&self, server: &str) -> Vec<HealthSignal> {
+        let row = self.node.registry.server(server).unwrap();
         let h = row.health.lock().unwrap();
-        h.turns.back().map(|t| t.evidence.iter().map(|e| e.sign).collect()).unwrap_or_default()
+        h.transitions.back().map(|t| t.evidence.iter().map(|e| e.signal).collect()).unwrap_or_default()
     }
     pub fn leaving(&self, server: &str) -> bool {
-        self.node.board.row(server).unwrap().leaving()
+        self.node.registry.server(server).unwrap().is_draining()
     }
     pub fn status_answers(&self, server: &str) -> bool {
-        self.node.board.row(server).unwrap().status.lock().unwrap().failing.is_none()
+        self.node.registry.server(server).unwrap().status.lock().unwrap().failing_since.is_none()
     }
 }
--- a/crates/testbed/tests/node.rs
+++ b/crates/testbed/tests/node.rs
@@ -1,8 +1,8 @@
 //! A node before stand-ins, in one process: what the data plane promises when servers misbehave (§4).
 mod kit;
 use kit::{Kit, body};
-use quincehatch_proxy::judge::Sign;
-use quincehatch_proxy::verdict::Verdict;
+use quincehatch_proxy::evidence::HealthSignal;
+use quincehatch_proxy::state::HealthState;
 use serde_json::json;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -211,8 +211,8 @@
             k.post("/v1/lookup", json!({"text": "get l", "labels": {"db": "g1"}, "deadline_ms": 900})).await;
         assert_ne!(v["where"]["server"], "s2", "a stalled server answered: {v}");
     }
-    k.until("s2 to be set aside", || k.verdict("s2") == Verdict::SetAside).await;
-    assert!(k.signs("s2").contains(&Sign::Stall), "{:?}", k.signs("s2"));
+    k.until("s2 to be set aside", || k.verdict("s2") == HealthState::Ejected).await;
+    assert!(k.signs("s2").contains(&HealthSignal::Stall), "{:?}", k.signs("s2"));
     assert!(k.status_answers("s2"), "STATUS answers all along");
 }
 
@@ -220,11 +220,11 @@
 async fn a_reset_of_idle_links_sets_aside_at_once() {
     let k = Kit::new("").await;
     k.post("/v1/lookup", json!({"text": "get l", "labels": {"db": "g1"}})).await;
-    assert_eq!(k.verdict("s2"), Verdict::InRotation);
+    assert_eq!(k.verdict("s2"), HealthState::Healthy);
     k.fault(1, json!({"reset": true}));
-    k.until("s2 to be set aside", || k.verdict("s2") == Verdict::SetAside).await;
-    assert!(k.signs("s2").contains(&Sign::Reset), "{:?}", k.signs("s2"));
-    assert_eq!(k.verdict("s3"), Verdict::InRotation);
+    k.until("s2 to be set aside", || k.verdict("s2") == HealthState::Ejected).await;
+    assert!(k.signs("s2").contains(&HealthSignal::Reset), "{:?}", k.signs("s2"));
+    assert_eq!(k.verdict("s3"), HealthState::Healthy);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -240,5 +240,5 @@
         let v = k.post("/v1/lookup", json!({"text": "get l", "labels": {"db": "g1"}})).await;
         assert_ne!(v["where"]["server"], "s2", "{v}");
     }
-    assert_ne!(k.verdict("s2"), Verdict::SetAside);
+    assert_ne!(k.verdict("s2"), HealthState::Ejected);
 }
