--- a/crates/capacity/src/counted.rs
+++ b/crates/capacity/src/counted.rs
@@ -4,7 +4,7 @@
 use super::{COPIES, blueprint, settings, standing};
 use quincehatch_core::Name;
 use quincehatch_gossip::{GossipMessage, NodeQuery, NodeRequest};
-use quincehatch_node::{Fleet, mesh_driver};
+use quincehatch_node::{ClusterNode, gossip};
 use quincehatch_runtime::seam;
 use quincehatch_simulator::fleet::core::{Core, Pid};
 use quincehatch_simulator::fleet::keeper::{self, Disk, Keepers};
@@ -103,21 +103,21 @@
     }
 }
 
-fn node(core: &Arc<Core>, i: usize, hollow: &Hollow, to: &Shared) -> (Pid, Arc<Fleet>) {
+fn node(core: &Arc<Core>, i: usize, hollow: &Hollow, to: &Shared) -> (Pid, Arc<ClusterNode>) {
     let keepers = (0..KEEPERS).map(|i| at(1, i)).collect();
     let set = settings(i, at(2, i), (0..3).map(|i| at(2, i)).collect(), keepers);
-    let live: Arc<Mutex<Option<Arc<Fleet>>>> = Arc::default();
+    let live: Arc<Mutex<Option<Arc<ClusterNode>>>> = Arc::default();
     let (l, s, h, to) = (live.clone(), set.clone(), hollow.clone(), to.clone());
     let start = move |c: &Arc<Core>, pid| {
-        let f = Fleet::with(&s, Some(h.ports()));
+        let f = ClusterNode::with_ports(&s, Some(h.ports()));
         let on = f.clone();
         let on_frame = move |b: Vec<u8>| {
             let f = on.clone();
-            Box::pin(async move { mesh_driver::respond(&f, &b).await }) as seam::BoxFuture<'_, _>
+            Box::pin(async move { gossip::respond_to_frame(&f, &b).await }) as seam::BoxFuture<'_, _>
         };
         c.listen_frames(&s.gossip_listener, pid, Arc::new(on_frame));
         tap(c, &s.gossip_listener, to_node, &to);
-        f.go();
+        f.start();
         *l.lock().unwrap() = Some(f);
     };
     let pid = core.add(&set.name, Arc::new(start), true);
@@ -125,14 +125,14 @@
     (pid, f.expect("it was started"))
 }
 
-fn push(core: &Arc<Core>, pid: Pid, f: &Arc<Fleet>, base: u64) -> u64 {
+fn push(core: &Arc<Core>, pid: Pid, f: &Arc<ClusterNode>, base: u64) -> u64 {
     let began = core.now();
     let (done, f) = (Arc::new(Mutex::new(None)), f.clone());
     let told = done.clone();
     core.within(pid, || {
         seam::spawn(async move {
             let cmd = Command::PushConfiguration { base, text: blueprint(1, base), by: "operator".into() };
-            let _ = f.chain.write(&format!("push/{base}"), cmd, Duration::from_secs(8)).await;
+            let _ = f.store_client.write(&format!("push/{base}"), cmd, Duration::from_secs(8)).await;
             *told.lock().unwrap() = Some(());
         })
     });
@@ -154,16 +154,16 @@
     core.within(pid, || {
         seam::spawn(async move {
             let (text, by) = (blueprint(groups, 0), Name::from("operator"));
-            let _ = f.chain.write("plan", Command::PushConfiguration { base: 0, text, by }, Duration::from_secs(8)).await;
+            let _ = f.store_client.write("plan", Command::PushConfiguration { base: 0, text, by }, Duration::from_secs(8)).await;
             for i in 0..groups * COPIES {
                 let cmd = Command::RegisterServer { at: standing(i, 1) };
-                let _ = f.chain.write(&format!("beat/{i}/1"), cmd, Duration::from_secs(8)).await;
+                let _ = f.store_client.write(&format!("beat/{i}/1"), cmd, Duration::from_secs(8)).await;
             }
         })
     });
     // Rumors reach nearly everyone at once; the last few pairs meet as probes happen to bring them together.
-    let met = |f: &Arc<Fleet>| f.mesh.live().len() * 100 >= nodes * 97;
-    let ready = |f: &Arc<Fleet>| f.known.lock().unwrap().primaries.len() >= groups && met(f);
+    let met = |f: &Arc<ClusterNode>| f.gossip.live_nodes().len() * 100 >= nodes * 97;
+    let ready = |f: &Arc<ClusterNode>| f.feed_state.lock().unwrap().primaries.len() >= groups && met(f);
     while !fleets.iter().all(|(_, f)| ready(f)) {
         let now = core.now();
         if now > 180_000 {
@@ -175,7 +175,7 @@
     to.lock().unwrap().clear();
     core.run_until(core.now() + seconds * 1_000);
     let got = to.lock().unwrap().clone();
-    let least = fleets.iter().map(|(_, f)| f.mesh.live().len()).min().unwrap_or(0);
+    let least = fleets.iter().map(|(_, f)| f.gossip.live_nodes().len()).min().unwrap_or(0);
     let (pid, f) = &fleets[0];
     let pushed = (1..11).map(|base| push(&core, *pid, f, base)).collect();
     core.crash(fleets[nodes - 1].0, false);
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -3,8 +3,8 @@
 use super::port::Hollow;
 use super::{COPIES, blueprint, resident_kib, settings, standing, this_thread, used_ms};
 use quincehatch_core::Name;
-use quincehatch_node::chain_client::Chain;
-use quincehatch_node::{Fleet, mesh_driver};
+use quincehatch_node::store_client::StoreClient;
+use quincehatch_node::{ClusterNode, gossip};
 use quincehatch_runtime::{now, seam};
 use quincehatch_store::disk::Disk;
 use quincehatch_store::host::KeeperHost;
@@ -64,7 +64,7 @@
     Ok((l.local_addr()?.to_string(), l))
 }
 
-type Fleets = Arc<Mutex<Vec<Arc<Fleet>>>>;
+type Fleets = Arc<Mutex<Vec<Arc<ClusterNode>>>>;
 
 /// All nodes on one thread.
 fn nodes(s: &Spec, keepers: &[String], ports: &Hollow) -> std::io::Result<(PathBuf, Fleets)> {
@@ -76,11 +76,11 @@
     std::thread::spawn(move || {
         runtime().block_on(async {
             for (i, (addr, lst)) in at.into_iter().enumerate() {
-                let f = Fleet::with(&settings(i, addr, seeds.clone(), keepers.clone()), Some(ports.ports()));
+                let f = ClusterNode::with_ports(&settings(i, addr, seeds.clone(), keepers.clone()), Some(ports.ports()));
                 if let Ok(lst) = TcpListener::from_std(lst) {
-                    seam::spawn(mesh_driver::serve(f.clone(), lst));
+                    seam::spawn(gossip::serve(f.clone(), lst));
                 }
-                f.go();
+                f.start();
                 made.lock().unwrap().push(f);
             }
             let _ = tx.send(this_thread());
@@ -90,12 +90,12 @@
     Ok((rx.recv().unwrap_or_default(), fleets))
 }
 
-async fn write(c: &Chain, key: String, cmd: Command) -> Result<(), String> {
+async fn write(c: &StoreClient, key: String, cmd: Command) -> Result<(), String> {
     c.write(&key, cmd, Duration::from_secs(10)).await.map(drop).map_err(|b| b.to_string())
 }
 
 /// The fleet as it is in service: blueprint in force, servers known, leads named, everyone known to everyone.
-async fn begin(s: &Spec, c: &Arc<Chain>, fleets: &Fleets) -> Result<(), String> {
+async fn begin(s: &Spec, c: &Arc<StoreClient>, fleets: &Fleets) -> Result<(), String> {
     let (text, by) = (blueprint(s.groups, 0), Name::from("operator"));
     write(c, "plan".into(), Command::PushConfiguration { base: 0, text, by }).await?;
     let all: Vec<usize> = (0..s.groups * COPIES).collect();
@@ -107,14 +107,14 @@
         seam::join_all(some.iter().map(|i| one(*i))).await.into_iter().collect::<Result<Vec<_>, _>>()?;
     }
     let (until, groups, n) = (std::time::Instant::now() + BEGIN, s.groups, s.nodes);
-    let led = |f: &Arc<Fleet>| f.known.lock().unwrap().primaries.len() >= groups;
-    let met = |f: &Arc<Fleet>| f.mesh.live().len() == n;
+    let led = |f: &Arc<ClusterNode>| f.feed_state.lock().unwrap().primaries.len() >= groups;
+    let met = |f: &Arc<ClusterNode>| f.gossip.live_nodes().len() == n;
     // Not every fleet comes to know all of itself: how far it came is among the figures.
     let enough = std::time::Instant::now() + MEET;
-    let ready = |f: &Arc<Fleet>| led(f) && (met(f) || std::time::Instant::now() > enough);
+    let ready = |f: &Arc<ClusterNode>| led(f) && (met(f) || std::time::Instant::now() > enough);
     while !fleets.lock().unwrap().iter().all(ready) {
         if std::time::Instant::now() > until {
-            let of = |f: &Arc<Fleet>| (f.known.lock().unwrap().primaries.len(), f.mesh.live().len());
+            let of = |f: &Arc<ClusterNode>| (f.feed_state.lock().unwrap().primaries.len(), f.gossip.live_nodes().len());
             let seen: Vec<_> = fleets.lock().unwrap().iter().map(of).collect();
             return Err(format!("not in service; leads and nodes known at each node: {seen:?}"));
         }
@@ -139,11 +139,11 @@
     let had = resident_kib();
     let (nodes, fleets) = nodes(s, &addrs, &ports).map_err(said)?;
     runtime().block_on(async {
-        let chain = Arc::new(Chain::new("node", &addrs));
+        let chain = Arc::new(StoreClient::new("node", &addrs));
         begin(s, &chain, &fleets).await?;
         tokio::time::sleep(Duration::from_secs(4)).await;
         let used = || (used_ms(&nodes), ks.iter().map(|k| used_ms(k)).collect::<Vec<_>>());
-        let letters = || fleets.lock().unwrap().iter().map(|f| f.mesh.mesh.lock().unwrap().messages_sent).sum::<u64>();
+        let letters = || fleets.lock().unwrap().iter().map(|f| f.gossip.membership.lock().unwrap().messages_sent).sum::<u64>();
         let (a, sent, asked, began) = (used(), letters(), ports.0.load(Ordering::Relaxed), now());
         let mut n = 0u64;
         while now() < began + s.seconds * 1_000 {
@@ -166,7 +166,7 @@
         let of = s.nodes as f64;
         let kib = (resident_kib() - had) / of;
         let asks = (ports.0.load(Ordering::Relaxed) - asked) as f64;
-        let met = fleets.lock().unwrap().iter().map(|f| f.mesh.live().len()).min();
+        let met = fleets.lock().unwrap().iter().map(|f| f.gossip.live_nodes().len()).min();
         Ok(json!({
             "least_known": met,
             "nodes": s.nodes, "groups": s.groups, "changes": n as f64 / took, "seconds": took,
--- a/crates/capacity/src/parts.rs
+++ b/crates/capacity/src/parts.rs
@@ -130,17 +130,17 @@
     let mut s = store(groups, 2);
     let text = PackedText::pack(s.configuration().map_or("", |k| &k.text));
     let mut k = FeedState::from_snapshot(FeedSnapshot::from_store(&s, text)).expect("what was packed");
-    let had = quincehatch_node::feed::plan_of(&k, &ClusterState::default());
+    let had = quincehatch_node::feed::cluster_state_from(&k, &ClusterState::default());
     let c = adopt(&mut s, groups, 9);
     let (adopted, plan) = cost(|| {
         assert!(k.apply(&c));
-        quincehatch_node::feed::plan_of(&k, &had)
+        quincehatch_node::feed::cluster_state_from(&k, &had)
     });
     let news = quincehatch_store::FeedEvent::RegisterServer { at: standing(1, 9_999) };
     let c = quincehatch_store::Change { number: k.last_change + 1, event: news };
     let (stood, _) = cost(|| {
         assert!(k.apply(&c));
-        quincehatch_node::feed::plan_of(&k, &plan)
+        quincehatch_node::feed::cluster_state_from(&k, &plan)
     });
     [adopted, stood]
 }
--- a/crates/failover/src/promotion.rs
+++ b/crates/failover/src/promotion.rs
@@ -1,12 +1,12 @@
 //! Promotion of one group under one fence (§5.5). Sans-IO: the same steps run in a node and in the simulator.
-pub use crate::words::{In, Out, Phase, Plan};
+pub use crate::words::{PromotionEvent, PromotionAction, Phase, PromotionPlan};
 use quincehatch_core::{FencingToken, PrimaryAssignment, Millis, Name, Position};
 use std::collections::{BTreeMap, BTreeSet};
 
 mod synced;
 
 /// A promotion that has not come to its end by then is begun anew under a higher fence.
-pub const MOST: Millis = 15_000;
+pub const MAX_DURATION: Millis = 15_000;
 /// Between two askings of the same thing.
 const AGAIN: Millis = 300;
 /// Between two countings of what is under way.
@@ -23,7 +23,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Promotion {
-    pub plan: Plan,
+    pub plan: PromotionPlan,
     pub phase: Phase,
     pub fence: FencingToken,
     began: Millis,
@@ -35,14 +35,14 @@
     acked: Option<Position>,
     /// The lists that hold, as the chain told them once this fence had closed the lead; none before the first lead.
     lists: Vec<Vec<Name>>,
-    out: Vec<Out>,
+    out: Vec<PromotionAction>,
 }
 
 impl Promotion {
-    pub fn new(now: Millis, plan: Plan) -> (Self, Vec<Out>) {
+    pub fn new(now: Millis, plan: PromotionPlan) -> (Self, Vec<PromotionAction>) {
         let mut p = Self {
             plan,
-            phase: Phase::Taking,
+            phase: Phase::AcquiringFence,
             fence: 0,
             began: now,
             since: now,
@@ -58,11 +58,11 @@
         let out = std::mem::take(&mut p.out);
         (p, out)
     }
-    pub fn over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         matches!(self.phase, Phase::Done | Phase::Failed)
     }
     fn say(&mut self, s: &str) {
-        self.out.push(Out::Say(format!("promotion in {} under fence {} {s}", self.plan.group, self.fence)));
+        self.out.push(PromotionAction::Log(format!("promotion in {} under fence {} {s}", self.plan.group, self.fence)));
     }
     fn turn(&mut self, now: Millis, to: Phase) {
         self.phase = to;
@@ -81,12 +81,12 @@
             Phase::Listing => (None, self.counts()),
             _ => (None, vec![]),
         };
-        let (closed, by) = (self.plan.old.clone(), self.plan.by.clone());
+        let (closed, by) = (self.plan.old_primary.clone(), self.plan.coordinator.clone());
         PrimaryAssignment { fence: self.fence, server, demoted: closed, assigned_by: by, voters: counts, previous_voters: vec![] }
     }
     /// Whoever is chosen counts itself.
     fn counts(&self) -> Vec<Name> {
-        let all: BTreeSet<&Name> = self.plan.counts.iter().chain(&self.chosen).collect();
+        let all: BTreeSet<&Name> = self.plan.voters.iter().chain(&self.chosen).collect();
         all.into_iter().cloned().collect()
     }
 
@@ -98,86 +98,86 @@
         }
         self.asked = now.max(1);
         match self.phase {
-            Phase::Taking => self.out.push(Out::TakeFence { key: self.key("fence") }),
+            Phase::AcquiringFence => self.out.push(PromotionAction::AcquireFence { key: self.key("fence") }),
             Phase::Closing => {
-                self.out.push(Out::SetLead { key: self.key("close"), lead: self.lead() });
+                self.out.push(PromotionAction::WritePrimary { key: self.key("close"), primary: self.lead() });
                 // An old primary that broke down has nothing to drain: fence while the close goes round.
                 if !self.plan.planned {
                     self.fence_all();
                 }
             }
-            Phase::Draining => self.out.push(Out::CountOpen),
+            Phase::Draining => self.out.push(PromotionAction::CountInFlight),
             Phase::Fencing => {
                 self.fence_all();
-                self.out.extend(self.plan.sync.as_ref().map(|_| Out::AskAcked));
+                self.out.extend(self.plan.sync_group.as_ref().map(|_| PromotionAction::QueryAcknowledged));
             }
-            Phase::Listing => self.out.push(Out::SetLead { key: self.key("list"), lead: self.lead() }),
+            Phase::Listing => self.out.push(PromotionAction::WritePrimary { key: self.key("list"), primary: self.lead() }),
             Phase::Promoting => {
                 if let Some(server) = self.chosen.clone() {
                     let counts = self.counts();
-                    self.out.push(Out::Promote { server, fence: self.fence, counts });
+                    self.out.push(PromotionAction::PromoteServer { server, fence: self.fence, voters: counts });
                 }
             }
-            Phase::Naming => self.out.push(Out::SetLead { key: self.key("name"), lead: self.lead() }),
+            Phase::Naming => self.out.push(PromotionAction::WritePrimary { key: self.key("name"), primary: self.lead() }),
             Phase::Done | Phase::Failed => {}
         }
     }
     fn fence_all(&mut self) {
         for s in self.plan.servers.clone() {
             // A log that stands still has been told once.
-            if self.plan.sync.is_some() && self.fenced.contains_key(&s) {
+            if self.plan.sync_group.is_some() && self.fenced.contains_key(&s) {
                 continue;
             }
-            self.out.push(Out::FenceServer { server: s, fence: self.fence });
+            self.out.push(PromotionAction::FenceServer { server: s, fence: self.fence });
         }
     }
 
-    pub fn step(&mut self, now: Millis, i: In) -> Vec<Out> {
-        if self.over() {
+    pub fn step(&mut self, now: Millis, i: PromotionEvent) -> Vec<PromotionAction> {
+        if self.is_finished() {
             return Vec::new();
         }
-        if now > self.began + MOST || i == In::Overtaken {
-            self.say(if i == In::Overtaken { "was overtaken by a higher fence" } else { "took too long" });
+        if now > self.began + MAX_DURATION || i == PromotionEvent::Superseded {
+            self.say(if i == PromotionEvent::Superseded { "was overtaken by a higher fence" } else { "took too long" });
             self.phase = Phase::Failed;
             return std::mem::take(&mut self.out);
         }
         match (self.phase, i) {
-            (Phase::Taking, In::Fence(f)) => {
+            (Phase::AcquiringFence, PromotionEvent::FenceAcquired(f)) => {
                 self.fence = f;
                 self.turn(now, Phase::Closing);
             }
-            (Phase::Closing, In::Closed(lead)) => {
+            (Phase::Closing, PromotionEvent::PrimaryClosed(lead)) => {
                 self.lists = lead.voter_sets();
                 let next = if self.plan.planned { Phase::Draining } else { Phase::Fencing };
                 // Held links' servers may be let go by whoever gave up before: what counts is seen under the close.
-                if self.plan.sync.is_some() {
+                if self.plan.sync_group.is_some() {
                     self.fenced.clear();
                 }
                 self.turn(now, next);
             }
-            (Phase::Listing, In::Listed) => self.turn(now, Phase::Promoting),
-            (Phase::Promoting, In::Promoted(s)) if Some(&s) == self.chosen.as_ref() => {
+            (Phase::Listing, PromotionEvent::VotersRecorded) => self.turn(now, Phase::Promoting),
+            (Phase::Promoting, PromotionEvent::ServerPromoted(s)) if Some(&s) == self.chosen.as_ref() => {
                 self.turn(now, Phase::Naming);
             }
             // It may have been promoted although no answer came, so nobody else may be under this fence:
             // the same server is asked again, and after a while all is begun anew under a higher one.
-            (Phase::Promoting, In::NotPromoted(_)) if now >= self.since + PROMOTE_FOR => {
+            (Phase::Promoting, PromotionEvent::ServerNotPromoted(_)) if now >= self.since + PROMOTE_FOR => {
                 self.say("could not promote");
                 self.phase = Phase::Failed;
                 return std::mem::take(&mut self.out);
             }
-            (Phase::Naming, In::Named) => {
+            (Phase::Naming, PromotionEvent::PrimaryAnnounced) => {
                 self.phase = Phase::Done;
                 self.say("is done");
             }
-            (Phase::Draining, In::Drained) => self.turn(now, Phase::Fencing),
-            (_, In::Fenced(s, end)) => {
+            (Phase::Draining, PromotionEvent::Drained) => self.turn(now, Phase::Fencing),
+            (_, PromotionEvent::ServerFenced(s, end)) => {
                 self.fenced.insert(s, end);
             }
-            (_, In::Acked(end)) => self.acked = Some(end),
+            (_, PromotionEvent::AcknowledgedUpTo(end)) => self.acked = Some(end),
             _ => {}
         }
-        let drain = self.plan.sync.as_ref().map_or(DRAIN, |_| crate::sync::DRAIN);
+        let drain = self.plan.sync_group.as_ref().map_or(DRAIN, |_| crate::sync::DRAIN);
         if self.phase == Phase::Draining && now >= self.since + drain {
             self.turn(now, Phase::Fencing);
         }
@@ -198,21 +198,21 @@
     /// one of them (§5.5). The old primary is chosen only if there are not enough without it: it broke down, or it is
     /// to be relieved, and its log may well be the longest.
     fn choose(&mut self, now: Millis) {
-        if self.plan.sync.is_some() {
+        if self.plan.sync_group.is_some() {
             return self.choose_synced(now);
         }
         let lists = &self.lists;
         let enough = |of: &[(&Name, &Position)]| {
             let lacks = |l: &[Name]| l.iter().filter(|n| !of.iter().any(|(x, _)| x == n)).count();
             let each = !of.is_empty() && lists.iter().all(|l| lacks(l) <= 1);
-            if lists.is_empty() { of.len() * 2 > self.plan.copies } else { each }
+            if lists.is_empty() { of.len() * 2 > self.plan.server_count } else { each }
         };
         // What an acknowledged commit is on counts under one of the lists; others may lack it.
         let counts = |n: &Name| lists.is_empty() || lists.iter().any(|l| l.contains(n));
         let pool: Vec<_> = self.fenced.iter().filter(|(n, _)| counts(n)).collect();
-        let stays = self.plan.want.is_some() && self.plan.want == self.plan.old;
+        let stays = self.plan.preferred.is_some() && self.plan.preferred == self.plan.old_primary;
         let others: Vec<_> =
-            pool.iter().copied().filter(|(n, _)| stays || Some(*n) != self.plan.old.as_ref()).collect();
+            pool.iter().copied().filter(|(n, _)| stays || Some(*n) != self.plan.old_primary.as_ref()).collect();
         let waited = now >= self.since + OTHERS_FIRST && !self.plan.planned;
         let may: Vec<(&Name, &Position)> = match (enough(&others), waited) {
             (true, _) => others,
@@ -226,7 +226,7 @@
         let top = if quincehatch_runtime::seam::injected_bug("short-log") { ends.min() } else { ends.max() }
             .unwrap_or_default();
         let best: Vec<Name> = may.iter().filter(|(_, p)| **p == top).map(|(n, _)| (*n).clone()).collect();
-        let wanted = self.plan.want.as_ref().filter(|w| best.contains(w));
+        let wanted = self.plan.preferred.as_ref().filter(|w| best.contains(w));
         self.chosen = wanted.or(best.first()).cloned();
         let s = self.chosen.clone().unwrap_or_default();
         self.say(&format!("chose {s} at {}.{} of {} fenced", top.fence, top.number, self.fenced.len()));
--- a/crates/failover/src/promotion/synced.rs
+++ b/crates/failover/src/promotion/synced.rs
@@ -5,17 +5,17 @@
 
 impl Promotion {
     pub(super) fn choose_synced(&mut self, now: Millis) {
-        let Some(group) = self.plan.sync.clone() else { return };
+        let Some(group) = self.plan.sync_group.clone() else { return };
         let case = Case {
             group: &group,
             still: &self.fenced,
-            old: self.plan.old.as_ref(),
+            old: self.plan.old_primary.as_ref(),
             acked: self.acked,
             waited: now >= self.since + WAIT,
         };
-        let Some((server, end)) = case.choose(self.plan.want.as_ref()) else { return };
+        let Some((server, end)) = case.choose(self.plan.preferred.as_ref()) else { return };
         // Where there are others that may yet answer, one that leaves or ailed is not taken at once.
-        let poor = group.leaving.contains(&server) || self.plan.old.as_ref() == Some(&server);
+        let poor = group.leaving.contains(&server) || self.plan.old_primary.as_ref() == Some(&server);
         if poor && now < self.since + OTHERS && self.fenced.len() < self.plan.servers.len() {
             return;
         }
--- a/crates/failover/src/sync.rs
+++ b/crates/failover/src/sync.rs
@@ -11,7 +11,7 @@
 //!
 //! Otherwise nobody is promoted. Without sync replicas nothing is known of any log but the old lead's own: the highest
 //! that can be had is taken after a while.
-use crate::watch::{Need, Sight};
+use crate::watch::{PromotionNeed, GroupObservation};
 use quincehatch_core::{FencingToken, Millis, Name, Position};
 use std::collections::BTreeMap;
 
@@ -108,21 +108,21 @@
 }
 
 /// Is the lead dead by its STATUS, rather than stalled?
-pub fn dead(s: &Sight) -> bool {
-    s.failing.is_some_and(|ms| ms >= if s.declined { DECLINED } else { SILENT })
+pub fn dead(s: &GroupObservation) -> bool {
+    s.failing_for.is_some_and(|ms| ms >= if s.connection_refused { DECLINED } else { SILENT })
 }
 
 /// What a group needs whose lead the chain names; `heir`: a server that stays could take over in order.
-pub fn need(s: &Sight, heir: bool) -> Need {
-    let Some(lead) = &s.lead else { return Need::Nothing };
+pub fn need(s: &GroupObservation, heir: bool) -> PromotionNeed {
+    let Some(lead) = &s.primary else { return PromotionNeed::Nothing };
     let over = |ms: Option<Millis>, most| ms.is_some_and(|ms| ms >= most);
     match &lead.server {
-        _ if s.others_turn() => Need::Nothing,
-        None if s.lead_for >= STUCK => Need::Now { planned: false },
-        None => Need::Nothing,
-        Some(_) if dead(s) || over(s.stalled, STALLED) => Need::Confirm,
-        Some(_) if over(s.wrong, WRONG) => Need::Now { planned: false },
-        Some(_) if heir && (s.leaving || s.asked.is_some()) => Need::Now { planned: true },
-        Some(_) => Need::Nothing,
+        _ if s.others_turn() => PromotionNeed::Nothing,
+        None if s.primary_unchanged_for >= STUCK => PromotionNeed::Now { planned: false },
+        None => PromotionNeed::Nothing,
+        Some(_) if dead(s) || over(s.stalled_for, STALLED) => PromotionNeed::Confirm,
+        Some(_) if over(s.not_primary_for, WRONG) => PromotionNeed::Now { planned: false },
+        Some(_) if heir && (s.draining || s.requested_handover.is_some()) => PromotionNeed::Now { planned: true },
+        Some(_) => PromotionNeed::Nothing,
     }
 }
--- a/crates/failover/src/words.rs
+++ b/crates/failover/src/words.rs
@@ -3,78 +3,78 @@
 
 messages! {
     #[derive(Copy, Eq)]
-    pub enum Phase { Taking, Closing, Draining, Fencing, Listing, Promoting, Naming, Done, Failed }
+    pub enum Phase { AcquiringFence, Closing, Draining, Fencing, Listing, Promoting, Naming, Done, Failed }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum In {
+pub enum PromotionEvent {
     Tick,
     /// The chain gave a fence.
-    Fence(FencingToken),
+    FenceAcquired(FencingToken),
     /// The close is in force at every node: the entry as the chain has it, with the lists that hold.
-    Closed(PrimaryAssignment),
+    PrimaryClosed(PrimaryAssignment),
     /// A server declines lower fences now; its log ends there.
-    Fenced(Name, Position),
+    ServerFenced(Name, Position),
     /// The list that the chosen server is to count on stands in the chain.
-    Listed,
-    Promoted(Name),
+    VotersRecorded,
+    ServerPromoted(Name),
     /// The server could not be promoted.
-    NotPromoted(Name),
+    ServerNotPromoted(Name),
     /// Every live node says that nothing of the group is under way there.
     Drained,
-    Named,
+    PrimaryAnnounced,
     /// Every node that may have passed on acknowledgements told the end of these.
-    Acked(Position),
+    AcknowledgedUpTo(Position),
     /// A higher fence is out: another node has taken this over.
-    Overtaken,
+    Superseded,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
-    TakeFence {
+pub enum PromotionAction {
+    AcquireFence {
         key: Name,
     },
-    SetLead {
+    WritePrimary {
         key: Name,
-        lead: PrimaryAssignment,
+        primary: PrimaryAssignment,
     },
     FenceServer {
         server: Name,
         fence: FencingToken,
     },
-    Promote {
+    PromoteServer {
         server: Name,
         fence: FencingToken,
-        counts: Vec<Name>,
+        voters: Vec<Name>,
     },
     /// Ask every node what is under way there.
-    CountOpen,
+    CountInFlight,
     /// Ask every node for the end of what it passed on as acknowledged.
-    AskAcked,
-    Say(String),
+    QueryAcknowledged,
+    Log(String),
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct PromotionPlan {
     pub group: Name,
-    pub by: Name,
+    pub coordinator: Name,
     /// Tells this attempt's writes from any other's.
     pub attempt: Name,
     /// The lead, or the close, that this is planned for.
-    pub lead: Option<PrimaryAssignment>,
+    pub primary: Option<PrimaryAssignment>,
     /// The newest fence of the group's duty at that moment.
-    pub over: FencingToken,
-    pub old: Option<Name>,
+    pub expected_fence: FencingToken,
+    pub old_primary: Option<Name>,
     /// All servers of the group, the old primary too.
     pub servers: Vec<Name>,
     /// How many servers the group has; before the first lead a majority of these must be fenced.
-    pub copies: usize,
+    pub server_count: usize,
     /// The old primary is well: drain it first, and do not choose it.
     pub planned: bool,
-    pub want: Option<Name>,
+    pub preferred: Option<Name>,
     /// Servers that are to count under the next.
-    pub counts: Vec<Name>,
+    pub voters: Vec<Name>,
     /// Where commits go by receiving replicas: which servers these are.
-    pub sync: Option<crate::sync::Group>,
+    pub sync_group: Option<crate::sync::Group>,
 }
--- a/crates/failover/tests/promotion.rs
+++ b/crates/failover/tests/promotion.rs
@@ -1,37 +1,37 @@
 //! A promotion's steps: what it writes before it tells a server anything, and of whom it chooses (§5.5).
 use quincehatch_core::{PrimaryAssignment, Name, Position};
-use quincehatch_failover::promotion::{In, Out, Phase, Plan, Promotion};
+use quincehatch_failover::promotion::{PromotionEvent, PromotionAction, Phase, PromotionPlan, Promotion};
 
 fn names(of: &str) -> Vec<Name> {
     of.chars().map(|c| c.to_string().into()).collect()
 }
-fn plan(servers: &str, counts: &str) -> Plan {
-    Plan {
+fn plan(servers: &str, counts: &str) -> PromotionPlan {
+    PromotionPlan {
         group: "g".into(),
-        by: "n".into(),
+        coordinator: "n".into(),
         attempt: "1".into(),
-        lead: None,
-        over: 0,
-        old: None,
+        primary: None,
+        expected_fence: 0,
+        old_primary: None,
         servers: names(servers),
-        copies: 3,
+        server_count: 3,
         planned: false,
-        want: None,
-        counts: names(counts),
-        sync: None,
+        preferred: None,
+        voters: names(counts),
+        sync_group: None,
     }
 }
-fn closed(lists: &[&str]) -> In {
+fn closed(lists: &[&str]) -> PromotionEvent {
     let (last, before) = lists.split_last().unwrap();
     let before = before.iter().map(|l| names(l)).collect();
-    In::Closed(PrimaryAssignment { fence: 2, voters: names(last), previous_voters: before, ..Default::default() })
+    PromotionEvent::PrimaryClosed(PrimaryAssignment { fence: 2, voters: names(last), previous_voters: before, ..Default::default() })
 }
-fn fenced(s: &str, n: u64) -> In {
-    In::Fenced(s.into(), Position { fence: 1, number: n })
+fn fenced(s: &str, n: u64) -> PromotionEvent {
+    PromotionEvent::ServerFenced(s.into(), Position { fence: 1, number: n })
 }
 fn begun(servers: &str, counts: &str, lists: &[&str]) -> Promotion {
     let mut p = Promotion::new(1, plan(servers, counts)).0;
-    p.step(1, In::Fence(2));
+    p.step(1, PromotionEvent::FenceAcquired(2));
     p.step(1, closed(lists));
     p
 }
@@ -42,15 +42,15 @@
     let mut p = begun("abcd", "abd", &["abc"]);
     p.step(1, fenced("a", 7));
     let outs = p.step(1, fenced("b", 5));
-    assert!(!outs.iter().any(|o| matches!(o, Out::Promote { .. })), "{outs:?}");
+    assert!(!outs.iter().any(|o| matches!(o, PromotionAction::PromoteServer { .. })), "{outs:?}");
     let list = outs.iter().find_map(|o| match o {
-        Out::SetLead { lead, .. } => Some(lead.clone()),
+        PromotionAction::WritePrimary { primary: lead, .. } => Some(lead.clone()),
         _ => None,
     });
     assert_eq!(list.map(|l| (l.server, l.voters)), Some((None, names("abd"))));
-    let outs = p.step(1, In::Listed);
+    let outs = p.step(1, PromotionEvent::VotersRecorded);
     let told = outs.iter().find_map(|o| match o {
-        Out::Promote { server, counts, .. } => Some((server.clone(), counts.clone())),
+        PromotionAction::PromoteServer { server, voters: counts, .. } => Some((server.clone(), counts.clone())),
         _ => None,
     });
     assert_eq!(told, Some(("a".into(), names("abd"))));
--- a/crates/node/src/duty_state.rs
+++ b/crates/node/src/duty_state.rs
@@ -9,33 +9,33 @@
 
 /// What an operator asked for and how it went: group to the wanted server.
 #[derive(Default)]
-pub struct Asked {
-    pub wants: Mutex<BTreeMap<Name, Option<Name>>>,
+pub struct PromotionState {
+    pub handover_requests: Mutex<BTreeMap<Name, Option<Name>>>,
     /// Leads that other nodes said stall: since when, and when it was last said.
-    pub suspects: Mutex<BTreeMap<Name, (Name, Millis, Millis)>>,
+    pub suspicions: Mutex<BTreeMap<Name, (Name, Millis, Millis)>>,
     /// Questions to servers met over held links, and what they said.
-    pub asking: crate::server_queries::Asking,
+    pub server_queries: crate::server_queries::Asking,
     pub settled: crate::acknowledged::All,
     /// The newest fence that this process took for each group.
     own_fences: Mutex<BTreeMap<Name, FencingToken>>,
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// The last promotions, newest last, for `quincehatchctl explain`.
-    pub told: Mutex<Vec<String>>,
+    pub events: Mutex<Vec<String>>,
 }
 
 /// Tells this process from those before it under the same name.
-pub struct Life(pub u64);
+pub struct Incarnation(pub u64);
 
-impl Default for Life {
+impl Default for Incarnation {
     fn default() -> Self {
-        Life(seam::incarnation())
+        Incarnation(seam::incarnation())
     }
 }
 
-impl Asked {
+impl PromotionState {
     /// Another node says that the group's lead stalls.
-    pub fn suspect(&self, group: Name, server: Name) {
-        let mut all = self.suspects.lock().unwrap();
+    pub fn record_suspicion(&self, group: Name, server: Name) {
+        let mut all = self.suspicions.lock().unwrap();
         let going =
             all.get(&group).filter(|(s, _, last)| *s == server && now() < last + SUSPECT).map(|x| x.1);
         all.insert(group, (server, going.unwrap_or_else(now), now()));
@@ -54,14 +54,14 @@
         self.own_fences.lock().unwrap().get(group).copied().unwrap_or_default()
     }
     /// For how long has it been told?
-    pub fn suspected(&self, group: &Name, server: &Name) -> Option<Millis> {
-        let all = self.suspects.lock().unwrap();
+    pub fn suspected_for(&self, group: &Name, server: &Name) -> Option<Millis> {
+        let all = self.suspicions.lock().unwrap();
         let live = all.get(group).filter(|(s, _, last)| s == server && now() < last + SUSPECT);
         live.map(|(_, first, _)| now() - first)
     }
-    pub fn tell(&self, s: String) {
+    pub fn record_event(&self, s: String) {
         log::info!(target: "promote", "{s}");
-        let mut t = self.told.lock().unwrap();
+        let mut t = self.events.lock().unwrap();
         t.push(s);
         if t.len() > 256 {
             t.remove(0);
--- a/crates/node/src/fencing.rs
+++ b/crates/node/src/fencing.rs
@@ -1,5 +1,5 @@
 //! Takes the fence of a group's duty, over the leadership that was planned for and no other (§5.4).
-use crate::Fleet;
+use crate::ClusterNode;
 use quincehatch_core::{ErrorCode, FencingToken, Name};
 use quincehatch_store::{Answer, Command, PrimaryState};
 use std::time::Duration;
@@ -17,7 +17,7 @@
 /// Takes the next fence. Of several that plan over one leadership the chain gives it to one; the others alter nothing,
 /// so whoever has it is overtaken only by a plan that was made in sight of it.
 pub async fn next_fence(
-    f: &Fleet,
+    f: &ClusterNode,
     key: &str,
     group: &Name,
     by: &Name,
@@ -25,9 +25,9 @@
     within: Duration,
 ) -> Taken {
     let cmd = Command::AcquireFenceIfUnchanged { group: group.clone(), by: by.clone(), expected: over };
-    match f.chain.write(key, cmd, within).await {
+    match f.store_client.write(key, cmd, within).await {
         Ok(Answer::Fence(fence)) => {
-            f.duty.note_own_fence(group, fence);
+            f.promotion_state.note_own_fence(group, fence);
             Taken::Fence(fence)
         }
         Err(b) if b.has_code(ErrorCode::StaleFence) => Taken::TooLate,
--- a/crates/node/src/mesh_driver.rs
+++ b/crates/node/src/gossip.rs
@@ -1,5 +1,5 @@
 //! Runs the mesh under tokio, and keeps sessions' copies over it (§6).
-use crate::{Fleet, report};
+use crate::{ClusterNode, report};
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::{ErrorCode, Error, Name};
 use quincehatch_gossip::copies::SessionReplicaTable;
@@ -18,16 +18,16 @@
 const LETTER: Duration = Duration::from_millis(400);
 const LINKS: usize = 512;
 
-pub struct Net {
-    pub me: Name,
+pub struct GossipDriver {
+    pub local_name: Name,
     identity: Identity,
-    pub mesh: Mutex<GossipMembership>,
-    pub table: Mutex<SessionReplicaTable>,
+    pub membership: Mutex<GossipMembership>,
+    pub replicas: Mutex<SessionReplicaTable>,
     caller: Arc<Caller>,
 }
 
-impl Net {
-    pub fn new(s: &NodeSettings) -> Arc<Net> {
+impl GossipDriver {
+    pub fn new(s: &NodeSettings) -> Arc<GossipDriver> {
         // A node that comes back must outrank what was said of it: its start time is its incarnation.
         let inc = seam::wall_clock_ms();
         let (name, addr, district) =
@@ -35,19 +35,19 @@
         let me = MemberRecord { name, addr, zone: district, incarnation: inc, status: MemberStatus::Alive };
         let seeds = s.seeds.iter().map(|x| x.as_str().into()).collect();
         let identity = Identity::new(&s.name);
-        Arc::new(Net {
-            me: me.name.clone(),
+        Arc::new(GossipDriver {
+            local_name: me.name.clone(),
             identity: identity.clone(),
-            mesh: Mutex::new(GossipMembership::new(me, seeds, fastrand::u64(..), now())),
-            table: Mutex::default(),
+            membership: Mutex::new(GossipMembership::new(me, seeds, fastrand::u64(..), now())),
+            replicas: Mutex::default(),
             caller: Caller::new(identity),
         })
     }
-    pub fn live(&self) -> Vec<(Name, Name)> {
-        self.mesh.lock().unwrap().live()
+    pub fn live_nodes(&self) -> Vec<(Name, Name)> {
+        self.membership.lock().unwrap().live()
     }
-    pub async fn ask(&self, node: &str, ask: NodeQuery) -> Result<NodeReply, Error> {
-        let addr = self.mesh.lock().unwrap().addr(node);
+    pub async fn query(&self, node: &str, ask: NodeQuery) -> Result<NodeReply, Error> {
+        let addr = self.membership.lock().unwrap().addr(node);
         let addr = addr.ok_or_else(|| ErrorCode::Unreachable.with_detail(format_args!("node {node} is not known")))?;
         let to = Destination::process(node, &addr);
         match self.caller.call(to, &NodeRequest::Query { query: ask }, QUERY_WITHIN).await? {
@@ -56,7 +56,7 @@
         }
     }
     /// The same question to many, side by side; whoever does not answer in time is left out.
-    pub async fn ask_all(
+    pub async fn query_all(
         self: &Arc<Self>,
         nodes: Vec<Name>,
         ask: NodeQuery,
@@ -64,7 +64,7 @@
         let one = |n: Name| {
             let (net, ask) = (self.clone(), ask.clone());
             async move {
-                let r = net.ask(&n, ask).await.ok();
+                let r = net.query(&n, ask).await.ok();
                 (n, r)
             }
         };
@@ -80,8 +80,8 @@
             let _ = net.caller.call(Destination::address(&to), &k, LETTER).await;
         });
     }
-    pub async fn leave(self: &Arc<Self>) {
-        let outs = self.mesh.lock().unwrap().leave();
+    pub async fn announce_leave(self: &Arc<Self>) {
+        let outs = self.membership.lock().unwrap().leave();
         outs.into_iter().for_each(|o| {
             if let GossipAction::Send(to, l) = o {
                 self.send(to, l);
@@ -91,12 +91,12 @@
     }
 }
 
-fn act(f: &Arc<Fleet>, outs: Vec<GossipAction>) {
+fn act(f: &Arc<ClusterNode>, outs: Vec<GossipAction>) {
     for o in outs {
         match o {
-            GossipAction::Send(to, l) => f.mesh.send(to, l),
+            GossipAction::Send(to, l) => f.gossip.send(to, l),
             GossipAction::Heartbeats(bs) => bs.into_iter().for_each(|b| {
-                heard_beat(f, b);
+                record_heartbeat(f, b);
             }),
             GossipAction::StatusChanged(n, l) => log::info!(target: "mesh", "node {n} is now {l:?}"),
         }
@@ -104,19 +104,19 @@
 }
 
 /// A server's beat, from itself or over the mesh: news is put on the blackboard and spread on.
-pub fn heard_beat(f: &Fleet, b: quincehatch_core::ServerHeartbeat) -> bool {
-    let news = f.node.registry.apply_heartbeat(b.clone());
+pub fn record_heartbeat(f: &ClusterNode, b: quincehatch_core::ServerHeartbeat) -> bool {
+    let news = f.proxy.registry.apply_heartbeat(b.clone());
     if news {
-        f.mesh.mesh.lock().unwrap().spread_heartbeat(b);
+        f.gossip.membership.lock().unwrap().spread_heartbeat(b);
     }
     news
 }
 
 /// What another process of the fleet sent, and the answer to it.
-pub fn knock(f: &Arc<Fleet>, k: NodeRequest) -> NodeResponse {
+pub fn handle_request(f: &Arc<ClusterNode>, k: NodeRequest) -> NodeResponse {
     match k {
         NodeRequest::Gossip { message } => {
-            let outs = f.mesh.mesh.lock().unwrap().handle_message(now(), message);
+            let outs = f.gossip.membership.lock().unwrap().handle_message(now(), message);
             act(f, outs);
             NodeResponse::Accepted
         }
@@ -125,46 +125,46 @@
 }
 
 /// The same where servers are met over held links: what was not seen of one lately is looked at first (§5.5).
-pub async fn knock_held(f: &Arc<Fleet>, k: NodeRequest) -> NodeResponse {
+pub async fn handle_request_probing_first(f: &Arc<ClusterNode>, k: NodeRequest) -> NodeResponse {
     if let NodeRequest::Query { query: NodeQuery::ServerEvidence { server } } = &k
         && f.ports.is_some()
     {
         crate::held_watch::look_again(f, server).await;
     }
-    knock(f, k)
+    handle_request(f, k)
 }
 
 /// The answer to a frame of another process; none where it is no frame of this protocol.
-pub async fn respond(f: &Arc<Fleet>, frame: &[u8]) -> Option<Vec<u8>> {
-    quincehatch_wire::respond(&f.mesh.identity, frame, |k: NodeRequest| knock_held(f, k)).await.ok()
+pub async fn respond_to_frame(f: &Arc<ClusterNode>, frame: &[u8]) -> Option<Vec<u8>> {
+    quincehatch_wire::respond(&f.gossip.identity, frame, |k: NodeRequest| handle_request_probing_first(f, k)).await.ok()
 }
 
 /// The same where no server is looked at before, so that nothing is waited for.
-pub fn respond_at_once(f: &Arc<Fleet>, frame: &[u8]) -> Option<Vec<u8>> {
-    let me = &f.mesh.identity;
+pub fn respond_without_probing(f: &Arc<ClusterNode>, frame: &[u8]) -> Option<Vec<u8>> {
+    let me = &f.gossip.identity;
     match quincehatch_wire::receive::<NodeRequest>(me, frame).ok()? {
         Received::Request { call, request } => {
-            quincehatch_wire::encode_answer_frame::<NodeRequest>(me, call, &knock(f, request)).ok()
+            quincehatch_wire::encode_answer_frame::<NodeRequest>(me, call, &handle_request(f, request)).ok()
         }
         Received::Rejected(frame) => Some(frame),
     }
 }
 
 /// Answers other processes on the mesh address.
-pub async fn serve(f: Arc<Fleet>, lst: TcpListener) {
-    let me = f.mesh.identity.clone();
+pub async fn serve(f: Arc<ClusterNode>, lst: TcpListener) {
+    let me = f.gossip.identity.clone();
     quincehatch_wire::serve(lst, LINKS, me, move |k: NodeRequest| {
         let f = f.clone();
-        async move { knock_held(&f, k).await }
+        async move { handle_request_probing_first(&f, k).await }
     })
     .await;
 }
 
-pub async fn run(f: Arc<Fleet>) {
+pub async fn run(f: Arc<ClusterNode>) {
     let mut round = 0u64;
     loop {
         seam::sleep(Duration::from_millis(50)).await;
-        let outs = f.mesh.mesh.lock().unwrap().tick(now());
+        let outs = f.gossip.membership.lock().unwrap().tick(now());
         act(&f, outs);
         round += 1;
         if round.is_multiple_of(30) {
@@ -173,9 +173,9 @@
     }
 }
 
-fn answer(f: &Arc<Fleet>, ask: NodeQuery) -> NodeReply {
-    let live = f.mesh.live();
-    let mut t = f.mesh.table.lock().unwrap();
+fn answer(f: &Arc<ClusterNode>, ask: NodeQuery) -> NodeReply {
+    let live = f.gossip.live_nodes();
+    let mut t = f.gossip.replicas.lock().unwrap();
     match ask {
         NodeQuery::StoreSession { session } => {
             if t.insert_if_newer(now(), session) {
@@ -186,26 +186,26 @@
         }
         NodeQuery::FindSession { id } => NodeReply::FoundSession { session: t.get(&id) },
         NodeQuery::SessionDigests { from, digests: sums } => {
-            let mine = t.range_digests(&f.mesh.me, &from, &live);
+            let mine = t.range_digests(&f.gossip.local_name, &from, &live);
             let ranges = (0..mine.len()).filter(|i| sums.get(*i) != mine.get(*i)).map(|i| i as u8).collect();
             NodeReply::DifferingRanges { ranges }
         }
         NodeQuery::SessionRange { from, range, have } => {
-            let mine = t.versions_in_range(&f.mesh.me, &from, &live, range);
+            let mine = t.versions_in_range(&f.gossip.local_name, &from, &live, range);
             let (newer, want) = t.diff_range(&mine, &have);
             NodeReply::SessionRepair { newer, wanted: want }
         }
         NodeQuery::ServerEvidence { server } => {
             let e = crate::duties::eye(f, &server);
-            NodeReply::ServerEvidence { heard: e.heard, failing: e.failing, stalled: e.stalled, answering: e.answering }
+            NodeReply::ServerEvidence { heard: e.known_here, failing: e.failing, stalled: e.stalled, answering: e.answering }
         }
         NodeQuery::SuspectPrimary { group, server } => {
-            f.duty.suspect(group, server);
+            f.promotion_state.record_suspicion(group, server);
             NodeReply::Done
         }
-        NodeQuery::InFlight { group } => NodeReply::InFlight { count: f.node.registry.in_flight.open_count(&group) as u64 },
+        NodeQuery::InFlight { group } => NodeReply::InFlight { count: f.proxy.registry.in_flight.open_count(&group) as u64 },
         NodeQuery::AcknowledgedEnd { group, fence } => {
-            NodeReply::AcknowledgedEnd { end: f.node.registry.seal_acknowledged(&group, fence), incarnation: f.duty.life.0 }
+            NodeReply::AcknowledgedEnd { end: f.proxy.registry.seal_acknowledged(&group, fence), incarnation: f.promotion_state.incarnation.0 }
         }
         NodeQuery::Report { what, key } => {
             drop(t);
--- a/crates/node/src/group.rs
+++ b/crates/node/src/group.rs
@@ -1,5 +1,5 @@
 //! What a node keeps of one group whose lead it may have to look after (§5.5).
-use crate::Fleet;
+use crate::ClusterNode;
 use quincehatch_core::{FencingToken, PrimaryAssignment, Millis, Name};
 use quincehatch_runtime::{now, seam};
 use quincehatch_store::PrimaryState;
@@ -52,8 +52,8 @@
         self.begun.map(|(_, at)| now() - at)
     }
     /// How long to wait after a promotion that has ended.
-    pub fn rest(&mut self, f: &Fleet, group: &Name) -> Millis {
-        if f.duty.own_fence(group) <= self.planned_over {
+    pub fn rest(&mut self, f: &ClusterNode, group: &Name) -> Millis {
+        if f.promotion_state.own_fence(group) <= self.planned_over {
             self.minded.cut = 0;
             return REST_LATE;
         }
--- a/crates/node/src/held_duty.rs
+++ b/crates/node/src/held_duty.rs
@@ -3,11 +3,11 @@
 use crate::fencing::{Taken, next_fence};
 use crate::group::Group;
 use crate::held_watch::{LEAD, mend, watch};
-use crate::{Fleet, acknowledged, handover, promoting};
+use crate::{ClusterNode, acknowledged, handover, promoting};
 use quincehatch_core::{FencingToken, PrimaryAssignment, Millis, Name, Role, ServerState};
-use quincehatch_failover::promotion::Plan;
+use quincehatch_failover::promotion::PromotionPlan;
 use quincehatch_failover::sync::{self, dead, need};
-use quincehatch_failover::watch::{Need, Sight};
+use quincehatch_failover::watch::{PromotionNeed, GroupObservation};
 use quincehatch_proxy::registry::ServerEntry;
 use quincehatch_runtime::{now, seam};
 use quincehatch_store::store::promotion_duty_key;
@@ -26,19 +26,19 @@
 const WRITE: Duration = Duration::from_secs(3);
 
 /// The group's servers as the chain knows them.
-fn rows(f: &Fleet, g: &Name) -> Vec<Arc<ServerEntry>> {
+fn rows(f: &ClusterNode, g: &Name) -> Vec<Arc<ServerEntry>> {
     let names: Vec<Name> = {
-        let s = f.known.lock().unwrap();
+        let s = f.feed_state.lock().unwrap();
         s.servers.values().filter(|s| s.group == *g).map(|s| s.server.clone()).collect()
     };
-    names.iter().filter_map(|n| f.node.registry.server(n)).collect()
+    names.iter().filter_map(|n| f.proxy.registry.server(n)).collect()
 }
 
 /// Servers that went away lately, at whose address nobody is known yet: their log may be with someone who is there
 /// already, and receives and counts before the chain hears of it.
-fn gone(f: &Fleet, g: &Name, rows: &[Arc<ServerEntry>]) -> Vec<Name> {
+fn gone(f: &ClusterNode, g: &Name, rows: &[Arc<ServerEntry>]) -> Vec<Name> {
     let left = |r: &ServerEntry| r.status.lock().unwrap().draining_since;
-    let all: Vec<_> = f.node.registry.servers().into_iter().filter(|r| r.group() == *g).collect();
+    let all: Vec<_> = f.proxy.registry.servers().into_iter().filter(|r| r.group() == *g).collect();
     let lately = |r: &ServerEntry| left(r).is_some_and(|at| now() < at + GONE);
     let heir = |r: &ServerEntry| {
         let at = |x: &ServerEntry| x.name != r.name && x.addr() == r.addr();
@@ -50,10 +50,10 @@
 /// Servers that may hold what was acknowledged: all that are known, and those known when the lead was named, unless
 /// one said that it leaves and its log went to a new server at its address. One that a stranger pushed out of its
 /// address said nothing, and took its log with it.
-fn holders(f: &Fleet, g: &Name, rows: &[Arc<ServerEntry>], lead: Option<&PrimaryAssignment>) -> Vec<Name> {
+fn holders(f: &ClusterNode, g: &Name, rows: &[Arc<ServerEntry>], lead: Option<&PrimaryAssignment>) -> Vec<Name> {
     let mut out: Vec<Name> = rows.iter().map(|r| r.name.clone()).chain(gone(f, g, rows)).collect();
     for n in lead.map_or(&[][..], |l| &l.voters) {
-        let row = f.node.registry.server(n);
+        let row = f.proxy.registry.server(n);
         let passed_on = row.is_some_and(|o| {
             o.heartbeat.read().unwrap().state == ServerState::Draining
                 && rows.iter().any(|r| r.name != o.name && r.addr() == o.addr())
@@ -67,33 +67,33 @@
     out
 }
 
-fn sight(f: &Fleet, g: &Name, rows: &[Arc<ServerEntry>], st: &mut Group) -> Sight {
-    let mut s = Sight {
-        lead: st.lead.clone(),
-        lead_for: now().saturating_sub(st.since),
-        begun: st.begun_for(),
+fn sight(f: &ClusterNode, g: &Name, rows: &[Arc<ServerEntry>], st: &mut Group) -> GroupObservation {
+    let mut s = GroupObservation {
+        primary: st.lead.clone(),
+        primary_unchanged_for: now().saturating_sub(st.since),
+        other_promotion_for: st.begun_for(),
         servers: rows.iter().map(|r| r.name.clone()).collect(),
-        asked: f.duty.wants.lock().unwrap().get(g).cloned(),
+        requested_handover: f.promotion_state.handover_requests.lock().unwrap().get(g).cloned(),
         ..Default::default()
     };
     // A change of hands that this node itself left unfinished is no one else's.
-    if s.lead.as_ref().is_some_and(|l| l.server.is_none() && l.assigned_by == f.mesh.me) {
-        s.lead_for = s.lead_for.max(sync::STUCK);
+    if s.primary.as_ref().is_some_and(|l| l.server.is_none() && l.assigned_by == f.gossip.local_name) {
+        s.primary_unchanged_for = s.primary_unchanged_for.max(sync::STUCK);
     }
-    let Some(server) = s.lead.as_ref().and_then(|l| l.server.clone()) else { return s };
-    let Some(row) = f.node.registry.server(&server) else { return s };
+    let Some(server) = s.primary.as_ref().and_then(|l| l.server.clone()) else { return s };
+    let Some(row) = f.proxy.registry.server(&server) else { return s };
     let status = row.status.lock().unwrap().clone();
-    s.failing = status.failing_since.map(|at| now().saturating_sub(at));
-    s.declined = status.refused;
-    s.leaving = row.is_draining();
-    s.stalled = f.duty.suspected(g, &server).max(row.health.lock().unwrap().stalled_for(now()));
-    let not = f.duty.asking.look(&server).is_some_and(|(at, l)| at >= st.since && l.role != Role::Primary);
+    s.failing_for = status.failing_since.map(|at| now().saturating_sub(at));
+    s.connection_refused = status.refused;
+    s.draining = row.is_draining();
+    s.stalled_for = f.promotion_state.suspected_for(g, &server).max(row.health.lock().unwrap().stalled_for(now()));
+    let not = f.promotion_state.server_queries.look(&server).is_some_and(|(at, l)| at >= st.since && l.role != Role::Primary);
     st.wrong = if not { st.wrong.or(Some(now())) } else { None };
-    s.wrong = st.wrong.map(|at| now().saturating_sub(at));
+    s.not_primary_for = st.wrong.map(|at| now().saturating_sub(at));
     s
 }
 
-pub async fn look(f: &Arc<Fleet>, g: &Name, st: &mut Group) {
+pub async fn look(f: &Arc<ClusterNode>, g: &Name, st: &mut Group) {
     let rows = rows(f, g);
     if rows.is_empty() {
         return;
@@ -112,19 +112,19 @@
     }
     let s = sight(f, g, &rows, st);
     settle(f, g, &rows, st, &s);
-    let old = s.lead.as_ref().and_then(|l| l.server.clone().or_else(|| l.demoted.clone()));
+    let old = s.primary.as_ref().and_then(|l| l.server.clone().or_else(|| l.demoted.clone()));
     let heir = rows.iter().any(|r| Some(&r.name) != old.as_ref() && !r.is_draining() && heard(r));
     let cut =
         heir && st.minded.behind >= sync::CUT && (st.minded.cut == 0 || now() >= st.minded.cut + CUT_REST);
     let planned = match need(&s, heir) {
-        Need::Nothing if cut => {
+        PromotionNeed::Nothing if cut => {
             st.minded.cut = now();
-            f.duty.tell(format!("no replica in {g} receives what its lead has"));
+            f.promotion_state.record_event(format!("no replica in {g} receives what its lead has"));
             false
         }
-        Need::Nothing => return,
-        Need::Now { planned } => planned,
-        Need::Confirm => {
+        PromotionNeed::Nothing => return,
+        PromotionNeed::Now { planned } => planned,
+        PromotionNeed::Confirm => {
             if !others_see(f, &s, dead(&s)).await {
                 return;
             }
@@ -135,34 +135,34 @@
 }
 
 fn promote(
-    f: &Arc<Fleet>,
+    f: &Arc<ClusterNode>,
     g: &Name,
     rows: &[Arc<ServerEntry>],
     st: &mut Group,
     old: Option<Name>,
     planned: bool,
 ) {
-    let want = f.duty.wants.lock().unwrap().remove(g).flatten();
-    let bp = f.node.registry.cluster_state().configuration.clone();
+    let want = f.promotion_state.handover_requests.lock().unwrap().remove(g).flatten();
+    let bp = f.proxy.registry.cluster_state().configuration.clone();
     let group = sync::Group {
         n: bp.and_then(|b| b.group(g).and_then(|x| x.sync_replicas)).unwrap_or(0),
         holders: holders(f, g, rows, st.lead.as_ref()),
         leaving: rows.iter().filter(|r| r.is_draining()).map(|r| r.name.clone()).collect(),
-        lead: f.duty.settled.lock().unwrap().get(g).map(|s| s.lead),
+        lead: f.promotion_state.settled.lock().unwrap().get(g).map(|s| s.lead),
     };
-    let plan = Plan {
+    let plan = PromotionPlan {
         group: g.clone(),
-        by: f.mesh.me.clone(),
-        attempt: format!("{}/{}/{:x}", promotion_duty_key(g), f.mesh.me, fastrand::u64(..)).into(),
-        lead: st.lead.clone(),
-        over: st.over,
-        old,
+        coordinator: f.gossip.local_name.clone(),
+        attempt: format!("{}/{}/{:x}", promotion_duty_key(g), f.gossip.local_name, fastrand::u64(..)).into(),
+        primary: st.lead.clone(),
+        expected_fence: st.over,
+        old_primary: old,
         servers: rows.iter().map(|r| r.name.clone()).collect(),
-        copies: rows.len(),
+        server_count: rows.len(),
         planned,
-        want,
-        counts: rows.iter().map(|r| r.name.clone()).chain(gone(f, g, rows)).collect(),
-        sync: Some(group),
+        preferred: want,
+        voters: rows.iter().map(|r| r.name.clone()).chain(gone(f, g, rows)).collect(),
+        sync_group: Some(group),
     };
     let f = f.clone();
     st.planned_over = st.over;
@@ -170,17 +170,17 @@
         let mut plan = plan;
         if !plan.planned || !handover::over(&f, &plan).await {
             // A hand-over that came to no end took a fence, over which this goes on.
-            plan.over = plan.over.max(f.duty.own_fence(&plan.group));
+            plan.expected_fence = plan.expected_fence.max(f.promotion_state.own_fence(&plan.group));
             promoting::promote(f, plan).await;
         }
     }));
 }
 
-fn settle(f: &Arc<Fleet>, g: &Name, rows: &[Arc<ServerEntry>], st: &mut Group, s: &Sight) {
-    let Some(lead) = s.lead.as_ref().filter(|_| s.failing.is_none()) else { return };
+fn settle(f: &Arc<ClusterNode>, g: &Name, rows: &[Arc<ServerEntry>], st: &mut Group, s: &GroupObservation) {
+    let Some(lead) = s.primary.as_ref().filter(|_| s.failing_for.is_none()) else { return };
     let Some(server) = lead.server.clone() else { return };
     let busy = st.minded.settling.as_ref().is_some_and(|t| !t.is_finished());
-    let known = f.duty.settled.lock().unwrap().get(g).is_some_and(|x| x.lead == lead.fence);
+    let known = f.promotion_state.settled.lock().unwrap().get(g).is_some_and(|x| x.lead == lead.fence);
     if busy || now() < st.minded.settled + if known { SETTLE } else { LEAD } {
         return;
     }
@@ -190,14 +190,14 @@
     st.minded.settling = Some(seam::spawn(async move {
         if acknowledged::settle(&f, &g, fence, &server, &others).await.is_some() && lists {
             let (key, cmd) = (format!("{}/lists/{fence}", promotion_duty_key(&g)), Command::DropPreviousVoters { group: g, fence });
-            let _ = f.chain.write(&key, cmd, WRITE).await;
+            let _ = f.store_client.write(&key, cmd, WRITE).await;
         }
     }));
 }
 
 /// No lead yet: the one server that says it leads is taken as it is; nobody is suspended or promoted for that.
-fn first(f: &Arc<Fleet>, g: &Name, rows: &[Arc<ServerEntry>], st: &mut Group) {
-    let looks: Vec<_> = rows.iter().map(|r| f.duty.asking.look(&r.name).map(|(_, l)| l.role)).collect();
+fn first(f: &Arc<ClusterNode>, g: &Name, rows: &[Arc<ServerEntry>], st: &mut Group) {
+    let looks: Vec<_> = rows.iter().map(|r| f.promotion_state.server_queries.look(&r.name).map(|(_, l)| l.role)).collect();
     let say: Vec<&Name> = rows
         .iter()
         .zip(&looks)
@@ -205,7 +205,7 @@
         .map(|(r, _)| &r.name)
         .collect();
     if let [one] = say[..] {
-        let sure = f.duty.asking.look(one).is_some_and(|(_, l)| l.role == Role::Primary);
+        let sure = f.promotion_state.server_queries.look(one).is_some_and(|(_, l)| l.role == Role::Primary);
         if sure {
             let (f, g, one) = (f.clone(), g.clone(), one.clone());
             let counts = rows.iter().map(|r| r.name.clone()).collect();
@@ -217,13 +217,13 @@
     }
 }
 
-async fn adopt(f: Arc<Fleet>, g: Name, server: Name, counts: Vec<Name>, over: FencingToken) {
-    let by = f.mesh.me.clone();
+async fn adopt(f: Arc<ClusterNode>, g: Name, server: Name, counts: Vec<Name>, over: FencingToken) {
+    let by = f.gossip.local_name.clone();
     let key = format!("{}/{by}/first/{:x}", promotion_duty_key(&g), fastrand::u64(..));
     let over = PrimaryState { fence: over, primary: None };
     let Taken::Fence(fence) = next_fence(&f, &key, &g, &by, over, WRITE).await else { return };
     let lead = PrimaryAssignment { fence, server: Some(server.clone()), assigned_by: by, voters: counts, ..Default::default() };
     let named =
-        f.chain.write(&format!("{key}/name"), Command::AssignPrimary { group: g.clone(), primary: lead }, WRITE).await;
-    f.duty.tell(format!("server {server} leads {g} and is named under fence {fence}: {}", named.is_ok()));
+        f.store_client.write(&format!("{key}/name"), Command::AssignPrimary { group: g.clone(), primary: lead }, WRITE).await;
+    f.promotion_state.record_event(format!("server {server} leads {g} and is named under fence {fence}: {}", named.is_ok()));
 }
--- a/crates/node/src/held_watch.rs
+++ b/crates/node/src/held_watch.rs
@@ -1,7 +1,7 @@
 //! Few questions to servers met over held links, from the node that looks after their group (§3.6, §5.5).
 use crate::group::Group;
 use crate::server_queries::ask;
-use crate::{Fleet, held_promotion};
+use crate::{ClusterNode, held_promotion};
 use quincehatch_core::{Millis, Name, Role};
 use quincehatch_failover::sync::Mark;
 use quincehatch_proxy::registry::ServerEntry;
@@ -38,8 +38,8 @@
 }
 
 /// Asks the server itself where nothing was heard of it lately, for another node's question.
-pub async fn look_again(f: &Arc<Fleet>, server: &Name) {
-    let Some(row) = f.node.registry.server(server) else { return };
+pub async fn look_again(f: &Arc<ClusterNode>, server: &Name) {
+    let Some(row) = f.proxy.registry.server(server) else { return };
     let st = row.status.lock().unwrap().clone();
     // A silence that this node sees itself needs no other question.
     let silent = st.failing_since.is_some_and(|at| now() >= at + SILENT_HERE);
@@ -49,10 +49,10 @@
 }
 
 /// Asks those servers that are due, each by a task of its own.
-pub fn watch(f: &Arc<Fleet>, rows: &[Arc<ServerEntry>], st: &mut Group) {
+pub fn watch(f: &Arc<ClusterNode>, rows: &[Arc<ServerEntry>], st: &mut Group) {
     let lead = st.lead.as_ref().and_then(|l| l.server.clone());
     st.minded.asked.retain(|n, _| rows.iter().any(|r| r.name == *n));
-    let seen = |n: &Name| f.duty.asking.look(n).filter(|(at, _)| *at >= st.since);
+    let seen = |n: &Name| f.promotion_state.server_queries.look(n).filter(|(at, _)| *at >= st.since);
     let others = rows.iter().filter(|r| lead.as_ref() != Some(&r.name)).filter_map(|r| seen(&r.name));
     let others: Vec<_> = others.map(|(at, l)| (at, l.received)).collect();
     let at_lead = lead.as_ref().and_then(seen).filter(|(_, l)| l.role == Role::Primary);
@@ -85,9 +85,9 @@
 
 /// An old primary of a lower term that comes back is told, and replicas that someone left held receive again: not at
 /// once, as whoever holds them may be about to choose among them.
-pub fn mend(f: &Arc<Fleet>, rows: &[Arc<ServerEntry>], st: &mut Group) {
+pub fn mend(f: &Arc<ClusterNode>, rows: &[Arc<ServerEntry>], st: &mut Group) {
     let Some(lead) = st.lead.as_ref().and_then(|l| l.server.as_ref()) else { return };
-    let look = |s: &Name| f.duty.asking.look(s).filter(|(at, _)| *at >= st.since).map(|(_, l)| l);
+    let look = |s: &Name| f.promotion_state.server_queries.look(s).filter(|(at, _)| *at >= st.since).map(|(_, l)| l);
     let term = look(lead).filter(|l| l.role == Role::Primary).map(|l| l.term);
     for r in rows {
         let odd = term.is_some_and(|term| {
@@ -109,10 +109,10 @@
 }
 
 /// A server that is set aside goes on trial once its wait is over and it has what was seen of the lead (§4.5).
-pub fn try_again(f: &Arc<Fleet>) {
-    let times = crowd(f.mesh.live().len());
-    f.duty.asking.forget(times, |s| f.known.lock().unwrap().servers.contains_key(s));
-    for r in f.node.registry.servers() {
+pub fn try_again(f: &Arc<ClusterNode>) {
+    let times = crowd(f.gossip.live_nodes().len());
+    f.promotion_state.server_queries.forget(times, |s| f.feed_state.lock().unwrap().servers.contains_key(s));
+    for r in f.proxy.registry.servers() {
         let h = r.health.lock().unwrap();
         let due = h.state == HealthState::Ejected && now() >= h.ejected_until;
         drop(h);
@@ -123,7 +123,7 @@
         let f = f.clone();
         seam::spawn(async move {
             let Some(l) = ask(&f, &r.name, ServerCall::Status).await else { return };
-            let needed = f.node.registry.with_primary_positions(&r.group(), |s| s.needed(now(), 1_500));
+            let needed = f.proxy.registry.with_primary_positions(&r.group(), |s| s.needed(now(), 1_500));
             if needed.is_some_and(|p| l.received >= p) {
                 r.health.lock().unwrap().status_succeeded(now());
             }
--- a/crates/node/src/lease_roll.rs
+++ b/crates/node/src/lease_roll.rs
@@ -1,6 +1,6 @@
 //! The roll of nodes that may hold leases (§5.6): whoever is gone for good is struck off it, so that no new tail waits
 //! for a lease that nobody holds.
-use crate::Fleet;
+use crate::ClusterNode;
 use quincehatch_core::{Millis, Name};
 use quincehatch_runtime::{now, seam};
 use quincehatch_store::Command;
@@ -13,25 +13,25 @@
 const LOOK: Duration = Duration::from_secs(5);
 const WRITE: Duration = Duration::from_secs(3);
 
-pub async fn run(f: Arc<Fleet>) {
+pub async fn run(f: Arc<ClusterNode>) {
     let mut missed: BTreeMap<Name, Millis> = BTreeMap::new();
     loop {
         seam::sleep(LOOK).await;
-        let live: Vec<Name> = f.mesh.live().into_iter().map(|(n, _)| n).collect();
-        let nodes = f.known.lock().unwrap().nodes.clone();
+        let live: Vec<Name> = f.gossip.live_nodes().into_iter().map(|(n, _)| n).collect();
+        let nodes = f.feed_state.lock().unwrap().nodes.clone();
         missed.retain(|n, _| nodes.contains_key(n) && !live.contains(n));
         for n in nodes.keys().filter(|n| !live.contains(*n)) {
             missed.entry(n.clone()).or_insert(now());
         }
-        let mine = quincehatch_gossip::duty::owner("nodes", &live) == Some(&f.mesh.me);
-        if !mine || !f.node.registry.has_lease() {
+        let mine = quincehatch_gossip::duty::owner("nodes", &live) == Some(&f.gossip.local_name);
+        if !mine || !f.proxy.registry.has_lease() {
             continue;
         }
         let gone = missed.iter().filter(|(_, at)| now() >= **at + GONE).map(|(n, _)| n.clone());
         for node in gone.collect::<Vec<_>>() {
             let Some(enrolled) = nodes.get(&node).copied() else { continue };
             let key = format!("dismiss/{node}/{enrolled}");
-            let done = f.chain.write(&key, Command::DismissNode { node: node.clone(), enrolled }, WRITE).await;
+            let done = f.store_client.write(&key, Command::DismissNode { node: node.clone(), enrolled }, WRITE).await;
             log::info!(target: "lease", "node {node} is struck off the roll: {}", done.is_ok());
         }
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,6 @@
 //! A node put together (§2, §4, §6): what the planes do, driven over whatever runs it (§5.8).
 pub mod acknowledged;
-pub mod chain_client;
+pub mod store_client;
 pub mod commit_lists;
 pub mod copies;
 pub mod duties;
@@ -13,7 +13,7 @@
 pub mod held_promotion;
 pub mod held_watch;
 pub mod lease_roll;
-pub mod mesh_driver;
+pub mod gossip;
 pub mod operator_api;
 pub mod ops;
 pub mod promoting;
@@ -27,53 +27,53 @@
 use std::time::Duration;
 
 /// The node with its planes.
-pub struct Fleet {
-    pub node: Arc<Proxy>,
-    pub mesh: Arc<mesh_driver::Net>,
-    pub chain: chain_client::Chain,
-    pub known: std::sync::Mutex<quincehatch_store::FeedState>,
-    pub duty: duties::Asked,
+pub struct ClusterNode {
+    pub proxy: Arc<Proxy>,
+    pub gossip: Arc<gossip::GossipDriver>,
+    pub store_client: store_client::StoreClient,
+    pub feed_state: std::sync::Mutex<quincehatch_store::FeedState>,
+    pub promotion_state: duties::PromotionState,
     /// The entry that enrolled this process (§5.6), and whether it has left in order.
-    pub enrolled: std::sync::atomic::AtomicU64,
-    pub left: std::sync::atomic::AtomicBool,
+    pub enrollment: std::sync::atomic::AtomicU64,
+    pub has_left: std::sync::atomic::AtomicBool,
     /// Where servers are met over held links (§3.6); none: over their own HTTP contract (§3.1).
     pub ports: Option<quincehatch_proxy::ports::ServerPorts>,
 }
 
-impl Fleet {
-    pub fn new(set: &NodeSettings) -> Arc<Fleet> {
-        Fleet::with(set, None)
+impl ClusterNode {
+    pub fn new(set: &NodeSettings) -> Arc<ClusterNode> {
+        ClusterNode::with_ports(set, None)
     }
-    pub fn with(set: &NodeSettings, ports: Option<quincehatch_proxy::ports::ServerPorts>) -> Arc<Fleet> {
-        let mesh = mesh_driver::Net::new(set);
+    pub fn with_ports(set: &NodeSettings, ports: Option<quincehatch_proxy::ports::ServerPorts>) -> Arc<ClusterNode> {
+        let mesh = gossip::GossipDriver::new(set);
         let copies = Box::new(copies::MeshCopies(mesh.clone()));
-        Arc::new(Fleet {
-            node: Proxy::new(set.clone(), copies, seam::Spawner::current()),
-            mesh,
-            chain: chain_client::Chain::new(&set.name, &set.keepers),
-            known: Default::default(),
-            duty: Default::default(),
-            enrolled: Default::default(),
-            left: Default::default(),
+        Arc::new(ClusterNode {
+            proxy: Proxy::new(set.clone(), copies, seam::Spawner::current()),
+            gossip: mesh,
+            store_client: store_client::StoreClient::new(&set.name, &set.keepers),
+            feed_state: Default::default(),
+            promotion_state: Default::default(),
+            enrollment: Default::default(),
+            has_left: Default::default(),
             ports,
         })
     }
     /// Sets all its loops going.
-    pub fn go(self: &Arc<Self>) {
+    pub fn start(self: &Arc<Self>) {
         let f = self.clone();
-        seam::spawn(mesh_driver::run(f.clone()));
+        seam::spawn(gossip::run(f.clone()));
         seam::spawn(feed::run(f.clone()));
         seam::spawn(lease_roll::run(f.clone()));
         match f.ports {
-            None => seam::spawn(quincehatch_proxy::probe::run_status_probes(f.node.clone())),
-            Some(_) => seam::spawn(quincehatch_proxy::probe::run_health_ticks(f.node.clone())),
+            None => seam::spawn(quincehatch_proxy::probe::run_status_probes(f.proxy.clone())),
+            Some(_) => seam::spawn(quincehatch_proxy::probe::run_health_ticks(f.proxy.clone())),
         };
         seam::spawn(duties::run(f.clone()));
-        seam::spawn(sweep(f.node.clone()));
+        seam::spawn(sweep(f.proxy.clone()));
     }
 }
 
-pub fn open_txns(n: &Proxy) -> usize {
+pub fn open_transactions(n: &Proxy) -> usize {
     n.sessions.all().iter().filter(|s| s.try_lock().map_or(true, |s| s.transaction.is_some())).count()
 }
 
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -3,7 +3,7 @@
 
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::{ErrorCode, Error};
-use quincehatch_node::{Fleet, mesh_driver, open_txns, operator_api};
+use quincehatch_node::{ClusterNode, gossip, open_transactions, operator_api};
 use quincehatch_runtime::now;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -35,8 +35,8 @@
     let handle = quincehatch_runtime::logging::start(&set.log).map_err(|e| ErrorCode::InvalidSettings.with_detail(e))?;
     let in_use = |e| ErrorCode::PortInUse.with_detail(format_args!("{}: {e}", set.gossip_listener));
     let lst = tokio::net::TcpListener::bind(&set.gossip_listener).await.map_err(in_use)?;
-    let fleet = Fleet::new(&set);
-    let (node, mesh) = (fleet.node.clone(), fleet.mesh.clone());
+    let fleet = ClusterNode::new(&set);
+    let (node, mesh) = (fleet.proxy.clone(), fleet.gossip.clone());
     let n = node.clone();
     let door: quincehatch_proxy::listener::JsonHandler = Arc::new(move |k| {
         let n = n.clone();
@@ -50,19 +50,19 @@
     });
     let desk = quincehatch_proxy::listener::listen(&set.operator_listener, 1, at_desk, rt)?;
     log::info!(target: "node", "node {} in {} listens on {}", set.name, set.zone, set.client_listener);
-    rt.spawn(mesh_driver::serve(fleet.clone(), lst));
-    fleet.go();
+    rt.spawn(gossip::serve(fleet.clone(), lst));
+    fleet.start();
     args::wait_for_stop(&set, &handle).await;
     log::info!(target: "node", "stopping: no new visits are taken");
     node.registry.stopping.store(true, Ordering::SeqCst);
     // The platform needs a moment to see that this node is not ready; open transactions get theirs.
     tokio::time::sleep(Duration::from_millis(500)).await;
     let until = now() + STOP_WITHIN;
-    while now() < until && (node.requests_in_flight.load(Ordering::SeqCst) > 0 || open_txns(&node) > 0) {
+    while now() < until && (node.requests_in_flight.load(Ordering::SeqCst) > 0 || open_transactions(&node) > 0) {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    quincehatch_node::feed::leave(&fleet).await;
-    mesh.leave().await;
+    quincehatch_node::feed::leave_cluster(&fleet).await;
+    mesh.announce_leave().await;
     door.close();
     desk.close();
     log::info!(target: "node", "stopped with {} visits in hand", node.requests_in_flight.load(Ordering::SeqCst));
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -1,5 +1,5 @@
 //! Operators' calls at a node's desk, answered for the whole fleet (§8.2).
-use crate::{Fleet, report};
+use crate::{ClusterNode, report};
 use quincehatch_config::configuration::Configuration;
 use quincehatch_core::{ErrorCode, Error, Name};
 use quincehatch_gossip::{NodeQuery, NodeReply};
@@ -12,12 +12,12 @@
 const PUSH: Duration = Duration::from_secs(12);
 const READ: Duration = Duration::from_secs(2);
 
-pub async fn answer(f: &Arc<Fleet>, what: &str, b: &Value) -> Result<Value, Error> {
+pub async fn answer(f: &Arc<ClusterNode>, what: &str, b: &Value) -> Result<Value, Error> {
     let txt = |k: &str| b.get(k).and_then(Value::as_str).unwrap_or_default().to_owned();
     match what {
         "status" => Ok(status(f).await),
         "nodes" => Ok(fan_out(f, "node", "").await),
-        "servers" => Ok(json!({"node": f.node.settings.name, "servers": report::of(f, "servers", "")})),
+        "servers" => Ok(json!({"node": f.proxy.settings.name, "servers": report::of(f, "servers", "")})),
         "placements" => placements(f),
         "push" => push(f, &txt("text"), b).await,
         "history" => history(f).await,
@@ -32,23 +32,23 @@
         }
         "promote" => {
             let g: Name = txt("group").into();
-            if f.node.registry.primary(&g).is_none() {
+            if f.proxy.registry.primary(&g).is_none() {
                 return Err(ErrorCode::NoSuchServer.with_detail(format_args!("no group is called {g:?}")));
             }
             let to = Some(Name::from(txt("to"))).filter(|t| !t.is_empty());
             let ask = to.as_ref().map_or_else(String::new, |t| t.to_string());
             let key = format!("{g}={ask}").into();
-            let live: Vec<Name> = f.mesh.live().into_iter().map(|(n, _)| n).collect();
+            let live: Vec<Name> = f.gossip.live_nodes().into_iter().map(|(n, _)| n).collect();
             let owner =
                 quincehatch_gossip::duty::owner(&quincehatch_store::store::promotion_duty_key(&g), &live).cloned();
             let owner = owner.ok_or_else(|| ErrorCode::NoMajority.without_detail())?;
-            f.mesh.ask(&owner, NodeQuery::Report { what: "ask-promote".into(), key }).await?;
+            f.gossip.query(&owner, NodeQuery::Report { what: "ask-promote".into(), key }).await?;
             Ok(json!({"asked": owner, "group": g}))
         }
         "drain" => {
             let key = if b.get("undo").is_some() { "off" } else { "on" };
             let ask = NodeQuery::Report { what: "drain".into(), key: key.into() };
-            match f.mesh.ask(&txt("name"), ask).await? {
+            match f.gossip.query(&txt("name"), ask).await? {
                 NodeReply::Report { json } => Ok(json!({"node": txt("name"),
                     "answer": serde_json::from_str::<Value>(&json).unwrap_or(Value::Null)})),
                 _ => Err(ErrorCode::Unreachable.without_detail()),
@@ -60,10 +60,10 @@
 }
 
 /// Every node's account, side by side; one that does not answer is listed as silent.
-async fn fan_out(f: &Arc<Fleet>, what: &str, key: &str) -> Value {
-    let mut names: Vec<Name> = f.mesh.mesh.lock().unwrap().member_records().into_iter().map(|r| r.name).collect();
-    names.push(f.mesh.me.clone());
-    let got = f.mesh.ask_all(names, NodeQuery::Report { what: what.into(), key: key.into() }).await;
+async fn fan_out(f: &Arc<ClusterNode>, what: &str, key: &str) -> Value {
+    let mut names: Vec<Name> = f.gossip.membership.lock().unwrap().member_records().into_iter().map(|r| r.name).collect();
+    names.push(f.gossip.local_name.clone());
+    let got = f.gossip.query_all(names, NodeQuery::Report { what: what.into(), key: key.into() }).await;
     let rows = got.into_iter().map(|(n, r)| match r {
         Some(NodeReply::Report { json }) => {
             let v: Value = serde_json::from_str(&json).unwrap_or(Value::Null);
@@ -74,10 +74,10 @@
     json!({"nodes": rows.collect::<Vec<_>>()})
 }
 
-async fn status(f: &Arc<Fleet>) -> Value {
+async fn status(f: &Arc<ClusterNode>) -> Value {
     let keepers: Vec<Value> = f
-        .chain
-        .all()
+        .store_client
+        .keeper_statuses()
         .await
         .into_iter()
         .map(|(name, addr, st)| {
@@ -91,8 +91,8 @@
             )
         })
         .collect();
-    let v = f.chain.view();
-    let plan = f.node.registry.cluster_state();
+    let v = f.store_client.view();
+    let plan = f.proxy.registry.cluster_state();
     let leads: Vec<Value> = plan
         .primaries
         .iter()
@@ -103,11 +103,11 @@
         "nodes": nodes["nodes"]})
 }
 
-fn placements(f: &Fleet) -> Result<Value, Error> {
-    let plan = f.node.registry.cluster_state();
+fn placements(f: &ClusterNode) -> Result<Value, Error> {
+    let plan = f.proxy.registry.cluster_state();
     let bp = plan.configuration.clone().ok_or_else(|| ErrorCode::NoConfiguration.without_detail())?;
     let of = |p: &quincehatch_config::configuration::Placement| -> Vec<Name> {
-        f.node.registry.servers_in_placement(&bp, p).iter().map(|r| r.name.clone()).collect()
+        f.proxy.registry.servers_in_placement(&bp, p).iter().map(|r| r.name.clone()).collect()
     };
     let rows: Vec<Value> = bp
         .placements
@@ -119,9 +119,9 @@
         .collect();
     // Where districts are listed, one that is not has no labels there: its servers and nodes may be missed.
     let mut here: std::collections::BTreeSet<Name> =
-        f.node.registry.servers().iter().map(|r| r.zone()).collect();
-    here.extend(f.mesh.mesh.lock().unwrap().member_records().into_iter().map(|r| r.zone));
-    here.insert(f.node.settings.zone.as_str().into());
+        f.proxy.registry.servers().iter().map(|r| r.zone()).collect();
+    here.extend(f.gossip.membership.lock().unwrap().member_records().into_iter().map(|r| r.zone));
+    here.insert(f.proxy.settings.zone.as_str().into());
     let unknown: Vec<Name> =
         here.into_iter().filter(|d| !bp.zones.is_empty() && bp.zone(d).is_none()).collect();
     Ok(
@@ -154,18 +154,18 @@
     }
 }
 
-async fn push(f: &Fleet, text: &str, b: &Value) -> Result<Value, Error> {
-    let bp = match f.node.registry.cluster_state().configuration.clone().filter(|_| seam::injected_bug("taken-invalid")) {
+async fn push(f: &ClusterNode, text: &str, b: &Value) -> Result<Value, Error> {
+    let bp = match f.proxy.registry.cluster_state().configuration.clone().filter(|_| seam::injected_bug("taken-invalid")) {
         Some(old) => Configuration::parse(text).unwrap_or_else(|_| old.as_ref().clone()),
         None => Configuration::parse(text)?,
     };
     let json = bp.to_stored_json();
-    let FeedState { configuration_version: version, configuration_json: old, .. } = f.known.lock().unwrap().clone();
+    let FeedState { configuration_version: version, configuration_json: old, .. } = f.feed_state.lock().unwrap().clone();
     let diff = diff(&old, &json);
     let empty: Vec<&str> = bp
         .placements
         .iter()
-        .filter(|p| f.node.registry.servers_in_placement(&bp, p).is_empty())
+        .filter(|p| f.proxy.registry.servers_in_placement(&bp, p).is_empty())
         .map(|p| p.name.as_str())
         .collect();
     if b.get("dry_run").and_then(Value::as_bool) == Some(true) {
@@ -176,14 +176,14 @@
     let key = key.ok_or_else(|| ErrorCode::Malformed.with_detail("a push needs a key of 1 to 128 bytes"))?;
     let by = b.get("by").and_then(Value::as_str).unwrap_or("operator").into();
     let cmd = Command::PushConfiguration { base, text: json, by };
-    match f.chain.write(&format!("push/{key}"), cmd, PUSH).await? {
+    match f.store_client.write(&format!("push/{key}"), cmd, PUSH).await? {
         Answer::Version(e) => Ok(json!({"version": e, "diff": diff, "no_server_yet": empty})),
         _ => Err(ErrorCode::ChainUnavailable.with_detail("an answer that is none")),
     }
 }
 
-async fn history(f: &Fleet) -> Result<Value, Error> {
-    let s = f.chain.read(READ).await?;
+async fn history(f: &ClusterNode) -> Result<Value, Error> {
+    let s = f.store_client.read_store(READ).await?;
     let rows: Vec<Value> = s
         .history
         .iter()
@@ -196,18 +196,18 @@
 }
 
 /// A new version with an old one's content.
-async fn rollback(f: &Fleet, b: &Value) -> Result<Value, Error> {
+async fn rollback(f: &ClusterNode, b: &Value) -> Result<Value, Error> {
     let want = b.get("version").and_then(Value::as_u64).unwrap_or(0);
-    let had = f.chain.read(READ).await?;
+    let had = f.store_client.read_store(READ).await?;
     let kept = had.history_entry(want).ok_or_else(|| ErrorCode::NoSuchVersion.with_detail(want))?;
     push(f, &kept.text, b).await
 }
 
 /// The disk machines; with a change, one comes or goes (§5.3).
-async fn members(f: &Fleet, b: &Value) -> Result<Value, Error> {
-    let any = f.chain.any();
-    f.chain.learn_from(&any).await;
-    let v = f.chain.view();
+async fn members(f: &ClusterNode, b: &Value) -> Result<Value, Error> {
+    let any = f.store_client.next_keeper();
+    f.store_client.refresh_view_from(&any).await;
+    let v = f.store_client.view();
     let add = b.get("add").and_then(Value::as_str).and_then(|a| a.split_once('='));
     let gone = b.get("remove").and_then(Value::as_str);
     let mut machines = v.voters.clone();
@@ -223,7 +223,7 @@
     }
     // A machine that does not answer would count towards the majorities and hold the chain up.
     if let Some((n, a)) = add {
-        let st = f.chain.ask(a, Request::Status, Duration::from_millis(700)).await;
+        let st = f.store_client.call(a, Request::Status, Duration::from_millis(700)).await;
         if !matches!(&st, Ok(Reply::Status { status }) if status.name == n) {
             let why = format!("no keeper {n} answers at {a}; start it with --join first");
             return Err(ErrorCode::MembershipChangeRejected.with_detail(why));
@@ -231,14 +231,14 @@
     }
     for _ in 0..12 {
         let ask = Request::ChangeVoters { version: v.version, voters: machines.clone() };
-        if let Ok(Reply::Rejected { error: why }) = f.chain.ask(&f.chain.head(), ask, Duration::from_secs(1)).await
+        if let Ok(Reply::Rejected { error: why }) = f.store_client.call(&f.store_client.head_address(), ask, Duration::from_secs(1)).await
             && !why.has_code(ErrorCode::MembershipChangeRejected)
         {
             return Err(why);
         }
         seam::sleep(Duration::from_millis(400)).await;
-        f.chain.learn_from(&f.chain.head()).await;
-        let now = f.chain.view();
+        f.store_client.refresh_view_from(&f.store_client.head_address()).await;
+        let now = f.store_client.view();
         if now.voters == machines {
             return Ok(json!({"view": now}));
         }
--- a/crates/node/src/promoting.rs
+++ b/crates/node/src/promoting.rs
@@ -1,8 +1,8 @@
 //! Drives one promotion's steps against chain, servers and platform (§5.5).
 use crate::fencing::{Taken, next_fence};
-use crate::{Fleet, held_promotion};
+use crate::{ClusterNode, held_promotion};
 use quincehatch_core::{ErrorCode, FencingToken, Name};
-use quincehatch_failover::promotion::{In, Out, Plan, Promotion};
+use quincehatch_failover::promotion::{PromotionEvent, PromotionAction, PromotionPlan, Promotion};
 use quincehatch_gossip::{NodeQuery, NodeReply};
 use quincehatch_proxy::platform_api::{self, PromotionOutcome};
 use quincehatch_runtime::now;
@@ -18,45 +18,45 @@
 const WRITE: Duration = Duration::from_secs(8);
 const CALL: Duration = Duration::from_millis(900);
 
-type Back = mpsc::UnboundedSender<(String, In)>;
+type Back = mpsc::UnboundedSender<(String, PromotionEvent)>;
 
-pub async fn promote(f: Arc<Fleet>, plan: Plan) {
+pub async fn promote(f: Arc<ClusterNode>, plan: PromotionPlan) {
     let (tx, mut rx) = mpsc::unbounded_channel();
     let began = now();
     let (mut p, outs) = Promotion::new(began, plan.clone());
     // What is on its way is not asked again; the step asks as often as it likes.
     let mut going: BTreeSet<String> = BTreeSet::new();
     act(&f, &plan, outs, &tx, &mut going);
-    while !p.over() {
+    while !p.is_finished() {
         let i = seam::timeout(Duration::from_millis(50), rx.recv()).await;
         let i = match i {
             Ok(Some((what, i))) => {
                 going.remove(&what);
                 i
             }
-            _ => In::Tick,
+            _ => PromotionEvent::Tick,
         };
         let outs = p.step(now(), i);
         act(&f, &plan, outs, &tx, &mut going);
     }
-    f.duty.tell(format!("promotion in {} ended {:?} after {} ms", plan.group, p.phase, now() - began));
+    f.promotion_state.record_event(format!("promotion in {} ended {:?} after {} ms", plan.group, p.phase, now() - began));
 }
 
-fn act(f: &Arc<Fleet>, plan: &Plan, outs: Vec<Out>, tx: &Back, going: &mut BTreeSet<String>) {
+fn act(f: &Arc<ClusterNode>, plan: &PromotionPlan, outs: Vec<PromotionAction>, tx: &Back, going: &mut BTreeSet<String>) {
     for o in outs {
         let what = match &o {
-            Out::Say(s) => {
-                f.duty.tell(s.clone());
+            PromotionAction::Log(s) => {
+                f.promotion_state.record_event(s.clone());
                 // The simulator may have this process die or stand still just here (§9.1).
                 seam::trace_point(s);
                 continue;
             }
-            Out::TakeFence { .. } => "fence".to_owned(),
-            Out::SetLead { key, .. } => key.to_string(),
-            Out::FenceServer { server, .. } => format!("fence {server}"),
-            Out::Promote { server, .. } => format!("promote {server}"),
-            Out::CountOpen => "count".to_owned(),
-            Out::AskAcked => "acked".to_owned(),
+            PromotionAction::AcquireFence { .. } => "fence".to_owned(),
+            PromotionAction::WritePrimary { key, .. } => key.to_string(),
+            PromotionAction::FenceServer { server, .. } => format!("fence {server}"),
+            PromotionAction::PromoteServer { server, .. } => format!("promote {server}"),
+            PromotionAction::CountInFlight => "count".to_owned(),
+            PromotionAction::QueryAcknowledged => "acked".to_owned(),
         };
         if going.insert(what.clone()) {
             let (f, plan, tx) = (f.clone(), plan.clone(), tx.clone());
@@ -68,81 +68,81 @@
     }
 }
 
-async fn one(f: &Arc<Fleet>, plan: &Plan, o: Out) -> In {
+async fn one(f: &Arc<ClusterNode>, plan: &PromotionPlan, o: PromotionAction) -> PromotionEvent {
     match o {
         // Servers met over held links are asked in other ways (§3.6).
-        Out::FenceServer { server, .. } if f.ports.is_some() => {
+        PromotionAction::FenceServer { server, .. } if f.ports.is_some() => {
             held_promotion::stand_still(f, plan, server).await
         }
         // Whoever took a higher fence names another: a call of this one would only stir the group up.
-        Out::Promote { fence, .. } if f.known.lock().unwrap().fence(&promotion_duty_key(&plan.group)) > fence => {
-            In::Overtaken
+        PromotionAction::PromoteServer { fence, .. } if f.feed_state.lock().unwrap().fence(&promotion_duty_key(&plan.group)) > fence => {
+            PromotionEvent::Superseded
         }
-        Out::Promote { server, fence, .. } if f.ports.is_some() => {
+        PromotionAction::PromoteServer { server, fence, .. } if f.ports.is_some() => {
             held_promotion::promote_one(f, plan, server, fence).await
         }
-        Out::CountOpen if f.ports.is_some() => {
+        PromotionAction::CountInFlight if f.ports.is_some() => {
             held_promotion::drained(f, plan, count_open(f, &plan.group).await).await
         }
-        Out::AskAcked => held_promotion::acked(f, plan).await,
-        Out::TakeFence { key } => {
-            let over = PrimaryState { fence: plan.over, primary: plan.lead.clone() };
-            match next_fence(f, &key, &plan.group, &plan.by, over, WRITE).await {
-                Taken::Fence(fence) => In::Fence(fence),
-                Taken::TooLate => In::Overtaken,
-                Taken::InDoubt => In::Tick,
+        PromotionAction::QueryAcknowledged => held_promotion::acked(f, plan).await,
+        PromotionAction::AcquireFence { key } => {
+            let over = PrimaryState { fence: plan.expected_fence, primary: plan.primary.clone() };
+            match next_fence(f, &key, &plan.group, &plan.coordinator, over, WRITE).await {
+                Taken::Fence(fence) => PromotionEvent::FenceAcquired(fence),
+                Taken::TooLate => PromotionEvent::Superseded,
+                Taken::InDoubt => PromotionEvent::Tick,
             }
         }
-        Out::SetLead { key, lead } => {
-            let (named, list) = (lead.server.is_some(), !lead.voters.is_empty());
-            let cmd = Command::AssignPrimary { group: plan.group.clone(), primary: lead };
-            match f.chain.write(&key, cmd, WRITE).await {
-                Ok(Answer::Lead(_)) if named => In::Named,
-                Ok(Answer::Lead(_)) if list => In::Listed,
-                Ok(Answer::Lead(lead)) => In::Closed(lead),
-                Ok(_) => In::Tick,
-                Err(b) if b.has_code(ErrorCode::StaleFence) => In::Overtaken,
-                Err(_) => In::Tick,
+        PromotionAction::WritePrimary { key, primary } => {
+            let (named, list) = (primary.server.is_some(), !primary.voters.is_empty());
+            let cmd = Command::AssignPrimary { group: plan.group.clone(), primary: primary };
+            match f.store_client.write(&key, cmd, WRITE).await {
+                Ok(Answer::Lead(_)) if named => PromotionEvent::PrimaryAnnounced,
+                Ok(Answer::Lead(_)) if list => PromotionEvent::VotersRecorded,
+                Ok(Answer::Lead(lead)) => PromotionEvent::PrimaryClosed(lead),
+                Ok(_) => PromotionEvent::Tick,
+                Err(b) if b.has_code(ErrorCode::StaleFence) => PromotionEvent::Superseded,
+                Err(_) => PromotionEvent::Tick,
             }
         }
-        Out::FenceServer { server, fence } => fence_one(f, server, fence).await,
-        Out::Promote { server, fence, counts } => promote_one(f, plan, server, fence, &counts).await,
-        Out::CountOpen => count_open(f, &plan.group).await,
-        Out::Say(_) => In::Tick,
+        PromotionAction::FenceServer { server, fence } => fence_one(f, server, fence).await,
+        PromotionAction::PromoteServer { server, fence, voters } => promote_one(f, plan, server, fence, &voters).await,
+        PromotionAction::CountInFlight => count_open(f, &plan.group).await,
+        PromotionAction::Log(_) => PromotionEvent::Tick,
     }
 }
 
 /// Nodes that do not answer may have work under way; the drain's own bound ends the wait for them.
-async fn count_open(f: &Fleet, group: &Name) -> In {
-    let live = f.mesh.live().into_iter().map(|(n, _)| n).collect();
-    let got = f.mesh.ask_all(live, NodeQuery::InFlight { group: group.clone() }).await;
+async fn count_open(f: &ClusterNode, group: &Name) -> PromotionEvent {
+    let live = f.gossip.live_nodes().into_iter().map(|(n, _)| n).collect();
+    let got = f.gossip.query_all(live, NodeQuery::InFlight { group: group.clone() }).await;
     let none = got.iter().all(|(_, r)| matches!(r, Some(NodeReply::InFlight { count: 0 })));
-    if none { In::Drained } else { In::Tick }
+    if none { PromotionEvent::Drained } else { PromotionEvent::Tick }
 }
 
-async fn fence_one(f: &Fleet, server: Name, fence: FencingToken) -> In {
-    let Some(row) = f.node.registry.server(&server) else { return In::Tick };
+async fn fence_one(f: &ClusterNode, server: Name, fence: FencingToken) -> PromotionEvent {
+    let Some(row) = f.proxy.registry.server(&server) else { return PromotionEvent::Tick };
     if seam::injected_bug("unfenced") {
-        return In::Fenced(server, row.heartbeat.read().unwrap().log_end);
+        return PromotionEvent::ServerFenced(server, row.heartbeat.read().unwrap().log_end);
     }
     let (path, body) = quincehatch_proxy::server_protocol::call::fence(fence);
-    let Some(r) = f.node.call_once(&row.addr(), path, body, CALL).await else { return In::Tick };
+    let Some(r) = f.proxy.call_once(&row.addr(), path, body, CALL).await else { return PromotionEvent::Tick };
     if r.has_error_code(quincehatch_proxy::server_protocol::FENCE_LOW) {
-        return In::Overtaken;
+        return PromotionEvent::Superseded;
     }
     match r.status().filter(|s| s.stamp.server == server && s.stamp.fence == fence) {
-        Some(s) => In::Fenced(server, s.log_end()),
-        None => In::Tick,
+        Some(s) => PromotionEvent::ServerFenced(server, s.log_end()),
+        None => PromotionEvent::Tick,
     }
 }
 
-async fn promote_one(f: &Fleet, plan: &Plan, server: Name, fence: FencingToken, counts: &[Name]) -> In {
-    let Some(row) = f.node.registry.server(&server) else { return In::NotPromoted(server) };
-    let (path, body) = platform_api::promote(&plan.group, &server, &row.addr(), fence, &plan.by, counts);
-    let status = post_once(&f.node.settings.platform, path, &body, CALL).await.ok().map(|r| r.0);
+async fn promote_one(f: &ClusterNode, plan: &PromotionPlan, server: Name, fence: FencingToken, counts: &[Name]) -> PromotionEvent {
+    let Some(row) = f.proxy.registry.server(&server) else { return PromotionEvent::ServerNotPromoted(server) };
+    let (path, body) = platform_api::promote(&plan.group, &server, &row.addr(), fence, &plan.coordinator, counts);
+    let status = post_once(&f.proxy.settings.platform, path, &body, CALL).await.ok().map(|r| r.0);
     match platform_api::promotion_outcome(status) {
-        PromotionOutcome::Done => In::Promoted(server),
-        PromotionOutcome::Superseded => In::Overtaken,
-        PromotionOutcome::InDoubt => In::NotPromoted(server),
+        PromotionOutcome::Done => PromotionEvent::ServerPromoted(server),
+        PromotionOutcome::Superseded => PromotionEvent::Superseded,
+        PromotionOutcome::InDoubt => PromotionEvent::ServerNotPromoted(server),
     }
 }
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -1,40 +1,40 @@
 //! A node's accounts of itself, as JSON for operators (§8.2). Never statement text, parameters or rows.
-use crate::Fleet;
+use crate::ClusterNode;
 use quincehatch_proxy::registry::ServerEntry;
 use quincehatch_proxy::read::health_label;
 use quincehatch_runtime::now;
 use serde_json::{Value, json};
 use std::sync::atomic::Ordering;
 
-pub fn of(f: &Fleet, what: &str, key: &str) -> Value {
+pub fn of(f: &ClusterNode, what: &str, key: &str) -> Value {
     match what {
         "node" => node(f),
-        "servers" => Value::Array(f.node.registry.servers().iter().map(|r| server(f, r)).collect()),
-        "server" => f.node.registry.server(key).map_or(Value::Null, |r| turns(f, &r)),
+        "servers" => Value::Array(f.proxy.registry.servers().iter().map(|r| server(f, r)).collect()),
+        "server" => f.proxy.registry.server(key).map_or(Value::Null, |r| turns(f, &r)),
         "visit" => visit(f, key),
-        "promotions" => json!(*f.duty.told.lock().unwrap()),
+        "promotions" => json!(*f.promotion_state.events.lock().unwrap()),
         "ask-promote" => {
             let (g, to) = key.split_once('=').unwrap_or((key, ""));
             let to = Some(quincehatch_core::Name::from(to)).filter(|t| !t.is_empty());
-            f.duty.wants.lock().unwrap().insert(g.into(), to);
+            f.promotion_state.handover_requests.lock().unwrap().insert(g.into(), to);
             json!(true)
         }
         "drain" => {
             let on = key != "off";
-            f.node.registry.draining.store(on, Ordering::SeqCst);
+            f.proxy.registry.draining.store(on, Ordering::SeqCst);
             log::info!(target: "node", "draining is {}", if on { "on" } else { "off" });
-            json!({"draining": on, "sessions": f.node.sessions.len(), "in_hand": f.node.requests_in_flight.load(Ordering::Relaxed)})
+            json!({"draining": on, "sessions": f.proxy.sessions.len(), "in_hand": f.proxy.requests_in_flight.load(Ordering::Relaxed)})
         }
         _ => Value::Null,
     }
 }
 
-fn node(f: &Fleet) -> Value {
-    let n = &f.node;
+fn node(f: &ClusterNode) -> Value {
+    let n = &f.proxy;
     let plan = n.registry.cluster_state();
     let ready = n.readiness();
     let c = |a: &std::sync::atomic::AtomicU64| a.load(Ordering::Relaxed);
-    let mesh = f.mesh.mesh.lock().unwrap();
+    let mesh = f.gossip.membership.lock().unwrap();
     json!({
         "name": n.settings.name, "district": n.settings.zone, "door": n.settings.client_listener, "desk": n.settings.operator_listener,
         "ready": ready.is_ok(),
@@ -43,19 +43,19 @@
             if r > 0 { format!("reduced: {} group(s) without a reachable primary", r) } else { String::new() }
         }),
         "lease_ms": n.registry.lease_remaining(), "version": plan.version, "change": plan.number,
-        "sessions": n.sessions.len(), "copies": f.mesh.table.lock().unwrap().len(),
+        "sessions": n.sessions.len(), "copies": f.gossip.replicas.lock().unwrap().len(),
         "in_hand": n.requests_in_flight.load(Ordering::Relaxed),
         "kept": c(&n.outcome_counts.committed), "nothing": c(&n.outcome_counts.not_applied), "unknown": c(&n.outcome_counts.unknown),
         "live": mesh.live().len(), "view": mesh.view(), "letters": mesh.messages_sent,
     })
 }
 
-fn server(f: &Fleet, r: &ServerEntry) -> Value {
+fn server(f: &ClusterNode, r: &ServerEntry) -> Value {
     let b = r.heartbeat.read().unwrap().clone();
     let st = r.status.lock().unwrap().clone();
     let (links, idle) = r.pool.slots.count();
     let h = r.health.lock().unwrap();
-    let lead = f.node.registry.primary(b.group());
+    let lead = f.proxy.registry.primary(b.group());
     let leads = lead.is_some_and(|l| l.server.as_ref() == Some(&r.name));
     json!({
         "server": r.name, "addr": b.addr, "labels": b.labels, "role": b.role, "leads": leads,
@@ -67,7 +67,7 @@
     })
 }
 
-fn turns(f: &Fleet, r: &ServerEntry) -> Value {
+fn turns(f: &ClusterNode, r: &ServerEntry) -> Value {
     let h = r.health.lock().unwrap();
     let t: Vec<Value> = h
         .transitions
@@ -82,12 +82,12 @@
         })
         .collect();
     let next = (!h.is_healthy()).then(|| h.ejected_until.saturating_sub(now()));
-    json!({"node": f.node.settings.name, "server": r.name, "verdict": health_label(h.state), "trial_in_ms": next, "turns": t})
+    json!({"node": f.proxy.settings.name, "server": r.name, "verdict": health_label(h.state), "trial_in_ms": next, "turns": t})
 }
 
-fn visit(f: &Fleet, key: &str) -> Value {
+fn visit(f: &ClusterNode, key: &str) -> Value {
     let Ok(id) = key.parse::<u64>() else { return Value::Null };
-    let p = f.node.traces.lock().unwrap();
+    let p = f.proxy.traces.lock().unwrap();
     p.iter().rev().find(|r| r.id == id).map_or(Value::Null, |r| {
         json!({"visit": r.id, "what": r.operation, "ms": r.duration_ms, "code": r.code, "where": r.site, "path": r.steps})
     })
--- a/crates/node/src/server_queries.rs
+++ b/crates/node/src/server_queries.rs
@@ -1,5 +1,5 @@
 //! Questions of the control plane to servers met over held links: one kept link a server (§3.6, §5.5).
-use crate::Fleet;
+use crate::ClusterNode;
 use quincehatch_core::{Millis, Name, Position, Role};
 use quincehatch_proxy::ports::{ServerCall, ServerConnection, ServerStatus, RejectReason, ServerReply};
 use quincehatch_runtime::{now, seam};
@@ -46,19 +46,19 @@
 }
 
 /// Asks a server; what it says of itself is kept, and so is that it answered or did not.
-pub async fn ask(f: &Fleet, server: &Name, call: ServerCall) -> Option<ServerStatus> {
-    let row = f.node.registry.server(server)?;
+pub async fn ask(f: &ClusterNode, server: &Name, call: ServerCall) -> Option<ServerStatus> {
+    let row = f.proxy.registry.server(server)?;
     let asked = now();
     let got = seam::timeout(WITHIN, once(f, server, row.addr(), row.group(), &call)).await;
     match got.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())) {
         Ok(said) => {
             row.note_answer(asked);
             let look = said.status?;
-            let leads = || f.node.registry.primary(&row.group()).is_some_and(|l| l.server.as_ref() == Some(server));
+            let leads = || f.proxy.registry.primary(&row.group()).is_some_and(|l| l.server.as_ref() == Some(server));
             if look.role == Role::Primary && leads() {
-                f.node.registry.record_primary_position(&row.group(), asked, look.received);
+                f.proxy.registry.record_primary_position(&row.group(), asked, look.received);
             }
-            let mut looks = f.duty.asking.looks.lock().unwrap();
+            let mut looks = f.promotion_state.server_queries.looks.lock().unwrap();
             if looks.get(server).is_none_or(|(at, _)| *at <= asked) {
                 looks.insert(server.clone(), (asked, look));
             }
@@ -72,13 +72,13 @@
 }
 
 /// Over the kept link if it still holds, else over a new one.
-async fn once(f: &Fleet, server: &Name, addr: Name, group: Name, call: &ServerCall) -> io::Result<ServerReply> {
-    let kept = f.duty.asking.links.lock().unwrap().remove(server);
+async fn once(f: &ClusterNode, server: &Name, addr: Name, group: Name, call: &ServerCall) -> io::Result<ServerReply> {
+    let kept = f.promotion_state.server_queries.links.lock().unwrap().remove(server);
     if let Some((at, _, mut line)) = kept.filter(|(at, _, _)| *at == addr)
         && line.broken().is_none()
         && let Ok(said) = line.call(call).await
     {
-        f.duty.asking.links.lock().unwrap().insert(server.clone(), (at, now(), line));
+        f.promotion_state.server_queries.links.lock().unwrap().insert(server.clone(), (at, now(), line));
         return Ok(said);
     }
     let none = || io::Error::from(io::ErrorKind::Unsupported);
@@ -86,7 +86,7 @@
     match ports.servers.connect(addr.clone(), group, server.clone(), KeepaliveSettings::default()).await? {
         Ok((mut line, _)) => {
             let said = line.call(call).await?;
-            f.duty.asking.links.lock().unwrap().insert(server.clone(), (addr, now(), line));
+            f.promotion_state.server_queries.links.lock().unwrap().insert(server.clone(), (addr, now(), line));
             Ok(said)
         }
         // Another server is there now: this one is not.
@@ -97,9 +97,9 @@
 }
 
 /// Makes a server's log stand still: a replica is suspended, a primary of a lower term leads no more. Its log's end.
-pub async fn stand_still(f: &Fleet, server: &Name, all: &[Name]) -> Option<Position> {
+pub async fn stand_still(f: &ClusterNode, server: &Name, all: &[Name]) -> Option<Position> {
     let look = ask(f, server, ServerCall::Status).await?;
-    let term = f.duty.asking.newest(all) + 1;
+    let term = f.promotion_state.server_queries.newest(all) + 1;
     let call = match look.role {
         Role::Primary => ServerCall::Demote { term },
         Role::Replica => ServerCall::Suspend { term },
--- a/crates/node/src/chain_client.rs
+++ b/crates/node/src/store_client.rs
@@ -12,14 +12,14 @@
 /// A keeper that does not tell its view in this time is passed over.
 const LOOK: Duration = Duration::from_millis(400);
 
-pub struct Chain {
+pub struct StoreClient {
     keepers: Mutex<Vec<String>>,
     view: Mutex<View>,
     at: Mutex<usize>,
     caller: Arc<Caller>,
 }
 
-impl Chain {
+impl StoreClient {
     /// Asks those keepers, in the name of `me`.
     pub fn new(me: &str, keepers: &[String]) -> Self {
         Self {
@@ -30,12 +30,12 @@
         }
     }
     /// The settings name other keepers now.
-    pub fn told(&self, keepers: &[String]) {
+    pub fn set_keepers(&self, keepers: &[String]) {
         if !keepers.is_empty() {
             *self.keepers.lock().unwrap() = keepers.to_vec();
         }
     }
-    pub async fn ask(&self, addr: &str, ask: Request, within: Duration) -> Result<Reply, Error> {
+    pub async fn call(&self, addr: &str, ask: Request, within: Duration) -> Result<Reply, Error> {
         let name = self.name_at(addr);
         let to = match &name {
             Some(name) if !matches!(ask, Request::Status) => Destination::process(name, addr),
@@ -55,14 +55,14 @@
     pub fn view(&self) -> View {
         self.view.lock().unwrap().clone()
     }
-    pub fn learn(&self, v: View) {
+    pub fn learn_view(&self, v: View) {
         let mut cur = self.view.lock().unwrap();
         if v.version > cur.version {
             *cur = v;
         }
     }
     /// Some keeper, another at each call.
-    pub fn any(&self) -> String {
+    pub fn next_keeper(&self) -> String {
         let mut at = self.at.lock().unwrap();
         *at += 1;
         let v = self.view();
@@ -74,24 +74,24 @@
             told[*at % told.len()].clone()
         })
     }
-    pub fn head(&self) -> String {
+    pub fn head_address(&self) -> String {
         let v = self.view();
-        v.head().and_then(|h| v.addr(h)).map_or_else(|| self.any(), |a| a.to_string())
+        v.head().and_then(|h| v.addr(h)).map_or_else(|| self.next_keeper(), |a| a.to_string())
     }
-    pub fn tail(&self) -> String {
+    pub fn tail_address(&self) -> String {
         let v = self.view();
-        v.tail().and_then(|t| v.addr(t)).map_or_else(|| self.any(), |a| a.to_string())
+        v.tail().and_then(|t| v.addr(t)).map_or_else(|| self.next_keeper(), |a| a.to_string())
     }
 
     /// Writes, wherever the head is by then.
     pub async fn write(&self, key: &str, cmd: Command, within: Duration) -> Result<Answer, Error> {
         let until = now() + within.as_millis() as u64;
-        let mut to = self.head();
+        let mut to = self.head_address();
         loop {
             let ask = Request::Write { key: Name::from(key), command: cmd.clone() };
             let left = Duration::from_millis(until.saturating_sub(now()).clamp(1, 9_000));
             // A head that went dark does not even decline: whoever waits on it looks where the head is by now.
-            let got = match seam::select_first(self.ask(&to, ask, left), self.headed_elsewhere(&to)).await {
+            let got = match seam::select_first(self.call(&to, ask, left), self.headed_elsewhere(&to)).await {
                 Ok(got) => got,
                 Err(head) => {
                     to = head;
@@ -102,9 +102,9 @@
                 Ok(Reply::Answer { answer: Answer::Rejected(b), .. }) => return Err(b),
                 Ok(Reply::Answer { answer, .. }) => return Ok(answer),
                 Ok(Reply::Redirect { view }) => {
-                    self.learn(view);
-                    if self.head() == to {
-                        self.look().await;
+                    self.learn_view(view);
+                    if self.head_address() == to {
+                        self.refresh_view().await;
                     }
                     ErrorCode::ChainUnavailable.with_detail("the chain is being mended")
                 }
@@ -112,13 +112,13 @@
                 Ok(Reply::Rejected { error: why }) => {
                     // A head whose disk refuses declines at once: others may go on without it by now.
                     if why.has_code(ErrorCode::ChainUnavailable) {
-                        self.look().await;
+                        self.refresh_view().await;
                     }
                     why
                 }
                 Ok(_) => ErrorCode::ChainUnavailable.with_detail("an answer that is none"),
                 Err(b) => {
-                    self.look().await;
+                    self.refresh_view().await;
                     b
                 }
             };
@@ -126,56 +126,56 @@
                 return Err(why.with_unknown_outcome().with_retry_after(500));
             }
             seam::sleep(Duration::from_millis(50)).await;
-            to = self.head();
+            to = self.head_address();
         }
     }
     /// Ends once some keeper knows of a view whose head is not `to`.
     async fn headed_elsewhere(&self, to: &str) -> String {
         loop {
             seam::sleep(Duration::from_millis(600)).await;
-            self.look().await;
-            let head = self.head();
+            self.refresh_view().await;
+            let head = self.head_address();
             if head != to {
                 return head;
             }
         }
     }
-    pub async fn learn_from(&self, addr: &str) {
-        if let Ok(Reply::Status { status }) = self.ask(addr, Request::Status, LOOK).await {
-            self.learn(status.view);
+    pub async fn refresh_view_from(&self, addr: &str) {
+        if let Ok(Reply::Status { status }) = self.call(addr, Request::Status, LOOK).await {
+            self.learn_view(status.view);
         }
     }
     /// Asks every keeper that is known, side by side, until one knows of a newer view: whoever is cut off from the
     /// others, or dark, keeps nobody from those that go on (§5.3).
-    pub async fn look(&self) {
+    pub async fn refresh_view(&self) {
         let had = self.view();
         let told = self.keepers.lock().unwrap().clone();
         let mut all: Vec<String> = had.voters.iter().map(|m| m.addr.to_string()).chain(told).collect();
         all.sort();
         all.dedup();
         let asks = all.into_iter().map(|k| async move {
-            self.learn_from(&k).await;
+            self.refresh_view_from(&k).await;
             self.view().version > had.version
         });
         seam::any_true(asks).await;
     }
     /// Where to go on after `to` would not do: what another keeper knows is learned first.
-    pub async fn tail_after(&self, to: &str) -> String {
-        if self.tail() == to {
-            self.look().await;
+    pub async fn tail_after_failure(&self, to: &str) -> String {
+        if self.tail_address() == to {
+            self.refresh_view().await;
         }
-        self.tail()
+        self.tail_address()
     }
 
     /// The operator's document in force, from the tail alone: an older one is never given.
-    pub async fn adopted(&self, within: Duration) -> Result<Option<AdoptedDocument>, Error> {
+    pub async fn read_adopted_document(&self, within: Duration) -> Result<Option<AdoptedDocument>, Error> {
         match self.at_tail(Request::Adopted, within).await? {
             Reply::Adopted { adopted } => Ok(adopted),
             _ => Err(ErrorCode::ChainUnavailable.with_detail("an answer that is none")),
         }
     }
     /// All that the chain holds, from the tail alone.
-    pub async fn read(&self, within: Duration) -> Result<Store, Error> {
+    pub async fn read_store(&self, within: Duration) -> Result<Store, Error> {
         match self.at_tail(Request::ReadStore, within).await? {
             Reply::Store { store } => Ok(*store),
             _ => Err(ErrorCode::ChainUnavailable.with_detail("an answer that is none")),
@@ -186,9 +186,9 @@
         loop {
             let asked = now();
             let left = Duration::from_millis(until.saturating_sub(asked).clamp(1, 400));
-            let to = self.tail();
-            match self.ask(&to, ask.clone(), left).await {
-                Ok(Reply::Redirect { view }) => self.learn(view),
+            let to = self.tail_address();
+            match self.call(&to, ask.clone(), left).await {
+                Ok(Reply::Redirect { view }) => self.learn_view(view),
                 // A process that stood still finds the answer and the end of its patience together: that answer is old.
                 Ok(reply)
                     if now() > asked + left.as_millis() as u64 || matches!(reply, Reply::Rejected { .. }) => {
@@ -196,7 +196,7 @@
                 Ok(reply) => return Ok(reply),
                 Err(_) => {}
             }
-            self.tail_after(&to).await;
+            self.tail_after_failure(&to).await;
             if now() + 50 >= until {
                 return Err(ErrorCode::ChainUnavailable.with_detail("no keeper answers for the chain").with_retry_after(500));
             }
@@ -205,15 +205,15 @@
     }
 
     /// Every keeper's own account, asked side by side.
-    pub async fn all(&self) -> Vec<(Name, Name, Option<KeeperStatus>)> {
+    pub async fn keeper_statuses(&self) -> Vec<(Name, Name, Option<KeeperStatus>)> {
         if self.view().voters.is_empty() {
             let told = self.keepers.lock().unwrap().clone();
             for k in &told {
-                self.learn_from(k).await;
+                self.refresh_view_from(k).await;
             }
         }
         let asks = self.view().voters.into_iter().map(|m| async move {
-            let r = self.ask(&m.addr, Request::Status, Duration::from_millis(700)).await;
+            let r = self.call(&m.addr, Request::Status, Duration::from_millis(700)).await;
             let st = r.ok().and_then(|r| match r {
                 Reply::Status { status } => Some(status),
                 _ => None,
--- a/crates/node/tests/calls.rs
+++ b/crates/node/tests/calls.rs
@@ -1,6 +1,6 @@
 //! What a node does when a keeper takes a call and says nothing (§2.6).
 use quincehatch_core::{ErrorCode, Outcome, Error, Name};
-use quincehatch_node::chain_client::Chain;
+use quincehatch_node::store_client::StoreClient;
 use quincehatch_store::{KeeperRequest, KeeperResponse, KeeperStatus, Voter, Reply, Request, View};
 use quincehatch_wire::{Identity, Incoming, RequestHeader, encode_answer_frame, read_frame, write_frame};
 use std::sync::{Arc, Mutex};
@@ -60,14 +60,14 @@
     }
 }
 
-async fn asked(chain: &Chain, addr: &str, ask: Request) -> Result<Reply, Error> {
-    chain.ask(addr, ask, WITHIN).await
+async fn asked(chain: &StoreClient, addr: &str, ask: Request) -> Result<Reply, Error> {
+    chain.call(addr, ask, WITHIN).await
 }
 
 #[tokio::test]
 async fn a_change_of_machines_arrives_once_and_its_outcome_is_unknown() {
     let (addr, arrived) = keeper("k1").await;
-    let chain = Chain::new("n1", std::slice::from_ref(&addr));
+    let chain = StoreClient::new("n1", std::slice::from_ref(&addr));
     assert!(asked(&chain, &addr, Request::Status).await.is_ok());
     let machines = Request::ChangeVoters { version: 1, voters: view(&addr).voters };
     let error = asked(&chain, &addr, machines).await.unwrap_err();
@@ -79,7 +79,7 @@
 #[tokio::test]
 async fn a_read_is_sent_again_when_a_kept_connection_breaks() {
     let (addr, arrived) = keeper("k1").await;
-    let chain = Chain::new("n1", std::slice::from_ref(&addr));
+    let chain = StoreClient::new("n1", std::slice::from_ref(&addr));
     assert!(asked(&chain, &addr, Request::Status).await.is_ok());
     let error = asked(&chain, &addr, Request::ReadStore).await.unwrap_err();
     assert!(error.has_code(ErrorCode::Unreachable), "{error}");
@@ -90,8 +90,8 @@
 #[tokio::test]
 async fn an_answer_of_another_keeper_is_not_taken() {
     let (addr, _) = keeper("k2").await;
-    let chain = Chain::new("n1", std::slice::from_ref(&addr));
-    chain.learn(view(&addr));
+    let chain = StoreClient::new("n1", std::slice::from_ref(&addr));
+    chain.learn_view(view(&addr));
     // Status is asked of whoever is there.
     assert!(asked(&chain, &addr, Request::Status).await.is_ok());
     assert!(asked(&chain, &addr, Request::ReadStore).await.is_err());
--- a/crates/node/tests/frozen_reader.rs
+++ b/crates/node/tests/frozen_reader.rs
@@ -1,6 +1,6 @@
 //! A reader that stood still hands out no answer of before (§5.2, docs/design-control.md).
 use quincehatch_core::ErrorCode;
-use quincehatch_node::chain_client::Chain;
+use quincehatch_node::store_client::StoreClient;
 use quincehatch_store::{AdoptedDocument, KeeperRequest, KeeperResponse, Reply};
 use quincehatch_wire::{Identity, serve};
 use std::sync::mpsc;
@@ -33,10 +33,10 @@
 #[test]
 fn an_answer_that_waited_out_a_freeze_is_not_handed_out() {
     let (tell, answered) = mpsc::channel();
-    let chain = Chain::new("reader", &[keeper(tell)]);
+    let chain = StoreClient::new("reader", &[keeper(tell)]);
     let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let read = rt.block_on(async {
-        let read = chain.adopted(WITHIN);
+        let read = chain.read_adopted_document(WITHIN);
         // Blocks the reader's only thread from when the question is answered until its time is over.
         let freeze = async {
             loop {
--- a/crates/simulator/src/control/door.rs
+++ b/crates/simulator/src/control/door.rs
@@ -3,7 +3,7 @@
 use super::history::Document;
 use crate::fleet::core::Pid;
 use quincehatch_core::{ErrorCode, Error, Name, messages};
-use quincehatch_node::chain_client::Chain;
+use quincehatch_node::store_client::StoreClient;
 use quincehatch_runtime::seam::{self, BoxFuture};
 use quincehatch_store::Command;
 use quincehatch_store::documents::document_digest;
@@ -26,7 +26,7 @@
 
 pub fn open(cluster: &Arc<Cluster>, pid: Pid, address: &Name, seeds: &[Name]) {
     let keepers: Vec<String> = std::iter::once(address).chain(seeds).map(Name::to_string).collect();
-    let chain = Arc::new(Chain::new(address, &keepers));
+    let chain = Arc::new(StoreClient::new(address, &keepers));
     let on_frame = move |bytes: Vec<u8>| {
         let chain = chain.clone();
         let answer = async move {
@@ -48,7 +48,7 @@
     (key, Command::AdoptDocument { number: document.number, text, source, by })
 }
 
-async fn replace(chain: &Chain, text: String) -> DoorAnswer {
+async fn replace(chain: &StoreClient, text: String) -> DoorAnswer {
     let Some(document) = Document::parse(&text) else { return DoorAnswer::Refused };
     if seam::injected_bug("confirm-by-number") && holds_number(chain, document.number).await {
         return DoorAnswer::Acknowledged;
@@ -63,8 +63,8 @@
 }
 
 /// The deliberate bug's look at the number alone.
-async fn holds_number(chain: &Chain, number: u64) -> bool {
-    let held = chain.adopted(WITHIN).await.ok().flatten();
+async fn holds_number(chain: &StoreClient, number: u64) -> bool {
+    let held = chain.read_adopted_document(WITHIN).await.ok().flatten();
     held.is_some_and(|held| held.number >= number)
 }
 
@@ -73,8 +73,8 @@
     why.has_code(ErrorCode::NumberTaken)
 }
 
-async fn retrieve(chain: &Chain) -> DoorAnswer {
-    match chain.adopted(WITHIN).await {
+async fn retrieve(chain: &StoreClient) -> DoorAnswer {
+    match chain.read_adopted_document(WITHIN).await {
         Ok(adopted) => DoorAnswer::Document { text: adopted.map(|adopted| adopted.source) },
         Err(_) => DoorAnswer::NoClearAnswer,
     }
--- a/crates/simulator/src/control/node.rs
+++ b/crates/simulator/src/control/node.rs
@@ -2,7 +2,7 @@
 use super::cluster::Cluster;
 use super::history::{Applied, Document};
 use quincehatch_core::{ChangeNumber, Millis, Name};
-use quincehatch_node::chain_client::Chain;
+use quincehatch_node::store_client::StoreClient;
 use quincehatch_runtime::{now, seam};
 use quincehatch_store::terms::minus_clock_drift;
 use quincehatch_store::{Answer, Command, FeedState, Reply, Request};
@@ -16,7 +16,7 @@
 struct Node {
     cluster: Arc<Cluster>,
     name: Name,
-    chain: Chain,
+    chain: StoreClient,
     enrolled: ChangeNumber,
     tries: u64,
     known: FeedState,
@@ -38,15 +38,15 @@
 impl Node {
     fn new(cluster: Arc<Cluster>, name: Name) -> Node {
         let seeds: Vec<String> = cluster.addresses().iter().map(Name::to_string).collect();
-        let chain = Chain::new(&name, &seeds);
+        let chain = StoreClient::new(&name, &seeds);
         Node { cluster, name, chain, enrolled: 0, tries: 0, known: FeedState::default(), lease_until: 0 }
     }
 
     async fn run(mut self) {
-        let mut to = self.chain.tail();
+        let mut to = self.chain.tail_address();
         while !self.cluster.stopped() {
             let seeds: Vec<String> = self.cluster.addresses().iter().map(Name::to_string).collect();
-            self.chain.told(&seeds);
+            self.chain.set_keepers(&seeds);
             if self.enrolled == 0 {
                 self.enroll().await;
                 continue;
@@ -73,7 +73,7 @@
         let (node, have) = (self.name.clone(), self.known.last_change);
         let (addr, applied, enrolled) = (node.clone(), self.known.configuration_version, self.enrolled);
         let ask = Request::Feed { node, addr, last_change: have, applied, enrolled };
-        match self.chain.ask(&to, ask, POLL_WITHIN).await {
+        match self.chain.call(&to, ask, POLL_WITHIN).await {
             Ok(Reply::Changes { changes, lease_ms }) => {
                 if changes.iter().all(|change| self.known.apply(change)) {
                     self.lease_until = asked + minus_clock_drift(lease_ms);
@@ -88,13 +88,13 @@
                 }
             }
             Ok(Reply::Redirect { view }) => {
-                self.chain.learn(view);
-                return self.chain.tail_after(&to).await;
+                self.chain.learn_view(view);
+                return self.chain.tail_after_failure(&to).await;
             }
             Ok(Reply::NotEnrolled) => self.enrolled = 0,
             _ => {
-                self.chain.look().await;
-                return self.chain.tail();
+                self.chain.refresh_view().await;
+                return self.chain.tail_address();
             }
         }
         to
--- a/crates/simulator/src/direct/faults.rs
+++ b/crates/simulator/src/direct/faults.rs
@@ -226,7 +226,7 @@
             Fault::HandOver => {
                 for n in &self.nodes {
                     if let Some(live) = n.live() {
-                        live.fleet.duty.wants.lock().unwrap().insert(super::laid::GROUP.into(), None);
+                        live.fleet.promotion_state.handover_requests.lock().unwrap().insert(super::laid::GROUP.into(), None);
                     }
                 }
             }
--- a/crates/simulator/src/direct/laid.rs
+++ b/crates/simulator/src/direct/laid.rs
@@ -5,7 +5,7 @@
 use crate::fleet::keeper::{self, Disk, Keepers};
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::{Name, Role};
-use quincehatch_node::{Fleet, mesh_driver};
+use quincehatch_node::{ClusterNode, gossip};
 use quincehatch_proxy::direct::DirectProxy;
 use quincehatch_runtime::seam;
 use quincehatch_store::keeper::RecoveredState;
@@ -17,7 +17,7 @@
 
 /// One life of a node's process.
 pub struct Live {
-    pub fleet: Arc<Fleet>,
+    pub fleet: Arc<ClusterNode>,
     pub held: Arc<DirectProxy>,
 }
 
@@ -76,17 +76,17 @@
 }
 
 fn start_node(core: &Arc<Core>, pid: Pid, set: &NodeSettings, site: &Arc<Site>) -> Arc<Live> {
-    let fleet = Fleet::with(set, Some(ports::ports(site, pid)));
-    let held = DirectProxy::new(fleet.node.clone(), ports::servers(site, pid));
+    let fleet = ClusterNode::with_ports(set, Some(ports::ports(site, pid)));
+    let held = DirectProxy::new(fleet.proxy.clone(), ports::servers(site, pid));
     let to = fleet.clone();
     let on_frame = move |b: Vec<u8>| {
         let f = to.clone();
-        Box::pin(async move { mesh_driver::respond(&f, &b).await }) as seam::BoxFuture<'_, _>
+        Box::pin(async move { gossip::respond_to_frame(&f, &b).await }) as seam::BoxFuture<'_, _>
     };
     core.listen_frames(&set.gossip_listener, pid, Arc::new(on_frame));
-    fleet.go();
+    fleet.start();
     let f = fleet.clone();
-    seam::spawn(held.clone().trim_idle_connections(move || f.mesh.live().len()));
+    seam::spawn(held.clone().trim_idle_connections(move || f.gossip.live_nodes().len()));
     Arc::new(Live { fleet, held })
 }
 
--- a/crates/simulator/src/direct/operator.rs
+++ b/crates/simulator/src/direct/operator.rs
@@ -2,7 +2,7 @@
 use super::conn::TXN_IDLE;
 use super::laid::{GROUP, Laid, SERVERS};
 use quincehatch_core::{Millis, Role, ServerRecord};
-use quincehatch_node::chain_client::Chain;
+use quincehatch_node::store_client::StoreClient;
 use quincehatch_runtime::seam;
 use quincehatch_store::Command;
 use std::collections::BTreeMap;
@@ -40,7 +40,7 @@
 
 /// Adopts blueprints one after the other, each until it is taken.
 pub async fn operator(l: Arc<Laid>, stop: Arc<AtomicBool>) {
-    let chain = Chain::new("operator", &l.keepers_at);
+    let chain = StoreClient::new("operator", &l.keepers_at);
     let mut number = 1;
     while !stop.load(Ordering::SeqCst) {
         let text = blueprint(number);
@@ -57,7 +57,7 @@
 
 /// One server's word of itself, whenever something of it changes.
 pub async fn beats(l: Arc<Laid>, i: usize) {
-    let chain = Chain::new("operator", &l.keepers_at);
+    let chain = StoreClient::new("operator", &l.keepers_at);
     loop {
         seam::sleep(ms(fastrand::u64(100..300))).await;
         let now = l.core.now();
@@ -109,7 +109,7 @@
         }
     };
     seam::sleep(ms((left + 7_600).saturating_sub(l.core.now()).max(1))).await;
-    let chain = Chain::new("operator", &l.keepers_at);
+    let chain = StoreClient::new("operator", &l.keepers_at);
     for n in 0..5 {
         let cmd = Command::DeregisterServer { server: old.clone() };
         if chain.write(&format!("depart/{old}"), cmd, WRITE).await.is_ok() {
--- a/crates/simulator/src/direct/run.rs
+++ b/crates/simulator/src/direct/run.rs
@@ -81,7 +81,7 @@
         let mut breaches = std::mem::take(&mut st.book.breaches);
         breaches.extend(l.watched.watch.lock().unwrap().breaches.iter().cloned());
         let told = l.nodes.iter().filter_map(|n| n.live());
-        let words = told.flat_map(|n| n.fleet.duty.told.lock().unwrap().clone());
+        let words = told.flat_map(|n| n.fleet.promotion_state.events.lock().unwrap().clone());
         let story = std::mem::take(&mut st.book.story).into_iter().chain(words).collect();
         HeldReport {
             seed: s.seed,
--- a/crates/simulator/src/fleet/hands.rs
+++ b/crates/simulator/src/fleet/hands.rs
@@ -33,7 +33,7 @@
     fn named(&self, g: usize) -> Pid {
         let group = format!("g{}", g + 1);
         let known = self.fleets.iter().filter_map(|f| f.lock().unwrap().clone());
-        let name = known.filter_map(|f| f.node.registry.primary(&group)).max_by_key(|l| l.fence);
+        let name = known.filter_map(|f| f.proxy.registry.primary(&group)).max_by_key(|l| l.fence);
         let name = name.and_then(|l| l.server);
         let mut all = self.servers.iter().chain(&self.spares);
         let at = all.find(|s| name.as_deref() == Some(s.at.name.as_str()));
--- a/crates/simulator/src/fleet/last.rs
+++ b/crates/simulator/src/fleet/last.rs
@@ -7,13 +7,13 @@
 pub fn strike(l: &Arc<Laid>, seed: u64) -> String {
     let dark = l.core.lock().rng.chance(500);
     let fleet = l.fleets.iter().find_map(|f| f.lock().unwrap().clone());
-    let lead = fleet.as_ref().and_then(|f| f.node.registry.primary("g1")).and_then(|x| x.server);
+    let lead = fleet.as_ref().and_then(|f| f.proxy.registry.primary("g1")).and_then(|x| x.server);
     let lead = l
         .servers
         .iter()
         .find(|s| lead.as_deref() == Some(s.at.name.as_str()))
         .map_or(l.servers[0].pid, |s| s.pid);
-    let view = fleet.map(|f| f.chain.view()).unwrap_or_default();
+    let view = fleet.map(|f| f.store_client.view()).unwrap_or_default();
     let at = |n: Option<&quincehatch_core::Name>| {
         n.and_then(|n| l.all_keepers.by_name.lock().unwrap().get(n).copied())
     };
--- a/crates/simulator/src/fleet/procs.rs
+++ b/crates/simulator/src/fleet/procs.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::Name;
-use quincehatch_node::{Fleet, mesh_driver, operator_api};
+use quincehatch_node::{ClusterNode, gossip, operator_api};
 use quincehatch_proxy::listener::HttpRequest;
 use quincehatch_runtime::seam;
 use quincehatch_store::keeper::RecoveredState;
@@ -33,7 +33,7 @@
     pub keepers: Vec<Pid>,
     pub all_keepers: Arc<Keepers>,
     pub nodes: Vec<Pid>,
-    pub fleets: Vec<Arc<Mutex<Option<Arc<Fleet>>>>>,
+    pub fleets: Vec<Arc<Mutex<Option<Arc<ClusterNode>>>>>,
     pub servers: Vec<Server>,
     /// One a group, under a name of its own; not running at first.
     pub spares: Vec<Server>,
@@ -74,9 +74,9 @@
     HttpRequest { method, path: v.path, token: v.token, body }
 }
 
-fn start_node(core: &Arc<Core>, pid: Pid, set: &NodeSettings) -> Arc<Fleet> {
-    let f = Fleet::new(set);
-    let n = f.node.clone();
+fn start_node(core: &Arc<Core>, pid: Pid, set: &NodeSettings) -> Arc<ClusterNode> {
+    let f = ClusterNode::new(set);
+    let n = f.proxy.clone();
     let door: OnHttp = Arc::new(move |v| {
         let n = n.clone();
         Box::pin(async move { Some(operator_api::origin(&n, knock(v)).await) })
@@ -93,11 +93,11 @@
         &set.gossip_listener,
         pid,
         Arc::new(move |b| {
-            let got = mesh_driver::respond_at_once(&g, &b);
+            let got = gossip::respond_without_probing(&g, &b);
             Box::pin(async move { got })
         }),
     );
-    f.go();
+    f.start();
     f
 }
 
@@ -149,7 +149,7 @@
     let nodes: Vec<Pid> = (0..shape.nodes)
         .map(|i| {
             let set = settings(&shape, i);
-            let live: Arc<Mutex<Option<Arc<Fleet>>>> = Arc::default();
+            let live: Arc<Mutex<Option<Arc<ClusterNode>>>> = Arc::default();
             fleets.push(live.clone());
             let name = set.name.clone();
             let start: Start = Arc::new(move |c, pid| {
--- a/crates/simulator/tests/held/fleet.rs
+++ b/crates/simulator/tests/held/fleet.rs
@@ -2,7 +2,7 @@
 use crate::group::Group;
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::{PrimaryAssignment, Name, Role, ServerRecord};
-use quincehatch_node::{Fleet, mesh_driver};
+use quincehatch_node::{ClusterNode, gossip};
 use quincehatch_runtime::seam;
 use quincehatch_simulator::fleet::core::{Core, Pid};
 use quincehatch_simulator::fleet::keeper::{self, Disk, Keepers};
@@ -14,7 +14,7 @@
 pub struct World {
     pub core: Arc<Core>,
     pub group: Group,
-    pub fleets: Vec<Arc<Fleet>>,
+    pub fleets: Vec<Arc<ClusterNode>>,
     pub pids: Vec<Pid>,
 }
 
@@ -60,17 +60,17 @@
                 log: "off".into(),
                 threads: 1,
             };
-            let live: Arc<Mutex<Option<Arc<Fleet>>>> = Arc::default();
+            let live: Arc<Mutex<Option<Arc<ClusterNode>>>> = Arc::default();
             let (l, name, g) = (live.clone(), set.name.clone(), group.clone());
             let start = move |c: &Arc<Core>, pid| {
-                let f = Fleet::with(&set, Some(g.ports(&set.name)));
+                let f = ClusterNode::with_ports(&set, Some(g.ports(&set.name)));
                 let to = f.clone();
                 let on_frame = move |b: Vec<u8>| {
                     let f = to.clone();
-                    Box::pin(async move { mesh_driver::respond(&f, &b).await }) as seam::BoxFuture<'_, _>
+                    Box::pin(async move { gossip::respond_to_frame(&f, &b).await }) as seam::BoxFuture<'_, _>
                 };
                 c.listen_frames(&set.gossip_listener, pid, Arc::new(on_frame));
-                f.go();
+                f.start();
                 *l.lock().unwrap() = Some(f);
             };
             pids.push(core.add(&name, Arc::new(start), false));
@@ -92,7 +92,7 @@
     }
     pub fn story(&self) -> Vec<String> {
         let told = self.group.with(|s| s.told.clone());
-        let words = self.fleets.iter().flat_map(|f| f.duty.told.lock().unwrap().clone());
+        let words = self.fleets.iter().flat_map(|f| f.promotion_state.events.lock().unwrap().clone());
         told.into_iter().chain(words).collect()
     }
     /// The chain has the blueprint and the servers.
@@ -105,7 +105,7 @@
         self.core.within(self.pids[0], || {
             seam::spawn(async move {
                 let cmd = Command::PushConfiguration { base: 0, text: PLAN.into(), by: "test".into() };
-                f.chain.write("plan", cmd, Duration::from_secs(5)).await.unwrap();
+                f.store_client.write("plan", cmd, Duration::from_secs(5)).await.unwrap();
             })
         });
     }
@@ -118,12 +118,12 @@
         self.core.within(self.pids[0], || {
             seam::spawn(async move {
                 let key = format!("stand/{}/{}", at.server, at.seq);
-                f.chain.write(&key, Command::RegisterServer { at }, Duration::from_secs(5)).await.unwrap();
+                f.store_client.write(&key, Command::RegisterServer { at }, Duration::from_secs(5)).await.unwrap();
             })
         });
     }
     pub fn lead(&self) -> Option<PrimaryAssignment> {
-        self.fleets[0].node.registry.primary("g").filter(|l| l.server.is_some())
+        self.fleets[0].proxy.registry.primary("g").filter(|l| l.server.is_some())
     }
     pub fn led_by(&self, server: &str) -> bool {
         self.lead().is_some_and(|l| l.server.as_deref() == Some(server))
@@ -136,13 +136,13 @@
                 seam::spawn(async move {
                     loop {
                         seam::sleep(Duration::from_millis(20)).await;
-                        let Some(l) = f.node.registry.primary("g") else { continue };
+                        let Some(l) = f.proxy.registry.primary("g") else { continue };
                         let Some(server) = l.server else { continue };
-                        let _work = f.node.registry.in_flight.begin("g");
+                        let _work = f.proxy.registry.in_flight.begin("g");
                         let Some(end) = group.with(|s| s.commit(&server)) else { continue };
                         // The answer is a while on its way.
                         seam::sleep(Duration::from_millis(5)).await;
-                        if f.node.registry.record_acknowledged("g", l.fence, end) {
+                        if f.proxy.registry.record_acknowledged("g", l.fence, end) {
                             group.with(|s| s.acked = s.acked.max(end));
                         }
                     }
--- a/crates/simulator/tests/held_core.rs
+++ b/crates/simulator/tests/held_core.rs
@@ -27,9 +27,9 @@
             w.run(100);
             for (f, pid) in w.fleets.iter().zip(&w.pids) {
                 assert!(
-                    w.core.within(*pid, || f.node.registry.has_lease()),
+                    w.core.within(*pid, || f.proxy.registry.has_lease()),
                     "{} lost its lease",
-                    f.node.settings.name
+                    f.proxy.settings.name
                 );
             }
         }
--- a/crates/testbed/tests/choice/net.rs
+++ b/crates/testbed/tests/choice/net.rs
@@ -1,7 +1,7 @@
 //! A small world of one group: the chain's store, promotions' steps and servers' logs as they ship, and every act that
 //! the network and the processes may do next (§5.5).
 use quincehatch_core::{FencingToken, PrimaryAssignment, Name, Position, Role};
-use quincehatch_failover::promotion::{In, Out, Phase, Plan, Promotion};
+use quincehatch_failover::promotion::{PromotionEvent, PromotionAction, Phase, PromotionPlan, Promotion};
 use quincehatch_runtime::seam;
 use quincehatch_store::store::promotion_duty_key;
 use quincehatch_store::{Answer, Command, Entry, Store};
@@ -43,7 +43,7 @@
 struct At {
     p: Promotion,
     /// What it asks for: its lead's name in the chain, or a server's promotion.
-    asks: Option<Out>,
+    asks: Option<PromotionAction>,
     heard: Vec<(usize, Position)>,
 }
 
@@ -105,17 +105,17 @@
     fn at(&mut self, i: usize) -> &mut At {
         Arc::make_mut(&mut self.all[i])
     }
-    fn step(&mut self, i: usize, x: In) -> Option<()> {
+    fn step(&mut self, i: usize, x: PromotionEvent) -> Option<()> {
         let outs = self.at(i).p.step(1, x);
-        let asks = outs.into_iter().rfind(|o| matches!(o, Out::SetLead { .. } | Out::Promote { .. }));
-        let (Some(Out::SetLead { lead, .. }), true) = (&asks, self.all[i].p.phase != Phase::Naming) else {
+        let asks = outs.into_iter().rfind(|o| matches!(o, PromotionAction::WritePrimary { .. } | PromotionAction::PromoteServer { .. }));
+        let (Some(PromotionAction::WritePrimary { primary: lead, .. }), true) = (&asks, self.all[i].p.phase != Phase::Naming) else {
             let at = self.at(i);
             at.asks = asks.or(at.asks.take());
             return Some(());
         };
         match (self.write(set_lead(lead.clone()))?, self.all[i].p.phase) {
-            (Answer::Lead(l), Phase::Closing) => self.step(i, In::Closed(l)),
-            _ => self.step(i, In::Listed),
+            (Answer::Lead(l), Phase::Closing) => self.step(i, PromotionEvent::PrimaryClosed(l)),
+            _ => self.step(i, PromotionEvent::VotersRecorded),
         }
     }
     fn index(&self, n: &str) -> usize {
@@ -134,7 +134,7 @@
         for (i, at) in self.all.iter().enumerate() {
             let At { p, asks, heard } = &**at;
             match asks {
-                Some(Out::SetLead { .. }) => out.push(Act::Name(i)),
+                Some(PromotionAction::WritePrimary { .. }) => out.push(Act::Name(i)),
                 Some(_) => out.push(Act::Promote(i)),
                 None if p.phase == Phase::Fencing => {
                     let rest = (0..n).filter(|s| heard.iter().all(|h| h.0 != *s));
@@ -171,22 +171,22 @@
                     return None;
                 };
                 let servers = n.dbs.iter().map(|d| d.name.clone()).collect();
-                let plan = Plan {
+                let plan = PromotionPlan {
                     group: "g".into(),
                     attempt: by.clone(),
-                    by,
-                    lead: None,
-                    over: f - 1,
-                    old: None,
+                    coordinator: by,
+                    primary: None,
+                    expected_fence: f - 1,
+                    old_primary: None,
                     servers,
-                    copies: 3,
+                    server_count: 3,
                     planned: false,
-                    want: None,
-                    counts: names(z.lists[list]),
-                    sync: None,
+                    preferred: None,
+                    voters: names(z.lists[list]),
+                    sync_group: None,
                 };
                 n.all.push(Arc::new(At { p: Promotion::new(1, plan).0, asks: None, heard: vec![] }));
-                n.step(n.all.len() - 1, In::Fence(f))?;
+                n.step(n.all.len() - 1, PromotionEvent::FenceAcquired(f))?;
             }
             Act::Fence(i, s) => {
                 // As in the nodes' own call: the bug asks no server.
@@ -197,22 +197,22 @@
                 let end = n.dbs[s].end();
                 n.at(i).heard.push((s, end));
                 n.at(i).heard.sort_unstable();
-                n.step(i, In::Fenced(n.dbs[s].name.clone(), end))?;
+                n.step(i, PromotionEvent::ServerFenced(n.dbs[s].name.clone(), end))?;
             }
             Act::Promote(i) => {
-                let Some(Out::Promote { server, fence, counts }) = n.at(i).asks.take() else { return None };
+                let Some(PromotionAction::PromoteServer { server, fence, voters }) = n.at(i).asks.take() else { return None };
                 let s = n.index(&server);
-                if !n.db(s).promote(fence, counts.clone()) {
+                if !n.db(s).promote(fence, voters.clone()) {
                     return None;
                 }
-                n.counts[s] = Arc::new(counts);
-                n.step(i, In::Promoted(server))?;
+                n.counts[s] = Arc::new(voters);
+                n.step(i, PromotionEvent::ServerPromoted(server))?;
             }
             Act::Name(i) => {
-                let Some(Out::SetLead { lead, .. }) = n.at(i).asks.take() else { return None };
+                let Some(PromotionAction::WritePrimary { primary: lead, .. }) = n.at(i).asks.take() else { return None };
                 n.write(set_lead(lead.clone()))?;
                 n.named.push((lead.fence, n.index(lead.server.as_ref()?)));
-                n.step(i, In::Named)?;
+                n.step(i, PromotionEvent::PrimaryAnnounced)?;
             }
             Act::Request(r, l) => {
                 let (server, fence, have) = (n.dbs[r].name.clone(), n.dbs[r].fence, n.dbs[r].end());
