--- a/crates/ctl/src/show.rs
+++ b/crates/ctl/src/show.rs
@@ -54,7 +54,7 @@
 }
 
 /// Size of a keeper's data folder, and the size it may have.
-fn disk_used(disk: &Value) -> String {
+fn disk_usage(disk: &Value) -> String {
     let megabytes = |bytes: &Value| bytes.as_f64().map(|b| b / 1e6);
     match (megabytes(&disk["used"]), megabytes(&disk["allowed"])) {
         (Some(used), Some(allowed)) => format!("{used:.1} of {allowed:.0} MB"),
@@ -92,7 +92,7 @@
     );
     let ks = list(v, "keepers").map(|k| {
         let why = if k["silent"] == true { "silent".into() } else { s(&k["why"]) };
-        let disk = disk_used(&k["disk"]);
+        let disk = disk_usage(&k["disk"]);
         let (place, behind) = (place(view, k), behind(v, k));
         let held = ["n", "committed", "in_force"].map(|field| s(&k[field]));
         let mut row = vec![s(&k["name"]), s(&k["addr"]), place];
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -16,7 +16,7 @@
     let txt = |k: &str| b.get(k).and_then(Value::as_str).unwrap_or_default().to_owned();
     match what {
         "status" => Ok(status(f).await),
-        "nodes" => Ok(fan_out(f, "node", "").await),
+        "nodes" => Ok(report_from_all_nodes(f, "node", "").await),
         "servers" => Ok(json!({"node": f.proxy.settings.name, "servers": report::of(f, "servers", "")})),
         "placements" => placements(f),
         "push" => push(f, &txt("text"), b).await,
@@ -28,7 +28,7 @@
                     .into_iter()
                     .find(|(_, v)| !v.is_empty())
                     .ok_or_else(|| ErrorCode::Malformed.with_detail("explain takes server, visit or promotions"))?;
-            Ok(fan_out(f, kind, &key).await)
+            Ok(report_from_all_nodes(f, kind, &key).await)
         }
         "promote" => {
             let g: Name = txt("group").into();
@@ -60,7 +60,7 @@
 }
 
 /// Every node's account, side by side; one that does not answer is listed as silent.
-async fn fan_out(f: &Arc<ClusterNode>, what: &str, key: &str) -> Value {
+async fn report_from_all_nodes(f: &Arc<ClusterNode>, what: &str, key: &str) -> Value {
     let mut names: Vec<Name> = f.gossip.membership.lock().unwrap().member_records().into_iter().map(|r| r.name).collect();
     names.push(f.gossip.local_name.clone());
     let got = f.gossip.query_all(names, NodeQuery::Report { what: what.into(), key: key.into() }).await;
@@ -98,7 +98,7 @@
         .iter()
         .map(|(g, l)| json!({"group": g, "server": l.server, "fence": l.fence, "by": l.assigned_by}))
         .collect();
-    let nodes = fan_out(f, "node", "").await;
+    let nodes = report_from_all_nodes(f, "node", "").await;
     json!({"version": plan.version, "change": plan.number, "view": v, "keepers": keepers, "leads": leads,
         "nodes": nodes["nodes"]})
 }
