--- a/crates/simulator/src/control/checks.rs
+++ b/crates/simulator/src/control/checks.rs
@@ -9,13 +9,13 @@
 
 pub fn check(history: &History, parameters: &Parameters) -> Vec<String> {
     let found = [
-        acknowledged_stands(history),
-        one_document_a_number(history),
-        never_refused_after_acknowledgement(history),
-        never_back(history),
-        read_back_after_healing(history),
-        settled_core_acknowledges(history, parameters),
-        leased_nodes_are_current(history, parameters),
+        check_acknowledged_is_durable(history),
+        check_one_document_per_number(history),
+        check_no_rejection_after_acknowledgement(history),
+        check_reads_are_monotonic(history),
+        check_read_back(history),
+        check_settled_liveness(history, parameters),
+        check_leased_nodes_are_current(history, parameters),
         history.breaches.clone(),
     ];
     found.into_iter().flat_map(|breaches| breaches.into_iter().take(REPORTED)).collect()
@@ -51,7 +51,7 @@
 }
 
 /// C1: an acknowledged document is returned by every later read, or a higher one is.
-fn acknowledged_stands(history: &History) -> Vec<String> {
+fn check_acknowledged_is_durable(history: &History) -> Vec<String> {
     let floor = Floor::of(history.acknowledged.iter().copied());
     let mut breaches = Vec::new();
     for read in &history.reads {
@@ -70,7 +70,7 @@
 }
 
 /// C2: under one number, one document at most is acknowledged or handed out.
-fn one_document_a_number(history: &History) -> Vec<String> {
+fn check_one_document_per_number(history: &History) -> Vec<String> {
     let read = history.reads.iter().filter_map(|read| read.document);
     let applied = history.applied.iter().filter_map(|applied| applied.document);
     let acknowledged = history.acknowledged.iter().map(|(_, document)| *document);
@@ -87,7 +87,7 @@
 }
 
 /// C3: a document that was acknowledged is not refused when it is sent again.
-fn never_refused_after_acknowledgement(history: &History) -> Vec<String> {
+fn check_no_rejection_after_acknowledgement(history: &History) -> Vec<String> {
     let first = |document: &Document| {
         history.acknowledged.iter().filter(|(_, other)| other == document).map(|(at, _)| *at).min()
     };
@@ -99,7 +99,7 @@
 }
 
 /// C4: no read returns an older document than a read that ended before it began.
-fn never_back(history: &History) -> Vec<String> {
+fn check_reads_are_monotonic(history: &History) -> Vec<String> {
     let seen = history.reads.iter().filter_map(|read| Some((read.ended, read.document?)));
     let floor = Floor::of(seen);
     let mut breaches = Vec::new();
@@ -114,7 +114,7 @@
 }
 
 /// C6: once everything has healed, the document in force is read back.
-fn read_back_after_healing(history: &History) -> Vec<String> {
+fn check_read_back(history: &History) -> Vec<String> {
     if history.read_back {
         return Vec::new();
     }
@@ -122,7 +122,7 @@
 }
 
 /// C-live: while the core is settled, a proper order is acknowledged in time.
-fn settled_core_acknowledges(history: &History, parameters: &Parameters) -> Vec<String> {
+fn check_settled_liveness(history: &History, parameters: &Parameters) -> Vec<String> {
     let mut breaches = Vec::new();
     for order in history.orders.iter().filter(|order| !order.contested) {
         let late = history.settled.iter().find(|span| waited(order, **span) > parameters.ack);
@@ -130,7 +130,7 @@
             let document = order.document.text();
             breaches.push(format!(
                 "C-live {document}, sent at {}, waited {} ms while settled from {} to {}",
-                order.first_sent,
+                order.sent_at,
                 waited(order, *span),
                 span.0,
                 span.1
@@ -142,17 +142,17 @@
 
 /// How long the order waited for its answer within the span.
 fn waited(order: &Order, span: (Millis, Millis)) -> Millis {
-    let ends = [order.ended, order.superseded, Some(span.1)];
+    let ends = [order.ended, order.superseded_at, Some(span.1)];
     let end = ends.into_iter().flatten().min().unwrap_or(span.1);
-    end.saturating_sub(order.first_sent.max(span.0))
+    end.saturating_sub(order.sent_at.max(span.0))
 }
 
 /// C10: a node that holds its lease has in force what was acknowledged a while before.
-fn leased_nodes_are_current(history: &History, parameters: &Parameters) -> Vec<String> {
+fn check_leased_nodes_are_current(history: &History, parameters: &Parameters) -> Vec<String> {
     let floor = Floor::of(history.acknowledged.iter().copied());
     let mut breaches = Vec::new();
     for applied in &history.applied {
-        let Some(least) = floor.before(applied.at.saturating_sub(parameters.config_apply)) else { continue };
+        let Some(least) = floor.before(applied.at.saturating_sub(parameters.apply_within)) else { continue };
         if is_below(applied.document, least) {
             let got = shown(applied.document);
             breaches.push(format!(
--- a/crates/simulator/src/control/cluster.rs
+++ b/crates/simulator/src/control/cluster.rs
@@ -5,7 +5,7 @@
 use super::invariants::Invariants;
 use super::machine::{self, Process};
 use super::parameters::Parameters;
-use crate::fleet::core::{Core, Pid};
+use crate::fleet::core::{ProcessId, Simulation};
 use quincehatch_core::{Millis, Name};
 use quincehatch_store::View;
 use quincehatch_store::keeper::RecoveredState;
@@ -16,12 +16,12 @@
 const SEEDS: usize = 3;
 
 pub struct Machine {
-    pub pid: Pid,
+    pub pid: ProcessId,
     pub address: Name,
     pub disk: Arc<Mutex<Disk>>,
     pub process: Option<Process>,
     /// Time that each step takes on a machine that is slowed.
-    pub slow_ms: Millis,
+    pub step_delay: Millis,
     /// False once it was removed for good.
     pub present: bool,
     /// Its place in the deployment; a successor takes its predecessor's.
@@ -34,7 +34,7 @@
     /// The seeds that the operators' list names, known to processes that start from now on.
     pub seeds: Vec<Name>,
     /// Answers to operators are lost until that time.
-    pub lost_answers_until: Millis,
+    pub replies_lost_until: Millis,
     pub first_start: bool,
     next_address: u64,
     pub next_number: u64,
@@ -42,7 +42,7 @@
 }
 
 pub struct Cluster {
-    pub core: Arc<Core>,
+    pub core: Arc<Simulation>,
     pub parameters: Parameters,
     pub state: Mutex<State>,
     pub history: Mutex<History>,
@@ -51,7 +51,7 @@
 }
 
 impl Cluster {
-    pub fn new(core: Arc<Core>, parameters: Parameters) -> Arc<Cluster> {
+    pub fn new(core: Arc<Simulation>, parameters: Parameters) -> Arc<Cluster> {
         Arc::new(Cluster {
             core,
             parameters,
@@ -70,12 +70,12 @@
             let cluster = self.clone();
             let at = self.below(300);
             let address = self.fresh_address();
-            self.core.later(at, move |_| {
+            self.core.schedule_action(at, move |_| {
                 cluster.add_machine(slot, address);
             });
         }
         let cluster = self.clone();
-        self.core.later(1_000, move |_| cluster.state.lock().unwrap().first_start = false);
+        self.core.schedule_action(1_000, move |_| cluster.state.lock().unwrap().first_start = false);
     }
 
     pub fn fresh_address(&self) -> Name {
@@ -89,14 +89,22 @@
         let disk = Arc::new(Mutex::new(self.empty_disk(&address)));
         let index = {
             let mut state = self.state.lock().unwrap();
-            let (pid, process, slow_ms, present) = (Pid::MAX, None, 0, true);
+            let (pid, process, slow_ms, present) = (ProcessId::MAX, None, 0, true);
             let name = address.clone();
-            state.machines.push(Machine { pid, address: name, disk, process, slow_ms, present, slot });
+            state.machines.push(Machine {
+                pid,
+                address: name,
+                disk,
+                process,
+                step_delay: slow_ms,
+                present,
+                slot,
+            });
             state.machines.len() - 1
         };
         let cluster = self.clone();
-        let start = move |_: &Arc<Core>, pid: Pid| machine::start(&cluster, index, pid);
-        self.core.add(&address, Arc::new(start), false);
+        let start = move |_: &Arc<Simulation>, pid: ProcessId| machine::start(&cluster, index, pid);
+        self.core.add_process(&address, Arc::new(start), false);
         index
     }
 
@@ -136,7 +144,7 @@
         (0..state.machines.len()).filter(|index| state.machines[*index].present).collect()
     }
 
-    pub fn pid(&self, index: usize) -> Pid {
+    pub fn pid(&self, index: usize) -> ProcessId {
         self.state.lock().unwrap().machines[index].pid
     }
 
@@ -165,11 +173,11 @@
     }
 
     /// Processes that are not core machines: operators, readers and nodes.
-    pub fn others(&self) -> Vec<Pid> {
+    pub fn others(&self) -> Vec<ProcessId> {
         let state = self.state.lock().unwrap();
-        let core: BTreeSet<Pid> = state.machines.iter().map(|machine| machine.pid).collect();
+        let core: BTreeSet<ProcessId> = state.machines.iter().map(|machine| machine.pid).collect();
         drop(state);
-        (0..self.core.lock().hosts.len()).filter(|pid| !core.contains(pid)).collect()
+        (0..self.core.lock().processes.len()).filter(|pid| !core.contains(pid)).collect()
     }
 }
 
--- a/crates/simulator/src/control/disk.rs
+++ b/crates/simulator/src/control/disk.rs
@@ -1,5 +1,5 @@
 //! A simulated disk: what is synced outlives the process, what waits for its sync may not.
-use quincehatch_core::{ErrorCode, Error, Millis};
+use quincehatch_core::{Error, ErrorCode, Millis};
 use quincehatch_store::keeper::{Record, RecoveredState};
 use quincehatch_store::terms::SNAPSHOT_INTERVAL_ENTRIES;
 
@@ -30,7 +30,7 @@
         self.synced.clone()
     }
     /// An older state than what was synced: only a deliberate bug starts from it.
-    pub fn stale(&self) -> RecoveredState {
+    pub fn recover_stale(&self) -> RecoveredState {
         RecoveredState {
             acceptor: self.synced.acceptor.clone(),
             view: self.synced.view.clone(),
--- a/crates/simulator/src/control/door.rs
+++ b/crates/simulator/src/control/door.rs
@@ -1,8 +1,8 @@
 //! The control door of a machine: what the platform's control calls come to, over the real chain client.
 use super::cluster::Cluster;
 use super::history::Document;
-use crate::fleet::core::Pid;
-use quincehatch_core::{ErrorCode, Error, Name, messages};
+use crate::fleet::core::ProcessId;
+use quincehatch_core::{Error, ErrorCode, Name, messages};
 use quincehatch_node::store_client::StoreClient;
 use quincehatch_runtime::seam::{self, BoxFuture};
 use quincehatch_store::Command;
@@ -20,11 +20,11 @@
 }
 
 /// Where the door of the machine at `address` listens.
-pub fn door_of(address: &Name) -> String {
+pub fn api_address(address: &Name) -> String {
     format!("door/{address}")
 }
 
-pub fn open(cluster: &Arc<Cluster>, pid: Pid, address: &Name, seeds: &[Name]) {
+pub fn open(cluster: &Arc<Cluster>, pid: ProcessId, address: &Name, seeds: &[Name]) {
     let keepers: Vec<String> = std::iter::once(address).chain(seeds).map(Name::to_string).collect();
     let chain = Arc::new(StoreClient::new(address, &keepers));
     let on_frame = move |bytes: Vec<u8>| {
@@ -38,11 +38,11 @@
         };
         Box::pin(answer) as BoxFuture<'static, Option<Vec<u8>>>
     };
-    cluster.core.listen_frames(&door_of(address), pid, Arc::new(on_frame));
+    cluster.core.listen_frames(&api_address(address), pid, Arc::new(on_frame));
 }
 
 /// The write of a document, under a key that holds its number and content.
-fn adoption(document: Document, source: String) -> (String, Command) {
+fn adopt_command(document: Document, source: String) -> (String, Command) {
     let key = format!("adopt/{}/{:016x}", document.number, document_digest(&source));
     let (text, by) = (source.clone(), Name::from("operator"));
     (key, Command::AdoptDocument { number: document.number, text, source, by })
@@ -53,10 +53,10 @@
     if seam::injected_bug("confirm-by-number") && holds_number(chain, document.number).await {
         return DoorAnswer::Acknowledged;
     }
-    let (key, command) = adoption(document, text);
+    let (key, command) = adopt_command(document, text);
     match seam::timeout(WITHIN, chain.write(&key, command, WITHIN)).await {
         Ok(Ok(_)) => DoorAnswer::Acknowledged,
-        Ok(Err(why)) if is_final(&why) => DoorAnswer::Refused,
+        Ok(Err(why)) if is_rejection(&why) => DoorAnswer::Refused,
         _ if seam::injected_bug("confirm-unseen") => DoorAnswer::Acknowledged,
         _ => DoorAnswer::NoClearAnswer,
     }
@@ -69,7 +69,7 @@
 }
 
 /// A refusal is what the chain agreed on; anything else is no clear answer.
-fn is_final(why: &Error) -> bool {
+fn is_rejection(why: &Error) -> bool {
     why.has_code(ErrorCode::NumberTaken)
 }
 
--- a/crates/simulator/src/control/effects.rs
+++ b/crates/simulator/src/control/effects.rs
@@ -1,7 +1,7 @@
 //! What each fault does to machines, links and disks, and how it ends.
 use super::cluster::{Cluster, Machine};
 use super::machine;
-use crate::fleet::core::Pid;
+use crate::fleet::core::ProcessId;
 use quincehatch_core::{Millis, Name};
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 /// Does something at a later time.
 pub fn after(cluster: &Arc<Cluster>, at: Millis, act: impl FnOnce(&Arc<Cluster>) + Send + 'static) {
     let shared = cluster.clone();
-    cluster.core.later(at, move |_| act(&shared));
+    cluster.core.schedule_action(at, move |_| act(&shared));
 }
 
 pub fn trouble(cluster: &Cluster) {
@@ -27,10 +27,10 @@
 pub fn recovered(cluster: &Cluster, machine: usize) {
     trouble(cluster);
     let until = cluster.core.now() + cluster.parameters.catch_up;
-    cluster.budget.lock().unwrap().lost_until(cluster.slot(machine), until);
+    cluster.budget.lock().unwrap().mark_lost_until(cluster.slot(machine), until);
 }
 
-pub fn kill(cluster: &Arc<Cluster>, machine: usize, power: bool) {
+pub fn kill_machine(cluster: &Arc<Cluster>, machine: usize, power: bool) {
     trouble(cluster);
     cluster.core.crash(cluster.pid(machine), power);
     let keeps = !power && cluster.chance(500);
@@ -43,19 +43,19 @@
     }
 }
 
-pub fn restart(cluster: &Arc<Cluster>, machine: usize) {
+pub fn restart_machine(cluster: &Arc<Cluster>, machine: usize) {
     cluster.core.restart(cluster.pid(machine));
     recovered(cluster, machine);
 }
 
-pub fn remove(cluster: &Arc<Cluster>, machine: usize) {
-    kill(cluster, machine, true);
+pub fn remove_machine(cluster: &Arc<Cluster>, machine: usize) {
+    kill_machine(cluster, machine, true);
     let mut state = cluster.state.lock().unwrap();
     let Machine { present, address, .. } = &mut state.machines[machine];
     *present = false;
     let address = address.clone();
     drop(state);
-    cluster.core.lock().links.at.remove(address.as_str());
+    cluster.core.lock().network.at.remove(address.as_str());
 }
 
 pub fn add_successor(cluster: &Arc<Cluster>, slot: usize) {
@@ -90,19 +90,20 @@
     };
     if !may_stop {
         let core = cluster.core.clone();
-        return core.later(now + RETRY, move |_| stop_when_allowed(cluster, machine, successor_start));
+        return core
+            .schedule_action(now + RETRY, move |_| stop_when_allowed(cluster, machine, successor_start));
     }
     trouble(&cluster);
     let process = cluster.state.lock().unwrap().machines[machine].process.clone();
-    let up = cluster.core.lock().hosts[cluster.pid(machine)].up;
+    let up = cluster.core.lock().processes[cluster.pid(machine)].up;
     if let Some(process) = process.filter(|_| up) {
-        let within = cluster.parameters.leave_within;
-        cluster.core.within(cluster.pid(machine), || machine::tell_to_leave(&process, within));
+        let within = cluster.parameters.leave_timeout;
+        cluster.core.run_in(cluster.pid(machine), || machine::request_leave(&process, within));
     }
     // A removed machine stops counting once its successor has had its time.
     let until = successor_start + cluster.parameters.catch_up;
-    cluster.budget.lock().unwrap().lost_until(slot, until);
-    end_once_left(cluster.clone(), machine, now + cluster.parameters.leave_within + STOP_MARGIN);
+    cluster.budget.lock().unwrap().mark_lost_until(slot, until);
+    end_once_left(cluster.clone(), machine, now + cluster.parameters.leave_timeout + STOP_MARGIN);
 }
 
 /// The process ends when its keeper has left the chain, or when its time is over.
@@ -112,15 +113,15 @@
     let left = process.is_none_or(|process| machine::has_left(&process));
     if !left && now < latest {
         let core = cluster.core.clone();
-        return core.later(now + RETRY, move |_| end_once_left(cluster, machine, latest));
+        return core.schedule_action(now + RETRY, move |_| end_once_left(cluster, machine, latest));
     }
-    after(&cluster, now + FAREWELL, move |c| remove(c, machine));
+    after(&cluster, now + FAREWELL, move |c| remove_machine(c, machine));
 }
 
 pub fn cut(cluster: &Arc<Cluster>, machine: usize, all: bool, one_way: bool, until: Millis) {
     trouble(cluster);
     let pid = cluster.pid(machine);
-    let mut others: Vec<Pid> = cluster.present().into_iter().map(|index| cluster.pid(index)).collect();
+    let mut others: Vec<ProcessId> = cluster.present().into_iter().map(|index| cluster.pid(index)).collect();
     if all {
         others.extend(cluster.others());
     }
@@ -142,7 +143,7 @@
         cluster.present().into_iter().for_each(|machine| budget.lose(cluster.slot(machine)));
     }
     let pairs = left.iter().flat_map(|a| right.iter().map(|b| (cluster.pid(*a), cluster.pid(*b))));
-    let pairs: Vec<(Pid, Pid)> = pairs.collect();
+    let pairs: Vec<(ProcessId, ProcessId)> = pairs.collect();
     pairs.iter().for_each(|(a, b)| cluster.core.cut(*a, *b, true));
     after(cluster, now + time, move |c| {
         pairs.iter().for_each(|(a, b)| c.core.mend(*a, *b));
@@ -150,13 +151,13 @@
     });
 }
 
-pub fn move_away(cluster: &Arc<Cluster>, machine: usize) {
+pub fn move_to_new_address(cluster: &Arc<Cluster>, machine: usize) {
     let fresh = cluster.fresh_address();
     let old = {
         let mut state = cluster.state.lock().unwrap();
         std::mem::replace(&mut state.machines[machine].address, fresh)
     };
-    cluster.core.lock().links.at.remove(old.as_str());
+    cluster.core.lock().network.at.remove(old.as_str());
     let at = cluster.core.now() + cluster.parameters.seed_lag;
     after(cluster, at, |c| replace_absent_seeds(c));
 }
@@ -171,7 +172,7 @@
 }
 
 /// Other machines become the seeds, and every process is told.
-pub fn turn_seeds(cluster: &Arc<Cluster>) {
+pub fn change_seeds(cluster: &Arc<Cluster>) {
     let mut seeds = cluster.addresses();
     cluster.core.lock().rng.shuffle(&mut seeds);
     let processes = {
@@ -182,21 +183,21 @@
         present.filter_map(|machine| Some((machine.pid, machine.process.clone()?))).collect::<Vec<_>>()
     };
     for (pid, process) in processes {
-        let up = cluster.core.lock().hosts[pid].up;
+        let up = cluster.core.lock().processes[pid].up;
         if up {
-            cluster.core.within(pid, || machine::tell_seeds(&process, seeds.clone()));
+            cluster.core.run_in(pid, || machine::update_seeds(&process, seeds.clone()));
         }
     }
 }
 
-pub fn kill_all(cluster: &Arc<Cluster>, power: bool, down: Millis) {
+pub fn kill_all_machines(cluster: &Arc<Cluster>, power: bool, down: Millis) {
     let now = cluster.core.now();
     // A core that was down as a whole has twice the time to be in touch again.
     let contact = cluster.parameters.contact;
     cluster.budget.lock().unwrap().trouble(now, now + down + contact);
     for machine in cluster.present() {
         cluster.budget.lock().unwrap().lose(cluster.slot(machine));
-        kill(cluster, machine, power);
-        after(cluster, now + down, move |c| restart(c, machine));
+        kill_machine(cluster, machine, power);
+        after(cluster, now + down, move |c| restart_machine(c, machine));
     }
 }
--- a/crates/simulator/src/control/faults.rs
+++ b/crates/simulator/src/control/faults.rs
@@ -24,7 +24,7 @@
     Split {
         time: Millis,
     },
-    Freeze {
+    Suspend {
         time: Millis,
     },
     Kill {
@@ -35,10 +35,10 @@
         down: Millis,
     },
     /// Restarted with its disk at another address.
-    Move {
+    ChangeAddress {
         down: Millis,
     },
-    Slow {
+    SlowSteps {
         step: Millis,
         time: Millis,
     },
@@ -52,11 +52,11 @@
     FullDisk {
         time: Millis,
     },
-    LostAnswers {
+    LoseReplies {
         time: Millis,
     },
     /// The list of seeds names other machines, and every process is told.
-    TurnSeeds,
+    ChangeSeeds,
     /// Every core process is killed, or loses power, at once.
     KillAll {
         power: bool,
@@ -66,7 +66,7 @@
 
 /// Whether a fault makes a machine count as lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cost {
+pub enum FaultCost {
     /// It strikes one machine, which counts as lost.
     Machine,
     /// It strikes one machine, which counts as lost once it is stopped.
@@ -78,45 +78,45 @@
 }
 
 impl Fault {
-    pub fn cost(self) -> Cost {
+    pub fn cost(self) -> FaultCost {
         match self {
-            Fault::LostAnswers { .. } | Fault::TurnSeeds => Cost::Free,
-            Fault::PlannedReplace { .. } => Cost::Planned,
-            Fault::KillAll { .. } | Fault::Split { .. } => Cost::All,
-            _ => Cost::Machine,
+            Fault::LoseReplies { .. } | Fault::ChangeSeeds => FaultCost::Free,
+            Fault::PlannedReplace { .. } => FaultCost::Planned,
+            Fault::KillAll { .. } | Fault::Split { .. } => FaultCost::All,
+            _ => FaultCost::Machine,
         }
     }
 }
 
 /// Longest cut, freeze or stalled disk.
-const LONG_CUT: Millis = 20_000;
-const LONG_FREEZE: Millis = 8_000;
-const LONG_STALL: Millis = 6_000;
-const LONG_DOWN: Millis = 3_000;
+const MAX_PARTITION: Millis = 20_000;
+const MAX_SUSPENSION: Millis = 8_000;
+const MAX_DISK_STALL: Millis = 6_000;
+const MAX_DOWNTIME: Millis = 3_000;
 
 pub fn draw(cluster: &Cluster) -> Fault {
     let mut core = cluster.core.lock();
     let rng = &mut core.rng;
-    let down = 100 + rng.below(LONG_DOWN);
+    let down = 100 + rng.below(MAX_DOWNTIME);
     match rng.below(100) {
         0..16 => Fault::Replace,
         16..24 => Fault::PlannedReplace { after: 500 + rng.below(6_000) },
         24..32 => Fault::Wipe { down },
         32..46 => {
             let (all, one_way) = (rng.chance(400), rng.chance(350));
-            Fault::Cut { all, one_way, time: 200 + rng.below(LONG_CUT) }
+            Fault::Cut { all, one_way, time: 200 + rng.below(MAX_PARTITION) }
         }
-        46..53 => Fault::Freeze { time: 200 + rng.below(LONG_FREEZE) },
+        46..53 => Fault::Suspend { time: 200 + rng.below(MAX_SUSPENSION) },
         53..61 => Fault::Kill { down },
         61..68 => Fault::PowerLoss { down },
-        68..72 if cluster.parameters.allowed.moved_machines => Fault::Move { down },
-        68..76 => Fault::Slow { step: 10 + rng.below(90), time: 500 + rng.below(6_000) },
+        68..72 if cluster.parameters.allowed.moved_machines => Fault::ChangeAddress { down },
+        68..76 => Fault::SlowSteps { step: 10 + rng.below(90), time: 500 + rng.below(6_000) },
         76..80 => Fault::SlowDisk { sync: 20 + rng.below(200), time: 500 + rng.below(6_000) },
-        80..87 => Fault::StalledDisk { time: 300 + rng.below(LONG_STALL) },
+        80..87 => Fault::StalledDisk { time: 300 + rng.below(MAX_DISK_STALL) },
         87..90 => Fault::FullDisk { time: 500 + rng.below(8_000) },
-        90..93 => Fault::LostAnswers { time: 500 + rng.below(4_000) },
-        93..95 => Fault::TurnSeeds,
-        95..97 => Fault::Split { time: 200 + rng.below(LONG_CUT) },
+        90..93 => Fault::LoseReplies { time: 500 + rng.below(4_000) },
+        93..95 => Fault::ChangeSeeds,
+        95..97 => Fault::Split { time: 200 + rng.below(MAX_PARTITION) },
         _ => Fault::KillAll { power: rng.chance(500), down },
     }
 }
@@ -125,5 +125,5 @@
 pub fn gap(cluster: &Cluster) -> Millis {
     let mut core = cluster.core.lock();
     let rng = &mut core.rng;
-    if rng.chance(500) { rng.below(300) } else { rng.below(2 * cluster.parameters.fault_gap) }
+    if rng.chance(500) { rng.below(300) } else { rng.below(2 * cluster.parameters.mean_fault_gap) }
 }
--- a/crates/simulator/src/control/history.rs
+++ b/crates/simulator/src/control/history.rs
@@ -23,11 +23,11 @@
 #[derive(Clone, Debug)]
 pub struct Order {
     pub document: Document,
-    pub first_sent: Millis,
+    pub sent_at: Millis,
     /// Another document was sent under the same number.
     pub contested: bool,
     /// A higher number was sent at that time.
-    pub superseded: Option<Millis>,
+    pub superseded_at: Option<Millis>,
     /// When its operator had an answer, or gave up.
     pub ended: Option<Millis>,
 }
@@ -68,13 +68,13 @@
     pub fn send(&mut self, at: Millis, document: Document) -> usize {
         for order in &mut self.orders {
             if order.document.number < document.number {
-                order.superseded.get_or_insert(at);
+                order.superseded_at.get_or_insert(at);
             }
         }
         let highest = self.orders.iter().map(|order| order.document.number).max().unwrap_or(0);
         let superseded = (highest > document.number).then_some(at);
         let contested = false;
-        self.orders.push(Order { document, first_sent: at, contested, superseded, ended: None });
+        self.orders.push(Order { document, sent_at: at, contested, superseded_at: superseded, ended: None });
         self.mark_contested(document.number);
         self.orders.len() - 1
     }
--- a/crates/simulator/src/control/intake.rs
+++ b/crates/simulator/src/control/intake.rs
@@ -2,7 +2,7 @@
 use super::call_kind::CallKind;
 use super::cluster::Cluster;
 use super::machine::{Call, Process, input};
-use crate::fleet::core::Pid;
+use crate::fleet::core::ProcessId;
 use quincehatch_core::Name;
 use quincehatch_runtime::seam::BoxFuture;
 use quincehatch_store::keeper::Input;
@@ -12,7 +12,7 @@
 use tokio::sync::oneshot;
 
 /// Answers frames at the machine's address.
-pub fn listen(cluster: &Arc<Cluster>, process: &Process, address: &Name, pid: Pid, me: Identity) {
+pub fn listen(cluster: &Arc<Cluster>, process: &Process, address: &Name, pid: ProcessId, me: Identity) {
     let process = process.clone();
     let on_frame = move |bytes: Vec<u8>| {
         let received = quincehatch_wire::receive::<KeeperRequest>(&me, &bytes);
--- a/crates/simulator/src/control/invariants.rs
+++ b/crates/simulator/src/control/invariants.rs
@@ -15,7 +15,7 @@
 }
 
 impl Invariants {
-    pub fn breach(&mut self, text: String) {
+    pub fn record_violation(&mut self, text: String) {
         if self.breaches.len() < REPORTED {
             self.breaches.push(text);
         }
@@ -23,15 +23,15 @@
 
     /// Looks at a keeper after its step.
     pub fn observe(&mut self, at: Millis, keeper: &Keeper) {
-        self.one_view_an_edition(at, keeper);
+        self.check_one_view_per_version(at, keeper);
         if keeper.is_serving() {
-            self.one_tail(at, keeper);
-            self.serves_all(at, keeper);
+            self.check_single_tail(at, keeper);
+            self.check_serves_all_commits(at, keeper);
         }
     }
 
     /// A keeper's outputs leave: from now on others know what it committed.
-    pub fn leaves(&mut self, keeper: &Keeper) {
+    pub fn record_outputs(&mut self, keeper: &Keeper) {
         self.committed = self.committed.max(keeper.committed);
     }
 
@@ -39,37 +39,38 @@
         self.committed
     }
 
-    pub fn editions(&self) -> Version {
+    pub fn highest_view(&self) -> Version {
         self.views.keys().next_back().copied().unwrap_or(0)
     }
 
     /// C9: one view an version.
-    fn one_view_an_edition(&mut self, at: Millis, keeper: &Keeper) {
+    fn check_one_view_per_version(&mut self, at: Millis, keeper: &Keeper) {
         let view = &keeper.view;
         let agreed = self.views.entry(view.version).or_insert_with(|| view.clone());
         if view.version > 0 && agreed != view {
             let text = format!("C9 {} holds another view {} at {at}", keeper.name, view.version);
-            self.breach(text);
+            self.record_violation(text);
         }
     }
 
     /// C7: no tail serves once the tail of a newer view has begun to.
-    fn one_tail(&mut self, at: Millis, keeper: &Keeper) {
+    fn check_single_tail(&mut self, at: Millis, keeper: &Keeper) {
         let version = keeper.view.version;
         let newer = self.served.range(version..).find(|(_, tail)| **tail != keeper.name);
         if let Some((newer, tail)) = newer {
             let text = format!("C7 {} serves view {version} at {at}; {tail} serves {newer}", keeper.name);
-            self.breach(text);
+            self.record_violation(text);
         }
         self.served.entry(version).or_insert_with(|| keeper.name.clone());
     }
 
     /// C8: whoever serves holds all that was committed.
-    fn serves_all(&mut self, at: Millis, keeper: &Keeper) {
+    fn check_serves_all_commits(&mut self, at: Millis, keeper: &Keeper) {
         if keeper.store.last_change < self.committed {
             let (held, committed) = (keeper.store.last_change, self.committed);
-            let text = format!("C8 {} serves {held} changes at {at}; {committed} were committed", keeper.name);
-            self.breach(text);
+            let text =
+                format!("C8 {} serves {held} changes at {at}; {committed} were committed", keeper.name);
+            self.record_violation(text);
         }
     }
 }
--- a/crates/simulator/src/control/machine.rs
+++ b/crates/simulator/src/control/machine.rs
@@ -6,7 +6,7 @@
 use super::door;
 use super::intake;
 use super::recovery::recover;
-use crate::fleet::core::Pid;
+use crate::fleet::core::ProcessId;
 use quincehatch_core::{Millis, Name};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
@@ -23,9 +23,9 @@
 
 const TICK: Duration = Duration::from_millis(20);
 /// Inputs that share one sync.
-const BATCH: usize = 65;
+const MAX_BATCH: usize = 65;
 /// Inputs that wait at most; more are dropped, as with the daemon's full channel.
-const INBOX: usize = 1_024;
+const INBOX_CAPACITY: usize = 1_024;
 /// A write that lasts longer is a stall, as for the daemon's driver: requests are declined until it ends.
 const STALL: Millis = 500;
 /// A peer that does not take a message in this time is given up.
@@ -53,7 +53,7 @@
 }
 
 /// Starts the machine's process from its disk.
-pub fn start(cluster: &Arc<Cluster>, index: usize, pid: Pid) {
+pub fn start(cluster: &Arc<Cluster>, index: usize, pid: ProcessId) {
     let (address, disk, seeds) = {
         let mut state = cluster.state.lock().unwrap();
         state.machines[index].pid = pid;
@@ -86,12 +86,12 @@
 }
 
 /// The process is told other seeds.
-pub fn tell_seeds(process: &Process, seeds: Vec<Name>) {
+pub fn update_seeds(process: &Process, seeds: Vec<Name>) {
     input(process, Input::Seeds(seeds));
 }
 
 /// The process is told to leave the chain and end.
-pub fn tell_to_leave(process: &Process, within: Millis) {
+pub fn request_leave(process: &Process, within: Millis) {
     input(process, Input::Leave { within });
 }
 
@@ -108,7 +108,7 @@
 pub fn input(process: &Process, input: Input) {
     {
         let mut process = process.lock().unwrap();
-        if process.inbox.len() < INBOX {
+        if process.inbox.len() < INBOX_CAPACITY {
             process.inbox.push_back(input);
         }
     }
@@ -130,7 +130,7 @@
         let mut process = shared.lock().unwrap();
         process.busy = false;
         process.stalled = false;
-        process.complete(batch);
+        process.complete_batch(batch);
     }
     work(shared);
 }
@@ -146,7 +146,7 @@
     seam::sleep(Duration::from_millis(sync + cost)).await;
     while disk.lock().unwrap().stalled_until > core.now() {
         if core.now() >= began + STALL {
-            decline_stalled(&shared);
+            reject_while_stalled(&shared);
         }
         seam::sleep(TICK).await;
     }
@@ -154,19 +154,19 @@
 }
 
 /// Whoever waits for a write that lasts too long is told to ask again.
-fn decline_stalled(shared: &Process) {
+fn reject_while_stalled(shared: &Process) {
     let mut process = shared.lock().unwrap();
     if !process.stalled {
         process.stalled = true;
         let declined = process.host.reject_pending();
-        process.emit(declined);
+        process.send_outputs(declined);
     }
 }
 
 impl KeeperProcess {
     fn step_batch(&mut self) -> Batch {
         let mut batch = Batch::default();
-        let count = self.inbox.len().min(BATCH);
+        let count = self.inbox.len().min(MAX_BATCH);
         for input in self.inbox.drain(..count) {
             self.host.step(now(), input, &mut batch);
         }
@@ -180,40 +180,40 @@
     fn begin(&mut self, shared: &Process, batch: Batch) {
         let cost = self.cost();
         if batch.records.is_empty() && cost == 0 {
-            return self.complete(batch);
+            return self.complete_batch(batch);
         }
         self.busy = true;
         self.disk.lock().unwrap().write(batch.records.clone());
         seam::spawn(sync(shared.clone(), batch, cost));
     }
 
-    fn complete(&mut self, batch: Batch) {
+    fn complete_batch(&mut self, batch: Batch) {
         let at = self.cluster.core.now();
         let saved = if batch.records.is_empty() { Ok(()) } else { self.disk.lock().unwrap().sync(at) };
         let outputs = self.host.complete_save(now(), saved, batch);
-        self.emit(outputs);
+        self.send_outputs(outputs);
         if self.host.is_probe_due(now()) {
             let recovered = self.disk.lock().unwrap().probe(at);
             let resumed = self.host.complete_probe(now(), recovered);
             let outputs = self.host.complete_save(now(), Ok(()), resumed);
-            self.emit(outputs);
+            self.send_outputs(outputs);
         }
     }
 
     fn cost(&self) -> Millis {
-        self.cluster.state.lock().unwrap().machines[self.index].slow_ms
+        self.cluster.state.lock().unwrap().machines[self.index].step_delay
     }
 
-    fn emit(&mut self, outputs: Vec<Output>) {
+    fn send_outputs(&mut self, outputs: Vec<Output>) {
         if let Some(keeper) = self.host.keeper() {
-            self.cluster.invariants.lock().unwrap().leaves(keeper);
+            self.cluster.invariants.lock().unwrap().record_outputs(keeper);
         }
         for output in outputs {
             match output {
                 Output::Persist(_) => {}
                 Output::Send(to, message) => self.send(to, message),
                 Output::Reply(token, reply) => self.reply(token, reply),
-                Output::Log(line) => self.cluster.core.say(&format!("{}: {line}", self.host.name())),
+                Output::Log(line) => self.cluster.core.log(&format!("{}: {line}", self.host.name())),
             }
         }
     }
@@ -237,12 +237,13 @@
         let at = self.cluster.core.now();
         let Some(call) = self.calls.remove(&token) else {
             let mut invariants = self.cluster.invariants.lock().unwrap();
-            return invariants.breach(format!("C5 {} answers a call twice at {at}", self.host.name()));
+            return invariants
+                .record_violation(format!("C5 {} answers a call twice at {at}", self.host.name()));
         };
         if !call.kind.accepts(&reply) {
             let mut invariants = self.cluster.invariants.lock().unwrap();
             let text = format!("C5 {} answers {:?} with another kind at {at}", self.host.name(), call.kind);
-            invariants.breach(text);
+            invariants.record_violation(text);
         }
         drop(call.answer.send(reply));
     }
--- a/crates/simulator/src/control/mod.rs
+++ b/crates/simulator/src/control/mod.rs
@@ -20,4 +20,4 @@
 mod run;
 
 pub use parameters::{Allowed, Parameters, Shape};
-pub use run::{ControlSim, Report, run};
+pub use run::{ControlReport, ControlSimOptions, run_seed};
--- a/crates/simulator/src/control/node.rs
+++ b/crates/simulator/src/control/node.rs
@@ -31,7 +31,7 @@
             let node = Node::new(shared.clone(), host.clone());
             seam::spawn(node.run());
         };
-        cluster.core.add(&name, Arc::new(begin), false);
+        cluster.core.add_process(&name, Arc::new(begin), false);
     }
 }
 
@@ -80,8 +80,9 @@
                 }
             }
             Ok(Reply::Snapshot { snapshot, lease_ms }) => {
-                let newer =
-                    Some(*snapshot).filter(|snapshot| snapshot.last_change >= self.known.last_change).and_then(FeedState::from_snapshot);
+                let newer = Some(*snapshot)
+                    .filter(|snapshot| snapshot.last_change >= self.known.last_change)
+                    .and_then(FeedState::from_snapshot);
                 if let Some(known) = newer {
                     self.known = known;
                     self.lease_until = asked + minus_clock_drift(lease_ms);
--- a/crates/simulator/src/control/operator.rs
+++ b/crates/simulator/src/control/operator.rs
@@ -1,6 +1,6 @@
 //! Operators who send documents until they have an answer, and readers of the document in force.
 use super::cluster::Cluster;
-use super::door::{DoorAnswer, DoorCall, door_of};
+use super::door::{DoorAnswer, DoorCall, api_address};
 use super::history::{Document, Read};
 use quincehatch_core::{Millis, Name};
 use quincehatch_runtime::seam;
@@ -8,15 +8,15 @@
 use std::time::Duration;
 
 /// Callers move on after a second of silence.
-const SILENCE: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// An order that was superseded is given up after so long.
 const SUPERSEDED_PATIENCE: Millis = 5_000;
 const RETRY: u64 = 150;
 /// Parts in a thousand of the orders that are not new.
-const CONTESTED: u64 = 80;
-const RESENT: u64 = 80;
+const CONTESTED_PER_MILLE: u64 = 80;
+const RESENT_PER_MILLE: u64 = 80;
 /// Parts in a thousand of the answers that are lost while answers are lost at all.
-const LOST_ANSWERS: u64 = 700;
+const LOST_REPLIES_PER_MILLE: u64 = 700;
 
 /// Starts the processes of operators and readers.
 pub fn start(cluster: &Arc<Cluster>) {
@@ -24,17 +24,17 @@
         let cluster = cluster.clone();
         let shared = cluster.clone();
         let begin = move |_: &Arc<_>, _| {
-            for _ in 0..cluster.parameters.orders_at_once {
-                seam::spawn(operate(cluster.clone()));
+            for _ in 0..cluster.parameters.submissions_in_flight {
+                seam::spawn(submit_documents(cluster.clone()));
             }
         };
-        shared.core.add(&format!("operator {number}"), Arc::new(begin), true);
+        shared.core.add_process(&format!("operator {number}"), Arc::new(begin), true);
     }
     for number in 0..cluster.parameters.readers {
         let cluster = cluster.clone();
         let shared = cluster.clone();
-        let begin = move |_: &Arc<_>, _| drop(seam::spawn(keep_reading(cluster.clone())));
-        shared.core.add(&format!("reader {number}"), Arc::new(begin), true);
+        let begin = move |_: &Arc<_>, _| drop(seam::spawn(read_repeatedly(cluster.clone())));
+        shared.core.add_process(&format!("reader {number}"), Arc::new(begin), true);
     }
 }
 
@@ -43,9 +43,9 @@
     seam::sleep(Duration::from_millis(ms)).await;
 }
 
-async fn operate(cluster: Arc<Cluster>) {
+async fn submit_documents(cluster: Arc<Cluster>) {
     while !cluster.stopped() {
-        pause(&cluster, cluster.parameters.order_pause).await;
+        pause(&cluster, cluster.parameters.max_submission_pause).await;
         let document = choose(&cluster);
         order(&cluster, document).await;
     }
@@ -55,11 +55,11 @@
 fn choose(cluster: &Cluster) -> Document {
     let kind = cluster.below(1_000);
     let newest = cluster.state.lock().unwrap().next_number;
-    if kind < CONTESTED && newest > 0 {
+    if kind < CONTESTED_PER_MILLE && newest > 0 {
         let number = newest - cluster.below(newest.min(3));
         return Document { number, variant: 1 + cluster.below(2) };
     }
-    if kind >= 1_000 - RESENT {
+    if kind >= 1_000 - RESENT_PER_MILLE {
         let acknowledged = cluster.history.lock().unwrap().acknowledged.clone();
         let recent = &acknowledged[acknowledged.len().saturating_sub(40)..];
         if let Some((_, document)) = cluster.core.lock().rng.pick(recent) {
@@ -74,8 +74,8 @@
     let place = cluster.history.lock().unwrap().send(cluster.core.now(), document);
     while !cluster.stopped() {
         let call = DoorCall::Replace { text: document.text() };
-        let answer = ask_any(cluster, &call).await;
-        if note_answer(cluster, place, document, answer) {
+        let answer = call_any_machine(cluster, &call).await;
+        if record_reply(cluster, place, document, answer) {
             return;
         }
         pause(cluster, RETRY).await;
@@ -83,10 +83,10 @@
 }
 
 /// Notes what the operator learned; true if that ends the order.
-fn note_answer(cluster: &Cluster, place: usize, document: Document, answer: Option<DoorAnswer>) -> bool {
+fn record_reply(cluster: &Cluster, place: usize, document: Document, answer: Option<DoorAnswer>) -> bool {
     let at = cluster.core.now();
-    let lossy = cluster.state.lock().unwrap().lost_answers_until > at;
-    let lost = lossy && cluster.chance(LOST_ANSWERS);
+    let lossy = cluster.state.lock().unwrap().replies_lost_until > at;
+    let lost = lossy && cluster.chance(LOST_REPLIES_PER_MILLE);
     let mut history = cluster.history.lock().unwrap();
     let ends = match answer.filter(|_| !lost) {
         Some(DoorAnswer::Acknowledged) => {
@@ -97,7 +97,7 @@
             history.refused.push((at, document));
             true
         }
-        _ => history.orders[place].superseded.is_some_and(|since| at >= since + SUPERSEDED_PATIENCE),
+        _ => history.orders[place].superseded_at.is_some_and(|since| at >= since + SUPERSEDED_PATIENCE),
     };
     if ends {
         history.orders[place].ended = Some(at);
@@ -105,7 +105,7 @@
     ends
 }
 
-async fn ask_any(cluster: &Cluster, call: &DoorCall) -> Option<DoorAnswer> {
+async fn call_any_machine(cluster: &Cluster, call: &DoorCall) -> Option<DoorAnswer> {
     let addresses = cluster.addresses();
     let address = cluster.core.lock().rng.pick(&addresses).cloned()?;
     ask(&address, call).await
@@ -113,14 +113,14 @@
 
 async fn ask(address: &Name, call: &DoorCall) -> Option<DoorAnswer> {
     let frame = borsh::to_vec(call).ok()?;
-    let answer = seam::current_world()?.exchange_frame(&door_of(address), frame);
-    let bytes = seam::timeout(SILENCE, answer).await.ok()?.ok()?;
+    let answer = seam::current_world()?.exchange_frame(&api_address(address), frame);
+    let bytes = seam::timeout(CALL_TIMEOUT, answer).await.ok()?.ok()?;
     borsh::from_slice(&bytes).ok()
 }
 
-async fn keep_reading(cluster: Arc<Cluster>) {
+async fn read_repeatedly(cluster: Arc<Cluster>) {
     while !cluster.stopped() {
-        pause(&cluster, cluster.parameters.order_pause / 2).await;
+        pause(&cluster, cluster.parameters.max_submission_pause / 2).await;
         read(&cluster).await;
     }
 }
@@ -128,7 +128,9 @@
 /// One read of the document in force, noted if it was answered.
 async fn read(cluster: &Cluster) -> Option<()> {
     let began = cluster.core.now();
-    let DoorAnswer::Document { text } = ask_any(cluster, &DoorCall::Retrieve).await? else { return None };
+    let DoorAnswer::Document { text } = call_any_machine(cluster, &DoorCall::Retrieve).await? else {
+        return None;
+    };
     let document = text.and_then(|text| Document::parse(&text));
     let read = Read { began, ended: cluster.core.now(), document };
     cluster.history.lock().unwrap().reads.push(read);
--- a/crates/simulator/src/control/parameters.rs
+++ b/crates/simulator/src/control/parameters.rs
@@ -43,7 +43,7 @@
 pub struct Parameters {
     pub shape: Shape,
     /// A machine that is stopped in order has so long to leave the chain, as the platform's has.
-    pub leave_within: Millis,
+    pub leave_timeout: Millis,
     /// A machine counts as lost for so long after its return, or after its successor's start.
     pub catch_up: Millis,
     /// The core is settled once nothing has troubled it for so long.
@@ -51,26 +51,26 @@
     /// A settled core acknowledges a proper order within this time.
     pub ack: Millis,
     /// A node that holds a lease has an acknowledged document in force after so long.
-    pub config_apply: Millis,
+    pub apply_within: Millis,
     /// The operators' list of seeds lags behind the machines by so much.
     pub seed_lag: Millis,
     /// A removed machine's successor starts so long after it.
-    pub successor_after: Millis,
+    pub successor_delay: Millis,
     pub allowed: Allowed,
     /// Faults begin at this time, and no new one does after that.
     pub faults_from: Millis,
     pub faults_until: Millis,
     /// Mean time between two faults.
-    pub fault_gap: Millis,
+    pub mean_fault_gap: Millis,
     /// Time for healing before the last read.
-    pub healing: Millis,
+    pub healing_time: Millis,
     pub operators: usize,
     pub readers: usize,
     pub nodes: usize,
     /// Orders one operator may have under way at once.
-    pub orders_at_once: usize,
+    pub submissions_in_flight: usize,
     /// Longest pause between two orders of one operator.
-    pub order_pause: Millis,
+    pub max_submission_pause: Millis,
 }
 
 const LEAVE_WITHIN: Millis = 4_500;
@@ -86,22 +86,22 @@
         Parameters {
             shape,
             allowed,
-            leave_within: LEAVE_WITHIN,
+            leave_timeout: LEAVE_WITHIN,
             catch_up,
             contact: 4_000,
             ack: 5_000,
-            config_apply: 3_000,
+            apply_within: 3_000,
             seed_lag: 3_000,
-            successor_after: 1_000,
+            successor_delay: 1_000,
             faults_from: 6_000,
             faults_until: 36_000,
-            fault_gap: 2_500,
-            healing: 12_000,
+            mean_fault_gap: 2_500,
+            healing_time: 12_000,
             operators: 2 + (seed % 2) as usize,
             readers: 2,
             nodes: 2,
-            orders_at_once: if storm { 6 } else { 2 },
-            order_pause: if storm { 400 } else { 1_800 },
+            submissions_in_flight: if storm { 6 } else { 2 },
+            max_submission_pause: if storm { 400 } else { 1_800 },
         }
     }
 }
--- a/crates/simulator/src/control/recovery.rs
+++ b/crates/simulator/src/control/recovery.rs
@@ -14,7 +14,7 @@
     let disk = disk.lock().unwrap();
     let forgotten = seam::injected_bug("forgotten-votes") && !cluster.state.lock().unwrap().first_start;
     let found = match (seam::injected_bug("stale-snapshot"), forgotten) {
-        (true, _) => disk.stale(),
+        (true, _) => disk.recover_stale(),
         (_, true) => RecoveredState { view: View::initial(seeds), ..Default::default() },
         _ => disk.recover(),
     };
--- a/crates/simulator/src/control/run.rs
+++ b/crates/simulator/src/control/run.rs
@@ -5,27 +5,27 @@
 use super::history::{Document, History};
 use super::parameters::{Allowed, Parameters};
 use super::{inject, node, operator};
-use crate::fleet::core::Core;
+use crate::fleet::core::Simulation;
 use quincehatch_core::Millis;
 use std::sync::Arc;
 
 /// What is simulated.
 #[derive(Clone, Debug)]
-pub struct ControlSim {
+pub struct ControlSimOptions {
     pub seed: u64,
     pub allowed: Allowed,
     /// A deliberate bug of the product or of the simulated process.
     pub bug: Option<String>,
     /// Prints what happens.
-    pub tell: bool,
+    pub verbose: bool,
 }
 
 /// What a run came to.
 #[derive(Debug, Default)]
-pub struct Report {
+pub struct ControlReport {
     pub seed: u64,
-    pub breaches: Vec<String>,
-    pub orders: usize,
+    pub violations: Vec<String>,
+    pub submissions: usize,
     pub acknowledged: usize,
     pub reads: usize,
     pub applied: usize,
@@ -38,20 +38,20 @@
 }
 
 /// Orders begin once the first view is in service.
-const ORDERS_FROM: Millis = 3_000;
+const SUBMISSIONS_FROM: Millis = 3_000;
 /// The time for reading back after everything has healed.
-const READ_BACK: Millis = 10_000;
-const SLICE: Millis = 100;
+const READ_BACK_TIMEOUT: Millis = 10_000;
+const READ_BACK_STEP: Millis = 100;
 /// Network delay one way, in milliseconds.
-const DELAY: (Millis, Millis) = (1, 4);
+const NETWORK_DELAY: (Millis, Millis) = (1, 4);
 
-pub fn run(sim: &ControlSim) -> Report {
+pub fn run_seed(sim: &ControlSimOptions) -> ControlReport {
     let parameters = Parameters::for_seed(sim.seed, sim.allowed);
-    let core = Core::new(sim.seed, sim.bug.as_deref(), sim.tell);
-    core.lock().delay = DELAY;
+    let core = Simulation::new(sim.seed, sim.bug.as_deref(), sim.verbose);
+    core.lock().delay_range = NETWORK_DELAY;
     let cluster = Cluster::new(core.clone(), parameters);
     cluster.start_all();
-    core.run_until(ORDERS_FROM);
+    core.run_until(SUBMISSIONS_FROM);
     node::start(&cluster);
     operator::start(&cluster);
     core.run_until(cluster.parameters.faults_from);
@@ -60,14 +60,14 @@
     close(&cluster);
     finish(&cluster);
     let report = report(sim.seed, &cluster);
-    core.end();
+    core.shut_down();
     report
 }
 
 /// Every other seed ends with a closing fault, right after an acknowledgement.
 fn close(cluster: &Arc<Cluster>) {
     let core = &cluster.core;
-    inject::heal(cluster);
+    inject::heal_all(cluster);
     let quiet = cluster.parameters.catch_up + cluster.parameters.contact;
     core.run_until(core.now() + quiet);
     if cluster.chance(500) {
@@ -98,7 +98,7 @@
 /// Lets the core settle, ends the orders, and reads back what is in force.
 fn finish(cluster: &Arc<Cluster>) {
     let core = &cluster.core;
-    core.run_until(core.now() + cluster.parameters.healing);
+    core.run_until(core.now() + cluster.parameters.healing_time);
     let (end, settled) = {
         let budget = cluster.budget.lock().unwrap();
         (core.now(), budget.settled(cluster.parameters.contact, core.now()))
@@ -108,14 +108,14 @@
     core.run_until(end + 1_000);
     let reader = cluster.others().last().copied().unwrap_or_default();
     let shared = cluster.clone();
-    core.within(reader, || quincehatch_runtime::seam::spawn(operator::read_back(shared)));
-    let limit = core.now() + READ_BACK;
+    core.run_in(reader, || quincehatch_runtime::seam::spawn(operator::read_back(shared)));
+    let limit = core.now() + READ_BACK_TIMEOUT;
     while !cluster.history.lock().unwrap().read_back && core.now() < limit {
-        core.run_until(core.now() + SLICE);
+        core.run_until(core.now() + READ_BACK_STEP);
     }
 }
 
-fn report(seed: u64, cluster: &Cluster) -> Report {
+fn report(seed: u64, cluster: &Cluster) -> ControlReport {
     let mut history = cluster.history.lock().unwrap();
     let invariants = cluster.invariants.lock().unwrap();
     history.breaches.clone_from(&invariants.breaches);
@@ -124,15 +124,15 @@
         breaches.push("the run proves nothing: no acknowledgement, read or poll came through".into());
     }
     let settled_ms = history.settled.iter().map(|(from, to)| to - from).sum();
-    Report {
+    ControlReport {
         seed,
-        breaches,
-        orders: history.orders.len(),
+        violations: breaches,
+        submissions: history.orders.len(),
         acknowledged: history.acknowledged.len(),
         reads: history.reads.len(),
         applied: history.applied.len(),
         committed: invariants.committed(),
-        views: invariants.editions(),
+        views: invariants.highest_view(),
         settled_ms,
         trace: cluster.core.lock().trace,
     }
--- a/crates/simulator/src/direct/book.rs
+++ b/crates/simulator/src/direct/book.rs
@@ -30,7 +30,7 @@
 pub struct Book {
     pub asked: BTreeMap<u64, Asked>,
     /// What each stamp was given for.
-    pub stamps: BTreeMap<Bytes, (u64, Vec<Bytes>)>,
+    pub answers_by_stamp: BTreeMap<Bytes, (u64, Vec<Bytes>)>,
     /// The commits of each id: of a single write or of a COMMIT.
     pub commits: BTreeMap<u64, Arc<Entry>>,
     pub ran: BTreeSet<u64>,
@@ -44,11 +44,11 @@
     pub tries: usize,
     /// Versions of the blueprint: when each was acknowledged.
     pub versions: Vec<(u64, Millis)>,
-    pub story: Vec<String>,
+    pub event_log: Vec<String>,
 }
 
 impl Book {
-    pub fn breach(&mut self, s: String) {
+    pub fn record_violation(&mut self, s: String) {
         if self.breaches.len() < MOST {
             self.breaches.push(s);
         }
@@ -57,17 +57,18 @@
     pub fn committed(&mut self, now: Millis, id: u64, e: &Arc<Entry>) {
         for w in &e.ids {
             if !self.ran.insert(*w) {
-                self.breach(format!("TWICE at {now}: write {w} again in {:?}", e.at));
+                self.record_violation(format!("TWICE at {now}: write {w} again in {:?}", e.at));
             }
             if self.refused.contains(w) {
-                self.breach(format!("REFUSED at {now}: write {w} is committed in {:?}", e.at));
+                self.record_violation(format!("REFUSED at {now}: write {w} is committed in {:?}", e.at));
             }
         }
         self.commits.insert(id, e.clone());
     }
-    pub fn acknowledge(&mut self, now: Millis, id: u64) {
+    pub fn record_acknowledgement(&mut self, now: Millis, id: u64) {
         let Some(e) = self.commits.get(&id).cloned() else {
-            return self.breach(format!("LOST at {now}: {id} was acknowledged and never committed"));
+            return self
+                .record_violation(format!("LOST at {now}: {id} was acknowledged and never committed"));
         };
         if self.top.last().is_none_or(|(_, t)| t.at < e.at) {
             self.top.push((now, e.clone()));
@@ -75,19 +76,19 @@
         self.acked.push((now, e));
     }
     /// The highest commit acknowledged before then.
-    fn top_before(&self, t: Millis) -> Option<&Arc<Entry>> {
+    fn highest_acknowledged_before(&self, t: Millis) -> Option<&Arc<Entry>> {
         let n = self.top.partition_point(|(at, _)| *at < t);
         n.checked_sub(1).map(|i| &self.top[i].1)
     }
 
     /// A statement is about to run on a server that holds `sees` of its log.
-    pub fn runs(&mut self, now: Millis, id: u64, l: &Link, s: &Server, sees: usize) {
+    pub fn check_execution(&mut self, now: Millis, id: u64, l: &Link, s: &Server, sees: usize) {
         let Some(a) = self.asked.get(&id).cloned() else {
-            return self.breach(format!("UNASKED at {now}: {id} on {}", s.name));
+            return self.record_violation(format!("UNASKED at {now}: {id} on {}", s.name));
         };
         if l.values != a.values {
             let why = format!("{id} on {} with {:?} instead of {:?}", s.name, l.values, a.values);
-            self.breach(format!("PINNED at {now}: {why}"));
+            self.record_violation(format!("PINNED at {now}: {why}"));
         }
         let within = l.txn.as_ref().map(|t| (t.of, t.read));
         let fits = match (within, a.txn) {
@@ -96,27 +97,30 @@
             _ => false,
         };
         if !fits {
-            self.breach(format!("PINNED at {now}: {id} of {:?} in {within:?} on {}", a.txn, s.name));
+            self.record_violation(format!(
+                "PINNED at {now}: {id} of {:?} in {within:?} on {}",
+                a.txn, s.name
+            ));
         }
         if a.write || a.commit {
             return;
         }
         self.reads += 1;
         let by = if a.order { a.from } else { a.from.saturating_sub(FRESH) };
-        if let Some(e) = self.top_before(by).filter(|e| !s.holds(e, sees)).cloned() {
+        if let Some(e) = self.highest_acknowledged_before(by).filter(|e| !s.holds(e, sees)).cloned() {
             let side = if a.order { "an order's read" } else { "a lookup" };
             let at = s.log.get(sees.wrapping_sub(1)).map(|e| e.at);
-            self.breach(format!(
+            self.record_violation(format!(
                 "STALE at {now}: {side} {id} from {} on {} at {at:?} lacks {:?}",
                 a.from, s.name, e.at
             ));
         }
     }
     /// An origin was told that this succeeded.
-    pub fn succeeded(&mut self, now: Millis, id: u64, stamp: Option<&Bytes>, rows: &[Bytes]) {
-        let given = stamp.and_then(|s| self.stamps.get(s));
+    pub fn check_success(&mut self, now: Millis, id: u64, stamp: Option<&Bytes>, rows: &[Bytes]) {
+        let given = stamp.and_then(|s| self.answers_by_stamp.get(s));
         if given.is_none_or(|(of, r)| *of != id || r != rows) {
-            self.breach(format!("MIXED at {now}: {id} with {stamp:?} given for {given:?}"));
+            self.record_violation(format!("MIXED at {now}: {id} with {stamp:?} given for {given:?}"));
         }
     }
     /// A promise was given for these writes.
@@ -124,7 +128,9 @@
         for w in writes {
             self.refused.insert(*w);
             if self.ran.contains(w) {
-                self.breach(format!("REFUSED at {now}: write {w} was committed before the promise"));
+                self.record_violation(format!(
+                    "REFUSED at {now}: write {w} was committed before the promise"
+                ));
             }
         }
     }
@@ -134,7 +140,7 @@
         let all: Vec<_> = lacks.map(|(at, e)| format!("{:?} acknowledged at {at}", e.at)).collect();
         if let Some(first) = all.first() {
             let n = all.len();
-            self.breach(format!(
+            self.record_violation(format!(
                 "LOST at {now}: {} {when} at {:?} lacks {n}, first {first}",
                 s.name,
                 s.end()
--- a/crates/simulator/src/direct/conn.rs
+++ b/crates/simulator/src/direct/conn.rs
@@ -2,8 +2,10 @@
 use super::book::Asked;
 use super::laid::{Laid, NodeAt};
 use bytes::Bytes;
-use quincehatch_core::{ErrorCode, Outcome, Millis};
-use quincehatch_proxy::direct::{SessionRequest, DirectProxy, DirectSession, StatementResponse, SessionCommand, command::StatementError};
+use quincehatch_core::{ErrorCode, Millis, Outcome};
+use quincehatch_proxy::direct::{
+    DirectProxy, DirectSession, SessionCommand, SessionRequest, StatementResponse, command::StatementError,
+};
 use quincehatch_proxy::ports::RejectReason;
 use quincehatch_runtime::seam;
 use std::collections::BTreeMap;
@@ -12,8 +14,8 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// A transaction that rests is ended after so long.
-pub const TXN_IDLE: Millis = 3_000;
-const ANSWER_WITHIN: Millis = 3_000;
+pub const TRANSACTION_IDLE_MS: Millis = 3_000;
+const REPLY_TIMEOUT_MS: Millis = 3_000;
 
 type Wire = mpsc::UnboundedSender<(SessionRequest, oneshot::Sender<StatementResponse>)>;
 
@@ -29,7 +31,7 @@
     let Some(mut s) = session else { return };
     loop {
         let got = if s.holds_connection() {
-            let Ok(got) = seam::timeout(Duration::from_millis(TXN_IDLE), rx.recv()).await else {
+            let Ok(got) = seam::timeout(Duration::from_millis(TRANSACTION_IDLE_MS), rx.recv()).await else {
                 s.abort_transaction();
                 continue;
             };
@@ -56,17 +58,29 @@
 pub fn promise(g: &StatementError) -> bool {
     match g {
         StatementError::Server(no, _) => {
-            matches!(no, RejectReason::Busy | RejectReason::Behind | RejectReason::NotPrimary | RejectReason::WrongServer | RejectReason::TooManyConnections)
+            matches!(
+                no,
+                RejectReason::Busy
+                    | RejectReason::Behind
+                    | RejectReason::NotPrimary
+                    | RejectReason::WrongServer
+                    | RejectReason::TooManyConnections
+            )
         }
         StatementError::Proxy(b) => {
-            let other =
-                [ErrorCode::DeadlinePassed, ErrorCode::NoRoute, ErrorCode::Malformed, ErrorCode::TooLarge, ErrorCode::ServerRejected];
+            let other = [
+                ErrorCode::DeadlinePassed,
+                ErrorCode::NoRoute,
+                ErrorCode::Malformed,
+                ErrorCode::TooLarge,
+                ErrorCode::ServerRejected,
+            ];
             b.outcome == Outcome::NotApplied && !other.iter().any(|c| b.has_code(*c))
         }
     }
 }
 
-pub struct Conn {
+pub struct ClientConnection {
     pub l: Arc<Laid>,
     wire: Wire,
     pub order: bool,
@@ -75,28 +89,28 @@
     pub dead: bool,
 }
 
-async fn hop() {
+async fn network_delay() {
     seam::sleep(Duration::from_millis(fastrand::u64(1..5))).await;
 }
 
 /// A connection to one node; none where nobody answers in time, or no rule takes the database.
-pub async fn connect(l: &Arc<Laid>, n: &NodeAt, order: bool) -> Option<Conn> {
-    let up = l.core.lock().hosts[n.pid].up;
+pub async fn connect(l: &Arc<Laid>, n: &NodeAt, order: bool) -> Option<ClientConnection> {
+    let up = l.core.lock().processes[n.pid].up;
     let live = n.live().filter(|_| up)?;
     let (wire, rx) = mpsc::unbounded_channel();
     let (tx, opened) = oneshot::channel();
-    hop().await;
-    if !l.core.lock().hosts[n.pid].up {
+    network_delay().await;
+    if !l.core.lock().processes[n.pid].up {
         return None;
     }
     let db = if order { "o" } else { "l" };
-    l.core.within(n.pid, || seam::spawn(serve(live.held.clone(), db, rx, tx)));
+    l.core.run_in(n.pid, || seam::spawn(serve(live.held.clone(), db, rx, tx)));
     let said = seam::timeout(Duration::from_secs(2), opened).await.ok()?.ok()?;
     let (values, prepared) = (BTreeMap::new(), BTreeMap::new());
-    said.then_some(Conn { l: l.clone(), wire, order, values, prepared, dead: false })
+    said.then_some(ClientConnection { l: l.clone(), wire, order, values, prepared, dead: false })
 }
 
-impl Conn {
+impl ClientConnection {
     pub fn next(&self) -> u64 {
         self.l.site.with(|s| {
             s.book.tries += 1;
@@ -105,14 +119,16 @@
     }
     /// One wish and its answer; silence ends the session.
     pub async fn ask(&mut self, id: u64, wish: SessionCommand) -> Option<StatementResponse> {
-        hop().await;
+        network_delay().await;
         let (tx, rx) = oneshot::channel();
         let sent = self.wire.send((SessionRequest { id: Bytes::from(id.to_string()), command: wish }, tx));
         let got = match sent {
-            Ok(()) => seam::timeout(Duration::from_millis(ANSWER_WITHIN), rx).await.ok().and_then(Result::ok),
+            Ok(()) => {
+                seam::timeout(Duration::from_millis(REPLY_TIMEOUT_MS), rx).await.ok().and_then(Result::ok)
+            }
             Err(_) => None,
         };
-        hop().await;
+        network_delay().await;
         self.dead |= got.is_none();
         got
     }
@@ -124,7 +140,7 @@
     }
 
     /// A setting or a prepared text; an error to it ends the session.
-    pub async fn dress(&mut self) {
+    pub async fn change_session_state(&mut self) {
         let name = Bytes::from(format!("x{}", fastrand::u64(0..3)));
         let id = self.next();
         let set = fastrand::bool();
@@ -188,9 +204,9 @@
         self.l.site.with(|s| match t.as_ref().map(|t| &t.result) {
             Some(Ok(stamp)) => {
                 let rows = t.as_ref().map_or(&[][..], |t| &t.rows);
-                s.book.succeeded(at, id, stamp.as_ref(), rows);
+                s.book.check_success(at, id, stamp.as_ref(), rows);
                 if kept {
-                    s.book.acknowledge(at, id);
+                    s.book.record_acknowledgement(at, id);
                 }
                 Ended::Good
             }
--- a/crates/simulator/src/direct/exec.rs
+++ b/crates/simulator/src/direct/exec.rs
@@ -1,11 +1,11 @@
 //! How a question on a held link comes to a simulated server, takes a slot there, and is answered.
 use super::server::{Done, number};
-use super::site::{Reply, SLOTS, Site, State};
-use super::trip::{Trip, carry};
-use crate::fleet::core::Core;
+use super::site::{Reply, SLOTS, ServerGroup, State};
+use super::trip::{Delivery, carry};
+use crate::fleet::core::Simulation;
 use bytes::Bytes;
 use quincehatch_core::Millis;
-use quincehatch_proxy::ports::{ServerCall, RejectReason, ServerReply};
+use quincehatch_proxy::ports::{RejectReason, ServerCall, ServerReply};
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -15,7 +15,7 @@
 /// A server that answers nothing keeps the link for so long.
 const SILENT: Millis = 4_000;
 
-impl Site {
+impl ServerGroup {
     /// A question leaves a node.
     pub fn ask(self: &Arc<Self>, id: u64, call: ServerCall, reply: Reply) {
         let Some(core) = self.core() else { return };
@@ -27,9 +27,9 @@
         let Some((node, pid)) = ends else { return };
         let (site, sent) = (self.clone(), core.now());
         carry(&core, node, pid, move |c, trip| match trip {
-            Trip::Arrived => site.arrived(c, id, call, sent, reply),
-            Trip::Nobody => drop(reply),
-            Trip::Lost => drop(reply.send(Err(io::ErrorKind::TimedOut.into()))),
+            Delivery::Arrived => site.arrived(c, id, call, sent, reply),
+            Delivery::Refused => drop(reply),
+            Delivery::Lost => drop(reply.send(Err(io::ErrorKind::TimedOut.into()))),
         });
     }
     /// A node's end of a link is closed: what is open on it is rolled back.
@@ -41,46 +41,56 @@
         carry(&core, node, pid, move |_, _| site.with(|s| s.closed(id)));
     }
 
-    fn arrived(self: &Arc<Self>, c: &Arc<Core>, id: u64, call: ServerCall, sent: Millis, reply: Reply) {
-        let takes = !matches!(call, ServerCall::Set { .. } | ServerCall::Prepare { .. } | ServerCall::Reset | ServerCall::Rollback);
+    fn arrived(self: &Arc<Self>, c: &Arc<Simulation>, id: u64, call: ServerCall, sent: Millis, reply: Reply) {
+        let takes = !matches!(
+            call,
+            ServerCall::Set { .. } | ServerCall::Prepare { .. } | ServerCall::Reset | ServerCall::Rollback
+        );
         let now = c.now();
         let work = self.with(|st| {
             let l = st.links.get(&id)?;
             let (i, node) = (l.server, l.node);
             let first = l.txn.as_ref().is_none_or(|t| t.of.is_none() && t.writes.is_empty());
             let new = first && matches!(call, ServerCall::Run { .. } | ServerCall::Execute { .. });
-            let late = st.servers[i].left.filter(|t| sent > t + DRAIN && st.in_touch(node, sent));
+            let late = st.servers[i].left.filter(|t| sent > t + DRAIN && st.is_undisturbed(node, sent));
             if let Some(t) = late.filter(|_| new) {
                 let name = st.servers[i].name.clone();
-                st.book.breach(format!("DRAIN at {now}: {call:?} sent {sent} to {name} that left at {t}"));
+                st.book.record_violation(format!(
+                    "DRAIN at {now}: {call:?} sent {sent} to {name} that left at {t}"
+                ));
             }
             let s = &mut st.servers[i];
             if takes && (s.busy >= SLOTS || now < s.busy_until) {
                 return Some((i, None));
             }
             s.busy += usize::from(takes);
-            Some((i, Some(s.slow)))
+            Some((i, Some(s.extra_latency)))
         });
         let Some((i, slow)) = work else { return };
         let Some(slow) = slow else {
             let said = self.with(|st| {
-                let end = st.servers[i].seen_end(now);
+                let end = st.servers[i].visible_end(now);
                 let l = st.links.get_mut(&id)?;
                 l.asked -= 1;
                 let no = Some((RejectReason::Busy, Bytes::new()));
-                Some(ServerReply { rejection: no, transaction_state: l.stage(), log_end: Some(end), ..ServerReply::default() })
+                Some(ServerReply {
+                    rejection: no,
+                    transaction_state: l.stage(),
+                    log_end: Some(end),
+                    ..ServerReply::default()
+                })
             });
             return said.map_or((), |said| self.say(c, id, said, reply));
         };
-        let life = c.lock().hosts[self.with(|s| s.servers[i].pid)].life;
+        let life = c.lock().processes[self.with(|s| s.servers[i].pid)].incarnation;
         let takes_ms = if takes { 2 + c.lock().rng.below(7) + slow } else { 0 };
         let site = self.clone();
-        c.later(now + takes_ms, move |c| site.execute(c, (id, i, life), takes, call, reply));
+        c.schedule_action(now + takes_ms, move |c| site.execute(c, (id, i, life), takes, call, reply));
     }
 
     fn execute(
         self: &Arc<Self>,
-        c: &Arc<Core>,
+        c: &Arc<Simulation>,
         at: (u64, usize, u64),
         takes: bool,
         call: ServerCall,
@@ -90,15 +100,15 @@
         let pid = self.with(|s| s.servers[i].pid);
         let (now, up, same, dark, still) = {
             let m = c.lock();
-            let h = &m.hosts[pid];
-            (m.now, h.up, h.life == life, h.dark, h.paused_until)
+            let h = &m.processes[pid];
+            (m.now, h.up, h.incarnation == life, h.powered_off, h.paused_until)
         };
         if !up || !same {
-            return if dark { c.later(now + SILENT, move |_| drop(reply)) } else { drop(reply) };
+            return if dark { c.schedule_action(now + SILENT, move |_| drop(reply)) } else { drop(reply) };
         }
         if still > now {
             let site = self.clone();
-            return c.later(still, move |c| site.execute(c, at, takes, call, reply));
+            return c.schedule_action(still, move |c| site.execute(c, at, takes, call, reply));
         }
         let fails = c.lock().rng.chance(3);
         let done = self.with(|st| {
@@ -109,8 +119,11 @@
             let done = st.run(now, &mut l, &call, fails);
             let mut done = Some(done);
             if let Some(Done::Said(said)) = &mut done {
-                said.log_end = Some(st.servers[i].seen_end(now));
-                if let ServerCall::Run { id, .. } | ServerCall::Execute { id, .. } | ServerCall::Commit { id } = &call {
+                said.log_end = Some(st.servers[i].visible_end(now));
+                if let ServerCall::Run { id, .. }
+                | ServerCall::Execute { id, .. }
+                | ServerCall::Commit { id } = &call
+                {
                     st.stamp(number(id), i, said);
                 }
             }
@@ -127,7 +140,7 @@
     }
 
     /// An answer leaves a server, unless it is lost with or without its link.
-    pub fn say(self: &Arc<Self>, c: &Arc<Core>, id: u64, said: ServerReply, reply: Reply) {
+    pub fn say(self: &Arc<Self>, c: &Arc<Simulation>, id: u64, said: ServerReply, reply: Reply) {
         let resets = c.lock().rng.chance(500);
         let ends = self.with(|st| {
             let l = st.links.get(&id)?;
@@ -145,9 +158,9 @@
         });
         match ends {
             None => drop(reply),
-            Some((_, _, true)) => c.later(c.now() + SILENT, move |_| drop(reply)),
+            Some((_, _, true)) => c.schedule_action(c.now() + SILENT, move |_| drop(reply)),
             Some((node, pid, false)) => carry(c, pid, node, move |_, trip| match trip {
-                Trip::Arrived => drop(reply.send(Ok(said))),
+                Delivery::Arrived => drop(reply.send(Ok(said))),
                 _ => drop(reply),
             }),
         }
@@ -172,9 +185,9 @@
         if said.rejection.is_some() {
             return;
         }
-        let n = self.book.stamps.len();
+        let n = self.book.answers_by_stamp.len();
         let stamp = Bytes::from(format!("{}.{n:x}", self.servers[server].name));
-        self.book.stamps.insert(stamp.clone(), (id, said.rows.clone()));
+        self.book.answers_by_stamp.insert(stamp.clone(), (id, said.rows.clone()));
         said.stamp = Some(stamp);
     }
 }
--- a/crates/simulator/src/direct/faults.rs
+++ b/crates/simulator/src/direct/faults.rs
@@ -2,48 +2,49 @@
 use super::laid::{Laid, SERVERS};
 use super::operator::leave;
 use super::site::Server;
-use crate::fleet::core::{Pid, Snare};
+use crate::fleet::core::{ProcessId, Trap};
 use quincehatch_core::Millis;
 use quincehatch_runtime::seam;
 use std::sync::Arc;
 
 #[derive(Clone, Debug)]
 pub enum Fault {
-    Crash(Pid, bool, Millis),
-    Pause(Pid, Millis),
-    Cut(Pid, Pid, bool, Millis),
+    Crash(ProcessId, bool, Millis),
+    Pause(ProcessId, Millis),
+    Cut(ProcessId, ProcessId, bool, Millis),
     /// Cut off from all others; with the flag only what it sends is lost.
-    Alone(Pid, bool, Millis),
+    Alone(ProcessId, bool, Millis),
     /// Some are cut off from the rest; with the flag only what they send is lost.
-    Split(Vec<Pid>, bool, Millis),
+    Split(Vec<ProcessId>, bool, Millis),
     /// A node and the lead are cut off from all others.
-    Island(usize, Millis),
+    IsolatePrimaryWithNode(usize, Millis),
     /// The lead, slowed, and a replica are reached by one node only.
-    Pair(usize, Millis),
+    PrimaryAndReplicaReachOneNode(usize, Millis),
     /// Every keeper loses its power in the same moment.
     Power(Millis),
-    Rain(u64, Millis),
-    Deaf(usize, Millis),
+    PacketLoss(u64, Millis),
+    ReplicationStopped(usize, Millis),
     Lag(usize, Millis),
     Slow(usize, Millis),
     Lose(usize, u32),
     /// The lead crashes, dark or not, while a replica is deaf, dark, lagging or held back.
-    LeadAnd(bool, u64, Millis),
+    PrimaryAndReplica(bool, u64, Millis),
     /// Two leads are lost one shortly after the other.
-    Twice(Millis, Millis),
+    TwoPrimaries(Millis, Millis),
     Leave(usize),
     /// Whoever comes to this point of a promotion next stands still for so long, or dies.
-    Snare(&'static str, Option<Millis>),
+    Trap(&'static str, Option<Millis>),
     /// An operator wants a hand-over.
-    HandOver,
+    RequestHandover,
 }
 
 /// Where a promotion may be caught.
-const POINTS: &[&str] = &["is begun", "is closing", "is fencing", "chose", "is promoting", "is naming"];
+const PROMOTION_PHASES: &[&str] =
+    &["is begun", "is closing", "is fencing", "chose", "is promoting", "is naming"];
 
 impl Laid {
     /// Everything that may be cut off or stopped.
-    fn all(&self) -> Vec<Pid> {
+    fn all(&self) -> Vec<ProcessId> {
         let servers = self.site.with(|s| s.servers.iter().map(|s| s.pid).collect::<Vec<_>>());
         self.keepers.iter().copied().chain(self.nodes.iter().map(|n| n.pid)).chain(servers).collect()
     }
@@ -53,36 +54,38 @@
         let mut m = self.core.lock();
         let r = &mut m.rng;
         let p = *r.pick(&all).unwrap_or(&0);
-        let wider: Vec<Pid> = all.iter().copied().chain([promoter]).collect();
+        let wider: Vec<ProcessId> = all.iter().copied().chain([promoter]).collect();
         let q = *r.pick(&wider).unwrap_or(&0);
         let (s, ms, yes) = (r.below(SERVERS as u64) as usize, 200 + r.below(6_500), r.chance(500));
         match r.below(126) {
-            116..126 => Fault::Snare(r.pick(POINTS).copied().unwrap_or("chose"), yes.then_some(ms)),
+            116..126 => Fault::Trap(r.pick(PROMOTION_PHASES).copied().unwrap_or("chose"), yes.then_some(ms)),
             100..106 => {
                 let some = wider.iter().copied().filter(|_| r.chance(300)).collect();
                 Fault::Split(some, r.chance(300), ms + 2_500)
             }
-            106..111 => Fault::Island(r.below(self.nodes.len() as u64) as usize, ms + 5_000),
-            111..116 => Fault::Pair(r.below(self.nodes.len() as u64) as usize, ms + 2_500),
+            106..111 => Fault::IsolatePrimaryWithNode(r.below(self.nodes.len() as u64) as usize, ms + 5_000),
+            111..116 => {
+                Fault::PrimaryAndReplicaReachOneNode(r.below(self.nodes.len() as u64) as usize, ms + 2_500)
+            }
             0..16 => Fault::Crash(p, r.chance(400), ms),
             16..28 => Fault::Pause(p, ms),
             28..42 => Fault::Cut(p, q, yes, ms),
             42..48 => Fault::Alone(p, yes, ms),
             48..51 => Fault::Power(ms / 2),
-            51..56 => Fault::Rain(20 + r.below(150), ms),
-            56..61 => Fault::Deaf(s, ms),
+            51..56 => Fault::PacketLoss(20 + r.below(150), ms),
+            56..61 => Fault::ReplicationStopped(s, ms),
             61..66 => Fault::Lag(s, ms),
             66..70 => Fault::Slow(s, ms),
             70..77 => Fault::Lose(s, 1 + r.below(6) as u32),
-            77..86 => Fault::LeadAnd(yes, r.below(4), ms),
-            86..91 => Fault::Twice(100 + r.below(2_500), ms),
-            91..95 => Fault::HandOver,
+            77..86 => Fault::PrimaryAndReplica(yes, r.below(4), ms),
+            86..91 => Fault::TwoPrimaries(100 + r.below(2_500), ms),
+            91..95 => Fault::RequestHandover,
             _ => Fault::Leave(s),
         }
     }
 
     /// Draws faults for a stretch of time; some run side by side.
-    pub fn schedule(self: &Arc<Self>, from: Millis, len: Millis) {
+    pub fn schedule_faults(self: &Arc<Self>, from: Millis, len: Millis) {
         let mut t = from;
         loop {
             t += 300 + self.core.lock().rng.below(4_000);
@@ -90,7 +93,7 @@
                 return;
             }
             let x = self.clone();
-            self.core.later(t, move |_| {
+            self.core.schedule_action(t, move |_| {
                 let f = x.draw();
                 x.strike(f);
             });
@@ -98,135 +101,143 @@
     }
     fn after(self: &Arc<Self>, ms: Millis, f: impl FnOnce(&Arc<Laid>) + Send + 'static) {
         let x = self.clone();
-        self.core.later(self.core.now() + ms, move |_| f(&x));
+        self.core.schedule_action(self.core.now() + ms, move |_| f(&x));
     }
     /// This process, and the links to it, are in trouble until then.
-    fn troubled(&self, p: Pid, ms: Millis) {
+    fn mark_disturbed(&self, p: ProcessId, ms: Millis) {
         let until = self.core.now() + ms;
         self.site.with(|s| {
             let t = s.trouble.entry(p).or_default();
             *t = (*t).max(until);
             if self.keepers.contains(&p) {
-                s.core_trouble = s.core_trouble.max(until);
+                s.keepers_disturbed_until = s.keepers_disturbed_until.max(until);
             }
         });
     }
-    fn all_troubled(&self, ms: Millis) {
-        self.all().into_iter().for_each(|p| self.troubled(p, ms));
+    fn mark_all_disturbed(&self, ms: Millis) {
+        self.all().into_iter().for_each(|p| self.mark_disturbed(p, ms));
     }
     fn server(self: &Arc<Self>, i: usize, ms: Millis, on: fn(&mut Server), off: fn(&mut Server)) {
         self.site.with(|s| on(&mut s.servers[i]));
         self.after(ms, move |l| l.site.with(|s| off(&mut s.servers[i])));
     }
-    fn crash_for(self: &Arc<Self>, p: Pid, dark: bool, ms: Millis) {
-        self.troubled(p, ms);
-        self.crash(p, dark);
+    fn crash_temporarily(self: &Arc<Self>, p: ProcessId, dark: bool, ms: Millis) {
+        self.mark_disturbed(p, ms);
+        self.crash_process(p, dark);
         self.after(ms, move |l| l.start(p));
     }
-    fn lead(&self) -> (usize, Pid) {
+    fn lead(&self) -> (usize, ProcessId) {
         self.site.with(|s| {
             let i = s.lead().unwrap_or(0);
             (i, s.servers[i].pid)
         })
     }
     /// Cuts some off from all but themselves and `but`.
-    fn split(self: &Arc<Self>, some: &[Pid], but: &[Pid], one_way: bool, ms: Millis) {
+    fn split(self: &Arc<Self>, some: &[ProcessId], but: &[ProcessId], one_way: bool, ms: Millis) {
         let promoter = self.site.with(|s| s.promoter);
         let rest = self.all().into_iter().chain([promoter]);
-        let rest: Vec<Pid> = rest.filter(|q| !some.contains(q) && !but.contains(q)).collect();
-        let pairs: Vec<(Pid, Pid)> = some.iter().flat_map(|p| rest.iter().map(|q| (*p, *q))).collect();
-        self.all_troubled(ms);
+        let rest: Vec<ProcessId> = rest.filter(|q| !some.contains(q) && !but.contains(q)).collect();
+        let pairs: Vec<(ProcessId, ProcessId)> =
+            some.iter().flat_map(|p| rest.iter().map(|q| (*p, *q))).collect();
+        self.mark_all_disturbed(ms);
         pairs.iter().for_each(|(p, q)| self.core.cut(*p, *q, !one_way));
         self.after(ms, move |l| pairs.iter().for_each(|(p, q)| l.core.mend(*p, *q)));
     }
-    fn crash_lead(self: &Arc<Self>, dark: bool, ms: Millis) -> usize {
+    fn crash_primary(self: &Arc<Self>, dark: bool, ms: Millis) -> usize {
         let (i, pid) = self.lead();
-        self.crash_for(pid, dark, ms);
+        self.crash_temporarily(pid, dark, ms);
         i
     }
 
     pub fn strike(self: &Arc<Self>, f: Fault) {
         let (c, now) = (&self.core, self.core.now());
-        c.say(&format!("fault {f:?}"));
-        self.site.with(|s| s.book.story.push(format!("{now} fault {f:?}")));
-        c.lock().faulty = true;
+        c.log(&format!("fault {f:?}"));
+        self.site.with(|s| s.book.event_log.push(format!("{now} fault {f:?}")));
+        c.lock().crashes_enabled = true;
         match f {
-            Fault::Crash(p, dark, ms) => self.crash_for(p, dark, ms),
+            Fault::Crash(p, dark, ms) => self.crash_temporarily(p, dark, ms),
             Fault::Pause(p, ms) => {
-                self.troubled(p, ms);
+                self.mark_disturbed(p, ms);
                 c.pause(p, ms);
             }
             Fault::Cut(p, q, both, ms) => {
-                self.troubled(p, ms);
-                self.troubled(q, ms);
+                self.mark_disturbed(p, ms);
+                self.mark_disturbed(q, ms);
                 c.cut(p, q, both);
                 self.after(ms, move |l| l.core.mend(p, q));
             }
             Fault::Alone(p, one_way, ms) => {
-                self.troubled(p, ms);
+                self.mark_disturbed(p, ms);
                 let others = self.all().into_iter().chain([self.site.with(|s| s.promoter)]);
-                let others: Vec<Pid> = others.filter(|q| *q != p).collect();
+                let others: Vec<ProcessId> = others.filter(|q| *q != p).collect();
                 others.iter().for_each(|q| c.cut(p, *q, !one_way));
                 self.after(ms, move |l| others.iter().for_each(|q| l.core.mend(p, *q)));
             }
             Fault::Split(some, one_way, ms) => self.split(&some, &[], one_way, ms),
-            Fault::Island(n, ms) => {
+            Fault::IsolatePrimaryWithNode(n, ms) => {
                 let lead = self.lead();
                 self.split(&[self.nodes[n].pid, lead.1], &[], false, ms);
             }
-            Fault::Pair(n, ms) => {
+            Fault::PrimaryAndReplicaReachOneNode(n, ms) => {
                 let (i, pid) = self.lead();
                 let other = self.site.with(|s| s.servers[(i + 1) % SERVERS].pid);
                 let third = self.site.with(|s| s.servers[(i + 2) % SERVERS].pid);
-                self.server(i, ms, |s| s.slow = 150, |s| s.slow = 0);
+                self.server(i, ms, |s| s.extra_latency = 150, |s| s.extra_latency = 0);
                 self.split(&[pid, other], &[self.nodes[n].pid, third], false, ms);
             }
-            Fault::Power(ms) => self.keepers.clone().iter().for_each(|k| self.crash_for(*k, false, ms)),
-            Fault::Rain(pm, ms) => {
-                self.all_troubled(ms);
+            Fault::Power(ms) => {
+                self.keepers.clone().iter().for_each(|k| self.crash_temporarily(*k, false, ms))
+            }
+            Fault::PacketLoss(pm, ms) => {
+                self.mark_all_disturbed(ms);
                 {
                     let mut m = c.lock();
-                    (m.loss_pm, m.delay) = (pm, (1, 80));
+                    (m.loss_per_mille, m.delay_range) = (pm, (1, 80));
                 }
                 self.after(ms, |l| {
                     let mut m = l.core.lock();
-                    (m.loss_pm, m.delay) = (0, (1, 12));
+                    (m.loss_per_mille, m.delay_range) = (0, (1, 12));
                 });
             }
-            Fault::Deaf(s, ms) => self.server(s, ms, |s| s.deaf = true, |s| s.deaf = false),
-            Fault::Lag(s, ms) => self.server(s, ms, |s| s.lag = 900, |s| s.lag = 5),
-            Fault::Slow(s, ms) => self.server(s, ms, |s| s.slow = 300, |s| s.slow = 0),
+            Fault::ReplicationStopped(s, ms) => self.server(s, ms, |s| s.deaf = true, |s| s.deaf = false),
+            Fault::Lag(s, ms) => self.server(s, ms, |s| s.replication_lag = 900, |s| s.replication_lag = 5),
+            Fault::Slow(s, ms) => self.server(s, ms, |s| s.extra_latency = 300, |s| s.extra_latency = 0),
             Fault::Lose(s, n) => self.site.with(|st| st.servers[s].lose = n),
-            Fault::LeadAnd(dark, what, ms) => {
-                let i = self.crash_lead(dark, ms);
+            Fault::PrimaryAndReplica(dark, what, ms) => {
+                let i = self.crash_primary(dark, ms);
                 let other = (i + 1 + what as usize % 2) % SERVERS;
                 let pid = self.site.with(|s| s.servers[other].pid);
                 match what {
                     0 => self.server(other, ms, |s| s.deaf = true, |s| s.deaf = false),
-                    1 => self.crash_for(pid, true, ms / 2),
-                    2 => self.crash_for(pid, false, 400),
+                    1 => self.crash_temporarily(pid, true, ms / 2),
+                    2 => self.crash_temporarily(pid, false, 400),
                     _ => c.pause(pid, ms / 2),
                 }
             }
-            Fault::Twice(gap, ms) => {
-                self.crash_lead(gap % 2 == 0, ms);
+            Fault::TwoPrimaries(gap, ms) => {
+                self.crash_primary(gap % 2 == 0, ms);
                 self.after(gap, move |l| {
-                    l.crash_lead(false, ms);
+                    l.crash_primary(false, ms);
                 });
             }
-            Fault::Snare(point, pause) => {
-                c.lock().snare = Some(Snare { point: point.into(), pause });
+            Fault::Trap(point, pause) => {
+                c.lock().trap = Some(Trap { point: point.into(), pause });
             }
             Fault::Leave(i) => {
                 if !self.site.with(|s| s.servers.iter().any(|s| s.leaving)) {
                     let l = self.clone();
-                    c.within(self.origins, || seam::spawn(leave(l, i)));
+                    c.run_in(self.clients, || seam::spawn(leave(l, i)));
                 }
             }
-            Fault::HandOver => {
+            Fault::RequestHandover => {
                 for n in &self.nodes {
                     if let Some(live) = n.live() {
-                        live.fleet.promotion_state.handover_requests.lock().unwrap().insert(super::laid::GROUP.into(), None);
+                        live.fleet
+                            .promotion_state
+                            .handover_requests
+                            .lock()
+                            .unwrap()
+                            .insert(super::laid::GROUP.into(), None);
                     }
                 }
             }
--- a/crates/simulator/src/direct/laid.rs
+++ b/crates/simulator/src/direct/laid.rs
@@ -1,15 +1,15 @@
 //! Lays a held fleet out: keepers, nodes, a group's servers, the promoter, and the origins' process.
 use super::ports;
-use super::site::{Server, Site};
-use crate::fleet::core::{Core, Pid, Start};
-use crate::fleet::keeper::{self, Disk, Keepers};
+use super::site::{Server, ServerGroup};
+use crate::fleet::core::{ProcessId, Simulation, StartProcess};
+use crate::fleet::keeper::{self, Disk, KeeperRegistry};
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::{Name, Role};
 use quincehatch_node::{ClusterNode, gossip};
 use quincehatch_proxy::direct::DirectProxy;
 use quincehatch_runtime::seam;
 use quincehatch_store::keeper::RecoveredState;
-use quincehatch_store::{Voter, View};
+use quincehatch_store::{View, Voter};
 use std::sync::{Arc, Mutex};
 
 pub const GROUP: &str = "g";
@@ -23,37 +23,38 @@
 
 #[derive(Clone)]
 pub struct NodeAt {
-    pub pid: Pid,
+    pub pid: ProcessId,
     pub name: String,
     live: Arc<Mutex<Option<Arc<Live>>>>,
 }
 
 pub struct Laid {
-    pub core: Arc<Core>,
-    pub site: Arc<Site>,
-    pub keepers: Vec<Pid>,
-    pub keepers_at: Vec<String>,
-    pub watched: Arc<Keepers>,
+    pub core: Arc<Simulation>,
+    pub site: Arc<ServerGroup>,
+    pub keepers: Vec<ProcessId>,
+    pub keeper_addresses: Vec<String>,
+    pub watched: Arc<KeeperRegistry>,
     pub nodes: Vec<NodeAt>,
-    pub origins: Pid,
+    pub clients: ProcessId,
 }
 
 fn at(kind: u64, i: usize) -> String {
     format!("127.0.0.{kind}:{}", 1_000 + i)
 }
 
-fn lay_keepers(core: &Arc<Core>, n: usize) -> (Vec<Pid>, Arc<Keepers>) {
+fn build_keepers(core: &Arc<Simulation>, n: usize) -> (Vec<ProcessId>, Arc<KeeperRegistry>) {
     let names: Vec<Name> = (0..n).map(|i| format!("k{i}").into()).collect();
     let machines = names.iter().enumerate().map(|(i, n)| Voter { name: n.clone(), addr: at(1, i).into() });
     let view = View { version: 1, members: names.clone(), voters: machines.collect() };
-    let all = Arc::new(Keepers { by_name: Mutex::default(), watch: Mutex::default() });
+    let all = Arc::new(KeeperRegistry { process_by_name: Mutex::default(), commit_watch: Mutex::default() });
     let mut pids = Vec::new();
     for (i, n) in names.into_iter().enumerate() {
         let disk: Disk = Arc::new(Mutex::new(RecoveredState { view: view.clone(), ..Default::default() }));
         let (name, of) = (n.clone(), all.clone());
-        let start: Start = Arc::new(move |c, pid| keeper::start(c, pid, &name, &at(1, i), &disk, &of));
-        let pid = core.add(&n, start, false);
-        all.by_name.lock().unwrap().insert(n, pid);
+        let start: StartProcess =
+            Arc::new(move |c, pid| keeper::start_keeper(c, pid, &name, &at(1, i), &disk, &of));
+        let pid = core.add_process(&n, start, false);
+        all.process_by_name.lock().unwrap().insert(n, pid);
         pids.push(pid);
     }
     (pids, all)
@@ -75,7 +76,12 @@
     }
 }
 
-fn start_node(core: &Arc<Core>, pid: Pid, set: &NodeSettings, site: &Arc<Site>) -> Arc<Live> {
+fn start_node(
+    core: &Arc<Simulation>,
+    pid: ProcessId,
+    set: &NodeSettings,
+    site: &Arc<ServerGroup>,
+) -> Arc<Live> {
     let fleet = ClusterNode::with_ports(set, Some(ports::ports(site, pid)));
     let held = DirectProxy::new(fleet.proxy.clone(), ports::servers(site, pid));
     let to = fleet.clone();
@@ -96,15 +102,16 @@
     }
 }
 
-pub fn lay_out(seed: u64, keepers: usize, nodes: usize, bug: Option<&str>, tell: bool) -> Arc<Laid> {
+pub fn build_fleet(seed: u64, keepers: usize, nodes: usize, bug: Option<&str>, tell: bool) -> Arc<Laid> {
     fastrand::seed(seed);
-    let core = Core::new(seed, bug, tell);
-    let (keeper_pids, watched) = lay_keepers(&core, keepers);
+    let core = Simulation::new(seed, bug, tell);
+    let (keeper_pids, watched) = build_keepers(&core, keepers);
     let keepers_at: Vec<String> = (0..keepers).map(|i| at(1, i)).collect();
-    let idle: Start = Arc::new(|_, _| ());
-    let servers: Vec<Pid> = (0..SERVERS).map(|i| core.add(&format!("s{i}"), idle.clone(), true)).collect();
-    let promoter = core.add("promoter", idle.clone(), true);
-    let site = Site::new(&core, promoter);
+    let idle: StartProcess = Arc::new(|_, _| ());
+    let servers: Vec<ProcessId> =
+        (0..SERVERS).map(|i| core.add_process(&format!("s{i}"), idle.clone(), true)).collect();
+    let promoter = core.add_process("promoter", idle.clone(), true);
+    let site = ServerGroup::new(&core, promoter);
     site.with(|st| {
         st.servers = servers
             .iter()
@@ -124,23 +131,31 @@
         let set = settings(i, nodes, &keepers_at);
         let live: Arc<Mutex<Option<Arc<Live>>>> = Arc::default();
         let (l, name, s) = (live.clone(), set.name.clone(), site.clone());
-        let start: Start = Arc::new(move |c, pid| {
+        let start: StartProcess = Arc::new(move |c, pid| {
             let now = start_node(c, pid, &set, &s);
             *l.lock().unwrap() = Some(now);
         });
-        let pid = core.add(&name, start, false);
+        let pid = core.add_process(&name, start, false);
         all.push(NodeAt { pid, name, live });
     }
-    let origins = core.add("origins", idle, true);
+    let origins = core.add_process("origins", idle, true);
     let c = core.clone();
     site.pump(&c);
-    Arc::new(Laid { core, site, keepers: keeper_pids, keepers_at, watched, nodes: all, origins })
+    Arc::new(Laid {
+        core,
+        site,
+        keepers: keeper_pids,
+        keeper_addresses: keepers_at,
+        watched,
+        nodes: all,
+        clients: origins,
+    })
 }
 
 impl Laid {
     /// Lets go of what the processes hold.
     pub fn end(&self) {
-        self.core.end();
+        self.core.shut_down();
         self.nodes.iter().for_each(|n| drop(n.live.lock().unwrap().take()));
         self.site.with(|s| s.servers.iter_mut().for_each(|s| s.waiting.clear()));
     }
--- a/crates/simulator/src/direct/mod.rs
+++ b/crates/simulator/src/direct/mod.rs
@@ -17,4 +17,4 @@
 mod site;
 mod trip;
 
-pub use run::{HeldReport, HeldSim, run};
+pub use run::{DirectReport, DirectSimOptions, run_seed};
--- a/crates/simulator/src/direct/operator.rs
+++ b/crates/simulator/src/direct/operator.rs
@@ -1,5 +1,5 @@
 //! The words that reach the chain from outside: servers' standings, blueprints; and what nodes have in force of them.
-use super::conn::TXN_IDLE;
+use super::conn::TRANSACTION_IDLE_MS;
 use super::laid::{GROUP, Laid, SERVERS};
 use quincehatch_core::{Millis, Role, ServerRecord};
 use quincehatch_node::store_client::StoreClient;
@@ -12,9 +12,9 @@
 
 const WRITE: Duration = Duration::from_millis(900);
 /// How long after its acknowledgement a blueprint binds every node in touch.
-const BINDS: Millis = 3_000;
+const CONFIG_APPLY_MS: Millis = 3_000;
 /// The newest versions that nodes are asked for.
-const ASKED: usize = 6;
+const VERSIONS_CHECKED: usize = 6;
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -32,7 +32,7 @@
     format!(
         "[[placements]]\nname = \"p\"\nselect = {{ group = [\"{GROUP}\"] }}\n{rules}\
          [[groups]]\nname = \"{GROUP}\"\nsync_replicas = 1\nlinks = {}\n\
-         [holding]\ntxn_idle_ms = {TXN_IDLE}\n\
+         [holding]\ntxn_idle_ms = {TRANSACTION_IDLE_MS}\n\
          [judges]\nreturn_after_ms = 1000\ntrial_good = 1\nuser_timeout_ms = 4000\n",
         super::site::LINKS
     )
@@ -40,7 +40,7 @@
 
 /// Adopts blueprints one after the other, each until it is taken.
 pub async fn operator(l: Arc<Laid>, stop: Arc<AtomicBool>) {
-    let chain = StoreClient::new("operator", &l.keepers_at);
+    let chain = StoreClient::new("operator", &l.keeper_addresses);
     let mut number = 1;
     while !stop.load(Ordering::SeqCst) {
         let text = blueprint(number);
@@ -57,14 +57,14 @@
 
 /// One server's word of itself, whenever something of it changes.
 pub async fn beats(l: Arc<Laid>, i: usize) {
-    let chain = StoreClient::new("operator", &l.keepers_at);
+    let chain = StoreClient::new("operator", &l.keeper_addresses);
     loop {
         seam::sleep(ms(fastrand::u64(100..300))).await;
         let now = l.core.now();
         let pid = l.site.with(|s| s.servers[i].pid);
         let runs = {
             let m = l.core.lock();
-            m.hosts[pid].up && m.hosts[pid].paused_until <= now
+            m.processes[pid].up && m.processes[pid].paused_until <= now
         };
         let news = l.site.with(|st| {
             let s = &mut st.servers[i];
@@ -75,7 +75,19 @@
             s.seq += 1;
             let (server, role, leaving) = is.clone();
             let (group, addr, district) = (GROUP.into(), s.addr.clone(), format!("d{i}").into());
-            Some((is, ServerRecord { server, group, addr, zone: district, slots: 5, draining: leaving, role, seq: s.seq }))
+            Some((
+                is,
+                ServerRecord {
+                    server,
+                    group,
+                    addr,
+                    zone: district,
+                    slots: 5,
+                    draining: leaving,
+                    role,
+                    seq: s.seq,
+                },
+            ))
         });
         let Some((is, at)) = news else { continue };
         let key = format!("beat/{}/{}", at.server, at.seq);
@@ -109,7 +121,7 @@
         }
     };
     seam::sleep(ms((left + 7_600).saturating_sub(l.core.now()).max(1))).await;
-    let chain = StoreClient::new("operator", &l.keepers_at);
+    let chain = StoreClient::new("operator", &l.keeper_addresses);
     for n in 0..5 {
         let cmd = Command::DeregisterServer { server: old.clone() };
         if chain.write(&format!("depart/{old}"), cmd, WRITE).await.is_ok() {
@@ -136,15 +148,16 @@
         let now = l.core.now();
         let acked = l.site.with(|s| s.book.versions.clone());
         // A keeper that died in the midst of a step is trouble of the keepers too.
-        if l.keepers.iter().any(|k| !l.core.lock().hosts[*k].up) {
-            l.site.with(|s| s.core_trouble = s.core_trouble.max(now));
+        if l.keepers.iter().any(|k| !l.core.lock().processes[*k].up) {
+            l.site.with(|s| s.keepers_disturbed_until = s.keepers_disturbed_until.max(now));
         }
-        let due = acked.iter().filter(|(_, at)| now > at + BINDS).map(|(n, _)| *n).max().unwrap_or(0);
+        let due =
+            acked.iter().filter(|(_, at)| now > at + CONFIG_APPLY_MS).map(|(n, _)| *n).max().unwrap_or(0);
         for n in &l.nodes {
             let (up, life) = {
                 let m = l.core.lock();
-                let h = &m.hosts[n.pid];
-                (h.up && h.paused_until <= now, h.life)
+                let h = &m.processes[n.pid];
+                (h.up && h.paused_until <= now, h.incarnation)
             };
             if !up {
                 l.site
@@ -152,16 +165,16 @@
             }
             let Some(live) = n.live().filter(|_| up) else { continue };
             let newest = acked.last().map_or(1, |e| e.0) + 4;
-            let least = acked.iter().rev().nth(ASKED).map_or(1, |e| e.0);
+            let least = acked.iter().rev().nth(VERSIONS_CHECKED).map_or(1, |e| e.0);
             let has = |v: &u64| live.held.resolve_route(&format!("v{v}")).is_some();
-            let is = l.core.within(n.pid, || (least..=newest).rev().find(has)).unwrap_or(0);
+            let is = l.core.run_in(n.pid, || (least..=newest).rev().find(has)).unwrap_or(0);
             let before = had.insert(n.pid, (life, is)).filter(|b| b.0 == life).map_or(0, |b| b.1);
-            let touch = l.site.with(|s| s.in_touch(n.pid, now));
+            let touch = l.site.with(|s| s.is_undisturbed(n.pid, now));
             let word = |why: &str| format!("CONFIG at {now}: {} has {is} in force {why}", n.name);
             if is < before {
-                l.site.with(|s| s.book.breach(word(&format!("after {before}"))));
+                l.site.with(|s| s.book.record_violation(word(&format!("after {before}"))));
             } else if touch && is < due {
-                l.site.with(|s| s.book.breach(word(&format!("and {due} was acknowledged before"))));
+                l.site.with(|s| s.book.record_violation(word(&format!("and {due} was acknowledged before"))));
             }
         }
     }
--- a/crates/simulator/src/direct/origin.rs
+++ b/crates/simulator/src/direct/origin.rs
@@ -1,7 +1,7 @@
 //! Origins, as the platform's clients are: operations one after the other on a session, and a whole operation again,
 //! under new ids, where the first surely kept nothing.
 use super::book::Asked;
-use super::conn::{Conn, Ended, connect};
+use super::conn::{ClientConnection, Ended, connect};
 use super::laid::Laid;
 use quincehatch_core::Millis;
 use quincehatch_proxy::direct::SessionCommand;
@@ -14,7 +14,7 @@
 /// An operation is tried again until then.
 const DEADLINE: Millis = 2_500;
 
-impl Conn {
+impl ClientConnection {
     async fn single(&mut self) -> Ended {
         let (id, write, told) = self.statement(None, None).await;
         let writes: &[u64] = if write { &[id] } else { &[] };
@@ -23,7 +23,7 @@
         ended
     }
 
-    async fn transaction(&mut self) -> Ended {
+    async fn run_transaction(&mut self) -> Ended {
         let (no, read, from) = (self.next(), fastrand::u64(0..3) == 0, self.at());
         let Some(t) = self.ask(no, SessionCommand::Begin { read }).await else { return Ended::Over };
         if t.result.is_err() {
@@ -33,7 +33,7 @@
         for _ in 0..fastrand::u64(0..5) {
             seam::sleep(Duration::from_millis(fastrand::u64(0..60))).await;
             if fastrand::u64(0..20) == 0 {
-                self.dress().await;
+                self.change_session_state().await;
                 if self.dead {
                     return Ended::Over;
                 }
@@ -44,8 +44,10 @@
                 Ended::Good => {}
                 ended => {
                     if told.is_some_and(|t| t.transaction_state != TransactionState::Idle) {
-                        self.dead |=
-                            self.ask(no, SessionCommand::Rollback).await.is_none_or(|t| t.transaction_state != TransactionState::Idle);
+                        self.dead |= self
+                            .ask(no, SessionCommand::Rollback)
+                            .await
+                            .is_none_or(|t| t.transaction_state != TransactionState::Idle);
                     }
                     // Its commit was not sent.
                     return if ended == Ended::Over { Ended::Again } else { ended };
@@ -58,7 +60,10 @@
                 return Ended::Over;
             }
             1 | 2 => {
-                self.dead |= self.ask(no, SessionCommand::Rollback).await.is_none_or(|t| t.transaction_state != TransactionState::Idle);
+                self.dead |= self
+                    .ask(no, SessionCommand::Rollback)
+                    .await
+                    .is_none_or(|t| t.transaction_state != TransactionState::Idle);
                 return Ended::Good;
             }
             _ => {}
@@ -87,11 +92,11 @@
             }
             seam::sleep(Duration::from_millis(fastrand::u64(5..150))).await;
             if fastrand::u64(0..8) == 0 {
-                c.dress().await;
+                c.change_session_state().await;
             }
             let (single, began) = (fastrand::u64(0..3) > 0, now());
             while !c.dead {
-                let ended = if single { c.single().await } else { c.transaction().await };
+                let ended = if single { c.single().await } else { c.run_transaction().await };
                 if ended != Ended::Again || now() > began + DEADLINE {
                     break;
                 }
--- a/crates/simulator/src/direct/ports.rs
+++ b/crates/simulator/src/direct/ports.rs
@@ -1,10 +1,13 @@
 //! The ports of held links as a simulated node has them (§3.6).
-use super::site::{LINKS, Link, Site};
-use super::trip::{Trip, carry};
-use crate::fleet::core::Pid;
+use super::site::{LINKS, Link, ServerGroup};
+use super::trip::{Delivery, carry};
+use crate::fleet::core::ProcessId;
 use bytes::Bytes;
 use quincehatch_core::{FencingToken, Name, Position};
-use quincehatch_proxy::ports::{ServerCall, ServerConnection, RejectReason, OpenResult, ServerPorts, PromotionOutcome, Promoter, ServerReply, ServerConnector};
+use quincehatch_proxy::ports::{
+    OpenResult, Promoter, PromotionOutcome, RejectReason, ServerCall, ServerConnection, ServerConnector,
+    ServerPorts, ServerReply,
+};
 use quincehatch_runtime::seam::{self, BoxFuture};
 use quincehatch_wire::http::KeepaliveSettings;
 use std::io;
@@ -13,36 +16,36 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-const PROMOTE_WITHIN: Duration = Duration::from_millis(900);
+const PROMOTE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// The group as one node reaches it.
 struct From {
-    site: Arc<Site>,
-    node: Pid,
+    site: Arc<ServerGroup>,
+    node: ProcessId,
 }
 
-pub fn ports(site: &Arc<Site>, node: Pid) -> ServerPorts {
+pub fn ports(site: &Arc<ServerGroup>, node: ProcessId) -> ServerPorts {
     let from = || From { site: site.clone(), node };
     ServerPorts { servers: Arc::new(from()), promoter: Arc::new(from()) }
 }
 
-pub fn servers(site: &Arc<Site>, node: Pid) -> Arc<dyn ServerConnector> {
+pub fn servers(site: &Arc<ServerGroup>, node: ProcessId) -> Arc<dyn ServerConnector> {
     Arc::new(From { site: site.clone(), node })
 }
 
-struct NodeEnd {
-    site: Arc<Site>,
+struct NodeConnection {
+    site: Arc<ServerGroup>,
     id: u64,
     broken: Arc<AtomicBool>,
 }
 
-impl Drop for NodeEnd {
+impl Drop for NodeConnection {
     fn drop(&mut self) {
         self.site.close(self.id);
     }
 }
 
-impl ServerConnection for NodeEnd {
+impl ServerConnection for NodeConnection {
     fn call<'a>(&'a mut self, c: &'a ServerCall) -> BoxFuture<'a, io::Result<ServerReply>> {
         let (tx, rx) = oneshot::channel();
         self.site.ask(self.id, c.clone(), tx);
@@ -60,20 +63,26 @@
 }
 
 /// What the server said to a new link: its own number of it, and its log's end.
-type Begun = io::Result<Result<(u64, Arc<AtomicBool>, Position), RejectReason>>;
+type SimulatedOpenResult = io::Result<Result<(u64, Arc<AtomicBool>, Position), RejectReason>>;
 
 impl ServerConnector for From {
-    fn connect(&self, addr: Name, _: Name, server: Name, _: KeepaliveSettings) -> BoxFuture<'static, io::Result<OpenResult>> {
+    fn connect(
+        &self,
+        addr: Name,
+        _: Name,
+        server: Name,
+        _: KeepaliveSettings,
+    ) -> BoxFuture<'static, io::Result<OpenResult>> {
         let (site, node) = (self.site.clone(), self.node);
-        let (tx, rx) = oneshot::channel::<Begun>();
+        let (tx, rx) = oneshot::channel::<SimulatedOpenResult>();
         if let (Some(core), Some(to)) = (site.core(), site.with(|s| s.at(&addr))) {
             let at = site.clone();
             let pid = site.with(|s| s.servers[to].pid);
             carry(&core, node, pid, move |c, trip| {
                 let begun = match trip {
-                    Trip::Arrived => Ok(at.with(|s| s.begin(c.now(), node, to, &server))),
-                    Trip::Nobody => Err(io::ErrorKind::ConnectionRefused.into()),
-                    Trip::Lost => return drop(tx.send(Err(io::ErrorKind::TimedOut.into()))),
+                    Delivery::Arrived => Ok(at.with(|s| s.begin(c.now(), node, to, &server))),
+                    Delivery::Refused => Err(io::ErrorKind::ConnectionRefused.into()),
+                    Delivery::Lost => return drop(tx.send(Err(io::ErrorKind::TimedOut.into()))),
                 };
                 carry(c, pid, node, move |_, _| {
                     if let Err(Ok(Ok((id, ..)))) = tx.send(begun) {
@@ -85,9 +94,10 @@
         Box::pin(async move {
             let reset = || io::Error::from(io::ErrorKind::ConnectionReset);
             Ok(match rx.await.unwrap_or_else(|_| Err(reset()))? {
-                Ok((id, broken, end)) => {
-                    Ok((Box::new(NodeEnd { site, id, broken }) as Box<dyn ServerConnection>, Some(end)))
-                }
+                Ok((id, broken, end)) => Ok((
+                    Box::new(NodeConnection { site, id, broken }) as Box<dyn ServerConnection>,
+                    Some(end),
+                )),
                 Err(no) => Err((no, Bytes::new())),
             })
         })
@@ -102,7 +112,7 @@
     fn begin(
         &mut self,
         now: u64,
-        node: Pid,
+        node: ProcessId,
         server: usize,
         name: &Name,
     ) -> Result<(u64, Arc<AtomicBool>, Position), RejectReason> {
@@ -113,7 +123,7 @@
         if self.links.values().filter(|l| l.server == server).count() >= LINKS {
             return Err(RejectReason::TooManyConnections);
         }
-        let end = s.seen_end(now);
+        let end = s.visible_end(now);
         let broken = Arc::new(AtomicBool::new(false));
         self.next += 1;
         let l = Link {
@@ -132,13 +142,19 @@
 }
 
 impl Promoter for From {
-    fn promote(&self, _: Name, server: Name, _: Name, fence: FencingToken) -> BoxFuture<'static, PromotionOutcome> {
+    fn promote(
+        &self,
+        _: Name,
+        server: Name,
+        _: Name,
+        fence: FencingToken,
+    ) -> BoxFuture<'static, PromotionOutcome> {
         let (tx, rx) = oneshot::channel();
         if let Some(core) = self.site.core() {
             let (site, node) = (self.site.clone(), self.node);
             let promoter = site.with(|s| s.promoter);
             carry(&core, node, promoter, move |c, trip| {
-                if trip == Trip::Arrived {
+                if trip == Delivery::Arrived {
                     let said = site.promote(c, &server, fence);
                     carry(c, promoter, node, move |_, _| {
                         let _ = tx.send(said);
@@ -147,7 +163,11 @@
             });
         }
         Box::pin(async move {
-            seam::timeout(PROMOTE_WITHIN, rx).await.ok().and_then(Result::ok).unwrap_or(PromotionOutcome::InDoubt)
+            seam::timeout(PROMOTE_TIMEOUT, rx)
+                .await
+                .ok()
+                .and_then(Result::ok)
+                .unwrap_or(PromotionOutcome::InDoubt)
         })
     }
 }
--- a/crates/simulator/src/direct/replicate.rs
+++ b/crates/simulator/src/direct/replicate.rs
@@ -1,38 +1,47 @@
 //! Commits at a simulated server, and how its replicas get them.
-use super::site::{Entry, Reply, Site, State, Waiting};
-use super::trip::{Trip, carry};
-use crate::fleet::core::Core;
+use super::site::{Entry, PendingCommit, Reply, ServerGroup, State};
+use super::trip::{Delivery, carry};
+use crate::fleet::core::Simulation;
 use bytes::Bytes;
 use quincehatch_core::{Millis, Position, Role};
-use quincehatch_proxy::ports::{ServerCall, ServerStatus, RejectReason, ServerReply};
+use quincehatch_proxy::ports::{RejectReason, ServerCall, ServerReply, ServerStatus};
 use std::sync::Arc;
 
 /// How often a lead sends its replicas what they lack.
-const PUMP: Millis = 60;
+const REPLICATION_INTERVAL: Millis = 60;
 
 impl State {
     /// STATUS and the calls that change how a server stands.
     pub fn told(&mut self, now: Millis, server: usize, call: &ServerCall, links: u64) -> ServerStatus {
         let s = &mut self.servers[server];
         match call {
-            ServerCall::Suspend { term } if s.role == Role::Replica && *term > s.term.max(s.held) => s.held = *term,
+            ServerCall::Suspend { term } if s.role == Role::Replica && *term > s.term.max(s.held) => {
+                s.held = *term
+            }
             ServerCall::Resume => s.held = 0,
             ServerCall::Demote { term } if s.role == Role::Primary && *term > s.term => {
                 (s.role, s.term) = (Role::Replica, *term);
             }
             _ => {}
         }
-        let (look, name) = (s.look(s.lag, links), s.name.clone());
+        let (look, name) = (s.look(s.replication_lag, links), s.name.clone());
         if !matches!(call, ServerCall::Status) {
-            self.book.story.push(format!("{now} {name} {call:?}: {look:?}"));
+            self.book.event_log.push(format!("{now} {name} {call:?}: {look:?}"));
         }
         look
     }
 }
 
-impl Site {
+impl ServerGroup {
     /// A commit of these writes: in the lead's log at once, answered once a replica received it.
-    pub fn commit(self: &Arc<Self>, c: &Arc<Core>, i: usize, of: (u64, u64), ids: Vec<u64>, reply: Reply) {
+    pub fn commit(
+        self: &Arc<Self>,
+        c: &Arc<Simulation>,
+        i: usize,
+        of: (u64, u64),
+        ids: Vec<u64>,
+        reply: Reply,
+    ) {
         let now = c.now();
         self.with(|st| {
             let s = &mut st.servers[i];
@@ -42,17 +51,17 @@
             st.book.committed(now, of.1, &entry);
             let mut said = ServerReply { rows: Vec::new(), log_end: Some(at), ..ServerReply::default() };
             st.stamp(of.1, i, &mut said);
-            st.servers[i].waiting.push(Waiting { entry, link: of.0, said, reply });
+            st.servers[i].waiting.push(PendingCommit { entry, link: of.0, said, reply });
         });
-        self.replicate(c, i);
+        self.send_missing_entries(c, i);
     }
 
     /// Sends each replica what it lacks.
-    fn replicate(self: &Arc<Self>, c: &Arc<Core>, lead: usize) {
+    fn send_missing_entries(self: &Arc<Self>, c: &Arc<Simulation>, lead: usize) {
         let to: Vec<_> = self.with(|st| {
             let l = &st.servers[lead];
             let lacks = |(i, s): (usize, &super::site::Server)| {
-                let n = s.common(&l.log);
+                let n = s.common_prefix(&l.log);
                 (i != lead && s.role == Role::Replica && n < l.log.len())
                     .then(|| (i, s.pid, n, l.log[n..].to_vec()))
             };
@@ -62,12 +71,12 @@
         for (i, to, n, entries) in to {
             let site = self.clone();
             carry(c, pid, to, move |c, trip| {
-                if trip == Trip::Arrived
+                if trip == Delivery::Arrived
                     && let Some(end) = site.with(|st| st.receive(c.now(), i, term, n, entries))
                 {
                     let s = site.clone();
                     carry(c, to, pid, move |c, trip| {
-                        if trip == Trip::Arrived {
+                        if trip == Delivery::Arrived {
                             s.received(c, lead, &end);
                         }
                     });
@@ -77,8 +86,8 @@
     }
 
     /// A replica has received up to there: commits that waited for it are answered.
-    fn received(self: &Arc<Self>, c: &Arc<Core>, lead: usize, end: &Arc<Entry>) {
-        let done: Vec<Waiting> = self.with(|st| {
+    fn received(self: &Arc<Self>, c: &Arc<Simulation>, lead: usize, end: &Arc<Entry>) {
+        let done: Vec<PendingCommit> = self.with(|st| {
             let s = &mut st.servers[lead];
             if !s.holds(end, s.log.len()) {
                 return Vec::new();
@@ -92,7 +101,7 @@
     }
 
     /// Leads go on sending, all the run long.
-    pub fn pump(self: &Arc<Self>, c: &Arc<Core>) {
+    pub fn pump(self: &Arc<Self>, c: &Arc<Simulation>) {
         let leads: Vec<_> = self.with(|st| {
             let all = st.servers.iter().enumerate().filter(|(_, s)| s.role == Role::Primary);
             all.map(|(i, s)| (i, s.pid)).collect()
@@ -100,18 +109,18 @@
         for (i, pid) in leads {
             let runs = {
                 let m = c.lock();
-                m.hosts[pid].up && m.hosts[pid].paused_until <= m.now
+                m.processes[pid].up && m.processes[pid].paused_until <= m.now
             };
             if runs {
-                self.replicate(c, i);
+                self.send_missing_entries(c, i);
             }
         }
         let site = self.clone();
-        c.later(c.now() + PUMP, move |c| site.pump(c));
+        c.schedule_action(c.now() + REPLICATION_INTERVAL, move |c| site.pump(c));
     }
 
     /// Commits that nobody will answer any more: they ran, and what became of them is not said.
-    pub fn give_up(self: &Arc<Self>, c: &Arc<Core>, waiting: Vec<Waiting>) {
+    pub fn fail_commits(self: &Arc<Self>, c: &Arc<Simulation>, waiting: Vec<PendingCommit>) {
         for w in waiting {
             let no = Some((RejectReason::TimedOut, Bytes::new()));
             self.say(c, w.link, ServerReply { rejection: no, ..ServerReply::default() }, w.reply);
@@ -142,7 +151,7 @@
         s.term = term;
         let had = s.log.len() - n;
         s.log.extend(got.iter().skip(had).cloned());
-        s.applies.push_back((now + 2 + s.lag, s.log.len()));
+        s.pending_visibility.push_back((now + 2 + s.replication_lag, s.log.len()));
         got.last().cloned()
     }
 }
--- a/crates/simulator/src/direct/run.rs
+++ b/crates/simulator/src/direct/run.rs
@@ -1,5 +1,5 @@
 //! One seed of a held fleet from start to end: a quiet start, a time of faults, healing, and the checks.
-use super::laid::{Laid, lay_out};
+use super::laid::{Laid, build_fleet};
 use super::{operator, origin};
 use quincehatch_core::Millis;
 use quincehatch_runtime::seam;
@@ -8,60 +8,60 @@
 
 /// What a run came to.
 #[derive(Debug, Default)]
-pub struct HeldReport {
+pub struct DirectReport {
     pub seed: u64,
-    pub breaches: Vec<String>,
-    pub acked: usize,
+    pub violations: Vec<String>,
+    pub acknowledged: usize,
     pub reads: usize,
-    pub tries: usize,
-    pub versions: usize,
+    pub statements: usize,
+    pub config_versions: usize,
     pub promotions: usize,
     /// Hash of all that happened: two runs of one seed have the same.
     pub trace: u64,
     /// The longest time without an acknowledged commit after all was healed.
-    pub back_ms: Millis,
-    pub story: Vec<String>,
+    pub longest_outage_ms: Millis,
+    pub event_log: Vec<String>,
 }
 
 #[derive(Clone, Debug)]
-pub struct HeldSim {
+pub struct DirectSimOptions {
     pub seed: u64,
     pub keepers: usize,
     pub nodes: usize,
     pub bug: Option<String>,
-    pub tell: bool,
+    pub verbose: bool,
 }
 
 const START: Millis = 6_000;
 const FAULTS: Millis = 30_000;
-const AFTER: Millis = 16_000;
-const ORIGINS: usize = 9;
+const RECOVERY_PERIOD: Millis = 16_000;
+const CLIENTS: usize = 9;
 /// Service is back within that after all is healed.
 const BACK: Millis = 10_000;
 
-pub fn run(s: &HeldSim) -> HeldReport {
-    let l = lay_out(s.seed, s.keepers, s.nodes, s.bug.as_deref(), s.tell);
+pub fn run_seed(s: &DirectSimOptions) -> DirectReport {
+    let l = build_fleet(s.seed, s.keepers, s.nodes, s.bug.as_deref(), s.verbose);
     let stop = Arc::new(AtomicBool::new(false));
-    l.core.within(l.origins, || {
+    l.core.run_in(l.clients, || {
         operator::go(&l, &stop);
-        for _ in 0..ORIGINS {
+        for _ in 0..CLIENTS {
             seam::spawn(origin::run(l.clone(), stop.clone()));
         }
     });
     l.core.run_until(START);
-    l.schedule(START, FAULTS);
+    l.schedule_faults(START, FAULTS);
     l.core.run_until(START + FAULTS);
-    l.heal();
+    l.heal_all();
     let healed = l.core.now();
-    l.core.run_until(healed + AFTER);
+    l.core.run_until(healed + RECOVERY_PERIOD);
     stop.store(true, Ordering::SeqCst);
-    l.core.run_until(healed + AFTER + 4_000);
+    l.core.run_until(healed + RECOVERY_PERIOD + 4_000);
     let r = report(s, &l, healed);
     l.end();
     r
 }
 
-fn report(s: &HeldSim, l: &Arc<Laid>, healed: Millis) -> HeldReport {
+fn report(s: &DirectSimOptions, l: &Arc<Laid>, healed: Millis) -> DirectReport {
     let now = l.core.now();
     let trace = l.core.lock().trace;
     l.site.with(|st| {
@@ -69,31 +69,35 @@
             st.book.lost(now, &st.servers[i], "leads at the end");
         }
         let times = st.book.acked.iter().map(|(at, _)| *at).filter(|at| *at > healed);
-        let mut times: Vec<Millis> = [healed].into_iter().chain(times).chain([healed + AFTER]).collect();
+        let mut times: Vec<Millis> =
+            [healed].into_iter().chain(times).chain([healed + RECOVERY_PERIOD]).collect();
         times.sort_unstable();
         let back_ms = times.windows(2).map(|w| w[1] - w[0]).max().unwrap_or(Millis::MAX);
         if back_ms > BACK {
-            st.book.breach(format!("BACK: nothing was acknowledged for {back_ms} ms after all was healed"));
+            st.book.record_violation(format!(
+                "BACK: nothing was acknowledged for {back_ms} ms after all was healed"
+            ));
         }
         if st.book.acked.is_empty() || st.book.reads == 0 || st.book.versions.is_empty() {
-            st.book.breach("the run proves nothing: no commit, read or blueprint came through".into());
+            st.book
+                .record_violation("the run proves nothing: no commit, read or blueprint came through".into());
         }
         let mut breaches = std::mem::take(&mut st.book.breaches);
-        breaches.extend(l.watched.watch.lock().unwrap().breaches.iter().cloned());
+        breaches.extend(l.watched.commit_watch.lock().unwrap().breaches.iter().cloned());
         let told = l.nodes.iter().filter_map(|n| n.live());
         let words = told.flat_map(|n| n.fleet.promotion_state.events.lock().unwrap().clone());
-        let story = std::mem::take(&mut st.book.story).into_iter().chain(words).collect();
-        HeldReport {
+        let story = std::mem::take(&mut st.book.event_log).into_iter().chain(words).collect();
+        DirectReport {
             seed: s.seed,
-            breaches,
-            acked: st.book.acked.len(),
+            violations: breaches,
+            acknowledged: st.book.acked.len(),
             reads: st.book.reads,
-            tries: st.book.tries,
-            versions: st.book.versions.len(),
+            statements: st.book.tries,
+            config_versions: st.book.versions.len(),
             promotions: st.promotions,
             trace,
-            back_ms,
-            story,
+            longest_outage_ms: back_ms,
+            event_log: story,
         }
     })
 }
--- a/crates/simulator/src/direct/server.rs
+++ b/crates/simulator/src/direct/server.rs
@@ -2,7 +2,7 @@
 use super::site::{Link, State, Txn};
 use bytes::Bytes;
 use quincehatch_core::{Millis, Position, Role};
-use quincehatch_proxy::ports::{ServerCall, RejectReason, ServerReply, TransactionState};
+use quincehatch_proxy::ports::{RejectReason, ServerCall, ServerReply, TransactionState};
 
 /// What an executed question comes to.
 pub enum Done {
@@ -20,10 +20,16 @@
         }
     }
     fn no(&mut self, no: RejectReason) -> Done {
-        if let Some(t) = self.txn.as_mut().filter(|_| !matches!(no, RejectReason::Busy | RejectReason::Unprepared)) {
+        if let Some(t) =
+            self.txn.as_mut().filter(|_| !matches!(no, RejectReason::Busy | RejectReason::Unprepared))
+        {
             t.broken = true;
         }
-        Done::Said(ServerReply { rejection: Some((no, Bytes::new())), transaction_state: self.stage(), ..ServerReply::default() })
+        Done::Said(ServerReply {
+            rejection: Some((no, Bytes::new())),
+            transaction_state: self.stage(),
+            ..ServerReply::default()
+        })
     }
     fn done(&self) -> Done {
         Done::Said(ServerReply { transaction_state: self.stage(), ..ServerReply::default() })
@@ -37,7 +43,7 @@
 impl State {
     pub fn run(&mut self, now: Millis, l: &mut Link, call: &ServerCall, fails: bool) -> Done {
         let s = &mut self.servers[l.server];
-        let (sees, end) = (s.sees(now), s.seen_end(now));
+        let (sees, end) = (s.sees(now), s.visible_end(now));
         let behind = |f: &Option<Position>| f.is_some_and(|p| end < p);
         match call {
             ServerCall::Begin { read, floor } => {
@@ -69,7 +75,7 @@
                     return l.no(RejectReason::NotPrimary);
                 }
                 let sees = l.txn.as_ref().filter(|t| t.read).map_or(sees, |t| t.sees);
-                self.book.runs(now, id, l, s, sees);
+                self.book.check_execution(now, id, l, s, sees);
                 let Some(a) = self.book.asked.get(&id) else { return l.no(RejectReason::Other) };
                 let text = match call {
                     ServerCall::Run { text, .. } => text.clone(),
@@ -78,7 +84,7 @@
                 };
                 if (&a.text, &a.shape) != (&text, &shape) {
                     let why = format!("{id} ran as {text:?} {shape:?} instead of {:?} {:?}", a.text, a.shape);
-                    self.book.breach(format!("UNASKED at {now}: {why}"));
+                    self.book.record_violation(format!("UNASKED at {now}: {why}"));
                     return l.no(RejectReason::Other);
                 }
                 if fails {
@@ -110,7 +116,8 @@
                     .get(&id)
                     .is_some_and(|a| a.commit && (t.of.is_none() || a.txn.map(|x| x.0) == t.of))
                 {
-                    self.book.breach(format!("UNASKED at {now}: {id} commits {:?} on {}", t.of, s.name));
+                    self.book
+                        .record_violation(format!("UNASKED at {now}: {id} commits {:?} on {}", t.of, s.name));
                 }
                 let lost = s.role != Role::Primary || s.term != t.term;
                 match (t.writes.is_empty(), lost) {
@@ -136,10 +143,17 @@
                 l.prepared.clear();
                 l.done()
             }
-            ServerCall::Status | ServerCall::Suspend { .. } | ServerCall::Resume | ServerCall::Demote { .. } => {
+            ServerCall::Status
+            | ServerCall::Suspend { .. }
+            | ServerCall::Resume
+            | ServerCall::Demote { .. } => {
                 let links = self.links.values().filter(|x| x.server == l.server).count() as u64;
                 let look = self.told(now, l.server, call, links);
-                Done::Said(ServerReply { status: Some(look), transaction_state: l.stage(), ..ServerReply::default() })
+                Done::Said(ServerReply {
+                    status: Some(look),
+                    transaction_state: l.stage(),
+                    ..ServerReply::default()
+                })
             }
         }
     }
--- a/crates/simulator/src/direct/site.rs
+++ b/crates/simulator/src/direct/site.rs
@@ -1,9 +1,9 @@
 //! What the servers of a simulated group are and hold: one thread's state, changed by events in the order of time.
 use super::book::Book;
-use crate::fleet::core::{Core, Pid};
+use crate::fleet::core::{ProcessId, Simulation};
 use bytes::Bytes;
 use quincehatch_core::{FencingToken, Millis, Name, Position, Role};
-use quincehatch_proxy::ports::{ServerStatus, ServerReply};
+use quincehatch_proxy::ports::{ServerReply, ServerStatus};
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 use std::sync::atomic::AtomicBool;
@@ -20,7 +20,7 @@
 }
 
 /// A commit that waits for a replica to receive it.
-pub struct Waiting {
+pub struct PendingCommit {
     pub entry: Arc<Entry>,
     pub link: u64,
     pub said: ServerReply,
@@ -30,7 +30,7 @@
 #[derive(Default)]
 pub struct Server {
     pub name: Name,
-    pub pid: Pid,
+    pub pid: ProcessId,
     pub addr: Name,
     pub role: Role,
     pub term: u64,
@@ -39,13 +39,13 @@
     pub log: Vec<Arc<Entry>>,
     /// What of the log reads see, and when more of it does.
     pub applied: usize,
-    pub applies: VecDeque<(Millis, usize)>,
+    pub pending_visibility: VecDeque<(Millis, usize)>,
     pub busy: usize,
     pub busy_until: Millis,
-    pub waiting: Vec<Waiting>,
+    pub waiting: Vec<PendingCommit>,
     pub deaf: bool,
-    pub lag: Millis,
-    pub slow: Millis,
+    pub replication_lag: Millis,
+    pub extra_latency: Millis,
     /// So many answers to come are lost.
     pub lose: u32,
     pub leaving: bool,
@@ -73,7 +73,7 @@
 
 /// The server's end of a link.
 pub struct Link {
-    pub node: Pid,
+    pub node: ProcessId,
     pub server: usize,
     pub values: BTreeMap<Bytes, Bytes>,
     pub prepared: BTreeMap<Name, (bool, Bytes)>,
@@ -91,11 +91,11 @@
     pub next: u64,
     /// The highest fence the promoter has seen.
     pub fence: FencingToken,
-    pub promoter: Pid,
+    pub promoter: ProcessId,
     pub book: Book,
     /// Until when a node's own processes and links are in trouble, and the keepers together.
-    pub trouble: BTreeMap<Pid, Millis>,
-    pub core_trouble: Millis,
+    pub trouble: BTreeMap<ProcessId, Millis>,
+    pub keepers_disturbed_until: Millis,
     pub promotions: usize,
     /// When the last one that was taken has its effect.
     pub promoting: Millis,
@@ -105,10 +105,10 @@
 pub const SLOTS: usize = 5;
 pub const LINKS: usize = 24;
 /// A node is in touch this long after the last trouble.
-const CONTACT: Millis = 4_000;
+const RECONNECT_PERIOD: Millis = 4_000;
 
-pub struct Site {
-    core: Weak<Core>,
+pub struct ServerGroup {
+    core: Weak<Simulation>,
     state: Mutex<State>,
 }
 
@@ -118,8 +118,8 @@
     }
     /// What reads see at that time.
     pub fn sees(&mut self, now: Millis) -> usize {
-        while let Some((_, n)) = self.applies.front().copied().filter(|(at, _)| *at <= now) {
-            self.applies.pop_front();
+        while let Some((_, n)) = self.pending_visibility.front().copied().filter(|(at, _)| *at <= now) {
+            self.pending_visibility.pop_front();
             self.applied = self.applied.max(n.min(self.log.len()));
         }
         if self.role == Role::Primary {
@@ -128,7 +128,7 @@
         self.applied
     }
     /// The end of what reads see.
-    pub fn seen_end(&mut self, now: Millis) -> Position {
+    pub fn visible_end(&mut self, now: Millis) -> Position {
         let n = self.sees(now);
         if n == 0 { Position { fence: 1, number: 0 } } else { self.log[n - 1].at }
     }
@@ -137,30 +137,39 @@
         i <= within && self.log.get(i - 1).is_some_and(|x| Arc::ptr_eq(x, e))
     }
     /// How much of the log is the same as that one's.
-    pub fn common(&self, log: &[Arc<Entry>]) -> usize {
+    pub fn common_prefix(&self, log: &[Arc<Entry>]) -> usize {
         self.log.iter().zip(log).take_while(|(a, b)| Arc::ptr_eq(a, b)).count()
     }
-    pub fn cut_back(&mut self, log: &[Arc<Entry>]) -> bool {
-        let n = self.common(log);
+    pub fn truncate_to(&mut self, log: &[Arc<Entry>]) -> bool {
+        let n = self.common_prefix(log);
         let ahead = self.log.len() > n;
         self.log.truncate(n);
         self.applied = self.applied.min(n);
-        self.applies.clear();
+        self.pending_visibility.clear();
         if self.applied < n {
-            self.applies.push_back((0, n));
+            self.pending_visibility.push_back((0, n));
         }
         ahead
     }
     pub fn look(&self, lag_ms: u64, links: u64) -> ServerStatus {
         let (role, term, held, busy) = (self.role, self.term, self.held, self.busy as u64);
-        ServerStatus { role, term, received: self.end(), suspended_term: held, lag_ms, busy_slots: busy, connections: links }
+        ServerStatus {
+            role,
+            term,
+            received: self.end(),
+            suspended_term: held,
+            lag_ms,
+            busy_slots: busy,
+            connections: links,
+        }
     }
 }
 
 impl State {
     /// Was the node, and were the keepers, without trouble for long enough before `at`?
-    pub fn in_touch(&self, node: Pid, at: Millis) -> bool {
-        at > self.trouble.get(&node).map_or(0, |t| t + CONTACT) && at > self.core_trouble + CONTACT
+    pub fn is_undisturbed(&self, node: ProcessId, at: Millis) -> bool {
+        at > self.trouble.get(&node).map_or(0, |t| t + RECONNECT_PERIOD)
+            && at > self.keepers_disturbed_until + RECONNECT_PERIOD
     }
     /// The server that leads in the highest term.
     pub fn lead(&self) -> Option<usize> {
@@ -172,8 +181,8 @@
     }
 }
 
-impl Site {
-    pub fn new(core: &Arc<Core>, promoter: Pid) -> Arc<Site> {
+impl ServerGroup {
+    pub fn new(core: &Arc<Simulation>, promoter: ProcessId) -> Arc<ServerGroup> {
         let state = State {
             servers: Vec::new(),
             links: BTreeMap::new(),
@@ -182,14 +191,14 @@
             promoter,
             book: Book::default(),
             trouble: BTreeMap::new(),
-            core_trouble: 0,
+            keepers_disturbed_until: 0,
             promotions: 0,
             promoting: 0,
         };
-        Arc::new(Site { core: Arc::downgrade(core), state: Mutex::new(state) })
+        Arc::new(ServerGroup { core: Arc::downgrade(core), state: Mutex::new(state) })
     }
     /// The run's core; none once the run has ended.
-    pub fn core(&self) -> Option<Arc<Core>> {
+    pub fn core(&self) -> Option<Arc<Simulation>> {
         self.core.upgrade()
     }
     pub fn with<T>(&self, f: impl FnOnce(&mut State) -> T) -> T {
--- a/crates/simulator/src/direct/trip.rs
+++ b/crates/simulator/src/direct/trip.rs
@@ -1,6 +1,6 @@
 //! A trip of one message between two simulated processes: cuts delay it, standing still holds it, and after four
 //! seconds without an acknowledgement the kernel gives it up (§9.1).
-use crate::fleet::core::{Core, Pid};
+use crate::fleet::core::{ProcessId, Simulation};
 use quincehatch_core::Millis;
 use std::sync::Arc;
 
@@ -9,45 +9,50 @@
 
 /// How it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trip {
+pub enum Delivery {
     Arrived,
     /// The machine is there and nobody listens.
-    Nobody,
+    Refused,
     Lost,
 }
 
-type Then = Box<dyn FnOnce(&Arc<Core>, Trip) + Send>;
+type DeliveryHandler = Box<dyn FnOnce(&Arc<Simulation>, Delivery) + Send>;
 
-pub fn carry(core: &Arc<Core>, from: Pid, to: Pid, then: impl FnOnce(&Arc<Core>, Trip) + Send + 'static) {
+pub fn carry(
+    core: &Arc<Simulation>,
+    from: ProcessId,
+    to: ProcessId,
+    then: impl FnOnce(&Arc<Simulation>, Delivery) + Send + 'static,
+) {
     let (sent, at) = {
         let mut m = core.lock();
-        let d = m.delay;
+        let d = m.delay_range;
         let mut at = m.now + d.0 + m.rng.below(d.1 - d.0 + 1);
-        let loss = m.loss_pm;
+        let loss = m.loss_per_mille;
         while m.rng.chance(loss) {
             at += RESEND;
         }
         (m.now, at)
     };
-    let then: Then = Box::new(then);
-    core.later(at, move |c| arrive(c, from, to, sent, then));
+    let then: DeliveryHandler = Box::new(then);
+    core.schedule_action(at, move |c| arrive(c, from, to, sent, then));
 }
 
-fn arrive(core: &Arc<Core>, from: Pid, to: Pid, sent: Millis, then: Then) {
+fn arrive(core: &Arc<Simulation>, from: ProcessId, to: ProcessId, sent: Millis, then: DeliveryHandler) {
     let (now, cut, up, dark, still) = {
         let m = core.lock();
-        let Some(h) = m.hosts.get(to) else { return };
-        (m.now, m.cuts.contains(&(from, to)), h.up, h.dark, h.paused_until)
+        let Some(h) = m.processes.get(to) else { return };
+        (m.now, m.partitions.contains(&(from, to)), h.up, h.powered_off, h.paused_until)
     };
     if cut || (!up && dark) {
         if now < sent + USER_TIMEOUT {
-            core.later(now + RESEND, move |c| arrive(c, from, to, sent, then));
+            core.schedule_action(now + RESEND, move |c| arrive(c, from, to, sent, then));
         } else {
-            then(core, Trip::Lost);
+            then(core, Delivery::Lost);
         }
     } else if up && still > now {
-        core.later(still, move |c| arrive(c, from, to, sent, then));
+        core.schedule_action(still, move |c| arrive(c, from, to, sent, then));
     } else {
-        then(core, if up { Trip::Arrived } else { Trip::Nobody });
+        then(core, if up { Delivery::Arrived } else { Delivery::Refused });
     }
 }
--- a/crates/simulator/src/fleet/core.rs
+++ b/crates/simulator/src/fleet/core.rs
@@ -7,17 +7,17 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::task::Waker;
 
-pub type Pid = usize;
-pub type Act = Box<dyn FnOnce(&Arc<Core>) + Send>;
+pub type ProcessId = usize;
+pub type Act = Box<dyn FnOnce(&Arc<Simulation>) + Send>;
 
 /// What is to happen at a time.
-pub enum Ev {
+pub enum Event {
     Wake(Waker),
-    Resume(Pid),
+    Resume(ProcessId),
     /// Something on its way between two processes, and when it was sent.
     Net {
-        from: Pid,
-        to: Pid,
+        from: ProcessId,
+        to: ProcessId,
         sent: Millis,
         n: Net,
     },
@@ -25,24 +25,24 @@
 }
 
 /// How a process is started; kept, so that it can be started again.
-pub type Start = Arc<dyn Fn(&Arc<Core>, Pid) + Send + Sync>;
+pub type StartProcess = Arc<dyn Fn(&Arc<Simulation>, ProcessId) + Send + Sync>;
 
-pub struct Host {
+pub struct Process {
     pub name: String,
     pub up: bool,
     /// The whole machine is off: nobody is there even to decline.
-    pub dark: bool,
-    pub life: u64,
+    pub powered_off: bool,
+    pub incarnation: u64,
     pub paused_until: Millis,
     /// Local milliseconds in 100 000 of the true time's, and where the local clock began.
-    pub rate: u64,
-    pub base: Millis,
-    pub start: Start,
-    pub(super) parked: Vec<u64>,
+    pub clock_rate: u64,
+    pub clock_offset: Millis,
+    pub start: StartProcess,
+    pub(super) suspended_tasks: Vec<u64>,
 }
 
 pub(super) struct Task {
-    pub(super) host: Pid,
+    pub(super) host: ProcessId,
     pub(super) life: u64,
     pub(super) fut: Option<BoxFuture<'static, ()>>,
     pub(super) queued: bool,
@@ -51,51 +51,51 @@
 pub struct Inner {
     pub now: Millis,
     pub(super) seq: u64,
-    pub(super) q: BTreeMap<(Millis, u64), Ev>,
+    pub(super) q: BTreeMap<(Millis, u64), Event>,
     pub(super) timers: BTreeMap<u64, Millis>,
     pub(super) tasks: BTreeMap<u64, Task>,
     pub(super) ready: VecDeque<u64>,
-    pub(super) graves: Vec<(Pid, BoxFuture<'static, ()>)>,
+    pub(super) dead_tasks: Vec<(ProcessId, BoxFuture<'static, ()>)>,
     /// What may do something when it is dropped, and so must not be while the lock is held.
-    pub trash: Vec<Box<dyn std::any::Any + Send>>,
-    pub hosts: Vec<Host>,
+    pub deferred_drops: Vec<Box<dyn std::any::Any + Send>>,
+    pub processes: Vec<Process>,
     pub rng: Rng,
-    pub cuts: BTreeSet<(Pid, Pid)>,
-    pub loss_pm: u64,
-    pub dup_pm: u64,
-    pub delay: (Millis, Millis),
-    pub links: Links,
-    pub sent: u64,
+    pub partitions: BTreeSet<(ProcessId, ProcessId)>,
+    pub loss_per_mille: u64,
+    pub duplicate_per_mille: u64,
+    pub delay_range: (Millis, Millis),
+    pub network: Links,
+    pub messages_sent: u64,
     pub trace: u64,
     /// Keepers may die in the midst of a step.
-    pub faulty: bool,
+    pub crashes_enabled: bool,
     /// Whoever comes to such a point next stands still for so long, or dies.
-    pub snare: Option<Snare>,
-    pub snared: Millis,
+    pub trap: Option<Trap>,
+    pub trap_sprung_at: Millis,
 }
 
 /// A trap for a process at a point of its work.
 #[derive(Clone, Debug)]
-pub struct Snare {
+pub struct Trap {
     pub point: String,
     pub pause: Option<Millis>,
 }
 
-pub struct Core {
+pub struct Simulation {
     m: Mutex<Inner>,
     pub bug: Option<String>,
-    pub tell: bool,
+    pub verbose: bool,
 }
 
 impl Inner {
-    pub fn at(&mut self, when: Millis, e: Ev) -> u64 {
+    pub fn schedule(&mut self, when: Millis, e: Event) -> u64 {
         self.seq += 1;
         self.q.insert((when.max(self.now), self.seq), e);
         self.seq
     }
-    pub fn local(&self, p: Pid) -> Millis {
-        let h = &self.hosts[p];
-        h.base + self.now * h.rate / 100_000
+    pub fn local(&self, p: ProcessId) -> Millis {
+        let h = &self.processes[p];
+        h.clock_offset + self.now * h.clock_rate / 100_000
     }
     pub(super) fn mark(&mut self, a: u64, b: u64) {
         let x = self.trace ^ a.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ b.rotate_left(32);
@@ -103,8 +103,8 @@
     }
 }
 
-impl Core {
-    pub fn new(seed: u64, bug: Option<&str>, tell: bool) -> Arc<Core> {
+impl Simulation {
+    pub fn new(seed: u64, bug: Option<&str>, tell: bool) -> Arc<Simulation> {
         let m = Mutex::new(Inner {
             now: 0,
             seq: 0,
@@ -112,22 +112,22 @@
             timers: BTreeMap::new(),
             tasks: BTreeMap::new(),
             ready: VecDeque::new(),
-            graves: Vec::new(),
-            trash: Vec::new(),
-            hosts: Vec::new(),
+            dead_tasks: Vec::new(),
+            deferred_drops: Vec::new(),
+            processes: Vec::new(),
             rng: Rng::new(seed),
-            cuts: BTreeSet::new(),
-            loss_pm: 0,
-            dup_pm: 5,
-            delay: (1, 12),
-            links: Links::default(),
-            sent: 0,
+            partitions: BTreeSet::new(),
+            loss_per_mille: 0,
+            duplicate_per_mille: 5,
+            delay_range: (1, 12),
+            network: Links::default(),
+            messages_sent: 0,
             trace: seed,
-            faulty: false,
-            snare: None,
-            snared: 0,
+            crashes_enabled: false,
+            trap: None,
+            trap_sprung_at: 0,
         });
-        Arc::new(Core { m, bug: bug.map(str::to_owned), tell })
+        Arc::new(Simulation { m, bug: bug.map(str::to_owned), verbose: tell })
     }
     pub fn lock(&self) -> MutexGuard<'_, Inner> {
         self.m.lock().unwrap()
@@ -135,20 +135,20 @@
     pub fn now(&self) -> Millis {
         self.lock().now
     }
-    pub fn say(&self, s: &str) {
-        if self.tell {
+    pub fn log(&self, s: &str) {
+        if self.verbose {
             println!("{:>6} {s}", self.now());
         }
     }
     pub fn has_bug(&self, b: &str) -> bool {
         self.bug.as_deref() == Some(b)
     }
-    pub fn later(&self, when: Millis, f: impl FnOnce(&Arc<Core>) + Send + 'static) {
-        self.lock().at(when, Ev::Do(Box::new(f)));
+    pub fn schedule_action(&self, when: Millis, f: impl FnOnce(&Arc<Simulation>) + Send + 'static) {
+        self.lock().schedule(when, Event::Do(Box::new(f)));
     }
 
     /// A process, which is started at once.
-    pub fn add(self: &Arc<Self>, name: &str, start: Start, steady: bool) -> Pid {
+    pub fn add_process(self: &Arc<Self>, name: &str, start: StartProcess, steady: bool) -> ProcessId {
         let pid = {
             let mut m = self.lock();
             let (rate, base) = match steady {
@@ -156,27 +156,27 @@
                 false => (100_000 - 900 + m.rng.below(1_801), m.rng.below(1_000_000)),
             };
             let (name, up, dark, life, paused_until, parked) = (name.to_owned(), true, false, 1, 0, vec![]);
-            m.hosts.push(Host {
+            m.processes.push(Process {
                 name,
                 up,
-                dark,
-                life,
+                powered_off: dark,
+                incarnation: life,
                 paused_until,
-                rate,
-                base,
+                clock_rate: rate,
+                clock_offset: base,
                 start: start.clone(),
-                parked,
+                suspended_tasks: parked,
             });
-            m.hosts.len() - 1
+            m.processes.len() - 1
         };
-        self.within(pid, || start(self, pid));
+        self.run_in(pid, || start(self, pid));
         pid
     }
-    pub fn world(self: &Arc<Self>, pid: Pid) -> Arc<dyn World> {
-        let life = self.lock().hosts[pid].life;
-        Arc::new(super::host::HostWorld { core: self.clone(), pid, life })
+    pub fn world(self: &Arc<Self>, pid: ProcessId) -> Arc<dyn World> {
+        let life = self.lock().processes[pid].incarnation;
+        Arc::new(super::host::ProcessWorld { core: self.clone(), pid, life })
     }
-    pub fn within<T>(self: &Arc<Self>, pid: Pid, f: impl FnOnce() -> T) -> T {
+    pub fn run_in<T>(self: &Arc<Self>, pid: ProcessId, f: impl FnOnce() -> T) -> T {
         seam::with_world(self.world(pid), f)
     }
 }
--- a/crates/simulator/src/fleet/exec.rs
+++ b/crates/simulator/src/fleet/exec.rs
@@ -1,15 +1,15 @@
 //! Runs the tasks of all simulated processes in one order (§9.1).
-use super::core::{Core, Ev, Inner, Pid, Task};
+use super::core::{Event, Inner, ProcessId, Simulation, Task};
 use quincehatch_core::Millis;
 use quincehatch_runtime::seam::BoxFuture;
 use std::sync::{Arc, Weak};
 use std::task::{Context, Wake, Waker};
 
-impl Core {
-    pub fn spawn(self: &Arc<Self>, host: Pid, life: u64, f: BoxFuture<'static, ()>) {
+impl Simulation {
+    pub fn spawn(self: &Arc<Self>, host: ProcessId, life: u64, f: BoxFuture<'static, ()>) {
         let mut m = self.lock();
-        if !m.hosts[host].up || m.hosts[host].life != life {
-            m.graves.push((host, f));
+        if !m.processes[host].up || m.processes[host].incarnation != life {
+            m.dead_tasks.push((host, f));
             return;
         }
         m.seq += 1;
@@ -17,11 +17,11 @@
         m.tasks.insert(id, Task { host, life, fut: Some(f), queued: true });
         m.ready.push_back(id);
     }
-    pub fn wake_at(&self, pid: Pid, at: Millis, w: Waker) -> u64 {
+    pub fn wake_at(&self, pid: ProcessId, at: Millis, w: Waker) -> u64 {
         let mut m = self.lock();
-        let (base, rate) = (m.hosts[pid].base, m.hosts[pid].rate);
+        let (base, rate) = (m.processes[pid].clock_offset, m.processes[pid].clock_rate);
         let when = (at.saturating_sub(base) * 100_000).div_ceil(rate).max(m.now + 1);
-        let id = m.at(when, Ev::Wake(w));
+        let id = m.schedule(when, Event::Wake(w));
         m.timers.insert(id, when);
         id
     }
@@ -35,7 +35,7 @@
     /// Runs until that time, and leaves no task that could go on before it.
     pub fn run_until(self: &Arc<Self>, end: Millis) {
         loop {
-            while self.poll_one() {}
+            while self.poll_next_task() {}
             let ev = {
                 let mut m = self.lock();
                 let Some((&(at, n), _)) = m.q.first_key_value().filter(|(k, _)| k.0 <= end) else {
@@ -47,35 +47,35 @@
                 m.q.remove(&(at, n))
             };
             match ev {
-                Some(Ev::Wake(w)) => w.wake(),
-                Some(Ev::Resume(p)) => {
+                Some(Event::Wake(w)) => w.wake(),
+                Some(Event::Resume(p)) => {
                     let mut m = self.lock();
-                    if m.hosts[p].paused_until <= m.now {
-                        let parked = std::mem::take(&mut m.hosts[p].parked);
+                    if m.processes[p].paused_until <= m.now {
+                        let parked = std::mem::take(&mut m.processes[p].suspended_tasks);
                         m.ready.extend(parked);
                     }
                 }
-                Some(Ev::Net { from, to, sent, n }) => self.arrive(from, to, sent, n),
-                Some(Ev::Do(f)) => f(self),
+                Some(Event::Net { from, to, sent, n }) => self.arrive(from, to, sent, n),
+                Some(Event::Do(f)) => f(self),
                 None => {}
             }
         }
     }
 
-    fn poll_one(self: &Arc<Self>) -> bool {
-        let trash = std::mem::take(&mut self.lock().trash);
+    fn poll_next_task(self: &Arc<Self>) -> bool {
+        let trash = std::mem::take(&mut self.lock().deferred_drops);
         drop(trash);
-        let graves = std::mem::take(&mut self.lock().graves);
+        let graves = std::mem::take(&mut self.lock().dead_tasks);
         for (pid, f) in graves {
-            self.within(pid, || drop(f));
+            self.run_in(pid, || drop(f));
         }
         let (id, host, mut fut) = {
             let mut m = self.lock();
             let Some(id) = m.ready.pop_front() else { return false };
             let now = m.now;
             let Some(host) = m.tasks.get(&id).map(|t| t.host) else { return true };
-            if m.hosts[host].paused_until > now {
-                m.hosts[host].parked.push(id);
+            if m.processes[host].paused_until > now {
+                m.processes[host].suspended_tasks.push(id);
                 return true;
             }
             let Some(t) = m.tasks.get_mut(&id) else { return true };
@@ -84,13 +84,13 @@
             m.mark(id, host as u64);
             (id, host, fut)
         };
-        let waker = Waker::from(Arc::new(Awake { id, core: Arc::downgrade(self) }));
-        let done = self.within(host, || fut.as_mut().poll(&mut Context::from_waker(&waker)).is_ready());
+        let waker = Waker::from(Arc::new(TaskWaker { id, core: Arc::downgrade(self) }));
+        let done = self.run_in(host, || fut.as_mut().poll(&mut Context::from_waker(&waker)).is_ready());
         let mut m = self.lock();
         let alive = m.tasks.contains_key(&id);
         if done || !alive {
             m.tasks.remove(&id);
-            m.graves.push((host, fut));
+            m.dead_tasks.push((host, fut));
         } else if let Some(t) = m.tasks.get_mut(&id) {
             t.fut = Some(fut);
         }
@@ -98,40 +98,40 @@
     }
 
     /// All tasks of a process are gone, in the midst of whatever they did.
-    pub(super) fn bury(&self, m: &mut Inner, pid: Pid) {
-        let life = m.hosts[pid].life;
+    pub(super) fn kill_tasks(&self, m: &mut Inner, pid: ProcessId) {
+        let life = m.processes[pid].incarnation;
         let gone: Vec<u64> =
             m.tasks.iter().filter(|(_, t)| t.host == pid && t.life == life).map(|(i, _)| *i).collect();
         for id in gone {
             let fut = m.tasks.remove(&id).and_then(|t| t.fut);
-            m.graves.extend(fut.map(|f| (pid, f)));
+            m.dead_tasks.extend(fut.map(|f| (pid, f)));
         }
-        m.hosts[pid].parked.clear();
+        m.processes[pid].suspended_tasks.clear();
     }
 
     /// Ends the run: whatever holds on to the world is let go.
-    pub fn end(self: &Arc<Self>) {
+    pub fn shut_down(self: &Arc<Self>) {
         let q = {
             let mut m = self.lock();
-            for p in 0..m.hosts.len() {
-                self.bury(&mut m, p);
-                m.hosts[p].up = false;
+            for p in 0..m.processes.len() {
+                self.kill_tasks(&mut m, p);
+                m.processes[p].up = false;
             }
-            (std::mem::take(&mut m.q), m.links.clear())
+            (std::mem::take(&mut m.q), m.network.clear())
         };
         drop(q);
-        while self.poll_one() {}
-        let hosts = std::mem::take(&mut self.lock().hosts);
+        while self.poll_next_task() {}
+        let hosts = std::mem::take(&mut self.lock().processes);
         drop(hosts);
     }
 }
 
-struct Awake {
+struct TaskWaker {
     id: u64,
-    core: Weak<Core>,
+    core: Weak<Simulation>,
 }
 
-impl Wake for Awake {
+impl Wake for TaskWaker {
     fn wake(self: Arc<Self>) {
         let Some(core) = self.core.upgrade() else { return };
         let mut m = core.lock();
--- a/crates/simulator/src/fleet/faults.rs
+++ b/crates/simulator/src/fleet/faults.rs
@@ -1,29 +1,29 @@
 //! What goes wrong in a simulated fleet, drawn from the seed (§9.1).
-use super::core::{Pid, Snare};
+use super::core::{ProcessId, Trap};
 use super::procs::Laid;
 use quincehatch_core::{Millis, ServerState};
-use quincehatch_testbed::stand::faults::Wish;
+use quincehatch_testbed::stand_in::faults::Wish;
 use std::sync::Arc;
 
 #[derive(Clone, Debug)]
 pub enum Fault {
-    Crash(Pid, Millis),
+    Crash(ProcessId, Millis),
     /// The machine goes off without a word: its links are not closed.
-    Dark(Pid, Millis),
-    Pause(Pid, Millis),
+    PowerOff(ProcessId, Millis),
+    Pause(ProcessId, Millis),
     /// From the first to the second, for so long; both ways when the flag is up.
-    Cut(Pid, Pid, bool, Millis),
+    Cut(ProcessId, ProcessId, bool, Millis),
     /// Cut off from everyone; with the flag only what it sends is lost.
-    Alone(Pid, bool, Millis),
+    Alone(ProcessId, bool, Millis),
     /// Some are cut off from the rest, though callers reach all; with the flag only what they send is lost.
-    Split(Vec<Pid>, bool, Millis),
-    Rain(u64, Millis),
+    Split(Vec<ProcessId>, bool, Millis),
+    PacketLoss(u64, Millis),
     /// Something inside a server, and its end after so long.
     Server(usize, Wish, Wish, Millis),
     /// A server says that it leaves, goes, and is back.
     Leave(usize, Millis),
     /// Whoever promotes next is stopped at a point of it.
-    Snare(Snare),
+    Trap(Trap),
 }
 
 pub fn wish(f: impl FnOnce(&mut Wish)) -> Wish {
@@ -35,7 +35,7 @@
 /// Draws one fault.
 pub fn draw(l: &Laid) -> Fault {
     let mut m = l.core.lock();
-    let all: Vec<Pid> =
+    let all: Vec<ProcessId> =
         l.keepers.iter().chain(&l.nodes).copied().chain(l.servers.iter().map(|s| s.pid)).collect();
     let r = &mut m.rng;
     let p = *r.pick(&all).unwrap_or(&0);
@@ -45,7 +45,7 @@
     let off = |f: fn(&mut Wish, bool)| (wish(|w| f(w, true)), wish(|w| f(w, false)));
     match r.below(100) {
         0..20 => Fault::Crash(p, ms),
-        20..28 => Fault::Dark(p, ms),
+        20..28 => Fault::PowerOff(p, ms),
         28..42 => Fault::Pause(p, ms),
         42..47 => Fault::Cut(p, q, r.chance(500), ms),
         47..56 => {
@@ -53,7 +53,7 @@
             Fault::Split(some, r.chance(300), ms + 2_500)
         }
         56..62 => Fault::Alone(p, r.chance(400), ms),
-        62..68 => Fault::Rain(20 + r.below(150), ms),
+        62..68 => Fault::PacketLoss(20 + r.below(150), ms),
         68..78 => {
             let (a, b) = off(|w, on| w.stall = Some(on));
             Fault::Server(s, a, b, ms)
@@ -73,7 +73,7 @@
 }
 
 /// Draws faults for a stretch of time; some run side by side.
-pub fn schedule(l: &Arc<Laid>, from: Millis, len: Millis, draw: fn(&Laid) -> Fault) {
+pub fn schedule_faults(l: &Arc<Laid>, from: Millis, len: Millis, draw: fn(&Laid) -> Fault) {
     let mut t = from;
     loop {
         t += 300 + l.core.lock().rng.below(3_500);
@@ -81,7 +81,7 @@
             return;
         }
         let x = l.clone();
-        l.core.later(t, move |_| {
+        l.core.schedule_action(t, move |_| {
             let f = draw(&x);
             strike(&x, f);
         });
@@ -90,19 +90,19 @@
 
 fn after(l: &Arc<Laid>, ms: Millis, f: impl FnOnce(&Arc<Laid>) + Send + 'static) {
     let (x, at) = (l.clone(), l.core.now() + ms);
-    l.core.later(at, move |_| f(&x));
+    l.core.schedule_action(at, move |_| f(&x));
 }
 
 pub fn strike(l: &Arc<Laid>, f: Fault) {
     let c = &l.core;
-    c.say(&format!("fault {f:?}"));
-    c.lock().faulty = true;
+    c.log(&format!("fault {f:?}"));
+    c.lock().crashes_enabled = true;
     match f {
         Fault::Crash(p, ms) => {
             c.crash(p, false);
             after(l, ms, move |l| l.core.restart(p));
         }
-        Fault::Dark(p, ms) => {
+        Fault::PowerOff(p, ms) => {
             c.crash(p, true);
             after(l, ms, move |l| l.core.restart(p));
         }
@@ -112,37 +112,37 @@
             after(l, ms, move |l| l.core.mend(p, q));
         }
         Fault::Alone(p, one_way, ms) => {
-            let n = c.lock().hosts.len();
+            let n = c.lock().processes.len();
             (0..n).filter(|q| *q != p).for_each(|q| c.cut(p, q, !one_way));
             after(l, ms, move |l| (0..n).for_each(|q| l.core.mend(p, q)));
         }
         Fault::Split(some, one_way, ms) => {
-            let n = l.platform_pid;
-            let pairs: Vec<(Pid, Pid)> =
+            let n = l.platform_process;
+            let pairs: Vec<(ProcessId, ProcessId)> =
                 some.iter().flat_map(|p| (0..n).filter(|q| !some.contains(q)).map(|q| (*p, q))).collect();
             pairs.iter().for_each(|(p, q)| c.cut(*p, *q, !one_way));
             after(l, ms, move |l| pairs.iter().for_each(|(p, q)| l.core.mend(*p, *q)));
         }
-        Fault::Rain(pm, ms) => {
+        Fault::PacketLoss(pm, ms) => {
             {
                 let mut m = c.lock();
-                (m.loss_pm, m.delay) = (pm, (1, 80));
+                (m.loss_per_mille, m.delay_range) = (pm, (1, 80));
             }
             after(l, ms, |l| {
                 let mut m = l.core.lock();
-                (m.loss_pm, m.delay) = (0, (1, 12));
+                (m.loss_per_mille, m.delay_range) = (0, (1, 12));
             });
         }
         Fault::Server(s, on, off, ms) => {
             l.wish(s, &on);
             after(l, ms, move |l| l.wish(s, &off));
         }
-        Fault::Snare(s) => c.lock().snare = Some(s),
+        Fault::Trap(s) => c.lock().trap = Some(s),
         Fault::Leave(s, ms) => {
             l.leave(s, true);
             let p = l.servers[s].pid;
             // Another comes in its place, under its own name; the old one may be back as well.
-            l.core.restart(l.spares[s / l.shape.copies].pid);
+            l.core.restart(l.spares[s / l.shape.replicas].pid);
             after(l, 8_000, move |l| l.core.crash(p, false));
             after(l, 8_000 + ms, move |l| {
                 l.core.restart(p);
@@ -156,30 +156,30 @@
     pub fn wish(&self, s: usize, w: &Wish) {
         let srv = &self.servers[s];
         if w.reset == Some(true) {
-            self.core.lock().reset_links(srv.pid);
+            self.core.lock().reset_connections(srv.pid);
         }
-        let live = srv.live.lock().unwrap().clone().filter(|_| self.core.lock().hosts[srv.pid].up);
+        let live = srv.live.lock().unwrap().clone().filter(|_| self.core.lock().processes[srv.pid].up);
         if let Some(s) = live {
-            self.core.within(srv.pid, || s.faults.wish(w));
+            self.core.run_in(srv.pid, || s.faults.wish(w));
         }
     }
     pub fn leave(&self, s: usize, leaves: bool) {
         let srv = &self.servers[s];
         if let Some(s) = srv.live.lock().unwrap().clone() {
             let st = if leaves { ServerState::Draining } else { ServerState::Up };
-            self.core.within(srv.pid, || *s.state.lock().unwrap() = (st, quincehatch_runtime::now()));
+            self.core.run_in(srv.pid, || *s.state.lock().unwrap() = (st, quincehatch_runtime::now()));
         }
     }
     /// All that is broken is made whole; from here the bound of the BRIEF counts.
-    pub fn heal(&self) {
-        self.core.say("all is healed");
+    pub fn heal_all(&self) {
+        self.core.log("all is healed");
         {
             let mut m = self.core.lock();
-            (m.faulty, m.loss_pm, m.delay) = (false, 0, (1, 12));
-            m.cuts.clear();
-            m.snare = None;
+            (m.crashes_enabled, m.loss_per_mille, m.delay_range) = (false, 0, (1, 12));
+            m.partitions.clear();
+            m.trap = None;
         }
-        let n = self.core.lock().hosts.len();
+        let n = self.core.lock().processes.len();
         for p in 0..n {
             self.core.pause(p, 0);
             self.core.restart(p);
--- a/crates/simulator/src/fleet/host.rs
+++ b/crates/simulator/src/fleet/host.rs
@@ -1,5 +1,5 @@
 //! What a simulated process has in place of tokio and the kernel (§5.8, §9.1).
-use super::core::{Core, Pid};
+use super::core::{ProcessId, Simulation};
 use super::net::{Link, Net, Visit};
 use quincehatch_core::{Millis, hash64};
 use quincehatch_runtime::seam::{BoxFuture, OnDisconnect, VirtualConnection, World};
@@ -11,27 +11,32 @@
 use tokio::sync::oneshot;
 
 /// A process's view of the world: its clock, its tasks, its links.
-pub struct HostWorld {
-    pub core: Arc<Core>,
-    pub pid: Pid,
+pub struct ProcessWorld {
+    pub core: Arc<Simulation>,
+    pub pid: ProcessId,
     pub life: u64,
 }
 
-struct VPipe {
-    core: Arc<Core>,
+struct SimulatedPipe {
+    core: Arc<Simulation>,
     id: u64,
-    a: Pid,
-    b: Pid,
+    a: ProcessId,
+    b: ProcessId,
     closed: Arc<AtomicBool>,
 }
 
-impl VirtualConnection for VPipe {
-    fn request(&self, path: String, body: Value, token: Option<String>) -> BoxFuture<'_, Result<(u16, Value)>> {
+impl VirtualConnection for SimulatedPipe {
+    fn request(
+        &self,
+        path: String,
+        body: Value,
+        token: Option<String>,
+    ) -> BoxFuture<'_, Result<(u16, Value)>> {
         let (tx, rx) = oneshot::channel();
         let gone = || Error::from(ErrorKind::ConnectionReset);
         {
             let mut m = self.core.lock();
-            if let Some(l) = m.links.open.get_mut(&self.id).filter(|l| l.a_open) {
+            if let Some(l) = m.network.open.get_mut(&self.id).filter(|l| l.client_open) {
                 l.asking = Some(tx);
                 m.send(self.a, self.b, Net::Request(Visit { link: self.id, path, body, token }));
             }
@@ -43,18 +48,18 @@
     }
     fn close(&self) {
         let mut m = self.core.lock();
-        let Some(l) = m.links.open.get_mut(&self.id) else { return };
-        if std::mem::replace(&mut l.a_open, false) {
-            let gone = (l.opening.take(), l.asking.take(), l.on_break.take());
-            m.trash.push(Box::new(gone));
+        let Some(l) = m.network.open.get_mut(&self.id) else { return };
+        if std::mem::replace(&mut l.client_open, false) {
+            let gone = (l.connect_reply.take(), l.asking.take(), l.on_break.take());
+            m.deferred_drops.push(Box::new(gone));
             m.send(self.a, self.b, Net::Closed(self.id));
         }
     }
 }
 
 /// Closes a link whose opening was given up.
-struct Opening(Option<Arc<VPipe>>);
-impl Drop for Opening {
+struct CloseUnlessOpened(Option<Arc<SimulatedPipe>>);
+impl Drop for CloseUnlessOpened {
     fn drop(&mut self) {
         if let Some(p) = self.0.take() {
             p.close();
@@ -62,7 +67,7 @@
     }
 }
 
-impl World for HostWorld {
+impl World for ProcessWorld {
     fn now(&self) -> Millis {
         self.core.lock().local(self.pid)
     }
@@ -81,45 +86,53 @@
     fn spawn(&self, f: BoxFuture<'static, ()>) {
         self.core.spawn(self.pid, self.life, f);
     }
-    fn connect(&self, addr: &str, on_break: OnDisconnect) -> BoxFuture<'static, Result<Arc<dyn VirtualConnection>>> {
+    fn connect(
+        &self,
+        addr: &str,
+        on_break: OnDisconnect,
+    ) -> BoxFuture<'static, Result<Arc<dyn VirtualConnection>>> {
         let (tx, rx) = oneshot::channel();
         let mut m = self.core.lock();
-        let Some(b) = m.links.at.get(addr).copied() else {
+        let Some(b) = m.network.at.get(addr).copied() else {
             return Box::pin(async { Err(ErrorKind::ConnectionRefused.into()) });
         };
-        m.links.next += 1;
-        let (id, a, closed) = (m.links.next, self.pid, Arc::new(AtomicBool::new(false)));
+        m.network.next += 1;
+        let (id, a, closed) = (m.network.next, self.pid, Arc::new(AtomicBool::new(false)));
         let (addr, on_break, opening) = (addr.to_owned(), Some(on_break), Some(tx));
         let l = Link {
             a,
             b,
             addr,
-            a_open: true,
-            b_open: false,
+            client_open: true,
+            server_open: false,
             closed: closed.clone(),
             on_break,
-            opening,
+            connect_reply: opening,
             asking: None,
         };
-        m.links.open.insert(id, l);
+        m.network.open.insert(id, l);
         m.send(a, b, Net::Syn(id));
         drop(m);
-        let pipe = Arc::new(VPipe { core: self.core.clone(), id, a, b, closed });
+        let pipe = Arc::new(SimulatedPipe { core: self.core.clone(), id, a, b, closed });
         Box::pin(async move {
-            let mut guard = Opening(Some(pipe));
+            let mut guard = CloseUnlessOpened(Some(pipe));
             rx.await.unwrap_or_else(|_| Err(ErrorKind::ConnectionReset.into()))?;
-            guard.0.take().map(|p| p as Arc<dyn VirtualConnection>).ok_or_else(|| ErrorKind::ConnectionReset.into())
+            guard
+                .0
+                .take()
+                .map(|p| p as Arc<dyn VirtualConnection>)
+                .ok_or_else(|| ErrorKind::ConnectionReset.into())
         })
     }
     fn exchange_frame(&self, addr: &str, bytes: Vec<u8>) -> BoxFuture<'static, Result<Vec<u8>>> {
         let (tx, rx) = oneshot::channel();
         let mut m = self.core.lock();
-        let Some(b) = m.links.at.get(addr).copied() else {
+        let Some(b) = m.network.at.get(addr).copied() else {
             return Box::pin(async { Err(ErrorKind::ConnectionRefused.into()) });
         };
-        m.links.next += 1;
-        let rid = m.links.next;
-        m.links.frames.insert(rid, tx);
+        m.network.next += 1;
+        let rid = m.network.next;
+        m.network.frames.insert(rid, tx);
         m.send(self.pid, b, Net::Frame { rid, addr: addr.to_owned(), bytes });
         Box::pin(async move { rx.await.unwrap_or_else(|_| Err(ErrorKind::ConnectionReset.into())) })
     }
@@ -127,8 +140,8 @@
         self.core.has_bug(bug)
     }
     fn trace_point(&self, what: &str) {
-        let name = self.core.lock().hosts[self.pid].name.clone();
-        self.core.say(&format!("{name}: {what}"));
-        self.core.came_to(self.pid, what);
+        let name = self.core.lock().processes[self.pid].name.clone();
+        self.core.log(&format!("{name}: {what}"));
+        self.core.reach_trace_point(self.pid, what);
     }
 }
--- a/crates/simulator/src/fleet/keeper.rs
+++ b/crates/simulator/src/fleet/keeper.rs
@@ -1,5 +1,5 @@
 //! A keeper in the simulator: the real [`Keeper`] with a disk that is what was synced (§5.7).
-use super::core::{Core, Pid};
+use super::core::{ProcessId, Simulation};
 use super::net::Net;
 use quincehatch_core::{Millis, Name};
 use quincehatch_runtime::{now, seam};
@@ -30,12 +30,19 @@
 }
 
 /// Where keepers are found: name to process.
-pub struct Keepers {
-    pub by_name: Mutex<BTreeMap<Name, Pid>>,
-    pub watch: Mutex<Watch>,
+pub struct KeeperRegistry {
+    pub process_by_name: Mutex<BTreeMap<Name, ProcessId>>,
+    pub commit_watch: Mutex<Watch>,
 }
 
-pub fn start(core: &Arc<Core>, pid: Pid, name: &Name, addr: &str, disk: &Disk, all: &Arc<Keepers>) {
+pub fn start_keeper(
+    core: &Arc<Simulation>,
+    pid: ProcessId,
+    name: &Name,
+    addr: &str,
+    disk: &Disk,
+    all: &Arc<KeeperRegistry>,
+) {
     let k = Keeper::new(name.clone(), now(), disk.lock().unwrap().clone());
     let (waits, token, told) = (BTreeMap::new(), 0, 0);
     let p = Arc::new(Mutex::new(Proc { k, disk: disk.clone(), waits, token, told }));
@@ -44,13 +51,13 @@
         move |p: &Arc<Mutex<Proc>>, i: Input| step(&core, pid, &all, p, i)
     };
     let (q, s, a) = (p.clone(), step.clone(), all.clone());
-    let on_peer = move |from: Pid, m| {
-        let name = a.by_name.lock().unwrap().iter().find(|x| *x.1 == from).map(|x| x.0.clone());
+    let on_peer = move |from: ProcessId, m| {
+        let name = a.process_by_name.lock().unwrap().iter().find(|x| *x.1 == from).map(|x| x.0.clone());
         if let Some(from) = name {
             s(&q, Input::Peer { from, message: m });
         }
     };
-    core.lock().links.peer.insert(pid, Arc::new(on_peer));
+    core.lock().network.peer.insert(pid, Arc::new(on_peer));
     let (q, s, c, me) = (p.clone(), step.clone(), core.clone(), Identity::new(name));
     core.listen_frames(
         addr,
@@ -114,13 +121,13 @@
     }
 }
 
-fn step(core: &Arc<Core>, pid: Pid, all: &Keepers, p: &Arc<Mutex<Proc>>, i: Input) {
+fn step(core: &Arc<Simulation>, pid: ProcessId, all: &KeeperRegistry, p: &Arc<Mutex<Proc>>, i: Input) {
     let mut x = p.lock().unwrap();
     let outs = x.k.step(now(), i);
     // A crash in the midst: all of the step is lost, or it is synced and nothing of it is sent.
     let (fate, faulty) = {
         let mut m = core.lock();
-        (m.rng.below(100_000), m.faulty)
+        (m.rng.below(100_000), m.crashes_enabled)
     };
     let doomed = faulty && fate < 4;
     if !doomed || fate >= 2 {
@@ -132,26 +139,26 @@
     }
     if doomed {
         drop(x);
-        return core.crash_soon(pid);
+        return core.crash_and_restart(pid);
     }
     let mut replies = Vec::new();
     for o in outs {
         match o {
             Output::Send(to, m) => {
-                let to = all.by_name.lock().unwrap().get(&to).copied();
+                let to = all.process_by_name.lock().unwrap().get(&to).copied();
                 if let Some(to) = to {
                     core.lock().send(pid, to, Net::Peer(m));
                 }
             }
             Output::Reply(t, rep) => replies.extend(x.waits.remove(&t).map(|tx| (tx, rep))),
-            Output::Log(s) => core.say(&format!("{}: {s}", x.k.name)),
+            Output::Log(s) => core.log(&format!("{}: {s}", x.k.name)),
             Output::Persist(_) => {}
         }
     }
-    if core.tell && x.told + 1_000 < now() {
+    if core.verbose && x.told + 1_000 < now() {
         x.told = now();
         let s = x.k.status();
-        core.say(&format!(
+        core.log(&format!(
             "{} n {} committed {} in force {} {}",
             s.name, s.last_change, s.committed, s.in_force, s.reason
         ));
@@ -159,7 +166,7 @@
     let (serving, n, committed) = (x.k.is_serving(), x.k.store.last_change, x.k.committed);
     let (name, view) = (x.k.name.clone(), x.k.view.version);
     drop(x);
-    let mut w = all.watch.lock().unwrap();
+    let mut w = all.commit_watch.lock().unwrap();
     if serving && n < w.committed && w.breaches.len() < 20 {
         let s = format!(
             "N10 at {} {name} serves view {view} at {n} while {} was committed",
--- a/crates/simulator/src/fleet/last.rs
+++ b/crates/simulator/src/fleet/last.rs
@@ -1,5 +1,5 @@
 //! Breakdowns that are final (§9.1): one at a time, or two that belong together, and nothing is healed after.
-use super::core::{Pid, Snare};
+use super::core::{ProcessId, Trap};
 use super::procs::Laid;
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
         .map_or(l.servers[0].pid, |s| s.pid);
     let view = fleet.map(|f| f.store_client.view()).unwrap_or_default();
     let at = |n: Option<&quincehatch_core::Name>| {
-        n.and_then(|n| l.all_keepers.by_name.lock().unwrap().get(n).copied())
+        n.and_then(|n| l.keeper_registry.process_by_name.lock().unwrap().get(n).copied())
     };
     let (head, tail) = (at(view.head()).unwrap_or(l.keepers[0]), at(view.tail()).unwrap_or(l.keepers[0]));
     let draw = |n: usize| l.core.lock().rng.below(n as u64) as usize;
@@ -25,9 +25,9 @@
         let point = ["is closing", "is fencing", "chose", "is promoting", "is naming"][seed as usize / 2 % 5]
             .to_owned();
         let pause = l.core.lock().rng.chance(500).then_some(3_000);
-        l.core.lock().snare = Some(Snare { point, pause });
+        l.core.lock().trap = Some(Trap { point, pause });
     }
-    let (what, of): (&str, Vec<Pid>) = match seed % 10 {
+    let (what, of): (&str, Vec<ProcessId>) = match seed % 10 {
         0 => ("the lead", vec![lead]),
         1 => ("a node", vec![node]),
         2 => ("the head", vec![head]),
@@ -36,42 +36,42 @@
         5 => ("the lead and the tail", vec![lead, tail]),
         6 => ("the lead and a node", vec![lead, node]),
         7 => ("a replica", l.servers.iter().map(|s| s.pid).filter(|p| *p != lead).take(1).collect()),
-        9 => return l.replaced(lead, dark),
+        9 => return l.replace_replica_then_crash_primary(lead, dark),
         _ => {
-            let n = l.shape.districts;
+            let n = l.shape.zones;
             let keepers = |d: usize| (0..l.keepers.len()).filter(|i| i % n == d).count();
             let may: Vec<usize> = (0..n).filter(|d| keepers(*d) * 2 < l.keepers.len()).collect();
-            ("a district", l.of_district(may[draw(may.len())]))
+            ("a district", l.processes_of_zone(may[draw(may.len())]))
         }
     };
     of.iter().for_each(|p| l.core.crash(*p, dark));
     let s = format!("{what}, {}", if dark { "without a word" } else { "links reset" });
-    l.core.say(&format!("final: {s}"));
+    l.core.log(&format!("final: {s}"));
     s
 }
 
 impl Laid {
     /// A replica leaves and another comes under a new name and address; then the lead dies.
-    fn replaced(self: &Arc<Self>, lead: Pid, dark: bool) -> String {
+    fn replace_replica_then_crash_primary(self: &Arc<Self>, lead: ProcessId, dark: bool) -> String {
         let old = (0..3).find(|i| self.servers[*i].pid != lead).unwrap_or(0);
         self.leave(old, true);
         self.core.restart(self.spares[0].pid);
         let (l, at) = (self.clone(), self.core.now() + 7_500);
-        self.core.lock().snared = at + 3_000;
-        self.core.later(at, move |c| {
+        self.core.lock().trap_sprung_at = at + 3_000;
+        self.core.schedule_action(at, move |c| {
             c.crash(l.servers[old].pid, false);
-            c.later(c.now() + 3_000, move |c| c.crash(lead, dark));
+            c.schedule_action(c.now() + 3_000, move |c| c.crash(lead, dark));
         });
         "a replica replaced under another name, then the lead".into()
     }
     /// All machines of a district: its nodes, a server of each group, and the keepers that stand there. Where half
     /// of the keepers or more stand in one district, its loss is not ridden out: no majority could mend the chain.
-    fn of_district(&self, d: usize) -> Vec<Pid> {
-        let n = self.shape.districts;
-        let here = |(i, p): (usize, &Pid)| (i % n == d).then_some(*p);
+    fn processes_of_zone(&self, d: usize) -> Vec<ProcessId> {
+        let n = self.shape.zones;
+        let here = |(i, p): (usize, &ProcessId)| (i % n == d).then_some(*p);
         let keepers = self.keepers.iter().enumerate().filter_map(here);
         let nodes = self.nodes.iter().enumerate().filter_map(here);
-        let copies = self.shape.copies;
+        let copies = self.shape.replicas;
         let server =
             |(i, s): (usize, &super::procs::Server)| ((i / copies + i % copies) % n == d).then_some(s.pid);
         let servers = self.servers.iter().enumerate().filter_map(server);
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -14,4 +14,4 @@
 pub mod procs;
 pub mod run;
 
-pub use run::{Report, Sim, run};
+pub use run::{Report, SimOptions, run_seed};
--- a/crates/simulator/src/fleet/net.rs
+++ b/crates/simulator/src/fleet/net.rs
@@ -1,6 +1,6 @@
 //! Links and frames between simulated processes (§9.1). A link is a stream: what is lost on it is sent again, a cut
 //! delays it, and after four seconds without an acknowledgement the kernel gives it up (§4.4).
-use super::core::{Core, Ev, Inner, Pid};
+use super::core::{Event, Inner, ProcessId, Simulation};
 use quincehatch_core::Millis;
 use quincehatch_runtime::seam::{BoxFuture, OnDisconnect};
 use quincehatch_store::PeerMessage;
@@ -19,10 +19,10 @@
 }
 
 /// Answers a call; nothing resets the link.
-pub type OnHttp = Arc<dyn Fn(Visit) -> BoxFuture<'static, Option<(u16, Value)>> + Send + Sync>;
-pub type OnClose = Arc<dyn Fn(u64) + Send + Sync>;
-pub type OnFrame = Arc<dyn Fn(Vec<u8>) -> BoxFuture<'static, Option<Vec<u8>>> + Send + Sync>;
-pub type OnPeer = Arc<dyn Fn(Pid, PeerMessage) + Send + Sync>;
+pub type HttpHandler = Arc<dyn Fn(Visit) -> BoxFuture<'static, Option<(u16, Value)>> + Send + Sync>;
+pub type CloseHandler = Arc<dyn Fn(u64) + Send + Sync>;
+pub type FrameHandler = Arc<dyn Fn(Vec<u8>) -> BoxFuture<'static, Option<Vec<u8>>> + Send + Sync>;
+pub type PeerHandler = Arc<dyn Fn(ProcessId, PeerMessage) + Send + Sync>;
 
 pub enum Net {
     Syn(u64),
@@ -37,7 +37,7 @@
         addr: String,
         bytes: Vec<u8>,
     },
-    FrameBack {
+    FrameReply {
         rid: u64,
         got: Option<Vec<u8>>,
     },
@@ -45,14 +45,14 @@
 }
 
 pub(super) struct Link {
-    pub(super) a: Pid,
-    pub(super) b: Pid,
+    pub(super) a: ProcessId,
+    pub(super) b: ProcessId,
     pub(super) addr: String,
-    pub(super) a_open: bool,
-    pub(super) b_open: bool,
+    pub(super) client_open: bool,
+    pub(super) server_open: bool,
     pub(super) closed: Arc<AtomicBool>,
     pub(super) on_break: Option<OnDisconnect>,
-    pub(super) opening: Option<oneshot::Sender<Result<()>>>,
+    pub(super) connect_reply: Option<oneshot::Sender<Result<()>>>,
     pub(super) asking: Option<oneshot::Sender<Result<(u16, Value)>>>,
 }
 
@@ -61,10 +61,10 @@
     pub(super) next: u64,
     pub(super) open: BTreeMap<u64, Link>,
     pub(super) frames: BTreeMap<u64, oneshot::Sender<Result<Vec<u8>>>>,
-    pub at: BTreeMap<String, Pid>,
-    pub(super) http: BTreeMap<String, (OnHttp, OnClose)>,
-    pub(super) frame: BTreeMap<String, OnFrame>,
-    pub peer: BTreeMap<Pid, OnPeer>,
+    pub at: BTreeMap<String, ProcessId>,
+    pub(super) http: BTreeMap<String, (HttpHandler, CloseHandler)>,
+    pub(super) frame: BTreeMap<String, FrameHandler>,
+    pub peer: BTreeMap<ProcessId, PeerHandler>,
 }
 
 impl Links {
@@ -77,40 +77,40 @@
 pub(super) const USER_TIMEOUT: Millis = 4_000;
 pub(super) const RESEND: Millis = 250;
 /// A frame's caller has given up by then.
-pub(super) const FRAME: Millis = 1_000;
+pub(super) const FRAME_TIMEOUT: Millis = 1_000;
 
 impl Inner {
-    pub fn send(&mut self, from: Pid, to: Pid, n: Net) {
-        self.sent += 1;
+    pub fn send(&mut self, from: ProcessId, to: ProcessId, n: Net) {
+        self.messages_sent += 1;
         let lossy = matches!(n, Net::Peer(_));
-        let mut d = self.delay.0 + self.rng.below(self.delay.1 - self.delay.0 + 1);
-        while self.rng.chance(self.loss_pm) {
+        let mut d = self.delay_range.0 + self.rng.below(self.delay_range.1 - self.delay_range.0 + 1);
+        while self.rng.chance(self.loss_per_mille) {
             if lossy {
                 return;
             }
             d += RESEND;
         }
         if let Net::Peer(m) = &n
-            && self.rng.chance(self.dup_pm)
+            && self.rng.chance(self.duplicate_per_mille)
         {
             let (again, sent) = (Net::Peer(m.clone()), self.now);
-            self.at(self.now + d + 3, Ev::Net { from, to, sent, n: again });
+            self.schedule(self.now + d + 3, Event::Net { from, to, sent, n: again });
         }
-        self.at(self.now + d, Ev::Net { from, to, sent: self.now, n });
+        self.schedule(self.now + d, Event::Net { from, to, sent: self.now, n });
     }
     /// Every link of a process that died is told so to its other end, unless the machine went dark.
-    pub fn drop_links(&mut self, pid: Pid, dark: bool) {
+    pub fn drop_connections(&mut self, pid: ProcessId, dark: bool) {
         let of: Vec<u64> =
-            self.links.open.iter().filter(|(_, l)| l.a == pid || l.b == pid).map(|(i, _)| *i).collect();
+            self.network.open.iter().filter(|(_, l)| l.a == pid || l.b == pid).map(|(i, _)| *i).collect();
         for id in of {
-            let Some(l) = self.links.open.get_mut(&id) else { continue };
+            let Some(l) = self.network.open.get_mut(&id) else { continue };
             let (a, b) = (l.a, l.b);
-            let told = if b == pid { std::mem::replace(&mut l.b_open, false) } else { l.b_open };
+            let told = if b == pid { std::mem::replace(&mut l.server_open, false) } else { l.server_open };
             if a == pid {
-                l.a_open = false;
+                l.client_open = false;
                 l.closed.store(true, Ordering::SeqCst);
-                let gone = (l.opening.take(), l.asking.take(), l.on_break.take());
-                self.trash.push(Box::new(gone));
+                let gone = (l.connect_reply.take(), l.asking.take(), l.on_break.take());
+                self.deferred_drops.push(Box::new(gone));
             }
             if !dark && told && a != b {
                 let n = if b == pid { Net::Broke(id) } else { Net::Closed(id) };
@@ -119,35 +119,35 @@
         }
     }
     /// A server resets all links it answers.
-    pub fn reset_links(&mut self, pid: Pid) {
+    pub fn reset_connections(&mut self, pid: ProcessId) {
         let of: Vec<u64> =
-            self.links.open.iter().filter(|(_, l)| l.b == pid && l.b_open).map(|(i, _)| *i).collect();
+            self.network.open.iter().filter(|(_, l)| l.b == pid && l.server_open).map(|(i, _)| *i).collect();
         of.into_iter().for_each(|id| self.reset(id));
     }
     pub(super) fn reset(&mut self, id: u64) {
-        let Some(l) = self.links.open.get_mut(&id) else { return };
-        l.b_open = false;
+        let Some(l) = self.network.open.get_mut(&id) else { return };
+        l.server_open = false;
         let (a, b) = (l.a, l.b);
         self.send(b, a, Net::Broke(id));
     }
 }
 
-impl Core {
-    pub fn listen_http(&self, addr: &str, pid: Pid, f: OnHttp, closed: OnClose) {
+impl Simulation {
+    pub fn listen_http(&self, addr: &str, pid: ProcessId, f: HttpHandler, closed: CloseHandler) {
         let mut m = self.lock();
-        m.links.at.insert(addr.to_owned(), pid);
-        m.links.http.insert(addr.to_owned(), (f, closed));
+        m.network.at.insert(addr.to_owned(), pid);
+        m.network.http.insert(addr.to_owned(), (f, closed));
     }
-    pub fn listen_frames(&self, addr: &str, pid: Pid, f: OnFrame) {
+    pub fn listen_frames(&self, addr: &str, pid: ProcessId, f: FrameHandler) {
         let mut m = self.lock();
-        m.links.at.insert(addr.to_owned(), pid);
-        m.links.frame.insert(addr.to_owned(), f);
+        m.network.at.insert(addr.to_owned(), pid);
+        m.network.frame.insert(addr.to_owned(), f);
     }
     /// Puts something between an address and what answers frames there.
-    pub fn tap_frames(&self, addr: &str, f: impl FnOnce(OnFrame) -> OnFrame) {
+    pub fn wrap_frame_handler(&self, addr: &str, f: impl FnOnce(FrameHandler) -> FrameHandler) {
         let mut m = self.lock();
-        if let Some(had) = m.links.frame.remove(addr) {
-            m.links.frame.insert(addr.to_owned(), f(had));
+        if let Some(had) = m.network.frame.remove(addr) {
+            m.network.frame.insert(addr.to_owned(), f(had));
         }
     }
 }
--- a/crates/simulator/src/fleet/procs.rs
+++ b/crates/simulator/src/fleet/procs.rs
@@ -1,8 +1,8 @@
 //! The processes of a simulated fleet (§9.1): nodes, servers, platform and callers are the very code that runs on a
 //! real one; what stands here only gives them addresses.
-use super::core::{Core, Pid, Start};
-use super::keeper::{self, Disk, Keepers};
-use super::net::OnHttp;
+use super::core::{ProcessId, Simulation, StartProcess};
+use super::keeper::{self, Disk, KeeperRegistry};
+use super::net::HttpHandler;
 use bytes::Bytes;
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::Name;
@@ -10,29 +10,29 @@
 use quincehatch_proxy::listener::HttpRequest;
 use quincehatch_runtime::seam;
 use quincehatch_store::keeper::RecoveredState;
-use quincehatch_store::{Voter, View};
-use quincehatch_testbed::fleet::{ServerAt, Shape, TOKEN, blueprint_of};
-use quincehatch_testbed::platform::{Platform, ask_ready};
-use quincehatch_testbed::stand::{self, Stand, calls, repl};
-use quincehatch_testbed::stmt::Ctx;
+use quincehatch_store::{View, Voter};
+use quincehatch_testbed::fleet::{ServerAddress, Shape, TOKEN, configuration_for};
+use quincehatch_testbed::platform::{Platform, poll_readiness};
+use quincehatch_testbed::stand_in::{self, StandIn, calls, repl};
+use quincehatch_testbed::stmt::ConnectionState;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
 /// A server's process, and the stand-in that lives in it at the time.
 #[derive(Clone)]
 pub struct Server {
-    pub pid: Pid,
-    pub at: ServerAt,
-    pub live: Arc<Mutex<Option<Arc<Stand>>>>,
-    pub disk: Arc<stand::Disk>,
+    pub pid: ProcessId,
+    pub at: ServerAddress,
+    pub live: Arc<Mutex<Option<Arc<StandIn>>>>,
+    pub disk: Arc<stand_in::Disk>,
 }
 
 pub struct Laid {
-    pub core: Arc<Core>,
+    pub core: Arc<Simulation>,
     pub shape: Shape,
-    pub keepers: Vec<Pid>,
-    pub all_keepers: Arc<Keepers>,
-    pub nodes: Vec<Pid>,
+    pub keepers: Vec<ProcessId>,
+    pub keeper_registry: Arc<KeeperRegistry>,
+    pub nodes: Vec<ProcessId>,
     pub fleets: Vec<Arc<Mutex<Option<Arc<ClusterNode>>>>>,
     pub servers: Vec<Server>,
     /// One a group, under a name of its own; not running at first.
@@ -40,8 +40,8 @@
     pub desks: Vec<String>,
     pub platform: String,
     /// Those with a lower number are the fleet and its servers.
-    pub platform_pid: Pid,
-    pub callers: Pid,
+    pub platform_process: ProcessId,
+    pub callers: ProcessId,
     pub blueprint: String,
 }
 
@@ -55,7 +55,7 @@
 fn settings(shape: &Shape, i: usize) -> NodeSettings {
     NodeSettings {
         name: format!("n{}", i + 1),
-        zone: district(i, shape.districts),
+        zone: district(i, shape.zones),
         client_listener: addr(2, i),
         operator_listener: addr(3, i),
         gossip_listener: addr(4, i),
@@ -74,16 +74,16 @@
     HttpRequest { method, path: v.path, token: v.token, body }
 }
 
-fn start_node(core: &Arc<Core>, pid: Pid, set: &NodeSettings) -> Arc<ClusterNode> {
+fn start_node(core: &Arc<Simulation>, pid: ProcessId, set: &NodeSettings) -> Arc<ClusterNode> {
     let f = ClusterNode::new(set);
     let n = f.proxy.clone();
-    let door: OnHttp = Arc::new(move |v| {
+    let door: HttpHandler = Arc::new(move |v| {
         let n = n.clone();
         Box::pin(async move { Some(operator_api::origin(&n, knock(v)).await) })
     });
     core.listen_http(&set.client_listener, pid, door, Arc::new(|_| ()));
     let g = f.clone();
-    let at_desk: OnHttp = Arc::new(move |v| {
+    let at_desk: HttpHandler = Arc::new(move |v| {
         let f = g.clone();
         Box::pin(async move { Some(operator_api::answer(&f, knock(v)).await) })
     });
@@ -101,18 +101,18 @@
     f
 }
 
-fn start_server(core: &Arc<Core>, pid: Pid, args: stand::Args) -> Arc<Stand> {
+fn start_server(core: &Arc<Simulation>, pid: ProcessId, args: stand_in::StandInOptions) -> Arc<StandIn> {
     let at = args.addr.clone();
-    let s = Stand::open(args).expect("a disk in memory opens");
-    let links: Arc<Mutex<BTreeMap<u64, Arc<tokio::sync::Mutex<Ctx>>>>> = Arc::default();
+    let s = StandIn::open(args).expect("a disk in memory opens");
+    let links: Arc<Mutex<BTreeMap<u64, Arc<tokio::sync::Mutex<ConnectionState>>>>> = Arc::default();
     let (t, of) = (s.clone(), links.clone());
-    let http: OnHttp = Arc::new(move |v| {
+    let http: HttpHandler = Arc::new(move |v| {
         let ctx = of.lock().unwrap().entry(v.link).or_default().clone();
         let s = t.clone();
         Box::pin(async move {
-            s.faults.while_up(&s.faults.dark).await;
+            s.faults.wait_while(&s.faults.dark).await;
             let got = calls::answer(&s, &ctx, &v.path, v.body).await.ok()?;
-            s.faults.while_up(&s.faults.dark).await;
+            s.faults.wait_while(&s.faults.dark).await;
             Some((if got.get("error").is_some() { 409 } else { 200 }, got))
         })
     });
@@ -124,70 +124,71 @@
     s
 }
 
-pub fn lay_out(seed: u64, shape: Shape, bug: Option<&str>, tell: bool) -> Laid {
+pub fn build_fleet(seed: u64, shape: Shape, bug: Option<&str>, tell: bool) -> Laid {
     fastrand::seed(seed);
-    let core = Core::new(seed, bug, tell);
+    let core = Simulation::new(seed, bug, tell);
     let names: Vec<Name> = (0..shape.keepers).map(|i| format!("k{}", i + 1).into()).collect();
-    let machines =
-        names.iter().enumerate().map(|(i, n)| Voter { name: n.clone(), addr: addr(1, i).into() });
+    let machines = names.iter().enumerate().map(|(i, n)| Voter { name: n.clone(), addr: addr(1, i).into() });
     let view = View { version: 1, members: names.clone(), voters: machines.collect() };
-    let all = Arc::new(Keepers { by_name: Mutex::default(), watch: Mutex::default() });
-    let keepers: Vec<Pid> = names
+    let all = Arc::new(KeeperRegistry { process_by_name: Mutex::default(), commit_watch: Mutex::default() });
+    let keepers: Vec<ProcessId> = names
         .iter()
         .enumerate()
         .map(|(i, n)| {
             let disk: Disk =
                 Arc::new(Mutex::new(RecoveredState { view: view.clone(), ..Default::default() }));
             let (n2, all2) = (n.clone(), all.clone());
-            let start: Start = Arc::new(move |c, pid| keeper::start(c, pid, &n2, &addr(1, i), &disk, &all2));
-            let pid = core.add(n, start, false);
-            all.by_name.lock().unwrap().insert(n.clone(), pid);
+            let start: StartProcess =
+                Arc::new(move |c, pid| keeper::start_keeper(c, pid, &n2, &addr(1, i), &disk, &all2));
+            let pid = core.add_process(n, start, false);
+            all.process_by_name.lock().unwrap().insert(n.clone(), pid);
             pid
         })
         .collect();
     let mut fleets = Vec::new();
-    let nodes: Vec<Pid> = (0..shape.nodes)
+    let nodes: Vec<ProcessId> = (0..shape.nodes)
         .map(|i| {
             let set = settings(&shape, i);
             let live: Arc<Mutex<Option<Arc<ClusterNode>>>> = Arc::default();
             fleets.push(live.clone());
             let name = set.name.clone();
-            let start: Start = Arc::new(move |c, pid| {
+            let start: StartProcess = Arc::new(move |c, pid| {
                 let f = start_node(c, pid, &set);
                 *live.lock().unwrap() = Some(f);
             });
-            core.add(&name, start, false)
+            core.add_process(&name, start, false)
         })
         .collect();
     let desks: Vec<String> = (0..shape.nodes).map(|i| addr(3, i)).collect();
     let (mut servers, mut spares) = (Vec::new(), Vec::new());
     for g in 0..shape.groups {
         // The last is a spare, which is not there at first.
-        let addrs: Vec<String> = (0..=shape.copies).map(|i| addr(5, g * (shape.copies + 1) + i)).collect();
+        let addrs: Vec<String> =
+            (0..=shape.replicas).map(|i| addr(5, g * (shape.replicas + 1) + i)).collect();
         for (i, a) in addrs.iter().enumerate() {
             let (name, group) = (format!("g{}s{}", g + 1, i + 1), format!("g{}", g + 1));
-            let d = district(g + i, shape.districts);
+            let d = district(g + i, shape.zones);
             let labels =
-                [format!("group={group}"), format!("district={d}"), format!("copies={}", shape.copies)];
-            let disk: Arc<stand::Disk> = Arc::default();
-            let args = stand::Args {
+                [format!("group={group}"), format!("district={d}"), format!("copies={}", shape.replicas)];
+            let disk: Arc<stand_in::Disk> = Arc::default();
+            let args = stand_in::StandInOptions {
                 name: name.clone(),
                 addr: a.clone(),
-                labels: quincehatch_testbed::fleet::labels(&labels),
+                labels: quincehatch_testbed::fleet::parse_labels(&labels),
                 peers: addrs.iter().filter(|x| *x != a).cloned().collect(),
-                desks: desks.clone(),
-                disk: Some(disk.clone()),
+                operator_addresses: desks.clone(),
+                memory_disk: Some(disk.clone()),
                 ..Default::default()
             };
-            let live: Arc<Mutex<Option<Arc<Stand>>>> = Arc::default();
+            let live: Arc<Mutex<Option<Arc<StandIn>>>> = Arc::default();
             let l = live.clone();
-            let start: Start = Arc::new(move |c, pid| {
+            let start: StartProcess = Arc::new(move |c, pid| {
                 let s = start_server(c, pid, args.clone());
                 *l.lock().unwrap() = Some(s);
             });
-            let pid = core.add(&name, start, false);
-            let s = Server { pid, at: ServerAt { name, group, addr: a.clone() }, live, disk };
-            if i < shape.copies {
+            let pid = core.add_process(&name, start, false);
+            let s = Server { pid, at: ServerAddress { name, group, addr: a.clone() }, live, disk };
+            if i < shape.replicas {
                 servers.push(s);
             } else {
                 core.crash(pid, false);
@@ -196,32 +197,32 @@
         }
     }
     let platform = addr(6, 0);
-    let doors = (0..shape.nodes).map(|i| (district(i, shape.districts), addr(2, i))).collect();
+    let doors = (0..shape.nodes).map(|i| (district(i, shape.zones), addr(2, i))).collect();
     let (p, at) = (Platform::new(doors), platform.clone());
-    let start: Start = Arc::new(move |c, pid| {
+    let start: StartProcess = Arc::new(move |c, pid| {
         let q = p.clone();
-        let http: OnHttp = Arc::new(move |v| {
+        let http: HttpHandler = Arc::new(move |v| {
             let p = q.clone();
             Box::pin(async move { Some(p.call(&v.path, &v.body).await) })
         });
         c.listen_http(&at, pid, http, Arc::new(|_| ()));
-        seam::spawn(ask_ready(p.clone()));
+        seam::spawn(poll_readiness(p.clone()));
     });
-    let platform_pid = core.add("platform", start, true);
-    let callers = core.add("callers", Arc::new(|_, _| ()), true);
-    let blueprint = blueprint_of(&shape);
+    let platform_pid = core.add_process("platform", start, true);
+    let callers = core.add_process("callers", Arc::new(|_, _| ()), true);
+    let blueprint = configuration_for(&shape);
     Laid {
         core,
         shape,
         keepers,
-        all_keepers: all,
+        keeper_registry: all,
         nodes,
         fleets,
         servers,
         spares,
         desks,
         platform,
-        platform_pid,
+        platform_process: platform_pid,
         callers,
         blueprint,
     }
@@ -230,7 +231,7 @@
 impl Laid {
     /// Lets go of what the processes hold, so that nothing of the run stays behind.
     pub fn end(&self) {
-        self.core.end();
+        self.core.shut_down();
         self.fleets.iter().for_each(|f| drop(f.lock().unwrap().take()));
         self.servers.iter().chain(&self.spares).for_each(|s| drop(s.live.lock().unwrap().take()));
     }
