--- a/crates/simulator/src/fleet/run.rs
+++ b/crates/simulator/src/fleet/run.rs
@@ -1,14 +1,14 @@
 //! One seed from start to end (§9.1).
-use super::procs::{Laid, lay_out};
+use super::procs::{Laid, build_fleet};
 use super::{faults, hands};
 use quincehatch_core::Millis;
 use quincehatch_runtime::seam;
-use quincehatch_testbed::aftermath::{facts, settle};
+use quincehatch_testbed::aftermath::{collect_facts, settle};
 use quincehatch_testbed::fleet::Shape;
-use quincehatch_testbed::history::{End, Facts, check, gap_after};
+use quincehatch_testbed::history::{End, Facts, check, longest_gaps_after};
 use quincehatch_testbed::load::{Caller, World};
 use quincehatch_testbed::pushing::pushes;
-use quincehatch_testbed::scenario::op;
+use quincehatch_testbed::scenario::operator_call;
 use serde_json::json;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -18,37 +18,37 @@
 #[derive(Debug, Default)]
 pub struct Report {
     pub seed: u64,
-    pub breaches: Vec<String>,
-    pub kept: usize,
-    pub tries: usize,
+    pub violations: Vec<String>,
+    pub committed: usize,
+    pub attempts: usize,
     pub reads: usize,
     pub pushes: usize,
     pub promotions: usize,
-    pub sent: u64,
+    pub messages_sent: u64,
     /// Hash of all that happened: two runs of one seed have the same.
     pub trace: u64,
     /// The longest time without a kept order after the last fault was over.
-    pub back_ms: Millis,
+    pub longest_outage_ms: Millis,
 }
 
 /// What is simulated.
 #[derive(Clone, Debug)]
-pub struct Sim {
+pub struct SimOptions {
     pub seed: u64,
     pub keepers: usize,
     pub nodes: usize,
     pub groups: usize,
     /// One thing breaks down for good, and nothing is healed.
-    pub last: bool,
+    pub final_fault: bool,
     /// Faults lie close to changes of hands.
-    pub hands: bool,
+    pub promotion_faults: bool,
     pub bug: Option<String>,
-    pub tell: bool,
+    pub verbose: bool,
 }
 
 const START: Millis = 9_000;
 const FAULTS: Millis = 30_000;
-const AFTER: Millis = 17_000;
+const RECOVERY_PERIOD: Millis = 17_000;
 const CALLERS: usize = 8;
 const PAUSE: u64 = 200;
 
@@ -57,12 +57,12 @@
         book: Default::default(),
         platform: l.platform.clone(),
         groups: l.shape.groups,
-        districts: l.shape.districts,
-        affine: false,
+        districts: l.shape.zones,
+        zone_affinity: false,
         pause_ms: PAUSE,
         lookup_ms: 3_000,
-        orders_pm: 650,
-        move_pm: 30,
+        orders_per_mille: 650,
+        moves_per_mille: 30,
         stop: AtomicBool::new(false),
         sent: Default::default(),
         calls: Default::default(),
@@ -75,7 +75,7 @@
     let (desks, text, w) = (l.desks.clone(), l.blueprint.clone(), w.clone());
     seam::spawn(async move {
         let body = json!({"text": text, "key": "first", "base": 0, "by": "sim"});
-        while !matches!(op(&desks[0], "push", &body, 5_000).await, Some((200, _))) {
+        while !matches!(operator_call(&desks[0], "push", &body, 5_000).await, Some((200, _))) {
             seam::sleep(Duration::from_millis(200)).await;
         }
         seam::sleep(Duration::from_secs(2)).await;
@@ -93,32 +93,37 @@
 }
 
 /// Runs one seed: a quiet start, a time of faults, healing, and the checks.
-pub fn run(s: &Sim) -> Report {
+pub fn run_seed(s: &SimOptions) -> Report {
     let shape = Shape {
         name: "sim".into(),
-        districts: 3,
+        zones: 3,
         nodes: s.nodes,
         keepers: s.keepers,
         groups: s.groups,
-        copies: 3,
+        replicas: 3,
         port: 0,
     };
-    let l = Arc::new(lay_out(s.seed, shape, s.bug.as_deref(), s.tell));
+    let l = Arc::new(build_fleet(s.seed, shape, s.bug.as_deref(), s.verbose));
     let w = world(&l);
-    l.core.within(l.callers, || begin(&l, &w, s.seed));
-    let (healed, what) = if s.last {
+    l.core.run_in(l.callers, || begin(&l, &w, s.seed));
+    let (healed, what) = if s.final_fault {
         l.core.run_until(START + 2_000);
         (l.core.now(), super::last::strike(&l, s.seed))
     } else {
-        faults::schedule(&l, START, FAULTS, if s.hands { hands::draw } else { faults::draw });
+        faults::schedule_faults(
+            &l,
+            START,
+            FAULTS,
+            if s.promotion_faults { hands::draw } else { faults::draw },
+        );
         l.core.run_until(START + FAULTS);
-        l.heal();
+        l.heal_all();
         (l.core.now(), "all is healed".to_owned())
     };
-    l.core.run_until(healed + AFTER);
+    l.core.run_until(healed + RECOVERY_PERIOD);
     // What broke down on top of it, a little later, is a breakdown of its own.
-    let healed = healed.max(l.core.lock().snared);
-    l.core.run_until(healed + AFTER);
+    let healed = healed.max(l.core.lock().trap_sprung_at);
+    l.core.run_until(healed + RECOVERY_PERIOD);
     w.stop.store(true, Ordering::SeqCst);
     let end = l.core.now();
     l.core.run_until(end + 6_000);
@@ -126,10 +131,10 @@
     let (g, v, desks) = (got.clone(), w.clone(), l.desks.clone());
     let servers: Vec<_> = l.servers.iter().chain(&l.spares).map(|s| s.at.clone()).collect();
     let seed = s.seed;
-    l.core.within(l.callers, || {
+    l.core.run_in(l.callers, || {
         seam::spawn(async move {
             settle(&v, seed).await;
-            let f = facts(&desks, &servers).await;
+            let f = collect_facts(&desks, &servers).await;
             *g.lock().unwrap() = Some(f);
         })
     });
@@ -145,22 +150,29 @@
     r
 }
 
-fn report(s: &Sim, l: &Laid, w: &World, got: Result<Facts, String>, fault: (Millis, String), end: Millis) -> Report {
+fn report(
+    s: &SimOptions,
+    l: &Laid,
+    w: &World,
+    got: Result<Facts, String>,
+    fault: (Millis, String),
+    end: Millis,
+) -> Report {
     let mut h = w.book.lock().unwrap();
     let healed = fault.0;
-    h.push_tries.iter_mut().for_each(|t| t.bound = s.last || t.asked >= healed);
+    h.push_attempts.iter_mut().for_each(|t| t.majority_up = s.final_fault || t.asked >= healed);
     h.at_once = true;
     let h = h;
     let sent = w.sent.lock().unwrap().clone();
     let journals =
         l.servers.iter().chain(&l.spares).map(|s| (s.at.name.clone(), s.disk.journal.all())).collect();
     if let Err(e) = &got {
-        return Report { seed: s.seed, breaches: vec![e.clone()], ..Default::default() };
+        return Report { seed: s.seed, violations: vec![e.clone()], ..Default::default() };
     }
     let mut breaches = Vec::new();
     let f = Facts { journals, ..got.unwrap_or_default() };
     breaches.extend(check(&h, &f, &sent, &[fault], end));
-    breaches.extend(l.all_keepers.watch.lock().unwrap().breaches.iter().cloned());
+    breaches.extend(l.keeper_registry.commit_watch.lock().unwrap().breaches.iter().cloned());
     let kept = h.tries.values().filter(|t| t.ends.iter().any(|e| e.0 == End::Kept)).count();
     if kept == 0 || h.reads.is_empty() || h.pushes.is_empty() {
         breaches.push("the run proves nothing: no order, read or push came through".into());
@@ -168,19 +180,19 @@
     let m = l.core.lock();
     Report {
         seed: s.seed,
-        kept,
-        tries: h.tries.len(),
+        committed: kept,
+        attempts: h.tries.len(),
         reads: h.reads.len(),
         pushes: h.pushes.len(),
-        promotions: f.logs.values().flat_map(|v| v.first()).map(|(_, log)| starts(log)).sum(),
-        sent: m.sent,
+        promotions: f.logs.values().flat_map(|v| v.first()).map(|(_, log)| count_promotions(log)).sum(),
+        messages_sent: m.messages_sent,
         trace: m.trace,
-        back_ms: gap_after(&h, healed).into_values().max().unwrap_or(Millis::MAX),
-        breaches,
+        longest_outage_ms: longest_gaps_after(&h, healed).into_values().max().unwrap_or(Millis::MAX),
+        violations: breaches,
     }
 }
 
 /// How often hands changed: each new lead's first record says so.
-fn starts(log: &[String]) -> usize {
+fn count_promotions(log: &[String]) -> usize {
     log.iter().filter(|r| r.ends_with(" start")).count()
 }
--- a/crates/simulator/tests/control_sim.rs
+++ b/crates/simulator/tests/control_sim.rs
@@ -1,19 +1,19 @@
 //! The simulated control plane on fixed seeds (§9.8): the same verdict every run, and each check seen to catch a bug.
-use quincehatch_simulator::control::{Allowed, ControlSim, Report, run};
+use quincehatch_simulator::control::{Allowed, ControlReport, ControlSimOptions, run_seed};
 
 const NONE: Allowed = Allowed { moved_machines: false };
 /// A bug must be seen within so many seeds.
 const SEEDS: u64 = 60;
 
-fn one(seed: u64, allowed: Allowed, bug: Option<&str>) -> Report {
-    run(&ControlSim { seed, allowed, bug: bug.map(str::to_owned), tell: false })
+fn one(seed: u64, allowed: Allowed, bug: Option<&str>) -> ControlReport {
+    run_seed(&ControlSimOptions { seed, allowed, bug: bug.map(str::to_owned), verbose: false })
 }
 
 #[test]
 fn fixed_seeds_of_all_shapes_are_clean() {
     for seed in 1_000..1_024 {
         let report = one(seed, NONE, None);
-        assert!(report.breaches.is_empty(), "seed {seed}: {:#?}", report.breaches);
+        assert!(report.violations.is_empty(), "seed {seed}: {:#?}", report.violations);
         assert!(report.acknowledged > 0 && report.reads > 0, "seed {seed} proves nothing: {report:?}");
     }
 }
@@ -21,7 +21,7 @@
 #[test]
 fn a_storm_brings_thousands_of_changes() {
     let report = one(1, NONE, None);
-    assert!(report.breaches.is_empty(), "{:#?}", report.breaches);
+    assert!(report.violations.is_empty(), "{:#?}", report.violations);
     assert!(report.committed > 1_000, "{report:?}");
 }
 
@@ -34,12 +34,13 @@
 
 /// The first seed from `from` on in which one of the checks sees the bug; without the bug that seed is clean.
 fn caught(bug: &str, checks: &[&str], from: u64) {
-    let sees = |report: &Report| report.breaches.iter().any(|b| checks.iter().any(|c| b.starts_with(c)));
+    let sees =
+        |report: &ControlReport| report.violations.iter().any(|b| checks.iter().any(|c| b.starts_with(c)));
     let seen = (from..from + SEEDS).find(|seed| sees(&one(*seed, NONE, Some(bug))));
     let seed = seen
         .unwrap_or_else(|| panic!("the bug {bug} went unseen by {checks:?} on {SEEDS} seeds from {from}"));
     let clean = one(seed, NONE, None);
-    assert!(clean.breaches.is_empty(), "seed {seed} fails without the bug too: {:?}", clean.breaches);
+    assert!(clean.violations.is_empty(), "seed {seed} fails without the bug too: {:?}", clean.violations);
 }
 
 #[test]
--- a/crates/simulator/tests/held/fleet.rs
+++ b/crates/simulator/tests/held/fleet.rs
@@ -1,21 +1,21 @@
 //! Keepers and nodes in virtual time, over a group behind held links.
 use crate::group::Group;
 use quincehatch_config::settings::NodeSettings;
-use quincehatch_core::{PrimaryAssignment, Name, Role, ServerRecord};
+use quincehatch_core::{Name, PrimaryAssignment, Role, ServerRecord};
 use quincehatch_node::{ClusterNode, gossip};
 use quincehatch_runtime::seam;
-use quincehatch_simulator::fleet::core::{Core, Pid};
-use quincehatch_simulator::fleet::keeper::{self, Disk, Keepers};
+use quincehatch_simulator::fleet::core::{ProcessId, Simulation};
+use quincehatch_simulator::fleet::keeper::{self, Disk, KeeperRegistry};
 use quincehatch_store::keeper::RecoveredState;
-use quincehatch_store::{Command, Voter, View};
+use quincehatch_store::{Command, View, Voter};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
 pub struct World {
-    pub core: Arc<Core>,
+    pub core: Arc<Simulation>,
     pub group: Group,
     pub fleets: Vec<Arc<ClusterNode>>,
-    pub pids: Vec<Pid>,
+    pub pids: Vec<ProcessId>,
 }
 
 const PLAN: &str = "[[placements]]\nname = \"p\"\nselect = { group = [\"g\"] }\n[[rules]]\nname = \"o\"\n\
@@ -25,17 +25,18 @@
     format!("127.0.0.{kind}:{}", 1_000 + i)
 }
 
-fn keepers(core: &Arc<Core>, n: usize) {
+fn keepers(core: &Arc<Simulation>, n: usize) {
     let names: Vec<Name> = (0..n).map(|i| format!("k{i}").into()).collect();
     let machines = names.iter().enumerate().map(|(i, n)| Voter { name: n.clone(), addr: at(1, i).into() });
     let view = View { version: 1, members: names.clone(), voters: machines.collect() };
-    let all = Arc::new(Keepers { by_name: Mutex::default(), watch: Mutex::default() });
+    let all = Arc::new(KeeperRegistry { process_by_name: Mutex::default(), commit_watch: Mutex::default() });
     for (i, n) in names.into_iter().enumerate() {
         let disk: Disk = Arc::new(Mutex::new(RecoveredState { view: view.clone(), ..Default::default() }));
         let (name, of) = (n.clone(), all.clone());
-        let start = move |c: &Arc<Core>, pid| keeper::start(c, pid, &name, &at(1, i), &disk, &of);
-        let pid = core.add(&n, Arc::new(start), false);
-        all.by_name.lock().unwrap().insert(n, pid);
+        let start =
+            move |c: &Arc<Simulation>, pid| keeper::start_keeper(c, pid, &name, &at(1, i), &disk, &of);
+        let pid = core.add_process(&n, Arc::new(start), false);
+        all.process_by_name.lock().unwrap().insert(n, pid);
     }
 }
 
@@ -43,7 +44,7 @@
     /// Three keepers and `nodes` nodes; the servers are not known yet.
     pub fn new(seed: u64, nodes: usize, group: Group) -> World {
         fastrand::seed(seed);
-        let core = Core::new(seed, None, false);
+        let core = Simulation::new(seed, None, false);
         keepers(&core, 3);
         let (mut fleets, mut pids) = (Vec::new(), Vec::new());
         for i in 0..nodes {
@@ -62,7 +63,7 @@
             };
             let live: Arc<Mutex<Option<Arc<ClusterNode>>>> = Arc::default();
             let (l, name, g) = (live.clone(), set.name.clone(), group.clone());
-            let start = move |c: &Arc<Core>, pid| {
+            let start = move |c: &Arc<Simulation>, pid| {
                 let f = ClusterNode::with_ports(&set, Some(g.ports(&set.name)));
                 let to = f.clone();
                 let on_frame = move |b: Vec<u8>| {
@@ -73,7 +74,7 @@
                 f.start();
                 *l.lock().unwrap() = Some(f);
             };
-            pids.push(core.add(&name, Arc::new(start), false));
+            pids.push(core.add_process(&name, Arc::new(start), false));
             fleets.push(live.lock().unwrap().clone().unwrap());
         }
         World { core, group, fleets, pids }
@@ -102,7 +103,7 @@
             self.stand(n, i, false, 1);
         }
         let f = self.fleets[0].clone();
-        self.core.within(self.pids[0], || {
+        self.core.run_in(self.pids[0], || {
             seam::spawn(async move {
                 let cmd = Command::PushConfiguration { base: 0, text: PLAN.into(), by: "test".into() };
                 f.store_client.write("plan", cmd, Duration::from_secs(5)).await.unwrap();
@@ -113,12 +114,24 @@
         let role = if i == 0 { Role::Primary } else { Role::Replica };
         let addr: Name = at(5, i).into();
         let (group, district) = ("g".into(), "d0".into());
-        let at = ServerRecord { server: n.clone(), group, addr, zone: district, slots: 5, draining: leaving, role, seq };
+        let at = ServerRecord {
+            server: n.clone(),
+            group,
+            addr,
+            zone: district,
+            slots: 5,
+            draining: leaving,
+            role,
+            seq,
+        };
         let f = self.fleets[0].clone();
-        self.core.within(self.pids[0], || {
+        self.core.run_in(self.pids[0], || {
             seam::spawn(async move {
                 let key = format!("stand/{}/{}", at.server, at.seq);
-                f.store_client.write(&key, Command::RegisterServer { at }, Duration::from_secs(5)).await.unwrap();
+                f.store_client
+                    .write(&key, Command::RegisterServer { at }, Duration::from_secs(5))
+                    .await
+                    .unwrap();
             })
         });
     }
@@ -132,7 +145,7 @@
     pub fn load(&self) {
         for (f, pid) in self.fleets.iter().zip(&self.pids) {
             let (f, group) = (f.clone(), self.group.clone());
-            self.core.within(*pid, || {
+            self.core.run_in(*pid, || {
                 seam::spawn(async move {
                     loop {
                         seam::sleep(Duration::from_millis(20)).await;
@@ -153,6 +166,6 @@
     pub fn end(self) {
         let breaches = self.group.with(|s| s.breaches.clone());
         assert!(breaches.is_empty(), "{breaches:#?} {:#?}", self.story());
-        self.core.end();
+        self.core.shut_down();
     }
 }
--- a/crates/simulator/tests/held/group.rs
+++ b/crates/simulator/tests/held/group.rs
@@ -1,6 +1,9 @@
 //! A group of servers behind held links, and who promotes them, as the ports show them (§3.6).
 use quincehatch_core::{FencingToken, Name, Position, Role};
-use quincehatch_proxy::ports::{ServerCall, ServerConnection, ServerStatus, OpenResult, ServerPorts, PromotionOutcome, Promoter, ServerReply, ServerConnector};
+use quincehatch_proxy::ports::{
+    OpenResult, Promoter, PromotionOutcome, ServerCall, ServerConnection, ServerConnector, ServerPorts,
+    ServerReply, ServerStatus,
+};
 use quincehatch_runtime::seam::{self, BoxFuture};
 use quincehatch_wire::http::KeepaliveSettings;
 use std::collections::{BTreeMap, BTreeSet};
@@ -78,7 +81,11 @@
         let Some(s) = self.servers.get_mut(server) else { return ServerStatus::default() };
         let l = &mut s.look;
         match c {
-            ServerCall::Suspend { term } if l.role == Role::Replica && *term > l.term.max(l.suspended_term) => l.suspended_term = *term,
+            ServerCall::Suspend { term }
+                if l.role == Role::Replica && *term > l.term.max(l.suspended_term) =>
+            {
+                l.suspended_term = *term
+            }
             ServerCall::Resume => l.suspended_term = 0,
             ServerCall::Demote { term } if l.role == Role::Primary && *term > l.term => {
                 (l.role, l.term) = (Role::Replica, *term);
@@ -113,7 +120,12 @@
         let g = Group::default();
         for (i, s) in servers.iter().enumerate() {
             let role = if i == 0 { Role::Primary } else { Role::Replica };
-            let look = ServerStatus { role, term: 1, received: Position { fence: 1, number: 0 }, ..ServerStatus::default() };
+            let look = ServerStatus {
+                role,
+                term: 1,
+                received: Position { fence: 1, number: 0 },
+                ..ServerStatus::default()
+            };
             g.with(|st| st.servers.insert((*s).into(), One { look, up: true, deaf: false }));
         }
         g
@@ -131,7 +143,13 @@
 }
 
 impl ServerConnector for From {
-    fn connect(&self, _: Name, _: Name, server: Name, _: KeepaliveSettings) -> BoxFuture<'static, io::Result<OpenResult>> {
+    fn connect(
+        &self,
+        _: Name,
+        _: Name,
+        server: Name,
+        _: KeepaliveSettings,
+    ) -> BoxFuture<'static, io::Result<OpenResult>> {
         let (group, node) = (self.group.clone(), self.node.clone());
         Box::pin(async move {
             seam::sleep(HOP).await;
@@ -160,7 +178,13 @@
 }
 
 impl Promoter for From {
-    fn promote(&self, _: Name, server: Name, _: Name, fence: FencingToken) -> BoxFuture<'static, PromotionOutcome> {
+    fn promote(
+        &self,
+        _: Name,
+        server: Name,
+        _: Name,
+        fence: FencingToken,
+    ) -> BoxFuture<'static, PromotionOutcome> {
         let group = self.group.clone();
         Box::pin(async move {
             seam::sleep(HOP).await;
--- a/crates/simulator/tests/held_core.rs
+++ b/crates/simulator/tests/held_core.rs
@@ -21,13 +21,13 @@
         w.run(3_000);
         // Keepers are the first three processes, the third is the tail.
         for other in [0, 1] {
-            w.core.lock().cuts.extend([(2, other), (other, 2)]);
+            w.core.lock().partitions.extend([(2, other), (other, 2)]);
         }
         for _ in 0..100 {
             w.run(100);
             for (f, pid) in w.fleets.iter().zip(&w.pids) {
                 assert!(
-                    w.core.within(*pid, || f.proxy.registry.has_lease()),
+                    w.core.run_in(*pid, || f.proxy.registry.has_lease()),
                     "{} lost its lease",
                     f.proxy.settings.name
                 );
--- a/crates/simulator/tests/sim.rs
+++ b/crates/simulator/tests/sim.rs
@@ -1,25 +1,25 @@
 //! The simulator on fixed seeds (§9.1): the same verdict every run, and each check seen to catch a bug in the
 //! product's own code.
-use quincehatch_simulator::fleet::{Report, Sim, run};
+use quincehatch_simulator::fleet::{Report, SimOptions, run_seed};
 
 fn one(seed: u64, keepers: usize, nodes: usize, groups: usize, bug: Option<&str>) -> Report {
-    run(&Sim {
+    run_seed(&SimOptions {
         seed,
         keepers,
         nodes,
         groups,
-        last: false,
-        hands: false,
+        final_fault: false,
+        promotion_faults: false,
         bug: bug.map(str::to_owned),
-        tell: false,
+        verbose: false,
     })
 }
 
 fn seeds(list: impl Iterator<Item = u64>, keepers: usize, nodes: usize, groups: usize) {
     for seed in list {
         let r = one(seed, keepers, nodes, groups, None);
-        assert!(r.breaches.is_empty(), "seed {seed}: {:#?}", r.breaches);
-        assert!(r.kept > 0 && r.reads > 0 && r.pushes > 0, "seed {seed} proves nothing: {r:?}");
+        assert!(r.violations.is_empty(), "seed {seed}: {:#?}", r.violations);
+        assert!(r.committed > 0 && r.reads > 0 && r.pushes > 0, "seed {seed} proves nothing: {r:?}");
     }
 }
 
@@ -32,11 +32,11 @@
 fn caught(bug: &str, words: &[&str]) {
     let seen = (1..=150).find(|seed| {
         let r = one(*seed, 3, 5, groups(*seed), Some(bug));
-        r.breaches.iter().any(|b| words.iter().any(|w| b.starts_with(w)))
+        r.violations.iter().any(|b| words.iter().any(|w| b.starts_with(w)))
     });
     let seed = seen.unwrap_or_else(|| panic!("the bug {bug} went unseen by {words:?} on 150 seeds"));
     let well = one(seed, 3, 5, groups(seed), None);
-    assert!(well.breaches.is_empty(), "seed {seed} fails without the bug too: {:?}", well.breaches);
+    assert!(well.violations.is_empty(), "seed {seed} fails without the bug too: {:?}", well.violations);
 }
 
 #[test]
@@ -54,17 +54,17 @@
 #[test]
 fn service_is_back_after_each_final_breakdown() {
     for seed in 1..=18 {
-        let r = run(&Sim {
+        let r = run_seed(&SimOptions {
             seed,
             keepers: 3,
             nodes: 6,
             groups: 1,
-            last: true,
-            hands: false,
+            final_fault: true,
+            promotion_faults: false,
             bug: None,
-            tell: false,
+            verbose: false,
         });
-        assert!(r.breaches.is_empty(), "seed {seed}: {:#?}", r.breaches);
+        assert!(r.violations.is_empty(), "seed {seed}: {:#?}", r.violations);
     }
 }
 
@@ -82,16 +82,25 @@
 fn orders_outlive_faults_close_to_changes_of_hands() {
     for seed in 5_000_009..5_000_018 {
         let (bug, groups) = (None, groups(seed));
-        let s = Sim { seed, keepers: 3, nodes: 5, groups, last: false, hands: true, bug, tell: false };
-        let r = run(&s);
-        assert!(r.breaches.is_empty(), "seed {seed}: {:#?}", r.breaches);
+        let s = SimOptions {
+            seed,
+            keepers: 3,
+            nodes: 5,
+            groups,
+            final_fault: false,
+            promotion_faults: true,
+            bug,
+            verbose: false,
+        };
+        let r = run_seed(&s);
+        assert!(r.violations.is_empty(), "seed {seed}: {:#?}", r.violations);
     }
 }
 
 #[test]
 fn a_seed_replays_exactly() {
     let (a, b) = (one(3, 3, 5, 1, None), one(3, 3, 5, 1, None));
-    assert_eq!((a.trace, a.kept, a.sent), (b.trace, b.kept, b.sent));
+    assert_eq!((a.trace, a.committed, a.messages_sent), (b.trace, b.committed, b.messages_sent));
     assert_ne!(a.trace, one(4, 3, 5, 1, None).trace);
 }
 
--- a/crates/simulator/tests/sim_held.rs
+++ b/crates/simulator/tests/sim_held.rs
@@ -1,14 +1,14 @@
 //! The simulator of held fleets on fixed seeds (§9.1): the same verdict every run, and each check seen to catch a bug in
 //! the product's own code.
-use quincehatch_simulator::direct::{HeldReport, HeldSim, run};
+use quincehatch_simulator::direct::{DirectReport, DirectSimOptions, run_seed};
 
-fn one(seed: u64, bug: Option<&str>) -> HeldReport {
-    run(&HeldSim { seed, keepers: 3, nodes: 5, bug: bug.map(str::to_owned), tell: false })
+fn one(seed: u64, bug: Option<&str>) -> DirectReport {
+    run_seed(&DirectSimOptions { seed, keepers: 3, nodes: 5, bug: bug.map(str::to_owned), verbose: false })
 }
 
 fn well(seed: u64) {
     let r = one(seed, None);
-    assert!(r.breaches.is_empty(), "seed {seed}: {:#?}", r.breaches);
+    assert!(r.violations.is_empty(), "seed {seed}: {:#?}", r.violations);
 }
 
 #[test]
@@ -27,7 +27,7 @@
 #[test]
 fn a_seed_replays_exactly() {
     let (a, b) = (one(3, None), one(3, None));
-    assert_eq!((a.trace, a.acked, a.reads), (b.trace, b.acked, b.reads));
+    assert_eq!((a.trace, a.acknowledged, a.reads), (b.trace, b.acknowledged, b.reads));
     assert_ne!(a.trace, one(4, None).trace);
 }
 
@@ -47,7 +47,7 @@
 fn caught(bug: &str, words: &[&str]) {
     let seen = (1..=300).find(|seed| {
         let r = one(*seed, Some(bug));
-        r.breaches.iter().any(|b| words.iter().any(|w| b.starts_with(w)))
+        r.violations.iter().any(|b| words.iter().any(|w| b.starts_with(w)))
     });
     let seed = seen.unwrap_or_else(|| panic!("the bug {bug} went unseen by {words:?} on 300 seeds"));
     well(seed);
--- a/crates/store/src/ack_level.rs
+++ b/crates/store/src/ack_level.rs
@@ -16,7 +16,9 @@
     pub(crate) fn for_command(cmd: &Command) -> AckLevel {
         match cmd {
             Command::PushConfiguration { .. } => AckLevel::InForce,
-            Command::AssignPrimary { primary: lead, .. } if lead.server.is_none() && lead.voters.is_empty() => {
+            Command::AssignPrimary { primary: lead, .. }
+                if lead.server.is_none() && lead.voters.is_empty() =>
+            {
                 AckLevel::InForce
             }
             Command::AdoptDocument { .. } => AckLevel::InForceOrDelayed,
--- a/crates/store/src/calls.rs
+++ b/crates/store/src/calls.rs
@@ -22,7 +22,9 @@
             | PeerMessage::Accept { .. }
             | PeerMessage::Accepted { .. } => RetrySafety::Idempotent(IdempotencyKey::Ballot),
             // A grant counts for the one heartbeat with its number, which no other life of the sender has used.
-            PeerMessage::Beat { .. } | PeerMessage::GrantViewLease { .. } => RetrySafety::Idempotent(IdempotencyKey::Number),
+            PeerMessage::Beat { .. } | PeerMessage::GrantViewLease { .. } => {
+                RetrySafety::Idempotent(IdempotencyKey::Number)
+            }
             // Entries apply at their own number only, acknowledgements only rise, and what is left of a lease is counted
             // from the arrival, so that a later copy says no less.
             PeerMessage::AppendEntries { .. }
--- a/crates/store/src/chain.rs
+++ b/crates/store/src/chain.rs
@@ -25,15 +25,16 @@
         self.heartbeat_grants.clear();
         self.view_lease_until = 0;
         let same_prev = prev.is_some() && prev.as_ref() == self.view.neighbour(&self.name, -1);
-        self.in_sync =
-            (self.is_head() && !self.catching_up) || (self.in_sync && same_prev && was_tail && self.is_tail());
+        self.in_sync = (self.is_head() && !self.catching_up)
+            || (self.in_sync && same_prev && was_tail && self.is_tail());
         if self.is_tail() && !was_tail {
             self.older_leases_until = self.now + with_clock_drift(VIEW_LEASE);
             (self.leases, self.previous_leases) = (None, None);
         } else if !self.is_tail() {
             // Whoever served as the tail of the view just before knows of every lease there is.
             let whole = next && self.served_version + 1 == self.view.version;
-            let tells_tail = !self.view.is_member(&self.name) || self.view.tail() == self.view.neighbour(&self.name, 1);
+            let tells_tail =
+                !self.view.is_member(&self.name) || self.view.tail() == self.view.neighbour(&self.name, 1);
             self.previous_leases = self.leases.take().filter(|_| whole && tells_tail);
         }
         if !self.view.is_member(&self.name) {
@@ -45,7 +46,11 @@
     }
 
     pub(crate) fn acknowledgement(&self) -> PeerMessage {
-        PeerMessage::Acknowledge { version: self.view.version, committed: self.committed, in_force: self.in_force }
+        PeerMessage::Acknowledge {
+            version: self.view.version,
+            committed: self.committed,
+            in_force: self.in_force,
+        }
     }
 
     pub(crate) fn append_entry(&mut self, e: &Entry, packed: PackedEntry) -> Option<Answer> {
@@ -107,24 +112,46 @@
         if let Some(to) = self.view.neighbour(&self.name, 1).cloned()
             && let Some(entries) = self.entries_after(had)
         {
-            let m = PeerMessage::AppendEntries { version: self.view.version, previous_change: had, entries, last_change: self.store.last_change };
+            let m = PeerMessage::AppendEntries {
+                version: self.view.version,
+                previous_change: had,
+                entries,
+                last_change: self.store.last_change,
+            };
             self.send(&to, m);
         }
     }
 
-    pub(crate) fn handle_request_entries(&mut self, from: &Name, ed: Version, n: ChangeNumber, progress: SnapshotProgress) {
+    pub(crate) fn handle_request_entries(
+        &mut self,
+        from: &Name,
+        ed: Version,
+        n: ChangeNumber,
+        progress: SnapshotProgress,
+    ) {
         if ed != self.view.version || self.view.neighbour(&self.name, 1) != Some(from) {
             return;
         }
         let m = match self.entries_after(n) {
-            Some(entries) => PeerMessage::AppendEntries { version: ed, previous_change: n, entries, last_change: self.store.last_change },
+            Some(entries) => PeerMessage::AppendEntries {
+                version: ed,
+                previous_change: n,
+                entries,
+                last_change: self.store.last_change,
+            },
             None => self.snapshot_message(false, progress),
         };
         self.send(from, m);
         self.hand_over_leases();
     }
 
-    pub(crate) fn acked(&mut self, from: &Name, ed: Version, committed: ChangeNumber, in_force: ChangeNumber) {
+    pub(crate) fn acked(
+        &mut self,
+        from: &Name,
+        ed: Version,
+        committed: ChangeNumber,
+        in_force: ChangeNumber,
+    ) {
         if ed != self.view.version || self.view.neighbour(&self.name, 1) != Some(from) {
             return;
         }
--- a/crates/store/src/discovery.rs
+++ b/crates/store/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Keepers that nobody listed find one another, and take a lost machine's place (§5.9).
 use crate::keeper::Keeper;
-use crate::messages::{Voter, PeerMessage, View};
+use crate::messages::{PeerMessage, View, Voter};
 use crate::terms::SILENT;
 use quincehatch_core::{Millis, Name};
 use std::collections::BTreeMap;
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,5 +1,5 @@
 //! The keeper's data folder: one redb file, every value under its own checksum (§5.7).
-use crate::disk_port::{DiskLimits, StableStorage, DiskUsage};
+use crate::disk_port::{DiskLimits, DiskUsage, StableStorage};
 use crate::disk_records::{self as records, Rows, broken, read_error, unusable};
 use crate::messages::View;
 use crate::step::{Record, RecoveredState};
--- a/crates/store/src/disk_format.rs
+++ b/crates/store/src/disk_format.rs
@@ -1,6 +1,6 @@
 //! How one value is kept on disk: its checksum, then its serialised form (§5.7).
 use borsh::{BorshDeserialize, BorshSerialize};
-use quincehatch_core::{ErrorCode, Error, hash64};
+use quincehatch_core::{Error, ErrorCode, hash64};
 
 const CHECKSUM_BYTES: usize = 8;
 
--- a/crates/store/src/disk_port.rs
+++ b/crates/store/src/disk_port.rs
@@ -48,7 +48,12 @@
 impl DiskLimits {
     pub fn for_allowed_bytes(allowed: u64) -> Self {
         let log_bytes = LOG_MAX_BYTES.min(allowed as usize / 16);
-        Self { allowed_bytes: allowed, log_bytes, snapshot_bytes: log_bytes / 4, compact_above_bytes: allowed / 4 }
+        Self {
+            allowed_bytes: allowed,
+            log_bytes,
+            snapshot_bytes: log_bytes / 4,
+            compact_above_bytes: allowed / 4,
+        }
     }
 }
 
--- a/crates/store/src/disk_records.rs
+++ b/crates/store/src/disk_records.rs
@@ -8,7 +8,7 @@
 use crate::store::Store;
 use crate::terms::{LOG_MAX_ENTRIES, SNAPSHOT_INTERVAL_ENTRIES};
 use borsh::{BorshDeserialize, BorshSerialize};
-use quincehatch_core::{ChangeNumber, ErrorCode, Error};
+use quincehatch_core::{ChangeNumber, Error, ErrorCode};
 use redb::{ReadTransaction, ReadableTable, Table, TableDefinition, WriteTransaction};
 use std::collections::VecDeque;
 
--- a/crates/store/src/documents.rs
+++ b/crates/store/src/documents.rs
@@ -49,7 +49,9 @@
             None if self.forgotten.is_some_and(|highest| number <= highest) => {
                 DocumentOutcome::NumberForgotten
             }
-            None if self.highest_number().is_some_and(|newest| number < newest) => DocumentOutcome::Superseded,
+            None if self.highest_number().is_some_and(|newest| number < newest) => {
+                DocumentOutcome::Superseded
+            }
             None => DocumentOutcome::Newest,
         }
     }
@@ -86,7 +88,9 @@
     pub fn answer(self, version: Version) -> Answer {
         match self {
             DocumentOutcome::NumberTaken { .. } => Answer::Rejected(ErrorCode::NumberTaken.without_detail()),
-            DocumentOutcome::NumberForgotten => Answer::Rejected(ErrorCode::NumberForgotten.without_detail().with_unknown_outcome()),
+            DocumentOutcome::NumberForgotten => {
+                Answer::Rejected(ErrorCode::NumberForgotten.without_detail().with_unknown_outcome())
+            }
             _ => Answer::Version(version),
         }
     }
--- a/crates/store/src/driver.rs
+++ b/crates/store/src/driver.rs
@@ -4,7 +4,7 @@
 use crate::messages::{KeeperRequest, KeeperResponse, Reply, Request};
 use crate::peers::Peers;
 use crate::step::{Input, Output};
-use quincehatch_core::{ErrorCode, Error, Millis};
+use quincehatch_core::{Error, ErrorCode, Millis};
 use quincehatch_runtime::now;
 use quincehatch_wire::{Identity, serve};
 use std::collections::HashMap;
@@ -95,8 +95,9 @@
                 KeeperRequest::Node { request } => {
                     let (reply, replied) = oneshot::channel();
                     let _ = queue.send(Incoming::Request(request, reply)).await;
-                    let stopping =
-                        || Reply::Rejected { error: ErrorCode::ChainUnavailable.with_detail("the keeper is stopping") };
+                    let stopping = || Reply::Rejected {
+                        error: ErrorCode::ChainUnavailable.with_detail("the keeper is stopping"),
+                    };
                     KeeperResponse::Reply { reply: replied.await.unwrap_or_else(|_| stopping()) }
                 }
             }
--- a/crates/store/src/feed.rs
+++ b/crates/store/src/feed.rs
@@ -4,8 +4,10 @@
 use crate::messages::{Answer, Command, Entry, PrimaryState, Reply};
 use crate::patch::{PackedText, Patch};
 use crate::store::{Store, promotion_duty_key, upsert_server};
-use crate::terms::{LOG_MAX_ENTRIES, FEED_MAX_BYTES};
-use quincehatch_core::{ChangeNumber, FencingToken, PrimaryAssignment, Millis, Name, ServerRecord, Version, messages};
+use crate::terms::{FEED_MAX_BYTES, LOG_MAX_ENTRIES};
+use quincehatch_core::{
+    ChangeNumber, FencingToken, Millis, Name, PrimaryAssignment, ServerRecord, Version, messages,
+};
 use std::collections::{BTreeMap, VecDeque};
 
 messages! {
@@ -71,7 +73,10 @@
         match &c.event {
             FeedEvent::Other => {}
             FeedEvent::Configuration { version, patch } => {
-                let Some(text) = patch.apply(&self.configuration_json).filter(|_| *version == self.configuration_version + 1) else {
+                let Some(text) = patch
+                    .apply(&self.configuration_json)
+                    .filter(|_| *version == self.configuration_version + 1)
+                else {
                     return false;
                 };
                 (self.configuration_version, self.configuration_json) = (*version, text);
@@ -79,9 +84,13 @@
             FeedEvent::RegisterServer { at } => upsert_server(&mut self.servers, at),
             FeedEvent::DeregisterServer { server } => drop(self.servers.remove(server)),
             FeedEvent::FenceAdvanced { duty, fence } => drop(self.fences.insert(duty.clone(), *fence)),
-            FeedEvent::NodeEnrollment { node, enrolled: Some(n) } => drop(self.nodes.insert(node.clone(), *n)),
+            FeedEvent::NodeEnrollment { node, enrolled: Some(n) } => {
+                drop(self.nodes.insert(node.clone(), *n))
+            }
             FeedEvent::NodeEnrollment { node, enrolled: None } => drop(self.nodes.remove(node)),
-            FeedEvent::PrimaryAssigned { group, lead } => drop(self.primaries.insert(group.clone(), lead.clone())),
+            FeedEvent::PrimaryAssigned { group, lead } => {
+                drop(self.primaries.insert(group.clone(), lead.clone()))
+            }
         }
         self.last_change = c.number;
         true
@@ -103,7 +112,10 @@
         self.fences.get(duty).copied().unwrap_or_default()
     }
     pub fn primary_state(&self, group: &Name) -> PrimaryState {
-        PrimaryState { fence: self.fence(&promotion_duty_key(group)), primary: self.primaries.get(group).cloned() }
+        PrimaryState {
+            fence: self.fence(&promotion_duty_key(group)),
+            primary: self.primaries.get(group).cloned(),
+        }
     }
 }
 
@@ -111,7 +123,15 @@
     pub fn from_store(s: &Store, text: PackedText) -> FeedSnapshot {
         let (leads, servers, nodes) = (s.primaries.clone(), s.servers.clone(), s.nodes.clone());
         let fences = s.fences.iter().map(|(d, f)| (d.clone(), f.0)).collect();
-        FeedSnapshot { last_change: s.last_change, configuration_version: s.configuration_version(), configuration_json: text, primaries: leads, servers, nodes, fences }
+        FeedSnapshot {
+            last_change: s.last_change,
+            configuration_version: s.configuration_version(),
+            configuration_json: text,
+            primaries: leads,
+            servers,
+            nodes,
+            fences,
+        }
     }
 }
 
@@ -130,8 +150,13 @@
         let a = self.apply(e)?;
         let news = match &e.command {
             _ if matches!(a, Answer::Rejected(_)) => FeedEvent::Other,
-            Command::PushConfiguration { .. } | Command::AdoptDocument { .. } if self.configuration_version() > version => {
-                FeedEvent::Configuration { version: self.configuration_version(), patch: Patch::between(&old, text(self)) }
+            Command::PushConfiguration { .. } | Command::AdoptDocument { .. }
+                if self.configuration_version() > version =>
+            {
+                FeedEvent::Configuration {
+                    version: self.configuration_version(),
+                    patch: Patch::between(&old, text(self)),
+                }
             }
             Command::RegisterServer { at } if self.servers.get(&at.server) == Some(at) => {
                 FeedEvent::RegisterServer { at: at.clone() }
@@ -139,7 +164,10 @@
             Command::DeregisterServer { server } => FeedEvent::DeregisterServer { server: server.clone() },
             // As it stands by then: the chain itself adds to a lead's lists, or lets them go (§5.5).
             Command::AssignPrimary { group, .. } | Command::DropPreviousVoters { group, .. } => {
-                let news = |lead: &PrimaryAssignment| FeedEvent::PrimaryAssigned { group: group.clone(), lead: lead.clone() };
+                let news = |lead: &PrimaryAssignment| FeedEvent::PrimaryAssigned {
+                    group: group.clone(),
+                    lead: lead.clone(),
+                };
                 self.primaries.get(group).map_or(FeedEvent::Other, news)
             }
             Command::EnrollNode { node, .. } | Command::DismissNode { node, .. } => {
@@ -162,13 +190,16 @@
     pub(crate) fn record_change(&mut self, n: ChangeNumber, news: FeedEvent) {
         self.recent_changes.push_back(Change { number: n, event: news });
         let size = |changes: &VecDeque<Change>| changes.iter().map(Change::size).sum::<usize>();
-        while self.recent_changes.len() > LOG_MAX_ENTRIES || (self.recent_changes.len() > 1 && size(&self.recent_changes) > FEED_MAX_BYTES) {
+        while self.recent_changes.len() > LOG_MAX_ENTRIES
+            || (self.recent_changes.len() > 1 && size(&self.recent_changes) > FEED_MAX_BYTES)
+        {
             self.recent_changes.pop_front();
         }
     }
     /// What came after `have`, or all of it where the news do not reach back.
     pub(crate) fn changes_since(&mut self, have: ChangeNumber, lease_ms: Millis) -> Reply {
-        let reach = self.recent_changes.front().is_some_and(|c| c.number <= have + 1) && have <= self.store.last_change;
+        let reach = self.recent_changes.front().is_some_and(|c| c.number <= have + 1)
+            && have <= self.store.last_change;
         if have == self.store.last_change || reach {
             let changes = self.recent_changes.iter().filter(|c| c.number > have).cloned().collect();
             return Reply::Changes { changes, lease_ms };
--- a/crates/store/src/heartbeat.rs
+++ b/crates/store/src/heartbeat.rs
@@ -15,14 +15,18 @@
         self.sent_heartbeats.retain(|_, at| *at >= old);
         let sent = &self.sent_heartbeats;
         self.heartbeat_grants.retain(|s, _| sent.contains_key(s));
-        let m = PeerMessage::Beat { view: self.view.clone(), sequence: seq, last_change: self.store.last_change };
+        let m =
+            PeerMessage::Beat { view: self.view.clone(), sequence: seq, last_change: self.store.last_change };
         for to in self.view.voters.clone() {
             self.send(&to.name, m.clone());
         }
     }
 
     pub(crate) fn granted(&mut self, from: &Name, version: u64, seq: u64) {
-        let Some(at) = self.sent_heartbeats.get(&seq).copied().filter(|_| version == self.view.version) else { return };
+        let Some(at) = self.sent_heartbeats.get(&seq).copied().filter(|_| version == self.view.version)
+        else {
+            return;
+        };
         let g = self.heartbeat_grants.entry(seq).or_default();
         g.insert(from.clone());
         if self.view.has_majority(g.iter()) {
--- a/crates/store/src/host.rs
+++ b/crates/store/src/host.rs
@@ -5,7 +5,7 @@
 use crate::messages::{KeeperStatus, Reply, Request, View};
 use crate::stale_reply;
 use crate::step::{Input, Output, Record, RecoveredState};
-use quincehatch_core::{ErrorCode, Error, Millis, Name};
+use quincehatch_core::{Error, ErrorCode, Millis, Name};
 use std::collections::BTreeSet;
 
 /// Time between two attempts to open the folder of a suspended keeper.
@@ -145,8 +145,9 @@
         match request {
             Request::Status => Reply::Status { status: self.status() },
             _ => {
-                let why =
-                    ErrorCode::ChainUnavailable.with_detail("the disk of this keeper takes no writes").with_retry_after(RETRY_AFTER);
+                let why = ErrorCode::ChainUnavailable
+                    .with_detail("the disk of this keeper takes no writes")
+                    .with_retry_after(RETRY_AFTER);
                 Reply::Rejected { error: why }
             }
         }
@@ -218,7 +219,11 @@
     fn resume(&mut self, now: Millis, recovered: RecoveredState, since: Millis) -> Batch {
         let mut keeper = (self.make_keeper)(recovered, now);
         keeper.set_disk_usage(self.usage);
-        let said = format!("the disk takes writes again after {} ms, change {}", now - since, keeper.store.last_change);
+        let said = format!(
+            "the disk takes writes again after {} ms, change {}",
+            now - since,
+            keeper.store.last_change
+        );
         self.state = State::Running(Box::new(keeper));
         let mut batch = Batch { records: Vec::new(), outputs: vec![Output::Log(said)] };
         if let Some(seeds) = self.seeds.clone() {
@@ -229,7 +234,10 @@
 
     /// For each request that waits: whether its write was kept is not known.
     fn declines(&self) -> Vec<Output> {
-        let why = ErrorCode::ChainUnavailable.with_detail("the disk has not taken the write").with_unknown_outcome().with_retry_after(RETRY_PENDING_AFTER);
+        let why = ErrorCode::ChainUnavailable
+            .with_detail("the disk has not taken the write")
+            .with_unknown_outcome()
+            .with_retry_after(RETRY_PENDING_AFTER);
         let decline = |token: &u64| Output::Reply(*token, Reply::Rejected { error: why.clone() });
         self.pending.iter().map(decline).collect()
     }
--- a/crates/store/src/keeper.rs
+++ b/crates/store/src/keeper.rs
@@ -91,7 +91,11 @@
             dismissed_leases: BTreeMap::new(),
             previous_leases: None,
             // An empty chain has enrolled nobody.
-            unknown_leases_until: if f.store.last_change == 0 { now } else { now + with_clock_drift(NODE_LEASE) },
+            unknown_leases_until: if f.store.last_change == 0 {
+                now
+            } else {
+                now + with_clock_drift(NODE_LEASE)
+            },
             name: me,
             now,
             proposer,
--- a/crates/store/src/lease_handover.rs
+++ b/crates/store/src/lease_handover.rs
@@ -10,12 +10,21 @@
         let (Some(granted), Some(tail)) = (&self.previous_leases, self.view.tail().cloned()) else { return };
         let version = self.view.version;
         let (rows, unknown_leases) = (granted.statuses(self.now), granted.unknown_leases_ms(self.now));
-        self.send(&tail, PeerMessage::HandOverLeases { version, leases: rows, unknown_leases_ms: unknown_leases });
+        self.send(
+            &tail,
+            PeerMessage::HandOverLeases { version, leases: rows, unknown_leases_ms: unknown_leases },
+        );
     }
 
     /// What the tail before granted, from itself. That it stands in this view means that it serves no more, and it had
     /// outlasted every tail before it: there is nothing left to wait for.
-    pub(crate) fn handle_hand_over_leases(&mut self, from: &Name, version: Version, rows: &[LeaseStatus], unknown: Millis) {
+    pub(crate) fn handle_hand_over_leases(
+        &mut self,
+        from: &Name,
+        version: Version,
+        rows: &[LeaseStatus],
+        unknown: Millis,
+    ) {
         // Once it has served in this view it has granted leases itself, perhaps in an earlier life.
         if version != self.view.version || self.served_version == version || !self.is_tail() {
             return;
--- a/crates/store/src/membership.rs
+++ b/crates/store/src/membership.rs
@@ -5,7 +5,7 @@
 //! for both.
 use crate::discovery::Candidate;
 use crate::keeper::{Keeper, Output};
-use crate::messages::{Voter, PeerMessage, View};
+use crate::messages::{PeerMessage, View, Voter};
 use crate::terms::{PROPOSAL_INTERVAL, SILENT};
 use quincehatch_core::{Millis, Name};
 
@@ -134,7 +134,8 @@
     pub(crate) fn handle_invite(&mut self, base: View, view: View) {
         self.adopt_view(base);
         let follows = view.version == self.view.version + 1;
-        if !follows || self.view.is_voter(&self.name) || !view.is_voter(&self.name) || self.leaving.is_some() {
+        if !follows || self.view.is_voter(&self.name) || !view.is_voter(&self.name) || self.leaving.is_some()
+        {
             return;
         }
         self.invitation = Some(view);
--- a/crates/store/src/messages.rs
+++ b/crates/store/src/messages.rs
@@ -4,7 +4,9 @@
 use crate::feed::{Change, FeedSnapshot};
 use crate::snapshot::{SnapshotPart, SnapshotProgress};
 use crate::store::{AdoptedDocument, Store};
-use quincehatch_core::{ChangeNumber, Error, FencingToken, PrimaryAssignment, Millis, Name, ServerRecord, Version, messages};
+use quincehatch_core::{
+    ChangeNumber, Error, FencingToken, Millis, Name, PrimaryAssignment, ServerRecord, Version, messages,
+};
 
 messages! {
     /// The agreed view: who is in the chain, in order, and which disk machines vote (§5.3).
--- a/crates/store/src/patch.rs
+++ b/crates/store/src/patch.rs
@@ -27,7 +27,9 @@
 
 impl PackedText {
     pub fn pack(text: &str) -> PackedText {
-        PackedText { bytes: if text.is_empty() { Vec::new() } else { compress_to_vec(text.as_bytes(), LEVEL) } }
+        PackedText {
+            bytes: if text.is_empty() { Vec::new() } else { compress_to_vec(text.as_bytes(), LEVEL) },
+        }
     }
     pub fn unpack(&self) -> Option<String> {
         if self.bytes.is_empty() {
@@ -93,7 +95,9 @@
         let (mut out, mut at) = (String::new(), 0);
         for p in &self.pieces {
             let piece = match p {
-                PatchPiece::Copy { from, len } => old.get(*from as usize..(*from as usize + *len as usize))?,
+                PatchPiece::Copy { from, len } => {
+                    old.get(*from as usize..(*from as usize + *len as usize))?
+                }
                 PatchPiece::Insert { len } => {
                     at += *len as usize;
                     put.get(at - *len as usize..at)?
--- a/crates/store/src/peer_messages.rs
+++ b/crates/store/src/peer_messages.rs
@@ -24,8 +24,12 @@
                 }
             }
             PeerMessage::GrantViewLease { version, sequence: seq } => self.granted(from, version, seq),
-            PeerMessage::AppendEntries { version, previous_change: prev, entries, last_change } => self.handle_append_entries(from, version, prev, entries, last_change),
-            PeerMessage::RequestEntries { version, last_change: n, progress } => self.handle_request_entries(from, version, n, progress),
+            PeerMessage::AppendEntries { version, previous_change: prev, entries, last_change } => {
+                self.handle_append_entries(from, version, prev, entries, last_change)
+            }
+            PeerMessage::RequestEntries { version, last_change: n, progress } => {
+                self.handle_request_entries(from, version, n, progress)
+            }
             PeerMessage::Acknowledge { version, committed, in_force } => {
                 self.acked(from, version, committed, in_force)
             }
--- a/crates/store/src/register.rs
+++ b/crates/store/src/register.rs
@@ -34,7 +34,10 @@
                 }
                 let next = base.version + 1;
                 let accepted = self.accepted.clone().filter(|(_, view)| ok && view.version == next);
-                Some((PeerMessage::Promise { ballot: *ballot, ok, highest_promised: self.promised, accepted }, changed))
+                Some((
+                    PeerMessage::Promise { ballot: *ballot, ok, highest_promised: self.promised, accepted },
+                    changed,
+                ))
             }
             PeerMessage::Accept { ballot, base, view } => {
                 let ok = self.takes(decided, *ballot, base);
--- a/crates/store/src/repair.rs
+++ b/crates/store/src/repair.rs
@@ -64,8 +64,7 @@
         {
             return;
         }
-        let want =
-            View { version: self.view.version + 1, members: live, voters: self.view.voters.clone() };
+        let want = View { version: self.view.version + 1, members: live, voters: self.view.voters.clone() };
         self.outputs.push(Output::Log(format!("mending the view to {}", want.members.join(" "))));
         self.propose(want);
     }
--- a/crates/store/src/requests.rs
+++ b/crates/store/src/requests.rs
@@ -3,7 +3,7 @@
 use crate::entry_log::PackedEntry;
 use crate::keeper::{Keeper, Output, Record};
 use crate::lease::Leases;
-use crate::messages::{Answer, Command, Entry, Voter, Reply, Request, View};
+use crate::messages::{Answer, Command, Entry, Reply, Request, View, Voter};
 use crate::terms::{ADOPT_ACK_DELAY, FEED_POLL_WAIT, NODE_LEASE};
 use quincehatch_core::{ChangeNumber, ErrorCode, Millis, Name, Version};
 
@@ -74,7 +74,12 @@
         let (old, rest) = std::mem::take(&mut self.pending_polls).into_iter().partition(|p| p.node == node);
         self.pending_polls = rest;
         self.answer_polls(old);
-        self.pending_polls.push(PendingPoll { token, node, last_change: have, deadline: now + FEED_POLL_WAIT });
+        self.pending_polls.push(PendingPoll {
+            token,
+            node,
+            last_change: have,
+            deadline: now + FEED_POLL_WAIT,
+        });
         None
     }
 
@@ -94,14 +99,18 @@
         }
         if self.pending_writes.len() >= MAX_PENDING_WRITES {
             return Some(Reply::Rejected {
-                error: ErrorCode::ChainUnavailable.with_detail("too many writes wait").with_retry_after(1_000),
+                error: ErrorCode::ChainUnavailable
+                    .with_detail("too many writes wait")
+                    .with_retry_after(1_000),
             });
         }
         let ends = AckLevel::for_command(&cmd);
         let (n, answer, contact_after) = match self.recorded_answer(&key, &cmd) {
             Some(recorded) => (recorded.entry, recorded.answer, Some(self.request_contact(&cmd))),
             None if self.disk_usage.is_reserve_touched() && cmd.is_document() => {
-                let why = ErrorCode::ChainUnavailable.with_detail("the disk is nearly full").with_retry_after(1_000);
+                let why = ErrorCode::ChainUnavailable
+                    .with_detail("the disk is nearly full")
+                    .with_retry_after(1_000);
                 return Some(Reply::Rejected { error: why });
             }
             None => {
@@ -175,16 +184,21 @@
             let done = match w.ack_level {
                 AckLevel::Committed => w.number <= c,
                 AckLevel::InForce => w.number <= f,
-                AckLevel::InForceOrDelayed => w.number <= f || self.committed_for(w.number).is_some_and(|ms| ms >= ADOPT_ACK_DELAY),
+                AckLevel::InForceOrDelayed => {
+                    w.number <= f || self.committed_for(w.number).is_some_and(|ms| ms >= ADOPT_ACK_DELAY)
+                }
             };
             if !head {
                 self.outputs.push(Output::Reply(w.token, Reply::Redirect { view: self.view.clone() }));
             } else if done && w.contact_after.is_none_or(|beat| self.in_contact_since(beat)) {
-                self.outputs.push(Output::Reply(w.token, Reply::Answer { number: w.number, answer: w.answer }));
+                self.outputs
+                    .push(Output::Reply(w.token, Reply::Answer { number: w.number, answer: w.answer }));
             } else if now >= w.deadline {
-                let why =
-                    ErrorCode::ChainUnavailable.with_detail("not acknowledged yet; ask again with the same key").with_unknown_outcome();
-                self.outputs.push(Output::Reply(w.token, Reply::Rejected { error: why.with_retry_after(500) }));
+                let why = ErrorCode::ChainUnavailable
+                    .with_detail("not acknowledged yet; ask again with the same key")
+                    .with_unknown_outcome();
+                self.outputs
+                    .push(Output::Reply(w.token, Reply::Rejected { error: why.with_retry_after(500) }));
             } else {
                 keep.push(w);
             }
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -32,7 +32,8 @@
     pub fn from_store(store: &Store) -> Self {
         let plain = borsh::to_vec(store).unwrap_or_default();
         let bytes = borsh::to_vec(&PackedBytes::pack(plain)).unwrap_or_default();
-        let id = SnapshotId { change: store.last_change, length: bytes.len() as u64, hash: hash64(&[&bytes]) };
+        let id =
+            SnapshotId { change: store.last_change, length: bytes.len() as u64, hash: hash64(&[&bytes]) };
         Self { id, bytes }
     }
 
--- a/crates/store/src/stale_reply.rs
+++ b/crates/store/src/stale_reply.rs
@@ -11,7 +11,9 @@
             Reply::Redirect { view: view.clone() }
         }
         Reply::Answer { .. } => {
-            let why = ErrorCode::ChainUnavailable.with_detail("the lease ended while the disk was written").with_unknown_outcome();
+            let why = ErrorCode::ChainUnavailable
+                .with_detail("the lease ended while the disk was written")
+                .with_unknown_outcome();
             Reply::Rejected { error: why.with_retry_after(RETRY_PENDING_AFTER) }
         }
         other => other,
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,7 +1,9 @@
 //! What the chain's entries add up to; keepers and nodes apply the same entries to the same store (§5.2).
 use crate::documents::{DocumentOutcome, DocumentRegister, TakenNumber, document_digest};
 use crate::messages::{Answer, Command, Entry, PrimaryState};
-use quincehatch_core::{ChangeNumber, ErrorCode, FencingToken, PrimaryAssignment, Name, ServerRecord, Version, hash64, messages};
+use quincehatch_core::{
+    ChangeNumber, ErrorCode, FencingToken, Name, PrimaryAssignment, ServerRecord, Version, hash64, messages,
+};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Blueprints kept for history and rollback.
@@ -74,7 +76,10 @@
         self.fences.get(duty).map_or(0, |f| f.0)
     }
     pub fn primary_state(&self, group: &Name) -> PrimaryState {
-        PrimaryState { fence: self.fence(&promotion_duty_key(group)), primary: self.primaries.get(group).cloned() }
+        PrimaryState {
+            fence: self.fence(&promotion_duty_key(group)),
+            primary: self.primaries.get(group).cloned(),
+        }
     }
 
     /// Takes the entry if it is the next; `None` otherwise. The answer depends on nothing but the entries.
@@ -89,7 +94,12 @@
             |(s, a)| if s == sum { a } else { Answer::Rejected(ErrorCode::PushConflict.without_detail()) },
         );
         if self.answered_write(&e.key).is_none() {
-            self.answers.push_back(AnsweredWrite { key: e.key.clone(), number: e.number, digest: sum, answer: answer.clone() });
+            self.answers.push_back(AnsweredWrite {
+                key: e.key.clone(),
+                number: e.number,
+                digest: sum,
+                answer: answer.clone(),
+            });
             if self.answers.len() > MAX_ANSWERED_WRITES {
                 self.answers.pop_front();
             }
@@ -100,7 +110,8 @@
     fn append_history(&mut self, k: HistoryEntry) {
         self.history.push_back(k);
         let bytes = |h: &VecDeque<HistoryEntry>| h.iter().map(|k| k.text.len()).sum::<usize>();
-        while self.history.len() > MAX_HISTORY_VERSIONS || (self.history.len() > 2 && bytes(&self.history) > MAX_HISTORY_BYTES)
+        while self.history.len() > MAX_HISTORY_VERSIONS
+            || (self.history.len() > 2 && bytes(&self.history) > MAX_HISTORY_BYTES)
         {
             self.history.pop_front();
         }
@@ -136,7 +147,9 @@
                 self.append_history(HistoryEntry { version: at + 1, text: text.clone(), author: by.clone() });
                 Answer::Version(at + 1)
             }
-            Command::AdoptDocument { number, text, source, by } => self.adopt_document(*number, text, source, by),
+            Command::AdoptDocument { number, text, source, by } => {
+                self.adopt_document(*number, text, source, by)
+            }
             Command::RegisterServer { at } => {
                 if self.servers.get(&at.server).is_none_or(|s| s.seq < at.seq) {
                     upsert_server(&mut self.servers, at);
@@ -158,12 +171,14 @@
                 Answer::Done
             }
             Command::AcquireFence { duty, by } => self.advance_fence(duty, by),
-            Command::AcquireFenceIfUnchanged { group, by, expected } if self.primary_state(group) == *expected => {
+            Command::AcquireFenceIfUnchanged { group, by, expected }
+                if self.primary_state(group) == *expected =>
+            {
                 self.advance_fence(&promotion_duty_key(group), by)
             }
-            Command::AcquireFenceIfUnchanged { .. } => {
-                Answer::Rejected(ErrorCode::StaleFence.with_detail("the leadership has changed since it was planned"))
-            }
+            Command::AcquireFenceIfUnchanged { .. } => Answer::Rejected(
+                ErrorCode::StaleFence.with_detail("the leadership has changed since it was planned"),
+            ),
             Command::AssignPrimary { group, primary } => self.assign_primary(group, primary),
             Command::DropPreviousVoters { group, fence } => match self.primaries.get_mut(group) {
                 Some(l) if l.fence == *fence && l.server.is_some() => {
@@ -201,7 +216,9 @@
     fn assign_primary(&mut self, group: &Name, lead: &PrimaryAssignment) -> Answer {
         let out = self.fence(&promotion_duty_key(group));
         if lead.fence < out {
-            return Answer::Rejected(ErrorCode::StaleFence.with_detail(format!("{} is under {out}", lead.fence)));
+            return Answer::Rejected(
+                ErrorCode::StaleFence.with_detail(format!("{} is under {out}", lead.fence)),
+            );
         }
         let now = self.primaries.get(group);
         if now.is_some_and(|l| l.fence > lead.fence) {
@@ -210,7 +227,9 @@
         let reopened =
             now.is_some_and(|l| l.fence == lead.fence && l.server.is_some() && l.server != lead.server);
         if reopened {
-            return Answer::Rejected(ErrorCode::StaleFence.with_detail("this fence has named another server"));
+            return Answer::Rejected(
+                ErrorCode::StaleFence.with_detail("this fence has named another server"),
+            );
         }
         let mut lists = now.map_or_else(Vec::new, PrimaryAssignment::voter_sets);
         if !lead.voters.is_empty() {
--- a/crates/store/src/terms.rs
+++ b/crates/store/src/terms.rs
@@ -55,7 +55,10 @@
 const _: () = assert!(replace_after(6_000) + MAX_REPLACEMENT_TIME < 6_000);
 // Mending (silence, one round, waiting the old tail out) is shorter than a node's lease, so that a lost
 // keeper alone never takes a node out of service (§5.6).
-const _: () = assert!(SILENT + PROPOSAL_INTERVAL + with_clock_drift(VIEW_LEASE) + FEED_POLL_WAIT < minus_clock_drift(NODE_LEASE));
+const _: () = assert!(
+    SILENT + PROPOSAL_INTERVAL + with_clock_drift(VIEW_LEASE) + FEED_POLL_WAIT
+        < minus_clock_drift(NODE_LEASE)
+);
 // A node that was not heard of since an adopted blueprint was committed has no lease 3 s after it was acknowledged.
 const _: () = assert!(with_clock_drift(NODE_LEASE) - minus_clock_drift(ADOPT_ACK_DELAY) < 3_000);
 // A message between keepers with all that may be in one part is far below the longest frame.
--- a/crates/store/src/transfer.rs
+++ b/crates/store/src/transfer.rs
@@ -9,7 +9,11 @@
     /// Asks the forerunner for what comes next.
     pub(crate) fn request_missing_entries(&mut self, from: &Name) {
         let progress = self.incoming_snapshot.progress(from);
-        let need = PeerMessage::RequestEntries { version: self.view.version, last_change: self.store.last_change, progress };
+        let need = PeerMessage::RequestEntries {
+            version: self.view.version,
+            last_change: self.store.last_change,
+            progress,
+        };
         self.send(from, need);
     }
 
@@ -26,7 +30,13 @@
         let dismissed_leases =
             self.dismissed_leases.iter().map(|(n, until)| (n.clone(), left(until))).collect();
         let (version, unknown_leases) = (self.view.version, left(&self.unknown_leases_until));
-        PeerMessage::Snapshot { version, part, joining: join, dismissed_leases, unknown_leases_ms: unknown_leases }
+        PeerMessage::Snapshot {
+            version,
+            part,
+            joining: join,
+            dismissed_leases,
+            unknown_leases_ms: unknown_leases,
+        }
     }
 
     pub(crate) fn handle_fetch(&mut self, from: &Name, _ed: Version, progress: SnapshotProgress) {
@@ -50,7 +60,10 @@
         }
         let member = self.view.is_member(&self.name);
         let takes = if join { !member } else { member && self.view.neighbour(&self.name, -1) == Some(from) };
-        if !takes || (!join && part.id.change <= self.store.last_change) || !self.incoming_snapshot.accept_part(from, part) {
+        if !takes
+            || (!join && part.id.change <= self.store.last_change)
+            || !self.incoming_snapshot.accept_part(from, part)
+        {
             return false;
         }
         if let Some(store) = self.incoming_snapshot.finish() {
--- a/crates/store/src/voting.rs
+++ b/crates/store/src/voting.rs
@@ -16,7 +16,11 @@
 
     /// A proposal of this keeper's is decided: those that vote hear it by heartbeat, those that no longer do are told.
     fn announce_decided_view(&mut self, view: View, base: &View) {
-        self.outputs.push(Output::Log(format!("view {} is agreed: {}", view.version, view.members.join(" "))));
+        self.outputs.push(Output::Log(format!(
+            "view {} is agreed: {}",
+            view.version,
+            view.members.join(" ")
+        )));
         self.adopt_view(view.clone());
         self.send_heartbeat();
         for machine in base.voters.iter().filter(|m| !view.is_voter(&m.name)) {
--- a/crates/store/tests/chain.rs
+++ b/crates/store/tests/chain.rs
@@ -4,7 +4,7 @@
 use assert_matches::assert_matches;
 use kit::{Net, machine};
 use quincehatch_core::ErrorCode;
-use quincehatch_store::{Answer, Command, Voter, Reply, Request, View};
+use quincehatch_store::{Answer, Command, Reply, Request, View, Voter};
 
 fn push(base: u64, text: &str) -> Command {
     Command::PushConfiguration { base, text: text.into(), by: "t".into() }
--- a/crates/store/tests/cut_off.rs
+++ b/crates/store/tests/cut_off.rs
@@ -20,7 +20,16 @@
     let (group, addr, district) = ("g".into(), format!("{server}:1").into(), "z".into());
     let (slots, leaving, role) = (5, false, Role::Replica);
     Command::RegisterServer {
-        at: ServerRecord { server: server.into(), group, addr, zone: district, slots, draining: leaving, role, seq },
+        at: ServerRecord {
+            server: server.into(),
+            group,
+            addr,
+            zone: district,
+            slots,
+            draining: leaving,
+            role,
+            seq,
+        },
     }
 }
 
--- a/crates/store/tests/documents.rs
+++ b/crates/store/tests/documents.rs
@@ -8,7 +8,7 @@
 use quincehatch_store::documents::MAX_REMEMBERED_DOCUMENTS;
 use quincehatch_store::store::MAX_ANSWERED_WRITES;
 use quincehatch_store::terms::LOG_MAX_ENTRIES;
-use quincehatch_store::{Answer, Command, Entry, Voter, Reply, Request, Store, View};
+use quincehatch_store::{Answer, Command, Entry, Reply, Request, Store, View, Voter};
 
 const THREE: [&str; 3] = ["k1", "k2", "k3"];
 /// First token of the writes that fill log and answers.
@@ -127,7 +127,10 @@
     operators.take_three();
     operators.check_all_answers();
     operators.outrun_log_and_answers();
-    assert!(operators.net.ks["k1"].store.answered_write(&key(7, "a")).is_none(), "its answer is no longer remembered");
+    assert!(
+        operators.net.ks["k1"].store.answered_write(&key(7, "a")).is_none(),
+        "its answer is no longer remembered"
+    );
     operators.check_all_answers();
 }
 
--- a/crates/store/tests/explorer/mod.rs
+++ b/crates/store/tests/explorer/mod.rs
@@ -9,7 +9,7 @@
 use attempt::Attempt;
 use quincehatch_core::{Name, hash64};
 use quincehatch_store::register::{Acceptor, Proposer, ProposerAction};
-use quincehatch_store::{Voter, PeerMessage, View};
+use quincehatch_store::{PeerMessage, View, Voter};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use subsets::subsets;
 
@@ -126,7 +126,10 @@
         {
             attempt.accepted_by.insert(to.clone());
             let by = &attempt.accepted_by;
-            if attempt.base.has_majority(by.iter()) && view.has_majority(by.iter()) && !self.decided.contains(view) {
+            if attempt.base.has_majority(by.iter())
+                && view.has_majority(by.iter())
+                && !self.decided.contains(view)
+            {
                 self.decided.push(view.clone());
             }
         }
--- a/crates/store/tests/incarnation.rs
+++ b/crates/store/tests/incarnation.rs
@@ -2,7 +2,7 @@
 use quincehatch_core::{Millis, Name};
 use quincehatch_runtime::seam::{BoxFuture, OnDisconnect, VirtualConnection, World, with_world};
 use quincehatch_store::keeper::{Input, Output, RecoveredState};
-use quincehatch_store::{Keeper, Voter, PeerMessage, View};
+use quincehatch_store::{Keeper, PeerMessage, View, Voter};
 use std::io;
 use std::sync::Arc;
 use std::task::Waker;
@@ -25,7 +25,11 @@
     }
     fn cancel_timer(&self, _: u64) {}
     fn spawn(&self, _: BoxFuture<'static, ()>) {}
-    fn connect(&self, _: &str, _: OnDisconnect) -> BoxFuture<'static, io::Result<Arc<dyn VirtualConnection>>> {
+    fn connect(
+        &self,
+        _: &str,
+        _: OnDisconnect,
+    ) -> BoxFuture<'static, io::Result<Arc<dyn VirtualConnection>>> {
         Box::pin(async { Err(io::ErrorKind::ConnectionRefused.into()) })
     }
     fn exchange_frame(&self, _: &str, _: Vec<u8>) -> BoxFuture<'static, io::Result<Vec<u8>>> {
@@ -82,7 +86,8 @@
     let mut recovered = recovered();
     let mut used = Vec::new();
     for life in 0..3 {
-        let mut keeper = with_world(Arc::new(Life(life)), || Keeper::new("k3".into(), 1_000, recovered.clone()));
+        let mut keeper =
+            with_world(Arc::new(Life(life)), || Keeper::new("k3".into(), 1_000, recovered.clone()));
         // k1 and k2 are silent: it proposes a view without them.
         for step in 0..60 {
             for output in keeper.step(1_000 + step * 100, Input::Tick) {
--- a/crates/store/tests/kit/mod.rs
+++ b/crates/store/tests/kit/mod.rs
@@ -5,7 +5,7 @@
 use quincehatch_core::{ChangeNumber, Millis, Name};
 use quincehatch_store::keeper::{Input, Output, Record, RecoveredState};
 use quincehatch_store::{
-    Answer, Command, DiscoverySettings, Keeper, KeeperRequest, Voter, PeerMessage, Reply, Request, View,
+    Answer, Command, DiscoverySettings, Keeper, KeeperRequest, PeerMessage, Reply, Request, View, Voter,
     terms,
 };
 use std::collections::{BTreeMap, VecDeque};
@@ -154,7 +154,8 @@
     /// A poll of the node at the tail.
     pub fn poll(&mut self, node: &str, token: u64, enrolled: ChangeNumber, have: ChangeNumber) {
         let tail = self.tail().unwrap();
-        let ask = Request::Feed { node: node.into(), addr: node.into(), last_change: have, applied: 0, enrolled };
+        let ask =
+            Request::Feed { node: node.into(), addr: node.into(), last_change: have, applied: 0, enrolled };
         self.ask(&tail, token, ask);
     }
     pub fn rep(&self, token: u64) -> Option<Reply> {
--- a/crates/store/tests/leads.rs
+++ b/crates/store/tests/leads.rs
@@ -1,5 +1,5 @@
 //! Which lists of counting servers hold is kept by the chain, whoever writes what (§5.5).
-use quincehatch_core::{ErrorCode, FencingToken, PrimaryAssignment, Name};
+use quincehatch_core::{ErrorCode, FencingToken, Name, PrimaryAssignment};
 use quincehatch_store::store::promotion_duty_key;
 use quincehatch_store::{Answer, Command, Entry, PrimaryState, Store};
 
@@ -18,8 +18,12 @@
         }
     }
     fn lead(&mut self, fence: FencingToken, server: Option<&str>, counts: &[&str]) -> Answer {
-        let lead =
-            PrimaryAssignment { fence, server: server.map(Name::from), voters: names(counts), ..Default::default() };
+        let lead = PrimaryAssignment {
+            fence,
+            server: server.map(Name::from),
+            voters: names(counts),
+            ..Default::default()
+        };
         self.write(Command::AssignPrimary { group: "g".into(), primary: lead })
     }
     /// All lists that hold now.
--- a/crates/store/tests/news.rs
+++ b/crates/store/tests/news.rs
@@ -74,7 +74,11 @@
     }
     fn store(&self) -> FeedState {
         let s = &self.net.ks["c"].store;
-        FeedState::from_snapshot(FeedSnapshot::from_store(s, PackedText::pack(s.configuration().map_or("", |k| &k.text)))).unwrap()
+        FeedState::from_snapshot(FeedSnapshot::from_store(
+            s,
+            PackedText::pack(s.configuration().map_or("", |k| &k.text)),
+        ))
+        .unwrap()
     }
 }
 
--- a/crates/store/tests/roll.rs
+++ b/crates/store/tests/roll.rs
@@ -3,13 +3,16 @@
 
 use assert_matches::assert_matches;
 use kit::Net;
-use quincehatch_core::{PrimaryAssignment, Millis, Name};
+use quincehatch_core::{Millis, Name, PrimaryAssignment};
 use quincehatch_store::terms::NODE_LEASE;
 use quincehatch_store::{Answer, Command, Reply, Request};
 
 fn close(net: &mut Net, token: u64) {
     let head = net.tail().and_then(|t| net.view(&t).head().cloned()).unwrap();
-    let cmd = Command::AssignPrimary { group: "g".into(), primary: PrimaryAssignment { fence: 1, ..Default::default() } };
+    let cmd = Command::AssignPrimary {
+        group: "g".into(),
+        primary: PrimaryAssignment { fence: 1, ..Default::default() },
+    };
     net.ask(&head, token, Request::Write { key: "close".into(), command: cmd });
 }
 fn closed(net: &Net, token: u64) -> bool {
--- a/crates/testbed/src/aftermath.rs
+++ b/crates/testbed/src/aftermath.rs
@@ -1,9 +1,9 @@
 //! After a run on a real fleet: tries in doubt are settled, and the servers tell what they hold (§9.4).
-use crate::fleet::{Plan, ServerAt};
+use crate::fleet::{FleetPlan, ServerAddress};
 use crate::history::Facts;
 use crate::load::{Caller, World};
-use crate::scenario::{lab, status};
-use crate::stand::journal;
+use crate::scenario::{fleet_status, lab_call};
+use crate::stand_in::journal;
 use quincehatch_runtime::seam;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,8 +14,9 @@
 pub async fn settle(w: &Arc<World>, seed: u64) {
     let doubt: Vec<(String, usize)> = {
         let h = w.book.lock().unwrap();
-        let last =
-            |t: &crate::history::TryRow| t.ends.last().is_some_and(|e| e.0 != crate::history::End::Kept);
+        let last = |t: &crate::history::AttemptRecord| {
+            t.ends.last().is_some_and(|e| e.0 != crate::history::End::Kept)
+        };
         let open = h.tries.values().filter(|t| last(t) && !t.sealed);
         let id = |k: &str| k[1..].split('-').next().and_then(|n| n.parse().ok()).unwrap_or(0);
         open.map(|t| (t.key.clone(), id(&t.key))).collect()
@@ -23,7 +24,7 @@
     for (key, id) in doubt {
         let mut c = Caller::new(w.clone(), id, seed);
         for _ in 0..40 {
-            let end = c.ask_after(&key).await;
+            let end = c.resolve_outcome(&key).await;
             let sealed = w.book.lock().unwrap().tries.get(&key).is_some_and(|t| t.sealed);
             if end == crate::history::End::Kept || sealed {
                 break;
@@ -34,9 +35,9 @@
 }
 
 /// What the servers hold, as the named lead tells it, how far the others agree, and what each of them did.
-pub async fn facts(desks: &[String], servers: &[ServerAt]) -> Result<Facts, String> {
+pub async fn collect_facts(desks: &[String], servers: &[ServerAddress]) -> Result<Facts, String> {
     let mut f = Facts::default();
-    let leads = status(desks).await["leads"].clone();
+    let leads = fleet_status(desks).await["leads"].clone();
     for g in servers.iter().map(|s| s.group.clone()).collect::<BTreeSet<_>>() {
         let named = leads.as_array().into_iter().flatten().find(|l| l["group"] == g.as_str());
         let lead =
@@ -45,7 +46,7 @@
             servers.iter().filter(|s| s.group == g && s.name != lead).map(|s| s.name.as_str()).collect();
         of.insert(0, lead);
         for s in of {
-            let got = lab(servers, s, "/lab/facts", &json!({})).await;
+            let got = lab_call(servers, s, "/lab/facts", &json!({})).await;
             let Some(v) = got.filter(|v| v["kv"].is_object()) else {
                 // A server that is down tells nothing; the lead must.
                 if s == lead {
@@ -67,7 +68,7 @@
 }
 
 /// What each stand-in of a fleet did, from the files beside its data.
-pub fn journals(p: &Plan) -> BTreeMap<String, Vec<journal::Entry>> {
-    let path = |s: &ServerAt| p.dir.join("servers").join(format!("{}.journal", s.name));
+pub fn read_journals(p: &FleetPlan) -> BTreeMap<String, Vec<journal::Entry>> {
+    let path = |s: &ServerAddress| p.dir.join("servers").join(format!("{}.journal", s.name));
     p.servers.iter().map(|s| (s.name.clone(), journal::read(&path(s)))).collect()
 }
--- a/crates/testbed/src/calls.rs
+++ b/crates/testbed/src/calls.rs
@@ -1,5 +1,5 @@
 //! What a caller does (§9.2): orders in one step or several, asks after them, looks its orders up.
-use crate::history::{End, ReadRow};
+use crate::history::{End, ReadRecord};
 use crate::load::{Caller, ORDER_MS};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
@@ -14,24 +14,25 @@
         let key = format!("{}-{}", self.mark(), self.n);
         let steps = self.rng.below(10);
         let began = now();
-        let mut end = if steps < 3 { self.in_steps(&key, 1 + steps).await } else { self.at_once(&key).await };
+        let mut end =
+            if steps < 3 { self.order_in_steps(&key, 1 + steps).await } else { self.at_once(&key).await };
         self.served("order", began, end == End::Kept, 0);
         // Nothing kept: now and then the same try is sent again; kept: it is sent twice.
         if (end == End::Nothing && self.rng.chance(500))
             || (end == End::Kept && steps >= 3 && self.rng.chance(30))
         {
-            end = self.at_once_as(&key, steps).await;
+            end = self.resend_order(&key, steps).await;
         }
         for _ in 0..60 {
             if !matches!(end, End::Unknown | End::Lost) || self.w.stop.load(Ordering::Relaxed) {
                 break;
             }
             seam::sleep(Duration::from_millis(200)).await;
-            end = self.ask_after(&key).await;
+            end = self.resolve_outcome(&key).await;
         }
     }
 
-    pub async fn ask_after(&mut self, key: &str) -> End {
+    pub async fn resolve_outcome(&mut self, key: &str) -> End {
         let body = json!({"try": key, "labels": self.labels(), "seal": true, "deadline_ms": ORDER_MS});
         let asked = now();
         let got = self.call("/v1/outcome", body, ORDER_MS).await;
@@ -49,17 +50,17 @@
         self.told(key, asked, &got)
     }
     /// Only a one-step order can be repeated as one: another content under the same try is declined.
-    async fn at_once_as(&mut self, key: &str, steps: u64) -> End {
-        if steps < 3 { self.in_steps(key, 1 + steps).await } else { self.at_once(key).await }
+    async fn resend_order(&mut self, key: &str, steps: u64) -> End {
+        if steps < 3 { self.order_in_steps(key, 1 + steps).await } else { self.at_once(key).await }
     }
 
-    async fn in_steps(&mut self, key: &str, steps: u64) -> End {
-        let Some((id, e)) = self.session().await else { return self.told(key, now(), &not_sent()) };
+    async fn order_in_steps(&mut self, key: &str, steps: u64) -> End {
+        let Some((id, e)) = self.session().await else { return self.told(key, now(), &never_sent()) };
         let begin = json!({"session": id, "version": e, "labels": self.labels(), "deadline_ms": ORDER_MS});
         let got = self.call("/v1/begin", begin, ORDER_MS).await;
-        if Self::end_of(&got) != End::Kept {
-            self.lost_session(&got);
-            return self.told(key, now(), &not_sent());
+        if Self::end_of_reply(&got) != End::Kept {
+            self.drop_lost_session(&got);
+            return self.told(key, now(), &never_sent());
         }
         for i in 0..=steps {
             let mark = self.next_mark();
@@ -77,9 +78,9 @@
                 json!({"session": id, "version": e, "text": text, "params": params, "deadline_ms": ORDER_MS});
             let got = self.call("/v1/run", run, ORDER_MS).await;
             self.promised(&text, want.as_ref(), &got);
-            if Self::end_of(&got) != End::Kept {
-                self.lost_session(&got);
-                return self.told(key, now(), &not_sent());
+            if Self::end_of_reply(&got) != End::Kept {
+                self.drop_lost_session(&got);
+                return self.told(key, now(), &never_sent());
             }
             let pause = self.rng.below(40);
             seam::sleep(Duration::from_millis(pause)).await;
@@ -87,12 +88,12 @@
         let asked = now();
         let commit = json!({"session": id, "version": e, "try": key, "deadline_ms": ORDER_MS});
         let got = self.call("/v1/commit", commit, ORDER_MS).await;
-        self.lost_session(&got);
+        self.drop_lost_session(&got);
         self.told(key, asked, &got)
     }
 
     /// A session that is gone, or whose state is not known after a lost answer, is opened anew.
-    fn lost_session(&mut self, got: &Option<(u16, Value)>) {
+    fn drop_lost_session(&mut self, got: &Option<(u16, Value)>) {
         let code = got.as_ref().and_then(|(_, v)| v["error"]["code"].as_u64());
         if got.is_none() || matches!(code, Some(1201 | 1202 | 1205)) {
             self.session = None;
@@ -110,7 +111,7 @@
             let me = self.mark();
             let s =
                 format!("N7 {me} lost what it was promised: '{text}' on {on} by {by} came to {}", v["rows"]);
-            self.w.book.lock().unwrap().spot.push(s);
+            self.w.book.lock().unwrap().violations.push(s);
         }
     }
 
@@ -138,9 +139,9 @@
         let text = body["text"].as_str().unwrap_or_default().to_owned();
         let asked = now();
         let got = self.call("/v1/lookup", body, ms).await;
-        let kept = Self::end_of(&got) == End::Kept;
+        let kept = Self::end_of_reply(&got) == End::Kept;
         self.promised(&text, want.as_ref(), &got);
-        self.lost_session(&got);
+        self.drop_lost_session(&got);
         if !order_side {
             let code = got.as_ref().and_then(|(_, v)| v["error"]["code"].as_u64());
             // A session whose every owner died is lost and said so: that is no word on the service.
@@ -161,7 +162,7 @@
             .filter_map(|k| k.as_str().map(str::to_owned))
             .collect();
         let (group, list) = (self.group(), self.list());
-        h.reads.push(ReadRow {
+        h.reads.push(ReadRecord {
             group,
             list,
             order_side,
@@ -175,6 +176,6 @@
 }
 
 /// A try whose commit was never sent.
-fn not_sent() -> Option<(u16, Value)> {
+fn never_sent() -> Option<(u16, Value)> {
     Some((0, json!({"end": "nothing"})))
 }
--- a/crates/testbed/src/db.rs
+++ b/crates/testbed/src/db.rs
@@ -43,7 +43,7 @@
     Sealed,
     /// In the log, not yet on a second server.
     Running(u64),
-    NotKept,
+    NotCommitted,
 }
 
 /// What must be on disk before the call is answered.
@@ -65,23 +65,23 @@
     pub commit: u64,
     pub kv: BTreeMap<String, Value>,
     tries: BTreeMap<Name, Outcome>,
-    pub(crate) matched: BTreeMap<Name, u64>,
+    pub(crate) replicated_to: BTreeMap<Name, u64>,
     pub(crate) counts: Vec<Name>,
     pub lines: Vec<Line>,
     /// A primary's log when it took the lead or came back: reads wait until that much is visible (§3.2).
-    whole_at: u64,
+    readable_at: u64,
 }
 
 /// A replica's wish, and what its primary gives.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Pull {
+pub struct PullRequest {
     pub server: Name,
     pub fence: FencingToken,
     pub have: Position,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Pulled {
+pub struct PullResponse {
     pub fence: FencingToken,
     /// The end that was asked with: what comes goes on from there.
     pub have: Position,
@@ -118,7 +118,7 @@
                 Line::Counts(c) => d.counts = c,
             }
         }
-        d.whole_at = d.log.len() as u64;
+        d.readable_at = d.log.len() as u64;
         d
     }
     pub fn end(&self) -> Position {
@@ -141,7 +141,7 @@
         if f > self.fence {
             self.fence = f;
             self.role = Role::Replica;
-            self.matched.clear();
+            self.replicated_to.clear();
             self.lines.push(Line::Fence(f, self.role));
         }
         f >= self.fence
@@ -156,21 +156,21 @@
         }
         self.fence = f;
         self.role = Role::Primary;
-        self.matched.clear();
+        self.replicated_to.clear();
         self.lines.push(Line::Fence(f, self.role));
         self.lines.push(Line::Counts(counts.clone()));
         self.counts = counts;
-        self.whole_at = self.push(Kind::Start);
+        self.readable_at = self.push(Kind::Start);
         true
     }
     /// May this primary answer reads? Before, it could miss what its forerunner acknowledged.
     pub fn whole(&self) -> bool {
-        self.role == Role::Replica || self.commit >= self.whole_at
+        self.role == Role::Replica || self.commit >= self.readable_at
     }
     /// Makes a primary look as if part of its log were not visible: a test's way to one that is starting.
     #[doc(hidden)]
-    pub fn hide(&mut self, on: bool) {
-        self.whole_at = if on { u64::MAX } else { 0 };
+    pub fn set_unreadable_for_test(&mut self, on: bool) {
+        self.readable_at = if on { u64::MAX } else { 0 };
     }
     pub fn leads(&self, f: FencingToken) -> bool {
         self.role == Role::Primary && self.fence == f
@@ -182,7 +182,7 @@
                 Kind::Commit { key: k, .. } | Kind::Seal { key: k } => k == key,
                 Kind::Start => false,
             });
-            at.map_or(Outcome::NotKept, |r| Outcome::Running(r.pos.number))
+            at.map_or(Outcome::NotCommitted, |r| Outcome::Running(r.pos.number))
         })
     }
     /// Appends a commit; whoever calls waits until `commit` has reached the number.
@@ -197,7 +197,7 @@
         self.log.get(n as usize - 1).is_some_and(|r| r.pos.fence == f)
     }
 
-    pub(crate) fn apply_to(&mut self, n: u64) {
+    pub(crate) fn commit_up_to(&mut self, n: u64) {
         while self.commit < n {
             let kind = self.log[self.commit as usize].kind.clone();
             self.commit += 1;
--- a/crates/testbed/src/db_repl.rs
+++ b/crates/testbed/src/db_repl.rs
@@ -1,10 +1,10 @@
 //! Replication of a stand-in's log (§3.2): what a primary gives and a replica takes.
-use crate::db::{Db, Line, Pull, Pulled, Rec};
+use crate::db::{Db, Line, PullRequest, PullResponse, Rec};
 use quincehatch_core::{Position, Role};
 
 impl Db {
     /// A replica asks for more; what it holds is matched and counts towards commits (§3.2).
-    pub fn pull(&mut self, p: &Pull, most: usize) -> Option<Pulled> {
+    pub fn pull(&mut self, p: &PullRequest, most: usize) -> Option<PullResponse> {
         if self.role != Role::Primary || p.fence > self.fence {
             return None;
         }
@@ -18,7 +18,7 @@
                     _ => fences.push(r.pos),
                 }
             }
-            return Some(Pulled {
+            return Some(PullResponse {
                 fence: self.fence,
                 have: p.have,
                 commit: 0,
@@ -28,23 +28,23 @@
         }
         // Only a replica that already declines lower fences may count.
         if p.fence == self.fence && (self.counts.is_empty() || self.counts.contains(&p.server)) {
-            let m = self.matched.entry(p.server.clone()).or_default();
+            let m = self.replicated_to.entry(p.server.clone()).or_default();
             *m = (*m).max(have);
             self.advance();
         }
         let recs = self.log[have as usize..].iter().take(most).cloned().collect();
-        Some(Pulled { fence: self.fence, have: p.have, commit: self.commit, recs, fences: None })
+        Some(PullResponse { fence: self.fence, have: p.have, commit: self.commit, recs, fences: None })
     }
     fn advance(&mut self) {
-        let on_two = self.matched.values().copied().max().unwrap_or(0);
+        let on_two = self.replicated_to.values().copied().max().unwrap_or(0);
         // A record of an older fence is only safe under one of this fence.
         let own = on_two > 0 && self.log.get(on_two as usize - 1).is_some_and(|r| r.pos.fence == self.fence);
         if own {
-            self.apply_to(on_two);
+            self.commit_up_to(on_two);
         }
     }
     /// A replica takes what its primary gave.
-    pub fn take(&mut self, p: Pulled) -> bool {
+    pub fn take(&mut self, p: PullResponse) -> bool {
         if p.fence < self.fence || (self.role == Role::Primary && p.fence == self.fence) {
             return false;
         }
@@ -68,7 +68,7 @@
                 self.log.push(r);
             }
         }
-        self.apply_to(p.commit.min(self.log.len() as u64));
+        self.commit_up_to(p.commit.min(self.log.len() as u64));
         true
     }
 }
@@ -81,7 +81,7 @@
 
     fn sync(p: &mut Db, r: &mut Db) {
         for _ in 0..8 {
-            let ask = Pull { server: r.name.clone(), fence: r.fence, have: r.end() };
+            let ask = PullRequest { server: r.name.clone(), fence: r.fence, have: r.end() };
             let Some(got) = p.pull(&ask, 100) else { return };
             r.take(got);
         }
@@ -114,13 +114,13 @@
         a.add_commit("lost", "x", vec![Write::Add("x".into(), 5)], Value::Null);
         // b and c are fenced; b is ahead and is promoted. The old primary's lone record must go.
         assert!(b.set_fence(2) && c.set_fence(2));
-        assert!(a.pull(&Pull { server: "b".into(), fence: 2, have: b.end() }, 9).is_none());
+        assert!(a.pull(&PullRequest { server: "b".into(), fence: 2, have: b.end() }, 9).is_none());
         assert!(b.promote(2, vec![]));
         sync(&mut b, &mut c);
         sync(&mut b, &mut a);
         assert_eq!(a.kv.get("x"), Some(&Value::from(1)));
         assert_eq!(a.log, b.log);
-        assert_eq!(a.outcome("lost"), Outcome::NotKept);
+        assert_eq!(a.outcome("lost"), Outcome::NotCommitted);
         assert_matches::assert_matches!(c.outcome("t1"), Outcome::Kept { sum, .. } if sum == "x");
     }
 }
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -6,16 +6,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shape {
     pub name: String,
-    pub districts: usize,
+    pub zones: usize,
     pub nodes: usize,
     pub keepers: usize,
     pub groups: usize,
-    pub copies: usize,
+    pub replicas: usize,
     pub port: u16,
 }
 
 impl Shape {
-    pub fn of(name: &str, port: u16) -> Option<Shape> {
+    pub fn named(name: &str, port: u16) -> Option<Shape> {
         let (districts, nodes, keepers, groups) = match name {
             "thin" => (1, 1, 1, 1),
             "small" => (2, 3, 3, 1),
@@ -26,7 +26,7 @@
                 _ => return None,
             },
         };
-        Some(Shape { name: name.into(), districts, nodes, keepers, groups, copies: 3, port })
+        Some(Shape { name: name.into(), zones: districts, nodes, keepers, groups, replicas: 3, port })
     }
 }
 
@@ -34,21 +34,21 @@
 #[derive(Clone, Debug)]
 pub struct Proc {
     pub name: String,
-    pub exe: String,
+    pub executable: String,
     pub args: Vec<String>,
     pub again: Vec<String>,
 }
 
 #[derive(Clone, Debug)]
-pub struct NodeAt {
+pub struct NodeAddress {
     pub name: String,
-    pub district: String,
-    pub door: String,
-    pub desk: String,
+    pub zone: String,
+    pub client_listener: String,
+    pub operator_listener: String,
 }
 
 #[derive(Clone, Debug)]
-pub struct ServerAt {
+pub struct ServerAddress {
     pub name: String,
     pub group: String,
     pub addr: String,
@@ -56,20 +56,20 @@
 
 /// A fleet's plan: every process with its arguments, and where to call.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct FleetPlan {
     pub dir: PathBuf,
     pub shape: Shape,
-    pub procs: Vec<Proc>,
-    pub nodes: Vec<NodeAt>,
+    pub processes: Vec<Proc>,
+    pub nodes: Vec<NodeAddress>,
     pub keepers: Vec<(String, String)>,
-    pub servers: Vec<ServerAt>,
+    pub servers: Vec<ServerAddress>,
     pub platform: String,
-    pub blueprint: PathBuf,
+    pub configuration: PathBuf,
 }
 
-impl Plan {
-    pub fn desks(&self) -> Vec<String> {
-        self.nodes.iter().map(|n| n.desk.clone()).collect()
+impl FleetPlan {
+    pub fn operator_addresses(&self) -> Vec<String> {
+        self.nodes.iter().map(|n| n.operator_listener.clone()).collect()
     }
 }
 
@@ -80,7 +80,7 @@
 }
 
 /// Writes settings and a blueprint into `dir` and tells what to start.
-pub fn plan(dir: &Path, shape: &Shape) -> std::io::Result<Plan> {
+pub fn write_plan(dir: &Path, shape: &Shape) -> std::io::Result<FleetPlan> {
     std::fs::create_dir_all(dir)?;
     let mut port = shape.port;
     let mut next = || {
@@ -92,10 +92,10 @@
         (0..shape.keepers).map(|i| (format!("k{}", i + 1), next())).collect();
     let klist: Vec<String> = keepers.iter().map(|(n, a)| format!("\"{n}={a}\"")).collect();
     let kaddrs: Vec<String> = keepers.iter().map(|(_, a)| format!("\"{a}\"")).collect();
-    let nodes: Vec<(NodeAt, String)> = (0..shape.nodes)
+    let nodes: Vec<(NodeAddress, String)> = (0..shape.nodes)
         .map(|i| {
-            let (name, district) = (format!("n{}", i + 1), district(i % shape.districts));
-            (NodeAt { name, district, door: next(), desk: next() }, next())
+            let (name, district) = (format!("n{}", i + 1), district(i % shape.zones));
+            (NodeAddress { name, zone: district, client_listener: next(), operator_listener: next() }, next())
         })
         .collect();
     let mut procs = Vec::new();
@@ -108,7 +108,7 @@
         let again = vec!["--settings".into(), file.display().to_string()];
         let mut args = again.clone();
         args.push("--init".into());
-        procs.push(Proc { name: n.clone(), exe: "quincehatch-keeper".into(), args, again });
+        procs.push(Proc { name: n.clone(), executable: "quincehatch-keeper".into(), args, again });
     }
     let seeds: Vec<String> = nodes.iter().take(3).map(|(_, m)| format!("\"{m}\"")).collect();
     for (n, mesh) in &nodes {
@@ -117,56 +117,74 @@
             "name = \"{}\"\ndistrict = \"{}\"\ndoor = \"{}\"\ndesk = \"{}\"\nmesh = \"{mesh}\"\nseeds = [{}]\n\
              keepers = [{}]\nplatform = \"{platform}\"\ntoken = \"{TOKEN}\"\n",
             n.name,
-            n.district,
-            n.door,
-            n.desk,
+            n.zone,
+            n.client_listener,
+            n.operator_listener,
             seeds.join(", "),
             kaddrs.join(", ")
         );
         std::fs::write(&file, text)?;
         let args = vec!["--settings".to_owned(), file.display().to_string()];
-        procs.push(Proc { name: n.name.clone(), exe: "quincehatch-node".into(), again: args.clone(), args });
+        procs.push(Proc {
+            name: n.name.clone(),
+            executable: "quincehatch-node".into(),
+            again: args.clone(),
+            args,
+        });
     }
-    let desks: Vec<String> = nodes.iter().map(|(n, _)| n.desk.clone()).collect();
+    let desks: Vec<String> = nodes.iter().map(|(n, _)| n.operator_listener.clone()).collect();
     let mut servers = Vec::new();
     for g in 0..shape.groups {
         let group = format!("g{}", g + 1);
-        let addrs: Vec<String> = (0..shape.copies).map(|_| next()).collect();
+        let addrs: Vec<String> = (0..shape.replicas).map(|_| next()).collect();
         for (i, addr) in addrs.iter().enumerate() {
             let name = format!("{group}s{}", i + 1);
             let peers: Vec<String> = addrs.iter().filter(|a| *a != addr).cloned().collect();
-            let d = district((g + i) % shape.districts);
+            let d = district((g + i) % shape.zones);
             let mut args = vec!["stand".into(), "--name".into(), name.clone(), "--addr".into(), addr.clone()];
-            for l in [format!("group={group}"), format!("district={d}"), format!("copies={}", shape.copies)] {
+            for l in [format!("group={group}"), format!("district={d}"), format!("copies={}", shape.replicas)]
+            {
                 args.extend(["--label".into(), l]);
             }
             peers.iter().for_each(|p| args.extend(["--peer".into(), p.clone()]));
             desks.iter().for_each(|p| args.extend(["--desk".into(), p.clone()]));
             args.extend(["--data".into(), dir.join("servers").display().to_string()]);
             args.extend(["--relay".into(), next()]);
-            procs.push(Proc { name: name.clone(), exe: "quincehatch-lab".into(), again: args.clone(), args });
-            servers.push(ServerAt { name, group: group.clone(), addr: addr.clone() });
+            procs.push(Proc {
+                name: name.clone(),
+                executable: "quincehatch-lab".into(),
+                again: args.clone(),
+                args,
+            });
+            servers.push(ServerAddress { name, group: group.clone(), addr: addr.clone() });
         }
     }
     let mut args = vec!["platform".into(), "--addr".into(), platform.clone()];
-    nodes.iter().for_each(|(n, _)| args.extend(["--door".into(), format!("{}={}", n.district, n.door)]));
-    procs.push(Proc { name: "platform".into(), exe: "quincehatch-lab".into(), again: args.clone(), args });
+    nodes
+        .iter()
+        .for_each(|(n, _)| args.extend(["--door".into(), format!("{}={}", n.zone, n.client_listener)]));
+    procs.push(Proc {
+        name: "platform".into(),
+        executable: "quincehatch-lab".into(),
+        again: args.clone(),
+        args,
+    });
     let blueprint = dir.join("blueprint.toml");
-    std::fs::write(&blueprint, blueprint_of(shape))?;
-    Ok(Plan {
+    std::fs::write(&blueprint, configuration_for(shape))?;
+    Ok(FleetPlan {
         dir: dir.into(),
         shape: shape.clone(),
-        procs,
+        processes: procs,
         nodes: nodes.into_iter().map(|(n, _)| n).collect(),
         keepers,
         servers,
         platform,
-        blueprint,
+        configuration: blueprint,
     })
 }
 
 /// One placement a group; orders and lookups choose by the visit's `db` label.
-pub fn blueprint_of(shape: &Shape) -> String {
+pub fn configuration_for(shape: &Shape) -> String {
     let look = if shape.name == "lensbridge" { 5_000 } else { 3_000 };
     let mut t = String::new();
     for g in 1..=shape.groups {
@@ -182,6 +200,6 @@
     t
 }
 
-pub fn labels(pairs: &[String]) -> Labels {
+pub fn parse_labels(pairs: &[String]) -> Labels {
     pairs.iter().filter_map(|p| p.split_once('=')).map(|(k, v)| (k.into(), v.into())).collect()
 }
--- a/crates/testbed/src/history/back.rs
+++ b/crates/testbed/src/history/back.rs
@@ -6,7 +6,7 @@
 /// No longer than this passes in the window without one answered well.
 pub const GAP: u64 = 1_500;
 /// A shorter window proves nothing.
-const LEAST: u64 = 2_000;
+const MIN_WINDOW: u64 = 2_000;
 
 /// From the bound after a breakdown to the run's end.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,7 +31,7 @@
 pub(super) fn back(h: &History, faults: &[(u64, String)], end: u64, bad: &mut Vec<String>) {
     for (at, what) in faults.iter().filter(|(_, w)| w.starts_with("final")) {
         let w = Window { from: at + BACK, to: end };
-        if w.to < w.from + LEAST {
+        if w.to < w.from + MIN_WINDOW {
             bad.push(format!("N12 after '{what}' the run ended too soon to tell"));
             continue;
         }
--- a/crates/testbed/src/history/kept.rs
+++ b/crates/testbed/src/history/kept.rs
@@ -1,5 +1,5 @@
 //! Orders, reads and blueprints against what callers were told (§1 N1, N2, N3, N5, N6, N10).
-use super::{End, Facts, History, IN_FORCE, SLACK, STALE, VersionRow};
+use super::{End, Facts, History, MAX_APPLY_DELAY, MAX_STALENESS, OBSERVATION_SLACK, VersionRecord};
 use std::collections::BTreeMap;
 
 pub(super) fn orders(h: &History, f: &Facts, bad: &mut Vec<String>) {
@@ -41,7 +41,7 @@
     }
 }
 
-pub(super) fn reads(h: &History, bad: &mut Vec<String>) {
+pub(super) fn check_reads(h: &History, bad: &mut Vec<String>) {
     // For each list: keys with the time at which they were first acknowledged.
     let mut acked: BTreeMap<(&str, &str), Vec<(u64, &str)>> = BTreeMap::new();
     for t in h.tries.values() {
@@ -51,7 +51,8 @@
     }
     for r in &h.reads {
         // A lookup may be so far behind when the node passes it on, however long it took before.
-        let before = if r.order_side { r.asked } else { r.answered.saturating_sub(STALE + SLACK) };
+        let before =
+            if r.order_side { r.asked } else { r.answered.saturating_sub(MAX_STALENESS + OBSERVATION_SLACK) };
         let word = if r.order_side { "N5 an order-side read" } else { "N6 a lookup" };
         let known = acked.get(&(r.group.as_str(), r.list.as_str()));
         let missed = known.into_iter().flatten().find(|(at, k)| *at < before && !r.seen.contains(*k));
@@ -64,8 +65,8 @@
     }
 }
 
-pub(super) fn blueprints(h: &History, bad: &mut Vec<String>) {
-    let within = if h.at_once { 0 } else { IN_FORCE };
+pub(super) fn check_versions(h: &History, bad: &mut Vec<String>) {
+    let within = if h.at_once { 0 } else { MAX_APPLY_DELAY };
     for p in &h.pushes {
         let late = h.versions.iter().find(|e| e.asked > p.acked + within && e.version < p.version);
         if let Some(e) = late {
@@ -75,7 +76,7 @@
             ));
         }
     }
-    let mut by: BTreeMap<&str, Vec<&VersionRow>> = BTreeMap::new();
+    let mut by: BTreeMap<&str, Vec<&VersionRecord>> = BTreeMap::new();
     h.versions.iter().for_each(|e| by.entry(&e.node).or_default().push(e));
     for (node, mut rows) in by {
         rows.sort_by_key(|e| e.answered);
--- a/crates/testbed/src/history/mod.rs
+++ b/crates/testbed/src/history/mod.rs
@@ -4,7 +4,7 @@
 mod pushed;
 mod said;
 
-use crate::stand::journal::Entry;
+use crate::stand_in::journal::Entry;
 pub use back::{GAP, SHARE, Window};
 use serde::Serialize;
 use serde_json::Value;
@@ -25,7 +25,7 @@
 
 /// One try of an order, every time it was sent or asked after.
 #[derive(Clone, Debug, Serialize)]
-pub struct TryRow {
+pub struct AttemptRecord {
     pub group: String,
     pub list: String,
     pub key: String,
@@ -37,7 +37,7 @@
 
 /// A lookup of a list: who must be in it, and what came.
 #[derive(Clone, Debug, Serialize)]
-pub struct ReadRow {
+pub struct ReadRecord {
     pub group: String,
     pub list: String,
     pub order_side: bool,
@@ -51,7 +51,7 @@
 
 /// A success as its caller got it, and what it had asked.
 #[derive(Clone, Debug, Serialize)]
-pub struct SaidRow {
+pub struct AnswerRecord {
     pub path: String,
     /// The try, or the mark among the parameters; nothing for `begin` and `rollback`.
     pub id: String,
@@ -61,12 +61,12 @@
 
 /// What a caller sent under one mark, and how often.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Sent {
+pub struct SentStatement {
     pub text: String,
     pub params: Value,
     pub times: usize,
     /// A lookup may be carried to several servers.
-    pub carried: bool,
+    pub retryable: bool,
 }
 
 /// One order or lookup as a caller had it: asked, over, and whether it was answered well.
@@ -81,7 +81,7 @@
 
 /// A push that was acknowledged.
 #[derive(Clone, Debug, Serialize)]
-pub struct PushRow {
+pub struct AcknowledgedPush {
     pub version: u64,
     pub acked: u64,
 }
@@ -97,21 +97,21 @@
 
 /// A push under its key, every time it was sent.
 #[derive(Clone, Debug, Serialize)]
-pub struct PushTry {
+pub struct PushAttempt {
     pub key: String,
     pub base: u64,
     /// Pushes of one race build on one version at one time.
     pub race: Option<u64>,
     pub valid: bool,
     /// A majority of the disk machines was up and could be reached all along.
-    pub bound: bool,
+    pub majority_up: bool,
     pub asked: u64,
     pub ends: Vec<(PushEnd, u64)>,
 }
 
 /// The version a visit ran under.
 #[derive(Clone, Debug, Serialize)]
-pub struct VersionRow {
+pub struct VersionRecord {
     pub node: String,
     pub asked: u64,
     pub answered: u64,
@@ -120,14 +120,14 @@
 
 #[derive(Debug, Default, Serialize)]
 pub struct History {
-    pub tries: BTreeMap<String, TryRow>,
-    pub reads: Vec<ReadRow>,
-    pub pushes: Vec<PushRow>,
-    pub push_tries: Vec<PushTry>,
-    pub versions: Vec<VersionRow>,
-    pub said: Vec<SaidRow>,
+    pub tries: BTreeMap<String, AttemptRecord>,
+    pub reads: Vec<ReadRecord>,
+    pub pushes: Vec<AcknowledgedPush>,
+    pub push_attempts: Vec<PushAttempt>,
+    pub versions: Vec<VersionRecord>,
+    pub said: Vec<AnswerRecord>,
     /// Breaches seen as they happened: a lost setting, a push taken twice.
-    pub spot: Vec<String>,
+    pub violations: Vec<String>,
     /// Orders and lookups by group.
     pub served: BTreeMap<(String, &'static str), Vec<Served>>,
     pub late: u64,
@@ -149,39 +149,45 @@
 pub type Book = Mutex<History>;
 
 /// Bounds of the BRIEF, in milliseconds.
-pub const STALE: u64 = 1_500;
-pub const IN_FORCE: u64 = 3_000;
+pub const MAX_STALENESS: u64 = 1_500;
+pub const MAX_APPLY_DELAY: u64 = 3_000;
 pub const BACK: u64 = 12_000;
 /// A valid push is answered for good within this, while a majority of the disk machines is up: a node's lease
 /// that has to run out, a chain that has to be mended, and one call that was lost (§5.6).
-pub const PUSHED: u64 = 12_000;
+pub const MAX_PUSH_TIME: u64 = 12_000;
 /// What may pass between a node's passing an answer on and its caller's noting it.
-pub const SLACK: u64 = 250;
+pub const OBSERVATION_SLACK: u64 = 250;
 
 /// All that callers sent: statements by mark, and texts promised to sessions.
 #[derive(Clone, Debug, Default)]
-pub struct AllSent {
-    pub marks: BTreeMap<String, Sent>,
-    pub wore: BTreeSet<String>,
+pub struct SentStatements {
+    pub marks: BTreeMap<String, SentStatement>,
+    pub session_state: BTreeSet<String>,
 }
 
 /// Every breach, as a line that names the must-never (§1).
-pub fn check(h: &History, f: &Facts, sent: &AllSent, faults: &[(u64, String)], end: u64) -> Vec<String> {
-    let mut bad = h.spot.clone();
+pub fn check(
+    h: &History,
+    f: &Facts,
+    sent: &SentStatements,
+    faults: &[(u64, String)],
+    end: u64,
+) -> Vec<String> {
+    let mut bad = h.violations.clone();
     kept::orders(h, f, &mut bad);
     kept::logs(f, &mut bad);
-    kept::reads(h, &mut bad);
+    kept::check_reads(h, &mut bad);
     said::answers(h, f, &mut bad);
     said::statements(f, sent, &mut bad);
     said::late(f, &mut bad);
-    kept::blueprints(h, &mut bad);
+    kept::check_versions(h, &mut bad);
     pushed::pushes(h, &mut bad);
     back::back(h, faults, end, &mut bad);
     bad
 }
 
 /// The longest time without a kept order in a group after `at`.
-pub fn gap_after(h: &History, at: u64) -> BTreeMap<String, u64> {
+pub fn longest_gaps_after(h: &History, at: u64) -> BTreeMap<String, u64> {
     let orders = h.served.iter().filter(|(k, _)| k.1 == "order");
     orders.map(|(k, v)| (k.0.clone(), back::gap(v, at, None))).collect()
 }
--- a/crates/testbed/src/history/said.rs
+++ b/crates/testbed/src/history/said.rs
@@ -1,6 +1,6 @@
 //! What servers ran and answered, against what callers sent and got (§1 N4, N7, N8, N9).
-use super::{AllSent, Facts, History};
-use crate::stand::journal::Entry;
+use super::{Facts, History, SentStatements};
+use crate::stand_in::journal::Entry;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,7 +28,7 @@
     params.as_array().and_then(|p| p.last()).and_then(Value::as_str).unwrap_or_default()
 }
 
-pub(super) fn statements(f: &Facts, sent: &AllSent, bad: &mut Vec<String>) {
+pub(super) fn statements(f: &Facts, sent: &SentStatements, bad: &mut Vec<String>) {
     let mut ran: BTreeMap<&str, usize> = BTreeMap::new();
     for (server, entries) in &f.journals {
         let mut of: BTreeMap<u64, &str> = BTreeMap::new();
@@ -54,7 +54,7 @@
                         }
                     }
                 }
-                Entry::Wore { text, .. } if !sent.wore.contains(text) => {
+                Entry::Wore { text, .. } if !sent.session_state.contains(text) => {
                     bad.push(format!("N8 {server} was given a context that no caller sent"));
                 }
                 _ => {}
@@ -62,7 +62,7 @@
         }
     }
     for (m, n) in ran {
-        let over = sent.marks.get(m).filter(|s| !s.carried && n > s.times);
+        let over = sent.marks.get(m).filter(|s| !s.retryable && n > s.times);
         if let Some(s) = over {
             bad.push(format!("N8 the statement {m} was sent {} times and ran {n} times", s.times));
         }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -13,5 +13,5 @@
 pub mod scenario;
 pub mod script;
 mod scripts;
-pub mod stand;
+pub mod stand_in;
 pub mod stmt;
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,6 +1,8 @@
 //! Callers (§9.2): many sessions that order, ask after orders, look up, and remember what they were told.
-use crate::history::{AllSent, Book, End, SaidRow, Sent, Served, TryRow, VersionRow};
-use crate::stand::journal::id_of;
+use crate::history::{
+    AnswerRecord, AttemptRecord, Book, End, SentStatement, SentStatements, Served, VersionRecord,
+};
+use crate::stand_in::journal::request_id;
 use quincehatch_runtime::now;
 use quincehatch_runtime::rng::Rng;
 use quincehatch_runtime::seam;
@@ -16,16 +18,16 @@
     pub platform: String,
     pub groups: usize,
     pub districts: usize,
-    pub affine: bool,
+    pub zone_affinity: bool,
     /// Time between two calls of one caller, in the mean.
     pub pause_ms: u64,
     pub lookup_ms: u64,
     /// Orders to lookups, of a thousand calls.
-    pub orders_pm: u64,
+    pub orders_per_mille: u64,
     /// Moves to another district, of a thousand calls.
-    pub move_pm: u64,
+    pub moves_per_mille: u64,
     pub stop: AtomicBool,
-    pub sent: std::sync::Mutex<AllSent>,
+    pub sent: std::sync::Mutex<SentStatements>,
     pub calls: AtomicU64,
     /// Callers that came beside the first ones.
     pub more: AtomicU64,
@@ -39,7 +41,7 @@
     wire: Option<(HttpConnection, String)>,
     pub(crate) session: Option<(String, u64)>,
     pub(crate) n: u64,
-    marks: u64,
+    mark_count: u64,
 }
 
 pub(crate) const ORDER_MS: u64 = 1_000;
@@ -47,7 +49,7 @@
 impl Caller {
     pub fn new(w: Arc<World>, id: usize, seed: u64) -> Self {
         // Where callers keep to their district's group, only its nodes see what that group's servers do.
-        let place = if w.affine { id } else { id / w.groups };
+        let place = if w.zone_affinity { id } else { id / w.groups };
         let district = format!("d{}", place % w.districts + 1);
         Self {
             w,
@@ -57,7 +59,7 @@
             wire: None,
             session: None,
             n: 0,
-            marks: 0,
+            mark_count: 0,
         }
     }
     pub fn mark(&self) -> String {
@@ -77,10 +79,13 @@
             let (st, v) =
                 post_once(&self.w.platform, "/v1/place", &place, Duration::from_millis(500)).await.ok()?;
             let door = v["door"].as_str().filter(|_| st == 200)?.to_owned();
-            let wire = seam::timeout(Duration::from_millis(500), HttpConnection::open(&door, None)).await.ok()?.ok()?;
+            let wire = seam::timeout(Duration::from_millis(500), HttpConnection::open(&door, None))
+                .await
+                .ok()?
+                .ok()?;
             self.wire = Some((wire, door));
         }
-        self.note_sent(path, &body);
+        self.record_sent(path, &body);
         self.w.calls.fetch_add(1, Ordering::Relaxed);
         let asked = now();
         let c = Call { method: "POST", path, body: &body, token: None };
@@ -97,11 +102,11 @@
         // A visit that no rule was found for ran under none: its node may hold no lease and no blueprint.
         let ran = v["where"]["placement"].as_str().is_some_and(|p| !p.is_empty());
         if let (true, Some(e), Some(n)) = (ran, v["where"]["version"].as_u64(), v["where"]["node"].as_str()) {
-            h.versions.push(VersionRow { node: n.into(), asked, answered: now(), version: e });
+            h.versions.push(VersionRecord { node: n.into(), asked, answered: now(), version: e });
         }
         if v["end"] == "kept" {
             let (stamp, rows) = (v["stamp"].clone(), v["rows"].clone());
-            h.said.push(SaidRow { path: path.into(), id: id_of(&body), stamp, rows });
+            h.said.push(AnswerRecord { path: path.into(), id: request_id(&body), stamp, rows });
         }
         drop(h);
         // A node that stops or is not ready: the platform knows another.
@@ -112,31 +117,32 @@
     }
 
     /// Keeps what is sent, so that a server's journal can be held against it.
-    fn note_sent(&self, path: &str, body: &Value) {
+    fn record_sent(&self, path: &str, body: &Value) {
         let Some(t) = body["text"].as_str() else { return };
         let mut all = self.w.sent.lock().unwrap();
         match path {
-            "/v1/set" => drop(all.wore.insert(t.to_owned())),
+            "/v1/set" => drop(all.session_state.insert(t.to_owned())),
             "/v1/prepare" => {
                 let name = body["name"].as_str().unwrap_or_default();
-                all.wore.insert(format!("{name}={t}"));
+                all.session_state.insert(format!("{name}={t}"));
             }
             _ => {
                 let mark = body["params"].as_array().and_then(|p| p.last()).and_then(Value::as_str);
-                let s = all.marks.entry(mark.unwrap_or_default().to_owned()).or_insert_with(|| Sent {
-                    text: t.to_owned(),
-                    params: body["params"].clone(),
-                    times: 0,
-                    carried: path == "/v1/lookup" && body["order_side"] != true,
-                });
+                let s =
+                    all.marks.entry(mark.unwrap_or_default().to_owned()).or_insert_with(|| SentStatement {
+                        text: t.to_owned(),
+                        params: body["params"].clone(),
+                        times: 0,
+                        retryable: path == "/v1/lookup" && body["order_side"] != true,
+                    });
                 s.times += 1;
             }
         }
     }
     /// A mark that no other statement of this caller bears.
     pub(crate) fn next_mark(&mut self) -> String {
-        self.marks += 1;
-        format!("{}#{}", self.mark(), self.marks)
+        self.mark_count += 1;
+        format!("{}#{}", self.mark(), self.mark_count)
     }
     /// One order or lookup is over, and went well or not.
     pub(crate) fn served(&self, kind: &'static str, asked: u64, well: bool, code: u64) {
@@ -144,7 +150,7 @@
         self.w.book.lock().unwrap().served.entry((self.group(), kind)).or_default().push(row);
     }
 
-    pub(crate) fn end_of(got: &Option<(u16, Value)>) -> End {
+    pub(crate) fn end_of_reply(got: &Option<(u16, Value)>) -> End {
         match got.as_ref().map(|(_, v)| v["end"].as_str().unwrap_or_default()) {
             Some("kept") => End::Kept,
             Some("promised") => End::Promised,
@@ -155,14 +161,14 @@
     }
 
     pub(crate) fn told(&self, key: &str, asked: u64, got: &Option<(u16, Value)>) -> End {
-        let mut end = Self::end_of(got);
+        let mut end = Self::end_of_reply(got);
         // What the platform could not place was never sent.
         if got.is_none() && self.wire.is_none() && asked == 0 {
             end = End::Nothing;
         }
         let sealed = got.as_ref().is_some_and(|(_, v)| v["error"]["code"] == 1407);
         let mut h = self.w.book.lock().unwrap();
-        let row = h.tries.entry(key.to_owned()).or_insert_with(|| TryRow {
+        let row = h.tries.entry(key.to_owned()).or_insert_with(|| AttemptRecord {
             group: self.group(),
             list: self.list(),
             key: key.to_owned(),
@@ -200,12 +206,12 @@
             let pause = pause_ms / 2 + self.rng.below(pause_ms.max(1));
             seam::sleep(Duration::from_millis(pause)).await;
             // Callers move between districts and take their sessions along.
-            if self.rng.chance(self.w.move_pm) {
+            if self.rng.chance(self.w.moves_per_mille) {
                 let to = self.rng.below(self.w.districts as u64) + 1;
                 self.district = format!("d{to}");
                 self.wire = None;
             }
-            if self.rng.chance(self.w.orders_pm) {
+            if self.rng.chance(self.w.orders_per_mille) {
                 self.order().await;
             } else {
                 self.look().await;
--- a/crates/testbed/src/platform.rs
+++ b/crates/testbed/src/platform.rs
@@ -41,10 +41,10 @@
     }
 }
 
-pub async fn run(addr: &str, nodes: Vec<(String, String)>) -> std::io::Result<()> {
+pub async fn serve(addr: &str, nodes: Vec<(String, String)>) -> std::io::Result<()> {
     let lst = TcpListener::bind(addr).await?;
     let st = Platform::new(nodes);
-    seam::spawn(ask_ready(st.clone()));
+    seam::spawn(poll_readiness(st.clone()));
     loop {
         let Ok((sock, _)) = lst.accept().await else { continue };
         let st = st.clone();
@@ -57,7 +57,7 @@
 }
 
 /// Asks every node whether it is ready, for ever.
-pub async fn ask_ready(st: Arc<Platform>) {
+pub async fn poll_readiness(st: Arc<Platform>) {
     loop {
         let doors: Vec<String> = st.0.lock().unwrap().nodes.iter().map(|n| n.1.clone()).collect();
         for d in doors {
--- a/crates/testbed/src/pushing.rs
+++ b/crates/testbed/src/pushing.rs
@@ -1,8 +1,8 @@
 //! Operators of a run on a real fleet: they push two at once, broken, twice, and alone (§9.2, §1 N11).
-use crate::history::{PUSHED, PushEnd, PushRow, PushTry};
+use crate::history::{AcknowledgedPush, MAX_PUSH_TIME, PushAttempt, PushEnd};
 use crate::load::World;
-use crate::scenario::{op, status};
-use crate::script::{broken, marked};
+use crate::scenario::{fleet_status, operator_call};
+use crate::script::{broken, with_mark};
 use quincehatch_core::ErrorCode;
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
@@ -22,12 +22,12 @@
     /// Sends the push until it is answered for good, over another desk each time, and notes every answer.
     async fn send(&self, desk: usize, race: Option<u64>, valid: bool) -> Option<PushEnd> {
         let began = now();
-        let mut row = PushTry {
+        let mut row = PushAttempt {
             key: self.key.clone(),
             base: self.base,
             race,
             valid,
-            bound: true,
+            majority_up: true,
             asked: began,
             ends: vec![],
         };
@@ -35,7 +35,7 @@
         let last = loop {
             let desk = &self.desks[at % self.desks.len()];
             let body = json!({"text": self.text, "base": self.base, "key": self.key, "by": "lab"});
-            let got = op(desk, "push", &body, 6_000).await;
+            let got = operator_call(desk, "push", &body, 6_000).await;
             let end = match &got {
                 Some((200, v)) => PushEnd::Version(v["version"].as_u64().unwrap_or(0)),
                 Some((_, v)) => PushEnd::Declined(v["error"]["code"].as_u64().unwrap_or(0)),
@@ -43,19 +43,20 @@
             };
             row.ends.push((end, now()));
             if let PushEnd::Version(version) = end {
-                self.w.book.lock().unwrap().pushes.push(PushRow { version, acked: now() });
+                self.w.book.lock().unwrap().pushes.push(AcknowledgedPush { version, acked: now() });
             }
-            let codes = [ErrorCode::ConfigurationInvalid, ErrorCode::ConfigurationStale, ErrorCode::PushConflict]
-                .map(|c| u64::from(c.number()));
+            let codes =
+                [ErrorCode::ConfigurationInvalid, ErrorCode::ConfigurationStale, ErrorCode::PushConflict]
+                    .map(|c| u64::from(c.number()));
             let done = matches!(end, PushEnd::Version(_))
                 || matches!(end, PushEnd::Declined(c) if codes.contains(&c));
-            if done || now() > began + PUSHED {
+            if done || now() > began + MAX_PUSH_TIME {
                 break Some(end).filter(|_| done);
             }
             at += 1;
             seam::sleep(Duration::from_millis(200)).await;
         };
-        self.w.book.lock().unwrap().push_tries.push(row);
+        self.w.book.lock().unwrap().push_attempts.push(row);
         last
     }
 }
@@ -63,11 +64,11 @@
 /// Two at once on one version and a broken one beside them; the winner once more; then one alone.
 pub async fn pushes(desks: &[String], text: &str, w: &Arc<World>, mark: u64) {
     // A node that has just started knows of no version yet.
-    let Some(base) = status(desks).await["version"].as_u64().filter(|e| *e > 0) else { return };
+    let Some(base) = fleet_status(desks).await["version"].as_u64().filter(|e| *e > 0) else { return };
     let push = |base, text: String, key: String| Push { desks, w, base, text, key };
     let (a, b, x) = (
-        push(base, marked(text, mark), format!("a{mark}")),
-        push(base, marked(text, mark + 1), format!("b{mark}")),
+        push(base, with_mark(text, mark), format!("a{mark}")),
+        push(base, with_mark(text, mark + 1), format!("b{mark}")),
         push(base, broken(), format!("x{mark}")),
     );
     let race = Some(mark);
@@ -76,8 +77,8 @@
         a.send(1, race, true).await;
     }
     for i in 0..4 {
-        let base = status(desks).await["version"].as_u64().unwrap_or(base);
-        let alone = push(base, marked(text, mark + 2), format!("c{mark}/{i}"));
+        let base = fleet_status(desks).await["version"].as_u64().unwrap_or(base);
+        let alone = push(base, with_mark(text, mark + 2), format!("c{mark}/{i}"));
         // Another's push came first: it builds on that one then.
         let stale = PushEnd::Declined(ErrorCode::ConfigurationStale.number().into());
         if alone.send(i, None, true).await != Some(stale) {
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,6 +1,6 @@
 //! A relay before a server (§9.2): it delays, loses (as a stream sees loss: a wait for the resend), resets and
 //! swallows what passes between nodes and the server.
-use crate::stand::faults::Faults;
+use crate::stand_in::faults::Faults;
 use quincehatch_runtime::rng::Rng;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -28,13 +28,13 @@
 
 async fn link(mut a: TcpStream, to: String, f: Arc<Faults>, n: u64) {
     // In a hole not even the greeting gets through.
-    f.while_up(&f.hole).await;
+    f.wait_while(&f.hole).await;
     let Ok(mut b) = TcpStream::connect(&to).await else { return };
     for s in [&a, &b] {
         let _ = s.set_nodelay(true);
         let _ = socket2::SockRef::from(s).set_linger(Some(Duration::ZERO));
     }
-    let born = f.cut_no.load(Ordering::SeqCst);
+    let born = f.cut_count.load(Ordering::SeqCst);
     // Borrowed halves: an owned one would say an orderly farewell when it is dropped, and there would be no reset.
     let (ar, aw) = a.split();
     let (br, bw) = b.split();
@@ -43,7 +43,7 @@
     let cut = async {
         loop {
             let changed = f.changed.notified();
-            if f.cut_no.load(Ordering::SeqCst) != born {
+            if f.cut_count.load(Ordering::SeqCst) != born {
                 return;
             }
             let _ = tokio::time::timeout(Duration::from_millis(200), changed).await;
@@ -56,10 +56,10 @@
 async fn pump(mut r: ReadHalf<'_>, mut w: WriteHalf<'_>, f: Arc<Faults>, mut rng: Rng) {
     let mut buf = vec![0; 16 << 10];
     loop {
-        f.while_up(&f.hole).await;
+        f.wait_while(&f.hole).await;
         let Ok(n @ 1..) = r.read(&mut buf).await else { return };
         // What was read when the hole opened is swallowed with all the rest until it closes.
-        f.while_up(&f.hole).await;
+        f.wait_while(&f.hole).await;
         let delay = f.delay_ms.load(Ordering::SeqCst);
         if delay > 0 {
             tokio::time::sleep(Duration::from_millis(delay)).await;
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,11 +1,11 @@
 //! Runs callers and a script of faults against a real fleet, then asks whether a must-never happened (§9.4).
-use crate::aftermath::{facts, journals, settle};
-use crate::fleet::{Plan, ServerAt, TOKEN};
-use crate::history::{Facts, check, gap_after};
+use crate::aftermath::{collect_facts, read_journals, settle};
+use crate::fleet::{FleetPlan, ServerAddress, TOKEN};
+use crate::history::{Facts, check, longest_gaps_after};
 use crate::load::{Caller, World};
 use crate::pushing::pushes;
-use crate::running::Running;
-use crate::script::{Act, Step, Who};
+use crate::running::RunningFleet;
+use crate::script::{Act, Step, Target};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
 use quincehatch_wire::http::{Call, call_once, post_once};
@@ -17,7 +17,7 @@
 
 /// How a run is to be done.
 #[derive(Clone, Debug)]
-pub struct Opts {
+pub struct ScenarioOptions {
     pub scenario: String,
     pub seconds: u64,
     pub callers: usize,
@@ -28,32 +28,32 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Outcome {
-    pub breaches: Vec<String>,
+pub struct ScenarioReport {
+    pub violations: Vec<String>,
     pub summary: String,
     pub gaps: BTreeMap<String, u64>,
-    pub kept: usize,
-    pub tries: usize,
+    pub committed: usize,
+    pub attempts: usize,
     pub lookups: (u64, u64),
 }
 
-pub async fn op(desk: &str, what: &str, body: &Value, ms: u64) -> Option<(u16, Value)> {
+pub async fn operator_call(desk: &str, what: &str, body: &Value, ms: u64) -> Option<(u16, Value)> {
     let path = format!("/op/{what}");
     let c = Call { method: "POST", path: &path, body, token: Some(TOKEN) };
     call_once(desk, &c, Duration::from_millis(ms)).await.ok()
 }
 
 /// The fleet's status, from whichever node answers.
-pub async fn status(desks: &[String]) -> Value {
+pub async fn fleet_status(desks: &[String]) -> Value {
     for d in desks {
-        if let Some((200, v)) = op(d, "status", &json!({}), 1_500).await {
+        if let Some((200, v)) = operator_call(d, "status", &json!({}), 1_500).await {
             return v;
         }
     }
     Value::Null
 }
 
-async fn find(p: &Plan, who: &Who, hit: &BTreeMap<&'static str, String>) -> Option<String> {
+async fn find(p: &FleetPlan, who: &Target, hit: &BTreeMap<&'static str, String>) -> Option<String> {
     let lead = |v: &Value, g: &str| {
         v["leads"]
             .as_array()?
@@ -66,25 +66,25 @@
         (if tail { m.last() } else { m.first() })?.as_str().map(str::to_owned)
     };
     match who {
-        Who::Name(n) => Some(n.clone()),
-        Who::Same(l) => hit.get(l).cloned(),
-        Who::Lead(g) => lead(&status(&p.desks()).await, g),
-        Who::Replica(g) => {
-            let l = lead(&status(&p.desks()).await, g);
+        Target::Name(n) => Some(n.clone()),
+        Target::Same(l) => hit.get(l).cloned(),
+        Target::Lead(g) => lead(&fleet_status(&p.operator_addresses()).await, g),
+        Target::Replica(g) => {
+            let l = lead(&fleet_status(&p.operator_addresses()).await, g);
             p.servers.iter().find(|s| s.group == *g && Some(&s.name) != l.as_ref()).map(|s| s.name.clone())
         }
-        Who::Head => member(&status(&p.desks()).await, false),
-        Who::Tail => member(&status(&p.desks()).await, true),
+        Target::Head => member(&fleet_status(&p.operator_addresses()).await, false),
+        Target::Tail => member(&fleet_status(&p.operator_addresses()).await, true),
     }
 }
 
-pub async fn lab(servers: &[ServerAt], server: &str, path: &str, body: &Value) -> Option<Value> {
+pub async fn lab_call(servers: &[ServerAddress], server: &str, path: &str, body: &Value) -> Option<Value> {
     let addr = servers.iter().find(|s| s.name == server)?.addr.clone();
     post_once(&addr, path, body, Duration::from_secs(5)).await.ok().map(|(_, v)| v)
 }
 
 async fn act(
-    r: &mut Running,
+    r: &mut RunningFleet,
     w: &Arc<World>,
     s: &Step,
     hit: &mut BTreeMap<&'static str, String>,
@@ -96,48 +96,48 @@
         Act::Start => r.spawn(&name, true).ok()?,
         Act::Stop => {
             if !tokio::task::block_in_place(|| r.stop(&name, Duration::from_secs(12))) {
-                w.book.lock().unwrap().spot.push(format!("{name} did not stop in order"));
+                w.book.lock().unwrap().violations.push(format!("{name} did not stop in order"));
             }
         }
         Act::Pause => r.signal(&name, "STOP"),
         Act::Go => r.signal(&name, "CONT"),
         Act::Fault(wish) => {
-            lab(&r.plan.servers, &name, "/lab/fault", &json!(wish)).await;
+            lab_call(&r.plan.servers, &name, "/lab/fault", &json!(wish)).await;
         }
         Act::Leave => {
-            lab(&r.plan.servers, &name, "/lab/leave", &json!({})).await;
+            lab_call(&r.plan.servers, &name, "/lab/leave", &json!({})).await;
         }
         Act::Back => {
-            lab(&r.plan.servers, &name, "/lab/leave", &json!({"back": true})).await;
+            lab_call(&r.plan.servers, &name, "/lab/leave", &json!({"back": true})).await;
         }
-        Act::Crowd => {
+        Act::ExtraCallers => {
             for _ in 0..150 {
                 let id = w.more.fetch_add(1, Ordering::Relaxed);
                 let c = Caller::new(w.clone(), 10_000 + id as usize, id);
                 tokio::spawn(c.run(now() + 5_000, 60));
             }
         }
-        Act::Pushes => {
+        Act::PushConfigurations => {
             let (p, w) = (r.plan.clone(), w.clone());
-            let text = std::fs::read_to_string(&p.blueprint).unwrap_or_default();
-            tokio::spawn(async move { pushes(&p.desks(), &text, &w, now()).await });
+            let text = std::fs::read_to_string(&p.configuration).unwrap_or_default();
+            tokio::spawn(async move { pushes(&p.operator_addresses(), &text, &w, now()).await });
         }
     }
     Some(name)
 }
 
 /// Runs the script; the fleet is up and ready when it begins.
-pub async fn run(r: &mut Running, script: Vec<Step>, o: &Opts) -> Outcome {
+pub async fn run_scenario(r: &mut RunningFleet, script: Vec<Step>, o: &ScenarioOptions) -> ScenarioReport {
     let w = Arc::new(World {
         book: Default::default(),
         platform: r.plan.platform.clone(),
         groups: r.plan.shape.groups,
-        districts: r.plan.shape.districts,
-        affine: r.plan.shape.name == "lensbridge",
+        districts: r.plan.shape.zones,
+        zone_affinity: r.plan.shape.name == "lensbridge",
         pause_ms: o.pause_ms,
         lookup_ms: if r.plan.shape.name == "lensbridge" { 5_000 } else { 3_000 },
-        orders_pm: 690,
-        move_pm: 20,
+        orders_per_mille: 690,
+        moves_per_mille: 20,
         stop: AtomicBool::new(false),
         sent: Default::default(),
         calls: Default::default(),
@@ -163,8 +163,8 @@
         let _ = seam::timeout(Duration::from_secs(10), t).await;
     }
     settle(&w, o.seed).await;
-    let got = facts(&r.plan.desks(), &r.plan.servers).await;
-    let got = got.map(|f| Facts { journals: journals(&r.plan), ..f });
+    let got = collect_facts(&r.plan.operator_addresses(), &r.plan.servers).await;
+    let got = got.map(|f| Facts { journals: read_journals(&r.plan), ..f });
     let sent = w.sent.lock().unwrap().clone();
     let h = w.book.lock().unwrap();
     let first = faults.first().map_or(began, |f| f.0);
@@ -185,7 +185,7 @@
         looked(true),
         looked(false),
         h.late,
-        gap_after(&h, first)
+        longest_gaps_after(&h, first)
     );
     let held: &[(u64, String)] = if o.untimed { &[] } else { &faults };
     let facts = got.as_ref().map_or_else(|_| Default::default(), Clone::clone);
@@ -194,12 +194,12 @@
     if facts.lists.is_empty() || ends(Kept) == 0 {
         breaches.push("nothing was kept at all: the run proves nothing".into());
     }
-    Outcome {
-        breaches,
+    ScenarioReport {
+        violations: breaches,
         summary,
-        gaps: gap_after(&h, first),
-        kept: ends(Kept),
-        tries: h.tries.len(),
+        gaps: longest_gaps_after(&h, first),
+        committed: ends(Kept),
+        attempts: h.tries.len(),
         lookups: (looked(true), looked(false)),
     }
 }
--- a/crates/testbed/src/script.rs
+++ b/crates/testbed/src/script.rs
@@ -1,10 +1,10 @@
 //! Scripts of faults for a real fleet (§9.2): what is done to whom, and when.
-use crate::stand::faults::Wish;
+use crate::stand_in::faults::Wish;
 use serde_json::json;
 
 /// Whom an act is meant for; leads and chain places are looked up when it is done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Who {
+pub enum Target {
     Name(String),
     /// The server that leads the group at that time.
     Lead(String),
@@ -28,22 +28,22 @@
     Leave,
     Back,
     /// Two pushes at once, one stale, one broken, then one that is sent twice.
-    Pushes,
+    PushConfigurations,
     /// A hundred and fifty callers more, for five seconds, with hardly a pause.
-    Crowd,
+    ExtraCallers,
 }
 
 #[derive(Clone, Debug)]
 pub struct Step {
     pub at: u64,
-    pub who: Who,
+    pub who: Target,
     pub act: Act,
     pub label: &'static str,
     /// Service must be back within the bound after this.
     pub last: bool,
 }
 
-pub(crate) fn step(at: u64, who: Who, act: Act, label: &'static str) -> Step {
+pub(crate) fn step(at: u64, who: Target, act: Act, label: &'static str) -> Step {
     Step { at, who, act, label, last: false }
 }
 pub(crate) fn last(mut s: Step) -> Step {
@@ -55,14 +55,14 @@
     f(&mut w);
     Act::Fault(w)
 }
-pub(crate) fn name(n: &str) -> Who {
-    Who::Name(n.into())
+pub(crate) fn name(n: &str) -> Target {
+    Target::Name(n.into())
 }
 
-pub use crate::scripts::{ALL, of};
+pub use crate::scripts::{SCENARIO_NAMES, named};
 
 /// A blueprint text that differs from any other by its own mark.
-pub fn marked(text: &str, mark: u64) -> String {
+pub fn with_mark(text: &str, mark: u64) -> String {
     format!("{text}\n[judges]\nlate_weight = {}\n", 10 + mark % 30)
 }
 
--- a/crates/testbed/src/scripts.rs
+++ b/crates/testbed/src/scripts.rs
@@ -1,7 +1,7 @@
 //! The scenarios by name (§9.2).
-use crate::script::{Act, Step, Who, last, name, step, wish};
+use crate::script::{Act, Step, Target, last, name, step, wish};
 
-pub const ALL: &[&str] = &[
+pub const SCENARIO_NAMES: &[&str] = &[
     "calm",
     "lead-killed",
     "lead-paused",
@@ -37,10 +37,10 @@
 ];
 
 /// The script of a scenario; times are from the start of the load.
-pub fn of(scenario: &str) -> Option<Vec<Step>> {
-    let lead = || Who::Lead("g1".into());
-    let rep = || Who::Replica("g1".into());
-    let same = Who::Same;
+pub fn named(scenario: &str) -> Option<Vec<Step>> {
+    let lead = || Target::Lead("g1".into());
+    let rep = || Target::Replica("g1".into());
+    let same = Target::Same;
     Some(match scenario {
         "calm" => vec![],
         "lead-killed" => {
@@ -95,9 +95,12 @@
                 [step(at, lead(), stall(true), "h"), step(at + 1_500, same("h"), stall(false), "h")]
             })
             .collect(),
-        "crowd" => vec![step(3_000, name("n1"), Act::Crowd, "c"), step(10_000, name("n1"), Act::Crowd, "c")],
+        "crowd" => vec![
+            step(3_000, name("n1"), Act::ExtraCallers, "c"),
+            step(10_000, name("n1"), Act::ExtraCallers, "c"),
+        ],
         "crowd-and-kill" => vec![
-            step(3_000, name("n1"), Act::Crowd, "c"),
+            step(3_000, name("n1"), Act::ExtraCallers, "c"),
             last(step(4_000, lead(), Act::Kill, "lead")),
             step(12_000, same("lead"), Act::Start, "lead"),
         ],
@@ -157,28 +160,28 @@
             })
             .collect(),
         "head-killed" => vec![
-            last(step(3_000, Who::Head, Act::Kill, "k")),
-            step(4_000, name("n1"), Act::Pushes, "p"),
+            last(step(3_000, Target::Head, Act::Kill, "k")),
+            step(4_000, name("n1"), Act::PushConfigurations, "p"),
             step(9_000, same("k"), Act::Start, "k"),
-            step(13_000, name("n1"), Act::Pushes, "p"),
+            step(13_000, name("n1"), Act::PushConfigurations, "p"),
         ],
         "tail-killed" => vec![
-            last(step(3_000, Who::Tail, Act::Kill, "k")),
-            step(3_500, name("n1"), Act::Pushes, "p"),
+            last(step(3_000, Target::Tail, Act::Kill, "k")),
+            step(3_500, name("n1"), Act::PushConfigurations, "p"),
             step(9_000, same("k"), Act::Start, "k"),
-            step(13_000, name("n1"), Act::Pushes, "p"),
+            step(13_000, name("n1"), Act::PushConfigurations, "p"),
         ],
         "keeper-paused" => vec![
-            step(3_000, Who::Tail, Act::Pause, "k"),
-            step(6_000, name("n1"), Act::Pushes, "p"),
+            step(3_000, Target::Tail, Act::Pause, "k"),
+            step(6_000, name("n1"), Act::PushConfigurations, "p"),
             step(9_000, same("k"), Act::Go, "k"),
         ],
-        "pushes" => (1..5).map(|i| step(i * 2_500, name("n1"), Act::Pushes, "p")).collect(),
+        "pushes" => (1..5).map(|i| step(i * 2_500, name("n1"), Act::PushConfigurations, "p")).collect(),
         "mixed" => vec![
-            step(1_500, name("n1"), Act::Pushes, "p"),
+            step(1_500, name("n1"), Act::PushConfigurations, "p"),
             step(2_000, rep(), wish(|w| w.stall = Some(true)), "r"),
             step(4_000, lead(), wish(|w| w.lose_answers = Some(10)), "a"),
-            step(5_000, Who::Tail, Act::Kill, "k"),
+            step(5_000, Target::Tail, Act::Kill, "k"),
             step(8_000, same("r"), wish(|w| w.stall = Some(false)), "r"),
             last(step(9_000, lead(), Act::Kill, "lead")),
             step(10_000, name("n3"), Act::Stop, "n"),
--- a/crates/testbed/src/stand/calls.rs
+++ b/crates/testbed/src/stand_in/calls.rs
@@ -1,9 +1,9 @@
 //! The calls of the server contract, as a stand-in answers them (docs/server.md).
-use super::journal::{Entry, id_of};
+use super::journal::{Entry, request_id};
 use super::keep::{keep, outcome};
 use super::net::Cut;
-use super::{Stand, repl};
-use crate::stmt::{self, Ctx, Txn};
+use super::{StandIn, repl};
+use crate::stmt::{self, ConnectionState, Txn};
 use quincehatch_core::FencingToken;
 use quincehatch_runtime::seam;
 use serde_json::{Value, json};
@@ -12,19 +12,19 @@
 use std::time::Duration;
 use tokio::sync::{Mutex, Notify};
 
-static TXN: AtomicU64 = AtomicU64::new(1);
+static NEXT_TRANSACTION: AtomicU64 = AtomicU64::new(1);
 
 pub(super) fn num(b: &Value, k: &str) -> u64 {
     b.get(k).and_then(Value::as_u64).unwrap_or(0)
 }
-pub(super) fn txt<'a>(b: &'a Value, k: &str) -> &'a str {
+pub(super) fn str_field<'a>(b: &'a Value, k: &str) -> &'a str {
     b.get(k).and_then(Value::as_str).unwrap_or_default()
 }
 
 /// Answers a call; each success of a link's own call is journalled with what it was for.
-pub async fn answer(s: &Stand, ctx: &Mutex<Ctx>, path: &str, b: Value) -> Result<Value, Cut> {
-    let id = id_of(&b);
-    let v = answer_it(s, ctx, path, b).await?;
+pub async fn answer(s: &StandIn, ctx: &Mutex<ConnectionState>, path: &str, b: Value) -> Result<Value, Cut> {
+    let id = request_id(&b);
+    let v = dispatch(s, ctx, path, b).await?;
     if matches!(path, "/v1/begin" | "/v1/run" | "/v1/commit" | "/v1/rollback" | "/v1/outcome")
         && let (Some(stamp), Some(rows)) = (v.get("stamp"), v.get("rows"))
     {
@@ -33,18 +33,18 @@
     Ok(v)
 }
 
-async fn answer_it(s: &Stand, ctx: &Mutex<Ctx>, path: &str, b: Value) -> Result<Value, Cut> {
+async fn dispatch(s: &StandIn, ctx: &Mutex<ConnectionState>, path: &str, b: Value) -> Result<Value, Cut> {
     match path {
         "/v1/status" => {
             let beat = s.beat();
             Ok(json!({"stamp": s.stamp(), "rows": [], "beat": beat}))
         }
         "/v1/pull" => match serde_json::from_value(b) {
-            Ok(p) => Ok(repl::give(s, p).await),
+            Ok(p) => Ok(repl::serve_pull(s, p).await),
             Err(e) => Ok(s.bad("malformed", e)),
         },
         "/v1/cancel" => {
-            let running = s.running.lock().unwrap().get(txt(&b, "link")).cloned();
+            let running = s.running_statements.lock().unwrap().get(str_field(&b, "link")).cloned();
             running.into_iter().for_each(|r| r.notify_one());
             Ok(s.good(json!([])))
         }
@@ -70,7 +70,7 @@
     }
 }
 
-pub(super) fn leads(s: &Stand, f: FencingToken) -> Result<(), Value> {
+pub(super) fn leads(s: &StandIn, f: FencingToken) -> Result<(), Value> {
     let (leads, own) = s.with(|d| (d.leads(f), d.fence));
     match (leads, f < own) {
         (true, _) => Ok(()),
@@ -79,30 +79,32 @@
     }
 }
 
-async fn statement(s: &Stand, c: &mut Ctx, path: &str, b: Value) -> Result<Value, Cut> {
+async fn statement(s: &StandIn, c: &mut ConnectionState, path: &str, b: Value) -> Result<Value, Cut> {
     match path {
         "/v1/begin" => {
-            s.new_work();
+            s.check_drain_limit();
             if let Err(v) = leads(s, num(&b, "fence")) {
                 return Ok(v);
             }
-            let id = TXN.fetch_add(1, Ordering::Relaxed) + (s.boot() << 20);
+            let id = NEXT_TRANSACTION.fetch_add(1, Ordering::Relaxed) + (s.boot() << 20);
             c.txn = Some(Txn { id, ..Default::default() });
             Ok(s.good(json!([["begun", id]])))
         }
         "/v1/run" => run(s, c, &b).await,
         "/v1/set" => {
-            s.journal.note(Entry::Wore { link: txt(&b, "link").into(), text: txt(&b, "text").into() });
-            Ok(stmt::set(c, txt(&b, "text")).map_or_else(|e| s.bad("statement", e), |()| s.good(json!([]))))
+            s.journal
+                .note(Entry::Wore { link: str_field(&b, "link").into(), text: str_field(&b, "text").into() });
+            Ok(stmt::set(c, str_field(&b, "text"))
+                .map_or_else(|e| s.bad("statement", e), |()| s.good(json!([]))))
         }
         "/v1/prepare" => {
-            let text = format!("{}={}", txt(&b, "name"), txt(&b, "text"));
-            s.journal.note(Entry::Wore { link: txt(&b, "link").into(), text });
-            c.prepared.insert(txt(&b, "name").into(), txt(&b, "text").into());
+            let text = format!("{}={}", str_field(&b, "name"), str_field(&b, "text"));
+            s.journal.note(Entry::Wore { link: str_field(&b, "link").into(), text });
+            c.prepared.insert(str_field(&b, "name").into(), str_field(&b, "text").into());
             Ok(s.good(json!([])))
         }
         "/v1/reset" => {
-            *c = Ctx::default();
+            *c = ConnectionState::default();
             Ok(s.good(json!([])))
         }
         "/v1/commit" => {
@@ -126,10 +128,10 @@
     }
 }
 
-async fn run(s: &Stand, c: &mut Ctx, b: &Value) -> Result<Value, Cut> {
+async fn run(s: &StandIn, c: &mut ConnectionState, b: &Value) -> Result<Value, Cut> {
     let order = b.get("try").is_some();
     if c.txn.is_none() {
-        s.new_work();
+        s.check_drain_limit();
     }
     if order && let Err(v) = leads(s, num(b, "fence")) {
         return Ok(v);
@@ -138,10 +140,10 @@
         s.declined.fetch_add(1, Ordering::SeqCst);
         return Ok(s.bad("starting", "not all that was kept is visible yet"));
     }
-    s.faults.storage().await;
-    let (text, params) = (txt(b, "text"), b.get("params").cloned().unwrap_or(Value::Null));
+    s.faults.storage_delay().await;
+    let (text, params) = (str_field(b, "text"), b.get("params").cloned().unwrap_or(Value::Null));
     s.journal.note(Entry::Ran {
-        link: txt(b, "link").into(),
+        link: str_field(b, "link").into(),
         txn: c.txn.as_ref().map_or(0, |t| t.id),
         text: text.into(),
         params: params.clone(),
@@ -155,10 +157,11 @@
         Err(e) => return Ok(s.bad("statement", e)),
     };
     if ran.sleep_ms > 0 {
-        let (link, stop) = (quincehatch_core::Name::from(txt(b, "link")), Arc::new(Notify::new()));
-        s.running.lock().unwrap().insert(link.clone(), stop.clone());
-        let over = seam::select_first(seam::sleep(Duration::from_millis(ran.sleep_ms)), stop.notified()).await;
-        s.running.lock().unwrap().remove(&link);
+        let (link, stop) = (quincehatch_core::Name::from(str_field(b, "link")), Arc::new(Notify::new()));
+        s.running_statements.lock().unwrap().insert(link.clone(), stop.clone());
+        let over =
+            seam::select_first(seam::sleep(Duration::from_millis(ran.sleep_ms)), stop.notified()).await;
+        s.running_statements.lock().unwrap().remove(&link);
         if over.is_err() {
             return Ok(s.bad("statement", "it was cancelled"));
         }
--- a/crates/testbed/src/stand/faults.rs
+++ b/crates/testbed/src/stand_in/faults.rs
@@ -48,11 +48,11 @@
     pub lose: AtomicU64,
     pub forge: AtomicU64,
     pub mute: AtomicU64,
-    pub reset_no: AtomicU64,
+    pub reset_count: AtomicU64,
     pub hole: AtomicBool,
     pub drop_pm: AtomicU64,
     pub delay_ms: AtomicU64,
-    pub cut_no: AtomicU64,
+    pub cut_count: AtomicU64,
     pub changed: Notify,
     lock: Mutex<()>,
 }
@@ -74,10 +74,10 @@
         num(&self.drop_pm, w.drop_pm);
         num(&self.delay_ms, w.delay_ms);
         if w.cut == Some(true) {
-            self.cut_no.fetch_add(1, Ordering::SeqCst);
+            self.cut_count.fetch_add(1, Ordering::SeqCst);
         }
         if w.reset == Some(true) {
-            self.reset_no.fetch_add(1, Ordering::SeqCst);
+            self.reset_count.fetch_add(1, Ordering::SeqCst);
         }
         self.changed.notify_waiters();
     }
@@ -89,7 +89,7 @@
         f.load(Ordering::SeqCst)
     }
     /// Waits while the flag is up.
-    pub async fn while_up(&self, f: &AtomicBool) {
+    pub async fn wait_while(&self, f: &AtomicBool) {
         loop {
             let n = self.changed.notified();
             if !self.is(f) {
@@ -99,8 +99,8 @@
         }
     }
     /// Before a statement touches storage.
-    pub async fn storage(&self) {
-        self.while_up(&self.stall).await;
+    pub async fn storage_delay(&self) {
+        self.wait_while(&self.stall).await;
         let ms = self.slow_ms.load(Ordering::SeqCst);
         if ms > 0 {
             seam::sleep(Duration::from_millis(ms)).await;
--- a/crates/testbed/src/stand/journal.rs
+++ b/crates/testbed/src/stand_in/journal.rs
@@ -50,7 +50,7 @@
 }
 
 /// What a call is known by: its try, or its caller's mark, which is the last parameter.
-pub fn id_of(body: &Value) -> String {
+pub fn request_id(body: &Value) -> String {
     let mark = || body["params"].as_array().and_then(|p| p.last()).and_then(Value::as_str);
     body["try"].as_str().or_else(mark).unwrap_or_default().to_owned()
 }
--- a/crates/testbed/src/stand/keep.rs
+++ b/crates/testbed/src/stand_in/keep.rs
@@ -1,6 +1,6 @@
 //! Commits, tries and seals of a stand-in (docs/server.md).
-use super::Stand;
-use super::calls::{leads, num, txt};
+use super::StandIn;
+use super::calls::{leads, num, str_field};
 use super::net::Cut;
 use crate::db::Outcome;
 use quincehatch_core::FencingToken;
@@ -9,22 +9,22 @@
 use std::time::Duration;
 
 /// Longest a commit waits for a second server before the caller is told that it is in doubt.
-const DOUBT: Duration = Duration::from_secs(8);
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Keeps an order under its try key, once, and answers when two servers hold it.
 pub(super) async fn keep(
-    s: &Stand,
+    s: &StandIn,
     b: &Value,
     writes: Vec<crate::db::Write>,
     rows: Value,
 ) -> Result<Value, Cut> {
-    let (key, sum, f) = (txt(b, "try"), txt(b, "sum"), num(b, "fence"));
-    s.faults.storage().await;
+    let (key, sum, f) = (str_field(b, "try"), str_field(b, "sum"), num(b, "fence"));
+    s.faults.storage_delay().await;
     if let Err(v) = leads(s, f) {
         return Ok(v);
     }
     let n = match s.with(|d| match d.outcome(key) {
-        Outcome::NotKept => Ok(d.add_commit(key, sum, writes, rows)),
+        Outcome::NotCommitted => Ok(d.add_commit(key, sum, writes, rows)),
         o => Err(o),
     }) {
         Ok(n) | Err(Outcome::Running(n)) => n,
@@ -45,20 +45,20 @@
     Ok(told(s, sum, s.with(|d| d.outcome(key))))
 }
 
-fn told(s: &Stand, sum: &str, o: Outcome) -> Value {
+fn told(s: &StandIn, sum: &str, o: Outcome) -> Value {
     match o {
         Outcome::Kept { sum: had, .. } if had != sum => {
             s.bad("try-reused", "the try was kept with other content")
         }
         Outcome::Kept { rows, .. } => s.good(rows),
         Outcome::Sealed => s.bad("try-sealed", "the try was sealed"),
-        Outcome::Running(_) | Outcome::NotKept => s.bad("in-doubt", "not known yet"),
+        Outcome::Running(_) | Outcome::NotCommitted => s.bad("in-doubt", "not known yet"),
     }
 }
 
 /// Waits until record `n`, written under `f`, is on a second server.
-async fn wait(s: &Stand, n: u64, f: FencingToken) -> bool {
-    let until = now() + DOUBT.as_millis() as u64;
+async fn wait(s: &StandIn, n: u64, f: FencingToken) -> bool {
+    let until = now() + COMMIT_TIMEOUT.as_millis() as u64;
     loop {
         let moved = s.moved.notified();
         let (done, still) = s.with(|d| (d.commit >= n, d.leads(f) && d.still(n, f)));
@@ -72,15 +72,15 @@
     }
 }
 
-pub(super) async fn outcome(s: &Stand, b: &Value) -> Result<Value, Cut> {
-    let (key, f) = (txt(b, "try"), num(b, "fence"));
+pub(super) async fn outcome(s: &StandIn, b: &Value) -> Result<Value, Cut> {
+    let (key, f) = (str_field(b, "try"), num(b, "fence"));
     let seal = b.get("seal").and_then(Value::as_bool).unwrap_or(false);
     if let Err(v) = leads(s, f) {
         return Ok(v);
     }
-    s.faults.storage().await;
+    s.faults.storage_delay().await;
     let mut o = s.with(|d| d.outcome(key));
-    if o == Outcome::NotKept && seal {
+    if o == Outcome::NotCommitted && seal {
         let n = s.with(|d| if d.leads(f) { Some(d.add_seal(key)) } else { None });
         if let Some(n) = n {
             wait(s, n, f).await;
@@ -91,7 +91,7 @@
         Outcome::Kept { rows, .. } => ("kept", rows),
         Outcome::Sealed => ("sealed", json!([])),
         Outcome::Running(_) => ("running", json!([])),
-        Outcome::NotKept => ("not-kept", json!([])),
+        Outcome::NotCommitted => ("not-kept", json!([])),
     };
     if let Err(v) = leads(s, f) {
         return Ok(v);
--- a/crates/testbed/src/stand/lab.rs
+++ b/crates/testbed/src/stand_in/lab.rs
@@ -1,10 +1,10 @@
 //! The lab's own calls to a stand-in: faults, leaving, and what it holds (§9.2).
-use super::Stand;
+use super::StandIn;
 use quincehatch_core::ServerState;
 use quincehatch_runtime::now;
 use serde_json::{Value, json};
 
-pub fn answer(s: &Stand, path: &str, b: Value) -> Value {
+pub fn answer(s: &StandIn, path: &str, b: Value) -> Value {
     match path {
         "/lab/fault" => {
             if let Ok(w) = serde_json::from_value(b) {
--- a/crates/testbed/src/stand/mod.rs
+++ b/crates/testbed/src/stand_in/mod.rs
@@ -10,7 +10,7 @@
 use crate::db::{Db, Line};
 use faults::Faults;
 use journal::{Entry, Journal};
-use quincehatch_core::{ServerHeartbeat, Labels, Position, Role, Stamp, ServerState};
+use quincehatch_core::{Labels, Position, Role, ServerHeartbeat, ServerState, Stamp};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
 use serde_json::{Value, json};
@@ -20,18 +20,18 @@
 
 /// What a stand-in is started with.
 #[derive(Clone, Debug, Default)]
-pub struct Args {
+pub struct StandInOptions {
     pub name: String,
     pub addr: String,
     pub labels: Labels,
     pub peers: Vec<String>,
     /// Desks of nodes to beat to.
-    pub desks: Vec<String>,
-    pub data: Option<std::path::PathBuf>,
+    pub operator_addresses: Vec<String>,
+    pub data_dir: Option<std::path::PathBuf>,
     /// In place of a folder: a disk of the simulator's.
-    pub disk: Option<Arc<Disk>>,
+    pub memory_disk: Option<Arc<Disk>>,
     /// Where a relay stands before this server: the address told to nodes.
-    pub shown: Option<String>,
+    pub advertised_addr: Option<String>,
 }
 
 /// A disk that outlives the server's process.
@@ -47,8 +47,8 @@
     }
 }
 
-pub struct Stand {
-    pub args: Args,
+pub struct StandIn {
+    pub args: StandInOptions,
     pub db: Mutex<Db>,
     pub moved: tokio::sync::Notify,
     pub faults: Arc<Faults>,
@@ -56,20 +56,21 @@
     pub journal: Arc<Journal>,
     pub declined: AtomicU64,
     /// Long statements that run, by link, so that they can be cancelled.
-    pub running: Mutex<std::collections::BTreeMap<quincehatch_core::Name, Arc<tokio::sync::Notify>>>,
+    pub running_statements:
+        Mutex<std::collections::BTreeMap<quincehatch_core::Name, Arc<tokio::sync::Notify>>>,
     pub links: AtomicU64,
     boot: u64,
     seq: AtomicU64,
     file: Mutex<Option<std::fs::File>>,
 }
 
-impl Stand {
-    pub fn open(args: Args) -> std::io::Result<Arc<Stand>> {
+impl StandIn {
+    pub fn open(args: StandInOptions) -> std::io::Result<Arc<StandIn>> {
         let mut db = Db::new(&args.name);
         let (mut file, mut journal) = (None, Arc::<Journal>::default());
         // The boot number rises with each start: from the wall clock, as only this server's own order matters.
         let boot = seam::wall_clock_ms();
-        if let Some(dir) = &args.data {
+        if let Some(dir) = &args.data_dir {
             std::fs::create_dir_all(dir)?;
             let path = dir.join(format!("{}.log", args.name));
             let old = std::fs::read_to_string(&path).unwrap_or_default();
@@ -78,11 +79,11 @@
             journal = Arc::new(Journal::open(&dir.join(format!("{}.journal", args.name)))?);
             file = Some(std::fs::OpenOptions::new().append(true).create(true).open(path)?);
         }
-        if let Some(d) = &args.disk {
+        if let Some(d) = &args.memory_disk {
             db = Db::replay(&args.name, d.lines.lock().unwrap().iter().cloned());
             journal = d.journal.clone();
         }
-        Ok(Arc::new(Stand {
+        Ok(Arc::new(StandIn {
             args,
             db: Mutex::new(db),
             moved: tokio::sync::Notify::new(),
@@ -90,7 +91,7 @@
             state: Mutex::new((ServerState::Up, 0)),
             journal,
             declined: AtomicU64::new(0),
-            running: Mutex::default(),
+            running_statements: Mutex::default(),
             links: AtomicU64::new(0),
             boot,
             seq: AtomicU64::new(1),
@@ -104,7 +105,7 @@
         let commit = db.commit;
         let t = f(&mut db);
         let lines = std::mem::take(&mut db.lines);
-        if let Some(d) = &self.args.disk {
+        if let Some(d) = &self.args.memory_disk {
             d.lines.lock().unwrap().extend(lines.iter().cloned());
         }
         if !lines.is_empty()
@@ -135,7 +136,7 @@
             (db.role, db.fence, db.position(), db.end(), db.whole())
         };
         let state = self.state.lock().unwrap().0;
-        let shown = self.args.shown.as_ref().unwrap_or(&self.args.addr);
+        let shown = self.args.advertised_addr.as_ref().unwrap_or(&self.args.addr);
         ServerHeartbeat {
             server: self.args.name.as_str().into(),
             boot: self.boot,
@@ -166,7 +167,7 @@
         self.db.lock().unwrap().end()
     }
     /// New work is counted once the server has been leaving for over 7 s (§1 N9).
-    pub fn new_work(&self) {
+    pub fn check_drain_limit(&self) {
         let (s, at) = *self.state.lock().unwrap();
         if s == ServerState::Draining && now() > at + 7_000 {
             self.journal.note(Entry::Late);
@@ -175,11 +176,11 @@
 }
 
 /// Serves until the process ends.
-pub async fn run(args: Args) -> std::io::Result<()> {
+pub async fn serve(args: StandInOptions) -> std::io::Result<()> {
     let lst = tokio::net::TcpListener::bind(&args.addr).await?;
-    let s = Stand::open(args)?;
+    let s = StandIn::open(args)?;
     log::info!(target: "stand", "server {} listens on {}", s.args.name, s.args.addr);
-    if let Some(at) = &s.args.shown {
+    if let Some(at) = &s.args.advertised_addr {
         crate::relay::run(at, s.args.addr.clone(), s.faults.clone()).await?;
     }
     seam::spawn(repl::follow(s.clone()));
--- a/crates/testbed/src/stand/net.rs
+++ b/crates/testbed/src/stand_in/net.rs
@@ -1,6 +1,6 @@
 //! The stand-in's HTTP side: one connection is one link with its own context (§3.1).
-use super::{Stand, calls};
-use crate::stmt::Ctx;
+use super::{StandIn, calls};
+use crate::stmt::ConnectionState;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -22,21 +22,21 @@
 }
 impl std::error::Error for Cut {}
 
-pub async fn serve(s: Arc<Stand>, lst: TcpListener) -> std::io::Result<()> {
+pub async fn serve(s: Arc<StandIn>, lst: TcpListener) -> std::io::Result<()> {
     loop {
         let Ok((sock, _)) = lst.accept().await else { continue };
         tokio::spawn(link(s.clone(), sock));
     }
 }
 
-async fn link(s: Arc<Stand>, sock: TcpStream) {
+async fn link(s: Arc<StandIn>, sock: TcpStream) {
     let _ = sock.set_nodelay(true);
     // Closing without lingering sends a reset: what a rebooting server does to its links.
     let _ = socket2::SockRef::from(&sock).set_linger(Some(std::time::Duration::ZERO));
-    s.faults.while_up(&s.faults.dark).await;
+    s.faults.wait_while(&s.faults.dark).await;
     s.links.fetch_add(1, Ordering::SeqCst);
-    let ctx = Arc::new(tokio::sync::Mutex::new(Ctx::default()));
-    let born = s.faults.reset_no.load(Ordering::SeqCst);
+    let ctx = Arc::new(tokio::sync::Mutex::new(ConnectionState::default()));
+    let born = s.faults.reset_count.load(Ordering::SeqCst);
     let s2 = s.clone();
     let svc = service_fn(move |req| one(s2.clone(), ctx.clone(), req));
     let conn = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(sock), svc);
@@ -45,28 +45,28 @@
         let changed = s.faults.changed.notified();
         tokio::select! {
             _ = &mut conn => break,
-            () = changed => if s.faults.reset_no.load(Ordering::SeqCst) != born { break },
+            () = changed => if s.faults.reset_count.load(Ordering::SeqCst) != born { break },
         }
     }
     s.links.fetch_sub(1, Ordering::SeqCst);
 }
 
 async fn one(
-    s: Arc<Stand>,
-    ctx: Arc<tokio::sync::Mutex<Ctx>>,
+    s: Arc<StandIn>,
+    ctx: Arc<tokio::sync::Mutex<ConnectionState>>,
     req: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Cut> {
     let path = req.uri().path().to_owned();
     let lab = path.starts_with("/lab/");
     if !lab {
-        s.faults.while_up(&s.faults.dark).await;
+        s.faults.wait_while(&s.faults.dark).await;
     }
     let body = Limited::new(req.into_body(), 4 << 20).collect().await.map_err(|_| Cut)?.to_bytes();
     let body: Value =
         if body.is_empty() { Value::Null } else { serde_json::from_slice(&body).map_err(|_| Cut)? };
     let v = calls::answer(&s, &ctx, &path, body).await?;
     if !lab {
-        s.faults.while_up(&s.faults.dark).await;
+        s.faults.wait_while(&s.faults.dark).await;
     }
     let st = if v.get("error").is_some() { 409 } else { 200 };
     let mut r = Response::new(Full::new(Bytes::from(v.to_string())));
--- a/crates/testbed/src/stand/repl.rs
+++ b/crates/testbed/src/stand_in/repl.rs
@@ -1,6 +1,6 @@
 //! Replication and beats of a stand-in (§3.2, §3.3).
-use super::Stand;
-use crate::db::{Pull, Pulled};
+use super::StandIn;
+use crate::db::{PullRequest, PullResponse};
 use quincehatch_runtime::seam;
 use quincehatch_wire::http::{Call, HttpConnection, post_once};
 use serde_json::{Value, json};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Follows whichever peer leads; one link is kept while it answers.
-pub async fn follow(s: Arc<Stand>) {
+pub async fn follow(s: Arc<StandIn>) {
     let mut at = 0;
     let mut wire: Option<HttpConnection> = None;
     loop {
@@ -34,8 +34,8 @@
     }
 }
 
-async fn ask(s: &Stand, peer: &str, wire: &mut Option<HttpConnection>) -> Option<Pulled> {
-    let p = s.with(|d| Pull { server: d.name.clone(), fence: d.fence, have: d.end() });
+async fn ask(s: &StandIn, peer: &str, wire: &mut Option<HttpConnection>) -> Option<PullResponse> {
+    let p = s.with(|d| PullRequest { server: d.name.clone(), fence: d.fence, have: d.end() });
     let body = json!(p);
     if wire.is_none() {
         *wire = HttpConnection::open(peer, None).await.ok();
@@ -46,7 +46,7 @@
 }
 
 /// Answers a replica: at once when there is news, else after a short wait.
-pub async fn give(s: &Stand, p: Pull) -> Value {
+pub async fn serve_pull(s: &StandIn, p: PullRequest) -> Value {
     for _ in 0..2 {
         let moved = s.moved.notified();
         tokio::pin!(moved);
@@ -65,13 +65,13 @@
 }
 
 /// Beats to two nodes at a time.
-pub async fn beats(s: Arc<Stand>) {
+pub async fn beats(s: Arc<StandIn>) {
     let mut at = 0;
-    while !s.args.desks.is_empty() {
+    while !s.args.operator_addresses.is_empty() {
         if !s.faults.is(&s.faults.dark) {
             let beat = json!(s.beat());
-            for i in 0..2.min(s.args.desks.len()) {
-                let desk = s.args.desks[(at + i) % s.args.desks.len()].clone();
+            for i in 0..2.min(s.args.operator_addresses.len()) {
+                let desk = s.args.operator_addresses[(at + i) % s.args.operator_addresses.len()].clone();
                 let beat = beat.clone();
                 seam::spawn(async move {
                     let _ = post_once(&desk, "/beat", &beat, Duration::from_millis(800)).await;
--- a/crates/testbed/src/stmt.rs
+++ b/crates/testbed/src/stmt.rs
@@ -5,7 +5,7 @@
 
 /// One link's context.
 #[derive(Clone, Debug, Default)]
-pub struct Ctx {
+pub struct ConnectionState {
     pub settings: BTreeMap<String, String>,
     pub prepared: BTreeMap<String, String>,
     pub txn: Option<Txn>,
@@ -26,7 +26,7 @@
     pub sleep_ms: u64,
 }
 
-fn arg(word: &str, params: &Value) -> Result<Value, String> {
+fn argument(word: &str, params: &Value) -> Result<Value, String> {
     match word.strip_prefix('$').and_then(|n| n.parse::<usize>().ok()) {
         Some(n) => params.get(n.wrapping_sub(1)).cloned().ok_or_else(|| format!("there is no parameter {n}")),
         None => Ok(word.parse::<i64>().map_or_else(|_| Value::from(word), Value::from)),
@@ -38,17 +38,22 @@
 }
 
 /// Sets `name=value`.
-pub fn set(c: &mut Ctx, t: &str) -> Result<(), String> {
+pub fn set(c: &mut ConnectionState, t: &str) -> Result<(), String> {
     let (k, v) = t.split_once('=').ok_or("a setting is name=value")?;
     c.settings.insert(k.trim().into(), v.trim().into());
     Ok(())
 }
 
 /// Runs one statement against `kv` as seen through the link's open transaction.
-pub fn run(c: &Ctx, kv: &BTreeMap<String, Value>, t: &str, params: &Value) -> Result<Ran, String> {
+pub fn run(
+    c: &ConnectionState,
+    kv: &BTreeMap<String, Value>,
+    t: &str,
+    params: &Value,
+) -> Result<Ran, String> {
     let words: Vec<&str> = t.split_whitespace().collect();
     let ran = |rows, writes| Ok(Ran { rows, writes, sleep_ms: 0 });
-    let a = |i: usize| words.get(i).map_or(Err("a word is missing".into()), |w| arg(w, params));
+    let a = |i: usize| words.get(i).map_or(Err("a word is missing".into()), |w| argument(w, params));
     let key = |i: usize| a(i).map(|v| text(&v));
     let mine = || c.txn.iter().flat_map(|t| t.writes.iter().cloned());
     let seen = |k: &str| {
--- a/crates/testbed/tests/choice/main.rs
+++ b/crates/testbed/tests/choice/main.rs
@@ -27,7 +27,11 @@
     }
     fn cancel_timer(&self, _: u64) {}
     fn spawn(&self, _: BoxFuture<'static, ()>) {}
-    fn connect(&self, _: &str, _: OnDisconnect) -> BoxFuture<'static, std::io::Result<Arc<dyn VirtualConnection>>> {
+    fn connect(
+        &self,
+        _: &str,
+        _: OnDisconnect,
+    ) -> BoxFuture<'static, std::io::Result<Arc<dyn VirtualConnection>>> {
         Box::pin(async { Err(std::io::ErrorKind::ConnectionRefused.into()) })
     }
     fn exchange_frame(&self, _: &str, _: Vec<u8>) -> BoxFuture<'static, std::io::Result<Vec<u8>>> {
--- a/crates/testbed/tests/choice/net.rs
+++ b/crates/testbed/tests/choice/net.rs
@@ -1,11 +1,11 @@
 //! A small world of one group: the chain's store, promotions' steps and servers' logs as they ship, and every act that
 //! the network and the processes may do next (§5.5).
-use quincehatch_core::{FencingToken, PrimaryAssignment, Name, Position, Role};
-use quincehatch_failover::promotion::{PromotionEvent, PromotionAction, Phase, PromotionPlan, Promotion};
+use quincehatch_core::{FencingToken, Name, Position, PrimaryAssignment, Role};
+use quincehatch_failover::promotion::{Phase, Promotion, PromotionAction, PromotionEvent, PromotionPlan};
 use quincehatch_runtime::seam;
 use quincehatch_store::store::promotion_duty_key;
 use quincehatch_store::{Answer, Command, Entry, Store};
-use quincehatch_testbed::db::{Db, Pull, Pulled};
+use quincehatch_testbed::db::{Db, PullRequest, PullResponse};
 use serde_json::Value;
 use std::sync::Arc;
 
@@ -47,7 +47,7 @@
     heard: Vec<(usize, Position)>,
 }
 
-type Asked = (usize, Pull, Option<Pulled>);
+type Asked = (usize, PullRequest, Option<PullResponse>);
 
 /// Each part is shared with the world it came from until it changes.
 #[derive(Clone)]
@@ -107,8 +107,12 @@
     }
     fn step(&mut self, i: usize, x: PromotionEvent) -> Option<()> {
         let outs = self.at(i).p.step(1, x);
-        let asks = outs.into_iter().rfind(|o| matches!(o, PromotionAction::WritePrimary { .. } | PromotionAction::PromoteServer { .. }));
-        let (Some(PromotionAction::WritePrimary { primary: lead, .. }), true) = (&asks, self.all[i].p.phase != Phase::Naming) else {
+        let asks = outs.into_iter().rfind(|o| {
+            matches!(o, PromotionAction::WritePrimary { .. } | PromotionAction::PromoteServer { .. })
+        });
+        let (Some(PromotionAction::WritePrimary { primary: lead, .. }), true) =
+            (&asks, self.all[i].p.phase != Phase::Naming)
+        else {
             let at = self.at(i);
             at.asks = asks.or(at.asks.take());
             return Some(());
@@ -166,7 +170,8 @@
         match a {
             Act::Begin(list) => {
                 let by: Name = format!("n{}", n.all.len()).into();
-                let Answer::Fence(f) = n.write(Command::AcquireFence { duty: promotion_duty_key("g"), by: by.clone() })?
+                let Answer::Fence(f) =
+                    n.write(Command::AcquireFence { duty: promotion_duty_key("g"), by: by.clone() })?
                 else {
                     return None;
                 };
@@ -200,7 +205,10 @@
                 n.step(i, PromotionEvent::ServerFenced(n.dbs[s].name.clone(), end))?;
             }
             Act::Promote(i) => {
-                let Some(PromotionAction::PromoteServer { server, fence, voters }) = n.at(i).asks.take() else { return None };
+                let Some(PromotionAction::PromoteServer { server, fence, voters }) = n.at(i).asks.take()
+                else {
+                    return None;
+                };
                 let s = n.index(&server);
                 if !n.db(s).promote(fence, voters.clone()) {
                     return None;
@@ -209,14 +217,16 @@
                 n.step(i, PromotionEvent::ServerPromoted(server))?;
             }
             Act::Name(i) => {
-                let Some(PromotionAction::WritePrimary { primary: lead, .. }) = n.at(i).asks.take() else { return None };
+                let Some(PromotionAction::WritePrimary { primary: lead, .. }) = n.at(i).asks.take() else {
+                    return None;
+                };
                 n.write(set_lead(lead.clone()))?;
                 n.named.push((lead.fence, n.index(lead.server.as_ref()?)));
                 n.step(i, PromotionEvent::PrimaryAnnounced)?;
             }
             Act::Request(r, l) => {
                 let (server, fence, have) = (n.dbs[r].name.clone(), n.dbs[r].fence, n.dbs[r].end());
-                n.wire[r] = Some(Arc::new((l, Pull { server, fence, have }, None)));
+                n.wire[r] = Some(Arc::new((l, PullRequest { server, fence, have }, None)));
                 return if z.late { Some(n) } else { n.after(z, Act::Give(r))?.after(z, Act::Take(r)) };
             }
             Act::Give(r) => {
--- a/crates/testbed/tests/choice/net/look.rs
+++ b/crates/testbed/tests/choice/net/look.rs
@@ -1,7 +1,7 @@
 //! What tells one world from another, and what must be true in each.
 use super::{At, Net};
 use quincehatch_core::{Position, Role};
-use quincehatch_failover::promotion::{PromotionAction, Phase};
+use quincehatch_failover::promotion::{Phase, PromotionAction};
 use quincehatch_testbed::db::{Db, Kind};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -28,7 +28,9 @@
         let newest = self.store.fence("lead/g");
         for At { p, asks, heard } in self.all.iter().map(|a| &**a) {
             match asks {
-                Some(PromotionAction::PromoteServer { server, voters: counts, .. }) => (1, p.fence, server, counts).hash(&mut h),
+                Some(PromotionAction::PromoteServer { server, voters: counts, .. }) => {
+                    (1, p.fence, server, counts).hash(&mut h)
+                }
                 Some(PromotionAction::WritePrimary { primary: lead, .. }) if p.fence == newest => {
                     (2, p.fence, &lead.server, &lead.voters).hash(&mut h);
                 }
--- a/crates/testbed/tests/history.rs
+++ b/crates/testbed/tests/history.rs
@@ -1,15 +1,20 @@
 //! The lab's history checker is shown to catch a breach of each must-never (§9.4).
 use quincehatch_testbed::history::*;
-use quincehatch_testbed::stand::journal::Entry;
+use quincehatch_testbed::stand_in::journal::Entry;
 use serde_json::{Value, json};
 
-type Run = (History, Facts, AllSent);
+type Run = (History, Facts, SentStatements);
 const FAULT: (u64, &str) = (1_500, "final kill");
 const END: u64 = 18_000;
 
-fn row(key: &str, ends: &[(End, u64, u64)]) -> (String, TryRow) {
-    let t =
-        TryRow { group: "g1".into(), list: "l".into(), key: key.into(), ends: ends.to_vec(), sealed: false };
+fn row(key: &str, ends: &[(End, u64, u64)]) -> (String, AttemptRecord) {
+    let t = AttemptRecord {
+        group: "g1".into(),
+        list: "l".into(),
+        key: key.into(),
+        ends: ends.to_vec(),
+        sealed: false,
+    };
     (key.to_owned(), t)
 }
 
@@ -22,8 +27,16 @@
 fn said(id: &str) -> Entry {
     Entry::Said { id: id.into(), stamp: stamp(), rows: json!([["ok"]]) }
 }
-fn push(key: &str, race: Option<u64>, valid: bool, end: PushEnd) -> PushTry {
-    PushTry { key: key.into(), base: 1, race, valid, bound: true, asked: 400, ends: vec![(end, 500)] }
+fn push(key: &str, race: Option<u64>, valid: bool, end: PushEnd) -> PushAttempt {
+    PushAttempt {
+        key: key.into(),
+        base: 1,
+        race,
+        valid,
+        majority_up: true,
+        asked: 400,
+        ends: vec![(end, 500)],
+    }
 }
 
 /// A run in which all went well.
@@ -34,7 +47,7 @@
         row("b", &[(End::Nothing, 200, 210)]),
         row("c", &[(End::Lost, 300, 900), (End::Kept, 1_000, 1_010)]),
     ]);
-    let read = |order_side, asked| ReadRow {
+    let read = |order_side, asked| ReadRecord {
         group: "g1".into(),
         list: "l".into(),
         order_side,
@@ -45,16 +58,20 @@
         node: "n1".into(),
     };
     h.reads = vec![read(true, 1_100), read(false, 3_000)];
-    h.pushes.push(PushRow { version: 2, acked: 500 });
-    h.push_tries = vec![
+    h.pushes.push(AcknowledgedPush { version: 2, acked: 500 });
+    h.push_attempts = vec![
         push("p", Some(1), true, PushEnd::Version(2)),
         push("q", Some(1), true, PushEnd::Declined(1602)),
         push("x", None, false, PushEnd::Declined(1601)),
     ];
-    let ed = |version, asked| VersionRow { node: "n1".into(), asked, answered: asked + 5, version };
+    let ed = |version, asked| VersionRecord { node: "n1".into(), asked, answered: asked + 5, version };
     h.versions = vec![ed(1, 400), ed(2, 600), ed(2, 4_000)];
-    h.said =
-        vec![SaidRow { path: "/v1/order".into(), id: "a".into(), stamp: stamp(), rows: json!([["ok"]]) }];
+    h.said = vec![AnswerRecord {
+        path: "/v1/order".into(),
+        id: "a".into(),
+        stamp: stamp(),
+        rows: json!([["ok"]]),
+    }];
     for kind in ["order", "lookup"] {
         let rows = (0..180).map(|i| Served {
             asked: i * 100,
@@ -75,10 +92,13 @@
         vec![wore, ran(7, "c1#1", "append"), ran(7, "c1#2", "append"), ran(0, "c2#1", "get"), said("a")];
     f.journals.insert("s1".into(), did);
     f.journals.insert("s2".into(), vec![ran(0, "c2#1", "get")]);
-    let mut sent = AllSent::default();
-    sent.wore.insert("tag=c1".into());
+    let mut sent = SentStatements::default();
+    sent.session_state.insert("tag=c1".into());
     for (m, text, carried) in [("c1#1", "append", false), ("c1#2", "append", false), ("c2#1", "get", true)] {
-        sent.marks.insert(m.into(), Sent { text: text.into(), params: json!([m]), times: 1, carried });
+        sent.marks.insert(
+            m.into(),
+            SentStatement { text: text.into(), params: json!([m]), times: 1, retryable: carried },
+        );
     }
     (h, f, sent)
 }
@@ -155,24 +175,24 @@
     breach("N10 version", |r| r.0.versions[2].version = 1);
     breach("N10 node", |r| {
         r.0.pushes.clear();
-        r.0.push_tries.clear();
+        r.0.push_attempts.clear();
         r.0.versions[2].version = 1;
     });
 }
 
 #[test]
 fn pushes_without_a_winner_an_answer_or_a_check() {
-    let end = |r: &mut Run, i: usize, e: PushEnd| r.0.push_tries[i].ends[0].0 = e;
+    let end = |r: &mut Run, i: usize, e: PushEnd| r.0.push_attempts[i].ends[0].0 = e;
     breach("N11 of 2", |r| end(r, 1, PushEnd::Version(3)));
     breach("N11 of 2", |r| {
         r.0.pushes.clear();
         end(r, 0, PushEnd::Declined(1602));
     });
     breach("N11 the valid", |r| end(r, 0, PushEnd::None));
-    breach("N11 the valid", |r| r.0.push_tries[0].ends[0].1 = 400 + PUSHED + 1);
+    breach("N11 the valid", |r| r.0.push_attempts[0].ends[0].1 = 400 + MAX_PUSH_TIME + 1);
     breach("N11 the valid", |r| end(r, 1, PushEnd::Declined(1601)));
     breach("N11 the broken", |r| end(r, 2, PushEnd::Version(9)));
-    breach("N11 the push", |r| r.0.push_tries[0].ends.push((PushEnd::Version(3), 600)));
+    breach("N11 the push", |r| r.0.push_attempts[0].ends.push((PushEnd::Version(3), 600)));
     fine(|r| end(r, 0, PushEnd::Version(2)));
 }
 
@@ -182,9 +202,10 @@
 fn two_pushes_may_lose_to_one_that_was_never_answered() {
     let lose = |r: &mut Run, rival: PushEnd, later: u64| {
         r.0.pushes.clear();
-        r.0.push_tries[0].ends[0].0 = PushEnd::Declined(1602);
-        r.0.push_tries.push(PushTry { bound: false, ..push("r", None, true, rival) });
-        r.0.push_tries.push(PushTry { base: later, ..push("s", None, true, PushEnd::Version(later + 1)) });
+        r.0.push_attempts[0].ends[0].0 = PushEnd::Declined(1602);
+        r.0.push_attempts.push(PushAttempt { majority_up: false, ..push("r", None, true, rival) });
+        r.0.push_attempts
+            .push(PushAttempt { base: later, ..push("s", None, true, PushEnd::Version(later + 1)) });
     };
     fine(|r| lose(r, PushEnd::None, 2));
     breach("N11 of 2", |r| lose(r, PushEnd::None, 3));
--- a/crates/testbed/tests/kit/mod.rs
+++ b/crates/testbed/tests/kit/mod.rs
@@ -2,13 +2,13 @@
 use quincehatch_config::configuration::Configuration;
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::PrimaryAssignment;
+use quincehatch_proxy::evidence::{ConnectionEnd, HealthSignal};
 use quincehatch_proxy::local_replicas::LocalOnlyReplicas;
 use quincehatch_proxy::registry::ClusterState;
-use quincehatch_proxy::evidence::{ConnectionEnd, HealthSignal};
 use quincehatch_proxy::state::HealthState;
 use quincehatch_proxy::{Proxy, probe};
 use quincehatch_runtime::now;
-use quincehatch_testbed::stand::{Args, Stand, net, repl};
+use quincehatch_testbed::stand_in::{StandIn, StandInOptions, net, repl};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,7 +18,7 @@
 
 pub struct Kit {
     pub node: Arc<Proxy>,
-    stands: Vec<Arc<Stand>>,
+    stands: Vec<Arc<StandIn>>,
 }
 
 pub fn body(key: &str, text: &str, params: Value) -> Value {
@@ -35,14 +35,15 @@
         let addrs: Vec<String> = lsts.iter().map(|l| l.local_addr().unwrap().to_string()).collect();
         let mut stands = Vec::new();
         for (i, lst) in lsts.into_iter().enumerate() {
-            let labels = quincehatch_testbed::fleet::labels(&[
+            let labels = quincehatch_testbed::fleet::parse_labels(&[
                 "group=g1".into(),
                 "district=d1".into(),
                 "copies=3".into(),
             ]);
             let peers = addrs.iter().filter(|a| **a != addrs[i]).cloned().collect();
             let (name, addr) = (format!("s{}", i + 1), addrs[i].clone());
-            let s = Stand::open(Args { name, addr, labels, peers, ..Default::default() }).unwrap();
+            let s =
+                StandIn::open(StandInOptions { name, addr, labels, peers, ..Default::default() }).unwrap();
             tokio::spawn(repl::follow(s.clone()));
             tokio::spawn(net::serve(s.clone(), lst));
             stands.push(s);
@@ -62,7 +63,11 @@
             log: "off".into(),
             threads: 1,
         };
-        let node = Proxy::new(set, Box::new(LocalOnlyReplicas::default()), quincehatch_runtime::seam::Spawner::current());
+        let node = Proxy::new(
+            set,
+            Box::new(LocalOnlyReplicas::default()),
+            quincehatch_runtime::seam::Spawner::current(),
+        );
         for s in &stands {
             node.registry.apply_heartbeat(s.beat());
         }
@@ -76,7 +81,13 @@
             previous_voters: vec![],
         };
         let leads = [("g1".into(), lead)].into();
-        node.registry.set_cluster_state(ClusterState { number: 1, version: 1, configuration: blueprint, primaries: leads, ..Default::default() });
+        node.registry.set_cluster_state(ClusterState {
+            number: 1,
+            version: 1,
+            configuration: blueprint,
+            primaries: leads,
+            ..Default::default()
+        });
         node.registry.renew_lease(now() + 600_000);
         tokio::spawn(probe::run_status_probes(node.clone()));
         let k = Kit { node, stands };
@@ -113,7 +124,7 @@
     }
     /// A primary that does not show all of its log.
     pub fn starting(&self, i: usize, on: bool) {
-        self.stands[i].with(|d| d.hide(on));
+        self.stands[i].with(|d| d.set_unreadable_for_test(on));
     }
     /// How often the stand-in declined a read as it is starting.
     pub fn declined(&self, i: usize) -> u64 {
@@ -129,7 +140,10 @@
         let row = self.node.registry.server(&name).unwrap();
         let open = self.node.sessions.all().iter().any(|s| {
             s.try_lock().is_ok_and(|mut s| {
-                s.transaction.as_mut().and_then(|t| t.checkout.as_mut()).is_some_and(|l| !l.connection().is_closed())
+                s.transaction
+                    .as_mut()
+                    .and_then(|t| t.checkout.as_mut())
+                    .is_some_and(|l| !l.connection().is_closed())
             })
         });
         usize::from(open) * row.pool.slots.count().0
@@ -142,7 +156,11 @@
     }
     pub fn set_aside(&self, server: &str) {
         let j = self.node.health_settings();
-        self.node.registry.server(server).unwrap().health.lock().unwrap().connection_ended(now(), &j, ConnectionEnd::Reset);
+        self.node.registry.server(server).unwrap().health.lock().unwrap().connection_ended(
+            now(),
+            &j,
+            ConnectionEnd::Reset,
+        );
     }
     pub fn verdict(&self, server: &str) -> HealthState {
         self.node.registry.server(server).unwrap().health.lock().unwrap().state
--- a/crates/testbed/tests/repl.rs
+++ b/crates/testbed/tests/repl.rs
@@ -1,9 +1,9 @@
 //! A stand-in's replication, step by step (docs/server.md).
-use quincehatch_testbed::db::{Db, Pull, Write};
+use quincehatch_testbed::db::{Db, PullRequest, Write};
 use serde_json::Value;
 
-fn ask(r: &Db) -> Pull {
-    Pull { server: r.name.clone(), fence: r.fence, have: r.end() }
+fn ask(r: &Db) -> PullRequest {
+    PullRequest { server: r.name.clone(), fence: r.fence, have: r.end() }
 }
 fn sync(p: &mut Db, r: &mut Db) {
     for _ in 0..4 {
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,7 +1,7 @@
 //! How a call fails, and what is known of its effect then.
 use crate::{ProcessId, RetrySafety};
 use compact_str::{CompactString, format_compact};
-use quincehatch_core::{ErrorCode, Error};
+use quincehatch_core::{Error, ErrorCode};
 
 /// Why a call brought no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -42,7 +42,9 @@
         match error {
             CallError::NotSent(why) | CallError::NoAnswer(why) => ErrorCode::Unreachable.with_detail(why),
             CallError::WrongReceiver { .. } => ErrorCode::WrongReceiver.without_detail(),
-            CallError::OutcomeUnknown(why) => ErrorCode::OutcomeUnknown.with_detail(why).with_unknown_outcome(),
+            CallError::OutcomeUnknown(why) => {
+                ErrorCode::OutcomeUnknown.with_detail(why).with_unknown_outcome()
+            }
         }
     }
 }
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -95,7 +95,11 @@
 
     /// `on_break` is called when the idle link breaks with an error of the kernel's: a reset, or a time-out of its
     /// own probes. An orderly close is none (§4.5).
-    pub async fn open_watched(addr: &str, w: Option<KeepaliveSettings>, on_break: OnDisconnect) -> std::io::Result<Self> {
+    pub async fn open_watched(
+        addr: &str,
+        w: Option<KeepaliveSettings>,
+        on_break: OnDisconnect,
+    ) -> std::io::Result<Self> {
         let flags = Arc::new(Flags::default());
         let f = flags.clone();
         let on_break: OnDisconnect = Box::new(move |e| {
@@ -209,9 +213,11 @@
 
 /// A single call over a link of its own.
 pub async fn call_once(addr: &str, call: &Call<'_>, within: Duration) -> std::io::Result<(u16, Value)> {
-    quincehatch_runtime::seam::timeout(within, async { HttpConnection::open(addr, None).await?.ask(call).await })
-        .await
-        .unwrap_or_else(|_| Err(std::io::Error::new(std::io::ErrorKind::TimedOut, "no answer in time")))
+    quincehatch_runtime::seam::timeout(within, async {
+        HttpConnection::open(addr, None).await?.ask(call).await
+    })
+    .await
+    .unwrap_or_else(|_| Err(std::io::Error::new(std::io::ErrorKind::TimedOut, "no answer in time")))
 }
 
 /// A call with further headers over a link of its own, of which only the status matters.
@@ -229,7 +235,12 @@
 }
 
 /// POST of `body` over a link of its own.
-pub async fn post_once(addr: &str, path: &str, body: &Value, within: Duration) -> std::io::Result<(u16, Value)> {
+pub async fn post_once(
+    addr: &str,
+    path: &str,
+    body: &Value,
+    within: Duration,
+) -> std::io::Result<(u16, Value)> {
     call_once(addr, &Call { method: "POST", path, body, token: None }, within).await
 }
 
