--- /dev/null
+++ b/crates/config/src/configuration/group.rs
@@ -0,0 +1,16 @@
+//! Server groups: one primary and its replicas.
+use schematic::Config;
+use serde::{Deserialize, Serialize};
+
+/// Limits and replication of one server group.
+#[derive(Config, Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Group {
+    /// The group's name, as its servers give it in their label `group`.
+    pub name: String,
+    /// Connections that each of its servers takes from all nodes together.
+    #[setting(default = 64, rename = "connections")]
+    #[serde(rename = "links")]
+    pub connections: u64,
+    /// A commit is acknowledged once this many replicas have received it; none: once a majority has.
+    pub sync_replicas: Option<u64>,
+}
--- /dev/null
+++ b/crates/config/src/configuration/mod.rs
@@ -0,0 +1,142 @@
+//! The configuration that an operator pushes: which servers there are, which requests go to them, and the limits.
+mod connections;
+mod group;
+mod health;
+mod labels;
+mod placement;
+mod queue;
+mod route;
+mod zone;
+
+pub use connections::ConnectionLimits;
+pub use group::Group;
+pub use health::{HealthSettings, default_health_settings};
+pub use labels::{DEPRECATED_ZONE_LABEL, ZONE_LABEL};
+pub use placement::{Placement, Selector};
+pub use queue::QueueLimits;
+pub use route::{LOOKUP_CLASS, ORDER_CLASS, Route};
+pub use zone::Zone;
+
+use crate::{deprecated_keys, document, schema_error};
+// The derive of `Config` refers to the partial form of each section that is no list.
+use connections::PartialConnectionLimits;
+use health::PartialHealthSettings;
+use labels::EffectiveLabels;
+use queue::PartialQueueLimits;
+use quincehatch_core::{Error, ErrorCode, Labels};
+use schematic::{Config, ConfigLoader};
+use serde::{Deserialize, Serialize};
+
+/// A whole configuration.
+///
+/// Operators write it with the names of the fields as keys. Its serde form is the stored one
+/// ([`Configuration::to_stored_json`]), which keeps the keys of the first release.
+#[derive(Config, Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Configuration {
+    /// Named sets of servers.
+    #[setting(nested)]
+    pub placements: Vec<Placement>,
+    /// Which requests go to which placement; the first route that matches is used.
+    #[setting(nested, rename = "routes")]
+    #[serde(rename = "rules")]
+    pub routes: Vec<Route>,
+    /// The zones and their labels. Where any are listed, selectors may name no others.
+    #[setting(nested, rename = "zones")]
+    #[serde(rename = "districts")]
+    pub zones: Vec<Zone>,
+    /// Limits and replication of single server groups.
+    #[setting(nested)]
+    pub groups: Vec<Group>,
+    /// How servers are found unhealthy and taken back.
+    #[setting(nested, rename = "health")]
+    #[serde(rename = "judges")]
+    pub health: HealthSettings,
+    /// How many connections a node opens to a server.
+    #[setting(nested, rename = "connections")]
+    #[serde(rename = "links")]
+    pub connections: ConnectionLimits,
+    /// How many requests and sessions a node holds.
+    #[setting(nested, rename = "queue")]
+    #[serde(rename = "holding")]
+    pub queue: QueueLimits,
+}
+
+impl Configuration {
+    /// Reads TOML, JSON or Kubernetes-style objects and validates the whole; the error lists every mistake.
+    pub fn parse(text: &str) -> Result<Configuration, Error> {
+        let document = document::load(text)?;
+        document.deprecated_keys.log("the configuration");
+        Configuration::parse_document(&document.text, document.format)
+    }
+
+    /// Reads what was validated before it was stored: as [`Configuration::to_stored_json`] wrote it, or as an
+    /// operator did.
+    pub fn parse_stored(text: &str) -> Result<Configuration, Error> {
+        serde_json::from_str(text).or_else(|_| Configuration::parse(text))
+    }
+
+    fn parse_document(text: &str, format: document::Format) -> Result<Configuration, Error> {
+        let loaded = ConfigLoader::<Configuration>::new()
+            .code(text, format.source_name())
+            .and_then(|loader| loader.load())
+            .map_err(|error| ErrorCode::ConfigurationInvalid.with_detail(schema_error::describe(&error)))?;
+        let mistakes = loaded.config.validate();
+        if mistakes.is_empty() {
+            Ok(loaded.config)
+        } else {
+            Err(ErrorCode::ConfigurationInvalid.with_detail(mistakes.join("; ")))
+        }
+    }
+
+    /// The JSON in which keepers store a configuration and nodes are told it.
+    ///
+    /// Its keys are those of the first release, byte for byte: nodes of an earlier release in the same cluster read
+    /// it, and a push that is repeated through another node must carry the same bytes to be taken as the same push.
+    pub fn to_stored_json(&self) -> String {
+        serde_json::to_string(self).unwrap_or_default()
+    }
+
+    /// The configuration as JSON with the keys that operators write.
+    pub fn to_json(&self) -> String {
+        let mut tree = serde_json::to_value(self).unwrap_or_default();
+        // The stored form never has a key under both names, so there is nothing to report.
+        let _ = deprecated_keys::rename_in_configuration(&mut tree);
+        tree.to_string()
+    }
+
+    fn effective_labels<'labels>(&'labels self, own: &'labels Labels) -> EffectiveLabels<'labels> {
+        let zone = labels::zone_name(own).and_then(|name| self.zone(name));
+        EffectiveLabels::new(own, zone)
+    }
+
+    /// The zone of that name, if it is listed.
+    pub fn zone(&self, name: &str) -> Option<&Zone> {
+        self.zones.iter().find(|zone| zone.name == name)
+    }
+
+    /// The settings of the server group of that name, if it is listed.
+    pub fn group(&self, name: &str) -> Option<&Group> {
+        self.groups.iter().find(|group| group.name == name)
+    }
+
+    /// The placement of that name.
+    pub fn placement(&self, name: &str) -> Option<&Placement> {
+        self.placements.iter().find(|placement| placement.name == name)
+    }
+
+    /// True when a server with these labels belongs to the placement.
+    pub fn placement_includes(&self, placement: &Placement, labels: &Labels) -> bool {
+        let labels = self.effective_labels(labels);
+        if !labels.matches(&placement.select) {
+            return false;
+        }
+        // An empty selector matches everything, but an empty exception excludes nothing.
+        placement.except.is_empty() || !labels.matches(&placement.except)
+    }
+
+    /// The first route for requests of this class with these labels.
+    pub fn route_for(&self, class: &str, labels: &Labels) -> Option<&Route> {
+        let labels = self.effective_labels(labels);
+        self.routes.iter().find(|route| route.class == class && labels.matches(&route.when))
+    }
+}
--- /dev/null
+++ b/crates/config/src/document.rs
@@ -0,0 +1,72 @@
+//! The text of a configuration or a settings file, brought to today's keys before `schematic` reads it.
+use crate::deprecated_keys::{self, DeprecatedKeys, KeyConflict};
+use crate::objects;
+use quincehatch_core::{Error, ErrorCode};
+use serde_json::Value;
+
+/// The formats that `schematic` is given.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Format {
+    Json,
+    Toml,
+}
+
+impl Format {
+    /// A file name by which `schematic` knows the format; it stands in its error texts.
+    pub(crate) fn source_name(self) -> &'static str {
+        match self {
+            Format::Json => "configuration.json",
+            Format::Toml => "configuration.toml",
+        }
+    }
+
+    /// A document is JSON if it begins with a brace, else TOML.
+    fn of(text: &str) -> Format {
+        if text.trim_start().starts_with('{') { Format::Json } else { Format::Toml }
+    }
+}
+
+/// A document with today's keys, and which deprecated ones it had.
+pub(crate) struct Document {
+    pub(crate) text: String,
+    pub(crate) format: Format,
+    pub(crate) deprecated_keys: DeprecatedKeys,
+}
+
+/// Renames the deprecated keys of a parsed document.
+pub(crate) type RenameKeys = fn(&mut Value) -> Result<DeprecatedKeys, KeyConflict>;
+
+/// Reads a configuration of any format.
+pub(crate) fn load(text: &str) -> Result<Document, Error> {
+    let invalid = |conflict: KeyConflict| ErrorCode::ConfigurationInvalid.with_detail(conflict);
+    if !objects::are_objects(text) {
+        return load_plain(text, Format::of(text), deprecated_keys::rename_in_configuration).map_err(invalid);
+    }
+    let converted = objects::to_configuration(text)?;
+    let mut tree = converted.configuration;
+    let mut deprecated_keys = converted.deprecated_kinds;
+    deprecated_keys.extend(deprecated_keys::rename_in_configuration(&mut tree).map_err(invalid)?);
+    Ok(Document { text: tree.to_string(), format: Format::Json, deprecated_keys })
+}
+
+/// Reads TOML or JSON. A text without deprecated keys, or that cannot be parsed, stays as it is, so that errors name
+/// the places in it.
+pub(crate) fn load_plain(
+    text: &str,
+    format: Format,
+    rename_keys: RenameKeys,
+) -> Result<Document, KeyConflict> {
+    let unchanged = || Document { text: text.to_owned(), format, deprecated_keys: DeprecatedKeys::default() };
+    let tree: Option<Value> = match format {
+        Format::Json => serde_json::from_str(text).ok(),
+        Format::Toml => toml::from_str(text).ok(),
+    };
+    let Some(mut tree) = tree else {
+        return Ok(unchanged());
+    };
+    let deprecated_keys = rename_keys(&mut tree)?;
+    if deprecated_keys.is_empty() {
+        return Ok(unchanged());
+    }
+    Ok(Document { text: tree.to_string(), format: Format::Json, deprecated_keys })
+}
--- a/crates/config/src/objects.rs
+++ b/crates/config/src/objects.rs
@@ -1,9 +1,16 @@
-//! Kubernetes-style objects as a blueprint (§7.4): a small door to the same reading and checks.
+//! Kubernetes-style objects as a configuration: converted to the plain form, then read and validated like any other.
+use crate::deprecated_keys::{self, DeprecatedKeys};
 use quincehatch_core::{Error, ErrorCode};
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value, json};
+use std::collections::BTreeMap;
+use std::fmt::Display;
 
-pub const API: &str = "quincehatch/v1";
+/// The `apiVersion` of all objects.
+pub const API_VERSION: &str = "quincehatch/v1";
+
+/// The kind that only lists other objects.
+const LIST_KIND: &str = "List";
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
@@ -11,16 +18,16 @@
     api_version: String,
     kind: String,
     #[serde(default)]
-    metadata: Meta,
+    metadata: Metadata,
     #[serde(default)]
     spec: Map<String, Value>,
     #[serde(default)]
     items: Vec<Value>,
 }
 
-/// Of the usual metadata only the name has a meaning here; the rest is taken and left alone.
+/// Of the usual metadata only the name has a meaning here; the rest is accepted and ignored.
 #[derive(Default, Deserialize)]
-struct Meta {
+struct Metadata {
     #[serde(default)]
     name: String,
 }
@@ -28,7 +35,7 @@
 #[derive(Default, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields, default)]
 struct LabelSelector {
-    match_labels: std::collections::BTreeMap<String, String>,
+    match_labels: BTreeMap<String, String>,
     match_expressions: Vec<Expression>,
 }
 
@@ -40,157 +47,165 @@
     values: Vec<String>,
 }
 
-fn invalid(why: impl std::fmt::Display) -> Error {
+/// A label selector in the configuration's own form.
+struct SplitSelector {
+    /// Labels that must have one of some values.
+    required: Map<String, Value>,
+    /// Labels that must not.
+    excluded: Map<String, Value>,
+}
+
+/// Where in the configuration an object's `spec` goes.
+enum Target {
+    /// Appended to a list of named entries.
+    List(&'static str),
+    /// A section of its own, given at most once.
+    Section(&'static str),
+}
+
+/// The objects as one configuration.
+pub(crate) struct Converted {
+    pub(crate) configuration: Value,
+    pub(crate) deprecated_kinds: DeprecatedKeys,
+}
+
+fn invalid(why: impl Display) -> Error {
     ErrorCode::ConfigurationInvalid.with_detail(why)
 }
 
-/// Does the text look like such objects?
+/// True when the text looks like such objects.
 pub fn are_objects(text: &str) -> bool {
-    text.lines().any(|l| l.trim_start().trim_start_matches(['-', '{', ' ', '"']).starts_with("apiVersion"))
+    text.lines().any(|line| {
+        let line = line.trim_start().trim_start_matches(['-', '{', ' ', '"']);
+        line.starts_with("apiVersion")
+    })
 }
 
-/// The objects as one blueprint in JSON, to be read and checked like any other.
-pub fn to_json(text: &str) -> Result<String, Error> {
-    let mut out = json!({"placements": [], "rules": [], "districts": []});
-    for (i, doc) in serde_norway::Deserializer::from_str(text).enumerate() {
-        let v = Value::deserialize(doc).map_err(|e| invalid(format_args!("document {}: {e}", i + 1)))?;
-        if !v.is_null() {
-            put(&mut out, v, &format!("document {}", i + 1))?;
+/// Converts YAML documents, each an object or a `List` of objects. Keys of a `spec` may still be deprecated ones.
+pub(crate) fn to_configuration(text: &str) -> Result<Converted, Error> {
+    let mut converted = Converted {
+        configuration: json!({"placements": [], "routes": [], "zones": []}),
+        deprecated_kinds: DeprecatedKeys::default(),
+    };
+    for (index, document) in serde_norway::Deserializer::from_str(text).enumerate() {
+        let place = format!("document {}", index + 1);
+        let value =
+            Value::deserialize(document).map_err(|error| invalid(format_args!("{place}: {error}")))?;
+        if !value.is_null() {
+            converted.add(value, &place)?;
         }
     }
-    Ok(out.to_string())
+    Ok(converted)
 }
 
-fn put(out: &mut Value, v: Value, at: &str) -> Result<(), Error> {
-    let o: Object = serde_json::from_value(v).map_err(|e| invalid(format_args!("{at}: {e}")))?;
-    if o.kind == "List" {
-        let each = o.items.into_iter().enumerate();
-        return each.into_iter().try_for_each(|(i, v)| put(out, v, &format!("{at}, item {}", i + 1)));
+impl Converted {
+    fn add(&mut self, value: Value, place: &str) -> Result<(), Error> {
+        let object: Object =
+            serde_json::from_value(value).map_err(|error| invalid(format_args!("{place}: {error}")))?;
+        if object.kind == LIST_KIND {
+            for (index, item) in object.items.into_iter().enumerate() {
+                self.add(item, &format!("{place}, item {}", index + 1))?;
+            }
+            return Ok(());
+        }
+        if object.api_version != API_VERSION {
+            let given = object.api_version;
+            return Err(invalid(format_args!("{place}: apiVersion is {given:?}, known is {API_VERSION:?}")));
+        }
+        match self.target(&object.kind, place)? {
+            Target::Section(section) => self.add_section(section, object, place),
+            Target::List(list) => self.add_entry(list, object, place),
+        }
     }
-    if o.api_version != API {
-        return Err(invalid(format_args!("{at}: apiVersion is {:?}, known is {API:?}", o.api_version)));
+
+    fn target(&mut self, kind: &str, place: &str) -> Result<Target, Error> {
+        let renamed = deprecated_keys::renamed_object_kind(kind);
+        if let Some(key) = renamed {
+            self.deprecated_kinds.add(&format!("kind {}", key.old), key.new);
+        }
+        match renamed.map_or(kind, |key| key.new) {
+            "Placement" => Ok(Target::List("placements")),
+            "Route" => Ok(Target::List("routes")),
+            "Zone" => Ok(Target::List("zones")),
+            "Health" => Ok(Target::Section("health")),
+            "Connections" => Ok(Target::Section("connections")),
+            "Queue" => Ok(Target::Section("queue")),
+            _ => Err(invalid(format_args!("{place}: no kind is called {kind:?}"))),
+        }
     }
-    let mut spec = snake(o.spec);
-    let listed = match o.kind.as_str() {
-        "Placement" => Some("placements"),
-        "Rule" => Some("rules"),
-        "District" => Some("districts"),
-        "Judges" | "Links" | "Holding" => None,
-        k => return Err(invalid(format_args!("{at}: no kind is called {k:?}"))),
-    };
-    let Some(list) = listed else {
-        let key = o.kind.to_lowercase();
-        if out.get(&key).is_some() {
-            return Err(invalid(format_args!("{at}: {} is given twice", o.kind)));
+
+    fn add_section(&mut self, section: &str, object: Object, place: &str) -> Result<(), Error> {
+        if self.configuration.get(section).is_some() {
+            return Err(invalid(format_args!("{place}: {} is given twice", object.kind)));
         }
-        out[key] = Value::Object(spec);
-        return Ok(());
-    };
-    if let Some(s) = spec.remove("selector") {
-        let (with, without) = selector(s).map_err(|e| invalid(format_args!("{at}: spec.selector: {e}")))?;
-        let rule = list == "rules";
-        if rule && without.as_object().is_some_and(|w| !w.is_empty()) {
-            return Err(invalid(format_args!("{at}: spec.selector: a rule takes no NotIn")));
+        self.configuration[section] = Value::Object(snake_case_keys(object.spec));
+        Ok(())
+    }
+
+    fn add_entry(&mut self, list: &str, object: Object, place: &str) -> Result<(), Error> {
+        let mut spec = snake_case_keys(object.spec);
+        if let Some(selector) = spec.remove("selector") {
+            let selector = split_selector(selector)
+                .map_err(|error| invalid(format_args!("{place}: spec.selector: {error}")))?;
+            insert_selector(&mut spec, list, selector, place)?;
         }
-        spec.insert(if rule { "when" } else { "select" }.into(), with);
-        if !rule {
-            spec.insert("except".into(), without);
+        spec.insert("name".into(), object.metadata.name.into());
+        if let Some(entries) = self.configuration[list].as_array_mut() {
+            entries.push(Value::Object(spec));
         }
+        Ok(())
+    }
+}
+
+fn insert_selector(
+    spec: &mut Map<String, Value>,
+    list: &str,
+    selector: SplitSelector,
+    place: &str,
+) -> Result<(), Error> {
+    if list != "routes" {
+        spec.insert("select".into(), Value::Object(selector.required));
+        spec.insert("except".into(), Value::Object(selector.excluded));
+        return Ok(());
     }
-    spec.insert("name".into(), o.metadata.name.into());
-    if let Some(l) = out[list].as_array_mut() {
-        l.push(Value::Object(spec));
+    if !selector.excluded.is_empty() {
+        return Err(invalid(format_args!("{place}: spec.selector: a route takes no NotIn")));
     }
+    spec.insert("when".into(), Value::Object(selector.required));
     Ok(())
 }
 
-/// `timeoutMs` is `timeout_ms` to the blueprint.
-fn snake(m: Map<String, Value>) -> Map<String, Value> {
-    m.into_iter()
-        .map(|(k, v)| {
-            let mut s = String::new();
-            for c in k.chars() {
-                if c.is_ascii_uppercase() {
-                    s.push('_');
-                }
-                s.push(c.to_ascii_lowercase());
-            }
-            (s, v)
-        })
-        .collect()
+/// Object keys are in camel case, those of the configuration in snake case: `timeoutMs` is `timeout_ms`.
+fn snake_case_keys(map: Map<String, Value>) -> Map<String, Value> {
+    map.into_iter().map(|(key, value)| (snake_case(&key), value)).collect()
 }
 
-/// Labels that must be among some values, and labels that must not.
-fn selector(v: Value) -> Result<(Value, Value), String> {
-    let s: LabelSelector = serde_json::from_value(v).map_err(|e| e.to_string())?;
-    let (mut with, mut without) = (Map::new(), Map::new());
-    s.match_labels.into_iter().for_each(|(k, v)| drop(with.insert(k, json!([v]))));
-    for e in s.match_expressions {
-        let into = match e.operator.as_str() {
-            "In" => &mut with,
-            "NotIn" => &mut without,
-            o => return Err(format!("the operator {o:?} is not taken; In and NotIn are")),
-        };
-        if into.insert(e.key.clone(), json!(e.values)).is_some() {
-            return Err(format!("{:?} stands twice", e.key));
+fn snake_case(camel_case: &str) -> String {
+    let mut snake = String::new();
+    for character in camel_case.chars() {
+        if character.is_ascii_uppercase() {
+            snake.push('_');
         }
+        snake.push(character.to_ascii_lowercase());
     }
-    Ok((Value::Object(with), Value::Object(without)))
+    snake
 }
 
-#[cfg(test)]
-mod tests {
-    use crate::configuration::Configuration;
-
-    const GOOD: &str = "
-apiVersion: quincehatch/v1
-kind: Placement
-metadata: { name: scrips, labels: { team: rx } }
-spec:
-  selector:
-    matchLabels: { group: rx }
-    matchExpressions: [{ key: tier, operator: NotIn, values: [old] }]
----
-apiVersion: quincehatch/v1
-kind: Rule
-metadata: { name: orders }
-spec:
-  class: order
-  placement: scrips
-  timeoutMs: 800
-  selector: { matchLabels: { db: rx } }
----
-apiVersion: quincehatch/v1
-kind: Judges
-spec: { returnAfterMs: 20000 }
-";
-
-    #[test]
-    fn objects_are_a_blueprint_like_any_other() {
-        let a = Configuration::parse(GOOD).unwrap();
-        let b = Configuration::parse(
-            "[[placements]]\nname=\"scrips\"\nselect={group=[\"rx\"]}\nexcept={tier=[\"old\"]}\n[[rules]]\nname=\"orders\"\n\
-             class=\"order\"\nplacement=\"scrips\"\ntimeout_ms=800\nwhen={db=[\"rx\"]}\n[judges]\nreturn_after_ms=20000\n",
-        );
-        assert_eq!(a, b.unwrap());
+fn split_selector(selector: Value) -> Result<SplitSelector, String> {
+    let selector: LabelSelector = serde_json::from_value(selector).map_err(|error| error.to_string())?;
+    let mut split = SplitSelector { required: Map::new(), excluded: Map::new() };
+    for (key, value) in selector.match_labels {
+        split.required.insert(key, json!([value]));
     }
-
-    #[test]
-    fn mistakes_in_objects_are_told_by_document_and_the_same_checks_hold() {
-        for (from, to, want) in [
-            ("quincehatch/v1\nkind: Rule", "apps/v1\nkind: Rule", "document 2: apiVersion"),
-            ("kind: Judges", "kind: Pod", "no kind is called \"Pod\""),
-            ("operator: NotIn", "operator: Exists", "In and NotIn are"),
-            ("timeoutMs: 800", "timeoutMs: 8", "rules[0].timeout_ms: 8 is outside"),
-            ("timeoutMs: 800", "colour: red", "colour"),
-            ("matchLabels: { group: rx }", "matchLabels: { host: rx }", "chosen by labels"),
-            ("kind: Placement", "kind: [", "document 1"),
-        ] {
-            let b = Configuration::parse(&GOOD.replace(from, to)).expect_err(to);
-            assert!(
-                b.has_code(quincehatch_core::ErrorCode::ConfigurationInvalid) && b.text.contains(want),
-                "{b} lacks {want:?}"
-            );
+    for expression in selector.match_expressions {
+        let labels = match expression.operator.as_str() {
+            "In" => &mut split.required,
+            "NotIn" => &mut split.excluded,
+            other => return Err(format!("the operator {other:?} is not supported; In and NotIn are")),
+        };
+        if labels.insert(expression.key.clone(), json!(expression.values)).is_some() {
+            return Err(format!("{:?} is given twice", expression.key));
         }
     }
+    Ok(split)
 }
--- /dev/null
+++ b/crates/config/src/settings/file.rs
@@ -0,0 +1,51 @@
+//! Reading a settings file.
+use super::{KeeperSettings, NodeSettings};
+use crate::deprecated_keys::{self, DeprecatedKeys};
+use crate::document::{self, Format, RenameKeys};
+use crate::schema_error;
+use quincehatch_core::{Error, ErrorCode};
+use schematic::{Config, ConfigLoader};
+use std::fmt::Display;
+
+/// Settings that have a file of their own.
+pub trait SettingsFile: Config {
+    /// Renames the keys that earlier releases had in this file.
+    const RENAME_KEYS: RenameKeys;
+}
+
+impl SettingsFile for NodeSettings {
+    const RENAME_KEYS: RenameKeys = deprecated_keys::rename_in_node_settings;
+}
+
+impl SettingsFile for KeeperSettings {
+    const RENAME_KEYS: RenameKeys = deprecated_keys::rename_in_keeper_settings;
+}
+
+/// Reads a TOML settings file. The caller validates the settings, once flags have been applied to them.
+pub fn read_file<S: SettingsFile>(path: &str) -> Result<S, Error> {
+    let text = std::fs::read_to_string(path).map_err(|error| invalid(path, error))?;
+    let document = document::load_plain(&text, Format::Toml, S::RENAME_KEYS)
+        .map_err(|conflict| invalid(path, conflict))?;
+    report(&document.deprecated_keys, path);
+    let loaded = ConfigLoader::<S>::new()
+        .code(document.text, document.format.source_name())
+        .and_then(|loader| loader.load());
+    match loaded {
+        Ok(loaded) => Ok(loaded.config),
+        Err(error) => Err(invalid(path, schema_error::describe(&error))),
+    }
+}
+
+fn invalid(path: &str, why: impl Display) -> Error {
+    ErrorCode::InvalidSettings.with_detail(format_args!("{path}: {why}"))
+}
+
+/// Settings are read before the log is started, as they name its level: until then the notice goes straight to where
+/// the log goes, standard error.
+fn report(deprecated_keys: &DeprecatedKeys, path: &str) {
+    if log::max_level() != log::LevelFilter::Off {
+        deprecated_keys.log(path);
+    } else if let Some(notice) = deprecated_keys.notice(path) {
+        eprintln!("{notice}");
+    }
+}
--- /dev/null
+++ b/crates/config/src/validation/placements.rs
@@ -0,0 +1,34 @@
+//! Checks of placements.
+use super::mistakes::Mistakes;
+use crate::configuration::{Configuration, Placement};
+use std::collections::BTreeSet;
+
+pub(super) fn check(configuration: &Configuration, mistakes: &mut Mistakes) {
+    if configuration.placements.is_empty() {
+        mistakes.add("placements: at least one is needed");
+    }
+    let mut names = BTreeSet::new();
+    for (index, placement) in configuration.placements.iter().enumerate() {
+        let path = format!("placements[{index}]");
+        mistakes.check_name(&format!("{path}.name"), &placement.name, &mut names);
+        if placement.select.is_empty() {
+            mistakes.add(format!("{path}.select: at least one label is needed"));
+        }
+        mistakes.check_selector(&format!("{path}.select"), &placement.select);
+        mistakes.check_selector(&format!("{path}.except"), &placement.except);
+        if excludes_everything(placement) {
+            mistakes.add(format!("{path}.except: excludes everything that select chooses"));
+        }
+    }
+}
+
+/// True when each server that `select` matches is matched by `except` too.
+fn excludes_everything(placement: &Placement) -> bool {
+    if placement.except.is_empty() {
+        return false;
+    }
+    placement.except.iter().all(|(key, excluded)| {
+        let selected = placement.select.get(key);
+        selected.is_some_and(|selected| selected.iter().all(|value| excluded.contains(value)))
+    })
+}
--- /dev/null
+++ b/crates/config/tests/validation.rs
@@ -0,0 +1,78 @@
+//! Every kind of mistake in a configuration is named with its path.
+use quincehatch_config::configuration::Configuration;
+use quincehatch_core::{ErrorCode, Labels};
+
+const VALID: &str = "[[placements]]\nname=\"p\"\nselect={group=[\"g\"]}\n[[routes]]\nname=\"r\"\n\
+                     class=\"order\"\nplacement=\"p\"\n";
+
+const ZONED: &str = "[[placements]]\nname=\"west\"\nselect={group=[\"g\"],coast=[\"west\"]}\n[[routes]]\nname=\"r\"\n\
+                     class=\"lookup\"\nplacement=\"west\"\nwhen={coast=[\"west\"]}\n[[zones]]\nname=\"d1\"\n\
+                     labels={coast=\"west\"}\n[[zones]]\nname=\"d2\"\nlabels={coast=\"east\"}\n";
+
+fn assert_rejected(text: &str, expected: &str) {
+    let error = Configuration::parse(text).expect_err("it was accepted");
+    let matches = error.has_code(ErrorCode::ConfigurationInvalid) && error.text.contains(expected);
+    assert!(matches, "{error} lacks {expected:?}");
+}
+
+fn labels(pairs: &[(&str, &str)]) -> Labels {
+    pairs.iter().map(|(key, value)| ((*key).into(), (*value).into())).collect()
+}
+
+#[test]
+fn a_valid_configuration_is_the_same_when_read_from_toml_and_json() {
+    let from_toml = Configuration::parse(VALID).unwrap();
+    assert_eq!(Configuration::parse(&from_toml.to_json()).unwrap(), from_toml);
+    assert_eq!(Configuration::parse(&from_toml.to_stored_json()).unwrap(), from_toml);
+    assert_eq!(from_toml.health.query_timeout_ms, 30_000);
+}
+
+#[test]
+fn a_placement_includes_servers_by_the_labels_of_their_zone_when_they_have_none_of_their_own() {
+    let configuration = Configuration::parse(ZONED).unwrap();
+    let placement = &configuration.placements[0];
+    let includes = |own: &[(&str, &str)]| configuration.placement_includes(placement, &labels(own));
+    assert!(includes(&[("group", "g"), ("zone", "d1")]));
+    assert!(!includes(&[("group", "g"), ("zone", "d2")]));
+    assert!(includes(&[("group", "g"), ("zone", "d2"), ("coast", "west")]), "its own label wins");
+    assert!(configuration.route_for("lookup", &labels(&[("zone", "d1")])).is_some());
+    assert!(configuration.route_for("lookup", &labels(&[("zone", "d2")])).is_none());
+}
+
+#[test]
+fn mistakes_in_zones_are_rejected_when_selectors_name_them_or_they_have_a_servers_label() {
+    assert_rejected(&ZONED.replace("name=\"d2\"", "name=\"d1\""), "zones[1].name: \"d1\" is used twice");
+    assert_rejected(
+        &ZONED.replace("coast=\"east\"", "group=\"east\""),
+        "zones[1].labels.group: is a server's own",
+    );
+    let with_zone = |zone: &str| ZONED.replace("select={", &format!("select={{zone=[\"{zone}\"],"));
+    assert_rejected(&with_zone("d9"), "placements[0].select.zone: \"d9\" is not among");
+    assert_rejected(&with_zone("d2"), "placements[0].select.coast: every zone");
+    assert_rejected(&ZONED.replace("when={", "when={zone=[\"d2\"],"), "routes[0].when.coast: every zone");
+    assert_rejected(&ZONED.replace("coast=\"east\"", "coast=\"10.0.0.1\""), "is an address");
+}
+
+#[test]
+fn every_kind_of_mistake_is_named_with_its_path_when_a_configuration_is_rejected() {
+    assert_rejected("nonsense", "");
+    assert_rejected(&format!("{VALID}colour = 1\n"), "colour");
+    assert_rejected(
+        &format!("{VALID}[connections]\nper_replica = 0\n"),
+        "connections.per_replica: 0 is outside",
+    );
+    assert_rejected(&VALID.replace("group=", "host="), "chosen by labels");
+    assert_rejected(&VALID.replace("[\"g\"]", "[\"10.0.0.1:5432\"]"), "is an address");
+    assert_rejected(&VALID.replace("[\"g\"]", "[]"), "matches nothing");
+    assert_rejected(&VALID.replace("placement=\"p\"", "placement=\"q\""), "no placement is named");
+    assert_rejected(&VALID.replace("[\"g\"]", "[\"g\",\"h\"]"), "exactly one group");
+    assert_rejected(&format!("{VALID}timeout_ms = 5\n"), "routes[0].timeout_ms: 5 is outside");
+    assert_rejected(&format!("{VALID}query_timeout_ms = 200\n"), "shorter than the route's");
+    assert_rejected(&format!("{VALID}[health]\nreset_weight = 1\n"), "it must suffice by itself");
+    let twice = format!("{VALID}[[routes]]\nname=\"r\"\nclass=\"order\"\nplacement=\"p\"\n");
+    assert_rejected(&twice, "used twice");
+    assert_rejected(&twice, "an earlier route takes all");
+    let selected = "select={group=[\"g\"]}";
+    let excluded = VALID.replace(selected, &format!("{selected}\nexcept={{group=[\"g\"]}}"));
+    assert_rejected(&excluded, "excludes everything");
+}
--- a/crates/core/src/words.rs
+++ b/crates/core/src/words.rs
@@ -77,7 +77,8 @@
         self.labels.get("group").map_or("", |g| g.as_str())
     }
     pub fn zone(&self) -> &str {
-        self.labels.get("district").map_or("", |g| g.as_str())
+        // `district` is the label's deprecated name; where both are given, `zone` may be a label of the operator's own.
+        self.labels.get("district").or_else(|| self.labels.get("zone")).map_or("", |zone| zone.as_str())
     }
 }
 
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -71,7 +71,7 @@
 /// The view a fresh folder begins with: all machines at first, none for one that joins.
 fn first(a: &Args, s: &KeeperSettings) -> Option<View> {
     let machines: Vec<Voter> =
-        s.voters().into_iter().map(|(n, ad)| Voter { name: n.into(), addr: ad.into() }).collect();
+        s.voters().into_iter().map(|v| Voter { name: v.name.into(), addr: v.addr.into() }).collect();
     let members = machines.iter().map(|m| m.name.clone()).collect();
     match (a.init, a.join) {
         (true, _) => Some(View { version: 1, members, voters: machines }),
