--- /dev/null
+++ b/crates/capacity/src/components/frames.rs
@@ -0,0 +1,46 @@
+//! Sizes of the frames in which keepers tell what they store.
+use super::store::{adopt, populated_store};
+use quincehatch_store::patch::PackedText;
+use quincehatch_store::{FeedSnapshot, KeeperResponse, Reply, Store};
+use quincehatch_wire::{ANSWER_HEADER_BYTES, LENGTH_BYTES};
+
+/// The lease in the replies; its size does not depend on it.
+const LEASE_MS: u64 = 4_000;
+/// Configurations that were adopted before.
+pub(super) const ADOPTED: u64 = 2;
+/// The number of the configuration that is adopted last.
+pub(super) const NEXT_ADOPTED: u64 = 9;
+
+/// Bytes of whole frames, with the length before them.
+#[derive(Clone, Copy, Debug)]
+pub struct FrameSizes {
+    /// The whole store, as keepers send it to each other.
+    pub store: usize,
+    /// All that a node is told that starts.
+    pub snapshot: usize,
+    /// One adopted configuration of which a route changed, as a node is told it.
+    pub change: usize,
+}
+
+/// Sizes of the frames of a cluster with `groups` databases.
+pub fn frame_sizes(groups: usize) -> FrameSizes {
+    let mut store = populated_store(groups, ADOPTED);
+    let snapshot = Box::new(feed_snapshot(&store));
+    let store_frame = frame_bytes(Reply::Store { store: Box::new(store.clone()) });
+    let changes = vec![adopt(&mut store, groups, NEXT_ADOPTED)];
+    FrameSizes {
+        store: store_frame,
+        snapshot: frame_bytes(Reply::Snapshot { snapshot, lease_ms: LEASE_MS }),
+        change: frame_bytes(Reply::Changes { changes, lease_ms: LEASE_MS }),
+    }
+}
+
+pub(super) fn feed_snapshot(store: &Store) -> FeedSnapshot {
+    let text = store.configuration().map_or("", |entry| &entry.text);
+    FeedSnapshot::from_store(store, PackedText::pack(text))
+}
+
+fn frame_bytes(reply: Reply) -> usize {
+    let body = borsh::to_vec(&KeeperResponse::Reply { reply });
+    body.map_or(0, |body| body.len() + LENGTH_BYTES + ANSWER_HEADER_BYTES)
+}
--- /dev/null
+++ b/crates/capacity/src/components/health.rs
@@ -0,0 +1,49 @@
+//! A node's health checks over its servers.
+use crate::cpu::timed;
+use crate::samples::{lone_node_settings, server_record};
+use quincehatch_core::{Labels, ServerHeartbeat, ServerRecord};
+use quincehatch_proxy::Proxy;
+use quincehatch_proxy::local_replicas::LocalOnlyReplicas;
+use quincehatch_proxy::probe;
+use quincehatch_runtime::seam::Spawner;
+
+/// A second of the health checks; the loop over duties looks at each server's state four times in it.
+const CHECKS_PER_SECOND: usize = 10;
+
+/// What the health checks of one node take.
+#[derive(Clone, Copy, Debug)]
+pub struct HealthCheckCost {
+    /// Servers that the registry has room for.
+    pub servers: usize,
+    /// Processor time of a second of checks, in milliseconds.
+    pub cpu_ms: f64,
+}
+
+/// Registers `servers` at one node and checks those it has room for.
+pub fn health_checks(servers: usize) -> HealthCheckCost {
+    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+    let _entered = runtime.enter();
+    let proxy = Proxy::new(lone_node_settings(), Box::new(LocalOnlyReplicas::default()), Spawner::current());
+    for index in 0..servers {
+        proxy.registry.apply_heartbeat(first_heartbeat(server_record(index, 1)));
+    }
+    let checks = timed(|| {
+        for _ in 0..CHECKS_PER_SECOND {
+            probe::judge(&proxy);
+        }
+    });
+    HealthCheckCost { servers: proxy.registry.servers().len(), cpu_ms: checks.cpu_ms }
+}
+
+/// The first heartbeat of a server, as its record has it.
+pub(crate) fn first_heartbeat(record: ServerRecord) -> ServerHeartbeat {
+    let labels: Labels = [("group".into(), record.group), ("zone".into(), record.zone)].into();
+    ServerHeartbeat {
+        server: record.server,
+        addr: record.addr,
+        seq: 1,
+        labels,
+        role: record.role,
+        ..Default::default()
+    }
+}
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,50 +1,115 @@
-//! Least squares over a few terms, and what is left over.
+//! Least squares over a few terms, and summaries of repeated measurements.
 
-/// The terms' coefficients, and the largest residual as a share of the largest figure.
+/// Below this a pivot counts as zero: the measurements do not tell the terms apart.
+const SMALLEST_PIVOT: f64 = 1e-12;
+
+/// One measurement: the value of each term at that size, and the figure there.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Sample {
+    /// The terms' values.
+    pub terms: Vec<f64>,
+    /// The figure.
+    pub value: f64,
+}
+
+/// A sum of terms that was fitted to measurements.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fit {
-    pub of: Vec<f64>,
-    pub off: f64,
+    /// The coefficient of each term.
+    pub coefficients: Vec<f64>,
+    /// The largest residual as a share of the largest figure.
+    pub max_residual: f64,
 }
 
-/// Fits `y` to the sum of `x`'s terms by the normal equations; none where they do not tell the terms apart.
-pub fn fit(rows: &[(Vec<f64>, f64)]) -> Option<Fit> {
-    let n = rows.first()?.0.len();
+/// Fits the figures to a sum of the terms by the normal equations; `None` where the samples do not tell the terms apart.
+pub fn fit(samples: &[Sample]) -> Option<Fit> {
+    let count = samples.first()?.terms.len();
     // Each term in its own scale, so that the elimination's sums are of like size.
-    let scale: Vec<f64> = (0..n).map(|i| rows.iter().fold(0.0, |m: f64, r| m.max(r.0[i].abs()))).collect();
-    let x = |r: &(Vec<f64>, f64), i: usize| r.0[i] / scale[i];
-    let mut m = vec![vec![0.0; n + 1]; n];
-    for r in rows {
-        for (i, row) in m.iter_mut().enumerate() {
-            (0..n).for_each(|j| row[j] += x(r, i) * x(r, j));
-            row[n] += x(r, i) * r.1;
+    let scales: Vec<f64> =
+        (0..count).map(|term| largest(samples.iter().map(|sample| sample.terms[term]))).collect();
+    let mut matrix = normal_equations(samples, &scales);
+    eliminate(&mut matrix)?;
+    let coefficients: Vec<f64> =
+        (0..count).map(|term| matrix[term][count] / matrix[term][term] / scales[term]).collect();
+    let max_residual = max_residual(samples, &coefficients);
+    Some(Fit { coefficients, max_residual })
+}
+
+fn largest(values: impl Iterator<Item = f64>) -> f64 {
+    values.fold(0.0, |largest: f64, value| largest.max(value.abs()))
+}
+
+/// One row a term: the products of the terms, and in the last column those with the figures.
+fn normal_equations(samples: &[Sample], scales: &[f64]) -> Vec<Vec<f64>> {
+    let count = scales.len();
+    let mut matrix = vec![vec![0.0; count + 1]; count];
+    for sample in samples {
+        let scaled: Vec<f64> = sample.terms.iter().zip(scales).map(|(term, scale)| term / scale).collect();
+        for (row, own) in matrix.iter_mut().zip(&scaled) {
+            for (cell, other) in row.iter_mut().zip(&scaled) {
+                *cell += own * other;
+            }
+            row[count] += own * sample.value;
         }
     }
-    for i in 0..n {
-        let p = (i..n).max_by(|a, b| m[*a][i].abs().total_cmp(&m[*b][i].abs()))?;
-        m.swap(i, p);
-        if m[i][i].abs() < 1e-12 {
+    matrix
+}
+
+/// Gauss-Jordan elimination with the largest pivot of each column; `None` where there is none.
+fn eliminate(matrix: &mut [Vec<f64>]) -> Option<()> {
+    let count = matrix.len();
+    for column in 0..count {
+        let largest_row =
+            (column..count).max_by(|a, b| matrix[*a][column].abs().total_cmp(&matrix[*b][column].abs()))?;
+        matrix.swap(column, largest_row);
+        if matrix[column][column].abs() < SMALLEST_PIVOT {
             return None;
         }
-        let pivot = m[i].clone();
-        for (j, row) in m.iter_mut().enumerate().filter(|(j, _)| *j != i) {
-            let k = row[i] / pivot[i];
-            debug_assert!(j < n);
-            row.iter_mut().zip(&pivot).for_each(|(a, b)| *a -= k * b);
+        let pivot = matrix[column].clone();
+        for (index, row) in matrix.iter_mut().enumerate() {
+            if index == column {
+                continue;
+            }
+            let factor = row[column] / pivot[column];
+            for (cell, pivot_cell) in row.iter_mut().zip(&pivot) {
+                *cell -= factor * pivot_cell;
+            }
         }
     }
-    let of: Vec<f64> = (0..n).map(|i| m[i][n] / m[i][i] / scale[i]).collect();
-    let said = |r: &(Vec<f64>, f64)| r.0.iter().zip(&of).map(|(x, c)| x * c).sum::<f64>();
-    let top = rows.iter().fold(0.0, |m: f64, r| m.max(r.1.abs()));
-    let off = rows.iter().fold(0.0, |m: f64, r| m.max((r.1 - said(r)).abs())) / top.max(1e-12);
-    Some(Fit { of, off })
-}
-
-/// Median, least and most.
-pub fn spread(mut v: Vec<f64>) -> (f64, f64, f64) {
-    v.sort_by(f64::total_cmp);
-    match (v.first(), v.last()) {
-        (Some(lo), Some(hi)) => (v[v.len() / 2], *lo, *hi),
-        _ => (0.0, 0.0, 0.0),
+    Some(())
+}
+
+fn max_residual(samples: &[Sample], coefficients: &[f64]) -> f64 {
+    let residual = |sample: &Sample| {
+        let fitted: f64 = sample.terms.iter().zip(coefficients).map(|(term, factor)| term * factor).sum();
+        sample.value - fitted
+    };
+    let largest_residual = largest(samples.iter().map(residual));
+    let largest_value = largest(samples.iter().map(|sample| sample.value));
+    largest_residual / largest_value.max(SMALLEST_PIVOT)
+}
+
+/// Median and spread of repeated measurements.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Summary {
+    /// The figure in the middle.
+    pub median: f64,
+    /// The least figure.
+    pub min: f64,
+    /// The greatest figure.
+    pub max: f64,
+    /// How many figures there are.
+    pub count: usize,
+}
+
+/// Summarizes the figures; all zero where there are none.
+pub fn summarize(mut figures: Vec<f64>) -> Summary {
+    figures.sort_by(f64::total_cmp);
+    match (figures.first(), figures.last()) {
+        (Some(min), Some(max)) => {
+            let count = figures.len();
+            Summary { median: figures[count / 2], min: *min, max: *max, count }
+        }
+        _ => Summary::default(),
     }
 }
--- /dev/null
+++ b/crates/capacity/src/frame_counts/kinds.rs
@@ -0,0 +1,148 @@
+//! Kinds of frames, and their counts.
+use quincehatch_gossip::{GossipMessage, NodeQuery, NodeRequest};
+use quincehatch_simulator::fleet::core::Simulation;
+use quincehatch_simulator::fleet::net::FrameHandler;
+use quincehatch_store::{KeeperRequest, Request};
+use quincehatch_wire::{Call, Incoming, LENGTH_BYTES, RequestHeader};
+use std::collections::BTreeMap;
+use std::fmt;
+use std::sync::{Arc, Mutex};
+
+/// Requests of one kind and their responses; each frame with the length before it.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct FrameCount {
+    /// How many requests there were.
+    pub requests: u64,
+    /// Their bytes.
+    pub request_bytes: u64,
+    /// The bytes of the responses.
+    pub response_bytes: u64,
+}
+
+/// What a frame asks for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum FrameKind {
+    /// A node polls the tail for changes.
+    Feed,
+    /// A command for the replicated store.
+    Write,
+    /// A keeper's status.
+    Status,
+    /// Any other request of a node to a keeper.
+    OtherStoreRequest,
+    /// Probes between members.
+    GossipProbe,
+    /// Exchanges of partial views between members.
+    GossipView,
+    /// Servers' heartbeats passed on between members.
+    GossipHeartbeat,
+    /// Where what a node passed on as acknowledged ends.
+    AcknowledgedEnd,
+    /// Comparisons of session replicas.
+    SessionReplicas,
+    /// Any other query between nodes.
+    OtherQuery,
+    /// A frame between keepers, or one that cannot be read.
+    Unknown,
+}
+
+impl fmt::Display for FrameKind {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            FrameKind::Feed => "feed",
+            FrameKind::Write => "write",
+            FrameKind::Status => "status",
+            FrameKind::OtherStoreRequest => "other store requests",
+            FrameKind::GossipProbe => "gossip probes",
+            FrameKind::GossipView => "gossip views",
+            FrameKind::GossipHeartbeat => "gossip heartbeats",
+            FrameKind::AcknowledgedEnd => "acknowledged end",
+            FrameKind::SessionReplicas => "session replicas",
+            FrameKind::OtherQuery => "other queries",
+            FrameKind::Unknown => "unknown",
+        })
+    }
+}
+
+/// Counts by kind.
+pub type FrameCounts = BTreeMap<FrameKind, FrameCount>;
+pub(super) type SharedFrameCounts = Arc<Mutex<FrameCounts>>;
+
+/// The kind of a frame, from its bytes.
+pub(super) type Classify = fn(&[u8]) -> FrameKind;
+
+/// Counts the frames that arrive at an address.
+pub(super) fn count_frames(
+    simulation: &Arc<Simulation>,
+    addr: &str,
+    classify: Classify,
+    counts: &SharedFrameCounts,
+) {
+    let counts = counts.clone();
+    simulation.wrap_frame_handler(addr, move |inner: FrameHandler| {
+        Arc::new(move |frame: Vec<u8>| {
+            let kind = classify(&frame);
+            let request_bytes = framed(frame.len());
+            let response = inner(frame);
+            let counts = counts.clone();
+            Box::pin(async move {
+                let response = response.await;
+                let response_bytes = response.as_ref().map_or(0, |frame| framed(frame.len()));
+                let mut counts = counts.lock().unwrap();
+                let count = counts.entry(kind).or_default();
+                count.requests += 1;
+                count.request_bytes += request_bytes;
+                count.response_bytes += response_bytes;
+                response
+            })
+        })
+    });
+}
+
+fn framed(bytes: usize) -> u64 {
+    (bytes + LENGTH_BYTES) as u64
+}
+
+/// The request in a frame.
+fn decode<Request: Call>(frame: &[u8]) -> Option<Request> {
+    let (_header, message) = Incoming::parse(frame).ok()?.header::<RequestHeader>().ok()?;
+    borsh::from_slice(message).ok()
+}
+
+/// The kind of a frame to a keeper.
+pub(super) fn keeper_request_kind(frame: &[u8]) -> FrameKind {
+    match decode(frame) {
+        Some(KeeperRequest::Node { request: Request::Feed { .. } }) => FrameKind::Feed,
+        Some(KeeperRequest::Node { request: Request::Write { .. } }) => FrameKind::Write,
+        Some(KeeperRequest::Node { request: Request::Status }) => FrameKind::Status,
+        Some(KeeperRequest::Node { .. }) => FrameKind::OtherStoreRequest,
+        _ => FrameKind::Unknown,
+    }
+}
+
+/// The kind of a frame to a node.
+pub(super) fn node_request_kind(frame: &[u8]) -> FrameKind {
+    match decode(frame) {
+        Some(NodeRequest::Gossip { message }) => gossip_kind(&message.message),
+        Some(NodeRequest::Query { query }) => query_kind(&query),
+        _ => FrameKind::Unknown,
+    }
+}
+
+fn gossip_kind(message: &GossipMessage) -> FrameKind {
+    match message {
+        GossipMessage::Ping { .. } | GossipMessage::Pong { .. } | GossipMessage::PingFor { .. } => {
+            FrameKind::GossipProbe
+        }
+        GossipMessage::Shuffle { .. } | GossipMessage::Shuffled { .. } => FrameKind::GossipView,
+        GossipMessage::Heartbeats { .. } => FrameKind::GossipHeartbeat,
+    }
+}
+
+fn query_kind(query: &NodeQuery) -> FrameKind {
+    match query {
+        NodeQuery::AcknowledgedEnd { .. } => FrameKind::AcknowledgedEnd,
+        NodeQuery::SessionDigests { .. } | NodeQuery::SessionRange { .. } => FrameKind::SessionReplicas,
+        _ => FrameKind::OtherQuery,
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/tail_keeper/adoption.rs
@@ -0,0 +1,63 @@
+//! One adopted configuration on its way down the chain and to the nodes.
+use super::{framed_bytes, start_tail};
+use crate::components::adoption;
+use crate::cpu::timed;
+use quincehatch_store::entry_log::{EntryLog, PackedEntry};
+use quincehatch_store::keeper::{Input, Output};
+use quincehatch_store::terms::TRANSFER_MAX_BYTES;
+use quincehatch_store::{Entry, Keeper, KeeperRequest, KeeperResponse, PeerMessage, Request};
+use quincehatch_wire::REQUEST_HEADER_BYTES;
+
+/// The token of the write itself; polls have others.
+const WRITE_TOKEN: u64 = 0;
+
+/// What telling an adopted configuration costs the tail.
+#[derive(Clone, Copy, Debug)]
+pub struct AdoptionCost {
+    /// Processor time in milliseconds.
+    pub cpu_ms: f64,
+    /// Bytes of the answers to all polls.
+    pub bytes: usize,
+}
+
+/// Adopts a configuration of `groups` databases while the polls of `nodes` wait for it.
+pub fn adoption_cost(nodes: usize, groups: usize) -> AdoptionCost {
+    let mut tail = start_tail(nodes);
+    let now = tail.serving_from;
+    adopt(&mut tail.keeper, now, groups, 1);
+    let last_change = tail.keeper.store.last_change;
+    for (index, node) in tail.nodes.iter_mut().enumerate() {
+        node.last_change = last_change;
+        let token = WRITE_TOKEN + 1 + index as u64;
+        tail.keeper.step(now, Input::Request { token, request: node.poll() });
+    }
+    let adopted = timed(|| adopt(&mut tail.keeper, now + 1, groups, 2));
+    AdoptionCost { cpu_ms: adopted.cpu_ms, bytes: adopted.result }
+}
+
+/// Writes an adoption; the bytes of the answers to polls that waited for it.
+fn adopt(keeper: &mut Keeper, now: u64, groups: usize, number: u64) -> usize {
+    let command = adoption(groups, number);
+    let request = Request::Write { key: format!("adopt/{number}").into(), command };
+    let outputs = keeper.step(now, Input::Request { token: WRITE_TOKEN, request });
+    let poll_replies = outputs.into_iter().filter_map(|output| match output {
+        Output::Reply(token, reply) if token != WRITE_TOKEN => Some(KeeperResponse::Reply { reply }),
+        _ => None,
+    });
+    poll_replies.filter_map(|response| framed_bytes(&response)).sum()
+}
+
+/// Bytes of the first message in which adopted configurations of `groups` databases go from one keeper to the next.
+pub fn first_transfer_bytes(groups: usize, adoptions: u64) -> usize {
+    let mut log = EntryLog::default();
+    for number in 1..=adoptions {
+        let key = format!("adopt/{number}/{:016x}", 1).into();
+        let entry = Entry { number, key, command: adoption(groups, number) };
+        log.push_back(PackedEntry::pack(&entry));
+    }
+    let entries = log.entries_after(0, TRANSFER_MAX_BYTES).unwrap_or_default();
+    let message =
+        PeerMessage::AppendEntries { version: 1, previous_change: 0, entries, last_change: adoptions };
+    let frame = framed_bytes(&KeeperRequest::Peer { from: "k0".into(), message });
+    frame.map_or(0, |bytes| bytes + REQUEST_HEADER_BYTES)
+}
--- /dev/null
+++ b/crates/capacity/src/tail_keeper/mod.rs
@@ -0,0 +1,88 @@
+//! The tail keeper alone before the polls of many nodes, in virtual time.
+mod adoption;
+mod load;
+
+pub use adoption::{AdoptionCost, adoption_cost, first_transfer_bytes};
+pub use load::{TailLoad, TailSecond, measure};
+
+use crate::samples::node_names;
+use quincehatch_core::Name;
+use quincehatch_store::keeper::{Input, Output, RecoveredState};
+use quincehatch_store::{Answer, Command, Keeper, Reply, Request, View, Voter};
+use quincehatch_wire::LENGTH_BYTES;
+
+/// How often a keeper's driver lets time pass, in milliseconds.
+const TICK_MS: u64 = 20;
+/// Where every node says it listens; the keeper does not call it.
+const NODE_ADDRESS: &str = "127.0.0.1:20000";
+
+/// A node that polls the tail.
+struct PollingNode {
+    name: Name,
+    /// The number of the entry that enrolled it.
+    enrolled: u64,
+    /// The last change it was told.
+    last_change: u64,
+}
+
+impl PollingNode {
+    fn poll(&self) -> Request {
+        Request::Feed {
+            node: self.name.clone(),
+            addr: NODE_ADDRESS.into(),
+            last_change: self.last_change,
+            applied: 1,
+            enrolled: self.enrolled,
+        }
+    }
+}
+
+/// A keeper that is the whole chain, with enrolled nodes.
+struct ServingTail {
+    keeper: Keeper,
+    nodes: Vec<PollingNode>,
+    /// Virtual time when it began to serve, in milliseconds.
+    serving_from: u64,
+}
+
+/// Starts a keeper and enrolls `nodes`.
+fn start_tail(nodes: usize) -> ServingTail {
+    let mut keeper = single_keeper();
+    let mut now = 0;
+    while !keeper.is_serving() {
+        keeper.step(now, Input::Tick);
+        now += TICK_MS;
+    }
+    let enrolled = node_names(nodes).into_iter().enumerate().map(|(index, name)| {
+        let entry = enroll(&mut keeper, now, index, &name);
+        PollingNode { name, enrolled: entry, last_change: 0 }
+    });
+    let nodes = enrolled.collect();
+    ServingTail { keeper, nodes, serving_from: now }
+}
+
+fn single_keeper() -> Keeper {
+    let name: Name = "k0".into();
+    let voters = vec![Voter { name: name.clone(), addr: name.clone() }];
+    let view = View { version: 1, members: vec![name.clone()], voters };
+    Keeper::new(name, 0, RecoveredState { view, ..Default::default() })
+}
+
+/// Enrolls a node; the number of the entry that did.
+fn enroll(keeper: &mut Keeper, now: u64, index: usize, node: &Name) -> u64 {
+    let command = Command::EnrollNode { node: node.clone(), incarnation: 1 };
+    let request = Request::Write { key: format!("enroll/{index}").into(), command };
+    // Counted down from the top, so that no poll has the same token.
+    let token = u64::MAX - index as u64;
+    let outputs = keeper.step(now, Input::Request { token, request });
+    let entry = outputs.into_iter().find_map(|output| match output {
+        Output::Reply(_, Reply::Answer { answer: Answer::Enrolled(entry), .. }) => Some(entry),
+        _ => None,
+    });
+    entry.expect("the node is enrolled")
+}
+
+/// Bytes of a message with the length before it.
+fn framed_bytes(message: &impl borsh::BorshSerialize) -> Option<usize> {
+    borsh::to_vec(message).ok().map(|body| body.len() + LENGTH_BYTES)
+}
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -1,7 +1,8 @@
 //! docs/CAPACITY.md does not drift (§9.6): its sums follow from its slopes and sizes, what it says of bytes and bounds is
 //! what the code has, and its last table says what its sums say.
-use quincehatch_capacity::fit::fit;
-use quincehatch_capacity::{parts, tail};
+use quincehatch_capacity::fit::{Sample, fit};
+use quincehatch_capacity::samples::SERVERS_PER_GROUP;
+use quincehatch_capacity::{components, tail_keeper};
 use std::collections::BTreeMap;
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
@@ -130,19 +131,20 @@
 fn bytes_and_bounds_are_what_the_code_has() {
     let k = given();
     let dbs = k["databases"] as usize;
-    let [whole, begin, news] = parts::bytes(dbs);
-    same("store_bytes", k["store_bytes"], whole);
-    same("begin_bytes", k["begin_bytes"], begin);
-    same("news_bytes", k["news_bytes"], news);
-    same("pass_bytes", k["pass_bytes"], tail::passed_bytes(dbs, 1) as f64);
-    same("text_bytes", k["text_bytes"], parts::read_blueprint(dbs).1);
-    same("board_rows", k["board_rows"], parts::judges(dbs * quincehatch_capacity::COPIES).0);
+    let frames = components::frame_sizes(dbs);
+    same("store_bytes", k["store_bytes"], frames.store as f64);
+    same("begin_bytes", k["begin_bytes"], frames.snapshot as f64);
+    same("news_bytes", k["news_bytes"], frames.change as f64);
+    same("pass_bytes", k["pass_bytes"], tail_keeper::first_transfer_bytes(dbs, 1) as f64);
+    same("text_bytes", k["text_bytes"], components::parse_configuration(dbs).bytes as f64);
+    let registered = components::health_checks(dbs * SERVERS_PER_GROUP).servers;
+    same("board_rows", k["board_rows"], registered as f64);
     same("frame_max", k["frame_max"], quincehatch_wire::FRAME_MAX as f64);
     same("node_lease_ms", k["node_lease_ms"], quincehatch_store::terms::NODE_LEASE as f64);
     assert_eq!(quincehatch_store::terms::LOG_MAX_ENTRIES, 512, "as the page says");
     same("transfer_max", k["transfer_max"], quincehatch_store::terms::TRANSFER_MAX_BYTES as f64);
     for adoptions in [10, 11, 100] {
-        let passed = tail::passed_bytes(dbs, adoptions) as f64;
+        let passed = tail_keeper::first_transfer_bytes(dbs, adoptions) as f64;
         assert!(passed < k["transfer_max"] + k["pass_bytes"], "{adoptions} adoptions in {passed} bytes");
     }
 }
@@ -151,13 +153,14 @@
 fn a_fit_finds_its_terms_and_tells_what_is_left() {
     let rows = |f: fn(f64, f64) -> f64| {
         let at = [(6.0, 40.0), (12.0, 40.0), (24.0, 80.0), (48.0, 20.0), (6.0, 160.0)];
-        at.map(|(n, g)| (vec![1.0, n, g, n * g], f(n, g))).to_vec()
+        at.map(|(n, g)| Sample { terms: vec![1.0, n, g, n * g], value: f(n, g) }).to_vec()
     };
     let x = fit(&rows(|n, g| 2.0 + 0.1 * n + 0.05 * g + 0.001 * n * g)).unwrap();
-    for (is, should) in x.of.iter().zip([2.0, 0.1, 0.05, 0.001]) {
+    for (is, should) in x.coefficients.iter().zip([2.0, 0.1, 0.05, 0.001]) {
         assert!((is - should).abs() < 1e-6, "{x:?}");
     }
-    assert!(x.off < 1e-9);
-    assert!(fit(&rows(|n, g| n * n * g)).unwrap().off > 0.01);
-    assert!(fit(&[(vec![1.0, 2.0], 3.0), (vec![1.0, 2.0], 3.0)]).is_none());
+    assert!(x.max_residual < 1e-9);
+    assert!(fit(&rows(|n, g| n * n * g)).unwrap().max_residual > 0.01);
+    let same_twice = Sample { terms: vec![1.0, 2.0], value: 3.0 };
+    assert!(fit(&[same_twice.clone(), same_twice]).is_none());
 }
--- /dev/null
+++ b/crates/lab/src/cli/help.rs
@@ -0,0 +1,27 @@
+//! The text of `--help`.
+
+pub(super) const HELP: &str = "quincehatch-lab: the lab of quincehatch
+
+usage: quincehatch-lab fleet up [--shape thin|small|scripwell|lensbridge|nodes:N] [--dir DIR] [--port N]
+       quincehatch-lab try [--scenario NAME|all] [--shape ...] [--seconds N] [--callers N] [--pause-ms N] [--seed N]
+                 [--untimed]
+       quincehatch-lab sim [--seeds N] [--from SEED] [--keepers N] [--nodes N] [--bug NAME]
+                 [--final|--hands|--direct]
+       quincehatch-lab sim --control [--allow LIST] [--seeds N] [--from SEED] [--bug NAME]
+       quincehatch-lab bench front|judges|push|mesh|long|all-bad|faults [--rounds N] [--shape ...]
+       quincehatch-lab bench capacity [--rounds N] [--part parts|sessions|fleet|changes|counted|all]
+       quincehatch-lab stand --name NAME --addr IP:PORT [--label K=V] [--peer IP:PORT]
+                   [--operator-listener IP:PORT] [--data DIR] [--relay IP:PORT]
+       quincehatch-lab platform --addr IP:PORT --client-listener ZONE=IP:PORT ...
+
+  fleet up    starts a whole cluster on loopback, pushes a configuration, and runs until Enter or a signal
+  try         starts a cluster, runs callers and a script of faults, and checks that no must-never happened
+  sim         the seeded simulator; a failing seed replays exactly with --from SEED --seeds 1; --direct: servers over
+              their own protocol; --control: the control plane alone
+  bench       measures: ratios, counts, pairs in turn; median and spread
+  stand       one stand-in database server
+  platform    the platform's stand-in
+
+  -h, --help     this text
+  -V, --version  the version
+  --held, --door and --desk are the deprecated names of --direct, --client-listener and --operator-listener";
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,64 +1,75 @@
-//! quincehatch-lab: stand-ins, a whole fleet on one machine, load, faults, checks (§9).
-mod args;
+//! quincehatch-lab: stand-ins for servers and platform, a whole cluster on one machine, load, faults, checks, the
+//! simulator and measurements.
+#![warn(
+    missing_docs,
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::many_single_char_names,
+    clippy::min_ident_chars
+)]
 mod bench;
-mod bench_fleet;
-mod breaches;
-mod capacity;
+mod cli;
+mod local_fleet;
+mod scenarios;
 mod simulate;
-mod simulate_control;
-mod simulate_held;
-mod up;
 
+use cli::Command;
+use quincehatch_runtime::logging;
 use quincehatch_testbed::{platform, stand_in};
+use std::process::exit;
+
+const EXIT_FAILED: i32 = 1;
+const EXIT_USAGE: i32 = 2;
+const WORKER_THREADS: usize = 2;
 
 fn main() {
-    let cmd = match args::read() {
-        Ok(Some(c)) => c,
+    let command = match cli::parse() {
+        Ok(Some(command)) => command,
         Ok(None) => return,
-        Err(e) => {
-            eprintln!("quincehatch-lab: {e}\ntry `quincehatch-lab --help`");
-            std::process::exit(2);
+        Err(error) => {
+            eprintln!("quincehatch-lab: {error}\ntry `quincehatch-lab --help`");
+            exit(EXIT_USAGE);
         }
     };
-    // These make runtimes of their own.
-    let alone = match &cmd {
-        args::Cmd::Capacity(part, rounds) => Some(capacity::run(part, *rounds)),
-        args::Cmd::Hollow(w) => Some(capacity::one(w)),
-        _ => None,
-    };
-    if let Some(done) = alone {
-        end(done);
+    if let Err(error) = run(command) {
+        eprintln!("quincehatch-lab: {error}");
+        exit(EXIT_FAILED);
     }
-    let rt = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(2)
-        .enable_all()
-        .build()
-        .expect("a runtime");
-    let done = rt.block_on(async {
-        match cmd {
-            args::Cmd::Stand(a) => {
-                let _log = quincehatch_runtime::logging::start("info")?;
-                stand_in::serve(a).await.map_err(|e| e.to_string())
-            }
-            args::Cmd::Platform { addr, doors } => {
-                platform::serve(&addr, doors).await.map_err(|e| e.to_string())
-            }
-            args::Cmd::Up(u) => up::run(u).await,
-            args::Cmd::Bench(u, what, n) => bench::run(u, &what, n).await,
-            args::Cmd::Sim(s) if s.control => simulate_control::run(&s),
-            args::Cmd::Sim(s) if s.held => simulate_held::run(&s),
-            args::Cmd::Capacity(..) | args::Cmd::Hollow(_) => Ok(()),
-            args::Cmd::Sim(s) => simulate::run(&s),
-            args::Cmd::Try(u, o) => up::tried(u, o).await,
-        }
-    });
-    end(done);
+    // Tasks that are still running, such as a cluster's load, end with the process.
+    exit(0);
 }
 
-fn end(done: Result<(), String>) -> ! {
-    if let Err(e) = done {
-        eprintln!("quincehatch-lab: {e}");
-        std::process::exit(1);
+fn run(command: Command) -> Result<(), String> {
+    match command {
+        Command::Simulate(options) => simulate::run(&options),
+        // Each measures in runtimes of its own.
+        Command::BenchCapacity { part, rounds } => bench::capacity::run(&part, rounds),
+        Command::Hollow(measurement) => bench::capacity::run_measurement(&measurement),
+        Command::BenchFleet { fleet, benchmark, rounds } => {
+            block_on(async move { bench::run(&fleet, &benchmark, rounds).await })
+        }
+        Command::RunScenarios { fleet, options } => {
+            block_on(async move { scenarios::run(&fleet, &options).await })
+        }
+        Command::FleetUp(options) => block_on(async move { local_fleet::run_until_stopped(&options).await }),
+        Command::StandInServer(options) => block_on(async move {
+            let _log = logging::start("info")?;
+            stand_in::serve(options).await.map_err(|error| error.to_string())
+        }),
+        Command::StandInPlatform { addr, nodes } => {
+            block_on(async move { platform::serve(&addr, nodes).await.map_err(|error| error.to_string()) })
+        }
     }
-    std::process::exit(0);
+}
+
+fn block_on(task: impl Future<Output = Result<(), String>>) -> Result<(), String> {
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(WORKER_THREADS)
+        .enable_all()
+        .build()
+        .map_err(|error| error.to_string())?;
+    let result = runtime.block_on(task);
+    // Dropping the runtime would wait for blocking tasks.
+    runtime.shutdown_background();
+    result
 }
