--- a/crates/capacity/src/tail.rs
+++ b/crates/capacity/src/tail.rs
@@ -3,7 +3,7 @@
 use quincehatch_core::Name;
 use quincehatch_store::entry_log::{EntryLog, PackedEntry};
 use quincehatch_store::keeper::{Input, Output, RecoveredState};
-use quincehatch_store::terms::TRANSFER_MAX_BYTES;
+use quincehatch_store::limits::TRANSFER_MAX_BYTES;
 use quincehatch_store::{
     Command, Entry, Keeper, KeeperRequest, KeeperResponse, PeerMessage, Reply, Request, View, Voter,
 };
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -138,9 +138,9 @@
     same("text_bytes", k["text_bytes"], parts::read_blueprint(dbs).1);
     same("board_rows", k["board_rows"], parts::judges(dbs * quincehatch_capacity::COPIES).0);
     same("frame_max", k["frame_max"], quincehatch_wire::FRAME_MAX as f64);
-    same("node_lease_ms", k["node_lease_ms"], quincehatch_store::terms::NODE_LEASE as f64);
-    assert_eq!(quincehatch_store::terms::LOG_MAX_ENTRIES, 512, "as the page says");
-    same("transfer_max", k["transfer_max"], quincehatch_store::terms::TRANSFER_MAX_BYTES as f64);
+    same("node_lease_ms", k["node_lease_ms"], quincehatch_store::timing::NODE_LEASE as f64);
+    assert_eq!(quincehatch_store::limits::LOG_MAX_ENTRIES, 512, "as the page says");
+    same("transfer_max", k["transfer_max"], quincehatch_store::limits::TRANSFER_MAX_BYTES as f64);
     for adoptions in [10, 11, 100] {
         let passed = tail::passed_bytes(dbs, adoptions) as f64;
         assert!(passed < k["transfer_max"] + k["pass_bytes"], "{adoptions} adoptions in {passed} bytes");
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -5,7 +5,7 @@
 use quincehatch_proxy::registry::ClusterState;
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
-use quincehatch_store::terms::minus_clock_drift;
+use quincehatch_store::timing::minus_clock_drift;
 use quincehatch_store::{Answer, Command, FeedState, Reply, Request};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
--- a/crates/node/src/promoting.rs
+++ b/crates/node/src/promoting.rs
@@ -110,9 +110,9 @@
             let (named, list) = (primary.server.is_some(), !primary.voters.is_empty());
             let cmd = Command::AssignPrimary { group: plan.group.clone(), primary: primary };
             match f.store_client.write(&key, cmd, WRITE).await {
-                Ok(Answer::Lead(_)) if named => PromotionEvent::PrimaryAnnounced,
-                Ok(Answer::Lead(_)) if list => PromotionEvent::VotersRecorded,
-                Ok(Answer::Lead(lead)) => PromotionEvent::PrimaryClosed(lead),
+                Ok(Answer::Primary(_)) if named => PromotionEvent::PrimaryAnnounced,
+                Ok(Answer::Primary(_)) if list => PromotionEvent::VotersRecorded,
+                Ok(Answer::Primary(lead)) => PromotionEvent::PrimaryClosed(lead),
                 Ok(_) => PromotionEvent::Tick,
                 Err(b) if b.has_code(ErrorCode::StaleFence) => PromotionEvent::Superseded,
                 Err(_) => PromotionEvent::Tick,
--- a/crates/node/src/store_client.rs
+++ b/crates/node/src/store_client.rs
@@ -174,8 +174,8 @@
 
     /// The operator's document in force, from the tail alone: an older one is never given.
     pub async fn read_adopted_document(&self, within: Duration) -> Result<Option<AdoptedDocument>, Error> {
-        match self.at_tail(Request::Adopted, within).await? {
-            Reply::Adopted { adopted } => Ok(adopted),
+        match self.at_tail(Request::ReadDocument, within).await? {
+            Reply::Document { document } => Ok(document),
             _ => Err(ErrorCode::ChainUnavailable.with_detail("an answer that is none")),
         }
     }
--- a/crates/node/tests/frozen_reader.rs
+++ b/crates/node/tests/frozen_reader.rs
@@ -21,7 +21,7 @@
                 async move {
                     let _ = answered.send(());
                     let adopted = Some(AdoptedDocument { number: 7, source: "an old document".into() });
-                    KeeperResponse::Reply { reply: Reply::Adopted { adopted } }
+                    KeeperResponse::Reply { reply: Reply::Document { document: adopted } }
                 }
             })
             .await;
--- a/crates/simulator/src/control/call_kind.rs
+++ b/crates/simulator/src/control/call_kind.rs
@@ -19,7 +19,7 @@
             Request::ChangeVoters { .. } => CallKind::Machines,
             Request::Write { .. } => CallKind::Write,
             Request::ReadStore => CallKind::Read,
-            Request::Adopted => CallKind::Adopted,
+            Request::ReadDocument => CallKind::Adopted,
             Request::Feed { .. } => CallKind::Feed,
         }
     }
@@ -29,7 +29,7 @@
             Reply::Status { .. } => self == CallKind::Status,
             Reply::Answer { .. } => self == CallKind::Write,
             Reply::Store { .. } => self == CallKind::Read,
-            Reply::Adopted { .. } => self == CallKind::Adopted,
+            Reply::Document { .. } => self == CallKind::Adopted,
             Reply::Changes { .. } | Reply::Snapshot { .. } | Reply::NotEnrolled => self == CallKind::Feed,
             Reply::Redirect { .. } | Reply::Rejected { .. } => true,
         }
--- a/crates/simulator/src/control/disk.rs
+++ b/crates/simulator/src/control/disk.rs
@@ -1,7 +1,7 @@
 //! A simulated disk: what is synced outlives the process, what waits for its sync may not.
 use quincehatch_core::{Error, ErrorCode, Millis};
 use quincehatch_store::keeper::{Record, RecoveredState};
-use quincehatch_store::terms::SNAPSHOT_INTERVAL_ENTRIES;
+use quincehatch_store::limits::SNAPSHOT_INTERVAL_ENTRIES;
 
 #[derive(Debug, Default)]
 pub struct Disk {
--- a/crates/simulator/src/control/node.rs
+++ b/crates/simulator/src/control/node.rs
@@ -4,7 +4,7 @@
 use quincehatch_core::{ChangeNumber, Millis, Name};
 use quincehatch_node::store_client::StoreClient;
 use quincehatch_runtime::{now, seam};
-use quincehatch_store::terms::minus_clock_drift;
+use quincehatch_store::timing::minus_clock_drift;
 use quincehatch_store::{Answer, Command, FeedState, Reply, Request};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/simulator/src/control/recovery.rs
+++ b/crates/simulator/src/control/recovery.rs
@@ -5,7 +5,7 @@
 use quincehatch_runtime::{now, seam};
 use quincehatch_store::host::KeeperHost;
 use quincehatch_store::keeper::RecoveredState;
-use quincehatch_store::{DiscoverySettings, Keeper, View, terms};
+use quincehatch_store::{DiscoverySettings, Keeper, View, timing};
 use std::sync::Mutex;
 
 /// Two deliberate bugs are here: a start from an older snapshot, and one with an empty disk under a voter's old name.
@@ -22,7 +22,7 @@
     let settings = DiscoverySettings {
         at: address.clone(),
         seeds: seeds.to_vec(),
-        replace_after: terms::replace_after(cluster.parameters.catch_up),
+        replace_after: timing::replace_after(cluster.parameters.catch_up),
         voter_count: shape.voters,
     };
     let disks = (shape.tolerated + 1).min(seeds.len());
--- /dev/null
+++ b/crates/store/src/keeper/mod.rs
@@ -0,0 +1,243 @@
+//! A keeper: one replica of the store. It is a voter of the view register and, while it is a member of the view, a link
+//! of the replication chain, perhaps its head or its tail.
+//!
+//! [`Keeper::step`] is the whole protocol without input or output: it takes one [`Input`] and returns [`Output`]s. The
+//! caller makes records durable, sends messages and tells the time.
+mod event;
+mod heartbeat;
+mod lease_handover;
+mod membership;
+mod proposals;
+mod replication;
+mod requests;
+mod status;
+mod step;
+mod view_adoption;
+mod view_lease;
+mod view_repair;
+
+use crate::disk_port::DiskUsage;
+use crate::entry_log::EntryLog;
+use crate::feed::Change;
+use crate::node_leases::NodeLeases;
+use crate::patch::PackedText;
+use crate::register::{Acceptor, Proposer};
+use crate::snapshot::{IncomingSnapshot, OutgoingSnapshot};
+use crate::store::Store;
+use crate::timing::{NODE_LEASE, VIEW_LEASE, with_clock_drift};
+use crate::view::View;
+use membership::{Discovery, Leaving};
+use quincehatch_core::{ChangeNumber, Millis, Name, Version, hash64};
+use quincehatch_runtime::seam;
+use requests::{CommitTimes, PendingPoll, PendingWrite};
+use std::collections::{BTreeMap, VecDeque};
+use view_lease::ViewLease;
+
+pub use event::{Input, Output};
+// Old paths, until the last users are moved to the new ones.
+pub use crate::record::{Record, RecoveredState};
+pub use membership::DiscoverySettings;
+
+/// One replica of the store.
+#[derive(Clone, Debug)]
+pub struct Keeper {
+    /// The keeper's name, which belongs to its disk.
+    pub name: Name,
+    /// The newest view that the keeper knows.
+    pub view: View,
+    /// The state that all entries held here add up to.
+    pub store: Store,
+    /// The newest entry that the keeper knows to be committed.
+    pub committed: ChangeNumber,
+    /// The newest entry that the keeper knows to be applied by every node with a lease.
+    pub in_force: ChangeNumber,
+
+    // The step that is under way.
+    pub(crate) now: Millis,
+    pub(crate) outputs: Vec<Output>,
+
+    // Replication.
+    /// The newest entries, for members that lag behind.
+    pub(crate) log: EntryLog,
+    /// Whether the keeper holds everything that its predecessor held when the view was adopted, or later.
+    pub(crate) in_sync: bool,
+    /// Whether the keeper was taken into the chain and its predecessor has not passed on everything yet. It may lack
+    /// what was committed before it came: it neither serves nor removes other members.
+    catching_up: bool,
+    /// The newest entry held when the view was adopted.
+    held_at_adoption: ChangeNumber,
+    /// The newest entry that the tail has acknowledged in this view.
+    acknowledged: ChangeNumber,
+    /// Fewest members of a view that commits: every committed entry is on as many disks.
+    min_replicas: usize,
+    pub(crate) outgoing_snapshot: Option<OutgoingSnapshot>,
+    pub(crate) incoming_snapshot: IncomingSnapshot,
+    pub(crate) last_fetch_at: Millis,
+    disk_usage: DiskUsage,
+
+    // Requests and the feed.
+    /// Recent changes as nodes get them, since this process began or took a whole store.
+    pub(crate) recent_changes: VecDeque<Change>,
+    /// The configuration of that version, packed once for all snapshots that carry it.
+    pub(crate) packed_configuration: Option<(Version, PackedText)>,
+    commit_times: CommitTimes,
+    pending_writes: Vec<PendingWrite>,
+    pending_polls: Vec<PendingPoll>,
+
+    // Views.
+    acceptor: Acceptor,
+    proposer: Proposer,
+    /// The view just before the present one, if this keeper knew it.
+    previous_view: Option<View>,
+    view_adopted_at: Millis,
+    last_proposal_at: Millis,
+    /// Since when this voter has held an accepted view that it does not know to be decided.
+    undecided_view_since: Option<Millis>,
+
+    // Contact and leases.
+    /// When each other keeper was last heard from.
+    last_heard: BTreeMap<Name, Millis>,
+    next_heartbeat_at: Millis,
+    view_lease: ViewLease,
+    /// Until then the tail of an older view may serve.
+    older_tail_until: Millis,
+    /// The last view in which this keeper served as the tail.
+    served_version: Version,
+    /// The leases granted as the tail of the present view.
+    node_leases: Option<NodeLeases>,
+    /// The leases granted as the tail of the view before, to be handed to the present tail.
+    previous_node_leases: Option<NodeLeases>,
+    /// Until when each recently dismissed node may hold a lease.
+    pub(crate) dismissed_leases: BTreeMap<Name, Millis>,
+    /// Until then there may be further ones: what was dismissed before this process began is not known.
+    pub(crate) unknown_leases_until: Millis,
+
+    // Membership.
+    discovery: Option<Discovery>,
+    /// The next view, in which a member offers this keeper a vote.
+    invitation: Option<View>,
+    leaving: Option<Leaving>,
+}
+
+impl Keeper {
+    /// A keeper that starts from what its disk holds.
+    pub fn new(name: Name, now: Millis, recovered: RecoveredState) -> Self {
+        // Derived from the name and not from a position in the list of voters, which changes: no two proposers may ever
+        // use the same ballot.
+        let mut proposer = Proposer::new(hash64(&[name.as_bytes()]));
+        proposer.observe_ballot(recovered.acceptor.promised.number);
+        let view = &recovered.view;
+        // A tail that has begun to serve in this very view has waited for the older tails and lacks nothing.
+        let has_served = view.tail() == Some(&name) && recovered.served_version == view.version;
+        let is_complete_head = view.head() == Some(&name) && !recovered.catching_up;
+        let older_tail_until = if has_served { now } else { now + with_clock_drift(VIEW_LEASE) };
+        // An empty chain has never enrolled a node.
+        let is_empty = recovered.store.last_change == 0;
+        let unknown_leases_until = if is_empty { now } else { now + with_clock_drift(NODE_LEASE) };
+        Self {
+            now,
+            outputs: Vec::new(),
+            committed: 0,
+            in_force: 0,
+            log: recovered.log,
+            in_sync: has_served || is_complete_head,
+            catching_up: recovered.catching_up,
+            held_at_adoption: recovered.store.last_change,
+            acknowledged: 0,
+            min_replicas: 1,
+            outgoing_snapshot: None,
+            incoming_snapshot: IncomingSnapshot::default(),
+            last_fetch_at: 0,
+            disk_usage: DiskUsage::default(),
+            recent_changes: VecDeque::new(),
+            packed_configuration: None,
+            commit_times: CommitTimes::default(),
+            pending_writes: Vec::new(),
+            pending_polls: Vec::new(),
+            acceptor: recovered.acceptor,
+            proposer,
+            previous_view: None,
+            view_adopted_at: now,
+            last_proposal_at: 0,
+            undecided_view_since: None,
+            last_heard: BTreeMap::new(),
+            next_heartbeat_at: now,
+            view_lease: ViewLease::new(first_heartbeat()),
+            older_tail_until,
+            served_version: recovered.served_version,
+            node_leases: None,
+            previous_node_leases: None,
+            dismissed_leases: BTreeMap::new(),
+            unknown_leases_until,
+            discovery: None,
+            invitation: None,
+            leaving: None,
+            name,
+            view: recovered.view,
+            store: recovered.store,
+        }
+    }
+
+    /// Lets the keeper find its place in the chain by itself.
+    pub fn with_discovery(mut self, settings: DiscoverySettings) -> Self {
+        self.discovery = Some(Discovery::new(settings, self.now));
+        self
+    }
+
+    /// Lets no chain with fewer members commit.
+    pub fn with_min_replicas(mut self, min_replicas: usize) -> Self {
+        self.min_replicas = min_replicas;
+        self
+    }
+
+    /// Takes note of the size of the keeper's data directory.
+    pub fn set_disk_usage(&mut self, usage: DiskUsage) {
+        self.disk_usage = usage;
+    }
+
+    /// Is this keeper the tail of the newest view it knows?
+    pub fn is_tail(&self) -> bool {
+        self.view.tail() == Some(&self.name)
+    }
+
+    /// Is this keeper the head of the newest view it knows?
+    pub fn is_head(&self) -> bool {
+        self.view.head() == Some(&self.name)
+    }
+
+    /// May this keeper answer as the tail at this moment?
+    ///
+    /// It must hold the view lease, so that no newer view is served; the leases of older tails must have ended; and it
+    /// must hold whatever they have committed.
+    pub fn is_serving(&self) -> bool {
+        let has_lease = self.view_lease.is_held(self.now) || seam::injected_bug("no-view-lease");
+        self.is_tail() && self.in_sync && self.now >= self.older_tail_until && has_lease
+    }
+
+    /// May this keeper commit entries, and hand out what is committed?
+    pub fn can_commit(&self) -> bool {
+        self.is_serving() && self.view.members.len() >= self.min_replicas
+    }
+
+    fn is_member(&self) -> bool {
+        self.view.is_member(&self.name)
+    }
+
+    fn is_voter(&self) -> bool {
+        self.view.is_voter(&self.name)
+    }
+
+    fn predecessor(&self) -> Option<&Name> {
+        self.view.predecessor(&self.name)
+    }
+
+    fn successor(&self) -> Option<&Name> {
+        self.view.successor(&self.name)
+    }
+}
+
+/// The number before the first heartbeat of this process. No grant to an earlier process may answer a heartbeat of this
+/// one, even if the wall clock was set back in between; half of the range is left to count in.
+fn first_heartbeat() -> u64 {
+    seam::draw_incarnation() >> 1
+}
--- /dev/null
+++ b/crates/store/src/keeper/requests/commit_times.rs
@@ -0,0 +1,36 @@
+//! When entries were committed.
+use quincehatch_core::{ChangeNumber, Millis};
+use std::collections::VecDeque;
+
+/// Commits whose time is remembered.
+const MAX_COMMIT_TIMES: usize = 64;
+
+#[derive(Clone, Copy, Debug)]
+struct CommitTime {
+    number: ChangeNumber,
+    at: Millis,
+}
+
+/// The newest commits and when this keeper learned of each.
+#[derive(Clone, Debug, Default)]
+pub(in crate::keeper) struct CommitTimes(VecDeque<CommitTime>);
+
+impl CommitTimes {
+    /// Takes note that everything up to `committed` is committed.
+    pub fn record(&mut self, committed: ChangeNumber, now: Millis) {
+        let is_newer = self.0.back().is_none_or(|newest| newest.number < committed);
+        if !is_newer {
+            return;
+        }
+        self.0.push_back(CommitTime { number: committed, at: now });
+        if self.0.len() > MAX_COMMIT_TIMES {
+            self.0.pop_front();
+        }
+    }
+
+    /// For how long, at least, this keeper has known that the entry is committed; `None` if it is not.
+    pub fn committed_for(&self, number: ChangeNumber, now: Millis) -> Option<Millis> {
+        let commit = self.0.iter().find(|commit| commit.number >= number)?;
+        Some(now - commit.at)
+    }
+}
--- /dev/null
+++ b/crates/store/src/keeper/requests/voters.rs
@@ -0,0 +1,23 @@
+//! Changes of the voters by an operator.
+use crate::keeper::Keeper;
+use crate::messages::Reply;
+use crate::view::{View, Voter};
+use quincehatch_core::{ErrorCode, Version};
+
+impl Keeper {
+    /// Proposes the view with these voters. One voter is added or removed at a time, so that a majority of the old ones
+    /// and a majority of the new ones always share a voter.
+    pub(super) fn change_voters(&mut self, version: Version, voters: Vec<Voter>) -> Reply {
+        let old = &self.view.voters;
+        let removed = old.iter().filter(|voter| !voters.contains(voter)).count();
+        let added = voters.iter().filter(|voter| !old.contains(voter)).count();
+        let mut members = self.view.members.clone();
+        members.retain(|member| voters.iter().any(|voter| voter.name == *member));
+        if version != self.view.version || removed + added != 1 || members.is_empty() {
+            let detail = format!("the view is at {}; {added} would come and {removed} go", self.view.version);
+            return Reply::Rejected { error: ErrorCode::MembershipChangeRejected.with_detail(detail) };
+        }
+        self.propose(View { version: version + 1, members, voters });
+        self.redirect()
+    }
+}
--- /dev/null
+++ b/crates/store/src/keeper/requests/writes.rs
@@ -0,0 +1,122 @@
+//! Writes, at the head.
+use super::ack_level::AckLevel;
+use crate::command::{Answer, Command, Entry};
+use crate::entry_log::PackedEntry;
+use crate::keeper::{Keeper, Output};
+use crate::messages::Reply;
+use crate::store::RecordedAnswer;
+use crate::timing::{ADOPT_ACK_DELAY, RETRY_PENDING_AFTER};
+use quincehatch_core::{ChangeNumber, Error, ErrorCode, Millis, Name};
+
+/// Writes that may wait for their acknowledgement; further ones are rejected.
+const MAX_PENDING_WRITES: usize = 1024;
+/// How long a write waits for its acknowledgement before its client is told to repeat it with the same key.
+const WRITE_TIMEOUT: Millis = 8_000;
+/// What a client is told to wait before it repeats a write that was rejected for lack of space.
+const RETRY_OVERLOADED_AFTER: Millis = 1_000;
+
+/// A write that waits for its acknowledgement.
+#[derive(Clone, Debug)]
+pub(in crate::keeper) struct PendingWrite {
+    token: u64,
+    /// The entry that must have come as far as `ack_level` says.
+    number: ChangeNumber,
+    answer: Answer,
+    ack_level: AckLevel,
+    /// If no new entry proves that this keeper is still the head: a majority must grant a heartbeat after this one.
+    contact_after: Option<u64>,
+    deadline: Millis,
+}
+
+impl Keeper {
+    /// Takes a write. Returns a reply only if it is not taken.
+    pub(super) fn write(&mut self, token: u64, key: Name, command: Command) -> Option<Reply> {
+        if !self.is_head() {
+            return Some(self.redirect());
+        }
+        if self.pending_writes.len() >= MAX_PENDING_WRITES {
+            return Some(Reply::Rejected { error: overloaded("too many writes wait") });
+        }
+        let pending = match self.recorded_answer(&key, &command) {
+            Some(recorded) => self.await_contact(token, recorded, &command),
+            // The rest of the disk is kept for small records that the chain cannot do without.
+            None if self.disk_usage.is_reserve_touched() && command.is_document() => {
+                return Some(Reply::Rejected { error: overloaded("the disk is nearly full") });
+            }
+            None => self.append_write(token, key, command)?,
+        };
+        self.pending_writes.push(pending);
+        None
+    }
+
+    /// Answers the writes that wait no longer.
+    pub(super) fn answer_due_writes(&mut self) {
+        let mut waiting = Vec::new();
+        for write in std::mem::take(&mut self.pending_writes) {
+            match self.reply_to(&write) {
+                Some(reply) => self.outputs.push(Output::Reply(write.token, reply)),
+                None => waiting.push(write),
+            }
+        }
+        self.pending_writes = waiting;
+    }
+
+    fn await_contact(&mut self, token: u64, recorded: RecordedAnswer, command: &Command) -> PendingWrite {
+        let contact_after = Some(self.request_contact(command));
+        let ack_level = AckLevel::for_write(command, &recorded.answer);
+        let deadline = self.now + WRITE_TIMEOUT;
+        PendingWrite {
+            token,
+            number: recorded.entry,
+            answer: recorded.answer,
+            ack_level,
+            contact_after,
+            deadline,
+        }
+    }
+
+    fn append_write(&mut self, token: u64, key: Name, command: Command) -> Option<PendingWrite> {
+        let previous_change = self.store.last_change;
+        let number = previous_change + 1;
+        let entry = Entry { number, key, command };
+        let answer = self.append_entry(&entry, PackedEntry::pack(&entry))?;
+        self.forward_entries(previous_change);
+        let ack_level = AckLevel::for_write(&entry.command, &answer);
+        let deadline = self.now + WRITE_TIMEOUT;
+        Some(PendingWrite { token, number, answer, ack_level, contact_after: None, deadline })
+    }
+
+    /// The reply to a write if it waits no longer.
+    fn reply_to(&self, write: &PendingWrite) -> Option<Reply> {
+        if !self.is_head() {
+            return Some(self.redirect());
+        }
+        let has_contact =
+            write.contact_after.is_none_or(|heartbeat| self.view_lease.is_confirmed_after(heartbeat));
+        if has_contact && self.is_acknowledged(write) {
+            return Some(Reply::Answer { number: write.number, answer: write.answer.clone() });
+        }
+        if self.now < write.deadline {
+            return None;
+        }
+        let detail = "not acknowledged yet; ask again with the same key";
+        let error = ErrorCode::ChainUnavailable.with_detail(detail).with_unknown_outcome();
+        Some(Reply::Rejected { error: error.with_retry_after(RETRY_PENDING_AFTER) })
+    }
+
+    fn is_acknowledged(&self, write: &PendingWrite) -> bool {
+        let is_in_force = write.number <= self.in_force;
+        match write.ack_level {
+            AckLevel::Committed => write.number <= self.committed,
+            AckLevel::InForce => is_in_force,
+            AckLevel::InForceOrDelayed => {
+                let committed_for = self.commit_times.committed_for(write.number, self.now);
+                is_in_force || committed_for.is_some_and(|time| time >= ADOPT_ACK_DELAY)
+            }
+        }
+    }
+}
+
+fn overloaded(detail: &str) -> Error {
+    ErrorCode::ChainUnavailable.with_detail(detail).with_retry_after(RETRY_OVERLOADED_AFTER)
+}
--- a/crates/store/src/calls.rs
+++ b/crates/store/src/messages/idempotency.rs
@@ -1,39 +1,39 @@
-//! Which calls to a keeper may be sent again, and what they are recognized by then (§2.6).
-use crate::messages::{KeeperRequest, KeeperResponse, PeerMessage, Request};
+//! Which calls to a keeper may be sent again, and by what a repeated one is recognized.
+use super::{KeeperRequest, KeeperResponse, PeerMessage, Request};
 use quincehatch_wire::{Call, IdempotencyKey, RetrySafety};
 
 impl Call for KeeperRequest {
     type Answer = KeeperResponse;
     fn retry_safety(&self) -> RetrySafety {
         match self {
-            KeeperRequest::Peer { message: m, .. } => m.retry_safety(),
+            KeeperRequest::Peer { message, .. } => message.retry_safety(),
             KeeperRequest::Node { request } => request.retry_safety(),
         }
     }
 }
 
 impl PeerMessage {
-    /// Keepers send each other nothing that counts twice: the protocol itself repeats whatever is lost.
+    /// All messages between keepers may be repeated: the protocol itself repeats whatever is lost.
     pub fn retry_safety(&self) -> RetrySafety {
         match self {
-            // An acceptor answers the same ballot alike, and a proposer counts machines, not answers.
+            // A voter answers the same ballot alike, and a proposer counts voters, not answers.
             PeerMessage::Prepare { .. }
             | PeerMessage::Promise { .. }
             | PeerMessage::Accept { .. }
             | PeerMessage::Accepted { .. } => RetrySafety::Idempotent(IdempotencyKey::Ballot),
-            // A grant counts for the one heartbeat with its number, which no other life of the sender has used.
-            PeerMessage::Beat { .. } | PeerMessage::GrantViewLease { .. } => {
+            // A grant counts for the one heartbeat with its number, which no other process of the sender has used.
+            PeerMessage::Heartbeat { .. } | PeerMessage::GrantViewLease { .. } => {
                 RetrySafety::Idempotent(IdempotencyKey::Number)
             }
-            // Entries apply at their own number only, acknowledgements only rise, and what is left of a lease is counted
-            // from the arrival, so that a later copy says no less.
+            // Entries apply at their own number only, acknowledgements only rise, and the rest of a lease's term is
+            // counted from the arrival, so that a later copy does not claim less.
             PeerMessage::AppendEntries { .. }
             | PeerMessage::Acknowledge { .. }
             | PeerMessage::HandOverLeases { .. }
             | PeerMessage::Snapshot { .. }
             | PeerMessage::Discover { .. }
             | PeerMessage::CurrentView { .. } => RetrySafety::Idempotent(IdempotencyKey::Number),
-            // Its receiver proposes the view only while the version it builds on is the newest known.
+            // The receiver proposes the view only while its base is the newest view known there.
             PeerMessage::Invite { .. } => RetrySafety::Idempotent(IdempotencyKey::Number),
             PeerMessage::RequestEntries { .. } | PeerMessage::FetchSnapshot { .. } => RetrySafety::ReadOnly,
         }
@@ -41,15 +41,16 @@
 }
 
 impl Request {
-    /// What nodes and operators ask.
+    /// Which requests of nodes and operators may be repeated.
     pub fn retry_safety(&self) -> RetrySafety {
         match self {
-            // It renews the lease of the same entry; the node counts its term from before it first asked.
+            // It renews the lease of the same enrollment, and the node counts the term from before its first poll.
             Request::Feed { .. } => RetrySafety::Idempotent(IdempotencyKey::Number),
             Request::Write { .. } => RetrySafety::Idempotent(IdempotencyKey::Write),
-            // Repeated after it took effect it would be declined, as the view has moved: a wrong answer.
+            // Repeated after it took effect it would be rejected, because the view's version has changed: the sender
+            // would be told that it failed.
             Request::ChangeVoters { .. } => RetrySafety::Never,
-            Request::ReadStore | Request::Adopted | Request::Status => RetrySafety::ReadOnly,
+            Request::ReadStore | Request::ReadDocument | Request::Status => RetrySafety::ReadOnly,
         }
     }
 }
--- a/crates/store/src/stale_reply.rs
+++ b/crates/store/src/stale_reply.rs
@@ -1,20 +1,21 @@
-//! Replies that rested on a lease which has ended before they left (§5.7).
-use crate::host::RETRY_PENDING_AFTER;
-use crate::messages::{Reply, View};
+//! Replies that rest on a lease which ended before they left the keeper.
+use crate::messages::Reply;
+use crate::timing::RETRY_PENDING_AFTER;
+use crate::view::View;
 use quincehatch_core::ErrorCode;
 
-/// A reply as it may still be given by a tail whose lease has ended: reads and leases are to be asked for elsewhere, and
-/// a write that was committed under that lease is to be asked for again.
+/// The reply that a tail without its lease may give in place of `reply`. Reads and node leases are to be asked for
+/// elsewhere; the outcome of a write that was committed under that lease is unknown, and the write is to be repeated.
 pub(crate) fn without_lease(reply: Reply, view: &View) -> Reply {
     match reply {
-        Reply::Changes { .. } | Reply::Snapshot { .. } | Reply::Store { .. } | Reply::Adopted { .. } => {
+        Reply::Changes { .. } | Reply::Snapshot { .. } | Reply::Store { .. } | Reply::Document { .. } => {
             Reply::Redirect { view: view.clone() }
         }
         Reply::Answer { .. } => {
-            let why = ErrorCode::ChainUnavailable
+            let error = ErrorCode::ChainUnavailable
                 .with_detail("the lease ended while the disk was written")
                 .with_unknown_outcome();
-            Reply::Rejected { error: why.with_retry_after(RETRY_PENDING_AFTER) }
+            Reply::Rejected { error: error.with_retry_after(RETRY_PENDING_AFTER) }
         }
         other => other,
     }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -183,7 +183,7 @@
             Command::DropPreviousVoters { group, fence } => match self.primaries.get_mut(group) {
                 Some(l) if l.fence == *fence && l.server.is_some() => {
                     l.previous_voters.clear();
-                    Answer::Lead(l.clone())
+                    Answer::Primary(l.clone())
                 }
                 _ => Answer::Rejected(ErrorCode::StaleFence.with_detail("no lead is named under it")),
             },
@@ -239,7 +239,7 @@
         let counts = lists.pop().unwrap_or_default();
         let lead = PrimaryAssignment { voters: counts, previous_voters: lists, ..lead.clone() };
         self.primaries.insert(group.clone(), lead.clone());
-        Answer::Lead(lead)
+        Answer::Primary(lead)
     }
 }
 
--- a/crates/store/src/transfer.rs
+++ b/crates/store/src/transfer.rs
@@ -1,6 +1,6 @@
 //! The whole store from one keeper to another, in parts, and the questions that ask for what comes next (§5.7).
 use crate::keeper::{Keeper, Output, Record};
-use crate::messages::PeerMessage;
+use crate::messages::{DismissedLease, PeerMessage};
 use crate::snapshot::{OutgoingSnapshot, SnapshotPart, SnapshotProgress};
 use crate::store::Store;
 use quincehatch_core::{Millis, Name, Version};
@@ -27,8 +27,11 @@
         };
         let part = self.outgoing_snapshot.insert(snapshot).part_after(progress);
         let left = |until: &Millis| until.saturating_sub(self.now);
-        let dismissed_leases =
-            self.dismissed_leases.iter().map(|(n, until)| (n.clone(), left(until))).collect();
+        let dismissed_leases = self
+            .dismissed_leases
+            .iter()
+            .map(|(n, until)| DismissedLease { node: n.clone(), remaining_ms: left(until) })
+            .collect();
         let (version, unknown_leases) = (self.view.version, left(&self.unknown_leases_until));
         PeerMessage::Snapshot {
             version,
@@ -59,7 +62,7 @@
             return false;
         }
         let member = self.view.is_member(&self.name);
-        let takes = if join { !member } else { member && self.view.neighbour(&self.name, -1) == Some(from) };
+        let takes = if join { !member } else { member && self.view.predecessor(&self.name) == Some(from) };
         if !takes
             || (!join && part.id.change <= self.store.last_change)
             || !self.incoming_snapshot.accept_part(from, part)
--- a/crates/store/tests/behind.rs
+++ b/crates/store/tests/behind.rs
@@ -4,7 +4,7 @@
 
 use kit::Net;
 use quincehatch_core::{ChangeNumber, Name};
-use quincehatch_store::terms::{LOG_MAX_BYTES, LOG_MAX_ENTRIES, TRANSFER_MAX_BYTES};
+use quincehatch_store::limits::{LOG_MAX_BYTES, LOG_MAX_ENTRIES, TRANSFER_MAX_BYTES};
 use quincehatch_store::{Answer, Command, Reply, Request};
 use samples::{adopt, document, noise};
 use std::time::Instant;
--- a/crates/store/tests/documents.rs
+++ b/crates/store/tests/documents.rs
@@ -3,11 +3,11 @@
 mod kit;
 
 use assert_matches::assert_matches;
-use kit::{Net, machine};
+use kit::{Net, voter};
 use quincehatch_core::{ErrorCode, Name};
 use quincehatch_store::documents::MAX_REMEMBERED_DOCUMENTS;
+use quincehatch_store::limits::LOG_MAX_ENTRIES;
 use quincehatch_store::store::MAX_ANSWERED_WRITES;
-use quincehatch_store::terms::LOG_MAX_ENTRIES;
 use quincehatch_store::{Answer, Command, Entry, Reply, Request, Store, View, Voter};
 
 const THREE: [&str; 3] = ["k1", "k2", "k3"];
@@ -74,8 +74,8 @@
     fn newest(&mut self) -> Option<String> {
         let tail = self.net.tail().unwrap();
         self.token += 1;
-        self.net.ask(&tail, self.token, Request::Adopted);
-        assert_matches!(self.net.rep(self.token), Some(Reply::Adopted { adopted }) => adopted.map(|a| a.source))
+        self.net.ask(&tail, self.token, Request::ReadDocument);
+        assert_matches!(self.net.rep(self.token), Some(Reply::Document { document: adopted }) => adopted.map(|a| a.source))
     }
 
     fn take_three(&mut self) {
@@ -158,7 +158,7 @@
     net.ask("k1", 900_001, Request::ChangeVoters { version: view.version, voters: rest.clone() });
     net.run(3_000);
     net.add("k4", View::default());
-    let (version, machines) = (net.view("k1").version, [rest, vec![machine("k4")]].concat());
+    let (version, machines) = (net.view("k1").version, [rest, vec![voter("k4")]].concat());
     net.ask("k3", 900_002, Request::ChangeVoters { version, voters: machines });
     net.run(6_000);
     assert_eq!(net.view("k1").members, ["k1", "k3", "k4"]);
--- a/crates/store/tests/explorer/mod.rs
+++ b/crates/store/tests/explorer/mod.rs
@@ -1,8 +1,8 @@
-//! The view register under every order of its messages (§5.3).
+//! The view register under every order of its messages.
 //!
-//! Several attempts to change the view run at once, from bases that may be outdated. Every message may come at any time
-//! after it was sent, or never, which is also what a cut, a restart, a wiped disk and a lost machine look like to the
-//! others. All reachable states are visited, over the real acceptor and proposer.
+//! Several attempts to change the view run at once, from bases that may be outdated. Every message may arrive at any time
+//! after it was sent, or never, which is also what a partition, a restart, a wiped disk and a lost machine look like to
+//! the others. All reachable states are visited, with the real acceptor and proposer.
 mod attempt;
 mod subsets;
 
@@ -19,12 +19,12 @@
     acceptor: Acceptor,
 }
 
-/// What an attempt wants of the view it starts from.
+/// How an attempt is to change the view it starts from.
 #[derive(Clone, Copy, Debug)]
 pub enum Change {
-    /// The member at this place is left out of the chain.
-    LeaveOut(usize),
-    /// The voter at this place gives its vote to an outsider.
+    /// The member at this place is removed from the chain.
+    Remove(usize),
+    /// The voter at this place is replaced by a keeper outside the view.
     Replace(usize),
 }
 
@@ -39,52 +39,52 @@
 
 pub struct Explored {
     pub states: usize,
-    /// Most views decided one after the other.
+    /// The longest sequence of decided views.
     pub longest: usize,
 }
 
-fn machine(name: &str) -> Voter {
+fn voter(name: &str) -> Voter {
     Voter { name: name.into(), addr: name.into() }
 }
 
 impl Node {
-    /// Asks a copy of the acceptor, so that nothing is assumed of its rules but that it does not change its mind.
-    fn would_take(&self, base: u64, message: &PeerMessage) -> bool {
+    /// Asks a copy of the acceptor. All that is assumed of its rules is that it never accepts what it has rejected before.
+    fn would_accept(&self, base: u64, message: &PeerMessage) -> bool {
         let answer = self.acceptor.clone().step(self.decided.version.max(base), message);
+        let message = answer.map(|answer| answer.message);
         matches!(
-            answer,
-            Some((PeerMessage::Promise { ok: true, .. } | PeerMessage::Accepted { ok: true, .. }, _))
+            message,
+            Some(PeerMessage::Promise { ok: true, .. } | PeerMessage::Accepted { ok: true, .. })
         )
     }
 }
 
 impl World {
     pub fn new(voters: &[&str], outsiders: &[&str], changes: &[Change]) -> World {
-        let machines: Vec<Voter> = voters.iter().map(|n| machine(n)).collect();
-        let members = voters.iter().map(|n| Name::from(*n)).collect();
-        let first = View { version: 1, members, voters: machines };
-        let node = |n: &&str| {
-            let known = if voters.contains(n) { first.clone() } else { View::default() };
-            (Name::from(*n), Node { decided: known, acceptor: Acceptor::default() })
+        let members = voters.iter().map(|name| Name::from(*name)).collect();
+        let first = View { version: 1, members, voters: voters.iter().map(|name| voter(name)).collect() };
+        let node = |name: &&str| {
+            let known = if voters.contains(name) { first.clone() } else { View::default() };
+            (Name::from(*name), Node { decided: known, acceptor: Acceptor::default() })
         };
         let nodes = voters.iter().chain(outsiders).map(node).collect();
         World { nodes, changes: changes.to_vec(), attempts: vec![None; changes.len()], decided: vec![first] }
     }
 
-    /// What the change makes of a view; an outsider that comes in is the tail.
+    /// The view after the change; a newcomer is the tail.
     fn changed(&self, base: &View, change: Change) -> Option<View> {
         let mut view = View { version: base.version + 1, ..base.clone() };
         match change {
-            Change::LeaveOut(member) => {
-                let out = base.members.get(member).filter(|_| base.members.len() > 1)?;
-                view.members.retain(|m| m != out);
+            Change::Remove(member) => {
+                let removed = base.members.get(member).filter(|_| base.members.len() > 1)?;
+                view.members.retain(|name| name != removed);
             }
-            Change::Replace(voter) => {
-                let lost = base.voters.get(voter)?;
-                let newcomer = self.nodes.keys().find(|n| !base.is_voter(n))?;
-                view.members.retain(|m| *m != lost.name);
+            Change::Replace(place) => {
+                let lost = base.voters.get(place)?;
+                let newcomer = self.nodes.keys().find(|name| !base.is_voter(name))?;
+                view.members.retain(|name| *name != lost.name);
                 view.members.push(newcomer.clone());
-                view.voters[voter] = machine(newcomer);
+                view.voters[place] = voter(newcomer);
             }
         }
         Some(view)
@@ -111,7 +111,7 @@
         });
     }
 
-    /// The message reaches its acceptor, which learns the base from it as a keeper does; its answer comes back.
+    /// Delivers a message to its acceptor, which learns the base from it as a keeper does, and the answer to the proposer.
     fn deliver(&mut self, number: usize, to: &Name, accepting: bool) {
         let attempt = self.attempts[number].as_mut().unwrap();
         let pending = if accepting { &mut attempt.accepts } else { &mut attempt.prepares };
@@ -120,16 +120,14 @@
         if attempt.base.version > node.decided.version {
             node.decided = attempt.base.clone();
         }
-        let (answer, _) = node.acceptor.step(node.decided.version, &message).unwrap();
+        let answer = node.acceptor.step(node.decided.version, &message).unwrap().message;
         if let (PeerMessage::Accepted { ok: true, .. }, PeerMessage::Accept { view, .. }) =
             (&answer, &message)
         {
             attempt.accepted_by.insert(to.clone());
-            let by = &attempt.accepted_by;
-            if attempt.base.has_majority(by.iter())
-                && view.has_majority(by.iter())
-                && !self.decided.contains(view)
-            {
+            let is_decided = attempt.base.has_majority(attempt.accepted_by.iter())
+                && view.has_majority(attempt.accepted_by.iter());
+            if is_decided && !self.decided.contains(view) {
                 self.decided.push(view.clone());
             }
         }
@@ -143,15 +141,15 @@
         }
     }
 
-    /// What a promise or a newer base refuses now is refused for ever: it need not be tried later. An attempt that has
-    /// its majority of promises, or cannot get it, needs the others no more.
-    fn forget_the_refused(&mut self) {
+    /// What an acceptor rejects now it rejects for ever: it need not be tried later. An attempt that has its majority of
+    /// promises, or cannot get it, needs no others.
+    fn drop_rejected(&mut self) {
         let nodes = &self.nodes;
         for attempt in self.attempts.iter_mut().flatten() {
             let base = attempt.base.version;
-            let taken = |to: &Name, message: &PeerMessage| nodes[to].would_take(base, message);
+            let is_accepted = |to: &Name, message: &PeerMessage| nodes[to].would_accept(base, message);
             let before = attempt.prepares.len();
-            attempt.prepares.retain(|to, message| taken(to, message));
+            attempt.prepares.retain(|to, message| is_accepted(to, message));
             if attempt.prepares.len() < before {
                 attempt.prepares.clear();
                 attempt.promises.clear();
@@ -159,7 +157,7 @@
             if !attempt.accepts.is_empty() {
                 attempt.promises.clear();
             }
-            attempt.accepts.retain(|to, message| taken(to, message));
+            attempt.accepts.retain(|to, message| is_accepted(to, message));
             if attempt.prepares.is_empty() && attempt.accepts.is_empty() {
                 *attempt = Attempt::over();
             }
@@ -178,7 +176,7 @@
             for (to, accepting) in prepares.chain(accepts) {
                 let mut next = self.clone();
                 next.deliver(number, to, accepting);
-                next.forget_the_refused();
+                next.drop_rejected();
                 found.push(next);
             }
         }
@@ -189,7 +187,7 @@
     fn beginnings(&self, number: usize) -> Vec<World> {
         let mut found = Vec::new();
         for base in &self.decided {
-            let names: Vec<Name> = base.voters.iter().map(|m| m.name.clone()).collect();
+            let names: Vec<Name> = base.voters.iter().map(|voter| voter.name.clone()).collect();
             let Some(wanted) = self.changed(base, self.changes[number]) else { continue };
             for quorum in subsets(&names, names.len() / 2 + 1) {
                 let mut next = self.clone();
@@ -207,8 +205,8 @@
         // Once a view has a successor, no majority renews the lease of its tail.
         let superseded = &self.decided[..self.decided.len() - 1];
         for view in superseded {
-            let renews = |n: &&Name| {
-                let node = &self.nodes[*n];
+            let renews = |name: &&Name| {
+                let node = &self.nodes[*name];
                 node.acceptor.accepted_version() <= view.version && node.decided.version <= view.version
             };
             assert!(!view.has_majority(self.nodes.keys().filter(renews)), "{view:?} may still be served");
--- a/crates/store/tests/incarnation.rs
+++ b/crates/store/tests/incarnation.rs
@@ -1,16 +1,15 @@
-//! Messages to an earlier life of a keeper count for nothing in a later one (§5.3), whatever the wall clock says.
+//! Messages to an earlier process of a keeper count for nothing in a later one, whatever the wall clock says.
 use quincehatch_core::{Millis, Name};
 use quincehatch_runtime::seam::{BoxFuture, OnDisconnect, VirtualConnection, World, with_world};
-use quincehatch_store::keeper::{Input, Output, RecoveredState};
-use quincehatch_store::{Keeper, PeerMessage, View, Voter};
+use quincehatch_store::{Input, Keeper, Output, PeerMessage, Record, RecoveredState, View, Voter};
 use std::io;
 use std::sync::Arc;
 use std::task::Waker;
 
-/// One start of a process whose wall clock is stepped back to where it was at the start before.
-struct Life(u64);
+/// A process whose wall clock shows the same time as at the start of the process before. The number is its incarnation.
+struct Process(u64);
 
-impl World for Life {
+impl World for Process {
     fn now(&self) -> Millis {
         1
     }
@@ -43,21 +42,21 @@
 
 fn recovered() -> RecoveredState {
     let names = ["k1", "k2", "k3"].map(Name::from);
-    let machines = names.iter().map(|n| Voter { name: n.clone(), addr: n.clone() }).collect();
-    let view = View { version: 1, members: names.to_vec(), voters: machines };
+    let voters = names.iter().map(|name| Voter { name: name.clone(), addr: name.clone() }).collect();
+    let view = View { version: 1, members: names.to_vec(), voters };
     RecoveredState { view, served_version: 1, ..Default::default() }
 }
 
-/// The tail as it starts in that life, and the grants that k1 gives its first heartbeats.
-fn start(life: u64, at: Millis) -> (Keeper, Vec<PeerMessage>) {
-    let mut tail = with_world(Arc::new(Life(life)), || Keeper::new("k3".into(), at, recovered()));
+/// The tail as it starts in that process, and the grants that k1 sends for its first heartbeats.
+fn start(incarnation: u64, at: Millis) -> (Keeper, Vec<PeerMessage>) {
+    let mut tail = with_world(Arc::new(Process(incarnation)), || Keeper::new("k3".into(), at, recovered()));
     let mut grants = Vec::new();
     for step in 0..5 {
         for output in tail.step(at + step * 500, Input::Tick) {
-            if let Output::Send(to, PeerMessage::Beat { view, sequence: seq, .. }) = output
+            if let Output::Send(to, PeerMessage::Heartbeat { view, sequence, .. }) = output
                 && to == "k1"
             {
-                grants.push(PeerMessage::GrantViewLease { version: view.version, sequence: seq });
+                grants.push(PeerMessage::GrantViewLease { version: view.version, sequence });
             }
         }
     }
@@ -65,40 +64,38 @@
 }
 
 #[test]
-fn a_grant_to_an_earlier_life_renews_no_lease_of_this_one() {
+fn no_lease_is_renewed_when_a_grant_is_for_an_earlier_process() {
     let (mut first, old_grants) = start(0x9e37_79b9_7f4a_7c15, 1_000);
     let at = 1_000 + 4 * 500;
     first.step(at, Input::Peer { from: "k1".into(), message: old_grants.last().unwrap().clone() });
     assert!(first.is_serving(), "two of three grant its lease");
 
     let (mut second, grants) = start(0x3c6e_f372_fe94_f82b, 1_000);
-    for m in old_grants {
-        second.step(at, Input::Peer { from: "k1".into(), message: m });
+    for message in old_grants {
+        second.step(at, Input::Peer { from: "k1".into(), message });
     }
     assert!(!second.is_serving(), "only grants to its own heartbeats count");
     second.step(at, Input::Peer { from: "k1".into(), message: grants.last().unwrap().clone() });
     assert!(second.is_serving());
 }
 
-/// The register's ballots are the other promise that outlives a start: they come from the disk.
+/// Ballots must not repeat across restarts either: they continue from what the disk holds.
 #[test]
-fn a_ballot_of_an_earlier_life_is_never_used_again() {
+fn ballots_are_never_used_again_when_the_proposer_restarts() {
     let mut recovered = recovered();
     let mut used = Vec::new();
-    for life in 0..3 {
+    for incarnation in 0..3 {
         let mut keeper =
-            with_world(Arc::new(Life(life)), || Keeper::new("k3".into(), 1_000, recovered.clone()));
-        // k1 and k2 are silent: it proposes a view without them.
+            with_world(Arc::new(Process(incarnation)), || Keeper::new("k3".into(), 1_000, recovered.clone()));
+        // k1 and k2 are unresponsive: it proposes a view without them.
         for step in 0..60 {
             for output in keeper.step(1_000 + step * 100, Input::Tick) {
                 match output {
-                    Output::Persist(quincehatch_store::keeper::Record::Acceptor { acceptor }) => {
-                        recovered.acceptor = acceptor
-                    }
+                    Output::Persist(Record::Acceptor { acceptor }) => recovered.acceptor = acceptor,
                     Output::Send(_, PeerMessage::Prepare { ballot, .. })
-                        if !used.contains(&(life, ballot)) =>
+                        if !used.contains(&(incarnation, ballot)) =>
                     {
-                        used.push((life, ballot));
+                        used.push((incarnation, ballot));
                     }
                     _ => {}
                 }
@@ -106,7 +103,7 @@
         }
     }
     let mut ballots: Vec<_> = used.iter().map(|(_, ballot)| *ballot).collect();
-    assert!(used.iter().any(|(life, _)| *life == 2), "{used:?}");
+    assert!(used.iter().any(|(incarnation, _)| *incarnation == 2), "{used:?}");
     ballots.sort();
     ballots.dedup();
     assert_eq!(ballots.len(), used.len(), "{used:?}");
--- a/crates/store/tests/interleavings.rs
+++ b/crates/store/tests/interleavings.rs
@@ -1,46 +1,49 @@
-//! Replacements, a wipe, a cut and a restart in every order, on the first and on the last of the chain (§5.9).
+//! Replacements, a wipe, a partition and a restart in every order, at the head and at the tail of the chain.
 //!
-//! Each comes as soon as the one before it no longer counts as a loss. After each, what was acknowledged is there and
-//! writes go on; at every moment one keeper serves at most, and all agree on what a version of the view is.
+//! Each fault comes as soon as the one before it no longer counts as a loss. After each, acknowledged writes are there and
+//! new ones are taken; at every moment one keeper serves at most, and all agree on each version of the view.
 mod kit;
 
-use kit::fleet::{adopted, is_acknowledged, write};
+use kit::fleet::{SEEDS, adopted, is_acknowledged, starting, write};
 use kit::{CATCH_UP, Net};
 use quincehatch_core::{Millis, Name};
 use quincehatch_store::View;
 use std::collections::BTreeMap;
 
-const SEEDS: [&str; 3] = ["a:1", "b:1", "c:1"];
-
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
+enum Fault {
+    /// The machine is lost, and another comes at another address.
     Replace,
+    /// The machine loses its disk and comes back at its address.
     Wipe,
-    Cut,
+    /// The machine is partitioned from the others for a while.
+    Partition,
+    /// The machine restarts with its disk.
     Restart,
 }
 
-const TROUBLES: [Trouble; 5] =
-    [Trouble::Replace, Trouble::Replace, Trouble::Wipe, Trouble::Cut, Trouble::Restart];
+const FAULTS: [Fault; 5] = [Fault::Replace, Fault::Replace, Fault::Wipe, Fault::Partition, Fault::Restart];
+/// First token of the reads that check what is there.
+const FIRST_READ_TOKEN: u64 = 1_000_000;
 
 struct Trial {
     net: Net,
-    /// Every view that was seen, by its version.
+    /// Every view that a keeper has adopted, by its version.
     views: BTreeMap<u64, View>,
-    fresh: usize,
+    /// Keepers that started with an empty disk.
+    started_empty: usize,
     /// Documents written, and the newest that was acknowledged.
     written: u64,
     acknowledged: u64,
 }
 
 impl Trial {
-    fn new(borne: usize, spares: usize) -> Trial {
-        let mut net = Net { now: 1_000, borne: Some(borne), ..Default::default() };
-        for s in SEEDS {
-            net.seeker(s, s, &SEEDS, View::initial(&SEEDS.map(Name::from)));
+    fn new(tolerated_losses: usize, spares: usize) -> Trial {
+        let net = starting(tolerated_losses);
+        let mut trial = Trial { net, views: BTreeMap::new(), started_empty: 0, written: 0, acknowledged: 0 };
+        for _ in 0..spares {
+            trial.add_elsewhere();
         }
-        let mut trial = Trial { net, views: BTreeMap::new(), fresh: 0, written: 0, acknowledged: 0 };
-        (0..spares).for_each(|_| trial.add_elsewhere());
         trial.run(8_000);
         trial.write();
         trial.run(1_500);
@@ -48,12 +51,12 @@
     }
 
     fn add(&mut self, addr: &str) {
-        self.fresh += 1;
-        self.net.seeker(&format!("{addr}#{}", self.fresh), addr, &SEEDS, View::default());
+        self.started_empty += 1;
+        self.net.seeker(&format!("{addr}#{}", self.started_empty), addr, &SEEDS, View::default());
     }
 
     fn add_elsewhere(&mut self) {
-        self.add(&format!("n{}:1", self.fresh));
+        self.add(&format!("n{}:1", self.started_empty));
     }
 
     fn run(&mut self, ms: Millis) {
@@ -64,8 +67,9 @@
     }
 
     fn check(&mut self) {
-        let up = self.net.ks.values().filter(|k| !self.net.down.contains(&k.name));
-        let serving: Vec<&Name> = up.filter(|k| k.is_serving()).map(|k| &k.name).collect();
+        let up = self.net.ks.values().filter(|keeper| !self.net.down.contains(&keeper.name));
+        let serving: Vec<&Name> =
+            up.filter(|keeper| keeper.is_serving()).map(|keeper| &keeper.name).collect();
         assert!(serving.len() <= 1, "two serve: {serving:?}");
         for keeper in self.net.ks.values() {
             let known = self.views.entry(keeper.view.version).or_insert_with(|| keeper.view.clone());
@@ -83,51 +87,50 @@
         }
     }
 
-    /// The first or the last of the chain that is up.
+    /// The first or the last member of the chain that is up and reached.
     fn target(&self, last: bool) -> Name {
         let newest = self.views.values().next_back().unwrap();
-        let mut up =
-            newest.members.iter().filter(|m| !self.net.down.contains(m) && !self.net.cut.contains(m));
-        if last { up.next_back().cloned().unwrap() } else { up.next().cloned().unwrap() }
-    }
-
-    fn addr(&self, name: &Name) -> Name {
-        self.net.at.iter().find(|(_, n)| *n == name).map(|(addr, _)| addr.clone()).unwrap()
+        let is_reached = |name: &&Name| !self.net.down.contains(name) && !self.net.cut.contains(name);
+        let mut reached = newest.members.iter().filter(is_reached);
+        let target = if last { reached.next_back() } else { reached.next() };
+        target.cloned().unwrap()
     }
 
-    /// Strikes, with a write on its way.
-    fn begin(&mut self, trouble: Trouble, target: &Name) {
+    /// Begins the fault, with a write in flight.
+    fn begin(&mut self, fault: Fault, target: &Name) {
         self.write();
-        match trouble {
-            Trouble::Cut => self.net.cut.push(target.clone()),
+        match fault {
+            Fault::Partition => self.net.cut.push(target.clone()),
             _ => self.net.down.push(target.clone()),
         }
     }
 
-    fn end(&mut self, trouble: Trouble, target: &Name) {
-        let addr = self.addr(target);
-        match trouble {
-            Trouble::Replace => self.add_elsewhere(),
-            Trouble::Wipe => {
+    fn end(&mut self, fault: Fault, target: &Name) {
+        let addr = self.net.addr(target);
+        match fault {
+            Fault::Replace => self.add_elsewhere(),
+            Fault::Wipe => {
                 self.net.ks.remove(target);
-                self.net.down.retain(|n| n != target);
+                self.net.down.retain(|name| name != target);
                 self.add(&addr);
             }
-            Trouble::Cut => self.net.cut.retain(|n| n != target),
-            Trouble::Restart => {
-                self.net.down.retain(|n| n != target);
+            Fault::Partition => self.net.cut.retain(|name| name != target),
+            Fault::Restart => {
+                self.net.down.retain(|name| name != target);
                 self.net.seeker(target, &addr, &SEEDS, View::default());
             }
         }
     }
 
-    fn lasts(trouble: Trouble) -> Millis {
-        if trouble == Trouble::Cut { 5_000 } else { 1_000 }
+    fn duration(fault: Fault) -> Millis {
+        if fault == Fault::Partition { 5_000 } else { 1_000 }
     }
 
-    fn recovered(&mut self) {
+    /// Acknowledged writes are there, and new ones are acknowledged.
+    fn check_recovery(&mut self) {
         let before = self.acknowledged;
-        let held = adopted(&mut self.net, 1_000_000 + self.written).map_or(0, |a| a.number);
+        let token = FIRST_READ_TOKEN + self.written;
+        let held = adopted(&mut self.net, token).map_or(0, |document| document.number);
         assert!(held >= before, "{before} was acknowledged, {held} is there");
         self.write();
         self.run(1_500);
@@ -135,14 +138,14 @@
     }
 }
 
-/// All orders of the troubles that are left.
-fn orders(left: &[Trouble]) -> Vec<Vec<Trouble>> {
-    if left.is_empty() {
+/// All different orders of the faults.
+fn orders(faults: &[Fault]) -> Vec<Vec<Fault>> {
+    if faults.is_empty() {
         return vec![Vec::new()];
     }
-    let mut found: Vec<Vec<Trouble>> = Vec::new();
-    for i in 0..left.len() {
-        let mut rest = left.to_vec();
+    let mut found: Vec<Vec<Fault>> = Vec::new();
+    for i in 0..faults.len() {
+        let mut rest = faults.to_vec();
         let first = rest.remove(i);
         for mut order in orders(&rest) {
             order.insert(0, first);
@@ -154,60 +157,59 @@
     found
 }
 
-/// Which end of the chain each trouble strikes: bit by bit of a number.
-fn strikes_last(ends: u32, number: usize) -> bool {
+/// Whether a fault is at the tail: one bit of `ends` for each fault.
+fn is_at_tail(ends: u32, number: usize) -> bool {
     ends >> number & 1 == 1
 }
 
-fn one_at_a_time(spares: usize) {
-    for order in orders(&TROUBLES) {
+fn check_one_fault_at_a_time(spares: usize) {
+    for order in orders(&FAULTS) {
         for ends in 0..1 << order.len() {
             let mut trial = Trial::new(1, spares);
-            for (i, trouble) in order.iter().enumerate() {
-                let target = trial.target(strikes_last(ends, i));
-                trial.begin(*trouble, &target);
-                trial.run(Trial::lasts(*trouble));
-                trial.end(*trouble, &target);
+            for (i, fault) in order.iter().enumerate() {
+                let target = trial.target(is_at_tail(ends, i));
+                trial.begin(*fault, &target);
+                trial.run(Trial::duration(*fault));
+                trial.end(*fault, &target);
                 trial.run(CATCH_UP);
                 assert!(trial.net.tail().is_some(), "{order:?} {ends:b}: nobody serves after {i}");
-                trial.recovered();
+                trial.check_recovery();
             }
         }
     }
 }
 
 #[test]
-fn three_machines_bear_one_trouble_after_the_other() {
-    one_at_a_time(0);
+fn no_write_is_lost_when_three_keepers_have_one_fault_after_the_other() {
+    check_one_fault_at_a_time(0);
 }
 
 #[test]
-fn three_machines_and_a_spare_bear_one_trouble_after_the_other() {
-    one_at_a_time(1);
+fn no_write_is_lost_when_three_keepers_and_a_spare_have_one_fault_after_the_other() {
+    check_one_fault_at_a_time(1);
 }
 
-/// Where two may be lost at once, two troubles at a time.
+/// If two losses are tolerated: two faults at a time.
 #[test]
-fn five_machines_bear_two_troubles_at_a_time() {
-    for order in orders(&TROUBLES) {
+fn no_write_is_lost_when_five_keepers_have_two_faults_at_a_time() {
+    for order in orders(&FAULTS) {
         for ends in 0..1 << order.len() {
             let mut trial = Trial::new(2, 2);
             for (i, pair) in order.chunks(2).enumerate() {
-                let targets: Vec<Name> = (0..pair.len())
-                    .map(|j| {
-                        let target = trial.target(strikes_last(ends, 2 * i + j));
-                        trial.begin(pair[j], &target);
-                        target
-                    })
-                    .collect();
+                let mut targets = Vec::new();
+                for (place, fault) in pair.iter().enumerate() {
+                    let target = trial.target(is_at_tail(ends, 2 * i + place));
+                    trial.begin(*fault, &target);
+                    targets.push(target);
+                }
                 trial.run(1_000);
-                for (trouble, target) in pair.iter().zip(&targets) {
-                    trial.run(Trial::lasts(*trouble) - 1_000);
-                    trial.end(*trouble, target);
+                for (fault, target) in pair.iter().zip(&targets) {
+                    trial.run(Trial::duration(*fault) - 1_000);
+                    trial.end(*fault, target);
                 }
                 trial.run(6_000);
                 assert!(trial.net.tail().is_some(), "{order:?} {ends:b}: nobody serves after {i}");
-                trial.recovered();
+                trial.check_recovery();
             }
         }
     }
--- a/crates/store/tests/join.rs
+++ b/crates/store/tests/join.rs
@@ -1,102 +1,77 @@
-//! Keepers that nobody listed: first view, lost disks, spares, and commits on two disks (§5.9).
+//! Keepers that find one another: first view, lost disks, spares, and the fewest replicas that commit.
 mod kit;
 
 use assert_matches::assert_matches;
-use kit::{CATCH_UP, Net};
+use kit::fleet::{SEEDS, adopt, adopted, first_view, net};
+use kit::{CATCH_UP, Net, START};
 use quincehatch_core::{Name, Role, ServerRecord};
-use quincehatch_store::{AdoptedDocument, Answer, Command, Reply, Request, View, terms};
+use quincehatch_store::{Answer, Command, Reply, Request, View, timing};
 
-const SEEDS: [&str; 3] = ["a:1", "b:1", "c:1"];
-
-fn first() -> View {
-    View::initial(&SEEDS.map(Name::from))
-}
-
-fn net() -> Net {
-    let mut net = Net { now: 1_000, ..Default::default() };
-    for s in SEEDS {
-        net.seeker(s, s, &SEEDS, first());
-    }
-    net.run(6_000);
-    net
-}
-
-fn adopt(number: u64) -> Command {
-    let (text, source) = (format!("text {number}"), format!("source {number}"));
-    Command::AdoptDocument { number, text, source, by: "t".into() }
-}
-
-fn write(net: &mut Net, token: u64, key: &str, cmd: Command) {
-    let head = net.tail().and_then(|t| net.view(&t).head().cloned()).unwrap();
-    net.ask(&head, token, Request::Write { key: key.into(), command: cmd });
-}
-
-fn adopted(net: &mut Net, token: u64) -> Option<AdoptedDocument> {
-    let tail = net.tail().unwrap();
-    net.ask(&tail, token, Request::Adopted);
-    assert_matches!(net.rep(token), Some(Reply::Adopted { adopted }) => adopted)
+fn write(net: &mut Net, token: u64, key: &str, command: Command) {
+    let head = net.head().unwrap();
+    net.ask(&head, token, Request::Write { key: key.into(), command });
 }
 
 #[test]
-fn all_seeds_write_the_same_first_view_without_a_word() {
-    let v = first();
+fn all_keepers_derive_the_same_first_view_when_they_know_the_same_seeds() {
+    let view = first_view();
     let other = View::initial(&["c:1", "a:1", "b:1", "a:1"].map(Name::from));
-    assert_eq!(v, other);
-    assert_eq!((v.version, v.members.len(), v.voters.len()), (1, 3, 3));
+    assert_eq!(view, other);
+    assert_eq!((view.version, view.members.len(), view.voters.len()), (1, 3, 3));
     let mut net = net();
     write(&mut net, 1, "k", adopt(7));
     net.run(100);
     assert_matches!(net.rep(1), Some(Reply::Answer { answer: Answer::Version(1), .. }));
-    assert_eq!(adopted(&mut net, 2).map(|a| a.number), Some(7));
+    assert_eq!(adopted(&mut net, 2).map(|document| document.number), Some(7));
 }
 
 #[test]
-fn a_wiped_machine_takes_its_own_place_under_a_fresh_name() {
+fn a_keeper_takes_its_old_place_under_a_new_name_when_its_disk_was_wiped() {
     let mut net = net();
     write(&mut net, 1, "k", adopt(7));
     net.run(100);
     net.ks.remove("b:1");
     net.seeker("b:1#f", "b:1", &SEEDS, View::default());
     net.run(4_500);
-    let v = net.view("a:1").clone();
-    assert!(v.is_voter("b:1#f") && !v.is_voter("b:1") && v.is_member("b:1#f"), "{v:?}");
-    assert_eq!(v.voters.len(), 3);
-    // It holds all, and counts: another may go now.
+    let view = net.view("a:1").clone();
+    assert!(view.is_voter("b:1#f") && !view.is_voter("b:1") && view.is_member("b:1#f"), "{view:?}");
+    assert_eq!(view.voters.len(), 3);
+    // It holds the whole store and votes: another may be lost now.
     assert_eq!(net.ks["b:1#f"].store.adopted, net.ks["a:1"].store.adopted);
     net.down = vec!["a:1".into()];
     net.run(4_000);
-    assert_eq!(adopted(&mut net, 2).map(|a| a.number), Some(7));
+    assert_eq!(adopted(&mut net, 2).map(|document| document.number), Some(7));
     write(&mut net, 3, "k2", adopt(8));
     net.run(4_500);
     assert_matches!(net.rep(3), Some(Reply::Answer { answer: Answer::Version(2), .. }));
 }
 
 #[test]
-fn a_wiped_machine_never_votes_under_its_old_name() {
+fn a_keeper_never_votes_under_its_old_name_when_its_disk_was_wiped() {
     let mut net = net();
-    // Only a is left of those who remember: no majority, whatever the wiped ones answer.
+    // Only a still has its disk: no majority, whatever the wiped ones answer.
     net.down = vec!["b:1".into(), "c:1".into()];
     net.seeker("b:1#f", "b:1", &SEEDS, View::default());
     net.seeker("c:1#f", "c:1", &SEEDS, View::default());
     net.run(20_000);
     assert_eq!(net.tail(), None);
-    assert_eq!(net.view("a:1").voters, first().voters);
+    assert_eq!(net.view("a:1").voters, first_view().voters);
 }
 
 #[test]
-fn a_spare_is_taken_in_only_for_one_that_was_silent_for_long() {
+fn a_spare_replaces_a_voter_only_when_it_was_unresponsive_for_long() {
     let mut net = net();
     net.seeker("d:1#s", "d:1", &SEEDS, View::default());
     net.run(12_000);
-    assert_eq!(net.view("d:1#s").voters, first().voters, "it knows the view, and stays outside");
+    assert_eq!(net.view("d:1#s").voters, first_view().voters, "it knows the view, and stays outside");
     net.down = vec!["c:1".into()];
-    let silence = terms::replace_after(CATCH_UP);
-    net.run(silence - 20);
+    let replace_after = timing::replace_after(CATCH_UP);
+    net.run(replace_after - 20);
     assert!(!net.view("a:1").is_voter("d:1#s"), "too soon");
-    net.run(CATCH_UP - silence);
-    let v = net.view("a:1").clone();
-    assert!(v.is_member("d:1#s") && !v.is_voter("c:1"), "{v:?}");
-    // The one that was silent comes back with its disk: it learns that it is outside, and stays there.
+    net.run(CATCH_UP - replace_after);
+    let view = net.view("a:1").clone();
+    assert!(view.is_member("d:1#s") && !view.is_voter("c:1"), "{view:?}");
+    // The lost one comes back with its disk: it learns that it is outside the view, and stays there.
     net.down.clear();
     net.run(6_000);
     assert_eq!(net.view("c:1").voters, net.view("a:1").voters);
@@ -104,7 +79,7 @@
 }
 
 #[test]
-fn a_keeper_that_stood_still_does_not_give_up_the_others() {
+fn a_keeper_does_not_replace_the_others_when_it_was_suspended_itself() {
     let mut net = net();
     net.seeker("d:1#s", "d:1", &SEEDS, View::default());
     net.run(2_000);
@@ -112,28 +87,28 @@
     net.run(9_000);
     net.down.clear();
     net.run(5_000);
-    assert_eq!(net.view("a:1").voters, first().voters);
+    assert_eq!(net.view("a:1").voters, first_view().voters);
     assert!(net.tail().is_some());
 }
 
 #[test]
-fn a_replaced_machine_at_another_address_takes_the_lost_ones_place() {
+fn a_keeper_at_another_address_takes_the_place_when_a_voter_is_lost() {
     let mut net = net();
     net.ks.remove("a:1");
     net.at.remove("a:1");
     net.seeker("e:1#n", "e:1", &["b:1", "c:1", "e:1"], View::default());
     net.run(14_000);
-    let v = net.view("b:1").clone();
-    assert!(v.is_member("e:1#n") && !v.is_voter("a:1"), "{v:?}");
-    assert_eq!(v.voters.len(), 3);
+    let view = net.view("b:1").clone();
+    assert!(view.is_member("e:1#n") && !view.is_voter("a:1"), "{view:?}");
+    assert_eq!(view.voters.len(), 3);
 }
 
 #[test]
-fn what_is_on_one_disk_only_is_not_committed() {
+fn nothing_is_committed_when_it_is_on_one_disk_only() {
     let mut net = net();
     write(&mut net, 1, "k", adopt(7));
     net.run(100);
-    // b and c are deaf to the chain for a while: a may shorten it, but commits nothing alone.
+    // b and c are down for a while: a commits nothing alone.
     net.down = vec!["b:1".into(), "c:1".into()];
     net.run(1_500);
     net.ask("a:1", 2, Request::Write { key: "k2".into(), command: adopt(8) });
@@ -148,69 +123,76 @@
 }
 
 #[test]
-fn a_chain_of_one_lets_another_in_and_hands_out_nothing_before() {
-    let mut net = Net { now: 1_000, ..Default::default() };
-    let alone = View { version: 2, members: vec!["a:1".into()], ..first() };
-    // c is away; b votes and has yet to fetch what a holds.
+fn a_chain_of_one_hands_out_nothing_until_another_member_has_joined() {
+    let mut net = Net { now: START, ..Default::default() };
+    let alone = View { version: 2, members: vec!["a:1".into()], ..first_view() };
+    // c is down; b votes and has yet to fetch what a holds.
     net.seeker("a:1", "a:1", &SEEDS, alone.clone());
     net.seeker("b:1", "b:1", &SEEDS, alone);
     net.ask("a:1", 1, Request::Write { key: "k".into(), command: adopt(7) });
-    let (mut served, mut n) = (0, 0);
+    let (mut served_steps, mut steps) = (0, 0);
     while net.view("a:1").members.len() == 1 {
         net.run(20);
-        n += 1;
-        served += usize::from(net.ks["a:1"].is_serving());
-        assert!(n < 500 && !net.ks["a:1"].can_commit());
-        net.ask("a:1", 100 + n, Request::Adopted);
-        assert_matches!(net.rep(100 + n), Some(Reply::Redirect { .. }));
+        steps += 1;
+        served_steps += usize::from(net.ks["a:1"].is_serving());
+        assert!(steps < 500 && !net.ks["a:1"].can_commit());
+        net.ask("a:1", 100 + steps, Request::ReadDocument);
+        assert_matches!(net.rep(100 + steps), Some(Reply::Redirect { .. }));
         assert_eq!((net.ks["a:1"].committed, net.rep(1)), (0, None));
     }
-    assert!(served > 0, "it held the view's lease alone");
+    assert!(served_steps > 0, "it held the view lease alone");
     net.run(4_500);
     assert_eq!(net.view("a:1").members, ["a:1", "b:1"]);
     assert_matches!(net.rep(1), Some(Reply::Answer { answer: Answer::Version(1), .. }));
-    assert_eq!(adopted(&mut net, 9).map(|a| a.number), Some(7));
+    assert_eq!(adopted(&mut net, 9).map(|document| document.number), Some(7));
 }
 
 #[test]
-fn all_at_once_without_power_come_back_from_their_disks() {
+fn acknowledged_writes_survive_when_all_keepers_restart_at_once() {
     let mut net = net();
     write(&mut net, 1, "k", adopt(7));
     net.run(40);
-    // One loses its disk, the others their power.
+    // One loses its disk, the others only restart.
     net.ks.clear();
     net.wire.clear();
     net.seeker("a:1", "a:1", &SEEDS, View::default());
     net.seeker("c:1", "c:1", &SEEDS, View::default());
     net.seeker("b:1#f", "b:1", &SEEDS, View::default());
     net.run(6_000);
-    assert_eq!(adopted(&mut net, 2).map(|a| a.number), Some(7));
+    assert_eq!(adopted(&mut net, 2).map(|document| document.number), Some(7));
     assert!(net.view("a:1").is_member("b:1#f"));
 }
 
-fn stand(seq: u64, leaving: bool, role: Role) -> Command {
-    let (server, group, addr, district) = ("s1".into(), "g".into(), "s:1".into(), "z".into());
-    Command::RegisterServer {
-        at: ServerRecord { server, group, addr, zone: district, slots: 5, draining: leaving, role, seq },
-    }
+fn register(seq: u64, draining: bool) -> Command {
+    let record = ServerRecord {
+        server: "s1".into(),
+        group: "g".into(),
+        addr: "s:1".into(),
+        zone: "z".into(),
+        slots: 5,
+        draining,
+        role: Role::Replica,
+        seq,
+    };
+    Command::RegisterServer { at: record }
 }
 
 #[test]
-fn a_beat_that_tells_nothing_new_or_comes_late_is_no_entry() {
+fn no_entry_is_appended_when_a_server_record_is_unchanged_or_outdated() {
     let mut net = net();
-    write(&mut net, 1, "s1/1", stand(1, false, Role::Replica));
+    write(&mut net, 1, "s1/1", register(1, false));
     net.run(100);
-    let n = net.ks["a:1"].store.last_change;
-    write(&mut net, 2, "s1/2", stand(2, false, Role::Replica));
+    let entries = net.ks["a:1"].store.last_change;
+    write(&mut net, 2, "s1/2", register(2, false));
     net.run(100);
     assert_matches!(net.rep(2), Some(Reply::Answer { answer: Answer::Done, .. }));
-    assert_eq!(net.ks["a:1"].store.last_change, n);
-    write(&mut net, 3, "s1/5", stand(5, true, Role::Replica));
+    assert_eq!(net.ks["a:1"].store.last_change, entries);
+    write(&mut net, 3, "s1/5", register(5, true));
     net.run(100);
-    write(&mut net, 4, "s1/4", stand(4, false, Role::Replica));
+    write(&mut net, 4, "s1/4", register(4, false));
     net.run(100);
     assert_matches!(net.rep(4), Some(Reply::Answer { answer: Answer::Done, .. }));
-    assert_eq!(net.ks["a:1"].store.last_change, n + 1);
+    assert_eq!(net.ks["a:1"].store.last_change, entries + 1);
     assert!(net.ks["a:1"].store.servers["s1"].draining);
     write(&mut net, 5, "s1/gone", Command::DeregisterServer { server: "s1".into() });
     net.run(100);
@@ -218,7 +200,7 @@
 }
 
 #[test]
-fn an_adopted_blueprint_is_acknowledged_soon_though_a_node_is_dark() {
+fn an_adopted_document_is_acknowledged_soon_when_a_node_is_unresponsive() {
     let mut net = net();
     let enrolled = net.enroll("n1", 1);
     net.poll("n1", 9, enrolled, enrolled);
@@ -229,7 +211,7 @@
         net.run(20);
     }
     assert!((1_200..1_400).contains(&(net.now - began)), "{}", net.now - began);
-    // Sent again under its key, it is answered at once.
+    // Repeated with the same key, it is answered at once.
     write(&mut net, 3, "k", adopt(7));
     net.run(20);
     assert_matches!(net.rep(3), Some(Reply::Answer { answer: Answer::Version(1), .. }));
--- a/crates/store/tests/join_as_voter.rs
+++ b/crates/store/tests/join_as_voter.rs
@@ -1,30 +1,31 @@
-//! Only a machine that votes joins the chain: the others of its view could not reach any other (§5.3).
+//! Only a voter joins the chain: the others would have no address for any other keeper.
 mod kit;
 
-use kit::{Net, machine};
+use kit::{InFlight, Net, START, voter};
 use quincehatch_core::Name;
-use quincehatch_store::keeper::Input;
 use quincehatch_store::snapshot::SnapshotProgress;
-use quincehatch_store::{PeerMessage, View};
+use quincehatch_store::{Input, PeerMessage, View};
 
-/// `c:1` was cut off, and `d:1` took its place. The answer to what it asked of the tail before that comes late.
+/// `c:1` was partitioned, and `d:1` took its place. What `c:1` asked of the tail before that is answered late.
 #[test]
-fn a_machine_that_lost_its_vote_does_not_join_with_a_late_snapshot() {
+fn a_keeper_that_lost_its_vote_does_not_join_when_a_late_snapshot_arrives() {
     let members: Vec<Name> = ["a:1", "b:1"].map(Name::from).into();
-    let machines = ["a:1", "b:1", "d:1"].map(machine).into();
-    let view = View { version: 3, members, voters: machines };
-    let mut net = Net { now: 1_000, ..Default::default() };
-    // What joins by itself is held back until the late answer came.
+    let voters = ["a:1", "b:1", "d:1"].map(voter).into();
+    let view = View { version: 3, members, voters };
+    let mut net = Net { now: START, ..Default::default() };
+    // `d:1` would join by itself: it receives nothing until the late answer has come.
     net.deaf = vec!["d:1".into()];
     for keeper in ["a:1", "b:1", "c:1", "d:1"] {
         net.seeker(keeper, keeper, &["a:1", "b:1"], view.clone());
     }
     net.run(3_000);
     assert_eq!(net.tail().as_deref(), Some("b:1"));
-    let m = PeerMessage::FetchSnapshot { version: 3, progress: SnapshotProgress::default() };
-    net.step("b:1", Input::Peer { from: "c:1".into(), message: m });
-    let answered = |m: &PeerMessage| matches!(m, PeerMessage::Snapshot { joining: true, .. });
-    assert!(net.wire.iter().any(|(_, to, m)| to == "c:1" && answered(m)), "the tail sends its store");
+    let message = PeerMessage::FetchSnapshot { version: 3, progress: SnapshotProgress::default() };
+    net.step("b:1", Input::Peer { from: "c:1".into(), message });
+    let is_snapshot_for_c = |sent: &InFlight| {
+        sent.to == "c:1" && matches!(sent.message, PeerMessage::Snapshot { joining: true, .. })
+    };
+    assert!(net.wire.iter().any(is_snapshot_for_c), "the tail sends its store");
     net.run(3_000);
     assert!(!net.view("a:1").is_member("c:1"), "{:?}", net.view("a:1"));
     assert_eq!(net.tail().as_deref(), Some("b:1"));
--- a/crates/store/tests/kit/fleet.rs
+++ b/crates/store/tests/kit/fleet.rs
@@ -1,45 +1,61 @@
-//! Three keepers that find their places by themselves, and what may happen to them (§5.9).
-use super::Net;
+//! Three keepers that find their places by themselves, and what may happen to them.
+use super::{Net, START};
 use assert_matches::assert_matches;
 use quincehatch_core::{Millis, Name};
-use quincehatch_store::keeper::Input;
-use quincehatch_store::{AdoptedDocument, Answer, Command, Reply, Request, View};
+use quincehatch_store::{AdoptedDocument, Answer, Command, Input, Reply, Request, View};
 
 pub const SEEDS: [&str; 3] = ["a:1", "b:1", "c:1"];
 
-/// Three keepers that have found each other.
-pub fn net() -> Net {
-    let mut net = Net { now: 1_000, ..Default::default() };
-    for s in SEEDS {
-        net.seeker(s, s, &SEEDS, View::initial(&SEEDS.map(Name::from)));
+/// The first view of a chain of the seeds.
+pub fn first_view() -> View {
+    View::initial(&SEEDS.map(Name::from))
+}
+
+/// Three keepers that have just started, each with the first view.
+pub fn starting(tolerated_losses: usize) -> Net {
+    let mut net = Net { now: START, borne: Some(tolerated_losses), ..Default::default() };
+    for seed in SEEDS {
+        net.seeker(seed, seed, &SEEDS, first_view());
     }
+    net
+}
+
+/// Three keepers that serve.
+pub fn net() -> Net {
+    let mut net = starting(1);
     net.run(6_000);
     net
 }
 
-pub fn write(net: &mut Net, number: u64) {
-    let head = net.tail().and_then(|t| net.view(&t).head().cloned()).unwrap();
+/// The operator's document with that number.
+pub fn adopt(number: u64) -> Command {
     let (text, source) = (format!("text {number}"), format!("source {number}"));
-    let cmd = Command::AdoptDocument { number, text, source, by: "t".into() };
-    net.ask(&head, number, Request::Write { key: format!("k{number}").into(), command: cmd });
+    Command::AdoptDocument { number, text, source, by: "t".into() }
+}
+
+/// Sends the document with that number to the head; the number is the token too.
+pub fn write(net: &mut Net, number: u64) {
+    let head = net.head().unwrap();
+    net.ask(&head, number, Request::Write { key: format!("k{number}").into(), command: adopt(number) });
 }
 
 pub fn is_acknowledged(net: &Net, number: u64) -> bool {
     matches!(net.rep(number), Some(Reply::Answer { answer: Answer::Version(_), .. }))
 }
 
+/// The document in force, as the tail reads it.
 pub fn adopted(net: &mut Net, token: u64) -> Option<AdoptedDocument> {
     let tail = net.tail()?;
-    net.ask(&tail, token, Request::Adopted);
-    assert_matches!(net.rep(token), Some(Reply::Adopted { adopted }) => adopted)
+    net.ask(&tail, token, Request::ReadDocument);
+    assert_matches!(net.rep(token), Some(Reply::Document { document }) => document)
 }
 
-/// One machine goes for good, an empty one comes at another address.
+/// A machine is lost for good; `after` that time an empty one starts as the keeper `name`.
 pub fn replace(net: &mut Net, lost: &str, name: &str, after: Millis) {
     net.down.push(lost.into());
     net.run(after);
     let addr = name.split('#').next().unwrap();
-    net.seeker(name, addr, &["a:1", "b:1", "c:1"], View::default());
+    net.seeker(name, addr, &SEEDS, View::default());
 }
 
 /// Time in which a keeper has left.
--- a/crates/store/tests/kit/mod.rs
+++ b/crates/store/tests/kit/mod.rs
@@ -1,174 +1,240 @@
-//! Keepers in a small loop of virtual time, each reached at its address (§5.1).
+//! Keepers connected by a simulated network in virtual time, each reached at its address.
 #![allow(dead_code)]
 pub mod fleet;
 
 use quincehatch_core::{ChangeNumber, Millis, Name};
-use quincehatch_store::keeper::{Input, Output, Record, RecoveredState};
 use quincehatch_store::{
-    Answer, Command, DiscoverySettings, Keeper, KeeperRequest, PeerMessage, Reply, Request, View, Voter,
-    terms,
+    Answer, Command, DiscoverySettings, Input, Keeper, KeeperRequest, Output, PeerMessage, Record,
+    RecoveredState, Reply, Request, View, Voter, timing,
 };
 use std::collections::{BTreeMap, VecDeque};
 
-/// A new machine counts as whole so long after its start.
+/// A replacement must hold the whole store this long after its start.
 pub const CATCH_UP: Millis = 4_000;
+/// Virtual time when a network starts; 0 would be "never" to the keepers.
+pub const START: Millis = 1_000;
+/// Time between two ticks of each keeper.
+const TICK: Millis = 20;
+
+/// A message on its way.
+pub struct InFlight {
+    pub from: Name,
+    pub to: Name,
+    pub message: PeerMessage,
+}
+
+/// A reply that left a keeper.
+#[derive(Debug)]
+pub struct SentReply {
+    pub token: u64,
+    pub reply: Reply,
+}
 
 #[derive(Default)]
 pub struct Net {
     pub now: Millis,
     pub ks: BTreeMap<Name, Keeper>,
-    /// Who runs at an address.
+    /// Which keeper runs at an address.
     pub at: BTreeMap<Name, Name>,
+    /// Keepers that do not run.
     pub down: Vec<Name>,
-    pub wire: VecDeque<(Name, Name, PeerMessage)>,
+    pub wire: VecDeque<InFlight>,
     /// So many of the next parts of snapshots are lost.
     pub lose_parts: usize,
     /// Lengths of the frames that were sent with entries or with parts of snapshots.
     pub sent_lengths: Vec<usize>,
-    pub reps: Vec<(u64, Reply)>,
+    pub reps: Vec<SentReply>,
     /// What each keeper's disk holds.
     pub disks: BTreeMap<Name, RecoveredState>,
-    /// Keepers that answer no proposals, pass nothing on and hear of nothing.
+    /// Keepers that receive no messages.
     pub deaf: Vec<Name>,
-    /// Keepers that are cut off from all others; whoever asks them still reaches them.
+    /// Keepers that are partitioned from all others; clients still reach them.
     pub cut: Vec<Name>,
-    /// Machines that may be lost at once; one if it is not said.
+    /// Losses of disks at the same time that lose no data; one by default.
     pub borne: Option<usize>,
 }
 
-pub fn machine(n: &str) -> Voter {
-    Voter { name: n.into(), addr: n.into() }
+pub fn voter(name: &str) -> Voter {
+    Voter { name: name.into(), addr: name.into() }
 }
 
 impl Net {
+    /// Keepers that start from a given view.
     pub fn new(names: &[&str]) -> Self {
-        let view = View {
-            version: 1,
-            members: names.iter().map(|n| Name::from(*n)).collect(),
-            voters: names.iter().map(|n| machine(n)).collect(),
-        };
-        let mut net = Net { now: 1_000, ..Default::default() };
-        for n in names {
-            net.add(n, view.clone());
+        let members = names.iter().map(|name| Name::from(*name)).collect();
+        let voters = names.iter().map(|name| voter(name)).collect();
+        let view = View { version: 1, members, voters };
+        let mut net = Net { now: START, ..Default::default() };
+        for name in names {
+            net.add(name, view.clone());
         }
         net
     }
-    pub fn add(&mut self, n: &str, view: View) {
-        self.disks.insert(n.into(), RecoveredState { view, ..Default::default() });
-        self.again(n);
-    }
-    /// It is started from its disk.
-    pub fn again(&mut self, n: &str) {
-        let k = Keeper::new(n.into(), self.now, self.disks[n].clone());
-        self.put(n, n, k);
-    }
-    fn put(&mut self, n: &str, addr: &str, k: Keeper) {
-        self.at.insert(addr.into(), n.into());
-        self.ks.insert(n.into(), k);
-    }
-    /// A keeper that finds its place by itself: from its own disk, if that holds anything.
-    pub fn seeker(&mut self, n: &str, addr: &str, seeds: &[&str], view: View) {
-        let seeds = seeds.iter().map(|s| Name::from(*s)).collect();
-        let found =
-            self.disks.entry(n.into()).or_insert(RecoveredState { view, ..Default::default() }).clone();
-        let (borne, replace_after) = (self.borne.unwrap_or(1), terms::replace_after(CATCH_UP));
-        let way = DiscoverySettings { at: addr.into(), seeds, replace_after, voter_count: 2 * borne + 1 };
-        let k = Keeper::new(n.into(), self.now, found).with_discovery(way).with_min_replicas(borne + 1);
-        self.put(n, addr, k);
-    }
-    fn sync(&mut self, n: &str, r: &Record) {
-        let Some(d) = self.disks.get_mut(n) else { return };
-        match r {
-            Record::Acceptor { acceptor } => d.acceptor = acceptor.clone(),
-            Record::View { view } => d.view = view.clone(),
-            Record::Served { version } => d.served_version = *version,
-            Record::CatchingUp { catching_up } => d.catching_up = *catching_up,
-            Record::Snapshot { store } => (d.store, d.log) = (store.as_ref().clone(), Default::default()),
-            Record::Entry { entry } => {
-                d.store.apply(&entry.unpack().unwrap());
-                d.log.push_back(entry.clone());
+
+    /// Adds a keeper with an empty disk but for the view.
+    pub fn add(&mut self, name: &str, view: View) {
+        self.disks.insert(name.into(), RecoveredState { view, ..Default::default() });
+        self.again(name);
+    }
+
+    /// Starts a keeper from its disk.
+    pub fn again(&mut self, name: &str) {
+        let keeper = Keeper::new(name.into(), self.now, self.disks[name].clone());
+        self.put(name, name, keeper);
+    }
+
+    /// Starts a keeper that finds its place by itself: from its disk, if that holds anything, otherwise with `view`.
+    pub fn seeker(&mut self, name: &str, addr: &str, seeds: &[&str], view: View) {
+        let empty = RecoveredState { view, ..Default::default() };
+        let recovered = self.disks.entry(name.into()).or_insert(empty).clone();
+        let tolerated_losses = self.borne.unwrap_or(1);
+        let settings = DiscoverySettings {
+            at: addr.into(),
+            seeds: seeds.iter().map(|seed| Name::from(*seed)).collect(),
+            replace_after: timing::replace_after(CATCH_UP),
+            voter_count: 2 * tolerated_losses + 1,
+        };
+        let keeper = Keeper::new(name.into(), self.now, recovered)
+            .with_discovery(settings)
+            .with_min_replicas(tolerated_losses + 1);
+        self.put(name, addr, keeper);
+    }
+
+    fn put(&mut self, name: &str, addr: &str, keeper: Keeper) {
+        self.at.insert(addr.into(), name.into());
+        self.ks.insert(name.into(), keeper);
+    }
+
+    /// Hands one input to a keeper that is up, and carries out what comes of it.
+    pub fn step(&mut self, name: &str, input: Input) {
+        if self.down.iter().any(|down| down == name) {
+            return;
+        }
+        let Some(keeper) = self.ks.get_mut(name) else { return };
+        let outputs = keeper.step(self.now, input);
+        // The addresses are looked up before any output is carried out, as the keeper's driver does.
+        let keeper = &self.ks[name];
+        let addressed: Vec<(Option<Name>, Output)> =
+            outputs.into_iter().map(|output| (receiver_addr(keeper, &output), output)).collect();
+        for (addr, output) in addressed {
+            match output {
+                Output::Send(_, message) => self.transmit(name, addr, message),
+                Output::Reply(token, reply) => self.reps.push(SentReply { token, reply }),
+                Output::Persist(record) => self.persist(name, &record),
+                Output::Log(_) => {}
             }
         }
     }
-    pub fn step(&mut self, n: &str, i: Input) {
-        if self.down.iter().any(|d| d == n) {
+
+    fn transmit(&mut self, from: &str, addr: Option<Name>, message: PeerMessage) {
+        let is_part = matches!(message, PeerMessage::Snapshot { .. });
+        if self.lose_parts > 0 && is_part {
+            self.lose_parts -= 1;
             return;
         }
-        let now = self.now;
-        let Some(k) = self.ks.get_mut(n) else { return };
-        let outs = k.step(now, i);
-        let to_name = |to: &Name| k.addr(to);
-        let outs: Vec<(Option<Name>, Output)> = outs
-            .into_iter()
-            .map(|o| (if let Output::Send(to, _) = &o { to_name(to) } else { None }, o))
-            .collect();
-        for (addr, o) in outs {
-            match o {
-                Output::Send(_, m) => {
-                    if self.lose_parts > 0 && matches!(m, PeerMessage::Snapshot { .. }) {
-                        self.lose_parts -= 1;
-                        continue;
-                    }
-                    if matches!(m, PeerMessage::Snapshot { .. } | PeerMessage::AppendEntries { .. }) {
-                        let frame = KeeperRequest::Peer { from: n.into(), message: m.clone() };
-                        self.sent_lengths.push(borsh::to_vec(&frame).unwrap().len());
-                    }
-                    let to = addr.and_then(|a| self.at.get(&a).cloned());
-                    self.wire.extend(to.map(|to| (n.into(), to, m)));
-                }
-                Output::Reply(t, r) => self.reps.push((t, r)),
-                Output::Persist(r) => self.sync(n, &r),
-                Output::Log(_) => {}
+        if is_part || matches!(message, PeerMessage::AppendEntries { .. }) {
+            let frame = KeeperRequest::Peer { from: from.into(), message: message.clone() };
+            self.sent_lengths.push(borsh::to_vec(&frame).unwrap().len());
+        }
+        if let Some(to) = addr.and_then(|addr| self.at.get(&addr).cloned()) {
+            self.wire.push_back(InFlight { from: from.into(), to, message });
+        }
+    }
+
+    fn persist(&mut self, name: &str, record: &Record) {
+        let Some(disk) = self.disks.get_mut(name) else { return };
+        match record {
+            Record::Acceptor { acceptor } => disk.acceptor = acceptor.clone(),
+            Record::View { view } => disk.view = view.clone(),
+            Record::Served { version } => disk.served_version = *version,
+            Record::CatchingUp { catching_up } => disk.catching_up = *catching_up,
+            Record::Snapshot { store } => {
+                disk.store = store.as_ref().clone();
+                disk.log.clear();
+            }
+            Record::Entry { entry } => {
+                disk.store.apply(&entry.unpack().unwrap());
+                disk.log.push_back(entry.clone());
             }
         }
     }
-    pub fn run(&mut self, ms: Millis) {
-        let end = self.now + ms;
+
+    /// Lets time pass.
+    pub fn run(&mut self, time: Millis) {
+        let end = self.now + time;
         while self.now < end {
-            self.now += 20;
-            for n in self.ks.keys().cloned().collect::<Vec<_>>() {
-                self.step(&n, Input::Tick);
+            self.now += TICK;
+            let names: Vec<Name> = self.ks.keys().cloned().collect();
+            for name in names {
+                self.step(&name, Input::Tick);
             }
-            while let Some((from, to, m)) = self.wire.pop_front() {
-                let cut = self.cut.contains(&to) != self.cut.contains(&from);
-                if !cut && !self.deaf.contains(&to) && !self.down.contains(&from) {
-                    self.step(&to, Input::Peer { from, message: m });
+            while let Some(InFlight { from, to, message }) = self.wire.pop_front() {
+                let crosses_partition = self.cut.contains(&to) != self.cut.contains(&from);
+                if !crosses_partition && !self.deaf.contains(&to) && !self.down.contains(&from) {
+                    self.step(&to, Input::Peer { from, message });
                 }
             }
         }
     }
-    pub fn ask(&mut self, n: &str, token: u64, ask: Request) {
-        self.step(n, Input::Request { token, request: ask });
+
+    /// Sends a request to a keeper.
+    pub fn ask(&mut self, name: &str, token: u64, request: Request) {
+        self.step(name, Input::Request { token, request });
     }
-    /// Enrolls a node's process; the entry that did.
+
+    /// Enrolls a node's process; returns the number of the entry that did.
     pub fn enroll(&mut self, node: &str, token: u64) -> ChangeNumber {
-        let head = self.tail().and_then(|t| self.view(&t).head().cloned()).unwrap();
-        let cmd = Command::EnrollNode { node: node.into(), incarnation: token };
-        self.ask(&head, token, Request::Write { key: format!("enroll/{token}").into(), command: cmd });
+        let head = self.head().unwrap();
+        let command = Command::EnrollNode { node: node.into(), incarnation: token };
+        self.ask(&head, token, Request::Write { key: format!("enroll/{token}").into(), command });
         self.run(100);
         match self.rep(token) {
-            Some(Reply::Answer { answer: Answer::Enrolled(n), .. }) => n,
+            Some(Reply::Answer { answer: Answer::Enrolled(number), .. }) => number,
             other => panic!("{other:?}"),
         }
     }
-    /// A poll of the node at the tail.
-    pub fn poll(&mut self, node: &str, token: u64, enrolled: ChangeNumber, have: ChangeNumber) {
+
+    /// A node's poll at the tail.
+    pub fn poll(&mut self, node: &str, token: u64, enrolled: ChangeNumber, last_change: ChangeNumber) {
         let tail = self.tail().unwrap();
-        let ask =
-            Request::Feed { node: node.into(), addr: node.into(), last_change: have, applied: 0, enrolled };
-        self.ask(&tail, token, ask);
+        let request =
+            Request::Feed { node: node.into(), addr: node.into(), last_change, applied: 0, enrolled };
+        self.ask(&tail, token, request);
     }
+
+    /// The first reply to a request.
     pub fn rep(&self, token: u64) -> Option<Reply> {
-        self.reps.iter().find(|r| r.0 == token).map(|r| r.1.clone())
+        self.reps.iter().find(|sent| sent.token == token).map(|sent| sent.reply.clone())
     }
-    pub fn view(&self, n: &str) -> &View {
-        &self.ks[n].view
+
+    pub fn view(&self, name: &str) -> &View {
+        &self.ks[name].view
     }
+
+    /// The address at which a keeper runs.
+    pub fn addr(&self, name: &Name) -> Name {
+        let mut addrs = self.at.iter();
+        addrs.find(|(_, running)| *running == name).map(|(addr, _)| addr.clone()).unwrap()
+    }
+
     /// The keeper that serves as the tail.
     pub fn tail(&self) -> Option<Name> {
-        self.ks
-            .values()
-            .find(|k| k.can_commit() && !self.down.contains(&k.name) && !self.cut.contains(&k.name))
-            .map(|k| k.name.clone())
+        let is_reached =
+            |keeper: &&Keeper| !self.down.contains(&keeper.name) && !self.cut.contains(&keeper.name);
+        let mut reached = self.ks.values().filter(is_reached);
+        reached.find(|keeper| keeper.can_commit()).map(|keeper| keeper.name.clone())
+    }
+
+    /// The head of the view that is served.
+    pub fn head(&self) -> Option<Name> {
+        let tail = self.tail()?;
+        self.view(&tail).head().cloned()
+    }
+}
+
+fn receiver_addr(keeper: &Keeper, output: &Output) -> Option<Name> {
+    match output {
+        Output::Send(to, _) => keeper.addr(to),
+        _ => None,
     }
 }
--- a/crates/store/tests/leads.rs
+++ b/crates/store/tests/leads.rs
@@ -58,7 +58,7 @@
     c.lead(one, Some("a"), &["a", "b", "c"]);
     let two = c.take();
     let told = |a: Answer| match a {
-        Answer::Lead(l) => l.voter_sets(),
+        Answer::Primary(l) => l.voter_sets(),
         a => panic!("{a:?}"),
     };
     assert_eq!(told(c.lead(two, None, &[])), [names(&["a", "b", "c"])]);
@@ -113,7 +113,7 @@
     let over = PrimaryState { fence: c.take(), primary: c.0.primaries.get("g").cloned() };
     c.lead(over.fence, None, &[]);
     assert!(matches!(next_fence(&mut c, &over), Answer::Rejected(b) if b.has_code(ErrorCode::StaleFence)));
-    let Answer::Lead(named) = c.lead(over.fence, Some("b"), &[]) else { panic!("it was overtaken") };
+    let Answer::Primary(named) = c.lead(over.fence, Some("b"), &[]) else { panic!("it was overtaken") };
     let over = PrimaryState { primary: Some(named), ..over };
     assert_eq!(next_fence(&mut c, &over), Answer::Fence(over.fence + 1));
 }
--- a/crates/store/tests/membership.rs
+++ b/crates/store/tests/membership.rs
@@ -1,12 +1,12 @@
-//! Lost voters and their successors (§5.9).
+//! Replacement of lost voters.
 mod kit;
 
 use kit::CATCH_UP;
 use kit::fleet::*;
 
-/// A lost machine kept its vote for eight seconds; with the next one lost in that time no majority was left for good.
+/// A lost voter once kept its vote for eight seconds: if the next one was lost in that time, no majority was left.
 #[test]
-fn a_second_machine_may_be_lost_once_the_first_ones_successor_had_its_time() {
+fn a_second_voter_may_be_lost_when_the_replacement_of_the_first_has_caught_up() {
     for start in [300, 1_000, 2_000, 3_500] {
         for lost in [("a:1", "b:1"), ("c:1", "a:1"), ("b:1", "c:1"), ("c:1", "b:1")] {
             let mut net = net();
@@ -14,13 +14,17 @@
             net.run(200);
             replace(&mut net, lost.0, "d:1#1", start);
             net.run(CATCH_UP);
-            assert_eq!(net.ks["d:1#1"].store.adopted.as_ref().map(|a| a.number), Some(1), "{lost:?} {start}");
+            assert_eq!(
+                net.ks["d:1#1"].store.adopted.as_ref().map(|document| document.number),
+                Some(1),
+                "{lost:?} {start}"
+            );
             replace(&mut net, lost.1, "e:1#2", start);
             net.run(CATCH_UP);
             let tail = net.tail().expect("a majority is left");
             let view = net.view(&tail).clone();
             assert_eq!((view.members.len(), view.voters.len()), (3, 3), "{lost:?} {start}: {view:?}");
-            assert_eq!(adopted(&mut net, 100).map(|a| a.number), Some(1));
+            assert_eq!(adopted(&mut net, 100).map(|document| document.number), Some(1));
             write(&mut net, 2);
             net.run(2_000);
             assert!(is_acknowledged(&net, 2), "{lost:?} {start}");
@@ -28,9 +32,9 @@
     }
 }
 
-/// All three of the first machines may go, one after the other.
+/// All three voters of the first view may be lost, one after the other.
 #[test]
-fn every_machine_may_be_replaced_in_turn() {
+fn no_write_is_lost_when_every_voter_is_replaced_in_turn() {
     let mut net = net();
     for (i, lost) in ["a:1", "b:1", "c:1"].into_iter().enumerate() {
         write(&mut net, i as u64 + 1);
@@ -40,20 +44,20 @@
         replace(&mut net, lost, &format!("{}#{i}", seeds[i]), 1_000);
         net.run(CATCH_UP);
     }
-    assert_eq!(adopted(&mut net, 100).map(|a| a.number), Some(3));
+    assert_eq!(adopted(&mut net, 100).map(|document| document.number), Some(3));
     write(&mut net, 9);
     net.run(1_000);
     assert!(is_acknowledged(&net, 9));
 }
 
-/// It votes only with the whole store at hand, and both come with one change.
+/// It gets the vote and its place in the chain with one change, after it has fetched the whole store.
 #[test]
 fn a_spare_votes_only_once_it_holds_everything() {
     let mut net = net();
     write(&mut net, 1);
     net.run(200);
     replace(&mut net, "c:1", "d:1#1", 500);
-    let mut seen = Vec::new();
+    let mut versions = Vec::new();
     for _ in 0..200 {
         net.run(20);
         let view = net.view("a:1");
@@ -61,16 +65,16 @@
             assert!(view.is_member("d:1#1"), "{view:?}");
             assert!(net.ks["d:1#1"].store.adopted.is_some());
         }
-        if seen.last() != Some(&view.version) {
-            seen.push(view.version);
+        if versions.last() != Some(&view.version) {
+            versions.push(view.version);
         }
     }
-    assert_eq!(seen.len(), 3, "one change leaves c out, one brings d in: {seen:?}");
+    assert_eq!(versions.len(), 3, "one change removes c, one adds d: {versions:?}");
 }
 
-/// The newcomer is lost as soon as it votes: the next spare takes its place.
+/// The replacement is lost as soon as it votes: the next spare takes its place.
 #[test]
-fn a_newcomer_may_be_lost_itself() {
+fn a_replacement_is_replaced_when_it_is_lost_itself() {
     let mut net = net();
     write(&mut net, 1);
     net.run(200);
@@ -82,12 +86,12 @@
     net.run(CATCH_UP);
     let view = net.view("a:1").clone();
     assert!(view.is_member("e:1#2") && view.members.len() == 3, "{view:?}");
-    assert_eq!(adopted(&mut net, 100).map(|a| a.number), Some(1));
+    assert_eq!(adopted(&mut net, 100).map(|document| document.number), Some(1));
 }
 
-/// Without anyone outside, nobody loses a vote, however long it is silent.
+/// Without any keeper outside the view no voter loses its vote, however long it is unresponsive.
 #[test]
-fn a_vote_goes_to_nobody() {
+fn a_lost_voter_keeps_its_vote_when_there_is_no_spare() {
     let mut net = net();
     net.down = vec!["c:1".into()];
     net.run(30_000);
@@ -97,9 +101,9 @@
     assert!(net.view("a:1").is_member("c:1"));
 }
 
-/// Its vote went to a spare while it was cut off: it is a spare under its old name, and may vote again.
+/// Its vote went to a spare while it was away: it is a spare itself now, under its old name, and may vote again.
 #[test]
-fn one_whose_vote_was_given_away_is_a_spare_when_it_returns() {
+fn a_replaced_voter_is_a_spare_when_it_returns() {
     let mut net = net();
     write(&mut net, 1);
     net.run(200);
@@ -118,5 +122,5 @@
     // Those that hold what was written before it returned are lost in turn.
     net.down.push("a:1".into());
     net.run(2_500);
-    assert_eq!(adopted(&mut net, 100).map(|a| a.number), Some(2));
+    assert_eq!(adopted(&mut net, 100).map(|document| document.number), Some(2));
 }
--- a/crates/store/tests/register.rs
+++ b/crates/store/tests/register.rs
@@ -1,7 +1,7 @@
-//! No order of messages, losses and restarts makes the register decide two views of one version (§5.3).
+//! No order of messages, losses and restarts makes the register decide two views of one version.
 mod explorer;
 
-use explorer::Change::{self, LeaveOut, Replace};
+use explorer::Change::{self, Remove, Replace};
 use explorer::{World, explore};
 
 fn check(voters: &[&str], outsiders: &[&str], changes: &[Change], longest: usize) {
@@ -11,21 +11,21 @@
 }
 
 #[test]
-fn two_replacements_and_a_repair_of_three() {
-    check(&["a", "b", "c"], &["d"], &[Replace(2), LeaveOut(0), Replace(2)], 4);
+fn one_view_is_decided_per_version_in_two_replacements_and_a_repair_of_three() {
+    check(&["a", "b", "c"], &["d"], &[Replace(2), Remove(0), Replace(2)], 4);
 }
 
 #[test]
-fn three_replacements_of_three() {
+fn one_view_is_decided_per_version_in_three_replacements_of_three() {
     check(&["a", "b", "c"], &["d"], &[Replace(0), Replace(1), Replace(0)], 4);
 }
 
 #[test]
-fn two_changes_of_four() {
+fn one_view_is_decided_per_version_in_two_changes_of_four() {
     check(&["a", "b", "c", "d"], &["e"], &[Replace(3), Replace(1)], 3);
 }
 
 #[test]
-fn two_changes_of_five() {
-    check(&["a", "b", "c", "d", "e"], &["f"], &[Replace(4), LeaveOut(0)], 3);
+fn one_view_is_decided_per_version_in_two_changes_of_five() {
+    check(&["a", "b", "c", "d", "e"], &["f"], &[Replace(4), Remove(0)], 3);
 }
--- a/crates/store/tests/restart.rs
+++ b/crates/store/tests/restart.rs
@@ -1,33 +1,30 @@
-//! A tail that is started anew (§5.3).
+//! Restarts of the tail.
 mod kit;
 
-use kit::Net;
-use quincehatch_core::Name;
-use quincehatch_store::View;
+use kit::fleet::{SEEDS, first_view};
+use kit::{Net, START};
 
-const SEEDS: [&str; 3] = ["a:1", "b:1", "c:1"];
-
-fn start(net: &mut Net) {
+fn restart_all(net: &mut Net) {
     net.ks.clear();
     net.wire.clear();
-    for s in SEEDS {
-        net.seeker(s, s, &SEEDS, View::initial(&SEEDS.map(Name::from)));
+    for seed in SEEDS {
+        net.seeker(seed, seed, &SEEDS, first_view());
     }
 }
 
-/// Whoever served as the tail of a view has outlasted older tails before: started anew it need not do so again. One
-/// that has not must (found on days on which all processes were killed at once).
+/// A keeper that has served as the tail of its view has waited for older tails before: after a restart it need not do so
+/// again. One that has not served must wait. Found in runs that kill all processes at once.
 #[test]
-fn a_tail_that_served_in_its_view_serves_at_once_when_started_anew() {
-    let mut net = Net { now: 1_000, ..Default::default() };
-    start(&mut net);
+fn a_restarted_tail_serves_at_once_if_it_served_in_its_view_before() {
+    let mut net = Net { now: START, ..Default::default() };
+    restart_all(&mut net);
     net.run(6_000);
     let tail = net.tail().unwrap();
-    start(&mut net);
+    restart_all(&mut net);
     net.run(300);
     assert_eq!(net.tail(), Some(tail.clone()));
     net.disks.get_mut(&tail).unwrap().served_version = 0;
-    start(&mut net);
+    restart_all(&mut net);
     net.run(300);
     assert_eq!(net.tail(), None, "an older tail might still hold its lease");
 }
--- a/crates/store/tests/suspended.rs
+++ b/crates/store/tests/suspended.rs
@@ -6,7 +6,7 @@
 use quincehatch_core::{ErrorCode, Outcome};
 use quincehatch_store::host::Batch;
 use quincehatch_store::keeper::{Input, Output};
-use quincehatch_store::terms::VIEW_LEASE;
+use quincehatch_store::timing::VIEW_LEASE;
 use quincehatch_store::{Answer, Command, Reply, Request};
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
@@ -79,7 +79,7 @@
     assert_matches!(net.replies_to(1)[..], [Reply::Rejected { error: why }] if why.outcome == Outcome::Unknown);
     net.ask(HEAD, 2, take_fence(2));
     net.ask(HEAD, 3, Request::ReadStore);
-    net.ask(HEAD, 4, Request::Adopted);
+    net.ask(HEAD, 4, Request::ReadDocument);
     net.ask(HEAD, 5, Request::Status);
     for token in 2..=4 {
         assert_asked_again(&net.replies_to(token));
--- a/crates/testbed/tests/choice/net.rs
+++ b/crates/testbed/tests/choice/net.rs
@@ -118,7 +118,7 @@
             return Some(());
         };
         match (self.write(set_lead(lead.clone()))?, self.all[i].p.phase) {
-            (Answer::Lead(l), Phase::Closing) => self.step(i, PromotionEvent::PrimaryClosed(l)),
+            (Answer::Primary(l), Phase::Closing) => self.step(i, PromotionEvent::PrimaryClosed(l)),
             _ => self.step(i, PromotionEvent::VotersRecorded),
         }
     }
