--- a/crates/store/src/node_leases.rs
+++ b/crates/store/src/node_leases.rs
@@ -40,9 +40,9 @@
     /// It does not know which leases its predecessors granted, but to whom they may have: to enrolled nodes and to those
     /// dismissed recently. Each of these may hold a lease until it polls here or the term has passed.
     /// `unknown_leases_until` covers nodes that were dismissed before anyone here took note.
-    pub fn begin<'a>(
+    pub fn begin<'names>(
         now: Millis,
-        enrolled: impl Iterator<Item = &'a Name>,
+        enrolled: impl Iterator<Item = &'names Name>,
         dismissed_leases: &BTreeMap<Name, Millis>,
         unknown_leases_until: Millis,
     ) -> Self {
--- a/crates/store/src/peers.rs
+++ b/crates/store/src/peers.rs
@@ -6,44 +6,55 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Messages that may wait for one peer; further ones are dropped, the protocol sends again.
-const WAITING_MAX: usize = 256;
-/// A peer that does not take a message in this time is given up; the protocol sends again.
-const TAKEN_WITHIN: Duration = Duration::from_millis(500);
+/// Messages that may wait for one peer. Further ones are dropped: the protocol sends again.
+const MAX_QUEUED_MESSAGES: usize = 256;
+/// A message that a peer does not take within this time is dropped: the protocol sends again.
+const DELIVERY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Sends to other keepers, to each in order. A peer is known by its name and its address.
+/// A peer: after a wiped disk another keeper may run at the same address.
+#[derive(Clone, PartialEq, Eq, Hash)]
+struct Peer {
+    name: Name,
+    addr: Name,
+}
+
+/// Sends messages to other keepers, to each in order.
 pub(crate) struct Peers {
-    me: Identity,
-    connections: HashMap<(Name, Name), mpsc::Sender<PeerMessage>>,
+    identity: Identity,
+    queues: HashMap<Peer, mpsc::Sender<PeerMessage>>,
 }
 
 impl Peers {
-    pub fn new(me: Identity) -> Self {
-        Self { me, connections: HashMap::new() }
+    /// No connections yet; each begins with the first message to its peer.
+    pub fn new(identity: Identity) -> Self {
+        Self { identity, queues: HashMap::new() }
     }
 
+    /// Queues a message for the named keeper at that address.
     pub fn send(&mut self, name: Name, addr: Name, message: PeerMessage) {
-        let me = &self.me;
-        let connection = self.connections.entry((name.clone(), addr.clone())).or_insert_with(|| {
-            let (connection, waiting) = mpsc::channel(WAITING_MAX);
-            tokio::spawn(deliver(me.clone(), name, addr, waiting));
-            connection
+        let peer = Peer { name, addr };
+        let identity = &self.identity;
+        let queue = self.queues.entry(peer.clone()).or_insert_with(|| {
+            let (queue, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
+            tokio::spawn(deliver(identity.clone(), peer, messages));
+            queue
         });
-        let _ = connection.try_send(message);
+        let _ = queue.try_send(message);
     }
 }
 
-/// Brings messages to one peer, one after the other.
-async fn deliver(me: Identity, name: Name, addr: Name, mut waiting: mpsc::Receiver<PeerMessage>) {
-    let from = me.name().clone();
-    let caller = Caller::new(me);
-    while let Some(m) = waiting.recv().await {
-        // Seeds are known by their address alone; everything else is for the keeper of that very name.
-        let to = match m {
-            PeerMessage::Discover { .. } => Destination::address(&addr),
-            _ => Destination::process(&name, &addr),
+/// Delivers messages to one peer, one after the other.
+async fn deliver(identity: Identity, peer: Peer, mut messages: mpsc::Receiver<PeerMessage>) {
+    let from = identity.name().clone();
+    let caller = Caller::new(identity);
+    while let Some(message) = messages.recv().await {
+        let destination = match message {
+            // Seeds are known by their addresses alone.
+            PeerMessage::Discover { .. } => Destination::address(&peer.addr),
+            // Everything else is for the keeper of that very name.
+            _ => Destination::process(&peer.name, &peer.addr),
         };
-        let request = KeeperRequest::Peer { from: from.clone(), message: m };
-        let _ = caller.call(to, &request, TAKEN_WITHIN).await;
+        let request = KeeperRequest::Peer { from: from.clone(), message };
+        let _ = caller.call(destination, &request, DELIVERY_TIMEOUT).await;
     }
 }
--- a/crates/store/src/register/proposer.rs
+++ b/crates/store/src/register/proposer.rs
@@ -150,7 +150,7 @@
 
 /// A majority of the old voters must take part in every change of the register: any two majorities share a voter, so
 /// two different views are never decided for one version.
-fn is_base_majority<'a>(base: &View, names: impl Iterator<Item = &'a Name>) -> bool {
+fn is_base_majority<'names>(base: &View, names: impl Iterator<Item = &'names Name>) -> bool {
     base.has_majority(names) || injected_bug("no-old-majority")
 }
 
--- a/crates/store/src/view.rs
+++ b/crates/store/src/view.rs
@@ -88,7 +88,7 @@
     }
 
     /// Are the named keepers a majority of this view's voters? Names of other keepers do not count.
-    pub fn has_majority<'a>(&self, names: impl Iterator<Item = &'a Name>) -> bool {
+    pub fn has_majority<'names>(&self, names: impl Iterator<Item = &'names Name>) -> bool {
         let votes = names.filter(|name| self.is_voter(name)).count();
         votes * 2 > self.voters.len()
     }
