--- a/crates/capacity/src/parts.rs
+++ b/crates/capacity/src/parts.rs
@@ -162,7 +162,7 @@
     let set = super::settings(0, "127.0.0.1:1".into(), vec![], vec!["127.0.0.1:1".into()]);
     let node = quincehatch_proxy::Proxy::new(
         set,
-        Box::new(quincehatch_proxy::local_replicas::LocalOnlyReplicas::default()),
+        Box::new(quincehatch_proxy::session::replicas::LocalOnlyReplicas::default()),
         quincehatch_runtime::seam::Spawner::current(),
     );
     for i in 0..n {
@@ -179,6 +179,6 @@
         node.registry.apply_heartbeat(beat);
     }
     // Ten looks a second by the judges; the loop over duties looks at each server's verdict four times (§6.3).
-    let (ms, _) = cost(|| (0..10).for_each(|_| quincehatch_proxy::probe::judge(&node)));
+    let (ms, _) = cost(|| (0..10).for_each(|_| quincehatch_proxy::probe::tick_health(&node.registry)));
     (node.registry.servers().len() as f64, ms)
 }
--- a/crates/node/src/copies.rs
+++ b/crates/node/src/copies.rs
@@ -4,9 +4,10 @@
 use quincehatch_core::{Error, ErrorCode, Name, Version};
 use quincehatch_gossip::duty::replica_owners;
 use quincehatch_gossip::{NodeQuery, NodeReply};
-use quincehatch_proxy::proxy::{BoxFuture, SessionReplicas};
 use quincehatch_proxy::session::SessionState;
+use quincehatch_proxy::session::replicas::SessionReplicas;
 use quincehatch_runtime::now;
+use quincehatch_runtime::seam::BoxFuture;
 use std::sync::Arc;
 
 /// Copies are compared with one other owner by digests over ranges and mended from the newer; copies whose
--- a/crates/node/src/duties.rs
+++ b/crates/node/src/duties.rs
@@ -211,8 +211,8 @@
     {
         let low = r.heartbeat.read().unwrap().fence < lead.fence;
         if low && r.status.lock().unwrap().failing_since.is_none() {
-            let (path, body) = quincehatch_proxy::server_protocol::call::fence(lead.fence);
-            let _ = f.proxy.call_once(&r.addr(), path, body, Duration::from_millis(500)).await;
+            let request = quincehatch_proxy::server_protocol::call::fence(lead.fence);
+            let _ = f.proxy.call_once(&r.addr(), &request, Duration::from_millis(500)).await;
         }
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -68,8 +68,11 @@
         seam::spawn(feed::run(f.clone()));
         seam::spawn(lease_roll::run(f.clone()));
         match f.ports {
-            None => seam::spawn(quincehatch_proxy::probe::run_status_probes(f.proxy.clone())),
-            Some(_) => seam::spawn(quincehatch_proxy::probe::run_health_ticks(f.proxy.clone())),
+            None => seam::spawn(quincehatch_proxy::probe::run_status_probes(
+                f.proxy.registry.clone(),
+                f.proxy.spawner().clone(),
+            )),
+            Some(_) => seam::spawn(quincehatch_proxy::probe::run_health_ticks(f.proxy.registry.clone())),
         };
         seam::spawn(duties::run(f.clone()));
         seam::spawn(sweep(f.proxy.clone()));
@@ -85,7 +88,7 @@
     loop {
         seam::sleep(Duration::from_millis(250)).await;
         let idle = n.registry.cluster_state().configuration.as_ref().map_or(10_000, |b| b.queue.txn_idle_ms);
-        quincehatch_proxy::transaction::expire_transactions(&n, idle);
+        quincehatch_proxy::transaction::expire_transactions(&n.registry, &n.sessions, idle);
         n.evict_idle_sessions();
     }
 }
--- a/crates/node/src/operator_api.rs
+++ b/crates/node/src/operator_api.rs
@@ -19,7 +19,7 @@
             let st = if r.is_ok() { 200 } else { 503 };
             (st, r.unwrap_or_else(|b| json!({"ready": false, "error": {"code": b.code, "text": b.text}})))
         }
-        ("POST", p) => n.visit(p, &k.body).await,
+        ("POST", p) => n.handle(p, &k.body).await,
         _ => said(Err(ErrorCode::NoSuchCall.without_detail())),
     }
 }
--- a/crates/node/src/promoting.rs
+++ b/crates/node/src/promoting.rs
@@ -4,7 +4,7 @@
 use quincehatch_core::{ErrorCode, FencingToken, Name};
 use quincehatch_failover::promotion::{Promotion, PromotionAction, PromotionEvent, PromotionPlan};
 use quincehatch_gossip::{NodeQuery, NodeReply};
-use quincehatch_proxy::platform_api::{self, PromotionOutcome};
+use quincehatch_proxy::platform_api::{self, PromotionCandidate, PromotionOutcome};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
 use quincehatch_store::store::promotion_duty_key;
@@ -140,8 +140,8 @@
     if seam::injected_bug("unfenced") {
         return PromotionEvent::ServerFenced(server, row.heartbeat.read().unwrap().log_end);
     }
-    let (path, body) = quincehatch_proxy::server_protocol::call::fence(fence);
-    let Some(r) = f.proxy.call_once(&row.addr(), path, body, CALL).await else { return PromotionEvent::Tick };
+    let request = quincehatch_proxy::server_protocol::call::fence(fence);
+    let Some(r) = f.proxy.call_once(&row.addr(), &request, CALL).await else { return PromotionEvent::Tick };
     if r.has_error_code(quincehatch_proxy::server_protocol::FENCE_LOW) {
         return PromotionEvent::Superseded;
     }
@@ -161,9 +161,10 @@
     let Some(row) = f.proxy.registry.server(&server) else {
         return PromotionEvent::ServerNotPromoted(server);
     };
-    let (path, body) =
-        platform_api::promote(&plan.group, &server, &row.addr(), fence, &plan.coordinator, counts);
-    let status = post_once(&f.proxy.settings.platform, path, &body, CALL).await.ok().map(|r| r.0);
+    let candidate = PromotionCandidate { group: &plan.group, server: &server, addr: &row.addr() };
+    let request = platform_api::promote(&candidate, fence, &plan.coordinator, counts);
+    let answer = post_once(&f.proxy.settings.platform, request.path, &request.body, CALL).await;
+    let status = answer.ok().map(|(status, _)| status);
     match platform_api::promotion_outcome(status) {
         PromotionOutcome::Done => PromotionEvent::ServerPromoted(server),
         PromotionOutcome::Superseded => PromotionEvent::Superseded,
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -1,6 +1,5 @@
 //! A node's accounts of itself, as JSON for operators (§8.2). Never statement text, parameters or rows.
 use crate::ClusterNode;
-use quincehatch_proxy::read::health_label;
 use quincehatch_proxy::registry::ServerEntry;
 use quincehatch_runtime::now;
 use serde_json::{Value, json};
@@ -53,17 +52,17 @@
 fn server(f: &ClusterNode, r: &ServerEntry) -> Value {
     let b = r.heartbeat.read().unwrap().clone();
     let st = r.status.lock().unwrap().clone();
-    let (links, idle) = r.pool.slots.count();
+    let connections = r.pool.slots.count();
     let h = r.health.lock().unwrap();
     let lead = f.proxy.registry.primary(b.group());
     let leads = lead.is_some_and(|l| l.server.as_ref() == Some(&r.name));
     json!({
         "server": r.name, "addr": b.addr, "labels": b.labels, "role": b.role, "leads": leads,
         "state": b.state, "fence": b.fence, "position": b.position,
-        "verdict": health_label(h.state), "asides": h.ejections, "owing": h.overdue.pending_count(),
+        "verdict": h.state.label(), "asides": h.ejections, "owing": h.overdue.pending_count(),
         "status_age_ms": now().saturating_sub(st.answered_at),
         "failing_ms": st.failing_since.map(|at| now().saturating_sub(at)),
-        "links": links, "idle": idle, "held": r.pool.queued.load(Ordering::Relaxed),
+        "links": connections.open, "idle": connections.idle, "held": r.pool.queued.load(Ordering::Relaxed),
     })
 }
 
@@ -78,11 +77,11 @@
                 .iter()
                 .map(|e| json!({"sign": e.signal, "weight": e.weight, "ago_ms": now().saturating_sub(e.at)}))
                 .collect();
-            json!({"ago_ms": now().saturating_sub(t.at), "to": health_label(t.to), "why": t.reason, "evidence": ev})
+            json!({"ago_ms": now().saturating_sub(t.at), "to": t.to.label(), "why": t.reason, "evidence": ev})
         })
         .collect();
     let next = (!h.is_healthy()).then(|| h.ejected_until.saturating_sub(now()));
-    json!({"node": f.proxy.settings.name, "server": r.name, "verdict": health_label(h.state), "trial_in_ms": next, "turns": t})
+    json!({"node": f.proxy.settings.name, "server": r.name, "verdict": h.state.label(), "trial_in_ms": next, "turns": t})
 }
 
 fn visit(f: &ClusterNode, key: &str) -> Value {
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -1,201 +1,210 @@
-//! One question carried over one link, watched by the judges, given up without losing its end (§4.5).
-use crate::connection::ExchangeError;
-use crate::evidence::HealthSignal;
-pub use crate::overdue_replies::PendingReply;
-use crate::pool::{Checkout, NoLink};
-use crate::proxy::Proxy;
-use crate::server_protocol::{Reply, call};
-use crate::state::HealthState;
-use quincehatch_core::Millis;
+//! One attempt: a request sent over one connection, watched by the health detectors, and given up without losing what its
+//! reply would tell them.
+use crate::health::evidence::{HealthSignal, classify_end};
+use crate::health::overdue_replies::PendingReply;
+use crate::health::state::HealthState;
+use crate::pool::CheckoutError;
+use crate::pool::connection::ExchangeError;
+use crate::routing::registry::{Registry, ServerCheckout, ServerEntry};
+use crate::server_protocol::{Reply, ServerRequest, call};
+use crate::services::Services;
+use quincehatch_config::configuration::{Configuration, Route};
+use quincehatch_core::{Millis, Name};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
 use quincehatch_wire::http::post_once;
-use serde_json::Value;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How long an abandoned link counts after its query timeout, at most.
-const ABANDON_MORE: Millis = 5_000;
+/// An abandoned connection counts as open this long after its query timeout, at most.
+const ABANDONED_EXTRA: Millis = 5_000;
+/// How long a cancel request may take.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
+/// A connection that was not open after this long is evidence against the server.
+const LATE_CONNECT: Duration = Duration::from_millis(500);
 
-/// What came of asking.
-pub enum Asked {
-    /// The server's own reply, and the link still in hand.
-    Reply(Reply, Checkout),
-    /// The link broke; what was sent may have been done.
-    Broke(ExchangeError),
-    /// No reply in time; the link is being seen off by its own task.
-    Silent,
+/// What came of an attempt.
+pub enum AttemptOutcome {
+    /// The server's own reply, and the connection.
+    Reply(Reply, ServerCheckout),
+    /// The connection failed; what was sent may have been done.
+    ConnectionFailed(ExchangeError),
+    /// No reply in time; a task of its own waits for the connection's end.
+    TimedOut,
 }
 
-/// Asks over `loan` and waits until `until`. The asking itself goes on in a task of its own, so that neither an
-/// origin that leaves nor a visit that gives up loses what the reply would tell the judges.
-pub async fn ask(
-    n: &Arc<Proxy>,
-    loan: Checkout,
-    c: (&'static str, Value),
-    owe: PendingReply,
-    id: u64,
-    until: Millis,
-) -> Asked {
-    ask_on(n, loan, c, owe, id, until, || None).await
+/// A request to a server, ready to be sent.
+pub struct Attempt {
+    /// Number of the attempt.
+    pub id: u64,
+    /// The connection it is sent over.
+    pub checkout: ServerCheckout,
+    /// What is sent.
+    pub request: ServerRequest,
+    /// How its reply is watched.
+    pub pending: PendingReply,
 }
 
-/// The same; when the time is over, `more` may give it more.
-pub async fn ask_on(
-    n: &Arc<Proxy>,
-    loan: Checkout,
-    c: (&'static str, Value),
-    owe: PendingReply,
-    id: u64,
-    mut until: Millis,
-    more: impl Fn() -> Option<Millis>,
-) -> Asked {
-    let (tx, mut rx) = oneshot::channel();
-    let node = n.clone();
-    n.rt.spawn(async move { watch(node, loan, c, owe, id, tx).await });
+impl Attempt {
+    /// A new attempt.
+    pub fn new(
+        services: &Services,
+        checkout: ServerCheckout,
+        request: ServerRequest,
+        pending: PendingReply,
+    ) -> Attempt {
+        Attempt { id: services.next_request_id(), checkout, request, pending }
+    }
+}
+
+/// How the replies of a route's requests are watched.
+pub fn pending_reply(configuration: &Configuration, route: &Route) -> PendingReply {
+    PendingReply {
+        timeout: route.timeout_ms,
+        query_timeout: route.query_timeout_ms.unwrap_or(configuration.health.query_timeout_ms),
+        long_running: route.long_running,
+        first_attempt: true,
+    }
+}
+
+/// Sends the attempt and waits for its reply until `deadline`.
+pub async fn send(services: &Arc<Services>, attempt: Attempt, deadline: Millis) -> AttemptOutcome {
+    send_with_extension(services, attempt, deadline, || None).await
+}
+
+/// The same; when the time is over, `extend` may give it more.
+///
+/// The exchange goes on in a task of its own, so that neither a client that hangs up nor a request that gives up loses
+/// what the reply would tell the detectors.
+pub async fn send_with_extension(
+    services: &Arc<Services>,
+    attempt: Attempt,
+    mut deadline: Millis,
+    extend: impl Fn() -> Option<Millis>,
+) -> AttemptOutcome {
+    let (sender, mut receiver) = oneshot::channel();
+    services.spawner.spawn(run_exchange(services.clone(), attempt, sender));
     loop {
-        let left = Duration::from_millis(until.saturating_sub(now()));
-        match seam::timeout(left, &mut rx).await {
-            Ok(Ok(Ok((r, l)))) => return Asked::Reply(r, l),
-            Ok(Ok(Err(b))) => return Asked::Broke(b),
-            Ok(Err(_)) => return Asked::Silent,
-            Err(_) => match more() {
-                Some(ms) => until = ms,
-                None => return Asked::Silent,
+        let left = Duration::from_millis(deadline.saturating_sub(now()));
+        match seam::timeout(left, &mut receiver).await {
+            Ok(Ok(outcome)) => return outcome,
+            Ok(Err(_)) => return AttemptOutcome::TimedOut,
+            Err(_) => match extend() {
+                Some(later) => deadline = later,
+                None => return AttemptOutcome::TimedOut,
             },
         }
     }
 }
 
-type Back = oneshot::Sender<Result<(Reply, Checkout), ExchangeError>>;
+/// How an exchange ended, seen from its task.
+struct ExchangeEnd {
+    /// `None`: it did not end in the time that an abandoned connection has.
+    result: Option<Result<Reply, ExchangeError>>,
+    /// Nobody waited for the reply any more.
+    was_abandoned: bool,
+}
 
-async fn watch(
-    n: Arc<Proxy>,
-    mut loan: Checkout,
-    c: (&'static str, Value),
-    owe: PendingReply,
-    id: u64,
-    mut tx: Back,
+async fn run_exchange(
+    services: Arc<Services>,
+    mut attempt: Attempt,
+    mut sender: oneshot::Sender<AttemptOutcome>,
 ) {
-    let row = loan.row().clone();
-    row.health.lock().unwrap().overdue.record_sent(now(), id, owe);
-    let (lid, addr, ours) =
-        (loan.connection().id.clone(), loan.connection().addr.clone(), loan.connection().ours());
-    let mut given_up = false;
-    let got = {
-        let asking = loan.connection().ask(c);
-        tokio::pin!(asking);
-        let first = seam::select_first(&mut asking, tx.closed()).await.ok();
-        match first {
-            Some(r) => Some(r),
-            None => {
-                given_up = true;
-                ours.say();
-                n.rt.spawn(async move {
-                    let (path, body) = call::cancel(&lid);
-                    let _ = post_once(&addr, path, &body, Duration::from_secs(2)).await;
-                });
-                let most = Duration::from_millis(owe.query_timeout + ABANDON_MORE);
-                seam::timeout(most, &mut asking).await.ok()
-            }
-        }
-    };
-    let j = n.health_settings();
-    match got {
-        Some(Ok(r)) => {
-            let mut h = row.health.lock().unwrap();
-            if given_up && r.error.is_none() {
-                // Too late for the origin, but a sign of life: a long query, not a stall.
-                h.overdue.record_answer(now(), id);
-            } else if given_up {
-                // To end a cancelled query needs no storage, so it proves nothing.
-                h.overdue.forget(id);
-            } else {
-                h.request_succeeded(now(), &j, id);
-                drop(h);
-                let _ = tx.send(Ok((r, loan)));
-            }
+    let server = attempt.checkout.server().clone();
+    server.health.lock().unwrap().overdue.record_sent(now(), attempt.id, attempt.pending);
+    let end = exchange(&services, &mut attempt, &mut sender).await;
+    match end.result {
+        Some(Ok(reply)) => note_reply(&services.registry, attempt, end.was_abandoned, reply, sender),
+        Some(Err(error)) => {
+            note_failure(&services.registry, &attempt, end.was_abandoned, &error);
+            drop(attempt);
+            let _ = sender.send(AttemptOutcome::ConnectionFailed(error));
         }
-        Some(Err(e)) => {
-            if let ExchangeError::Io(io) = &e {
-                let end = loan.ending_of(io, true);
-                let mut h = row.health.lock().unwrap();
-                h.overdue.forget(id);
-                h.request_inconclusive(id);
-                // A cancelled query's link may be closed by the server: that is what we asked for.
-                if !given_up {
-                    h.connection_ended(now(), &j, end);
-                }
-            } else {
-                row.health.lock().unwrap().request_inconclusive(id);
-            }
-            drop(loan);
-            let _ = tx.send(Err(e));
-        }
-        None => row.health.lock().unwrap().overdue.forget(id),
+        None => server.health.lock().unwrap().overdue.forget(attempt.id),
     }
 }
 
-/// An opening that took at least this long without an answer is a sign.
-const LATE_OPEN: Duration = Duration::from_millis(500);
-
-/// No link could be had: if the reason is the server's, the judges hear it.
-pub fn no_link(n: &Proxy, row: &crate::registry::ServerEntry, e: &NoLink) {
-    let j = n.health_settings();
-    let mut h = row.health.lock().unwrap();
-    if h.state == HealthState::Ejected {
-        return;
-    }
-    match e {
-        NoLink::Broke(io) => {
-            h.connection_ended(now(), &j, crate::evidence::classify_end(io, false, row.is_draining()))
-        }
-        NoLink::Late(took) if *took >= LATE_OPEN => h.add_evidence(now(), &j, HealthSignal::Late),
-        NoLink::Late(_) | NoLink::Busy(_) => {}
+/// Waits for the reply. Once nobody else waits for it the statement is cancelled, and the end of that is waited for.
+async fn exchange(
+    services: &Arc<Services>,
+    attempt: &mut Attempt,
+    sender: &mut oneshot::Sender<AttemptOutcome>,
+) -> ExchangeEnd {
+    let connection = attempt.checkout.connection();
+    let (id, addr) = (connection.id.clone(), connection.addr.clone());
+    let closed_by_us = connection.ours();
+    let sending = connection.send(&attempt.request);
+    tokio::pin!(sending);
+    if let Ok(result) = seam::select_first(&mut sending, sender.closed()).await {
+        return ExchangeEnd { result: Some(result), was_abandoned: false };
     }
+    closed_by_us.say();
+    services.spawner.spawn(cancel(id, addr));
+    let time_left = Duration::from_millis(attempt.pending.query_timeout + ABANDONED_EXTRA);
+    let result = seam::timeout(time_left, &mut sending).await.ok();
+    ExchangeEnd { result, was_abandoned: true }
 }
 
-/// How many visits may be carried on from a server that is silent: one for each four that come, and a stock for a
-/// stall that is not found yet. So a crowd that makes all servers slow does not multiply itself (§4.7).
-pub struct RetryBudget(AtomicU64);
-
-const STOCK: u64 = 512;
-const SHARE: u64 = 4;
+async fn cancel(connection_id: Name, addr: Name) {
+    let request = call::cancel(&connection_id);
+    let _ = post_once(&addr, request.path, &request.body, CANCEL_TIMEOUT).await;
+}
 
-impl Default for RetryBudget {
-    fn default() -> Self {
-        Self(AtomicU64::new(STOCK * SHARE))
+fn note_reply(
+    registry: &Registry,
+    attempt: Attempt,
+    was_abandoned: bool,
+    reply: Reply,
+    sender: oneshot::Sender<AttemptOutcome>,
+) {
+    let settings = registry.health_settings();
+    let server = attempt.checkout.server().clone();
+    let mut health = server.health.lock().unwrap();
+    if !was_abandoned {
+        health.request_succeeded(now(), &settings, attempt.id);
+        drop(health);
+        let _ = sender.send(AttemptOutcome::Reply(reply, attempt.checkout));
+    } else if reply.error.is_none() {
+        // Too late for the client, but the server is alive: a long query, not a stall.
+        health.overdue.record_answer(now(), attempt.id);
+    } else {
+        // To end a cancelled query needs no storage, so it proves nothing.
+        health.overdue.forget(attempt.id);
     }
 }
 
-impl RetryBudget {
-    pub fn earn(&self) {
-        let add = |n: u64| Some((n + 1).min(STOCK * SHARE));
-        let _ = self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, add);
-    }
-    pub fn try_spend(&self) -> bool {
-        self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |n| n.checked_sub(SHARE)).is_ok()
-    }
-    pub fn left(&self) -> u64 {
-        self.0.load(Ordering::Relaxed) / SHARE
+fn note_failure(registry: &Registry, attempt: &Attempt, was_abandoned: bool, error: &ExchangeError) {
+    let settings = registry.health_settings();
+    let server = attempt.checkout.server();
+    let ExchangeError::Io(io_error) = error else {
+        server.health.lock().unwrap().request_inconclusive(attempt.id);
+        return;
+    };
+    let end = classify_end(io_error, server.connection_usage(true));
+    let mut health = server.health.lock().unwrap();
+    health.request_inconclusive(attempt.id);
+    // A cancelled query's connection may be closed by the server: that is what this side asked for.
+    if !was_abandoned {
+        health.connection_ended(now(), &settings, end);
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn carrying_is_a_share_of_what_comes_once_the_stock_is_gone() {
-        let b = RetryBudget::default();
-        assert_eq!((0..10_000).filter(|_| b.try_spend()).count() as u64, STOCK);
-        let carried = (0..400).filter(|_| {
-            b.earn();
-            b.try_spend()
-        });
-        assert_eq!(carried.count(), 100);
-        assert_eq!(b.left(), 0);
+/// No connection could be had: if the reason lies with the server, that is evidence.
+pub fn note_checkout_error(registry: &Registry, server: &ServerEntry, error: &CheckoutError) {
+    let settings = registry.health_settings();
+    let mut health = server.health.lock().unwrap();
+    if health.state == HealthState::Ejected {
+        return;
+    }
+    match error {
+        CheckoutError::ConnectFailed(io_error) => {
+            let end = classify_end(io_error, server.connection_usage(false));
+            health.connection_ended(now(), &settings, end);
+        }
+        CheckoutError::TimedOut(took) if *took >= LATE_CONNECT => {
+            health.add_evidence(now(), &settings, HealthSignal::Late);
+        }
+        CheckoutError::TimedOut(_) | CheckoutError::Busy(_) => {}
     }
 }
--- /dev/null
+++ b/crates/proxy/src/client_api/listener.rs
@@ -0,0 +1,184 @@
+//! HTTP/1.1 listeners, on xitca-web: for clients and the platform, and for heartbeats and operators.
+use crate::client_api::reply::error_json;
+use quincehatch_core::{Error, ErrorCode};
+use serde_json::Value;
+use std::net::TcpListener;
+use std::pin::Pin;
+use std::sync::Arc;
+use std::time::Duration;
+use xitca_web::body::ResponseBody;
+use xitca_web::error::{BodyOverFlow, Error as WebError};
+use xitca_web::handler::body::Limit;
+use xitca_web::handler::handler_service;
+use xitca_web::http::{HeaderMap, HeaderValue, StatusCode, WebResponse, header};
+use xitca_web::{App, WebContext, bytes::Bytes};
+
+/// Longest body that is taken, in bytes.
+pub const MAX_BODY_BYTES: usize = 64 << 10;
+/// A connection without requests is closed after this.
+const KEEP_ALIVE: Duration = Duration::from_secs(120);
+/// Status of a request whose task ended without a reply.
+const STATUS_INTERNAL_ERROR: u16 = 500;
+
+/// A request as the listener took it.
+pub struct HttpRequest {
+    /// HTTP method.
+    pub method: String,
+    /// Path of the URL.
+    pub path: String,
+    /// The bearer token, if one came.
+    pub token: Option<String>,
+    /// The body.
+    pub body: Bytes,
+}
+
+/// HTTP status and JSON of a reply that is being made.
+pub type JsonReply = Pin<Box<dyn Future<Output = (u16, Value)> + Send>>;
+/// Answers requests by status and JSON.
+pub type JsonHandler = Arc<dyn Fn(HttpRequest) -> JsonReply + Send + Sync>;
+
+/// A reply as it leaves: JSON as text, and when to come again.
+#[derive(Clone, Debug, PartialEq)]
+pub struct HttpResponse {
+    /// HTTP status.
+    pub status: u16,
+    /// JSON.
+    pub body: String,
+    /// Value of the header `retry-after`, in seconds.
+    pub retry_after_s: Option<u64>,
+}
+
+impl From<(u16, Value)> for HttpResponse {
+    fn from((status, body): (u16, Value)) -> HttpResponse {
+        HttpResponse { status, body: body.to_string(), retry_after_s: None }
+    }
+}
+
+/// A reply that is being made.
+pub type HttpReply = Pin<Box<dyn Future<Output = HttpResponse> + Send>>;
+/// Answers requests.
+pub type HttpHandler = Arc<dyn Fn(HttpRequest) -> HttpReply + Send + Sync>;
+
+#[derive(Clone)]
+struct ListenerState {
+    handler: HttpHandler,
+    runtime: tokio::runtime::Handle,
+}
+
+/// The complete body. One that is too long is rejected; one that broke off on its way may be sent again.
+fn complete_body<const MAX: usize>(
+    headers: &HeaderMap,
+    body: Result<(Bytes, Limit<MAX>), WebError>,
+) -> Result<Bytes, Error> {
+    let incomplete = || ErrorCode::NotReady.with_detail("the body came incomplete");
+    let (body, _) = body.map_err(|error| match error.upcast().downcast_ref::<BodyOverFlow>() {
+        Some(_) => ErrorCode::TooLarge.with_detail(format_args!("a body may have {MAX} bytes")),
+        None => incomplete(),
+    })?;
+    match content_length(headers) {
+        Some(length) if body.len() < length => Err(incomplete()),
+        _ => Ok(body),
+    }
+}
+
+fn content_length(headers: &HeaderMap) -> Option<usize> {
+    headers.get(header::CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
+}
+
+fn bearer_token(headers: &HeaderMap) -> Option<String> {
+    let authorization = headers.get(header::AUTHORIZATION)?.to_str().ok()?;
+    authorization.strip_prefix("Bearer ").map(str::to_owned)
+}
+
+async fn handle_any<const MAX: usize>(
+    context: &WebContext<'_, ListenerState>,
+    body: Result<(Bytes, Limit<MAX>), WebError>,
+) -> Result<WebResponse, WebError> {
+    let request = context.req();
+    let state = context.state();
+    let reply = match complete_body(request.headers(), body) {
+        Err(error) => HttpResponse::from((error.http_status(), error_json(&error))),
+        Ok(body) => {
+            let http_request = HttpRequest {
+                method: request.method().as_str().to_owned(),
+                path: request.uri().path().to_owned(),
+                token: bearer_token(request.headers()),
+                body,
+            };
+            // The request runs in a task of its own: a client that hangs up does not cut it short.
+            let running = state.runtime.spawn((state.handler)(http_request));
+            running.await.unwrap_or_else(|_| {
+                let error = ErrorCode::NotReady.with_detail("the request broke off").with_unknown_outcome();
+                HttpResponse::from((STATUS_INTERNAL_ERROR, error_json(&error)))
+            })
+        }
+    };
+    Ok(web_response(reply))
+}
+
+fn web_response(reply: HttpResponse) -> WebResponse {
+    let mut response = WebResponse::new(ResponseBody::from(reply.body));
+    *response.status_mut() = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    let headers = response.headers_mut();
+    headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    if let Some(seconds) = reply.retry_after_s {
+        headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
+    }
+    response
+}
+
+/// A listener that is open; dropping this leaves it open until [`ListenerHandle::close`].
+pub struct ListenerHandle {
+    stop: Box<dyn Fn() + Send + Sync>,
+}
+
+impl ListenerHandle {
+    /// Takes no more requests; those that run are finished.
+    pub fn close(&self) {
+        (self.stop)();
+    }
+}
+
+/// Listens on `addr`, with so many worker threads.
+///
+/// # Errors
+/// `PortInUse`, before anything is served.
+pub fn listen(
+    addr: &str,
+    threads: usize,
+    handler: JsonHandler,
+    runtime: &tokio::runtime::Handle,
+) -> Result<ListenerHandle, Error> {
+    let http_handler: HttpHandler = Arc::new(move |request| {
+        let reply = handler(request);
+        Box::pin(async move { reply.await.into() })
+    });
+    listen_with_body_limit::<MAX_BODY_BYTES>(addr, threads, http_handler, runtime)
+}
+
+/// The same, for bodies of up to `MAX` bytes.
+///
+/// # Errors
+/// `PortInUse`, before anything is served.
+pub fn listen_with_body_limit<const MAX: usize>(
+    addr: &str,
+    threads: usize,
+    handler: HttpHandler,
+    runtime: &tokio::runtime::Handle,
+) -> Result<ListenerHandle, Error> {
+    let in_use = |error: std::io::Error| ErrorCode::PortInUse.with_detail(format_args!("{addr}: {error}"));
+    let socket = TcpListener::bind(addr).map_err(in_use)?;
+    let mut server = App::new()
+        .with_state(ListenerState { handler, runtime: runtime.clone() })
+        .at("/{*any}", handler_service(handle_any::<MAX>))
+        .serve()
+        .worker_threads(threads)
+        .disable_signal()
+        .keep_alive_timeout(KEEP_ALIVE)
+        .listen(socket)
+        .map_err(in_use)?
+        .run();
+    let handle = server.handle().map_err(in_use)?;
+    std::thread::Builder::new().name("listener".into()).spawn(move || server.wait()).map_err(in_use)?;
+    Ok(ListenerHandle { stop: Box::new(move || handle.stop(true)) })
+}
--- /dev/null
+++ b/crates/proxy/src/client_api/mod.rs
@@ -0,0 +1,4 @@
+//! What clients see: the HTTP listener, their requests and the replies.
+pub mod listener;
+pub mod reply;
+pub mod request;
--- a/crates/proxy/src/direct/connection.rs
+++ b/crates/proxy/src/direct/connection.rs
@@ -129,8 +129,11 @@
             }
             Ok(Err(e)) => {
                 let ours = e.kind() == io::ErrorKind::ConnectionAborted;
-                let end =
-                    if ours { ConnectionEnd::Graceful } else { classify_end(&e, true, w.row.is_draining()) };
+                let end = if ours {
+                    ConnectionEnd::Graceful
+                } else {
+                    classify_end(&e, w.row.connection_usage(true))
+                };
                 let mut h = w.row.health.lock().unwrap();
                 h.overdue.forget(id);
                 h.connection_ended(now(), &j, end);
--- a/crates/proxy/src/direct/pool.rs
+++ b/crates/proxy/src/direct/pool.rs
@@ -154,7 +154,7 @@
             row.health.lock().unwrap().connection_ended(
                 now(),
                 &j,
-                classify_end(&e, false, row.is_draining()),
+                classify_end(&e, row.connection_usage(false)),
             );
         }
     }
@@ -233,12 +233,16 @@
         }
         Ok(Err(e)) => {
             row.note_failure(asked, e.kind() == std::io::ErrorKind::ConnectionRefused);
-            row.health.lock().unwrap().connection_ended(now(), &j, classify_end(&e, true, row.is_draining()));
+            row.health.lock().unwrap().connection_ended(
+                now(),
+                &j,
+                classify_end(&e, row.connection_usage(true)),
+            );
             Err(CheckoutError::Broke)
         }
         Err(_) => {
             row.note_failure(asked, false);
-            row.health.lock().unwrap().add_evidence(now(), &j, HealthSignal::Silent);
+            row.health.lock().unwrap().add_evidence(now(), &j, HealthSignal::Unresponsive);
             Err(CheckoutError::Broke)
         }
     }
--- a/crates/proxy/src/direct/run.rs
+++ b/crates/proxy/src/direct/run.rs
@@ -50,7 +50,7 @@
         timeout: way.timeout,
         query_timeout: way.query_timeout,
         long_running: false,
-        first: true,
+        first_attempt: true,
     };
     let under = choose::leads(held, &way.group, row).map(|fence| (&way.group, fence));
     CallContext { held, row, owe, under }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,33 +1,60 @@
-//! The data plane: door, filters, sessions, links, judges, verdicts, carrying (§4).
-pub mod evidence;
+//! The proxy of a node: takes clients' requests, sends them to database servers over pooled connections, watches the
+//! servers' health and retries reads elsewhere.
+//!
+//! Layers, each of which imports only those before it:
+//! 1. types and ports: [`server_protocol`], [`platform_api`], [`ports`], [`latest`], [`sync`], [`retry_budget`];
+//! 2. [`staleness`], [`health`] (but for its probe), the states of [`session`]s, [`pool`];
+//! 3. [`routing`]: the registry of servers, and which server a read goes to; then [`health::probe`];
+//! 4. sessions with their open transactions, [`client_api`] and [`services`];
+//! 5. the request paths: [`attempt`], [`read`], [`write`], [`primary_read`], [`transaction`], [`session_filter`];
+//! 6. [`pipeline`], and [`proxy`] on top. [`direct`] is the path of sessions that live on their own connections.
+#![warn(
+    missing_docs,
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::many_single_char_names,
+    clippy::min_ident_chars
+)]
+
+pub mod latest;
+pub mod platform_api;
+pub mod ports;
+pub mod retry_budget;
 pub mod server_protocol;
-pub mod slots;
-pub mod state;
 pub mod sync;
 
+pub mod health;
+pub mod pool;
+pub mod routing;
+pub mod session;
+pub mod staleness;
+
+pub mod client_api;
+pub mod services;
+
 pub mod attempt;
-pub mod commit_notes;
-pub mod connection;
-pub mod direct;
-pub mod freshness;
-pub mod in_flight;
-pub mod latest;
-pub mod listener;
-pub mod local_replicas;
 pub mod outcome_query;
-pub mod overdue_replies;
-pub mod pipeline;
-pub mod platform_api;
-pub mod pool;
-pub mod ports;
-pub mod probe;
-pub mod proxy;
+pub mod primary_connection;
+pub mod primary_read;
 pub mod read;
-pub mod registry;
-pub mod request;
-pub mod server_choice;
-pub mod session;
+pub mod rejections;
+pub mod session_filter;
 pub mod transaction;
 pub mod write;
 
+#[allow(
+    missing_docs,
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::many_single_char_names,
+    clippy::min_ident_chars
+)]
+pub mod direct;
+pub mod pipeline;
+pub mod proxy;
+
+pub use client_api::{listener, request};
+pub use health::{evidence, overdue_replies, probe, state};
+pub use pool::slots;
 pub use proxy::Proxy;
+pub use routing::{in_flight, registry};
--- a/crates/proxy/src/outcome_query.rs
+++ b/crates/proxy/src/outcome_query.rs
@@ -1,64 +1,89 @@
-//! How a try ended (§4.6): asked of whoever leads by then, and settled by a seal.
-use crate::proxy::Proxy;
-use crate::registry::ServerEntry;
-use crate::request::{ClientRequest, RequestResult};
-use crate::server_protocol::{Reply, call};
-use crate::write::{LAST, primary, unknown};
-use quincehatch_core::{ErrorCode, FencingToken, Name, Role};
+//! Finds out what became of a write: its outcome is asked of the primary by the idempotency key, and made final by a seal.
+use crate::client_api::reply::{RequestResult, SITE_PRIMARY};
+use crate::client_api::request::ClientRequest;
+use crate::primary_connection::{Primary, REPLY_RESERVE, primary};
+use crate::server_protocol::{OUTCOME_COMMITTED, OUTCOME_NOT_COMMITTED, OUTCOME_SEALED, Reply, call};
+use crate::services::Services;
+use quincehatch_core::{Error, ErrorCode, Millis, Role};
 use quincehatch_runtime::seam;
+use quincehatch_wire::http::post_once;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Asks a try's outcome of whoever leads, until it is known or the deadline is here. With `seal` a try that
-/// was not kept is made impossible first, and only then called so (§4.6).
-pub async fn settle(n: &Arc<Proxy>, v: &mut ClientRequest, key: &str, seal: bool) -> RequestResult {
-    v.note("asks the outcome");
-    while v.left() > LAST {
-        let within = Duration::from_millis(v.left().saturating_sub(LAST));
-        if let Ok((row, fence)) = primary(n, v) {
-            v.ran.server = row.name.clone();
-            v.ran.district = row.zone();
-            v.ran.verdict = "primary".into();
-            if let Some(r) = ask_outcome(n, &row, key, seal, fence, within).await
-                && r.stamp.fence == fence
-                && r.stamp.role == Role::Primary
-                && n.registry.has_lease()
-            {
-                match r.outcome.as_deref() {
-                    // It proves nothing of what else is visible at a primary that just took over (§4.8).
-                    Some("kept") => {
-                        return r
-                            .good(&row.name)
-                            .ok_or_else(|| ErrorCode::InvalidReply.without_detail().with_unknown_outcome());
-                    }
-                    Some("sealed") => return Err(ErrorCode::Sealed.without_detail()),
-                    Some("not-kept") if seam::injected_bug("no-seal") => {
-                        return Err(ErrorCode::Sealed.without_detail());
-                    }
-                    Some("not-kept") if !seal => {
-                        return Err(ErrorCode::Unknown
-                            .with_detail("not kept so far, and not sealed")
-                            .with_unknown_outcome());
-                    }
-                    _ => {}
-                }
+/// Time between two questions.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// When a client may ask again after the outcome could not be had.
+const UNKNOWN_RETRY_AFTER: Millis = 500;
+
+/// Whether a write that was not committed is made impossible.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Seal {
+    /// It is, and only then called not applied.
+    Yes,
+    /// It is not: the outcome may still change.
+    No,
+}
+
+/// Asks the outcome of whoever is primary, until it is known or the deadline is here.
+pub async fn resolve_outcome(
+    services: &Arc<Services>,
+    request: &mut ClientRequest,
+    key: &str,
+    seal: Seal,
+) -> RequestResult {
+    request.note("asks the outcome");
+    while request.time_left() > REPLY_RESERVE {
+        let timeout = Duration::from_millis(request.time_left().saturating_sub(REPLY_RESERVE));
+        if let Ok(primary) = primary(&services.registry, request) {
+            request.set_site(&primary.server, SITE_PRIMARY);
+            let reply = ask_primary(&primary, key, seal, timeout).await;
+            let is_valid = |reply: &Reply| {
+                reply.stamp.fence == primary.fence
+                    && reply.stamp.role == Role::Primary
+                    && services.registry.has_lease()
+            };
+            let result = reply.filter(is_valid).and_then(|reply| read_outcome(&reply, &primary, seal));
+            if let Some(result) = result {
+                return result;
             }
         }
-        seam::sleep(Duration::from_millis(50)).await;
+        seam::sleep(POLL_INTERVAL).await;
     }
-    Err(unknown())
+    Err(unknown_outcome())
 }
 
-async fn ask_outcome(
-    n: &Proxy,
-    row: &ServerEntry,
-    key: &str,
-    seal: bool,
-    fence: FencingToken,
-    within: Duration,
-) -> Option<Reply> {
-    let (path, body) = call::outcome(key, seal && !seam::injected_bug("no-seal"), fence);
-    let addr: Name = row.addr();
-    let r = n.call_once(&addr, path, body, within).await?;
-    Some(r).filter(|r| r.error.is_none() && r.stamp.server == row.name)
+/// What a reply of the primary says, if it settles the outcome.
+fn read_outcome(reply: &Reply, primary: &Primary, seal: Seal) -> Option<RequestResult> {
+    match reply.outcome.as_deref() {
+        // It proves nothing of what else is visible at a primary that just took over.
+        Some(OUTCOME_COMMITTED) => {
+            let success = reply.success_of(&primary.server.name);
+            let invalid = || ErrorCode::InvalidReply.without_detail().with_unknown_outcome();
+            Some(success.ok_or_else(invalid))
+        }
+        Some(OUTCOME_SEALED) => Some(Err(ErrorCode::Sealed.without_detail())),
+        Some(OUTCOME_NOT_COMMITTED) if seam::injected_bug("no-seal") => {
+            Some(Err(ErrorCode::Sealed.without_detail()))
+        }
+        Some(OUTCOME_NOT_COMMITTED) if seal == Seal::No => {
+            let error = ErrorCode::Unknown.with_detail("not committed so far, and not sealed");
+            Some(Err(error.with_unknown_outcome()))
+        }
+        _ => None,
+    }
+}
+
+async fn ask_primary(primary: &Primary, key: &str, seal: Seal, timeout: Duration) -> Option<Reply> {
+    let with_seal = seal == Seal::Yes && !seam::injected_bug("no-seal");
+    let request = call::outcome(key, with_seal, primary.fence);
+    let addr = primary.server.addr();
+    let (_, body) = post_once(&addr, request.path, &request.body, timeout).await.ok()?;
+    let reply = Reply::read(body)?;
+    let is_own_answer = reply.error.is_none() && reply.stamp.server == primary.server.name;
+    is_own_answer.then_some(reply)
+}
+
+/// The outcome could not be had in time.
+pub fn unknown_outcome() -> Error {
+    ErrorCode::Unknown.without_detail().with_unknown_outcome().with_retry_after(UNKNOWN_RETRY_AFTER)
 }
--- a/crates/proxy/src/ports.rs
+++ b/crates/proxy/src/ports.rs
@@ -1,5 +1,5 @@
-//! The ports of held links (§3.6): what a database server can be asked over one, and who promotes. The platform's
-//! adapter is one implementation, the simulator's another; decisions stand above them.
+//! The ports of the direct path: what a database server can be asked over a connection of its own protocol, and who
+//! promotes servers. The platform's adapter implements them, and so does the simulator; decisions are made above them.
 use bytes::Bytes;
 use quincehatch_core::{FencingToken, Name, Position, Role};
 use quincehatch_runtime::seam::BoxFuture;
@@ -7,144 +7,185 @@
 use std::io;
 use std::sync::Arc;
 
-/// One thing to be done on a held link. Texts of statements go as the origin gave them (§1 N8).
+/// One call on a connection. Texts of statements are passed on as the client gave them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerCall {
+    /// Begins a transaction.
     Begin {
+        /// It reads only.
         read: bool,
+        /// The server rejects the call if its log lacks this position.
         floor: Option<Position>,
     },
-    /// An origin's read or write. `floor` only on reads: the server declines if its log lacks that place.
+    /// A client's read or write.
     Run {
+        /// The client's id of the statement.
         id: Bytes,
+        /// Its text.
         text: Bytes,
+        /// Only on reads: the server rejects the call if its log lacks this position.
         floor: Option<Position>,
     },
-    /// An origin's prepared text under this side's own name for it; `rest` is what the origin gave behind the name.
+    /// A client's prepared statement, under this side's own name for it.
     Execute {
+        /// The client's id of the statement.
         id: Bytes,
+        /// This side's name of the prepared statement.
         name: Name,
+        /// What the client gave behind the name.
         rest: Bytes,
+        /// Only on reads: the server rejects the call if its log lacks this position.
         floor: Option<Position>,
     },
+    /// Commits the open transaction.
     Commit {
+        /// The client's id of the statement.
         id: Bytes,
     },
+    /// Rolls the open transaction back.
     Rollback,
+    /// Sets a value of the session.
     Set {
+        /// Name of the setting.
         name: Bytes,
+        /// Its value.
         value: Bytes,
     },
+    /// Prepares a statement.
     Prepare {
+        /// This side's name for it.
         name: Name,
+        /// It writes.
         write: bool,
+        /// Its text.
         shape: Bytes,
     },
-    /// Drops settings and prepared texts.
+    /// Drops settings and prepared statements.
     Reset,
+    /// Asks for the server's status.
     Status,
-    /// A replica stops receiving until it is resumed, another is promoted, or it starts anew.
+    /// A replica stops receiving until it is resumed, another server is promoted, or it starts anew.
     Suspend {
+        /// The term up to which it is suspended.
         term: u64,
     },
+    /// A suspended replica receives again.
     Resume,
     /// A primary of a lower term becomes a replica.
     Demote {
+        /// The term.
         term: u64,
     },
 }
 
-/// Why a server did not do it. Of the first five nothing was run.
+/// Why a server rejected a call. After the first six nothing was run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
     /// Every slot is taken.
     Busy,
-    /// Its log lacks the floor.
+    /// Its log lacks the position that was asked for.
     Behind,
-    /// It does not lead.
+    /// It is not the primary.
     NotPrimary,
-    /// Another server, or another group's.
+    /// It is another server, or another group's.
     WrongServer,
-    /// It holds as many links as it may.
+    /// It takes no more connections.
     TooManyConnections,
-    /// No such prepared text.
+    /// It has no such prepared statement.
     Unprepared,
-    /// It ran and failed, or ran out of time: what it did is undone only with its transaction.
+    /// The statement ran and failed: what it did is undone only with its transaction.
     Failed,
+    /// The statement ran out of time; the same goes for what it did.
     TimedOut,
-    /// What it said is none of these.
+    /// What the server said is none of these.
     Other,
 }
 
-/// Where a link's transaction stands after an answer.
+/// State of a connection's transaction after a reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TransactionState {
+    /// There is none.
     #[default]
     Idle,
+    /// One is open.
     Open,
+    /// One is open and failed: it can only be rolled back.
     Failed,
 }
 
-/// What STATUS, SUSPEND, RESUME and DEMOTE tell.
+/// What the calls `Status`, `Suspend`, `Resume` and `Demote` bring.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerStatus {
+    /// Its role.
     pub role: Role,
     /// The newest term it has heard of.
     pub term: u64,
     /// The end of what it has received.
     pub received: Position,
-    /// The term up to which it is held; none: 0.
+    /// The term up to which it is suspended; 0 if it is not.
     pub suspended_term: u64,
+    /// How far it is behind, in milliseconds.
     pub lag_ms: u64,
+    /// Slots that are taken.
     pub busy_slots: u64,
+    /// Open connections.
     pub connections: u64,
 }
 
-/// A whole answer.
+/// A complete reply.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerReply {
+    /// The rows of a success.
     pub rows: Vec<Bytes>,
     /// The server's own stamp, on success; none on what it answers without running anything.
     pub stamp: Option<Bytes>,
+    /// Why it was rejected, and the server's text.
     pub rejection: Option<(RejectReason, Bytes)>,
+    /// State of the connection's transaction.
     pub transaction_state: TransactionState,
-    /// The end of its log, as it said behind the answer.
+    /// The end of the server's log, as it said behind the reply.
     pub log_end: Option<Position>,
+    /// What the calls that ask for a status bring.
     pub status: Option<ServerStatus>,
 }
 
-/// A link to one server that holds one session there. After an error of its own it is not used again.
+/// A connection to one server with one session on it. After an error of its own it is not used again.
 pub trait ServerConnection: Send {
-    fn call<'a>(&'a mut self, c: &'a ServerCall) -> BoxFuture<'a, io::Result<ServerReply>>;
-    /// An idle link on which something came, or that has ended, is broken.
+    /// Makes a call and waits for the complete reply.
+    fn call<'a>(&'a mut self, call: &'a ServerCall) -> BoxFuture<'a, io::Result<ServerReply>>;
+    /// An idle connection on which something came, or that has ended, is broken.
     fn broken(&mut self) -> Option<io::Error>;
 }
 
-/// How a new link began: with the end of the server's log, or with its no.
+/// How a new connection began: with the end of the server's log, or with its rejection.
 pub type OpenResult = Result<(Box<dyn ServerConnection>, Option<Position>), (RejectReason, Bytes)>;
 
+/// Opens connections to servers.
 pub trait ServerConnector: Send + Sync {
-    /// Opens a link to `server` of `group`, or learns that another is there.
+    /// Opens a connection to `server` of `group`, or finds out that another server has the address.
     fn connect(
         &self,
         addr: Name,
         group: Name,
         server: Name,
-        watch: KeepaliveSettings,
+        keepalive: KeepaliveSettings,
     ) -> BoxFuture<'static, io::Result<OpenResult>>;
 }
 
 /// What the answer to a promotion means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PromotionOutcome {
+    /// The server is primary.
     Done,
     /// A higher fence is out, or that server is not running.
     Rejected,
-    /// Not known: the server may lead all the same.
+    /// Not known: the server may be primary all the same.
     InDoubt,
 }
 
+/// Promotes servers.
 pub trait Promoter: Send + Sync {
+    /// Asks for `server` to become primary of `group` under `fence`, on behalf of the lease holder `holder`.
     fn promote(
         &self,
         group: Name,
@@ -157,6 +198,8 @@
 /// The ports a node is given.
 #[derive(Clone)]
 pub struct ServerPorts {
+    /// Opens connections to servers.
     pub servers: Arc<dyn ServerConnector>,
+    /// Promotes servers.
     pub promoter: Arc<dyn Promoter>,
 }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -1,14 +1,19 @@
-//! What a node is made of, and the visits it takes (§4).
+//! The proxy of one node: takes clients' requests, counts how they end and remembers the way they took.
+use crate::client_api::reply::{ExecutionSite, RequestResult, error_json};
+use crate::client_api::request::{ClientRequest, Operation, RequestBody, parse_body};
 use crate::pipeline;
-use crate::registry::Registry;
-use crate::request::{Body, ClientRequest, ExecutionSite, Operation, RequestResult, Success, parse_body};
-use crate::server_protocol::Reply;
-use crate::session::{Session, SessionState, Sessions};
+use crate::retry_budget::RetryBudget;
+use crate::routing::registry::{ClusterState, Registry};
+use crate::server_protocol::{Reply, ServerRequest};
+use crate::services::Services;
+use crate::session::replicas::SessionReplicas;
+use crate::session::sessions::Sessions;
+use crate::session_filter;
 use quincehatch_config::configuration::HealthSettings;
 use quincehatch_config::settings::NodeSettings;
-use quincehatch_core::{Error, ErrorCode, Name, Outcome, Version};
+use quincehatch_core::{Error, ErrorCode, Name, Outcome};
 use quincehatch_runtime::now;
-use quincehatch_runtime::seam;
+use quincehatch_runtime::seam::Spawner;
 use quincehatch_wire::http::post_once;
 use serde_json::{Value, json};
 use std::collections::VecDeque;
@@ -16,83 +21,103 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-pub use seam::BoxFuture;
-
-/// Where session contexts are kept besides this node (§6.4).
-pub trait SessionReplicas: Send + Sync {
-    /// Copies the context to a majority of its owners.
-    fn store(&self, c: SessionState) -> BoxFuture<'_, Result<(), Error>>;
-    /// The newest copy that can be had of those that know the version.
-    fn find<'a>(&'a self, id: &'a str, knows: Version) -> BoxFuture<'a, Result<Option<SessionState>, Error>>;
-}
-
-/// One visit's path, kept for `quincehatchctl explain`.
+/// The way one request took, kept for `quincehatchctl explain`.
 #[derive(Clone, Debug)]
 pub struct RequestTrace {
+    /// Number of the request.
     pub id: u64,
+    /// What it asked for.
     pub operation: String,
+    /// How long it took.
     pub duration_ms: u64,
+    /// Code of its error; 0 is a success.
     pub code: u16,
+    /// Where it was executed.
     pub site: ExecutionSite,
+    /// The steps it took.
     pub steps: Vec<String>,
 }
 
-/// Visit paths kept.
-const PATHS: usize = 4096;
+/// Traces kept.
+const MAX_TRACES: usize = 4096;
 
-/// A session idle this long is held by its owners only.
-const IDLE: u64 = 60_000;
-
-/// How visits ended so far.
+/// How requests ended so far.
 #[derive(Debug, Default)]
 pub struct OutcomeCounts {
+    /// Successes.
     pub committed: AtomicU64,
+    /// Errors after which nothing was applied.
     pub not_applied: AtomicU64,
+    /// Errors after which something may have been applied.
     pub unknown: AtomicU64,
 }
 
+/// The proxy of one node.
 pub struct Proxy {
-    pub settings: NodeSettings,
-    pub registry: Registry,
-    pub sessions: Sessions,
-    pub copies: Box<dyn SessionReplicas>,
+    /// The node's settings.
+    pub settings: Arc<NodeSettings>,
+    /// Servers, configuration and primaries.
+    pub registry: Arc<Registry>,
+    /// The sessions in use here.
+    pub sessions: Arc<Sessions>,
+    /// Bounds retries at other servers.
+    pub retry_budget: Arc<RetryBudget>,
+    /// The ways that the last requests took.
     pub traces: Mutex<VecDeque<RequestTrace>>,
+    /// How requests ended.
     pub outcome_counts: OutcomeCounts,
-    pub rt: seam::Spawner,
+    /// Requests that are being executed.
     pub requests_in_flight: AtomicU64,
-    pub retry_budget: crate::attempt::RetryBudget,
-    next: AtomicU64,
+    services: Arc<Services>,
 }
 
 impl Proxy {
-    pub fn new(set: NodeSettings, copies: Box<dyn SessionReplicas>, rt: seam::Spawner) -> Arc<Proxy> {
+    /// A proxy that knows no servers and no configuration yet.
+    pub fn new(
+        settings: NodeSettings,
+        session_replicas: Box<dyn SessionReplicas>,
+        spawner: Spawner,
+    ) -> Arc<Proxy> {
+        let services = Services::new(settings, session_replicas, spawner);
         Arc::new(Proxy {
-            settings: set,
-            registry: Registry::default(),
-            sessions: Sessions::default(),
-            copies,
+            settings: services.settings.clone(),
+            registry: services.registry.clone(),
+            sessions: services.sessions.clone(),
+            retry_budget: services.retry_budget.clone(),
             traces: Mutex::default(),
             outcome_counts: OutcomeCounts::default(),
-            rt,
             requests_in_flight: AtomicU64::new(0),
-            retry_budget: Default::default(),
-            next: AtomicU64::new(fastrand::u64(1..1 << 40)),
+            services,
         })
     }
+
+    /// What the request paths share.
+    pub fn services(&self) -> &Arc<Services> {
+        &self.services
+    }
+
+    /// Runs tasks that outlive a request.
+    pub fn spawner(&self) -> &Spawner {
+        &self.services.spawner
+    }
+
+    /// The number of the next request or attempt.
     pub fn next_request_id(&self) -> u64 {
-        self.next.fetch_add(1, Ordering::Relaxed)
+        self.services.next_request_id()
     }
+
+    /// The health settings in force.
     pub fn health_settings(&self) -> HealthSettings {
-        let default = || quincehatch_config::configuration::default_health_settings().clone();
-        self.registry.cluster_state().configuration.as_ref().map_or_else(default, |b| b.health.clone())
+        self.registry.health_settings()
     }
 
-    /// A question over a link of its own, for STATUS-like calls and outcomes.
-    pub async fn call_once(&self, addr: &str, path: &str, body: Value, within: Duration) -> Option<Reply> {
-        post_once(addr, path, &body, within).await.ok().and_then(|(_, v)| Reply::read(v))
+    /// Sends a request to a server over a connection of its own; `None` if no valid reply came in time.
+    pub async fn call_once(&self, addr: &str, request: &ServerRequest, timeout: Duration) -> Option<Reply> {
+        let (_, body) = post_once(addr, request.path, &request.body, timeout).await.ok()?;
+        Reply::read(body)
     }
 
-    /// Whether the platform may send origins here, and why not (docs/origin.md).
+    /// Whether the platform may send clients here, and why not (docs/origin.md).
     pub fn readiness(&self) -> Result<Value, Error> {
         if self.registry.is_stopping() {
             return Err(ErrorCode::Stopping.without_detail());
@@ -103,149 +128,105 @@
         if !self.registry.has_lease() {
             return Err(ErrorCode::NoLease.without_detail());
         }
-        let plan = self.registry.cluster_state();
-        plan.configuration.as_ref().ok_or_else(|| ErrorCode::NoConfiguration.without_detail())?;
-        let mut reduced = Vec::new();
-        for row in self.registry.servers() {
-            let g = row.group();
-            let led =
-                plan.primaries.get(&g).and_then(|l| l.server.as_ref()).and_then(|s| self.registry.server(s));
-            let up = led.is_some_and(|r| r.status.lock().unwrap().failing_since.is_none());
-            if !up && !reduced.contains(&g) {
-                reduced.push(g);
-            }
+        let state = self.registry.cluster_state();
+        if state.configuration.is_none() {
+            return Err(ErrorCode::NoConfiguration.without_detail());
         }
-        let groups: std::collections::BTreeSet<Name> =
-            self.registry.servers().iter().map(|r| r.group()).collect();
-        // Without primaries lookups still go on, so the node is ready and says what it lacks.
-        if groups.is_empty() {
+        let servers = self.registry.servers();
+        if servers.is_empty() {
             return Err(ErrorCode::NotReady.with_detail("no database server is known yet"));
         }
-        Ok(
-            json!({"ready": true, "reduced": reduced, "version": plan.version, "district": self.settings.zone}),
-        )
-    }
-
-    /// Opens a session.
-    pub async fn open_session(&self, v: &mut ClientRequest) -> RequestResult {
-        let most = v.plan.configuration.as_ref().map_or(0, |b| b.queue.max_sessions as usize);
-        if self.sessions.len() >= most {
-            return Err(ErrorCode::TooManySessions.without_detail().with_retry_after(1_000));
+        // Without primaries reads still go on, so the node is ready and says what it lacks.
+        let mut reduced: Vec<Name> = Vec::new();
+        for server in servers {
+            let group = server.group();
+            if !self.has_reachable_primary(&state, &group) && !reduced.contains(&group) {
+                reduced.push(group);
+            }
         }
-        let id: Name = format!("{:016x}{:016x}", fastrand::u64(..), fastrand::u64(..)).into();
-        let ctx = SessionState { id, ..Default::default() }.next_version(0, false);
-        self.copies.store(ctx.clone()).await?;
-        let held = self.sessions.insert(ctx, now(), false);
-        v.held = held.try_lock_owned().ok();
-        Ok(Success::Accepted)
+        let zone = &self.settings.zone;
+        Ok(json!({"ready": true, "reduced": reduced, "version": state.version, "district": zone}))
     }
 
-    /// The session, whole and at least of the version the origin knows, for this visit alone (§6.4).
-    pub async fn lock_session(
-        &self,
-        id: &str,
-        version: Version,
-    ) -> Result<tokio::sync::OwnedMutexGuard<Session>, Error> {
-        let held = match self.sessions.get(id) {
-            Some(h) => h,
-            None => {
-                let found = self.copies.find(id, version).await?;
-                let ctx = found.ok_or_else(|| ErrorCode::SessionUnknown.without_detail())?;
-                if ctx.closed {
-                    return Err(ErrorCode::SessionUnknown.with_detail("it was closed"));
-                }
-                self.sessions.insert(ctx, now(), true)
-            }
-        };
-        let mut g = held
-            .try_lock_owned()
-            .map_err(|_| ErrorCode::SessionBusy.without_detail().with_retry_after(100))?;
-        if !g.state.includes(version) {
-            let found = self.copies.find(id, version).await?.filter(|c| c.includes(version));
-            g.state = found.ok_or_else(|| ErrorCode::SessionLost.without_detail())?;
-            g.adopted = true;
-        }
-        if g.state.closed {
-            return Err(ErrorCode::SessionUnknown.with_detail("it was closed"));
-        }
-        Ok(g)
+    fn has_reachable_primary(&self, state: &ClusterState, group: &str) -> bool {
+        let primary = state.primary_of(group).and_then(|name| self.registry.server(name));
+        primary.is_some_and(|server| server.status.lock().unwrap().failing_since.is_none())
     }
 
-    /// Sessions that idle give their place here up; their copies stay with their owners.
+    /// Sessions that are idle give up their place here; their replicas stay.
     pub fn evict_idle_sessions(&self) {
-        for s in self.sessions.all() {
-            if let Ok(g) = s.try_lock()
-                && g.transaction.is_none()
-                && now() > g.last_used + IDLE
-            {
-                self.sessions.remove(&g.state.id);
-            }
-        }
+        session_filter::evict_idle_sessions(&self.services);
     }
 
-    /// Takes one visit from the door to its answer.
-    pub async fn visit(self: &Arc<Self>, path: &str, bytes: &[u8]) -> (u16, Value) {
-        let Some(what) = Operation::of(path) else {
-            let b = ErrorCode::NoSuchCall.without_detail();
-            return (b.http_status(), crate::request::error_json(&b));
+    /// Takes one request from the listener to its reply: HTTP status and JSON.
+    pub async fn handle(&self, path: &str, bytes: &[u8]) -> (u16, Value) {
+        let Some(operation) = Operation::from_path(path) else {
+            let error = ErrorCode::NoSuchCall.without_detail();
+            return (error.http_status(), error_json(&error));
         };
-        let body = parse_body(bytes);
-        let plan = self.registry.cluster_state();
-        let ran = ExecutionSite {
+        let parsed = parse_body(bytes);
+        let body = parsed.as_ref().map_or_else(|_| RequestBody::default(), Clone::clone);
+        let mut request = self.new_request(operation, body);
+        self.requests_in_flight.fetch_add(1, Ordering::SeqCst);
+        let result = match parsed {
+            Ok(_) => pipeline::run(&self.services, &mut request).await,
+            Err(error) => Err(error),
+        };
+        let result = result.map_err(|error| match operation {
+            // Whoever asks for an outcome learns that nothing was applied only from the seal.
+            Operation::Outcome if !error.has_code(ErrorCode::Sealed) => error.with_unknown_outcome(),
+            _ => error,
+        });
+        self.requests_in_flight.fetch_sub(1, Ordering::SeqCst);
+        self.count(&result);
+        self.keep_trace(&request, &result);
+        request.reply(&result)
+    }
+
+    fn new_request(&self, operation: Operation, body: RequestBody) -> ClientRequest {
+        let cluster_state = self.registry.cluster_state();
+        let site = ExecutionSite {
             node: self.settings.name.as_str().into(),
-            version: plan.version,
+            version: cluster_state.version,
             ..Default::default()
         };
-        let mut v = ClientRequest {
+        ClientRequest {
             id: self.next_request_id(),
-            what,
-            body: body.as_ref().map_or_else(|_| Body::default(), Clone::clone),
-            began: now(),
-            until: now(),
-            rule: None,
-            plan,
-            held: None,
+            operation,
+            body,
+            started_at: now(),
+            deadline: now(),
+            route: None,
+            cluster_state,
+            session: None,
             group: Name::default(),
-            ran,
-            path: Vec::new(),
-        };
-        self.requests_in_flight.fetch_add(1, Ordering::SeqCst);
-        let a = match body {
-            Ok(_) => pipeline::pass(self, &mut v).await,
-            Err(b) => Err(b),
-        };
-        // Whoever asks after a try learns that nothing was kept only from its seal (§4.6).
-        let a = a.map_err(|b| {
-            if what == Operation::Outcome && !b.has_code(ErrorCode::Sealed) {
-                b.with_unknown_outcome()
-            } else {
-                b
-            }
-        });
-        self.requests_in_flight.fetch_sub(1, Ordering::SeqCst);
-        self.count(&v, &a);
-        v.reply(&a)
+            site,
+            steps: Vec::new(),
+        }
     }
 
-    fn count(&self, v: &ClientRequest, a: &RequestResult) {
-        let c = match a {
+    fn count(&self, result: &RequestResult) {
+        let counter = match result {
             Ok(_) => &self.outcome_counts.committed,
-            Err(b) if b.outcome == Outcome::Unknown => &self.outcome_counts.unknown,
+            Err(error) if error.outcome == Outcome::Unknown => &self.outcome_counts.unknown,
             Err(_) => &self.outcome_counts.not_applied,
         };
-        c.fetch_add(1, Ordering::Relaxed);
-        let row = RequestTrace {
-            id: v.id,
-            operation: format!("{:?}", v.what).to_lowercase(),
-            duration_ms: now() - v.began,
-            code: a.as_ref().err().map_or(0, |b| b.code),
-            site: v.ran.clone(),
-            steps: v.path.clone(),
+        counter.fetch_add(1, Ordering::Relaxed);
+    }
+
+    fn keep_trace(&self, request: &ClientRequest, result: &RequestResult) {
+        let trace = RequestTrace {
+            id: request.id,
+            operation: format!("{:?}", request.operation).to_lowercase(),
+            duration_ms: now() - request.started_at,
+            code: result.as_ref().err().map_or(0, |error| error.code),
+            site: request.site.clone(),
+            steps: request.steps.clone(),
         };
-        let mut p = self.traces.lock().unwrap();
-        p.push_back(row);
-        if p.len() > PATHS {
-            p.pop_front();
+        let mut traces = self.traces.lock().unwrap();
+        traces.push_back(trace);
+        if traces.len() > MAX_TRACES {
+            traces.pop_front();
         }
     }
 }
--- a/crates/proxy/src/read.rs
+++ b/crates/proxy/src/read.rs
@@ -1,189 +1,299 @@
-//! Carrying lookups: same district first, fresh or not at all, never outside the placement (§4.7, §4.8).
-use crate::attempt::{Asked, PendingReply, ask_on, no_link};
-use crate::pool::{NoLink, PoolLimits, take};
-use crate::proxy::Proxy;
-use crate::request::{ClientRequest, RequestResult};
-use crate::server_choice::{Choice, choose, patience, stay};
-use crate::server_protocol::{self, call};
-use crate::slots::ConnectionUse;
-use crate::state::HealthState;
+//! Reads outside a transaction: at a fresh replica of the same zone if there is one, never outside the placement, and
+//! retried at another server within the request's time.
+use crate::attempt::{Attempt, AttemptOutcome, note_checkout_error, pending_reply, send_with_extension};
+use crate::client_api::reply::{RequestResult, SITE_HEALTHY, SITE_PRIMARY_SHARE, SITE_PROBATION};
+use crate::client_api::request::ClientRequest;
+use crate::health::overdue_replies::PendingReply;
+use crate::pool::slots::ConnectionUse;
+use crate::pool::{CheckoutError, CheckoutRequest, PoolLimits, check_out};
+use crate::rejections::rejection_error;
+use crate::routing::registry::{Registry, ServerCheckout};
+use crate::routing::server_choice::{
+    ChoiceReason, ReadQuery, ServerChoice, choose_server, extend_patience, patience,
+};
+use crate::server_protocol::{DRAINING, Reply, STARTING, call};
+use crate::services::Services;
+use crate::session::state::SessionState;
+use crate::staleness;
 use quincehatch_config::configuration::{Configuration, Route};
-use quincehatch_core::{ErrorCode, Millis, Name, Role};
+use quincehatch_core::{Error, ErrorCode, Millis, Name, Role, Stamp};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
 use std::sync::Arc;
+use std::time::Duration;
 
-pub fn owe(bp: &Configuration, r: &Route) -> PendingReply {
-    let query_timeout = r.query_timeout_ms.unwrap_or(bp.health.query_timeout_ms);
-    PendingReply { timeout: r.timeout_ms, query_timeout, long_running: r.long_running, first: true }
+/// How often all servers are asked anew.
+const MAX_ROUNDS: usize = 60;
+/// Time between two rounds.
+const ROUND_PAUSE: Duration = Duration::from_millis(40);
+/// With less time left no round is begun.
+const MIN_ROUND_TIME: Millis = 60;
+/// When a client may come again after no server could answer.
+const RETRY_AFTER: Millis = 500;
+
+/// A read on its way from server to server.
+struct ReadAttempts {
+    configuration: Arc<Configuration>,
+    route: Route,
+    session: SessionState,
+    pending: PendingReply,
+    /// Servers asked in this round.
+    tried: Vec<Name>,
+    /// Rounds that are over.
+    rounds: usize,
+    /// Why there is no answer yet.
+    last_error: Error,
+}
+
+/// A server that was asked, and when.
+struct AskedServer<'a> {
+    choice: &'a ServerChoice,
+    at: Millis,
 }
 
-pub async fn lookup(n: &Arc<Proxy>, v: &mut ClientRequest) -> RequestResult {
-    let (Some(bp), Some(rule)) = (v.plan.configuration.clone(), v.rule.clone()) else {
-        return Err(ErrorCode::NoRoute.without_detail());
+/// What came of asking one server.
+enum Step {
+    /// The read is over.
+    Done(RequestResult),
+    /// Another server is asked.
+    TryNext,
+}
+
+/// A read on any server that is fresh enough.
+pub async fn read(services: &Arc<Services>, request: &mut ClientRequest) -> RequestResult {
+    let (configuration, route) = request.configuration_and_route()?;
+    let mut attempts = ReadAttempts {
+        pending: pending_reply(&configuration, &route),
+        session: request.session_state(),
+        configuration,
+        route,
+        tried: Vec::new(),
+        rounds: 0,
+        last_error: ErrorCode::AllReplicasEjected.without_detail(),
     };
-    let o = owe(&bp, &rule);
-    let ctx = v.held.as_ref().map(|h| h.state.clone()).unwrap_or_default();
-    let mut tried: Vec<Name> = Vec::new();
-    let mut why = ErrorCode::AllReplicasEjected.without_detail();
-    let mut rounds = 0;
-    n.retry_budget.earn();
-    while v.left() > 0 {
-        let ask_id = n.next_request_id();
-        let Some(c) = choose(n, v, &tried, (v.left() > rule.timeout_ms / 2, rule.long_running), ask_id)
-        else {
-            // Everyone was asked. A stale or busy answer may be better in a moment; a few rounds, no more.
-            // While no primary was seen of late nothing can be proved fresh, and soon may be again (§4.8).
-            rounds += 1;
-            let again =
-                (why.has_code(ErrorCode::Stale) || why.has_code(ErrorCode::ConnectionsBusy)) && rounds < 60;
-            if tried.is_empty() || !again || v.left() < 60 {
-                return Err(why.with_retry_after(500));
-            }
-            // Nobody is asked again before an answer could be proved fresh.
-            if n.registry
-                .with_primary_positions(&v.group, |s| s.needed(now(), rule.max_staleness_ms))
-                .is_some()
-            {
-                tried.clear();
-            }
-            seam::sleep(std::time::Duration::from_millis(40)).await;
+    services.retry_budget.earn();
+    while request.time_left() > 0 {
+        let attempt_id = services.next_request_id();
+        let Some(choice) = attempts.choose(services, request, attempt_id) else {
+            attempts.wait_for_next_round(services, request).await?;
             continue;
         };
-        let name = c.row.name.clone();
-        tried.push(name.clone());
-        v.group = c.row.group();
-        v.ran.server = name.clone();
-        v.ran.district = c.row.zone();
-        v.ran.verdict = Name::from(match (c.primary, c.trial) {
-            (true, _) => "primary-share",
-            (_, true) => "on-trial",
-            _ => "in-rotation",
-        });
-        let till = patience(v, o.long_running && !c.trial, &c);
-        let caps = PoolLimits::of(&bp, c.primary);
-        let mut loan =
-            match take(&c.row, &n.settings.name, ConnectionUse::Lookup, caps, &ctx.setup(), till).await {
-                Ok(l) => l,
-                Err(e) => {
-                    if c.trial {
-                        c.row.health.lock().unwrap().request_inconclusive(ask_id);
-                    }
-                    v.note(format!("{name} no link"));
-                    no_link(n, &c.row, &e);
-                    why = match e {
-                        NoLink::Busy(b) => b,
-                        NoLink::Late(_) => ErrorCode::DeadlinePassed.without_detail(),
-                        NoLink::Broke(e) => ErrorCode::ServerFailed.with_detail(e.kind()),
-                    };
-                    continue;
-                }
-            };
-        match loan.connection().wear(&ctx, till).await {
+        match attempts.ask(services, request, &choice).await {
+            Step::Done(result) => return result,
+            Step::TryNext => {}
+        }
+    }
+    Err(attempts.deadline_error())
+}
+
+impl ReadAttempts {
+    fn choose(&self, services: &Services, request: &ClientRequest, attempt_id: u64) -> Option<ServerChoice> {
+        let query = ReadQuery {
+            cluster_state: &request.cluster_state,
+            placement: &request.site.placement,
+            zone: &services.settings.zone,
+            tried: &self.tried,
+            can_retry: request.time_left() > self.route.timeout_ms / 2,
+            long_running: self.route.long_running,
+            attempt_id,
+        };
+        choose_server(&services.registry, &query)
+    }
+
+    /// All servers were asked. A stale or busy one may do better in a moment: a few rounds, no more. While the primary was
+    /// not observed of late nothing can be proved fresh, and soon may be again.
+    async fn wait_for_next_round(
+        &mut self,
+        services: &Services,
+        request: &ClientRequest,
+    ) -> Result<(), Error> {
+        self.rounds += 1;
+        let may_do_better = self.may_do_better() && self.rounds < MAX_ROUNDS;
+        if self.tried.is_empty() || !may_do_better || request.time_left() < MIN_ROUND_TIME {
+            return Err(self.last_error.clone().with_retry_after(RETRY_AFTER));
+        }
+        // Nobody is asked again before an answer could be proved fresh.
+        let needed = services.registry.needed_position(&request.group, self.route.max_staleness_ms);
+        if needed.is_some() {
+            self.tried.clear();
+        }
+        seam::sleep(ROUND_PAUSE).await;
+        Ok(())
+    }
+
+    fn may_do_better(&self) -> bool {
+        self.last_error.has_code(ErrorCode::Stale) || self.last_error.has_code(ErrorCode::ConnectionsBusy)
+    }
+
+    fn deadline_error(self) -> Error {
+        let error = match self.may_do_better() {
+            true => self.last_error,
+            false => ErrorCode::DeadlinePassed.without_detail(),
+        };
+        error.with_retry_after(RETRY_AFTER)
+    }
+
+    /// Asks one server.
+    async fn ask(
+        &mut self,
+        services: &Arc<Services>,
+        request: &mut ClientRequest,
+        choice: &ServerChoice,
+    ) -> Step {
+        self.tried.push(choice.server.name.clone());
+        request.group = choice.server.group();
+        request.set_site(&choice.server, site_health(choice.reason));
+        let deadline = patience(choice, self.route.long_running, request.deadline);
+        let mut checkout = match self.check_out(services, choice, deadline).await {
+            Ok(checkout) => checkout,
+            Err(error) => {
+                self.note_checkout_error(services, request, choice, error);
+                return Step::TryNext;
+            }
+        };
+        match checkout.connection().apply_session(&self.session, deadline).await {
             Ok(None) => {}
-            Ok(Some(r)) => return Err(declined(&r)),
-            Err(e) => {
-                c.row.health.lock().unwrap().request_inconclusive(ask_id);
-                why = e.breakdown();
-                continue;
+            Ok(Some(rejection)) => return Step::Done(Err(rejection_error(&rejection))),
+            Err(error) => {
+                choice.server.health.lock().unwrap().request_inconclusive(choice.attempt_id);
+                self.last_error = error.to_error();
+                return Step::TryNext;
             }
         }
-        let q = call::run(&loan.connection().id.clone(), v.text(), &v.body.params);
-        let asked = now();
-        let owe = PendingReply { first: tried.len() == 1 && rounds == 0, ..o };
-        let until = v.until;
-        match ask_on(n, loan, q, owe, ask_id, till, || stay(n, &c, until)).await {
-            Asked::Reply(r, loan) => {
-                loan.check_in();
-                if r.error.is_some() {
-                    if r.has_error_code(server_protocol::LEAVING) {
-                        c.row.set_draining(true);
-                        continue;
-                    }
-                    // It was not run there: others may answer, or this one in a moment.
-                    if r.has_error_code(server_protocol::STARTING) {
-                        v.note(format!("{name} is starting"));
-                        why = ErrorCode::Stale.without_detail();
-                        continue;
-                    }
-                    return Err(declined(&r));
-                }
-                let Some(good) = r.good(&name) else {
-                    why = ErrorCode::InvalidReply.without_detail();
-                    continue;
-                };
-                if fresh_enough(n, &c, &r.stamp, rule.max_staleness_ms, asked) {
-                    v.note(format!("{name} answered"));
-                    return Ok(good);
-                }
-                v.note(format!("{name} was behind"));
-                why = ErrorCode::Stale.without_detail();
+        let connection_id = &checkout.connection().id;
+        let server_request = call::run(connection_id, request.text(), &request.body.params);
+        let asked = AskedServer { choice, at: now() };
+        let first_attempt = self.tried.len() == 1 && self.rounds == 0;
+        let pending = PendingReply { first_attempt, ..self.pending };
+        let attempt = Attempt { id: choice.attempt_id, checkout, request: server_request, pending };
+        let request_deadline = request.deadline;
+        let extend = || extend_patience(choice, &services.retry_budget, request_deadline);
+        match send_with_extension(services, attempt, deadline, extend).await {
+            AttemptOutcome::Reply(reply, checkout) => {
+                checkout.check_in();
+                self.read_reply(&services.registry, request, &asked, &reply)
             }
-            Asked::Broke(b) => {
-                v.note(format!("{name} broke"));
-                why = b.breakdown();
+            AttemptOutcome::ConnectionFailed(error) => {
+                request.note(format!("{} failed", choice.server.name));
+                self.last_error = error.to_error();
+                Step::TryNext
             }
-            Asked::Silent => {
-                v.note(format!("{name} silent"));
-                if c.trial {
-                    let j = n.health_settings();
-                    c.row.health.lock().unwrap().probation_failed(now(), &j, ask_id);
-                }
-                why = ErrorCode::DeadlinePassed.without_detail();
+            AttemptOutcome::TimedOut => {
+                self.note_timeout(services, request, choice);
+                Step::TryNext
             }
         }
     }
-    let b = if why.has_code(ErrorCode::Stale) || why.has_code(ErrorCode::ConnectionsBusy) {
-        why
-    } else {
-        ErrorCode::DeadlinePassed.without_detail()
-    };
-    Err(b.with_retry_after(500))
-}
 
-/// Proof that the rows are no further behind than the rule allows, on this node's clock alone (§4.8).
-fn fresh_enough(n: &Proxy, c: &Choice, s: &quincehatch_core::Stamp, fresh: Millis, asked: Millis) -> bool {
-    if seam::injected_bug("stale-lookup") {
-        return true;
+    async fn check_out(
+        &self,
+        services: &Services,
+        choice: &ServerChoice,
+        deadline: Millis,
+    ) -> Result<ServerCheckout, CheckoutError> {
+        let limits = match choice.reason {
+            ChoiceReason::Primary => PoolLimits::of_primary(&self.configuration),
+            _ => PoolLimits::of_replica(&self.configuration),
+        };
+        let checkout_request = CheckoutRequest {
+            node: &services.settings.name,
+            usage: ConnectionUse::Read,
+            limits,
+            setup: &self.session.setup(),
+            deadline,
+        };
+        check_out(&choice.server, &checkout_request).await
     }
-    if !n.registry.has_lease() {
-        return false;
+
+    fn note_checkout_error(
+        &mut self,
+        services: &Services,
+        request: &mut ClientRequest,
+        choice: &ServerChoice,
+        error: CheckoutError,
+    ) {
+        if choice.reason == ChoiceReason::Probation {
+            choice.server.health.lock().unwrap().request_inconclusive(choice.attempt_id);
+        }
+        request.note(format!("{} no connection", choice.server.name));
+        note_checkout_error(&services.registry, &choice.server, &error);
+        self.last_error = match error {
+            CheckoutError::Busy(error) => error,
+            CheckoutError::TimedOut(_) => ErrorCode::DeadlinePassed.without_detail(),
+            CheckoutError::ConnectFailed(error) => ErrorCode::ServerFailed.with_detail(error.kind()),
+        };
     }
-    let group = c.row.group();
-    if c.primary {
-        let lead = n.registry.primary(&group);
-        // Fresh when it was asked; a node that was paused since must not pass it on as fresh now.
-        let late = now() > asked + fresh.saturating_sub(crate::freshness::MARGIN);
-        return !late
-            && s.role == Role::Primary
-            && lead.is_some_and(|l| l.fence == s.fence && l.server.as_ref() == Some(&s.server));
+
+    fn note_timeout(&mut self, services: &Services, request: &mut ClientRequest, choice: &ServerChoice) {
+        request.note(format!("{} timed out", choice.server.name));
+        if choice.reason == ChoiceReason::Probation {
+            let settings = services.registry.health_settings();
+            let mut health = choice.server.health.lock().unwrap();
+            health.probation_failed(now(), &settings, choice.attempt_id);
+        }
+        self.last_error = ErrorCode::DeadlinePassed.without_detail();
+    }
+
+    fn read_reply(
+        &mut self,
+        registry: &Registry,
+        request: &mut ClientRequest,
+        asked: &AskedServer<'_>,
+        reply: &Reply,
+    ) -> Step {
+        let server = &asked.choice.server;
+        if reply.has_error_code(DRAINING) {
+            server.set_draining(true);
+            return Step::TryNext;
+        }
+        if reply.has_error_code(STARTING) {
+            // It was not run there: others may answer, or this one in a moment.
+            request.note(format!("{} is starting", server.name));
+            self.last_error = ErrorCode::Stale.without_detail();
+            return Step::TryNext;
+        }
+        if reply.error.is_some() {
+            return Step::Done(Err(rejection_error(reply)));
+        }
+        let Some(success) = reply.success_of(&server.name) else {
+            self.last_error = ErrorCode::InvalidReply.without_detail();
+            return Step::TryNext;
+        };
+        if is_fresh(registry, asked, &reply.stamp, self.route.max_staleness_ms) {
+            request.note(format!("{} answered", server.name));
+            return Step::Done(Ok(success));
+        }
+        request.note(format!("{} was behind", server.name));
+        self.last_error = ErrorCode::Stale.without_detail();
+        Step::TryNext
     }
-    n.registry
-        .with_primary_positions(&group, |seen| seen.needed(now(), fresh))
-        .is_some_and(|p| s.position >= p)
 }
 
-/// The server's own no, in its words' kind only: its text may hold what must not be logged, so it goes to the
-/// origin alone.
-pub fn declined(r: &crate::server_protocol::Reply) -> quincehatch_core::Error {
-    // What was not run, as the server does not lead or not yet, says nothing of the statement.
-    let not_run = [server_protocol::STARTING, server_protocol::FENCE_LOW, server_protocol::NOT_PRIMARY]
-        .iter()
-        .any(|c| r.has_error_code(c));
-    if not_run {
-        return ErrorCode::NoPrimary
-            .with_detail("the server does not lead, or not yet; it ran nothing")
-            .with_retry_after(500);
+fn site_health(reason: ChoiceReason) -> &'static str {
+    match reason {
+        ChoiceReason::Primary => SITE_PRIMARY_SHARE,
+        ChoiceReason::Probation => SITE_PROBATION,
+        ChoiceReason::Healthy | ChoiceReason::Canary => SITE_HEALTHY,
     }
-    let text = r.error.as_ref().map_or_else(String::new, |e| format!("{} {}", e.code, e.text));
-    ErrorCode::ServerRejected.with_detail(text)
 }
 
-/// The verdict's word.
-pub fn health_label(v: HealthState) -> &'static str {
-    match v {
-        HealthState::Healthy => "in-rotation",
-        HealthState::Ejected => "set-aside",
-        HealthState::Probation => "on-trial",
+/// Whether the rows are proved, by this node's clock alone, to be no more than `max_staleness` behind.
+fn is_fresh(registry: &Registry, asked: &AskedServer<'_>, stamp: &Stamp, max_staleness: Millis) -> bool {
+    if seam::injected_bug("stale-lookup") {
+        return true;
+    }
+    if !registry.has_lease() {
+        return false;
+    }
+    let group = asked.choice.server.group();
+    if asked.choice.reason == ChoiceReason::Primary {
+        let is_named = registry.primary(&group).is_some_and(|primary| {
+            primary.fence == stamp.fence && primary.server.as_ref() == Some(&stamp.server)
+        });
+        // Fresh when it was asked; a node that was paused since must not pass it on as fresh now.
+        let is_late = now() > asked.at + max_staleness.saturating_sub(staleness::MARGIN);
+        return !is_late && stamp.role == Role::Primary && is_named;
     }
+    let needed = registry.needed_position(&group, max_staleness);
+    needed.is_some_and(|position| stamp.position >= position)
 }
--- a/crates/proxy/src/sync.rs
+++ b/crates/proxy/src/sync.rs
@@ -1,4 +1,5 @@
-//! Locks of the shards; under `--cfg qh_loom` the checker's own, so that all interleavings are tried (§9.3).
+//! The locks of structures that are model-checked: under `--cfg qh_loom` loom's own, so that every interleaving of a few
+//! threads is tried; the standard library's otherwise.
 #[cfg(qh_loom)]
 pub use loom::sync::{Arc, Mutex, RwLock};
 #[cfg(not(qh_loom))]
--- a/crates/proxy/tests/fake/mod.rs
+++ b/crates/proxy/tests/fake/mod.rs
@@ -6,11 +6,11 @@
 use quincehatch_proxy::Proxy;
 use quincehatch_proxy::direct::command::{SessionCommand, SessionRequest, StatementResponse};
 use quincehatch_proxy::direct::{DirectProxy, DirectSession};
-use quincehatch_proxy::local_replicas::LocalOnlyReplicas;
 use quincehatch_proxy::ports::{
     OpenResult, RejectReason, ServerCall, ServerConnection, ServerConnector, ServerReply, TransactionState,
 };
 use quincehatch_proxy::registry::ClusterState;
+use quincehatch_proxy::session::replicas::LocalOnlyReplicas;
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam::BoxFuture;
 use quincehatch_wire::http::KeepaliveSettings;
--- a/crates/proxy/tests/loom.rs
+++ b/crates/proxy/tests/loom.rs
@@ -1,101 +1,113 @@
-//! All interleavings of a few threads over one pool shard (§9.3). Run with RUSTFLAGS="--cfg qh_loom".
+//! All interleavings of a few threads over the counted connections and the latest-value cell. Run with
+//! `RUSTFLAGS="--cfg qh_loom"`.
 #![cfg(qh_loom)]
 use loom::sync::Arc;
 use loom::thread;
-use quincehatch_proxy::newest::{Newest, Numbered};
-use quincehatch_proxy::shard::{Grant, Shard, Use};
+use quincehatch_proxy::latest::{Latest, Numbered};
+use quincehatch_proxy::slots::{ConnectionSlots, ConnectionUse, Grant, SlotCounts};
 
-fn take(s: &Shard<u32>, u: Use, cap: usize, share: usize) -> Option<u32> {
-    match s.take(u, cap, share, |_| true) {
-        Grant::Idle(l) => Some(l),
-        Grant::Open => Some(7),
+/// Number of a connection that a test opens itself.
+const NEW_CONNECTION: u32 = 7;
+
+fn check_out(
+    slots: &ConnectionSlots<u32>,
+    usage: ConnectionUse,
+    capacity: usize,
+    read_share: usize,
+) -> Option<u32> {
+    match slots.check_out(usage, capacity, read_share, |_| true) {
+        Grant::Idle(connection) => Some(connection),
+        Grant::OpenNew => Some(NEW_CONNECTION),
         Grant::Full => None,
     }
 }
 
 #[test]
-fn links_never_pass_the_cap_and_none_is_lost() {
+fn connections_never_pass_the_limit_and_none_is_lost_when_two_threads_share_them() {
     loom::model(|| {
-        let s = Arc::new(Shard::<u32>::default());
-        let t: Vec<_> = (0..2)
-            .map(|_| {
-                let s = s.clone();
-                thread::spawn(move || {
-                    if let Some(l) = take(&s, Use::Order, 1, 1) {
-                        assert!(s.count().0 <= 1);
-                        assert!(s.put(Use::Order, 1, l).is_none());
-                    }
-                })
-            })
-            .collect();
-        t.into_iter().for_each(|t| t.join().unwrap());
-        assert_eq!(s.count(), (1, 1));
+        let slots = Arc::new(ConnectionSlots::<u32>::default());
+        let mut threads = Vec::new();
+        for _ in 0..2 {
+            let slots = slots.clone();
+            threads.push(thread::spawn(move || {
+                if let Some(connection) = check_out(&slots, ConnectionUse::Write, 1, 1) {
+                    assert!(slots.count().open <= 1);
+                    assert!(slots.check_in(ConnectionUse::Write, 1, connection).is_none());
+                }
+            }));
+        }
+        for thread in threads {
+            thread.join().unwrap();
+        }
+        assert_eq!(slots.count(), SlotCounts { open: 1, idle: 1 });
     });
 }
 
 #[test]
-fn a_lookup_never_takes_more_than_its_share_while_orders_come_and_go() {
+fn a_read_never_takes_more_than_its_share_when_writes_come_and_go() {
     loom::model(|| {
-        let s = Arc::new(Shard::<u32>::default());
-        let a = s.clone();
-        let lookups = thread::spawn(move || {
-            let one = take(&a, Use::Lookup, 2, 1);
-            let two = take(&a, Use::Lookup, 2, 1);
+        let slots = Arc::new(ConnectionSlots::<u32>::default());
+        let read_slots = slots.clone();
+        let reads = thread::spawn(move || {
+            let one = check_out(&read_slots, ConnectionUse::Read, 2, 1);
+            let two = check_out(&read_slots, ConnectionUse::Read, 2, 1);
             assert!(one.is_none() || two.is_none());
-            one.or(two).map(|l| a.put(Use::Lookup, 2, l));
+            one.or(two).map(|connection| read_slots.check_in(ConnectionUse::Read, 2, connection));
         });
-        let b = s.clone();
-        let orders = thread::spawn(move || {
-            if take(&b, Use::Order, 2, 1).is_some() {
-                b.gone(Use::Order);
+        let write_slots = slots.clone();
+        let writes = thread::spawn(move || {
+            if check_out(&write_slots, ConnectionUse::Write, 2, 1).is_some() {
+                write_slots.release(ConnectionUse::Write);
             }
         });
-        lookups.join().unwrap();
-        orders.join().unwrap();
-        let (live, idle) = s.count();
-        assert_eq!(live, idle);
-        assert!(live <= 2);
+        reads.join().unwrap();
+        writes.join().unwrap();
+        let SlotCounts { open, idle } = slots.count();
+        assert_eq!(open, idle);
+        assert!(open <= 2);
     });
 }
 
 #[test]
-fn closing_beside_a_return_leaves_no_link_behind() {
+fn no_connection_is_left_behind_when_closing_races_with_a_check_in() {
     loom::model(|| {
-        let s = Arc::new(Shard::<u32>::default());
-        let l = take(&s, Use::Order, 2, 1).unwrap();
-        let a = s.clone();
-        let back = thread::spawn(move || drop(a.put(Use::Order, 2, l)));
-        let b = s.clone();
-        let close = thread::spawn(move || drop(b.clear(true)));
-        back.join().unwrap();
-        close.join().unwrap();
-        assert_eq!(s.count(), (0, 0));
-        assert!(take(&s, Use::Order, 2, 1).is_none());
+        let slots = Arc::new(ConnectionSlots::<u32>::default());
+        let connection = check_out(&slots, ConnectionUse::Write, 2, 1).unwrap();
+        let returning_slots = slots.clone();
+        let returning =
+            thread::spawn(move || drop(returning_slots.check_in(ConnectionUse::Write, 2, connection)));
+        let closing_slots = slots.clone();
+        let closing = thread::spawn(move || drop(closing_slots.close()));
+        returning.join().unwrap();
+        closing.join().unwrap();
+        assert_eq!(slots.count(), SlotCounts { open: 0, idle: 0 });
+        assert!(check_out(&slots, ConnectionUse::Write, 2, 1).is_none());
     });
 }
 
-struct N(u64);
-impl Numbered for N {
+struct Number(u64);
+
+impl Numbered for Number {
     fn newer_or_same(&self, than: &Self) -> bool {
         self.0 >= than.0
     }
 }
 
 #[test]
-fn the_blackboard_never_goes_back() {
+fn the_latest_value_never_goes_back_when_writers_race() {
     loom::model(|| {
-        let b = Arc::new(Newest::new(N(1)));
-        let writers: Vec<_> = [3, 2]
-            .into_iter()
-            .map(|n| {
-                let b = b.clone();
-                thread::spawn(move || b.set(N(n), |_, _| ()))
-            })
-            .collect();
-        let first = b.get().0;
-        let then = b.get().0;
+        let cell = Arc::new(Latest::new(Number(1)));
+        let mut writers = Vec::new();
+        for number in [3, 2] {
+            let cell = cell.clone();
+            writers.push(thread::spawn(move || cell.set(Number(number), |_, _| ())));
+        }
+        let first = cell.get().0;
+        let then = cell.get().0;
         assert!(then >= first);
-        writers.into_iter().for_each(|w| drop(w.join()));
-        assert_eq!(b.get().0, 3);
+        for writer in writers {
+            drop(writer.join());
+        }
+        assert_eq!(cell.get().0, 3);
     });
 }
--- a/crates/proxy/tests/stall.rs
+++ b/crates/proxy/tests/stall.rs
@@ -1,31 +1,35 @@
-//! What counts as a lead's stall (§4.5, §5.5).
+//! What counts as a primary's stall.
 use quincehatch_config::configuration::{Configuration, HealthSettings};
 use quincehatch_proxy::overdue_replies::PendingReply;
 use quincehatch_proxy::state::{Health, HealthState};
 
-fn judges() -> HealthSettings {
+fn health_settings() -> HealthSettings {
     Configuration::parse("[[placements]]\nname=\"a\"\nselect={group=[\"g\"]}\n").unwrap().health
 }
-fn owe(long: bool) -> PendingReply {
-    PendingReply { timeout: 1_000, query_timeout: 30_000, long_running: long, first: true }
+
+fn pending_reply(long_running: bool) -> PendingReply {
+    PendingReply { timeout: 1_000, query_timeout: 30_000, long_running, first_attempt: true }
 }
 
-/// Drawn seed 2000736: a reply was lost in a split; 30 s later, in a quiet hour, the lead was replaced for it.
+/// Drawn seed 2000736: a reply was lost in a network partition; 30 s later, in a quiet hour, the primary was replaced for
+/// it.
 #[test]
-fn a_lost_reply_that_others_outlived_is_held_against_the_server_but_is_no_stall() {
-    let (j, mut h) = (judges(), Health::default());
-    h.overdue.record_sent(100, 1, owe(true));
-    h.overdue.record_sent(200, 2, owe(false));
-    h.request_succeeded(210, &j, 2);
-    h.tick(30_100, &j);
-    assert_eq!(h.state, HealthState::Ejected);
-    assert_eq!(h.stalled_for(32_000), None);
+fn a_lost_reply_ejects_the_server_but_is_no_stall_when_others_were_answered_since() {
+    let settings = health_settings();
+    let mut health = Health::default();
+    health.overdue.record_sent(100, 1, pending_reply(true));
+    health.overdue.record_sent(200, 2, pending_reply(false));
+    health.request_succeeded(210, &settings, 2);
+    health.tick(30_100, &settings);
+    assert_eq!(health.state, HealthState::Ejected);
+    assert_eq!(health.stalled_for(32_000), None);
 }
 
 #[test]
-fn long_replies_that_nobody_outlives_are_a_stall() {
-    let (j, mut h) = (judges(), Health::default());
-    h.overdue.record_sent(100, 1, owe(true));
-    h.tick(30_100, &j);
-    assert_eq!(h.stalled_for(32_000), Some(1_900));
+fn long_replies_are_a_stall_when_nothing_was_answered_since() {
+    let settings = health_settings();
+    let mut health = Health::default();
+    health.overdue.record_sent(100, 1, pending_reply(true));
+    health.tick(30_100, &settings);
+    assert_eq!(health.stalled_for(32_000), Some(1_900));
 }
--- a/crates/testbed/tests/kit/mod.rs
+++ b/crates/testbed/tests/kit/mod.rs
@@ -3,8 +3,8 @@
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::PrimaryAssignment;
 use quincehatch_proxy::evidence::{ConnectionEnd, HealthSignal};
-use quincehatch_proxy::local_replicas::LocalOnlyReplicas;
 use quincehatch_proxy::registry::ClusterState;
+use quincehatch_proxy::session::replicas::LocalOnlyReplicas;
 use quincehatch_proxy::state::HealthState;
 use quincehatch_proxy::{Proxy, probe};
 use quincehatch_runtime::now;
@@ -89,7 +89,7 @@
             ..Default::default()
         });
         node.registry.renew_lease(now() + 600_000);
-        tokio::spawn(probe::run_status_probes(node.clone()));
+        tokio::spawn(probe::run_status_probes(node.registry.clone(), node.spawner().clone()));
         let k = Kit { node, stands };
         k.until("all to be up and fresh", || {
             let seen = k.node.registry.with_primary_positions("g1", |s| s.needed(now(), 1_500));
@@ -110,7 +110,7 @@
         }
     }
     pub async fn post(&self, path: &str, b: Value) -> Value {
-        self.node.visit(path, b.to_string().as_bytes()).await.1
+        self.node.handle(path, b.to_string().as_bytes()).await.1
     }
     pub async fn order(&self, key: &str) {
         let v = self.post("/v1/order", body(key, "append l $1", json!([key]))).await;
@@ -146,7 +146,7 @@
                     .is_some_and(|l| !l.connection().is_closed())
             })
         });
-        usize::from(open) * row.pool.slots.count().0
+        usize::from(open) * row.pool.slots.count().open
     }
     pub fn lease_ms(&self, ms: u64) {
         self.node.registry.set_lease_for_test(now() + ms);
