--- a/crates/proxy/src/direct/check_out.rs
+++ b/crates/proxy/src/direct/check_out.rs
@@ -83,7 +83,7 @@
             IdleConnection::None => return None,
             IdleConnection::Broken(error) => {
                 let health_settings = direct.proxy.health_settings();
-                let end = classify_end(&error, false, server.is_draining());
+                let end = classify_end(&error, server.connection_usage(false));
                 server.health.lock().unwrap().connection_ended(now(), &health_settings, end);
             }
         }
@@ -118,7 +118,7 @@
         }
         Err(_) => {
             server.note_failure(asked_at, false);
-            add_evidence(direct, server, HealthSignal::Silent);
+            add_evidence(direct, server, HealthSignal::Unresponsive);
             Err(CheckoutError::Broke)
         }
     }
@@ -150,7 +150,7 @@
 fn note_open_error(direct: &DirectProxy, server: &ServerEntry, asked_at: Millis, error: &io::Error) {
     server.note_failure(asked_at, error.kind() == io::ErrorKind::ConnectionRefused);
     let health_settings = direct.proxy.health_settings();
-    let end = classify_end(error, true, server.is_draining());
+    let end = classify_end(error, server.connection_usage(true));
     server.health.lock().unwrap().connection_ended(now(), &health_settings, end);
 }
 
--- a/crates/proxy/src/direct/monitored_call.rs
+++ b/crates/proxy/src/direct/monitored_call.rs
@@ -48,7 +48,7 @@
             timeout: route.timeout,
             query_timeout: route.query_timeout,
             long_running: false,
-            first: true,
+            first_attempt: true,
         };
         CallContext { direct, server, pending_reply, primary_term }
     }
@@ -80,7 +80,7 @@
         let end = if is_local_abort(error) {
             ConnectionEnd::Graceful
         } else {
-            classify_end(error, true, self.server.is_draining())
+            classify_end(error, self.server.connection_usage(true))
         };
         let settings = self.direct.proxy.health_settings();
         let mut health = self.server.health.lock().unwrap();
--- a/crates/proxy/src/direct/server_choice.rs
+++ b/crates/proxy/src/direct/server_choice.rs
@@ -120,8 +120,7 @@
     allow_probation: bool,
 ) -> Option<ReadTarget> {
     let registry = &direct.proxy.registry;
-    let floor = registry
-        .with_primary_positions(&route.group, |positions| positions.needed(now(), route.max_staleness));
+    let floor = registry.needed_position(&route.group, route.max_staleness);
     if floor.is_some() {
         let replicas = replicas_of(registry, route, tried);
         if let Some(server) = choose_replica(direct, &replicas, allow_probation) {
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -122,7 +122,7 @@
             }
         }
         let addr = outgoing.to.addr;
-        let refused = |e: io::Error| CallError::NotSent(format_compact!("{addr}: {e}"));
+        let refused = |error: io::Error| CallError::NotSent(format_compact!("{addr}: {error}"));
         let stream = self.connector.connect(addr).await.map_err(refused)?;
         self.attempt(Connection { stream, peer: None }, outgoing).await
     }
