--- /dev/null
+++ b/crates/proxy/src/direct/connection_setup.rs
@@ -0,0 +1,85 @@
+//! Bringing a connection into the state of the session whose statement it is to run.
+use super::connection::{Connection, ConnectionError, SessionSettings};
+use super::monitored_call::CallContext;
+use super::session_setup::PreparedStatement;
+use crate::ports::ServerCall;
+use quincehatch_core::Millis;
+use quincehatch_runtime::seam;
+
+/// Prepared statements on one connection before it is reset.
+const MAX_PREPARED: usize = 256;
+
+impl Connection {
+    /// Brings the connection to exactly these settings: no setting of another session may remain in force.
+    pub(super) async fn apply_settings(
+        &mut self,
+        context: &CallContext<'_>,
+        wanted: &SessionSettings,
+        within: Millis,
+    ) -> Result<(), ConnectionError> {
+        let skip_reset = seam::injected_bug("held-no-reset") && wanted.is_empty();
+        let too_many_prepared = self.prepared.len() > MAX_PREPARED;
+        if (self.settings == *wanted || skip_reset) && !too_many_prepared {
+            return Ok(());
+        }
+        let has_foreign = self.settings.keys().any(|name| !wanted.contains_key(name));
+        if too_many_prepared || has_foreign {
+            self.call_expecting_success(context, &ServerCall::Reset, within).await?;
+            self.settings.clear();
+            self.prepared.clear();
+        }
+        self.set_changed(context, wanted, within).await
+    }
+
+    /// Sets what differs, as after a change within a transaction.
+    pub(super) async fn set_changed(
+        &mut self,
+        context: &CallContext<'_>,
+        wanted: &SessionSettings,
+        within: Millis,
+    ) -> Result<(), ConnectionError> {
+        for (name, value) in wanted {
+            if self.settings.get(name) == Some(value) {
+                continue;
+            }
+            let set = ServerCall::Set { name: name.clone(), value: value.clone() };
+            self.call_expecting_success(context, &set, within).await?;
+            self.settings.insert(name.clone(), value.clone());
+        }
+        Ok(())
+    }
+
+    /// Prepares a statement unless it is prepared already.
+    pub(super) async fn prepare(
+        &mut self,
+        context: &CallContext<'_>,
+        statement: &PreparedStatement,
+        within: Millis,
+    ) -> Result<(), ConnectionError> {
+        if self.prepared.contains(&statement.name) {
+            return Ok(());
+        }
+        let prepare = ServerCall::Prepare {
+            name: statement.name.clone(),
+            write: statement.write,
+            shape: statement.template.clone(),
+        };
+        self.call_expecting_success(context, &prepare, within).await?;
+        self.prepared.insert(statement.name.clone());
+        Ok(())
+    }
+
+    /// A call that a server in good order does not reject.
+    async fn call_expecting_success(
+        &mut self,
+        context: &CallContext<'_>,
+        call: &ServerCall,
+        within: Millis,
+    ) -> Result<(), ConnectionError> {
+        let reply = self.call(context, call, within).await?;
+        match reply.rejection {
+            None => Ok(()),
+            Some(_) => Err(ConnectionError::protocol("a setting was rejected")),
+        }
+    }
+}
--- a/crates/proxy/src/direct/mod.rs
+++ b/crates/proxy/src/direct/mod.rs
@@ -2,12 +2,14 @@
 //! one server connection from its first statement to its end.
 //!
 //! From the bottom up: `command`, `response` and `route` are data; `connection` and `pool` know no health and no
-//! routing; `monitored_call`, `session_setup` and `check_out` add these; `statement` and `replies` are shared by the
-//! ways a statement can run: `primary_statement`, `replica_read` (both hedged by `single_statement`) and `transaction`.
-//! `session` ties them together.
+//! routing; `monitored_call`, `connection_setup` and `check_out` add these; `statement` and `replies` are shared by the
+//! ways a statement can run: `primary_statement`, `replica_read` (both hedged by `single_statement`) and `transaction`,
+//! which `begin` opens. `session` ties them together.
+mod begin;
 pub mod check_out;
 pub mod command;
 pub mod connection;
+mod connection_setup;
 mod monitored_call;
 pub mod pool;
 mod primary_statement;
@@ -20,6 +22,7 @@
 mod server_choice;
 mod session;
 mod session_setup;
+mod session_transaction;
 mod single_statement;
 mod statement;
 mod transaction;
--- a/crates/proxy/src/direct/session.rs
+++ b/crates/proxy/src/direct/session.rs
@@ -1,25 +1,24 @@
 //! One client's session: its settings and prepared statements live here and are brought to whatever connection its next
 //! statement runs on.
 use super::DirectProxy;
+use super::begin::BeginRequest;
 use super::command::{SessionCommand, SessionRequest};
-use super::connection::SessionSettings;
 use super::replies::transaction_lost;
 use super::response::StatementResponse;
 use super::route::ResolvedRoute;
+use super::session_setup::{PreparedStatement, SessionSetup};
+use super::session_transaction::{SessionTransaction, Transaction};
 use super::single_statement::run_single;
 use super::statement::{SingleStatement, Statement, StatementBody};
-use super::transaction::{BeginRequest, OpenTransaction, Transaction};
+use super::transaction::OpenTransaction;
 use crate::ports::TransactionState;
 use bytes::Bytes;
 use quincehatch_core::{Error, ErrorCode, Millis, Name};
 use quincehatch_runtime::{now, seam};
-use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Settings, and prepared statements, that one session may have.
-const MAX_ENTRIES: usize = 256;
 /// How long a new session waits for its proxy to hold a lease.
 const LEASE_WAIT: Millis = 400;
 /// How long it waits for a change of the cluster state before it looks again.
@@ -27,21 +26,12 @@
 /// When a client may try again after the proxy held no lease.
 const RETRY_AFTER_NO_LEASE: Millis = 250;
 
-/// A prepared statement of a session.
-struct Prepared {
-    write: bool,
-    template: Bytes,
-    /// The proxy's own name for it.
-    name: Name,
-}
-
 /// One client's session.
 pub struct DirectSession {
     direct: Arc<DirectProxy>,
     db: Name,
-    settings: SessionSettings,
-    prepared: HashMap<Bytes, Prepared>,
-    transaction: Option<Transaction>,
+    setup: SessionSetup,
+    transaction: SessionTransaction,
 }
 
 impl Drop for DirectSession {
@@ -71,31 +61,24 @@
         Ok(DirectSession {
             direct: direct.clone(),
             db: db.into(),
-            settings: SessionSettings::new(),
-            prepared: HashMap::new(),
-            transaction: None,
+            setup: SessionSetup::default(),
+            transaction: SessionTransaction::default(),
         })
     }
 
     /// The state of its transaction.
     pub fn transaction_state(&self) -> TransactionState {
-        match &self.transaction {
-            None => TransactionState::Idle,
-            Some(Transaction::Failed) => TransactionState::Failed,
-            Some(Transaction::Deferred(_) | Transaction::Open(_)) => TransactionState::Open,
-        }
+        self.transaction.state()
     }
 
     /// Whether it has a server connection checked out.
     pub fn holds_connection(&self) -> bool {
-        matches!(self.transaction, Some(Transaction::Open(_)))
+        self.transaction.holds_connection()
     }
 
     /// Rolls its transaction back, as it was idle for too long or the proxy stops; the next statement is told so.
     pub fn abort_transaction(&mut self) {
-        if self.transaction.is_some() {
-            self.transaction = Some(Transaction::Failed);
-        }
+        self.transaction.fail();
     }
 
     /// Carries a command out.
@@ -109,7 +92,10 @@
             // A failed transaction can only be ended.
             _ if state == TransactionState::Failed => StatementResponse::malformed(state),
             SessionCommand::Begin { read } => self.begin(read),
-            SessionCommand::Set { name, value } => self.set(name, value),
+            SessionCommand::Set { name, value } => {
+                let result = self.setup.set(name, value);
+                self.done_or_failed(result)
+            }
             SessionCommand::Prepare { name, write, template } => self.prepare(name, write, template),
             SessionCommand::Deallocate { name } => self.deallocate(name),
             SessionCommand::Execute { name, arguments } => self.run_prepared(id, name, arguments).await,
@@ -136,7 +122,7 @@
         }
         match self.route() {
             Ok(route) => {
-                self.transaction = Some(Transaction::Deferred(BeginRequest { route, read_only }));
+                self.transaction.set(Transaction::Deferred(BeginRequest { route, read_only }));
                 StatementResponse::done(TransactionState::Open)
             }
             Err(response) => response,
@@ -144,7 +130,7 @@
     }
 
     fn roll_back(&mut self) -> StatementResponse {
-        match self.transaction.take() {
+        match self.transaction.end() {
             None => return StatementResponse::malformed(TransactionState::Idle),
             Some(Transaction::Open(open)) => open.roll_back(self.direct.clone()),
             Some(Transaction::Deferred(_) | Transaction::Failed) => {}
@@ -153,7 +139,7 @@
     }
 
     async fn commit(&mut self, id: Bytes) -> StatementResponse {
-        let response = match self.take_for_step() {
+        let response = match self.transaction.take_for_step() {
             None => StatementResponse::malformed(TransactionState::Idle),
             Some(Transaction::Failed) => {
                 let error = transaction_lost("it had failed and is rolled back");
@@ -161,62 +147,62 @@
             }
             Some(Transaction::Open(open)) => open.commit(&self.direct, id).await,
             // Nothing was run in it; the commit goes to a server all the same, as its success is the server's to report.
-            Some(Transaction::Deferred(request)) => match request.begin(&self.direct, &self.settings).await {
-                Ok(open) => open.commit(&self.direct, id).await,
-                Err(error) => StatementResponse::failed(error, TransactionState::Idle),
-            },
+            Some(Transaction::Deferred(request)) => {
+                match request.begin(&self.direct, self.setup.settings()).await {
+                    Ok(open) => open.commit(&self.direct, id).await,
+                    Err(error) => StatementResponse::failed(error, TransactionState::Idle),
+                }
+            }
         };
-        self.transaction = None;
+        self.transaction.end();
         response
     }
 
-    fn set(&mut self, name: Bytes, value: Bytes) -> StatementResponse {
-        let state = self.transaction_state();
-        if self.settings.len() >= MAX_ENTRIES && !self.settings.contains_key(&name) {
-            return StatementResponse::failed(ErrorCode::TooLarge.with_detail("too many settings"), state);
+    fn done_or_failed(&self, result: Result<(), Error>) -> StatementResponse {
+        match result {
+            Ok(()) => StatementResponse::done(self.transaction_state()),
+            Err(error) => StatementResponse::failed(error, self.transaction_state()),
         }
-        self.settings.insert(name, value);
-        StatementResponse::done(state)
     }
 
     fn prepare(&mut self, name: Bytes, write: bool, template: Bytes) -> StatementResponse {
-        let state = self.transaction_state();
-        if self.prepared.len() >= MAX_ENTRIES && !self.prepared.contains_key(&name) {
-            let error = ErrorCode::TooLarge.with_detail("too many prepared statements");
-            return StatementResponse::failed(error, state);
-        }
-        let own_name = self.direct.prepared_name(write, &template);
-        self.prepared.insert(name, Prepared { write, template, name: own_name });
-        StatementResponse::done(state)
+        let direct = &self.direct;
+        let result = self.setup.prepare(name, || {
+            let own_name = direct.prepared_name(write, &template);
+            PreparedStatement { name: own_name, write, template }
+        });
+        self.done_or_failed(result)
     }
 
     fn deallocate(&mut self, name: Bytes) -> StatementResponse {
         let state = self.transaction_state();
-        match self.prepared.remove(&name) {
-            Some(_) => StatementResponse::done(state),
-            None => StatementResponse::not_prepared(name, state),
+        if self.setup.deallocate(&name) {
+            return StatementResponse::done(state);
         }
+        StatementResponse::not_prepared(name, state)
     }
 
     async fn run_prepared(&mut self, id: Bytes, name: Bytes, arguments: Bytes) -> StatementResponse {
-        let Some(prepared) = self.prepared.get(&name) else {
+        let Some(prepared) = self.setup.prepared(&name).cloned() else {
             // An error of a statement fails the transaction it is in.
             self.abort_transaction();
             return StatementResponse::not_prepared(name, self.transaction_state());
         };
-        let (name, template) = (prepared.name.clone(), prepared.template.clone());
-        let body = StatementBody::Prepared { name, template, arguments };
-        self.run(Statement { id, write: prepared.write, body }).await
+        let write = prepared.write;
+        let body = StatementBody::Prepared { prepared, arguments };
+        self.run(Statement { id, write, body }).await
     }
 
     async fn run(&mut self, statement: Statement) -> StatementResponse {
-        match self.take_for_step() {
+        match self.transaction.take_for_step() {
             None => self.run_outside_transaction(&statement).await,
             Some(Transaction::Open(open)) => self.run_in_transaction(open, &statement).await,
-            Some(Transaction::Deferred(request)) => match request.begin(&self.direct, &self.settings).await {
-                Ok(open) => self.run_in_transaction(Box::new(open), &statement).await,
-                Err(error) => StatementResponse::failed(error, TransactionState::Failed),
-            },
+            Some(Transaction::Deferred(request)) => {
+                match request.begin(&self.direct, self.setup.settings()).await {
+                    Ok(open) => self.run_in_transaction(Box::new(open), &statement).await,
+                    Err(error) => StatementResponse::failed(error, TransactionState::Failed),
+                }
+            }
             Some(Transaction::Failed) => StatementResponse::malformed(TransactionState::Failed),
         }
     }
@@ -226,7 +212,7 @@
             Ok(route) => route,
             Err(response) => return response,
         };
-        let (direct, settings) = (&*self.direct, &self.settings);
+        let (direct, settings) = (&*self.direct, self.setup.settings());
         run_single(SingleStatement { direct, route: &route, settings, statement }).await
     }
 
@@ -235,20 +221,10 @@
         mut open: Box<OpenTransaction>,
         statement: &Statement,
     ) -> StatementResponse {
-        let response = open.run(&self.direct, &self.settings, statement).await;
+        let response = open.run(&self.direct, self.setup.settings(), statement).await;
         if response.transaction_state == TransactionState::Open {
-            self.transaction = Some(Transaction::Open(open));
+            self.transaction.set(Transaction::Open(open));
         }
         response
     }
-
-    /// Takes the transaction out for one step of it. Until the step has succeeded the session counts as failed, so that
-    /// after a cancelled step nothing runs outside the transaction.
-    fn take_for_step(&mut self) -> Option<Transaction> {
-        let transaction = self.transaction.take();
-        if transaction.is_some() {
-            self.transaction = Some(Transaction::Failed);
-        }
-        transaction
-    }
 }
--- a/crates/proxy/src/direct/session_setup.rs
+++ b/crates/proxy/src/direct/session_setup.rs
@@ -1,92 +1,65 @@
-//! Bringing a connection into the state of the session whose statement it is to run.
-use super::connection::{Connection, ConnectionError, SessionSettings};
-use super::monitored_call::CallContext;
-use crate::ports::ServerCall;
+//! The settings and prepared statements of a session, which are brought to the connection that runs its next statement.
+use super::connection::SessionSettings;
 use bytes::Bytes;
-use quincehatch_core::{Millis, Name};
-use quincehatch_runtime::seam;
+use quincehatch_core::{Error, ErrorCode, Name};
+use std::collections::HashMap;
 
-/// Prepared statements on one connection before it is reset.
-const MAX_PREPARED: usize = 256;
+/// Settings, and prepared statements, that one session may have.
+const MAX_ENTRIES: usize = 256;
 
 /// A prepared statement under the proxy's own name for it.
-pub(super) struct PreparedStatement<'a> {
-    pub name: &'a Name,
+#[derive(Clone, Debug)]
+pub(super) struct PreparedStatement {
+    pub name: Name,
     pub write: bool,
-    pub template: &'a Bytes,
+    pub template: Bytes,
 }
 
-impl Connection {
-    /// Brings the connection to exactly these settings: no setting of another session may remain in force.
-    pub(super) async fn apply_settings(
-        &mut self,
-        context: &CallContext<'_>,
-        wanted: &SessionSettings,
-        within: Millis,
-    ) -> Result<(), ConnectionError> {
-        let skip_reset = seam::injected_bug("held-no-reset") && wanted.is_empty();
-        let too_many_prepared = self.prepared.len() > MAX_PREPARED;
-        if (self.settings == *wanted || skip_reset) && !too_many_prepared {
-            return Ok(());
-        }
-        let has_foreign = self.settings.keys().any(|name| !wanted.contains_key(name));
-        if too_many_prepared || has_foreign {
-            self.call_expecting_success(context, &ServerCall::Reset, within).await?;
-            self.settings.clear();
-            self.prepared.clear();
-        }
-        self.set_changed(context, wanted, within).await
+/// The settings and prepared statements of a session.
+#[derive(Default)]
+pub(super) struct SessionSetup {
+    settings: SessionSettings,
+    /// By the client's names.
+    prepared: HashMap<Bytes, PreparedStatement>,
+}
+
+impl SessionSetup {
+    /// The settings.
+    pub fn settings(&self) -> &SessionSettings {
+        &self.settings
     }
 
-    /// Sets what differs, as after a change within a transaction.
-    pub(super) async fn set_changed(
-        &mut self,
-        context: &CallContext<'_>,
-        wanted: &SessionSettings,
-        within: Millis,
-    ) -> Result<(), ConnectionError> {
-        for (name, value) in wanted {
-            if self.settings.get(name) == Some(value) {
-                continue;
-            }
-            let set = ServerCall::Set { name: name.clone(), value: value.clone() };
-            self.call_expecting_success(context, &set, within).await?;
-            self.settings.insert(name.clone(), value.clone());
+    /// Sets a setting.
+    ///
+    /// # Errors
+    /// `TooLarge` when the session has as many settings as it may.
+    pub fn set(&mut self, name: Bytes, value: Bytes) -> Result<(), Error> {
+        if self.settings.len() >= MAX_ENTRIES && !self.settings.contains_key(&name) {
+            return Err(ErrorCode::TooLarge.with_detail("too many settings"));
         }
+        self.settings.insert(name, value);
         Ok(())
     }
 
-    /// Prepares a statement unless it is prepared already.
-    pub(super) async fn prepare(
-        &mut self,
-        context: &CallContext<'_>,
-        statement: &PreparedStatement<'_>,
-        within: Millis,
-    ) -> Result<(), ConnectionError> {
-        if self.prepared.contains(statement.name) {
-            return Ok(());
+    /// The prepared statement with this name of the client's.
+    pub fn prepared(&self, name: &Bytes) -> Option<&PreparedStatement> {
+        self.prepared.get(name)
+    }
+
+    /// Keeps a prepared statement, in place of an earlier one of that name. It is built only if there is room for it.
+    ///
+    /// # Errors
+    /// `TooLarge` when the session has as many as it may.
+    pub fn prepare(&mut self, name: Bytes, build: impl FnOnce() -> PreparedStatement) -> Result<(), Error> {
+        if self.prepared.len() >= MAX_ENTRIES && !self.prepared.contains_key(&name) {
+            return Err(ErrorCode::TooLarge.with_detail("too many prepared statements"));
         }
-        let prepare = ServerCall::Prepare {
-            name: statement.name.clone(),
-            write: statement.write,
-            shape: statement.template.clone(),
-        };
-        self.call_expecting_success(context, &prepare, within).await?;
-        self.prepared.insert(statement.name.clone());
+        self.prepared.insert(name, build());
         Ok(())
     }
 
-    /// A call that a server in good order does not reject.
-    async fn call_expecting_success(
-        &mut self,
-        context: &CallContext<'_>,
-        call: &ServerCall,
-        within: Millis,
-    ) -> Result<(), ConnectionError> {
-        let reply = self.call(context, call, within).await?;
-        match reply.rejection {
-            None => Ok(()),
-            Some(_) => Err(ConnectionError::protocol("a setting was rejected")),
-        }
+    /// Forgets a prepared statement. Returns false if there was none of that name.
+    pub fn deallocate(&mut self, name: &Bytes) -> bool {
+        self.prepared.remove(name).is_some()
     }
 }
--- a/crates/proxy/src/direct/statement.rs
+++ b/crates/proxy/src/direct/statement.rs
@@ -6,7 +6,7 @@
 use super::session_setup::PreparedStatement;
 use crate::ports::{RejectReason, ServerCall, ServerReply};
 use bytes::Bytes;
-use quincehatch_core::{Millis, Name, Position};
+use quincehatch_core::{Millis, Position};
 use quincehatch_runtime::{now, seam};
 
 /// A read or a write as the client gave it.
@@ -21,10 +21,9 @@
 #[derive(Clone, Debug)]
 pub(super) enum StatementBody {
     Text(Bytes),
-    /// A prepared statement, under the proxy's own name for it.
+    /// A prepared statement, and what the client gave as its arguments.
     Prepared {
-        name: Name,
-        template: Bytes,
+        prepared: PreparedStatement,
         arguments: Bytes,
     },
 }
@@ -36,8 +35,8 @@
         let floor = floor.filter(|_| !self.write && !seam::injected_bug("held-no-floor"));
         match &self.body {
             StatementBody::Text(text) => ServerCall::Run { id, text: text.clone(), floor },
-            StatementBody::Prepared { name, arguments, .. } => {
-                ServerCall::Execute { id, name: name.clone(), rest: arguments.clone(), floor }
+            StatementBody::Prepared { prepared, arguments } => {
+                ServerCall::Execute { id, name: prepared.name.clone(), rest: arguments.clone(), floor }
             }
         }
     }
@@ -119,10 +118,8 @@
         } else {
             self.apply_settings(context, execution.settings, execution.time_left()).await?;
         }
-        let statement = execution.statement;
-        if let StatementBody::Prepared { name, template, .. } = &statement.body {
-            let prepared = PreparedStatement { name, write: statement.write, template };
-            self.prepare(context, &prepared, execution.time_left()).await?;
+        if let StatementBody::Prepared { prepared, .. } = &execution.statement.body {
+            self.prepare(context, prepared, execution.time_left()).await?;
         }
         Ok(())
     }
--- a/crates/proxy/src/direct/transaction.rs
+++ b/crates/proxy/src/direct/transaction.rs
@@ -1,178 +1,35 @@
-//! A transaction of a session: one connection from its first statement to its end.
+//! A transaction that is open at a server: one connection from its first statement to its end.
 use super::DirectProxy;
-use super::check_out::check_out;
-use super::connection::{Connection, ConnectionError, SessionSettings};
+use super::connection::SessionSettings;
 use super::monitored_call::{CallContext, PrimaryTerm};
 use super::pool::Checkout;
 use super::replies::{
-    RETRY_AFTER_REJECTION, commit_response, in_doubt_error, leaves_idle, record_primary_position,
-    reject_reason, rejection_error, transaction_lost, transaction_lost_by, unanswered_error, was_not_run,
+    commit_response, in_doubt_error, leaves_idle, record_primary_position, reject_reason, transaction_lost,
+    transaction_lost_by, was_not_run,
 };
 use super::response::StatementResponse;
 use super::retry::Backoff;
-use super::route::{Deadlines, ResolvedRoute};
-use super::server_choice::{
-    ReadTarget, choose_read_target, fence_if_accepting, fence_if_primary, wait_for_primary,
-};
+use super::route::ResolvedRoute;
 use super::statement::{Execution, Statement, StatementAttempt};
-use crate::in_flight::InFlightGuard;
 use crate::ports::{RejectReason, ServerCall, ServerReply, TransactionState};
-use crate::registry::ServerEntry;
+use crate::routing::in_flight::InFlightGuard;
+use crate::routing::registry::ServerEntry;
 use bytes::Bytes;
-use quincehatch_core::{Error, ErrorCode, FencingToken, Millis};
+use quincehatch_core::{FencingToken, Millis};
 use quincehatch_runtime::{now, seam};
 use std::sync::Arc;
 
-/// The transaction of a session.
-pub(super) enum Transaction {
-    /// The client has begun it, and nothing was sent to a server yet.
-    Deferred(BeginRequest),
-    /// It is open at a server.
-    Open(Box<OpenTransaction>),
-    /// It failed. Ending it rolls back, and any other command is rejected.
-    Failed,
-}
-
-/// How a transaction is to begin.
-pub(super) struct BeginRequest {
-    pub route: ResolvedRoute,
-    /// The client said that it only reads.
-    pub read_only: bool,
-}
-
 /// A transaction that is open at a server. Dropping it closes its connection, which rolls it back.
 pub(super) struct OpenTransaction {
-    checkout: Checkout,
-    server: Arc<ServerEntry>,
-    route: ResolvedRoute,
-    wrote: bool,
-    on_primary: bool,
+    pub(super) checkout: Checkout,
+    pub(super) server: Arc<ServerEntry>,
+    pub(super) route: ResolvedRoute,
+    pub(super) wrote: bool,
+    pub(super) on_primary: bool,
     /// The fence under which its server was the primary when it began.
-    fence: FencingToken,
-    _in_flight: Option<InFlightGuard>,
-}
-
-/// How one attempt to begin ended.
-enum BeginAttempt {
-    Begun {
-        checkout: Checkout,
-        fence: FencingToken,
-    },
-    /// The server stopped being the primary before anything was sent.
-    NotStarted,
-    Retry(Error),
-}
-
-impl BeginRequest {
-    /// Begins the transaction at a server that fits.
-    ///
-    /// # Errors
-    /// When no server could be had in time. Nothing of the transaction was run then.
-    pub async fn begin(
-        self,
-        direct: &DirectProxy,
-        settings: &SessionSettings,
-    ) -> Result<OpenTransaction, Error> {
-        let deadlines = self.route.transaction_deadlines();
-        let on_any_server = self.read_only && !self.route.primary_only;
-        let mut tried = Vec::new();
-        let mut backoff = Backoff::default();
-        let mut last_error = ErrorCode::ConnectionsBusy.without_detail();
-        loop {
-            let mut in_flight = None;
-            let target = if on_any_server {
-                choose_read_target(direct, &self.route, &tried, false)
-            } else {
-                // Counted before the primary is looked up: a handover either sees this work, or is seen by it.
-                in_flight = Some(direct.proxy.registry.in_flight.begin(&self.route.group));
-                let server = wait_for_primary(direct, &self.route.group, deadlines.start_by).await?;
-                Some(ReadTarget { server, floor: None })
-            };
-            if let Some(target) = target {
-                match self.attempt(direct, settings, &target, deadlines).await {
-                    BeginAttempt::Begun { checkout, fence } => {
-                        return Ok(self.opened(checkout, target, fence, in_flight));
-                    }
-                    BeginAttempt::NotStarted => {}
-                    BeginAttempt::Retry(error) => last_error = error,
-                }
-                tried.push(target.server);
-            } else {
-                tried.clear();
-            }
-            drop(in_flight);
-            if deadlines.start_passed() {
-                return Err(last_error.with_retry_after(RETRY_AFTER_REJECTION));
-            }
-            backoff.pause().await;
-        }
-    }
-
-    fn opened(
-        self,
-        checkout: Checkout,
-        target: ReadTarget,
-        fence: FencingToken,
-        in_flight: Option<InFlightGuard>,
-    ) -> OpenTransaction {
-        OpenTransaction {
-            checkout,
-            on_primary: target.is_primary(),
-            server: target.server,
-            route: self.route,
-            wrote: false,
-            fence,
-            _in_flight: in_flight,
-        }
-    }
-
-    async fn attempt(
-        &self,
-        direct: &DirectProxy,
-        settings: &SessionSettings,
-        target: &ReadTarget,
-        deadlines: Deadlines,
-    ) -> BeginAttempt {
-        let (route, server) = (&self.route, &target.server);
-        let mut checkout = match check_out(direct, server, settings, route.priority, deadlines.start_by).await
-        {
-            Ok(checkout) => checkout,
-            Err(error) => return BeginAttempt::Retry(error.code().without_detail()),
-        };
-        if target.is_primary() && fence_if_accepting(direct, &route.group, server).is_none() {
-            checkout.check_in();
-            return BeginAttempt::NotStarted;
-        }
-        let context = CallContext::new(direct, server, route);
-        let fence = fence_if_primary(direct, &route.group, server).unwrap_or_default();
-        let begin = ServerCall::Begin { read: self.read_only, floor: target.floor };
-        let reply = match send_begin(&mut checkout.connection, &context, settings, &begin, deadlines).await {
-            Ok(reply) => reply,
-            Err(error) => return BeginAttempt::Retry(unanswered_error(&error)),
-        };
-        if reply.rejection.is_none() && reply.transaction_state == TransactionState::Open {
-            return BeginAttempt::Begun { checkout, fence };
-        }
-        if leaves_idle(&reply) {
-            checkout.check_in();
-        }
-        let reason = reject_reason(&reply).unwrap_or(RejectReason::Other);
-        if reason == RejectReason::NotPrimary && target.is_primary() {
-            server.note_not_primary(now());
-        }
-        BeginAttempt::Retry(rejection_error(reason))
-    }
-}
-
-async fn send_begin(
-    connection: &mut Connection,
-    context: &CallContext<'_>,
-    settings: &SessionSettings,
-    begin: &ServerCall,
-    deadlines: Deadlines,
-) -> Result<ServerReply, ConnectionError> {
-    connection.apply_settings(context, settings, deadlines.time_left()).await?;
-    connection.call(context, begin, deadlines.time_left()).await
+    pub(super) fence: FencingToken,
+    /// Held until the transaction has ended; `None` where it only reads on a replica.
+    pub(super) _in_flight: Option<InFlightGuard>,
 }
 
 impl OpenTransaction {
