--- a/crates/capacity/src/components/gossip.rs
+++ b/crates/capacity/src/components/gossip.rs
@@ -2,8 +2,9 @@
 use crate::cpu::timed;
 use crate::samples::{node_name, node_zone};
 use quincehatch_core::Name;
-use quincehatch_gossip::member::GossipAction;
-use quincehatch_gossip::{GossipEnvelope, GossipMembership, GossipMessage, MemberRecord, MemberStatus};
+use quincehatch_gossip::{
+    GossipAction, GossipEnvelope, GossipMembership, GossipMessage, MemberRecord, MemberStatus,
+};
 use std::collections::BTreeMap;
 
 /// Hosts that one byte of an address counts.
--- a/crates/capacity/src/components/health.rs
+++ b/crates/capacity/src/components/health.rs
@@ -3,8 +3,8 @@
 use crate::samples::{lone_node_settings, server_record};
 use quincehatch_core::{Labels, ServerHeartbeat, ServerRecord};
 use quincehatch_proxy::Proxy;
-use quincehatch_proxy::local_replicas::LocalOnlyReplicas;
 use quincehatch_proxy::probe;
+use quincehatch_proxy::session::replicas::LocalOnlyReplicas;
 use quincehatch_runtime::seam::Spawner;
 
 /// A second of the health checks; the loop over duties looks at each server's state four times in it.
@@ -29,7 +29,7 @@
     }
     let checks = timed(|| {
         for _ in 0..CHECKS_PER_SECOND {
-            probe::judge(&proxy);
+            probe::tick_health(&proxy.registry);
         }
     });
     HealthCheckCost { servers: proxy.registry.servers().len(), cpu_ms: checks.cpu_ms }
--- a/crates/capacity/src/tail_keeper/adoption.rs
+++ b/crates/capacity/src/tail_keeper/adoption.rs
@@ -4,7 +4,7 @@
 use crate::cpu::timed;
 use quincehatch_store::entry_log::{EntryLog, PackedEntry};
 use quincehatch_store::keeper::{Input, Output};
-use quincehatch_store::terms::TRANSFER_MAX_BYTES;
+use quincehatch_store::limits::TRANSFER_MAX_BYTES;
 use quincehatch_store::{Entry, Keeper, KeeperRequest, KeeperResponse, PeerMessage, Request};
 use quincehatch_wire::REQUEST_HEADER_BYTES;
 
--- a/crates/lab/src/bench/overhead.rs
+++ b/crates/lab/src/bench/overhead.rs
@@ -4,7 +4,7 @@
 use crate::cli::FleetOptions;
 use crate::local_fleet;
 use quincehatch_testbed::running::RunningFleet;
-use quincehatch_wire::http::{Call, HttpConnection};
+use quincehatch_wire::http::{HttpConnection, JsonRequest};
 use serde_json::{Value, json};
 use std::time::Instant;
 
@@ -98,7 +98,7 @@
 }
 
 async fn post(connection: &mut HttpConnection, path: &str, body: &Value) -> Result<Value, String> {
-    let call = Call { method: "POST", path, body, token: None };
-    let (_status, reply) = connection.ask(&call).await.map_err(|error| error.to_string())?;
+    let call = JsonRequest { method: "POST", path, body, token: None };
+    let (_status, reply) = connection.call(&call).await.map_err(|error| error.to_string())?;
     Ok(reply)
 }
--- a/crates/lab/src/local_fleet.rs
+++ b/crates/lab/src/local_fleet.rs
@@ -2,7 +2,7 @@
 use crate::cli::FleetOptions;
 use quincehatch_testbed::fleet::{FleetPlan, NodeAddress, Shape, TOKEN, write_plan};
 use quincehatch_testbed::running::RunningFleet;
-use quincehatch_wire::http::{Call, call_once};
+use quincehatch_wire::http::{JsonRequest, call_once};
 use serde_json::{Value, json};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -38,7 +38,7 @@
 async fn push_configuration(plan: &FleetPlan) -> Result<(), String> {
     let text = std::fs::read_to_string(&plan.configuration).map_err(|error| error.to_string())?;
     let body = json!({"text": text, "key": "first", "base": 0, "by": "quincehatch-lab"});
-    let call = Call { method: "POST", path: "/op/push", body: &body, token: Some(TOKEN) };
+    let call = JsonRequest { method: "POST", path: "/op/push", body: &body, token: Some(TOKEN) };
     let deadline = Instant::now() + START_TIMEOUT;
     loop {
         let reply = call_once(&plan.nodes[0].operator_listener, &call, PUSH_TIMEOUT).await;
@@ -62,7 +62,7 @@
 }
 
 async fn wait_until_node_ready(node: &NodeAddress, deadline: Instant) -> Result<(), String> {
-    let call = Call { method: "GET", path: "/ready", body: &Value::Null, token: None };
+    let call = JsonRequest { method: "GET", path: "/ready", body: &Value::Null, token: None };
     loop {
         let reply = call_once(&node.client_listener, &call, READY_TIMEOUT).await;
         if let Ok((HTTP_OK, body)) = &reply
