--- a/crates/lab/src/simulate/control.rs
+++ b/crates/lab/src/simulate/control.rs
@@ -1,21 +1,25 @@
 //! Seeds of the control plane alone.
-use super::violations::{SeedViolations, conclude, print_failed_seeds};
-use super::{SeedReports, combined_trace, run_seeds};
+use super::seeds::{SeedReport, World};
 use crate::cli::SimulationOptions;
 use quincehatch_simulator::control::{self, ControlReport, ControlSimOptions};
 
-const MAX_THREADS: usize = 8;
-const MAX_PRINTED_VIOLATIONS: usize = 6;
 const MS_PER_SECOND: u64 = 1_000;
 
-pub(super) fn run(options: &SimulationOptions) -> Result<(), String> {
-    let SeedReports { mut reports, lost_threads } = run_seeds(options, MAX_THREADS, run_seed);
-    reports.sort_by_key(|report| report.seed);
-    let seeds =
-        reports.iter().map(|report| SeedViolations { seed: report.seed, violations: &report.violations });
-    let failed = print_failed_seeds(seeds, MAX_PRINTED_VIOLATIONS);
-    print_summary(&reports);
-    conclude(failed, lost_threads)
+pub(super) const WORLD: World<ControlReport> =
+    World { max_threads: 8, max_printed_violations: 6, run_seed, summary, print_details: |_, _| {} };
+
+impl SeedReport for ControlReport {
+    fn seed(&self) -> u64 {
+        self.seed
+    }
+
+    fn trace(&self) -> u64 {
+        self.trace
+    }
+
+    fn violations(&self) -> &[String] {
+        &self.violations
+    }
 }
 
 fn run_seed(options: &SimulationOptions, seed: u64) -> ControlReport {
@@ -27,12 +31,11 @@
     })
 }
 
-fn print_summary(reports: &[ControlReport]) {
+fn summary(reports: &[ControlReport]) -> String {
     let sum = |count: fn(&ControlReport) -> usize| reports.iter().map(count).sum::<usize>();
-    println!(
-        "{} seeds: {} submissions, {} acknowledged, {} reads, {} polls under a lease, {} changes, {} views, \
-         settled {} s, trace {:016x}",
-        reports.len(),
+    format!(
+        "{} submissions, {} acknowledged, {} reads, {} polls under a lease, {} changes, {} views, \
+         settled {} s",
         sum(|report| report.submissions),
         sum(|report| report.acknowledged),
         sum(|report| report.reads),
@@ -40,6 +43,5 @@
         reports.iter().map(|report| report.committed).sum::<u64>(),
         reports.iter().map(|report| report.views).sum::<u64>(),
         reports.iter().map(|report| report.settled_ms).sum::<u64>() / MS_PER_SECOND,
-        combined_trace(reports.iter().map(|report| report.trace))
-    );
+    )
 }
--- a/crates/lab/src/simulate/direct.rs
+++ b/crates/lab/src/simulate/direct.rs
@@ -1,25 +1,23 @@
 //! Seeds of whole clusters whose servers are met over their own protocol.
-use super::violations::{SeedViolations, conclude, print_failed_seeds};
-use super::{SeedReports, combined_trace, run_seeds};
+use super::seeds::{SeedReport, World};
 use crate::cli::SimulationOptions;
 use quincehatch_simulator::direct::{self, DirectReport, DirectSimOptions};
 
-const MAX_THREADS: usize = 4;
-const MAX_PRINTED_VIOLATIONS: usize = 8;
+pub(super) const WORLD: World<DirectReport> =
+    World { max_threads: 4, max_printed_violations: 8, run_seed, summary, print_details: print_event_log };
 
-pub(super) fn run(options: &SimulationOptions) -> Result<(), String> {
-    let SeedReports { mut reports, lost_threads } = run_seeds(options, MAX_THREADS, run_seed);
-    reports.sort_by_key(|report| report.seed);
-    let seeds =
-        reports.iter().map(|report| SeedViolations { seed: report.seed, violations: &report.violations });
-    let failed = print_failed_seeds(seeds, MAX_PRINTED_VIOLATIONS);
-    if options.is_verbose() {
-        for event in reports.iter().flat_map(|report| &report.event_log) {
-            println!("  {event}");
-        }
+impl SeedReport for DirectReport {
+    fn seed(&self) -> u64 {
+        self.seed
+    }
+
+    fn trace(&self) -> u64 {
+        self.trace
+    }
+
+    fn violations(&self) -> &[String] {
+        &self.violations
     }
-    print_summary(&reports);
-    conclude(failed, lost_threads)
 }
 
 fn run_seed(options: &SimulationOptions, seed: u64) -> DirectReport {
@@ -32,18 +30,26 @@
     })
 }
 
-fn print_summary(reports: &[DirectReport]) {
+fn summary(reports: &[DirectReport]) -> String {
     let sum = |count: fn(&DirectReport) -> usize| reports.iter().map(count).sum::<usize>();
-    println!(
-        "{} seeds: {} statements, {} commits acknowledged, {} reads, {} configurations, {} promotions, \
-         longest outage {} ms, trace {:016x}",
-        reports.len(),
+    format!(
+        "{} statements, {} commits acknowledged, {} reads, {} configurations, {} promotions, \
+         longest outage {} ms",
         sum(|report| report.statements),
         sum(|report| report.acknowledged),
         sum(|report| report.reads),
         sum(|report| report.config_versions),
         sum(|report| report.promotions),
         reports.iter().map(|report| report.longest_outage_ms).max().unwrap_or(0),
-        combined_trace(reports.iter().map(|report| report.trace))
-    );
+    )
+}
+
+/// A single seed is told as it went.
+fn print_event_log(options: &SimulationOptions, reports: &[DirectReport]) {
+    if !options.is_verbose() {
+        return;
+    }
+    for event in reports.iter().flat_map(|report| &report.event_log) {
+        println!("  {event}");
+    }
 }
--- a/crates/lab/src/simulate/pooled.rs
+++ b/crates/lab/src/simulate/pooled.rs
@@ -1,23 +1,27 @@
 //! Seeds of whole clusters whose servers are met over the pooled path.
-use super::violations::{SeedViolations, conclude, print_failed_seeds};
-use super::{SeedReports, combined_trace, run_seeds};
+use super::seeds::{SeedReport, World};
 use crate::cli::SimulationOptions;
 use quincehatch_simulator::fleet::{self, Report, SimOptions};
 
-const MAX_THREADS: usize = 8;
-const MAX_PRINTED_VIOLATIONS: usize = 8;
 /// One seed in so many has several server groups.
 const MANY_GROUPS_EVERY: u64 = 8;
 const MANY_GROUPS: usize = 3;
 
-pub(super) fn run(options: &SimulationOptions) -> Result<(), String> {
-    let SeedReports { mut reports, lost_threads } = run_seeds(options, MAX_THREADS, run_seed);
-    reports.sort_by_key(|report| report.seed);
-    let seeds =
-        reports.iter().map(|report| SeedViolations { seed: report.seed, violations: &report.violations });
-    let failed = print_failed_seeds(seeds, MAX_PRINTED_VIOLATIONS);
-    print_summary(&reports);
-    conclude(failed, lost_threads)
+pub(super) const WORLD: World<Report> =
+    World { max_threads: 8, max_printed_violations: 8, run_seed, summary, print_details: |_, _| {} };
+
+impl SeedReport for Report {
+    fn seed(&self) -> u64 {
+        self.seed
+    }
+
+    fn trace(&self) -> u64 {
+        self.trace
+    }
+
+    fn violations(&self) -> &[String] {
+        &self.violations
+    }
 }
 
 fn run_seed(options: &SimulationOptions, seed: u64) -> Report {
@@ -33,12 +37,11 @@
     })
 }
 
-fn print_summary(reports: &[Report]) {
+fn summary(reports: &[Report]) -> String {
     let sum = |count: fn(&Report) -> usize| reports.iter().map(count).sum::<usize>();
-    println!(
-        "{} seeds: {} attempts, {} committed, {} reads, {} pushes, {} promotions, {} messages, \
-         longest outage {} ms, trace {:016x}",
-        reports.len(),
+    format!(
+        "{} attempts, {} committed, {} reads, {} pushes, {} promotions, {} messages, \
+         longest outage {} ms",
         sum(|report| report.attempts),
         sum(|report| report.committed),
         sum(|report| report.reads),
@@ -46,6 +49,5 @@
         sum(|report| report.promotions),
         reports.iter().map(|report| report.messages_sent).sum::<u64>(),
         reports.iter().map(|report| report.longest_outage_ms).max().unwrap_or(0),
-        combined_trace(reports.iter().map(|report| report.trace))
-    );
+    )
 }
