--- a/crates/config/src/settings/file.rs
+++ b/crates/config/src/settings/file.rs
@@ -46,6 +46,6 @@
     if log::max_level() != log::LevelFilter::Off {
         deprecated_keys.log(path);
     } else if let Some(notice) = deprecated_keys.notice(path) {
-        eprintln!("{notice}");
+        eprintln!("WARN  config  {notice}");
     }
 }
--- a/crates/lab/src/cli/flags.rs
+++ b/crates/lab/src/cli/flags.rs
@@ -54,9 +54,8 @@
 }
 
 impl Flags {
-    /// Reads the command line; `None` where only a text was asked for and has been printed.
-    pub(super) fn from_command_line() -> Result<Option<Flags>, String> {
-        let mut parser = lexopt::Parser::from_env();
+    /// Reads the arguments; `None` where only a text was asked for and has been printed.
+    pub(super) fn read(mut parser: lexopt::Parser) -> Result<Option<Flags>, String> {
         let mut flags = Flags::default();
         while let Some(argument) = parser.next().map_err(|error| error.to_string())? {
             let name = match argument {
--- a/crates/lab/src/cli/mod.rs
+++ b/crates/lab/src/cli/mod.rs
@@ -1,6 +1,8 @@
 //! The command line.
 mod flags;
 mod help;
+#[cfg(test)]
+mod tests;
 
 use crate::bench::capacity::Measurement;
 use flags::Flags;
@@ -108,7 +110,7 @@
 
 /// Reads the command line; `None` where only a text was asked for and has been printed.
 pub fn parse() -> Result<Option<Command>, String> {
-    match Flags::from_command_line()? {
+    match Flags::read(lexopt::Parser::from_env())? {
         Some(flags) => command(&flags).map(Some),
         None => Ok(None),
     }
