--- a/crates/capacity/src/components/feed.rs
+++ b/crates/capacity/src/components/feed.rs
@@ -1,4 +1,4 @@
-//! What a node does with the changes it is told.
+//! What a node does with the changes that the tail sends it.
 use super::frames::{ADOPTED, NEXT_ADOPTED, feed_snapshot};
 use super::store::{adopt, populated_store};
 use crate::cpu::timed;
--- a/crates/capacity/src/components/frames.rs
+++ b/crates/capacity/src/components/frames.rs
@@ -16,9 +16,9 @@
 pub struct FrameSizes {
     /// The whole store, as keepers send it to each other.
     pub store: usize,
-    /// All that a node is told that starts.
+    /// The snapshot for a node that starts.
     pub snapshot: usize,
-    /// One adopted configuration of which a route changed, as a node is told it.
+    /// One adopted configuration of which a route changed, as the tail sends it to a node.
     pub change: usize,
 }
 
--- a/crates/capacity/src/components/store.rs
+++ b/crates/capacity/src/components/store.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// Adopts a configuration of which one route changed; the change as nodes are told it.
+/// Adopts a configuration of which one route changed; the change as the tail sends it to nodes.
 pub(super) fn adopt(store: &mut Store, groups: usize, number: u64) -> Change {
     let entry = Entry {
         number: store.last_change + 1,
--- a/crates/capacity/src/hollow_fleet/keepers.rs
+++ b/crates/capacity/src/hollow_fleet/keepers.rs
@@ -46,7 +46,7 @@
     let _ = std::fs::create_dir_all(&data_dir);
     let Ok((disk, recovered)) = Disk::open(&data_dir, &name, Some(view)) else { return };
     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
-    // Never told to stop: the keeper ends with the process.
+    // The keeper is never stopped: it ends with the process.
     let (_stop, stopped) = watch::channel(false);
     let start = Box::new(move |state, now| Keeper::new(name.clone(), now, state));
     let host = KeeperHost::new(recovered, now(), start);
--- a/crates/capacity/src/hollow_fleet/mod.rs
+++ b/crates/capacity/src/hollow_fleet/mod.rs
@@ -1,5 +1,5 @@
 //! A cluster of hollow nodes in one process over real loopback sockets: one thread for each keeper and one for all
-//! nodes, so that the kernel's account tells the roles apart.
+//! nodes, so that the kernel accounts for each role apart.
 mod keepers;
 mod nodes;
 mod service;
@@ -65,7 +65,7 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime")
 }
 
-/// Runs one cluster and tells, as JSON, what each role used; the keepers' data goes into `dir`.
+/// Runs one cluster and returns, as JSON, what each role used; the keepers' data goes into `dir`.
 pub fn measure(spec: &FleetSpec, dir: &Path) -> Result<Value, String> {
     let bound = bind_many(spec.keepers).map_err(|error| error.to_string())?;
     let addrs: Vec<String> = bound.iter().map(|keeper| keeper.addr.clone()).collect();
@@ -146,11 +146,11 @@
             .map(|(before, after)| per_second(after - before))
             .collect();
         json!({
-            "least_known": self.nodes.fewest_live(),
+            "fewest_known": self.nodes.fewest_live(),
             "nodes": self.spec.nodes, "groups": self.spec.groups,
             "changes": changes as f64 / seconds, "seconds": seconds,
             "node_ms": thread_ms / nodes, "thread_ms": thread_ms, "node_kib": grown_kib / nodes,
-            "letters": per_second(messages) / nodes, "status": per_second(calls) / nodes,
+            "gossip_messages": per_second(messages) / nodes, "status_calls": per_second(calls) / nodes,
             "head_ms": keeper_ms.first(), "tail_ms": keeper_ms.last(),
         })
     }
--- a/crates/capacity/src/samples.rs
+++ b/crates/capacity/src/samples.rs
@@ -46,7 +46,7 @@
 }
 
 /// The record of a server, counted through all groups; the first of each group is its primary. `seq` is the number of
-/// the heartbeat that told it.
+/// the heartbeat that it came with.
 pub fn server_record(index: usize, seq: u64) -> ServerRecord {
     let group = index / SERVERS_PER_GROUP;
     let member = index % SERVERS_PER_GROUP;
--- a/crates/capacity/src/tail_keeper/load.rs
+++ b/crates/capacity/src/tail_keeper/load.rs
@@ -1,4 +1,4 @@
-//! A second of service at the tail: polls, changes and heartbeats that tell nothing new.
+//! A second of service at the tail: polls, changes and heartbeats with nothing new.
 use super::{ServingTail, TICK_MS, reply_frame_bytes, start_tail};
 use crate::cpu::timed;
 use crate::samples::server_record;
@@ -29,7 +29,7 @@
     pub nodes: usize,
     /// Changed server records written a second.
     pub changes: u64,
-    /// Heartbeats a second that tell nothing new.
+    /// Heartbeats a second with nothing new.
     pub idle_heartbeats: u64,
 }
 
@@ -66,7 +66,7 @@
 struct PollReply {
     node: usize,
     bytes: usize,
-    /// The newest change that the answer tells.
+    /// The newest change in the answer.
     last_change: u64,
 }
 
@@ -77,7 +77,7 @@
     /// Polls in flight: the node of each request's token.
     waiting: BTreeMap<u64, usize>,
     last_token: u64,
-    /// The number of the last heartbeat that told something new.
+    /// The number of the last heartbeat with something new.
     last_seq: u64,
 }
 
--- a/crates/capacity/src/tail_keeper/mod.rs
+++ b/crates/capacity/src/tail_keeper/mod.rs
@@ -23,7 +23,7 @@
     name: Name,
     /// The number of the entry that enrolled it.
     enrolled: u64,
-    /// The last change it was told.
+    /// The last change that it was sent.
     last_change: u64,
 }
 
--- a/crates/config/src/configuration/mod.rs
+++ b/crates/config/src/configuration/mod.rs
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The JSON in which keepers store a configuration and nodes are told it.
+    /// The JSON in which keepers store a configuration and send it to nodes.
     ///
     /// Its keys are those of the first release, byte for byte: nodes of an earlier release in the same cluster read
     /// it, and a push that is repeated through another node must carry the same bytes to be taken as the same push.
--- a/crates/lab/src/bench/capacity/components.rs
+++ b/crates/lab/src/bench/capacity/components.rs
@@ -86,9 +86,9 @@
 fn run_frames() {
     series("whole store, databases", "bytes", &DATABASE_SIZES)
         .run(1, |groups| components::frame_sizes(groups).store as f64);
-    series("told a node that starts, databases", "bytes", &DATABASE_SIZES)
+    series("snapshot for a node that starts, databases", "bytes", &DATABASE_SIZES)
         .run(1, |groups| components::frame_sizes(groups).snapshot as f64);
-    series("told of one adoption, databases", "bytes", &DATABASE_SIZES)
+    series("change of one adoption, databases", "bytes", &DATABASE_SIZES)
         .run(1, |groups| components::frame_sizes(groups).change as f64);
     series("adopted in one transfer, 760 databases", "bytes", &ADOPTION_COUNTS)
         .run(1, |adoptions| tail_keeper::first_transfer_bytes(DATABASES, adoptions as u64) as f64);
--- a/crates/lab/src/bench/capacity/fleets.rs
+++ b/crates/lab/src/bench/capacity/fleets.rs
@@ -37,9 +37,9 @@
         terms: &["1/n", "", "g"],
         values: |nodes, groups| vec![1.0 / nodes, 1.0, groups],
     },
-    Figure { key: "letters", terms: &["", "n"], values: |nodes, _groups| vec![1.0, nodes] },
+    Figure { key: "gossip_messages", terms: &["", "n"], values: |nodes, _groups| vec![1.0, nodes] },
     // A node asks for the status of the servers of its part of the groups.
-    Figure { key: "status", terms: &["g/n"], values: |nodes, groups| vec![groups / nodes] },
+    Figure { key: "status_calls", terms: &["g/n"], values: |nodes, groups| vec![groups / nodes] },
     Figure { key: "tail_ms", terms: &["", "n", "g"], values: |nodes, groups| vec![1.0, nodes, groups] },
     Figure { key: "head_ms", terms: &["", "n", "g"], values: |nodes, groups| vec![1.0, nodes, groups] },
 ];
--- a/crates/lab/src/bench/mod.rs
+++ b/crates/lab/src/bench/mod.rs
@@ -12,17 +12,17 @@
 use quincehatch_capacity::fit::summarize;
 
 /// The names of the benchmarks on clusters of real processes.
-const BENCHMARKS: &str = "front judges push mesh long all-bad faults";
+const BENCHMARKS: &str = "overhead ejection push gossip long-queries replicas-stalled faults";
 
-/// Runs a benchmark by its name; each figure is measured `rounds` times.
+/// Runs a benchmark by its name, which may be a deprecated one; each figure is measured `rounds` times.
 pub async fn run(fleet: &FleetOptions, benchmark: &str, rounds: usize) -> Result<(), String> {
     match benchmark {
-        "front" => overhead::run(fleet, rounds).await,
-        "judges" => ejection::run(fleet, rounds).await,
+        "overhead" | "front" => overhead::run(fleet, rounds).await,
+        "ejection" | "judges" => ejection::run(fleet, rounds).await,
         "push" => push::run(fleet, rounds).await,
-        "mesh" => gossip::run(fleet).await,
-        "long" => lookups::run_long_queries(fleet, rounds).await,
-        "all-bad" => lookups::run_all_replicas_stalled(fleet, rounds).await,
+        "gossip" | "mesh" => gossip::run(fleet).await,
+        "long-queries" | "long" => lookups::run_long_queries(fleet, rounds).await,
+        "replicas-stalled" | "all-bad" => lookups::run_all_replicas_stalled(fleet, rounds).await,
         "faults" => faults::run(fleet, rounds).await,
         other => Err(format!("there is no measurement {other:?}; there are {BENCHMARKS}")),
     }
--- a/crates/lab/src/cli/flags.rs
+++ b/crates/lab/src/cli/flags.rs
@@ -4,7 +4,7 @@
 use std::str::FromStr;
 
 /// Flags without a value.
-const SWITCHES: &[&str] = &["untimed", "final", "hands", "direct", "control"];
+const SWITCHES: &[&str] = &["untimed", "final", "promotion-faults", "direct", "control"];
 /// Flags with a value.
 const VALUE_FLAGS: &[&str] = &[
     "shape",
@@ -36,8 +36,12 @@
     "allow",
 ];
 /// Deprecated flags, with today's names.
-const DEPRECATED_FLAGS: &[(&str, &str)] =
-    &[("held", "direct"), ("door", "client-listener"), ("desk", "operator-listener")];
+const DEPRECATED_FLAGS: &[(&str, &str)] = &[
+    ("held", "direct"),
+    ("hands", "promotion-faults"),
+    ("door", "client-listener"),
+    ("desk", "operator-listener"),
+];
 
 /// A flag that was given, with its value; switches have none.
 struct Flag {
@@ -45,7 +49,7 @@
     value: String,
 }
 
-/// What stands on the command line.
+/// The command line, split into words and flags.
 #[derive(Default)]
 pub(super) struct Flags {
     /// Arguments that are no flags, in order.
--- a/crates/lab/src/cli/help.rs
+++ b/crates/lab/src/cli/help.rs
@@ -6,9 +6,10 @@
        quincehatch-lab try [--scenario NAME|all] [--shape ...] [--seconds N] [--callers N] [--pause-ms N] [--seed N]
                  [--untimed]
        quincehatch-lab sim [--seeds N] [--from SEED] [--keepers N] [--nodes N] [--bug NAME]
-                 [--final|--hands|--direct]
+                 [--final|--promotion-faults|--direct]
        quincehatch-lab sim --control [--allow LIST] [--seeds N] [--from SEED] [--bug NAME]
-       quincehatch-lab bench front|judges|push|mesh|long|all-bad|faults [--rounds N] [--shape ...]
+       quincehatch-lab bench overhead|ejection|push|gossip|long-queries|replicas-stalled|faults
+                 [--rounds N] [--shape ...]
        quincehatch-lab bench capacity [--rounds N] [--part parts|sessions|fleet|changes|counted|all]
        quincehatch-lab stand --name NAME --addr IP:PORT [--label K=V] [--peer IP:PORT]
                    [--operator-listener IP:PORT] [--data DIR] [--relay IP:PORT]
@@ -24,4 +25,4 @@
 
   -h, --help     this text
   -V, --version  the version
-  --held, --door and --desk are the deprecated names of --direct, --client-listener and --operator-listener";
+  Deprecated names are still read: --held, --hands, --door and --desk; bench front, judges, mesh, long and all-bad";
--- a/crates/lab/src/cli/mod.rs
+++ b/crates/lab/src/cli/mod.rs
@@ -102,7 +102,7 @@
 }
 
 impl SimulationOptions {
-    /// A single seed is told as it goes.
+    /// The events of a single seed are printed.
     pub fn is_verbose(&self) -> bool {
         self.seeds == 1
     }
@@ -185,7 +185,7 @@
         nodes: flags.number("nodes", 5)?,
         injected_bug: flags.last("bug"),
         permanent_fault: flags.has("final"),
-        promotion_faults: flags.has("hands"),
+        promotion_faults: flags.has("promotion-faults"),
         allowed: Allowed::parse(&flags.last_or("allow", ""))?,
     })
 }
--- a/crates/lab/src/cli/tests.rs
+++ b/crates/lab/src/cli/tests.rs
@@ -21,6 +21,10 @@
     assert_eq!(simulated_world("sim --direct"), SimulatedWorld::Direct);
     assert_eq!(simulated_world("sim --held"), SimulatedWorld::Direct);
     assert_eq!(simulated_world("sim --control"), SimulatedWorld::ControlPlane);
+    for line in ["sim --promotion-faults", "sim --hands"] {
+        let Ok(Command::Simulate(options)) = parse(line) else { panic!("{line}") };
+        assert!(options.promotion_faults, "{line}");
+    }
 }
 
 #[test]
--- a/crates/lab/src/simulate/direct.rs
+++ b/crates/lab/src/simulate/direct.rs
@@ -44,7 +44,7 @@
     )
 }
 
-/// A single seed is told as it went.
+/// The events of a single seed are printed.
 fn print_event_log(options: &SimulationOptions, reports: &[DirectReport]) {
     if !options.is_verbose() {
         return;
