--- /dev/null
+++ b/crates/core/src/message_macro.rs
@@ -0,0 +1,15 @@
+//! The macro that declares the records which processes exchange or keep on disk.
+
+/// Declares structs and enums with the derives that a message needs: borsh for the wire between the project's own
+/// processes and for the disk, serde for JSON at its edges.
+///
+/// The borsh layout follows the order of fields and variants, so new ones are only ever added at the end.
+#[macro_export]
+macro_rules! messages {
+    ($($(#[$m:meta])* $vis:vis $kind:ident $name:ident { $($body:tt)* })*) => {$(
+        $(#[$m])*
+        #[derive(Clone, Debug, PartialEq, ::borsh::BorshSerialize, ::borsh::BorshDeserialize,
+                 ::serde::Serialize, ::serde::Deserialize)]
+        $vis $kind $name { $($body)* }
+    )*};
+}
--- a/crates/core/src/name_table.rs
+++ b/crates/core/src/name_table.rs
@@ -1,36 +1,49 @@
-//! Names become dense indices at the door (§2.3).
+//! Interned names: dense indices that are cheap to copy and to compare.
 use crate::Name;
 use std::collections::HashMap;
 
-/// Index of a name in a [`Names`] table; only ever grows, so an index stays good for the process's life.
+/// Index of a name in a [`NameTable`]. Tables only grow, so an index stays valid for the life of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct NameIndex(pub u32);
 
+/// Names in the order in which they were first seen.
 #[derive(Debug, Default)]
 pub struct NameTable {
-    by_name: HashMap<Name, NameIndex>,
+    indices: HashMap<Name, NameIndex>,
     names: Vec<Name>,
 }
 
 impl NameTable {
+    /// The index of `name`, which is added if it is new.
     pub fn intern(&mut self, name: &str) -> NameIndex {
-        if let Some(ix) = self.by_name.get(name) {
-            return *ix;
+        if let Some(index) = self.indices.get(name) {
+            return *index;
         }
-        let ix = NameIndex(self.names.len() as u32);
+        let index = NameIndex(self.names.len() as u32);
         self.names.push(name.into());
-        self.by_name.insert(name.into(), ix);
-        ix
+        self.indices.insert(name.into(), index);
+        index
     }
+
+    /// The index of `name`, if it was interned.
     pub fn index_of(&self, name: &str) -> Option<NameIndex> {
-        self.by_name.get(name).copied()
+        self.indices.get(name).copied()
     }
-    pub fn name(&self, ix: NameIndex) -> &Name {
-        &self.names[ix.0 as usize]
+
+    /// The name at `index`.
+    ///
+    /// # Panics
+    /// If the index comes from another table and is out of range here.
+    pub fn name(&self, index: NameIndex) -> &Name {
+        &self.names[index.0 as usize]
     }
+
+    /// Number of interned names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
+
+    /// Is the table empty?
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
--- a/crates/runtime/src/logging.rs
+++ b/crates/runtime/src/logging.rs
@@ -1,27 +1,37 @@
-//! Logging: short sentences, a fixed prefix a part (§2.5). Never statement text, parameters or rows.
+//! Logging. Lines never contain statement texts, parameters or rows, as those belong to the users of the databases.
 use flexi_logger::{DeferredNow, Logger, LoggerHandle, Record};
+use std::io::{self, Write};
 
-/// Keeps the log open and lets its level be changed.
+/// Keeps the log open while it lives, and changes its level.
 pub type LogHandle = LoggerHandle;
-use std::io::Write;
 
-fn line(w: &mut dyn Write, now: &mut DeferredNow, r: &Record<'_>) -> std::io::Result<()> {
-    let at = now.format("%Y-%m-%dT%H:%M:%S%.3f");
-    write!(w, "{at} {:5} {:7} {}", r.level(), r.target(), r.args())
+/// Local time with milliseconds.
+const TIME_FORMAT: &str = "%Y-%m-%dT%H:%M:%S%.3f";
+
+/// Writes one line: time, level, target (the component) and message.
+fn format_record(writer: &mut dyn Write, now: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
+    let at = now.format(TIME_FORMAT);
+    write!(writer, "{at} {:5} {:7} {}", record.level(), record.target(), record.args())
 }
 
-/// Starts the log on stderr; `spec` is like `info` or `debug,chain=trace`.
+/// Starts the log on stderr. `spec` is a level like `info`, or levels by target like `debug,chain=trace`.
+///
+/// # Errors
+/// A sentence for people if `spec` is not valid.
 pub fn start(spec: &str) -> Result<LogHandle, String> {
-    started(spec, Logger::log_to_stderr)
+    start_with_output(spec, Logger::log_to_stderr)
 }
 
-/// The same on stdout.
+/// Starts the log on stdout, otherwise as [`start`] does.
+///
+/// # Errors
+/// A sentence for people if `spec` is not valid.
 pub fn start_on_stdout(spec: &str) -> Result<LogHandle, String> {
-    started(spec, Logger::log_to_stdout)
+    start_with_output(spec, Logger::log_to_stdout)
 }
 
-fn started(spec: &str, to: fn(Logger) -> Logger) -> Result<LogHandle, String> {
+fn start_with_output(spec: &str, choose_output: fn(Logger) -> Logger) -> Result<LogHandle, String> {
     Logger::try_with_str(spec)
-        .and_then(|l| to(l.format(line)).start())
-        .map_err(|e| format!("the log level {spec:?} is not valid: {e}"))
+        .and_then(|logger| choose_output(logger.format(format_record)).start())
+        .map_err(|error| format!("the log level {spec:?} is not valid: {error}"))
 }
--- a/crates/runtime/src/rng.rs
+++ b/crates/runtime/src/rng.rs
@@ -1,32 +1,45 @@
-//! A tiny seeded generator for the simulator and for jitter (§9.1): same seed, same run.
+//! A small seeded random number generator (SplitMix64) for the simulator and for jitter: the same seed gives the same
+//! run. It is not for secrets.
+use quincehatch_core::mix64;
 
+/// Step of the SplitMix64 sequence.
+const INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// A seeded generator.
 #[derive(Clone, Debug)]
 pub struct Rng(u64);
 
 impl Rng {
+    /// A generator whose sequence depends on `seed` alone.
     pub fn new(seed: u64) -> Self {
-        Self(seed ^ 0x9e37_79b9_7f4a_7c15)
+        Self(seed ^ INCREMENT)
     }
+
+    /// The next number, over the whole range.
     pub fn next_u64(&mut self) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.0;
-        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        z ^ (z >> 31)
+        self.0 = self.0.wrapping_add(INCREMENT);
+        mix64(self.0)
     }
-    /// A number in `0..n`; 0 when `n` is 0.
-    pub fn below(&mut self, n: u64) -> u64 {
-        if n == 0 { 0 } else { self.next_u64() % n }
+
+    /// A number in `0..limit`; 0, without a draw, when `limit` is 0.
+    pub fn below(&mut self, limit: u64) -> u64 {
+        if limit == 0 { 0 } else { self.next_u64() % limit }
     }
+
+    /// `true` in `per_mille` of a thousand draws.
     pub fn chance(&mut self, per_mille: u64) -> bool {
         self.below(1000) < per_mille
     }
-    pub fn pick<'a, T>(&mut self, v: &'a [T]) -> Option<&'a T> {
-        v.get(self.below(v.len() as u64) as usize)
+
+    /// One of `items`; `None` if there are none.
+    pub fn pick<'a, T>(&mut self, items: &'a [T]) -> Option<&'a T> {
+        items.get(self.below(items.len() as u64) as usize)
     }
-    pub fn shuffle<T>(&mut self, v: &mut [T]) {
-        for i in (1..v.len()).rev() {
-            v.swap(i, self.below(i as u64 + 1) as usize);
+
+    /// Puts the items in random order (Fisher-Yates).
+    pub fn shuffle<T>(&mut self, items: &mut [T]) {
+        for i in (1..items.len()).rev() {
+            items.swap(i, self.below(i as u64 + 1) as usize);
         }
     }
 }
