--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -6,8 +6,8 @@
 use quincehatch_node::store_client::StoreClient;
 use quincehatch_node::{ClusterNode, gossip};
 use quincehatch_runtime::{now, seam};
-use quincehatch_store::disk::Disk;
 use quincehatch_store::host::KeeperHost;
+use quincehatch_store::storage::disk::{Disk, OpenedDisk};
 use quincehatch_store::{Command, Keeper, View, Voter, driver};
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
@@ -43,7 +43,9 @@
         let _ = tx.send(this_thread());
         runtime().block_on(async {
             let _ = std::fs::create_dir_all(&dir);
-            let Ok((disk, found)) = Disk::open(&dir, &name, Some(view)) else { return };
+            let Ok(OpenedDisk { disk, state: found, .. }) = Disk::open(&dir, &name, Some(view)) else {
+                return;
+            };
             let Ok(lst) = TcpListener::from_std(lst) else { return };
             let (_stop, stopped) = tokio::sync::watch::channel(false);
             let me = Name::from(name.as_str());
--- a/crates/capacity/src/parts.rs
+++ b/crates/capacity/src/parts.rs
@@ -3,7 +3,7 @@
 use quincehatch_core::{Name, PrimaryAssignment};
 use quincehatch_gossip::{GossipMembership, MemberRecord, MemberStatus, duty};
 use quincehatch_proxy::registry::ClusterState;
-use quincehatch_store::patch::PackedText;
+use quincehatch_store::compression::PackedText;
 use quincehatch_store::store::{MAX_ANSWERED_WRITES, promotion_duty_key};
 use quincehatch_store::{Answer, Command, Entry, FeedSnapshot, FeedState, KeeperResponse, Reply, Store};
 use quincehatch_wire::{ANSWER_HEADER_BYTES, LENGTH_BYTES};
@@ -131,7 +131,7 @@
         key: format!("adopt/{number}").into(),
         command: Command::AdoptDocument { number, text, source, by },
     };
-    let news = s.apply_with_event(&e).map(|a| a.1);
+    let news = s.apply_with_event(&e).map(|applied| applied.event);
     quincehatch_store::Change { number: e.number, event: news.expect("it is the next") }
 }
 
@@ -146,7 +146,7 @@
         assert!(k.apply(&c));
         quincehatch_node::feed::cluster_state_from(&k, &had)
     });
-    let news = quincehatch_store::FeedEvent::RegisterServer { at: standing(1, 9_999) };
+    let news = quincehatch_store::FeedEvent::RegisterServer { record: standing(1, 9_999) };
     let c = quincehatch_store::Change { number: k.last_change + 1, event: news };
     let (stood, _) = cost(|| {
         assert!(k.apply(&c));
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -1,133 +1,127 @@
-//! quincehatch-keeper: a chain keeper, on a machine with a disk (§5).
+//! `quincehatch-keeper`: a keeper of the replicated store, on a machine with a disk.
+#![warn(
+    missing_docs,
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::many_single_char_names,
+    clippy::min_ident_chars
+)]
+
+mod args;
+
+use args::{Args, FirstStart};
 use quincehatch_config::settings::{KeeperSettings, read_file};
 use quincehatch_core::{Error, ErrorCode, Name};
 use quincehatch_runtime::now;
-use quincehatch_store::disk::Disk;
+use quincehatch_store::driver::run_keeper;
 use quincehatch_store::host::KeeperHost;
-use quincehatch_store::{Keeper, View, Voter, driver};
-
-const HELP: &str = "quincehatch-keeper: a chain keeper of quincehatch
-
-usage: quincehatch-keeper --settings FILE [--init | --join | --check]
+use quincehatch_store::storage::disk::{Disk, OpenedDisk};
+use quincehatch_store::{Keeper, View, Voter};
+use std::fmt::Display;
+use std::path::Path;
+use tokio::net::TcpListener;
+use tokio::signal::unix::{SignalKind, signal};
+use tokio::sync::watch;
 
-  --settings FILE   the settings file (TOML)
-  --init            first start of the whole chain: make the data folder
-  --join            first start of a machine that `quincehatchctl members --add` brings in
-  --check           check the settings and end
-  --log SPEC        like info, or debug,chain=trace; wins over the file
-  -h, --help        this text
-  -V, --version     the version";
+/// Threads of the runtime: the keeper itself runs on one, connections on the other.
+const RUNTIME_THREADS: usize = 2;
+/// Exit status where the arguments or the settings are not valid.
+const EXIT_USAGE: i32 = 2;
+/// Exit status where the keeper could not start or had to stop.
+const EXIT_FAILURE: i32 = 1;
 
-#[derive(Default)]
-struct Args {
-    file: Option<String>,
-    log: Option<String>,
-    init: bool,
-    join: bool,
-    check: bool,
+fn invalid_settings(reason: impl Display) -> Error {
+    ErrorCode::InvalidSettings.with_detail(reason)
 }
 
-fn bad(e: impl std::fmt::Display) -> Error {
-    ErrorCode::InvalidSettings.with_detail(e)
-}
-
-fn args() -> Result<Option<Args>, Error> {
-    use lexopt::prelude::*;
-    let mut p = lexopt::Parser::from_env();
-    let mut a = Args::default();
-    while let Some(x) = p.next().map_err(bad)? {
-        match x {
-            Short('h') | Long("help") => {
-                println!("{HELP}");
-                return Ok(None);
-            }
-            Short('V') | Long("version") => {
-                println!("quincehatch-keeper {}", env!("CARGO_PKG_VERSION"));
-                return Ok(None);
-            }
-            Long("settings") => a.file = Some(p.value().and_then(|v| v.string()).map_err(bad)?),
-            Long("log") => a.log = Some(p.value().and_then(|v| v.string()).map_err(bad)?),
-            Long("init") => a.init = true,
-            Long("join") => a.join = true,
-            Long("check") => a.check = true,
-            other => return Err(bad(other.unexpected())),
-        }
+fn main() {
+    let args = match args::parse() {
+        Ok(Some(args)) => args,
+        Ok(None) => return,
+        Err(error) => exit_with(&error, EXIT_USAGE),
+    };
+    let settings = match read_settings(&args) {
+        Ok(settings) => settings,
+        Err(error) => exit_with(&error, EXIT_USAGE),
+    };
+    if args.check {
+        println!("the settings are valid");
+        return;
     }
-    if a.init && a.join {
-        return Err(bad("--init and --join exclude each other"));
+    if let Err(error) = run(&args, &settings) {
+        exit_with(&error, EXIT_FAILURE);
     }
-    Ok(Some(a))
 }
 
-fn settings(a: &Args) -> Result<KeeperSettings, Error> {
-    let file = a.file.as_ref().ok_or_else(|| bad("--settings is missing"))?;
-    let mut s: KeeperSettings = read_file(file)?;
-    if let Some(l) = &a.log {
-        s.log = l.clone();
-    }
-    s.validate().map(|()| s)
+fn exit_with(error: &Error, status: i32) -> ! {
+    eprintln!("quincehatch-keeper: {error}");
+    std::process::exit(status)
 }
 
-/// The view a fresh folder begins with: all machines at first, none for one that joins.
-fn first(a: &Args, s: &KeeperSettings) -> Option<View> {
-    let machines: Vec<Voter> =
-        s.voters().into_iter().map(|(n, ad)| Voter { name: n.into(), addr: ad.into() }).collect();
-    let members = machines.iter().map(|m| m.name.clone()).collect();
-    match (a.init, a.join) {
-        (true, _) => Some(View { version: 1, members, voters: machines }),
-        (_, true) => Some(View::default()),
-        _ => None,
+/// The settings of the file, with the log level of the command line where it gives one.
+fn read_settings(args: &Args) -> Result<KeeperSettings, Error> {
+    let file = args.settings_file.as_ref().ok_or_else(|| invalid_settings("--settings is missing"))?;
+    let mut settings: KeeperSettings = read_file(file)?;
+    if let Some(level) = &args.log {
+        settings.log = level.clone();
     }
+    settings.validate()?;
+    Ok(settings)
 }
 
-fn main() {
-    let a = match args() {
-        Ok(Some(a)) => a,
-        Ok(None) => return,
-        Err(b) => {
-            eprintln!("quincehatch-keeper: {b}");
-            std::process::exit(2);
-        }
-    };
-    let set = match settings(&a) {
-        Ok(s) => s,
-        Err(b) => {
-            eprintln!("quincehatch-keeper: {b}");
-            std::process::exit(2);
+/// The view with which a new data directory begins: all voters on the first start of the whole chain, none on a machine
+/// that joins one. `None` if the directory is not new.
+fn first_view(first_start: Option<FirstStart>, settings: &KeeperSettings) -> Option<View> {
+    match first_start? {
+        FirstStart::Join => Some(View::default()),
+        FirstStart::Init => {
+            let voters: Vec<Voter> = settings
+                .voters()
+                .into_iter()
+                .map(|(name, addr)| Voter { name: name.into(), addr: addr.into() })
+                .collect();
+            let members = voters.iter().map(|voter| voter.name.clone()).collect();
+            Some(View { version: 1, members, voters })
         }
-    };
-    if a.check {
-        println!("the settings are valid");
-        return;
-    }
-    let rt = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    if let Err(b) = rt.map_err(bad).and_then(|rt| rt.block_on(serve(&a, &set))) {
-        eprintln!("quincehatch-keeper: {b}");
-        std::process::exit(1);
     }
 }
 
-async fn serve(a: &Args, set: &KeeperSettings) -> Result<(), Error> {
-    let _log = quincehatch_runtime::logging::start(&set.log).map_err(bad)?;
-    let (disk, found) = Disk::open(std::path::Path::new(&set.data_dir), &set.name, first(a, set))?;
-    let lst = tokio::net::TcpListener::bind(&set.addr)
+fn run(args: &Args, settings: &KeeperSettings) -> Result<(), Error> {
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(RUNTIME_THREADS)
+        .enable_all()
+        .build()
+        .map_err(invalid_settings)?;
+    runtime.block_on(serve(args, settings))
+}
+
+async fn serve(args: &Args, settings: &KeeperSettings) -> Result<(), Error> {
+    let _log = quincehatch_runtime::logging::start(&settings.log).map_err(invalid_settings)?;
+    let view = first_view(args.first_start, settings);
+    let OpenedDisk { disk, state, .. } = Disk::open(Path::new(&settings.data_dir), &settings.name, view)?;
+    let listener = TcpListener::bind(&settings.addr)
         .await
-        .map_err(|e| ErrorCode::PortInUse.with_detail(format_args!("{}: {e}", set.addr)))?;
-    log::info!(target: "chain", "keeper {} listens on {}, view {}, change {}", set.name, set.addr,
-        found.view.version, found.store.last_change);
-    let me = Name::from(set.name.as_str());
-    let host = KeeperHost::new(found, now(), Box::new(move |state, now| Keeper::new(me.clone(), now, state)));
-    let (tx, rx) = tokio::sync::watch::channel(false);
-    tokio::spawn(async move {
-        use tokio::signal::unix::{SignalKind, signal};
-        let (Ok(mut t), Ok(mut i)) = (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
-        else {
-            return;
-        };
-        tokio::select! { _ = t.recv() => {}, _ = i.recv() => {} }
-        log::info!(target: "chain", "stopping");
-        let _ = tx.send(true);
-        std::future::pending::<()>().await;
-    });
-    driver::run_keeper(host, disk, lst, rx).await
+        .map_err(|error| ErrorCode::PortInUse.with_detail(format_args!("{}: {error}", settings.addr)))?;
+    log::info!(target: "chain", "keeper {} listens on {}, view {}, change {}", settings.name, settings.addr,
+        state.view.version, state.store.last_change);
+    let name = Name::from(settings.name.as_str());
+    let make_keeper = Box::new(move |state, now| Keeper::new(name.clone(), now, state));
+    let host = KeeperHost::new(state, now(), make_keeper);
+    let (stop, stopped) = watch::channel(false);
+    tokio::spawn(stop_on_signal(stop));
+    run_keeper(host, disk, listener, stopped).await
+}
+
+/// Tells the keeper to stop when the process gets SIGTERM or SIGINT.
+async fn stop_on_signal(stop: watch::Sender<bool>) {
+    let Ok(mut terminate) = signal(SignalKind::terminate()) else { return };
+    let Ok(mut interrupt) = signal(SignalKind::interrupt()) else { return };
+    tokio::select! {
+        _ = terminate.recv() => {}
+        _ = interrupt.recv() => {}
+    }
+    log::info!(target: "chain", "stopping");
+    let _ = stop.send(true);
+    // A dropped sender would count as a second change.
+    std::future::pending::<()>().await;
 }
--- a/crates/simulator/src/control/door.rs
+++ b/crates/simulator/src/control/door.rs
@@ -6,7 +6,7 @@
 use quincehatch_node::store_client::StoreClient;
 use quincehatch_runtime::seam::{self, BoxFuture};
 use quincehatch_store::Command;
-use quincehatch_store::documents::document_digest;
+use quincehatch_store::store::document_digest;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/store/src/chain.rs
+++ b/crates/store/src/chain.rs
@@ -1,8 +1,10 @@
 //! Replication along the chain: passing entries down, acknowledging up, catching up (§5.2, §5.3).
 use crate::entry_log::PackedEntry;
+use crate::feed::AppliedEntry;
 use crate::keeper::{Keeper, Output, Record};
 use crate::messages::{Answer, Command, Entry, PeerMessage, View};
 use crate::snapshot::SnapshotProgress;
+use crate::snapshot_transfer::TransferPurpose;
 use crate::terms::{NODE_LEASE, TRANSFER_MAX_BYTES, VIEW_LEASE, with_clock_drift};
 use quincehatch_core::{ChangeNumber, Name, Version};
 
@@ -54,7 +56,7 @@
     }
 
     pub(crate) fn append_entry(&mut self, e: &Entry, packed: PackedEntry) -> Option<Answer> {
-        let (a, news) = self.store.apply_with_event(e)?;
+        let AppliedEntry { answer: a, event: news } = self.store.apply_with_event(e)?;
         if let Command::DismissNode { node, .. } = &e.command
             && !self.store.nodes.contains_key(node)
         {
@@ -139,7 +141,7 @@
                 entries,
                 last_change: self.store.last_change,
             },
-            None => self.snapshot_message(false, progress),
+            None => self.snapshot_message(TransferPurpose::CatchUp, progress),
         };
         self.send(from, m);
         self.hand_over_leases();
--- a/crates/store/src/entry_log.rs
+++ b/crates/store/src/entry_log.rs
@@ -1,36 +1,43 @@
-//! The newest entries of the chain, kept packed for members that lag behind; bounded in number and in bytes (§5.7).
+//! The newest entries of the replicated log, kept packed for members that lag behind.
+use crate::compression::PackedBytes;
 use crate::messages::Entry;
-use crate::packed::PackedBytes;
 use crate::terms::{LOG_MAX_BYTES, LOG_MAX_ENTRIES};
 use quincehatch_core::{ChangeNumber, messages};
 use std::collections::VecDeque;
 
 messages! {
-    /// An entry, serialised and packed once: so it is kept in memory, written to disk and passed down the chain.
+    /// An entry, serialised and packed once: in this form it is kept in memory, written to disk and sent down the chain.
     #[derive(Eq)]
-    pub struct PackedEntry { pub number: ChangeNumber, pub bytes: PackedBytes }
+    pub struct PackedEntry {
+        /// Number of the entry.
+        pub number: ChangeNumber,
+        /// The serialised entry.
+        pub bytes: PackedBytes
+    }
 }
 
 impl PackedEntry {
+    /// Packs an entry.
     pub fn pack(entry: &Entry) -> Self {
-        let bytes = borsh::to_vec(entry).unwrap_or_default();
-        Self { number: entry.number, bytes: PackedBytes::pack(bytes) }
+        let serialised = borsh::to_vec(entry).unwrap_or_default();
+        Self { number: entry.number, bytes: PackedBytes::pack(serialised) }
     }
 
     /// The entry; `None` if the bytes are damaged or hold another number.
     pub fn unpack(&self) -> Option<Entry> {
-        let bytes = self.bytes.unpack()?;
-        let entry: Entry = borsh::from_slice(&bytes).ok()?;
+        let serialised = self.bytes.unpack()?;
+        let entry: Entry = borsh::from_slice(&serialised).ok()?;
         (entry.number == self.number).then_some(entry)
     }
 
+    /// Length of the packed form, in bytes.
     pub fn size(&self) -> usize {
         self.bytes.size()
     }
 }
 
-/// Consecutive entries up to the newest one. The oldest are dropped when there are more than [`LOG_KEEP`] or they take
-/// more than [`LOG_BYTES`]; the newest always stays.
+/// Consecutive entries up to the newest one. The oldest are dropped when there are more than [`LOG_MAX_ENTRIES`] or they
+/// take more than [`LOG_MAX_BYTES`]; the newest always stays.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EntryLog {
     entries: VecDeque<PackedEntry>,
@@ -38,28 +45,38 @@
 }
 
 impl EntryLog {
+    /// Adds the entry that follows the newest one.
     pub fn push_back(&mut self, entry: PackedEntry) {
         self.bytes += entry.size();
         self.entries.push_back(entry);
-        while self.entries.len() > LOG_MAX_ENTRIES || (self.entries.len() > 1 && self.bytes > LOG_MAX_BYTES) {
+        while self.exceeds_limits() {
             self.pop_front();
         }
     }
 
+    fn exceeds_limits(&self) -> bool {
+        let is_too_large = self.entries.len() > 1 && self.bytes > LOG_MAX_BYTES;
+        self.entries.len() > LOG_MAX_ENTRIES || is_too_large
+    }
+
+    /// Removes the oldest entry.
     pub fn pop_front(&mut self) -> Option<PackedEntry> {
         let entry = self.entries.pop_front()?;
         self.bytes -= entry.size();
         Some(entry)
     }
 
+    /// Removes all entries.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
+    /// Number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
+    /// Is the log empty?
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -69,29 +86,30 @@
         self.bytes
     }
 
+    /// The entries, oldest first.
     pub fn iter(&self) -> impl Iterator<Item = &PackedEntry> {
         self.entries.iter()
     }
 
-    /// Does the log hold every entry that follows `n`, as far as there are any?
-    pub fn reaches_back_to(&self, n: ChangeNumber) -> bool {
-        self.entries.front().is_some_and(|first| first.number <= n + 1)
+    /// Does the log hold every entry that follows `number`, as far as there are any?
+    pub fn reaches_back_to(&self, number: ChangeNumber) -> bool {
+        self.entries.front().is_some_and(|oldest| oldest.number <= number + 1)
     }
 
-    /// The entries that follow `n`, as many as `most` bytes hold but at least one; `None` if they were dropped.
-    pub fn entries_after(&self, n: ChangeNumber, most: usize) -> Option<Vec<PackedEntry>> {
-        if !self.reaches_back_to(n) {
+    /// The entries that follow `number`, up to `max_bytes` but at least one; `None` if some of them were dropped.
+    pub fn entries_after(&self, number: ChangeNumber, max_bytes: usize) -> Option<Vec<PackedEntry>> {
+        if !self.reaches_back_to(number) {
             return None;
         }
-        let mut taken = Vec::new();
+        let mut following = Vec::new();
         let mut bytes = 0;
-        for entry in self.entries.iter().filter(|e| e.number > n) {
+        for entry in self.entries.iter().filter(|entry| entry.number > number) {
             bytes += entry.size();
-            if bytes > most && !taken.is_empty() {
+            if bytes > max_bytes && !following.is_empty() {
                 break;
             }
-            taken.push(entry.clone());
+            following.push(entry.clone());
         }
-        Some(taken)
+        Some(following)
     }
 }
--- a/crates/store/src/host.rs
+++ b/crates/store/src/host.rs
@@ -1,67 +1,57 @@
-//! A keeper together with the state of its disk: running, or suspended until the disk takes writes again (§5.7).
-//! Sans-IO: the caller does the writes and tells how they went.
-use crate::disk_port::DiskUsage;
+//! A keeper together with the state of its disk: running, or suspended until the disk takes writes again. It does no I/O
+//! itself: the caller does the writes and reports their results.
+
+mod batch;
+mod pending_requests;
+mod suspension;
+
+pub use batch::Batch;
+pub(crate) use pending_requests::RETRY_PENDING_AFTER;
+
 use crate::keeper::Keeper;
 use crate::messages::{KeeperStatus, Reply, Request, View};
 use crate::stale_reply;
-use crate::step::{Input, Output, Record, RecoveredState};
+use crate::step::{Input, Output, RecoveredState};
+use crate::storage::disk_usage::DiskUsage;
+use pending_requests::PendingRequests;
 use quincehatch_core::{Error, ErrorCode, Millis, Name};
-use std::collections::BTreeSet;
+use suspension::Suspension;
 
-/// Time between two attempts to open the folder of a suspended keeper.
-const PROBE_EVERY: Millis = 250;
-/// What clients of a suspended keeper are told to wait.
-const RETRY_AFTER: Millis = 1_000;
-/// What a client whose write was under way is told to wait.
-pub(crate) const RETRY_PENDING_AFTER: Millis = 500;
+/// Clients of a suspended keeper are told to retry after this time, in milliseconds.
+const RETRY_SUSPENDED_AFTER: Millis = 1_000;
 
-/// Makes a keeper of what its disk holds.
+/// Makes a keeper of what its disk holds; the time is that of its start.
 pub type KeeperFactory = Box<dyn Fn(RecoveredState, Millis) -> Keeper + Send>;
 
-/// Why and since when a keeper takes no part in the chain.
-#[derive(Debug)]
-struct Suspension {
-    why: Error,
-    since: Millis,
-    next_probe: Millis,
-    view: View,
-}
-
-enum State {
+enum HostState {
     Running(Box<Keeper>),
     Suspended(Suspension),
 }
 
-/// Outputs of some steps. Nothing of them may leave before `records` are durable.
-#[derive(Debug, Default)]
-pub struct Batch {
-    pub records: Vec<Record>,
-    outputs: Vec<Output>,
-}
-
+/// A keeper and the state of its disk.
 pub struct KeeperHost {
     name: Name,
-    state: State,
+    state: HostState,
     make_keeper: KeeperFactory,
-    /// Requests that were not answered yet.
-    pending: BTreeSet<u64>,
-    /// The newest seeds, for a keeper made later.
+    pending: PendingRequests,
+    /// The newest seeds, for a keeper that is made later.
     seeds: Option<Vec<Name>>,
-    /// It was told to leave the chain.
+    /// The process is to stop, so the keeper leaves the chain.
     is_leaving: bool,
     usage: DiskUsage,
-    /// A write is under way and lasts too long.
+    /// A write is under way and takes too long.
     is_stalled: bool,
 }
 
 impl KeeperHost {
+    /// Starts the keeper from what its disk holds.
     pub fn new(state: RecoveredState, now: Millis, make_keeper: KeeperFactory) -> Self {
         let keeper = make_keeper(state, now);
         Self {
             name: keeper.name.clone(),
-            state: State::Running(Box::new(keeper)),
+            state: HostState::Running(Box::new(keeper)),
             make_keeper,
-            pending: BTreeSet::new(),
+            pending: PendingRequests::default(),
             seeds: None,
             is_leaving: false,
             usage: DiskUsage::default(),
@@ -69,6 +59,7 @@
         }
     }
 
+    /// Name of the keeper.
     pub fn name(&self) -> &Name {
         &self.name
     }
@@ -76,177 +67,170 @@
     /// The keeper, unless it is suspended.
     pub fn keeper(&self) -> Option<&Keeper> {
         match &self.state {
-            State::Running(keeper) => Some(keeper),
-            State::Suspended(_) => None,
+            HostState::Running(keeper) => Some(keeper),
+            HostState::Suspended(_) => None,
         }
     }
 
     /// May the process end? A suspended keeper is out of the chain already.
     pub fn has_left(&self) -> bool {
         match &self.state {
-            State::Running(keeper) => keeper.has_left(),
-            State::Suspended(_) => self.is_leaving,
+            HostState::Running(keeper) => keeper.has_left(),
+            HostState::Suspended(_) => self.is_leaving,
         }
     }
 
+    /// Records how much of its allowed size the disk takes.
     pub fn record_disk_usage(&mut self, usage: DiskUsage) {
         self.usage = usage;
-        if let State::Running(keeper) = &mut self.state {
+        if let HostState::Running(keeper) = &mut self.state {
             keeper.set_disk_usage(usage);
         }
     }
 
-    /// Takes one input into the batch. A suspended keeper answers requests and ignores its peers.
+    /// Processes one input; its records and outputs are added to the batch. A suspended keeper answers requests and
+    /// ignores its peers.
     pub fn step(&mut self, now: Millis, input: Input, batch: &mut Batch) {
-        if let Input::Seeds(seeds) = &input {
-            self.seeds = Some(seeds.clone());
-        }
-        self.is_leaving |= matches!(input, Input::Leave { .. });
-        if let Input::Request { token, .. } = &input {
-            self.pending.insert(*token);
-        }
+        self.note_input(&input);
         match &mut self.state {
-            State::Running(keeper) => {
+            HostState::Running(keeper) => {
                 for output in keeper.step(now, input) {
-                    match output {
-                        Output::Persist(record) => batch.records.push(record),
-                        other => batch.outputs.push(other),
-                    }
+                    batch.add(output);
                 }
             }
-            State::Suspended(_) => {
+            HostState::Suspended(_) => {
                 if let Input::Request { token, request } = input {
-                    batch.outputs.push(Output::Reply(token, self.unavailable_reply(&request)));
+                    let reply = self.unavailable_reply(&request);
+                    batch.add(Output::Reply(token, reply));
                 }
             }
         }
     }
 
-    /// What may leave, now that the batch's records were saved, or could not be.
+    /// Remembers what outlives a suspension.
+    fn note_input(&mut self, input: &Input) {
+        match input {
+            Input::Seeds(seeds) => self.seeds = Some(seeds.clone()),
+            Input::Leave { .. } => self.is_leaving = true,
+            Input::Request { token, .. } => self.pending.add(*token),
+            _ => {}
+        }
+    }
+
+    /// The outputs that may leave, now that the batch's records were saved or the disk failed. A keeper whose disk
+    /// failed is suspended: it cannot know which of the records are durable.
     pub fn complete_save(&mut self, now: Millis, saved: Result<(), Error>, batch: Batch) -> Vec<Output> {
         self.is_stalled = false;
         let outputs = match saved {
-            Ok(()) => self.confirm(now, batch.outputs),
-            Err(why) => self.suspend(now, why),
+            Ok(()) => self.check_replies(now, batch.outputs),
+            Err(error) => self.suspend(now, error),
         };
         outputs.into_iter().filter(|output| self.is_awaited(output)).collect()
     }
 
-    /// A write that lasts too long: whoever waits is told to ask again, as others may go on without this keeper.
+    /// A write takes too long: the replies that tell all waiting clients to retry, as the other keepers may go on without
+    /// this one.
     pub fn reject_pending(&mut self) -> Vec<Output> {
         self.is_stalled = true;
-        let declined = self.declines();
+        let rejections = self.pending.rejections();
         self.pending.clear();
-        declined
+        rejections
     }
 
-    /// The answer to a request that no keeper can take now.
+    /// The reply to a request while the keeper is suspended or its disk stalls.
     pub fn unavailable_reply(&self, request: &Request) -> Reply {
         match request {
             Request::Status => Reply::Status { status: self.status() },
             _ => {
-                let why = ErrorCode::ChainUnavailable
+                let error = ErrorCode::ChainUnavailable
                     .with_detail("the disk of this keeper takes no writes")
-                    .with_retry_after(RETRY_AFTER);
-                Reply::Rejected { error: why }
+                    .with_retry_after(RETRY_SUSPENDED_AFTER);
+                Reply::Rejected { error }
             }
         }
     }
 
-    /// Is it time to try the disk of a suspended keeper?
+    /// Is it time to try the disk of a suspended keeper again?
     pub fn is_probe_due(&self, now: Millis) -> bool {
-        matches!(&self.state, State::Suspended(suspension) if now >= suspension.next_probe)
+        matches!(&self.state, HostState::Suspended(suspension) if suspension.is_probe_due(now))
     }
 
-    /// What the attempt to open the folder anew and to write to it gave.
+    /// Takes the result of an attempt to recover the disk; the records and outputs of a keeper that resumes.
     pub fn complete_probe(&mut self, now: Millis, probe: Result<RecoveredState, Error>) -> Batch {
-        let State::Suspended(suspension) = &mut self.state else { return Batch::default() };
+        let HostState::Suspended(suspension) = &mut self.state else { return Batch::default() };
         match probe {
             Ok(recovered) => {
-                let since = suspension.since;
+                let since = suspension.since();
                 self.resume(now, recovered, since)
             }
-            Err(why) => {
-                suspension.why = why;
-                suspension.next_probe = now + PROBE_EVERY;
+            Err(error) => {
+                suspension.probe_failed(now, error);
                 Batch::default()
             }
         }
     }
 
+    /// The status that operators see.
     pub fn status(&self) -> KeeperStatus {
         match &self.state {
-            State::Running(keeper) if self.is_stalled => KeeperStatus {
+            HostState::Running(keeper) if self.is_stalled => KeeperStatus {
                 serving: false,
                 reason: "suspended: the disk stalls in a write".into(),
                 ..keeper.status()
             },
-            State::Running(keeper) => keeper.status(),
-            State::Suspended(suspension) => KeeperStatus {
-                name: self.name.clone(),
-                view: suspension.view.clone(),
-                reason: format!("suspended: {}", suspension.why),
-                disk: self.usage,
-                ..Default::default()
-            },
+            HostState::Running(keeper) => keeper.status(),
+            HostState::Suspended(suspension) => suspension.status(&self.name, self.usage),
         }
     }
 
-    /// Replies that rest on a lease which ended while the disk was written are not given.
-    fn confirm(&mut self, now: Millis, outputs: Vec<Output>) -> Vec<Output> {
-        let State::Running(keeper) = &mut self.state else { return outputs };
+    /// Replaces replies that rest on a lease which ended while the disk was written.
+    fn check_replies(&mut self, now: Millis, outputs: Vec<Output>) -> Vec<Output> {
+        let HostState::Running(keeper) = &mut self.state else { return outputs };
         keeper.advance_clock(now);
-        let is_stale_tail = keeper.is_tail() && !keeper.can_commit();
-        let view = &keeper.view;
-        let recheck = |output: Output| match output {
-            Output::Reply(token, reply) if is_stale_tail => {
-                Output::Reply(token, stale_reply::without_lease(reply, view))
-            }
-            other => other,
-        };
-        outputs.into_iter().map(recheck).collect()
+        let has_lost_lease = keeper.is_tail() && !keeper.can_commit();
+        if !has_lost_lease {
+            return outputs;
+        }
+        outputs.into_iter().map(|output| without_lease(output, &keeper.view)).collect()
     }
 
-    fn suspend(&mut self, now: Millis, why: Error) -> Vec<Output> {
-        let State::Running(keeper) = &self.state else { return Vec::new() };
+    fn suspend(&mut self, now: Millis, error: Error) -> Vec<Output> {
+        let HostState::Running(keeper) = &self.state else { return Vec::new() };
         let view = keeper.view.clone();
-        let mut outputs = self.declines();
-        outputs.push(Output::Log(format!("suspended, the disk takes no writes: {why}")));
-        self.state = State::Suspended(Suspension { why, since: now, next_probe: now + PROBE_EVERY, view });
+        let mut outputs = self.pending.rejections();
+        outputs.push(Output::Log(format!("suspended, the disk takes no writes: {error}")));
+        self.state = HostState::Suspended(Suspension::new(now, error, view));
         outputs
     }
 
     fn resume(&mut self, now: Millis, recovered: RecoveredState, since: Millis) -> Batch {
         let mut keeper = (self.make_keeper)(recovered, now);
         keeper.set_disk_usage(self.usage);
-        let said = format!(
+        let mut batch = Batch::default();
+        batch.add(Output::Log(format!(
             "the disk takes writes again after {} ms, change {}",
             now - since,
             keeper.store.last_change
-        );
-        self.state = State::Running(Box::new(keeper));
-        let mut batch = Batch { records: Vec::new(), outputs: vec![Output::Log(said)] };
+        )));
+        self.state = HostState::Running(Box::new(keeper));
         if let Some(seeds) = self.seeds.clone() {
             self.step(now, Input::Seeds(seeds), &mut batch);
         }
         batch
     }
 
-    /// For each request that waits: whether its write was kept is not known.
-    fn declines(&self) -> Vec<Output> {
-        let why = ErrorCode::ChainUnavailable
-            .with_detail("the disk has not taken the write")
-            .with_unknown_outcome()
-            .with_retry_after(RETRY_PENDING_AFTER);
-        let decline = |token: &u64| Output::Reply(*token, Reply::Rejected { error: why.clone() });
-        self.pending.iter().map(decline).collect()
-    }
-
-    /// Replies go out once, and only to those that still wait.
+    /// Replies are sent once, and only to those that still wait.
     fn is_awaited(&mut self, output: &Output) -> bool {
         match output {
-            Output::Reply(token, _) => self.pending.remove(token),
+            Output::Reply(token, _) => self.pending.remove(*token),
             _ => true,
         }
     }
 }
+
+fn without_lease(output: Output, view: &View) -> Output {
+    match output {
+        Output::Reply(token, reply) => Output::Reply(token, stale_reply::without_lease(reply, view)),
+        other => other,
+    }
+}
--- /dev/null
+++ b/crates/store/src/host/suspension.rs
@@ -0,0 +1,47 @@
+//! The time in which a keeper takes no part in the chain, as its disk takes no writes.
+use crate::messages::{KeeperStatus, View};
+use crate::storage::disk_usage::DiskUsage;
+use quincehatch_core::{Error, Millis, Name};
+
+/// Time between two attempts to recover the disk, in milliseconds.
+const PROBE_INTERVAL: Millis = 250;
+
+/// Why and since when a keeper takes no part in the chain.
+#[derive(Debug)]
+pub(super) struct Suspension {
+    error: Error,
+    since: Millis,
+    next_probe_at: Millis,
+    /// The view that the keeper had.
+    view: View,
+}
+
+impl Suspension {
+    pub fn new(now: Millis, error: Error, view: View) -> Self {
+        Self { error, since: now, next_probe_at: now + PROBE_INTERVAL, view }
+    }
+
+    pub fn since(&self) -> Millis {
+        self.since
+    }
+
+    pub fn is_probe_due(&self, now: Millis) -> bool {
+        now >= self.next_probe_at
+    }
+
+    /// The disk still fails, with this error.
+    pub fn probe_failed(&mut self, now: Millis, error: Error) {
+        self.error = error;
+        self.next_probe_at = now + PROBE_INTERVAL;
+    }
+
+    pub fn status(&self, name: &Name, disk: DiskUsage) -> KeeperStatus {
+        KeeperStatus {
+            name: name.clone(),
+            view: self.view.clone(),
+            reason: format!("suspended: {}", self.error),
+            disk,
+            ..Default::default()
+        }
+    }
+}
--- a/crates/store/src/keeper.rs
+++ b/crates/store/src/keeper.rs
@@ -1,16 +1,16 @@
 //! One keeper: chain member, acceptor, proposer, perhaps the tail. Sans-IO (§5.1).
+use crate::compression::PackedText;
 use crate::discovery::Discovery;
-use crate::disk_port::DiskUsage;
 use crate::entry_log::EntryLog;
 use crate::feed::Change;
 use crate::lease::Leases;
 use crate::membership::Leaving;
 use crate::messages::{PeerMessage, View};
-use crate::patch::PackedText;
 use crate::register::{Acceptor, Proposer};
 use crate::requests::{PendingPoll, PendingWrite};
 use crate::snapshot::{IncomingSnapshot, OutgoingSnapshot};
 pub use crate::step::{Input, Output, Record, RecoveredState};
+use crate::storage::disk_usage::DiskUsage;
 use crate::store::Store;
 use crate::terms::{NODE_LEASE, SILENT, VIEW_LEASE, with_clock_drift};
 use quincehatch_core::{ChangeNumber, Millis, Name, Version, hash64};
--- a/crates/store/src/messages.rs
+++ b/crates/store/src/messages.rs
@@ -1,8 +1,8 @@
 //! Messages of the state plane (§5).
-use crate::disk_port::DiskUsage;
 use crate::entry_log::PackedEntry;
 use crate::feed::{Change, FeedSnapshot};
 use crate::snapshot::{SnapshotPart, SnapshotProgress};
+use crate::storage::disk_usage::DiskUsage;
 use crate::store::{AdoptedDocument, Store};
 use quincehatch_core::{
     ChangeNumber, Error, FencingToken, Millis, Name, PrimaryAssignment, ServerRecord, Version, messages,
--- a/crates/store/src/peer_messages.rs
+++ b/crates/store/src/peer_messages.rs
@@ -1,6 +1,7 @@
 //! What a keeper does with each message of its peers (§5.2, §5.3).
 use crate::keeper::Keeper;
 use crate::messages::PeerMessage;
+use crate::snapshot_transfer::TransferPurpose;
 use quincehatch_core::Name;
 
 impl Keeper {
@@ -33,12 +34,12 @@
             PeerMessage::Acknowledge { version, committed, in_force } => {
                 self.acked(from, version, committed, in_force)
             }
-            PeerMessage::FetchSnapshot { version, progress } => self.handle_fetch(from, version, progress),
+            PeerMessage::FetchSnapshot { progress, .. } => self.handle_fetch(from, progress),
             PeerMessage::HandOverLeases { version, leases: rows, unknown_leases_ms } => {
                 self.handle_hand_over_leases(from, version, &rows, unknown_leases_ms);
             }
             PeerMessage::Snapshot { version, part, joining: join, dismissed_leases, unknown_leases_ms } => {
-                if self.accept_snapshot_part(from, version, part, join) {
+                if self.accept_snapshot_part(from, version, part, TransferPurpose::from_joining(join)) {
                     self.unknown_leases_until = self.now + unknown_leases_ms;
                     self.dismissed_leases =
                         dismissed_leases.into_iter().map(|(n, left)| (n, self.now + left)).collect();
--- /dev/null
+++ b/crates/store/src/storage.rs
@@ -0,0 +1,10 @@
+//! Stable storage of a keeper: what it keeps through restarts, and the file in which it does.
+
+mod checksum;
+pub mod disk;
+pub mod disk_limits;
+pub mod disk_usage;
+mod errors;
+mod log_rows;
+mod records;
+pub mod stable_storage;
--- /dev/null
+++ b/crates/store/src/storage/disk.rs
@@ -0,0 +1,231 @@
+//! The data directory of a keeper: one redb file, in which every value has a checksum of its own.
+use crate::messages::View;
+use crate::step::{Record, RecoveredState};
+use crate::storage::disk_limits::DiskLimits;
+use crate::storage::disk_usage::DiskUsage;
+use crate::storage::errors::{disk_error, read_error, unusable};
+use crate::storage::log_rows::LogRows;
+use crate::storage::records;
+use crate::storage::stable_storage::StableStorage;
+use crate::store::Store;
+use quincehatch_core::Error;
+use redb::{Database, Durability, ReadableDatabase, WriteTransaction};
+use std::fs;
+use std::path::{Path, PathBuf};
+
+/// Memory for pages: 1 MiB. More would serve nothing, as the store is in memory anyhow.
+const PAGE_CACHE_BYTES: usize = 1 << 20;
+const FILE_NAME: &str = "keeper.redb";
+/// Name of the file until it is complete.
+const UNFINISHED_FILE_NAME: &str = "keeper.half";
+
+/// The open data directory of a keeper.
+pub struct Disk {
+    file: PathBuf,
+    /// `None` after an error, until [`Disk::recover`].
+    db: Option<Database>,
+    limits: DiskLimits,
+    rows: LogRows,
+    /// Length of the file when it was last compacted, in bytes.
+    compacted_length: u64,
+}
+
+/// A data directory that was opened, and what it holds.
+pub struct OpenedDisk {
+    /// Name of the keeper to which the directory belongs.
+    pub owner: String,
+    /// The directory.
+    pub disk: Disk,
+    /// What it holds.
+    pub state: RecoveredState,
+}
+
+impl Disk {
+    /// Opens the directory of keeper `name`, or creates it for a first start with `first_view`.
+    ///
+    /// # Errors
+    /// If the directory is empty and there is no `first_view`: a keeper that lost its disk must not vote as if it
+    /// remembered its earlier votes. Also if the directory holds data already and there is a `first_view`, if it belongs
+    /// to another keeper, is damaged, or cannot be read.
+    pub fn open(dir: &Path, name: &str, first_view: Option<View>) -> Result<OpenedDisk, Error> {
+        let file = dir.join(FILE_NAME);
+        let is_new = !file.try_exists().map_err(disk_error)?;
+        match (first_view, is_new) {
+            (Some(view), true) => Self::create(dir, name, view),
+            (None, false) => Self::open_file_of(&file, name),
+            (None, true) => Err(unusable(format_args!(
+                "{} holds no data of a keeper; --init is for the first start of all, --join for a new machine",
+                dir.display()
+            ))),
+            (Some(_), false) => {
+                Err(unusable(format_args!("{} holds data already; start without --init", dir.display())))
+            }
+        }
+    }
+
+    /// Opens the directory if a keeper ever kept anything there, whichever keeper that was.
+    ///
+    /// # Errors
+    /// If the directory cannot be read or is damaged. One that cannot be read at this time is not an empty one.
+    pub fn open_existing(dir: &Path) -> Result<Option<OpenedDisk>, Error> {
+        let file = dir.join(FILE_NAME);
+        if !file.try_exists().map_err(disk_error)? {
+            return Ok(None);
+        }
+        Self::open_file(&file).map(Some)
+    }
+
+    /// Creates the directory of a new keeper. The file gets its name only once all of it is synced: what a crash left
+    /// unfinished is created anew, as nobody has heard of that keeper yet.
+    ///
+    /// # Errors
+    /// If the disk fails.
+    pub fn create(dir: &Path, name: &str, view: View) -> Result<OpenedDisk, Error> {
+        let unfinished = dir.join(UNFINISHED_FILE_NAME);
+        let file = dir.join(FILE_NAME);
+        fs::create_dir_all(dir).map_err(disk_error)?;
+        if unfinished.exists() {
+            fs::remove_file(&unfinished).map_err(disk_error)?;
+        }
+        let db =
+            Database::builder().set_cache_size(PAGE_CACHE_BYTES).create(&unfinished).map_err(disk_error)?;
+        let mut disk = Self::with_database(&unfinished, Some(db));
+        disk.write(|tx| records::write_name(tx, name))?;
+        disk.save(&[Record::View { view }])?;
+        drop(disk);
+        fs::rename(&unfinished, &file).map_err(disk_error)?;
+        sync_directory(dir).map_err(disk_error)?;
+        Self::open_file(&file)
+    }
+
+    /// Sets the size that the directory may take.
+    pub fn with_size_limit(mut self, bytes: u64) -> Self {
+        self.limits = DiskLimits::for_allowed_bytes(bytes);
+        self
+    }
+
+    fn with_database(file: &Path, db: Option<Database>) -> Self {
+        Self {
+            file: file.to_owned(),
+            db,
+            limits: DiskLimits::default(),
+            rows: LogRows::default(),
+            compacted_length: 0,
+        }
+    }
+
+    fn open_file(file: &Path) -> Result<OpenedDisk, Error> {
+        let mut disk = Self::with_database(file, None);
+        let Reopened { owner, state } = disk.reopen()?;
+        Ok(OpenedDisk { owner, disk, state })
+    }
+
+    fn open_file_of(file: &Path, name: &str) -> Result<OpenedDisk, Error> {
+        let opened = Self::open_file(file)?;
+        if opened.owner != name {
+            let reason = format!("it belongs to the keeper {:?}, not to {name:?}", opened.owner);
+            return Err(unusable(reason));
+        }
+        Ok(opened)
+    }
+
+    fn reopen(&mut self) -> Result<Reopened, Error> {
+        self.db = None;
+        let opened = Database::builder().set_cache_size(PAGE_CACHE_BYTES).open(&self.file);
+        let db = opened.map_err(|cause| read_error(&self.file.display(), cause))?;
+        let tx = db.begin_read().map_err(disk_error)?;
+        let loaded = records::load(&tx)?;
+        drop(tx);
+        self.db = Some(db);
+        self.rows = loaded.rows;
+        Ok(Reopened { owner: loaded.owner, state: loaded.state })
+    }
+
+    /// Runs one transaction, which is durable when this returns.
+    fn write(&mut self, fill: impl FnOnce(&WriteTransaction) -> Result<(), Error>) -> Result<(), Error> {
+        let db = self.db.as_ref().ok_or_else(not_open)?;
+        let mut tx = db.begin_write().map_err(disk_error)?;
+        tx.set_durability(Durability::Immediate).map_err(disk_error)?;
+        fill(&tx)?;
+        tx.commit().map_err(disk_error)
+    }
+
+    /// Writes the whole store, and drops entries that the limits leave no room for.
+    fn replace_snapshot(&mut self, store: &Store) -> Result<(), Error> {
+        let first_kept = self.rows.truncate(&self.limits).unwrap_or(store.last_change + 1);
+        self.write(|tx| records::write_snapshot(tx, store, first_kept))
+    }
+
+    /// Returns the free part of the file to the file system. The file must have doubled since it was last compacted, as
+    /// compaction copies all of it.
+    fn shrink_file(&mut self) -> Result<(), Error> {
+        let length = self.usage().used;
+        if length <= self.limits.compact_above_bytes || length < 2 * self.compacted_length {
+            return Ok(());
+        }
+        let db = self.db.as_mut().ok_or_else(not_open)?;
+        db.compact().map_err(disk_error)?;
+        self.compacted_length = self.usage().used;
+        Ok(())
+    }
+}
+
+/// What a file held when it was opened again.
+struct Reopened {
+    owner: String,
+    state: RecoveredState,
+}
+
+fn not_open() -> Error {
+    disk_error("the file is not open")
+}
+
+/// Makes the names in a directory durable.
+fn sync_directory(dir: &Path) -> std::io::Result<()> {
+    fs::File::open(dir)?.sync_all()
+}
+
+impl StableStorage for Disk {
+    fn save(&mut self, saved: &[Record]) -> Result<(), Error> {
+        if saved.is_empty() {
+            return Ok(());
+        }
+        self.write(|tx| saved.iter().try_for_each(|record| records::write(tx, record)))?;
+        for record in saved {
+            match record {
+                Record::Entry { entry } => self.rows.push(entry.number, entry.size(), false),
+                Record::Snapshot { .. } => self.rows = LogRows::default(),
+                _ => {}
+            }
+        }
+        Ok(())
+    }
+
+    fn is_snapshot_due(&self) -> bool {
+        self.rows.is_snapshot_due(&self.limits)
+    }
+
+    fn write_snapshot(&mut self, store: &Store) -> Result<(), Error> {
+        self.replace_snapshot(store)?;
+        self.shrink_file()
+    }
+
+    /// What a failed sync left in the system's page cache may not be on the disk: all of it is written again.
+    fn recover(&mut self) -> Result<RecoveredState, Error> {
+        let Reopened { state, .. } = self.reopen()?;
+        let small_records = [
+            Record::Acceptor { acceptor: state.acceptor.clone() },
+            Record::View { view: state.view.clone() },
+            Record::Served { version: state.served_version },
+            Record::CatchingUp { catching_up: state.catching_up },
+        ];
+        self.save(&small_records)?;
+        self.replace_snapshot(&state.store)?;
+        Ok(state)
+    }
+
+    fn usage(&self) -> DiskUsage {
+        let used = fs::metadata(&self.file).map_or(0, |metadata| metadata.len());
+        DiskUsage { used, allowed: self.limits.allowed_bytes }
+    }
+}
--- /dev/null
+++ b/crates/store/src/store/commands.rs
@@ -0,0 +1,107 @@
+//! What each command does to the store.
+use crate::messages::{Answer, Command};
+use crate::store::documents::{DocumentOutcome, TakenNumber, document_digest};
+use crate::store::servers::{changes_nothing, upsert_server};
+use crate::store::{AdoptedDocument, HistoryEntry, RecordedAnswer, Store, promotion_duty_key};
+use quincehatch_core::{ChangeNumber, ErrorCode, Name, ServerRecord, Version};
+
+impl Store {
+    /// The answer to a command that would change nothing, and so needs no entry.
+    pub fn no_op_answer(&self, command: &Command) -> Option<RecordedAnswer> {
+        let changes_nothing = match command {
+            Command::RegisterServer { at: record } => {
+                self.servers.get(&record.server).is_some_and(|known| changes_nothing(known, record))
+            }
+            Command::DeregisterServer { server } => !self.servers.contains_key(server),
+            Command::AdoptDocument { number, source, .. } => {
+                return self.known_document_answer(*number, source);
+            }
+            _ => false,
+        };
+        changes_nothing.then_some(RecordedAnswer { entry: self.last_change, answer: Answer::Done })
+    }
+
+    /// The answer to a document that would not take its number.
+    fn known_document_answer(&self, number: u64, source: &str) -> Option<RecordedAnswer> {
+        let outcome = self.documents.classify(number, document_digest(source));
+        if outcome.takes_number() {
+            return None;
+        }
+        let entry = outcome.entry().unwrap_or(self.last_change);
+        Some(RecordedAnswer { entry, answer: outcome.answer(self.configuration_version()) })
+    }
+
+    /// Executes a command; its answer.
+    pub(super) fn execute(&mut self, command: &Command) -> Answer {
+        match command {
+            Command::PushConfiguration { base, text, by } => self.push_configuration(*base, text, by),
+            Command::AdoptDocument { number, text, source, by } => {
+                self.adopt_document(*number, text, source, by)
+            }
+            Command::RegisterServer { at: record } => self.register_server(record),
+            Command::DeregisterServer { server } => {
+                self.servers.remove(server);
+                Answer::Done
+            }
+            Command::EnrollNode { node, .. } => {
+                self.nodes.insert(node.clone(), self.last_change);
+                Answer::Enrolled(self.last_change)
+            }
+            Command::DismissNode { node, enrolled } => self.dismiss_node(node, *enrolled),
+            Command::AcquireFence { duty, by } => self.advance_fence(duty, by),
+            Command::AcquireFenceIfUnchanged { group, by, expected } => {
+                if self.primary_state(group) != *expected {
+                    let detail = "the primary has changed since this was planned";
+                    return Answer::Rejected(ErrorCode::StaleFence.with_detail(detail));
+                }
+                self.advance_fence(&promotion_duty_key(group), by)
+            }
+            Command::AssignPrimary { group, primary } => self.assign_primary(group, primary),
+            Command::DropPreviousVoters { group, fence } => self.drop_previous_voters(group, *fence),
+        }
+    }
+
+    /// Puts a configuration in force if it builds on the one in force now.
+    fn push_configuration(&mut self, base: Version, text: &str, author: &Name) -> Answer {
+        let in_force = self.configuration_version();
+        if base != in_force {
+            let detail = format!("it builds on {base}, in force is {in_force}");
+            return Answer::Rejected(ErrorCode::ConfigurationStale.with_detail(detail));
+        }
+        let version = in_force + 1;
+        self.append_history(HistoryEntry { version, text: text.to_owned(), author: author.clone() });
+        Answer::Version(version)
+    }
+
+    /// Takes the document's number if it is free. The document comes into force if its number is the highest.
+    fn adopt_document(&mut self, number: u64, text: &str, source: &str, author: &Name) -> Answer {
+        let digest = document_digest(source);
+        let outcome = self.documents.classify(number, digest);
+        if outcome.takes_number() {
+            self.documents.record(number, TakenNumber { digest, entry: self.last_change });
+        }
+        if outcome == DocumentOutcome::Newest {
+            self.adopted = Some(AdoptedDocument { number, source: source.to_owned() });
+            let version = self.configuration_version() + 1;
+            self.append_history(HistoryEntry { version, text: text.to_owned(), author: author.clone() });
+        }
+        outcome.answer(self.configuration_version())
+    }
+
+    /// Records a server, unless a newer heartbeat of it is recorded already.
+    fn register_server(&mut self, record: &ServerRecord) -> Answer {
+        let is_newer = self.servers.get(&record.server).is_none_or(|known| known.seq < record.seq);
+        if is_newer {
+            upsert_server(&mut self.servers, record);
+        }
+        Answer::Done
+    }
+
+    /// Dismisses a node's process. A later process of that node, enrolled by another entry, stays enrolled.
+    fn dismiss_node(&mut self, node: &Name, enrolled: ChangeNumber) -> Answer {
+        if self.nodes.get(node) == Some(&enrolled) {
+            self.nodes.remove(node);
+        }
+        Answer::Done
+    }
+}
--- a/crates/store/src/documents.rs
+++ b/crates/store/src/store/documents.rs
@@ -1,4 +1,5 @@
-//! Which document of the operator took which number (§5.2).
+//! Which document of the operator took which number. A number belongs to the first document that is sent under it, so a
+//! document that is sent again is recognised, and one that reuses a number is rejected.
 use crate::messages::Answer;
 use quincehatch_core::{ChangeNumber, ErrorCode, Version, hash64, messages};
 use std::collections::BTreeMap;
@@ -7,49 +8,59 @@
 pub const MAX_REMEMBERED_DOCUMENTS: usize = 4_096;
 
 messages! {
-    /// A document that took a number: the digest of its bytes, and the log entry that recorded it.
+    /// A document that took a number.
     #[derive(Copy, Eq)]
-    pub struct TakenNumber { pub digest: u64, pub entry: ChangeNumber }
+    pub struct TakenNumber {
+        /// Digest of its text.
+        pub digest: u64,
+        /// The log entry that recorded it.
+        pub entry: ChangeNumber
+    }
 
     /// The numbers that were taken. It is part of the replicated store, so log, snapshot and catch-up carry it.
     #[derive(Eq, Default)]
     pub struct DocumentRegister {
+        /// The document of each number.
         pub taken: BTreeMap<u64, TakenNumber>,
         /// The highest number that was forgotten: which document took that one or a lower one is unknown.
         pub forgotten: Option<u64>
     }
 }
 
-/// How an offered document stands to those taken before it.
+/// How an offered document relates to those before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DocumentOutcome {
     /// Its number is above all that were taken: it comes into force.
     Newest,
-    /// Its number is free, and below the newest: it takes the number and alters nothing.
+    /// Its number is free and below the highest: it takes the number and changes nothing else.
     Superseded,
-    /// The same document took the number, in that entry.
-    Repeated { entry: ChangeNumber },
-    /// Another document took the number, in that entry.
-    NumberTaken { entry: ChangeNumber },
-    /// Nobody knows any more which document took the number, if one did.
+    /// The same document took the number.
+    Repeated {
+        /// The entry that recorded it.
+        entry: ChangeNumber,
+    },
+    /// Another document took the number.
+    NumberTaken {
+        /// The entry that recorded the other document.
+        entry: ChangeNumber,
+    },
+    /// It is no longer known which document took the number, if one did.
     NumberForgotten,
 }
 
-/// The digest under which a document is known again.
+/// The digest by which a document is recognised.
 pub fn document_digest(source: &str) -> u64 {
     hash64(&[source.as_bytes()])
 }
 
 impl DocumentRegister {
-    /// Decides on a document without altering anything.
+    /// Decides on a document without changing anything.
     pub fn classify(&self, number: u64, digest: u64) -> DocumentOutcome {
         match self.taken.get(&number) {
-            Some(held) if held.digest == digest => DocumentOutcome::Repeated { entry: held.entry },
-            Some(held) => DocumentOutcome::NumberTaken { entry: held.entry },
-            None if self.forgotten.is_some_and(|highest| number <= highest) => {
-                DocumentOutcome::NumberForgotten
-            }
-            None if self.highest_number().is_some_and(|newest| number < newest) => {
+            Some(taken) if taken.digest == digest => DocumentOutcome::Repeated { entry: taken.entry },
+            Some(taken) => DocumentOutcome::NumberTaken { entry: taken.entry },
+            None if self.is_forgotten(number) => DocumentOutcome::NumberForgotten,
+            None if self.highest_number().is_some_and(|highest| number < highest) => {
                 DocumentOutcome::Superseded
             }
             None => DocumentOutcome::Newest,
@@ -65,6 +76,10 @@
         }
     }
 
+    fn is_forgotten(&self, number: u64) -> bool {
+        self.forgotten.is_some_and(|highest| number <= highest)
+    }
+
     fn highest_number(&self) -> Option<u64> {
         self.taken.last_key_value().map(|(number, _)| *number)
     }
@@ -76,7 +91,7 @@
         matches!(self, DocumentOutcome::Newest | DocumentOutcome::Superseded)
     }
 
-    /// The entry that must be committed before the answer is given; none if the answer rests on no single entry.
+    /// The entry that must be committed before the answer is given; `None` if the answer rests on no single entry.
     pub fn entry(self) -> Option<ChangeNumber> {
         match self {
             DocumentOutcome::Repeated { entry } | DocumentOutcome::NumberTaken { entry } => Some(entry),
@@ -84,10 +99,11 @@
         }
     }
 
-    /// The answer to whoever offered the document; `version` is the one in force.
+    /// The answer to whoever offered the document; `version` is that of the configuration in force.
     pub fn answer(self, version: Version) -> Answer {
         match self {
             DocumentOutcome::NumberTaken { .. } => Answer::Rejected(ErrorCode::NumberTaken.without_detail()),
+            // The same document may have taken the number, so the outcome is unknown.
             DocumentOutcome::NumberForgotten => {
                 Answer::Rejected(ErrorCode::NumberForgotten.without_detail().with_unknown_outcome())
             }
--- a/crates/store/tests/disk.rs
+++ b/crates/store/tests/disk.rs
@@ -1,168 +1,185 @@
-//! The keeper's data folder (§5.7): what it keeps, and what it declines to serve from.
+//! The data directory of a keeper: what it keeps through restarts, and what it rejects.
 use quincehatch_core::{ErrorCode, hash64};
-use quincehatch_store::disk::Disk;
-use quincehatch_store::disk_port::StableStorage;
 use quincehatch_store::entry_log::PackedEntry;
 use quincehatch_store::keeper::Record;
+use quincehatch_store::storage::disk::{Disk, OpenedDisk};
+use quincehatch_store::storage::stable_storage::StableStorage;
 use quincehatch_store::{Command, Entry, Store, View};
 use std::path::PathBuf;
 
-struct Dir(PathBuf);
+const KEEPER: &str = "k1";
 
-impl Dir {
-    fn new(name: &str) -> Dir {
-        let d = std::env::temp_dir().join(format!("quincehatch-disk-{name}-{}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&d);
-        Dir(d)
+/// A directory that is removed with the test.
+struct TestDirectory(PathBuf);
+
+impl TestDirectory {
+    fn new(name: &str) -> Self {
+        let path = std::env::temp_dir().join(format!("quincehatch-disk-{name}-{}", std::process::id()));
+        let _ = std::fs::remove_dir_all(&path);
+        Self(path)
     }
+
     fn file(&self) -> PathBuf {
         self.0.join("keeper.redb")
     }
+
+    /// Opens the directory of the keeper, which exists.
+    fn open(&self) -> OpenedDisk {
+        Disk::open(&self.0, KEEPER, None).unwrap()
+    }
+
+    /// Creates the data of the keeper, with three entries.
+    fn fill(&self) {
+        let mut disk = Disk::open(&self.0, KEEPER, Some(first_view())).unwrap().disk;
+        for number in 1..=3 {
+            disk.save(&[entry_record(number)]).unwrap();
+        }
+    }
+
+    fn with_three_entries(name: &str) -> Self {
+        let directory = Self::new(name);
+        directory.fill();
+        directory
+    }
+
+    fn assert_rejected(&self, name: &str, first_view: Option<View>, reason: &str) {
+        let error = Disk::open(&self.0, name, first_view).map(|_| ()).expect_err("it was opened");
+        let is_rejected = error.has_code(ErrorCode::DataDirectoryUnusable);
+        assert!(is_rejected && error.text.contains(reason), "{error}");
+    }
 }
-impl Drop for Dir {
+
+impl Drop for TestDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn view() -> View {
-    View { version: 1, members: vec!["k1".into()], voters: vec![] }
-}
-
-fn entry(n: u64) -> Entry {
-    let cmd = Command::PushConfiguration { base: n - 1, text: format!("text {n}"), by: "t".into() };
-    Entry { number: n, key: format!("key{n}").into(), command: cmd }
+fn first_view() -> View {
+    View { version: 1, members: vec![KEEPER.into()], voters: vec![] }
 }
 
-/// A folder with three entries in it.
-fn filled(d: &Dir) {
-    let (mut disk, _) = Disk::open(&d.0, "k1", Some(view())).unwrap();
-    for n in 1..=3 {
-        disk.save(&[Record::Entry { entry: PackedEntry::pack(&entry(n)) }]).unwrap();
-    }
+fn entry(number: u64) -> Entry {
+    let text = format!("text {number}");
+    let command = Command::PushConfiguration { base: number - 1, text, by: "t".into() };
+    Entry { number, key: format!("key{number}").into(), command }
 }
 
-fn declined(d: &Dir, name: &str, first: Option<View>, want: &str) {
-    let b = Disk::open(&d.0, name, first).map(|_| ()).expect_err("it was opened");
-    assert!(b.has_code(ErrorCode::DataDirectoryUnusable) && b.text.contains(want), "{b}");
+fn entry_record(number: u64) -> Record {
+    Record::Entry { entry: PackedEntry::pack(&entry(number)) }
 }
 
 #[test]
-fn what_was_saved_is_there_again() {
-    let d = Dir::new("again");
-    filled(&d);
-    let (mut disk, f) = Disk::open(&d.0, "k1", None).unwrap();
-    assert_eq!((f.view, f.store.configuration_version(), f.log.len()), (view(), 3, 3));
-    let mut store = f.store.clone();
-    for n in 4..=400 {
-        disk.save(&[Record::Entry { entry: PackedEntry::pack(&entry(n)) }]).unwrap();
-        store.apply(&entry(n)).unwrap();
+fn saved_entries_are_read_when_the_directory_is_opened_again() {
+    let directory = TestDirectory::with_three_entries("again");
+    let OpenedDisk { mut disk, state, .. } = directory.open();
+    assert_eq!(state.view, first_view());
+    assert_eq!((state.store.configuration_version(), state.log.len()), (3, 3));
+    let mut store = state.store;
+    for number in 4..=400 {
+        disk.save(&[entry_record(number)]).unwrap();
+        store.apply(&entry(number)).unwrap();
         if disk.is_snapshot_due() {
             disk.write_snapshot(&store).unwrap();
         }
     }
     drop(disk);
-    let (_, f) = Disk::open(&d.0, "k1", None).unwrap();
-    assert_eq!(f.store, store);
+    assert_eq!(directory.open().state.store, store);
 }
 
 #[test]
-fn empty_foreign_and_used_folders_are_declined() {
-    let d = Dir::new("declined");
-    declined(&d, "k1", None, "holds no data of a keeper");
-    filled(&d);
-    declined(&d, "k1", Some(view()), "holds data already");
-    declined(&d, "k2", None, "belongs to the keeper \"k1\"");
+fn directory_is_rejected_when_empty_or_in_use_or_of_another_keeper() {
+    let directory = TestDirectory::new("rejected");
+    directory.assert_rejected(KEEPER, None, "holds no data of a keeper");
+    directory.fill();
+    directory.assert_rejected(KEEPER, Some(first_view()), "holds data already");
+    directory.assert_rejected("k2", None, "belongs to the keeper \"k1\"");
+}
+
+/// Where the bytes of the second entry's text stand in the file.
+fn find_entry_text(file: &[u8]) -> Option<usize> {
+    const TEXT: &[u8] = b"text 2";
+    file.windows(TEXT.len()).position(|window| window == TEXT)
+}
+
+fn assert_damage_is_noticed(name: &str, damage: impl Fn(&mut Vec<u8>)) {
+    let directory = TestDirectory::with_three_entries(name);
+    let intact = std::fs::read(directory.file()).unwrap();
+    let mut damaged = intact.clone();
+    damage(&mut damaged);
+    assert_ne!(damaged, intact);
+    std::fs::write(directory.file(), &damaged).unwrap();
+    directory.assert_rejected(KEEPER, None, "");
 }
 
 #[test]
-fn damaged_and_torn_files_are_named_and_not_served_from() {
-    for (what, hurt) in [
-        ("torn", (|b: &mut Vec<u8>| b.truncate(b.len() / 2)) as fn(&mut Vec<u8>)),
-        ("header", |b| b[..64].fill(7)),
-        ("text", |b| {
-            // One byte within a record's own text.
-            let at = b.windows(6).position(|w| w == b"text 2").unwrap();
-            b[at] = b'T';
-        }),
-    ] {
-        let d = Dir::new(what);
-        filled(&d);
-        let mut b = std::fs::read(d.file()).unwrap();
-        let whole = b.clone();
-        // Every copy of the record is hurt: old pages may hold it too.
-        loop {
-            let before = b.clone();
-            if what == "text" && !b.windows(6).any(|w| w == b"text 2") {
-                break;
-            }
-            hurt(&mut b);
-            if what != "text" || b == before {
-                break;
-            }
+fn file_is_rejected_when_torn_or_damaged() {
+    assert_damage_is_noticed("torn", |file| file.truncate(file.len() / 2));
+    assert_damage_is_noticed("header", |file| file[..64].fill(7));
+    assert_damage_is_noticed("text", |file| {
+        assert!(find_entry_text(file).is_some());
+        // Pages that were replaced may hold the record too: every copy of it is damaged.
+        while let Some(offset) = find_entry_text(file) {
+            file[offset] = b'T';
         }
-        assert_ne!(b, whole);
-        std::fs::write(d.file(), &b).unwrap();
-        declined(&d, "k1", None, "");
-    }
+    });
 }
 
 #[test]
-fn a_folder_tells_whose_it_is_and_a_half_made_one_is_empty() {
-    let d = Dir::new("whose");
-    assert!(Disk::open_existing(&d.0).unwrap().is_none());
-    std::fs::create_dir_all(&d.0).unwrap();
-    for half in [&b""[..], b"redb\x1a\x0a\xa9\x0d\x0a and then a kill", &[0; 4_096]] {
-        std::fs::write(d.0.join("keeper.half"), half).unwrap();
-        assert!(Disk::open_existing(&d.0).unwrap().is_none());
+fn directory_names_its_owner_and_an_unfinished_one_counts_as_empty() {
+    let directory = TestDirectory::new("owner");
+    assert!(Disk::open_existing(&directory.0).unwrap().is_none());
+    std::fs::create_dir_all(&directory.0).unwrap();
+    for unfinished in [&b""[..], b"redb\x1a\x0a\xa9\x0d\x0a and then a kill", &[0; 4_096]] {
+        std::fs::write(directory.0.join("keeper.half"), unfinished).unwrap();
+        assert!(Disk::open_existing(&directory.0).unwrap().is_none());
     }
-    let (disk, found) = Disk::create(&d.0, "k1#5", view()).unwrap();
-    assert_eq!(found.view, view());
-    drop(disk);
-    let (name, _, found) = Disk::open_existing(&d.0).unwrap().unwrap();
-    assert_eq!((name.as_str(), found.view), ("k1#5", view()));
-    assert_eq!(std::fs::read_dir(&d.0).unwrap().count(), 1);
+    let created = Disk::create(&directory.0, "k1#5", first_view()).unwrap();
+    assert_eq!(created.state.view, first_view());
+    drop(created);
+    let found = Disk::open_existing(&directory.0).unwrap().unwrap();
+    assert_eq!((found.owner.as_str(), found.state.view), ("k1#5", first_view()));
+    assert_eq!(std::fs::read_dir(&directory.0).unwrap().count(), 1);
 }
 
-/// A file that is away for a while, as one on a disk that refuses is.
+/// The file is moved away for a while, which fails as a disk that takes no writes does.
 #[test]
-fn a_folder_that_cannot_be_opened_is_recovered_once_it_can() {
-    let d = Dir::new("recover");
-    filled(&d);
-    let (mut disk, found) = Disk::open(&d.0, "k1", None).unwrap();
-    let away = d.0.join("away");
-    std::fs::rename(d.file(), &away).unwrap();
+fn directory_is_recovered_when_the_file_can_be_opened_again() {
+    let directory = TestDirectory::with_three_entries("recover");
+    let OpenedDisk { mut disk, state: found, .. } = directory.open();
+    let away = directory.0.join("away");
+    std::fs::rename(directory.file(), &away).unwrap();
     for _ in 0..2 {
         let error = disk.recover().map(|_| ()).expect_err("there is no file");
         assert!(error.has_code(ErrorCode::DiskFailed), "{error}");
-        let refused = disk.save(&[Record::Served { version: 9 }]).expect_err("it is not open");
-        assert!(refused.has_code(ErrorCode::DiskFailed), "{refused}");
+        let error = disk.save(&[Record::Served { version: 9 }]).expect_err("it is not open");
+        assert!(error.has_code(ErrorCode::DiskFailed), "{error}");
     }
-    std::fs::rename(&away, d.file()).unwrap();
+    std::fs::rename(&away, directory.file()).unwrap();
     let recovered = disk.recover().unwrap();
     assert_eq!((&recovered.store, &recovered.view), (&found.store, &found.view));
-    disk.save(&[Record::Entry { entry: PackedEntry::pack(&entry(4)) }]).unwrap();
+    disk.save(&[entry_record(4)]).unwrap();
     drop(disk);
-    assert_eq!(Disk::open(&d.0, "k1", None).unwrap().1.store.last_change, 4);
+    assert_eq!(directory.open().state.store.last_change, 4);
 }
 
-/// Folders of versions that kept the store and the entries unpacked.
+/// Earlier versions kept the store and the entries unpacked.
 #[test]
-fn a_folder_of_an_earlier_version_is_read_and_replaced_by_the_first_snapshot() {
-    let d = Dir::new("earlier");
-    drop(Disk::create(&d.0, "k1", view()).unwrap());
+fn directory_of_an_earlier_version_is_read_and_replaced_by_the_first_snapshot() {
+    let directory = TestDirectory::new("earlier");
+    drop(Disk::create(&directory.0, KEEPER, first_view()).unwrap());
     let mut store = Store::default();
     store.apply(&entry(1)).unwrap();
-    write_earlier_version(&d, &store, &[entry(1), entry(2), entry(3)]);
+    write_earlier_version(&directory, &store, &[entry(1), entry(2), entry(3)]);
     store.apply(&entry(2)).unwrap();
     store.apply(&entry(3)).unwrap();
-    let (mut disk, state) = Disk::open(&d.0, "k1", None).unwrap();
+    let OpenedDisk { mut disk, state, .. } = directory.open();
     assert_eq!((&state.store, state.log.len()), (&store, 3));
     disk.write_snapshot(&store).unwrap();
-    disk.save(&[Record::Entry { entry: PackedEntry::pack(&entry(4)) }]).unwrap();
+    disk.save(&[entry_record(4)]).unwrap();
     drop(disk);
     store.apply(&entry(4)).unwrap();
-    assert_eq!(Disk::open(&d.0, "k1", None).unwrap().1.store, store);
+    assert_eq!(directory.open().state.store, store);
 }
 
 fn with_checksum(value: &impl borsh::BorshSerialize) -> Vec<u8> {
@@ -170,10 +187,10 @@
     [&hash64(&[&body]).to_le_bytes()[..], &body].concat()
 }
 
-fn write_earlier_version(d: &Dir, store: &Store, entries: &[Entry]) {
+fn write_earlier_version(directory: &TestDirectory, store: &Store, entries: &[Entry]) {
     const META: redb::TableDefinition<&str, &[u8]> = redb::TableDefinition::new("meta");
     const LOG: redb::TableDefinition<u64, &[u8]> = redb::TableDefinition::new("log");
-    let db = redb::Database::open(d.file()).unwrap();
+    let db = redb::Database::open(directory.file()).unwrap();
     let tx = db.begin_write().unwrap();
     tx.open_table(META).unwrap().insert("whole", with_checksum(store).as_slice()).unwrap();
     for entry in entries {
--- a/crates/store/tests/documents.rs
+++ b/crates/store/tests/documents.rs
@@ -5,8 +5,8 @@
 use assert_matches::assert_matches;
 use kit::{Net, machine};
 use quincehatch_core::{ErrorCode, Name};
-use quincehatch_store::documents::MAX_REMEMBERED_DOCUMENTS;
 use quincehatch_store::store::MAX_ANSWERED_WRITES;
+use quincehatch_store::store::MAX_REMEMBERED_DOCUMENTS;
 use quincehatch_store::terms::LOG_MAX_ENTRIES;
 use quincehatch_store::{Answer, Command, Entry, Reply, Request, Store, View, Voter};
 
--- a/crates/store/tests/hosts/mod.rs
+++ b/crates/store/tests/hosts/mod.rs
@@ -1,9 +1,10 @@
 //! Keepers with disks that refuse or stall, in virtual time (§5.7).
 #![allow(dead_code)]
 use quincehatch_core::{Error, ErrorCode, Millis, Name};
-use quincehatch_store::disk_port::{DiskUsage, StableStorage};
 use quincehatch_store::host::{Batch, KeeperHost};
 use quincehatch_store::keeper::{Input, Output, Record, RecoveredState};
+use quincehatch_store::storage::disk_usage::DiskUsage;
+use quincehatch_store::storage::stable_storage::StableStorage;
 use quincehatch_store::{Keeper, PeerMessage, Reply, Request, Store, View, Voter};
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/store/tests/news.rs
+++ b/crates/store/tests/news.rs
@@ -4,7 +4,8 @@
 use assert_matches::assert_matches;
 use kit::Net;
 use quincehatch_core::{PrimaryAssignment, Role, ServerRecord};
-use quincehatch_store::patch::{PackedText, Patch};
+use quincehatch_store::compression::PackedText;
+use quincehatch_store::feed::Patch;
 use quincehatch_store::{Command, FeedSnapshot, FeedState, Reply, Request};
 
 /// A blueprint as long as those of hundreds of databases are.
