--- a/crates/capacity/src/counted.rs
+++ b/crates/capacity/src/counted.rs
@@ -9,7 +9,7 @@
 use quincehatch_simulator::fleet::core::{ProcessId, Simulation};
 use quincehatch_simulator::fleet::keeper::{self, Disk, KeeperRegistry};
 use quincehatch_simulator::fleet::net::FrameHandler;
-use quincehatch_store::keeper::RecoveredState;
+use quincehatch_store::record::RecoveredState;
 use quincehatch_store::{Command, KeeperRequest, Request, View, Voter};
 use quincehatch_wire::{Call, Incoming, LENGTH_BYTES, RequestHeader};
 use std::collections::BTreeMap;
--- a/crates/capacity/src/tail.rs
+++ b/crates/capacity/src/tail.rs
@@ -2,8 +2,9 @@
 use super::{cost, names, standing};
 use quincehatch_core::Name;
 use quincehatch_store::entry_log::{EntryLog, PackedEntry};
-use quincehatch_store::keeper::{Input, Output, RecoveredState};
+use quincehatch_store::keeper::{Input, Output};
 use quincehatch_store::limits::TRANSFER_MAX_BYTES;
+use quincehatch_store::record::RecoveredState;
 use quincehatch_store::{
     Command, Entry, Keeper, KeeperRequest, KeeperResponse, PeerMessage, Reply, Request, View, Voter,
 };
--- a/crates/simulator/src/control/recovery.rs
+++ b/crates/simulator/src/control/recovery.rs
@@ -4,7 +4,7 @@
 use quincehatch_core::Name;
 use quincehatch_runtime::{now, seam};
 use quincehatch_store::host::KeeperHost;
-use quincehatch_store::keeper::RecoveredState;
+use quincehatch_store::record::RecoveredState;
 use quincehatch_store::{DiscoverySettings, Keeper, View, timing};
 use std::sync::Mutex;
 
--- a/crates/store/src/keeper/mod.rs
+++ b/crates/store/src/keeper.rs
@@ -16,13 +16,14 @@
 mod view_lease;
 mod view_repair;
 
-use crate::disk_port::DiskUsage;
+use crate::compression::PackedText;
 use crate::entry_log::EntryLog;
 use crate::feed::Change;
 use crate::node_leases::NodeLeases;
-use crate::patch::PackedText;
+use crate::record::RecoveredState;
 use crate::register::{Acceptor, Proposer};
 use crate::snapshot::{IncomingSnapshot, OutgoingSnapshot};
+use crate::storage::disk_usage::DiskUsage;
 use crate::store::Store;
 use crate::timing::{NODE_LEASE, VIEW_LEASE, with_clock_drift};
 use crate::view::View;
@@ -34,8 +35,6 @@
 use view_lease::ViewLease;
 
 pub use event::{Input, Output};
-// Old paths, until the last users are moved to the new ones.
-pub use crate::record::{Record, RecoveredState};
 pub use membership::DiscoverySettings;
 
 /// One replica of the store.
--- a/crates/store/tests/behind.rs
+++ b/crates/store/tests/behind.rs
@@ -26,7 +26,7 @@
 fn write(net: &mut Net, number: u64, command: Command) {
     let tail = net.tail().expect("a tail serves");
     let head = net.view(&tail).head().cloned().unwrap();
-    net.ask(&head, number, Request::Write { key: format!("key/{number}").into(), command: command });
+    net.ask(&head, number, Request::Write { key: format!("key/{number}").into(), command });
     net.run(40);
     let reply = net.rep(number);
     assert!(!matches!(reply, Some(Reply::Answer { answer: Answer::Rejected(_), .. })), "{reply:?}");
--- a/crates/store/tests/documents.rs
+++ b/crates/store/tests/documents.rs
@@ -5,9 +5,9 @@
 use assert_matches::assert_matches;
 use kit::{Net, voter};
 use quincehatch_core::{ErrorCode, Name};
-use quincehatch_store::documents::MAX_REMEMBERED_DOCUMENTS;
 use quincehatch_store::limits::LOG_MAX_ENTRIES;
 use quincehatch_store::store::MAX_ANSWERED_WRITES;
+use quincehatch_store::store::MAX_REMEMBERED_DOCUMENTS;
 use quincehatch_store::{Answer, Command, Entry, Reply, Request, Store, View, Voter};
 
 const THREE: [&str; 3] = ["k1", "k2", "k3"];
--- a/crates/store/tests/news.rs
+++ b/crates/store/tests/news.rs
@@ -4,7 +4,8 @@
 use assert_matches::assert_matches;
 use kit::Net;
 use quincehatch_core::{PrimaryAssignment, Role, ServerRecord};
-use quincehatch_store::patch::{PackedText, Patch};
+use quincehatch_store::compression::PackedText;
+use quincehatch_store::feed::Patch;
 use quincehatch_store::{Command, FeedSnapshot, FeedState, Reply, Request};
 
 /// A blueprint as long as those of hundreds of databases are.
@@ -131,8 +132,7 @@
     (1..=12).for_each(|i| f.write(adopt(i, blueprint(900, i as usize))));
     // All keepers begin anew: their logs reach back, the news do not.
     for (n, k) in std::mem::take(&mut f.net.ks) {
-        let found =
-            quincehatch_store::keeper::RecoveredState { view: k.view, store: k.store, ..Default::default() };
+        let found = quincehatch_store::RecoveredState { view: k.view, store: k.store, ..Default::default() };
         f.net.ks.insert(n.clone(), quincehatch_store::Keeper::new(n, f.net.now, found));
     }
     f.net.run(8_000);
