--- a/crates/store/src/storage/disk.rs
+++ b/crates/store/src/storage/disk.rs
@@ -10,7 +10,6 @@
 use crate::store::Store;
 use quincehatch_core::Error;
 use redb::{Database, Durability, ReadableDatabase, WriteTransaction};
-use std::fs;
 use std::path::{Path, PathBuf};
 
 /// Memory for pages: 1 MiB. More would serve nothing, as the store is in memory anyhow.
@@ -83,9 +82,9 @@
     pub fn create(dir: &Path, name: &str, view: View) -> Result<OpenedDisk, Error> {
         let unfinished = dir.join(UNFINISHED_FILE_NAME);
         let file = dir.join(FILE_NAME);
-        fs::create_dir_all(dir).map_err(disk_error)?;
+        std::fs::create_dir_all(dir).map_err(disk_error)?;
         if unfinished.exists() {
-            fs::remove_file(&unfinished).map_err(disk_error)?;
+            std::fs::remove_file(&unfinished).map_err(disk_error)?;
         }
         let db =
             Database::builder().set_cache_size(PAGE_CACHE_BYTES).create(&unfinished).map_err(disk_error)?;
@@ -93,7 +92,7 @@
         disk.write(|tx| records::write_name(tx, name))?;
         disk.save(&[Record::View { view }])?;
         drop(disk);
-        fs::rename(&unfinished, &file).map_err(disk_error)?;
+        std::fs::rename(&unfinished, &file).map_err(disk_error)?;
         sync_directory(dir).map_err(disk_error)?;
         Self::open_file(&file)
     }
@@ -182,7 +181,7 @@
 
 /// Makes the names in a directory durable.
 fn sync_directory(dir: &Path) -> std::io::Result<()> {
-    fs::File::open(dir)?.sync_all()
+    std::fs::File::open(dir)?.sync_all()
 }
 
 impl StableStorage for Disk {
@@ -225,7 +224,7 @@
     }
 
     fn usage(&self) -> DiskUsage {
-        let used = fs::metadata(&self.file).map_or(0, |metadata| metadata.len());
+        let used = std::fs::metadata(&self.file).map_or(0, |metadata| metadata.len());
         DiskUsage { used, allowed: self.limits.allowed_bytes }
     }
 }
--- a/crates/store/tests/behind.rs
+++ b/crates/store/tests/catch_up.rs
@@ -1,4 +1,4 @@
-//! A member that is behind by more than one message, or by more than the log holds, catches up (§5.7).
+//! A member that lacks more than one message holds, or more than the log holds, catches up.
 mod kit;
 mod samples;
 
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
-/// Room for the fields beside the entries or the snapshot's bytes.
+/// Bytes allowed for the fields beside the entries or the bytes of a snapshot.
 const ENVELOPE: usize = 8 << 10;
 
 /// A chain that serves, and whose member `behind` is out of the view.
@@ -26,7 +26,7 @@
 fn write(net: &mut Net, number: u64, command: Command) {
     let tail = net.tail().expect("a tail serves");
     let head = net.view(&tail).head().cloned().unwrap();
-    net.ask(&head, number, Request::Write { key: format!("key/{number}").into(), command: command });
+    net.ask(&head, number, Request::Write { key: format!("key/{number}").into(), command });
     net.run(40);
     let reply = net.rep(number);
     assert!(!matches!(reply, Some(Reply::Answer { answer: Answer::Rejected(_), .. })), "{reply:?}");
@@ -37,61 +37,64 @@
     Command::AcquireFence { duty: format!("duty/{}", number % 7).into(), by: "t".into() }
 }
 
-/// The longest message that was sent from now on until `name` holds change `n`.
-fn longest_message_until(net: &mut Net, name: &str, n: ChangeNumber) -> usize {
+/// The longest message sent from now on until `name` holds the change, in bytes.
+fn longest_message_until(net: &mut Net, name: &str, change: ChangeNumber) -> usize {
     net.sent_lengths.clear();
     for _ in 0..50 {
         net.run(200);
-        if net.ks[name].store.last_change >= n && net.ks[name].view.is_member(name) {
+        if net.ks[name].store.last_change >= change && net.ks[name].view.is_member(name) {
             return net.sent_lengths.iter().copied().max().unwrap_or_default();
         }
     }
-    panic!("{name} has {} of {n}, view {:?}", net.ks[name].store.last_change, net.ks[name].view);
+    panic!("{name} has {} of {change}, view {:?}", net.ks[name].store.last_change, net.ks[name].view);
 }
 
-fn caught_up(net: &Net, name: &str) {
+fn assert_caught_up(net: &Net, name: &str) {
     let tail = net.tail().expect("a tail serves");
     assert_eq!(net.ks[name].store, net.ks[&tail].store);
     assert_eq!(net.disks[&Name::from(name)].store, net.ks[&tail].store, "on disk");
 }
 
-/// Each member holds its log within the bounds, whatever the entries' size.
 #[test]
-fn the_log_in_memory_is_bounded_in_bytes_and_in_number() {
+fn the_log_in_memory_stays_bounded_when_entries_are_large_or_many() {
     let mut net = Net::new(&NAMES);
     net.run(3_000);
-    for n in 1..=60 {
-        write(&mut net, n, adopt(n, noise(n)));
+    for number in 1..=60 {
+        write(&mut net, number, adopt(number, noise(number)));
         let status = net.ks["a"].status();
-        assert!(status.log.bytes <= LOG_MAX_BYTES as u64, "change {n}: {} bytes", status.log.bytes);
+        assert!(status.log.bytes <= LOG_MAX_BYTES as u64, "change {number}: {} bytes", status.log.bytes);
     }
-    for n in 61..=61 + LOG_MAX_ENTRIES as u64 {
-        write(&mut net, n, fence(n));
+    for number in 61..=61 + LOG_MAX_ENTRIES as u64 {
+        write(&mut net, number, fence(number));
     }
     assert_eq!(net.ks["a"].status().log.entries, LOG_MAX_ENTRIES as u64);
 }
 
 #[test]
-fn whoever_comes_back_after_thousands_of_changes_takes_a_snapshot_in_parts() {
+fn a_member_gets_a_snapshot_in_parts_when_it_returns_after_thousands_of_changes() {
     let mut net = chain_without("c");
-    for n in 1..=2_000 {
-        let command = if n % 50 == 0 { adopt(n, noise(n)) } else { fence(n) };
-        write(&mut net, n, command);
+    for number in 1..=2_000 {
+        let command = if number % 50 == 0 { adopt(number, noise(number)) } else { fence(number) };
+        write(&mut net, number, command);
     }
     net.down.clear();
     let longest = longest_message_until(&mut net, "c", 2_000);
     assert!(longest > TRANSFER_MAX_BYTES, "the snapshot took one part: {longest}");
     assert!(longest <= TRANSFER_MAX_BYTES + ENVELOPE, "{longest}");
     net.run(1_000);
-    caught_up(&net, "c");
+    assert_caught_up(&net, "c");
 }
 
 /// A chain whose head took `changes` while its messages to the others were lost.
 fn chain_behind_its_head(changes: u64) -> Net {
     let mut net = Net::new(&NAMES);
     net.run(3_000);
-    for n in 1..=changes {
-        net.ask("a", n, Request::Write { key: format!("key/{n}").into(), command: adopt(n, noise(n)) });
+    for number in 1..=changes {
+        net.ask(
+            "a",
+            number,
+            Request::Write { key: format!("key/{number}").into(), command: adopt(number, noise(number)) },
+        );
         net.wire.clear();
     }
     assert_eq!((net.ks["a"].store.last_change, net.ks["b"].store.last_change), (changes, 0));
@@ -100,51 +103,51 @@
 
 /// Members within the view lack more entries than go into a message.
 #[test]
-fn entries_behind_a_member_go_in_messages_far_below_the_longest_frame() {
+fn messages_stay_far_below_the_longest_frame_when_members_lack_many_entries() {
     let mut net = chain_behind_its_head(20);
     let longest = longest_message_until(&mut net, "c", 20);
     assert!(longest <= TRANSFER_MAX_BYTES + ENVELOPE, "{longest}");
     for name in NAMES {
-        caught_up(&net, name);
+        assert_caught_up(&net, name);
     }
 }
 
 /// Members within the view lack more than the log holds.
 #[test]
-fn members_behind_the_log_take_a_snapshot_in_parts_and_go_on_from_there() {
+fn members_get_a_snapshot_in_parts_when_they_lack_more_than_the_log_holds() {
     let mut net = chain_behind_its_head(60);
     let longest = longest_message_until(&mut net, "c", 60);
     assert!(longest <= TRANSFER_MAX_BYTES + ENVELOPE, "{longest}");
     for name in NAMES {
-        caught_up(&net, name);
+        assert_caught_up(&net, name);
     }
 }
 
 /// Messages are lost, some of the parts among them.
 #[test]
-fn a_snapshot_whose_parts_are_lost_is_asked_for_again() {
+fn a_snapshot_is_requested_again_when_parts_of_it_are_lost() {
     let mut net = chain_without("c");
-    for n in 1..=700 {
-        let command = if n % 50 == 0 { adopt(n, noise(n)) } else { fence(n) };
-        write(&mut net, n, command);
+    for number in 1..=700 {
+        let command = if number % 50 == 0 { adopt(number, noise(number)) } else { fence(number) };
+        write(&mut net, number, command);
     }
     net.down.clear();
     net.lose_parts = 3;
     longest_message_until(&mut net, "c", 700);
     assert_eq!(net.lose_parts, 0);
     net.run(1_000);
-    caught_up(&net, "c");
+    assert_caught_up(&net, "c");
 }
 
-/// `cargo test --release -p quincehatch-store --test behind -- --ignored --nocapture` prints the rows of docs/measurements.md.
+/// `cargo test --release -p quincehatch-store --test catch_up -- --ignored --nocapture` prints the rows of docs/measurements.md.
 #[test]
 #[ignore = "prints a table of measurements; the tests above decide"]
 fn cost_of_catching_up_by_number_of_changes() {
     println!("| changes missed | bytes | messages | longest | processor ms | log in memory, bytes |");
     for changes in [10, 100, 1_000, 5_000] {
         let mut net = chain_without("c");
-        for n in 1..=changes {
-            write(&mut net, n, adopt(n, document(n)));
+        for number in 1..=changes {
+            write(&mut net, number, adopt(number, document(number)));
         }
         net.down.clear();
         let began = Instant::now();
--- a/crates/store/tests/suspended.rs
+++ b/crates/store/tests/disk_failure.rs
@@ -1,4 +1,4 @@
-//! A keeper whose disk refuses or stalls stays up, confirms nothing, and comes back by itself (§5.7).
+//! A keeper whose disk fails or stalls stays up, confirms no write, and resumes by itself.
 mod hosts;
 
 use assert_matches::assert_matches;
@@ -21,11 +21,11 @@
 }
 
 fn take_fence(token: u64) -> Request {
-    let cmd = Command::AcquireFence { duty: "duty".into(), by: "t".into() };
-    Request::Write { key: format!("key/{token}").into(), command: cmd }
+    let command = Command::AcquireFence { duty: "duty".into(), by: "t".into() };
+    Request::Write { key: format!("key/{token}").into(), command }
 }
 
-/// Writes at whoever is the head by now, and runs for a second.
+/// Writes at the current head, and runs for a second.
 fn write(net: &mut Hosts, token: u64) {
     let head = net.tail().expect("a tail serves").view.head().cloned().unwrap();
     net.ask(&head, token, take_fence(token));
@@ -36,53 +36,54 @@
     net.replies_to(token).iter().any(|reply| matches!(reply, Reply::Answer { answer: Answer::Fence(_), .. }))
 }
 
-fn assert_asked_again(replies: &[&Reply]) {
-    assert_matches!(replies, [Reply::Rejected { error: why }] if why.has_code(ErrorCode::ChainUnavailable) && why.retry_after_ms.is_some());
+fn assert_told_to_retry(replies: &[&Reply]) {
+    assert_matches!(replies, [Reply::Rejected { error }] if error.has_code(ErrorCode::ChainUnavailable) && error.retry_after_ms.is_some());
 }
 
 #[test]
-fn a_member_whose_disk_refuses_steps_out_and_comes_back_whatever_its_place() {
-    for sick in NAMES {
+fn a_member_leaves_the_view_when_its_disk_fails_and_returns_when_it_works() {
+    for failing in NAMES {
         let mut net = serving();
         write(&mut net, 1);
         assert!(is_confirmed(&net, 1));
-        net.disk(sick).refuses = true;
-        // The write under way is the first thing that the disk refuses.
+        net.disk(failing).fails = true;
+        // The write under way is the first that the disk fails.
         net.ask(HEAD, 2, take_fence(2));
         net.run(100);
-        assert!(net.hosts[sick].keeper().is_none(), "{sick} is not suspended");
-        let sent = net.sent[sick];
+        assert!(net.hosts[failing].keeper().is_none(), "{failing} is not suspended");
+        let sent = net.sent[failing];
         net.run(3_000);
-        assert_eq!(net.sent[sick], sent, "{sick} spoke to its peers");
+        assert_eq!(net.sent[failing], sent, "{failing} sent messages to its peers");
         let tail = net.tail().expect("the others go on");
-        assert!(!tail.view.is_member(sick));
+        assert!(!tail.view.is_member(failing));
         write(&mut net, 3);
         assert!(is_confirmed(&net, 3));
 
-        net.disk(sick).refuses = false;
+        net.disk(failing).fails = false;
         net.run(4_000);
-        assert!(net.keeper(sick).view.is_member(sick), "{sick} is not back");
-        assert_eq!(net.keeper(sick).store, net.tail().unwrap().store);
-        let said = net.said.iter().filter(|(name, _)| name == sick).map(|(_, line)| line.as_str());
-        let said: Vec<&str> = said.filter(|line| line.contains("the disk takes")).collect();
-        assert_matches!(said[..], [first, second] if first.contains("no writes") && second.contains("again"));
+        assert!(net.keeper(failing).view.is_member(failing), "{failing} is not back");
+        assert_eq!(net.keeper(failing).store, net.tail().unwrap().store);
+        let of_keeper = net.logged.iter().filter(|logged| logged.keeper == failing);
+        let lines = of_keeper.map(|logged| logged.line.as_str());
+        let lines: Vec<&str> = lines.filter(|line| line.contains("the disk takes")).collect();
+        assert_matches!(lines[..], [first, second] if first.contains("no writes") && second.contains("again"));
     }
 }
 
 #[test]
-fn a_suspended_keeper_tells_its_clients_to_ask_again_and_says_why_in_its_status() {
+fn clients_are_told_to_retry_and_the_status_says_why_when_a_keeper_is_suspended() {
     let mut net = serving();
-    net.disk(HEAD).refuses = true;
+    net.disk(HEAD).fails = true;
     net.ask(HEAD, 1, take_fence(1));
-    // The write that met the refusal: whether it was kept is not known.
-    assert_asked_again(&net.replies_to(1));
-    assert_matches!(net.replies_to(1)[..], [Reply::Rejected { error: why }] if why.outcome == Outcome::Unknown);
+    // The write during which the disk failed: its outcome is unknown.
+    assert_told_to_retry(&net.replies_to(1));
+    assert_matches!(net.replies_to(1)[..], [Reply::Rejected { error }] if error.outcome == Outcome::Unknown);
     net.ask(HEAD, 2, take_fence(2));
     net.ask(HEAD, 3, Request::ReadStore);
     net.ask(HEAD, 4, Request::Adopted);
     net.ask(HEAD, 5, Request::Status);
     for token in 2..=4 {
-        assert_asked_again(&net.replies_to(token));
+        assert_told_to_retry(&net.replies_to(token));
     }
     assert_matches!(net.replies_to(5)[..], [Reply::Status { status }] => {
         assert!(status.reason.contains("suspended") && status.reason.contains("No space left"), "{}", status.reason);
@@ -90,9 +91,10 @@
     });
 }
 
-/// Every disk is full for a while: nothing is confirmed meanwhile, nothing that was is lost, and no hand is needed.
+/// Every disk is full for a while: no write is confirmed meanwhile, no confirmed write is lost, and no operator is
+/// needed.
 #[test]
-fn when_all_disks_refuse_the_chain_comes_back_with_all_that_was_confirmed() {
+fn the_chain_resumes_with_all_confirmed_writes_when_all_disks_have_failed() {
     let mut net = serving();
     for token in 1..=5 {
         write(&mut net, token);
@@ -100,13 +102,13 @@
     }
     let before = net.tail().unwrap().store.clone();
     for name in NAMES {
-        net.disk(name).refuses = true;
+        net.disk(name).fails = true;
     }
     net.ask(HEAD, 6, take_fence(6));
     net.run(20_000);
     assert!(net.tail().is_none() && !is_confirmed(&net, 6));
     for name in NAMES {
-        net.disk(name).refuses = false;
+        net.disk(name).fails = false;
     }
     net.run(5_000);
     let tail = net.tail().expect("the chain serves again");
@@ -115,15 +117,15 @@
     assert!(is_confirmed(&net, 7));
 }
 
-/// Refusals that come and go leave no keeper behind.
+/// Failures that come and go leave no keeper behind.
 #[test]
-fn a_disk_that_refuses_again_and_again_is_left_and_joined_each_time() {
+fn a_keeper_leaves_and_rejoins_each_time_its_disk_fails() {
     let mut net = serving();
     for token in 1..=6 {
-        let sick = NAMES[token as usize % NAMES.len()];
-        net.disk(sick).refuses = true;
+        let failing = NAMES[token as usize % NAMES.len()];
+        net.disk(failing).fails = true;
         net.run(2_500);
-        net.disk(sick).refuses = false;
+        net.disk(failing).fails = false;
         net.run(4_000);
         write(&mut net, token);
         assert!(is_confirmed(&net, token));
@@ -134,9 +136,9 @@
     }
 }
 
-/// A read that was computed before a long stall is not handed out after it as if it were fresh.
+/// A read that was computed before a long stall is not sent after it as if it were fresh.
 #[test]
-fn replies_under_the_tails_lease_are_not_given_once_the_lease_ended_in_the_write() {
+fn reads_are_redirected_when_the_tails_lease_ended_during_the_write() {
     for (stall, is_stale) in [(0, false), (VIEW_LEASE * 20, true)] {
         let mut net = serving();
         let now = net.now;
@@ -144,31 +146,32 @@
         let mut batch = Batch::default();
         host.step(now, Input::Request { token: 1, request: Request::ReadStore }, &mut batch);
         let outputs = host.complete_save(now + stall, Ok(()), batch);
-        let is_given = outputs.iter().any(|o| matches!(o, Output::Reply(1, Reply::Store { .. })));
-        let is_elsewhere = outputs.iter().any(|o| matches!(o, Output::Reply(1, Reply::Redirect { .. })));
+        let is_given = outputs.iter().any(|output| matches!(output, Output::Reply(1, Reply::Store { .. })));
+        let is_elsewhere =
+            outputs.iter().any(|output| matches!(output, Output::Reply(1, Reply::Redirect { .. })));
         assert_eq!((is_given, is_elsewhere), (!is_stale, is_stale), "after {stall} ms");
     }
 }
 
-/// While a write lasts too long, whoever waits is told to ask again; the late reply is not given as well.
+/// While a write takes too long, waiting clients are told to retry; they do not get the late reply as well.
 #[test]
-fn requests_that_wait_on_a_stalled_disk_are_declined_once() {
+fn pending_requests_are_rejected_once_when_the_disk_stalls() {
     let mut net = serving();
     let now = net.now;
     let host = net.hosts.get_mut(HEAD).unwrap();
     let mut batch = Batch::default();
     host.step(now, Input::Request { token: 1, request: take_fence(1) }, &mut batch);
-    let declined = host.reject_pending();
-    assert_eq!(declined.len(), 1);
+    let rejections = host.reject_pending();
+    assert_eq!(rejections.len(), 1);
     assert!(host.status().reason.contains("stalls"));
     let late = host.complete_save(now + 500, Ok(()), batch);
-    assert!(!late.iter().any(|o| matches!(o, Output::Reply(..))));
+    assert!(!late.iter().any(|output| matches!(output, Output::Reply(..))));
     assert!(!host.status().reason.contains("stalls"));
 }
 
-/// Its own stand-still is no silence of the others: a keeper whose disk stalled leaves nobody out.
+/// The time in which a keeper's own disk stalled does not count as silence of its peers.
 #[test]
-fn a_keeper_that_stood_still_leaves_nobody_out() {
+fn no_peer_is_removed_when_a_keeper_itself_was_suspended() {
     let mut net = serving();
     let version = net.tail().unwrap().view.version;
     net.disk(HEAD).stall = 5_000;
--- a/crates/store/tests/space.rs
+++ b/crates/store/tests/disk_space.rs
@@ -47,14 +47,14 @@
 }
 
 #[test]
-fn hundreds_of_large_documents_leave_most_of_the_allowed_size_free() {
+fn most_of_the_allowed_size_stays_free_when_hundreds_of_large_documents_are_adopted() {
     let allowed = 16 * MIB;
     let directory = DataDirectory::new("flat");
     let mut disk = directory.create(allowed);
     let mut store = Store::default();
     let mut largest = 0;
     for number in 1..=400 {
-        // Documents that hardly pack are the worst case.
+        // Documents that hardly compress are the worst case.
         save_change(&mut disk, &mut store, if number % 2 == 0 { noise(number) } else { document(number) });
         largest = largest.max(disk.usage().used);
         assert!(!disk.usage().is_reserve_touched(), "change {number}: {:?}", disk.usage());
@@ -67,7 +67,7 @@
 
 /// The size of the log counts from what the file holds, not from the start of the process.
 #[test]
-fn a_process_that_is_started_anew_after_every_change_keeps_the_directory_small_too() {
+fn the_directory_stays_small_when_the_process_restarts_after_every_change() {
     let allowed = 16 * MIB;
     let directory = DataDirectory::new("restarts");
     drop(directory.create(allowed));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn small_entries_call_for_a_snapshot_by_their_number() {
+fn a_snapshot_is_due_by_number_when_entries_are_small() {
     let directory = DataDirectory::new("number");
     let mut disk = directory.create(64 * MIB);
     let mut store = Store::default();
@@ -94,7 +94,7 @@
     assert!(disk.is_snapshot_due());
 }
 
-/// `cargo test --release -p quincehatch-store --test space -- --ignored --nocapture` prints the rows of docs/measurements.md.
+/// `cargo test --release -p quincehatch-store --test disk_space -- --ignored --nocapture` prints the rows of docs/measurements.md.
 #[test]
 #[ignore = "prints a table of measurements; the tests above decide"]
 fn sizes_by_number_of_changes() {
--- a/crates/store/tests/documents.rs
+++ b/crates/store/tests/documents.rs
@@ -1,5 +1,5 @@
-//! One number, one document: what operators are answered through races, lost answers, restarts and changes of
-//! members (§5.2, docs/design-control.md).
+//! One number, one document: what operators are answered through races, lost replies, restarts and changes of members
+//! (docs/design-control.md).
 mod kit;
 
 use assert_matches::assert_matches;
@@ -14,7 +14,7 @@
 /// First token of the writes that fill log and answers.
 const FILL: u64 = 1_000_000;
 
-/// Operators at the doors of a chain.
+/// Operators who send documents to a chain.
 struct Operators {
     net: Net,
     token: u64,
@@ -25,7 +25,7 @@
     Command::AdoptDocument { number, text, source, by: "t".into() }
 }
 
-/// The key under which a door writes a document: of its number and content alone.
+/// The idempotency key of a document, which depends on its number and content alone.
 fn key(number: u64, content: &str) -> Name {
     format!("adopt/{number}/{content}").into()
 }
@@ -34,8 +34,8 @@
     matches!(reply, Reply::Answer { answer: Answer::Version(_), .. })
 }
 
-fn refused(reply: &Reply) -> bool {
-    matches!(reply, Reply::Answer { answer: Answer::Rejected(e), .. } if e.has_code(ErrorCode::NumberTaken))
+fn rejected(reply: &Reply) -> bool {
+    matches!(reply, Reply::Answer { answer: Answer::Rejected(error), .. } if error.has_code(ErrorCode::NumberTaken))
 }
 
 impl Operators {
@@ -51,10 +51,10 @@
     }
 
     /// Sends a document through a keeper; the token of the write at the head.
-    fn send(&mut self, door: &str, number: u64, content: &str) -> u64 {
+    fn send(&mut self, keeper: &str, number: u64, content: &str) -> u64 {
         let request = Request::Write { key: key(number, content), command: adopt(number, content) };
         self.token += 1;
-        self.net.ask(door, self.token, request.clone());
+        self.net.ask(keeper, self.token, request.clone());
         if let Some(Reply::Redirect { view }) = self.net.rep(self.token) {
             self.token += 1;
             let head = view.head().unwrap().to_string();
@@ -71,35 +71,39 @@
         self.net.rep(token).unwrap_or_else(|| panic!("{number} {content} is not answered"))
     }
 
-    fn newest(&mut self) -> Option<String> {
+    fn document_in_force(&mut self) -> Option<String> {
         let tail = self.net.tail().unwrap();
         self.token += 1;
         self.net.ask(&tail, self.token, Request::Adopted);
-        assert_matches!(self.net.rep(self.token), Some(Reply::Adopted { adopted }) => adopted.map(|a| a.source))
+        assert_matches!(self.net.rep(self.token), Some(Reply::Adopted { adopted }) => adopted.map(|document| document.source))
     }
 
-    fn take_three(&mut self) {
+    fn adopt_three(&mut self) {
         assert!(confirmed(&self.offer(7, "a")));
         assert!(confirmed(&self.offer(9, "c")));
         assert!(confirmed(&self.offer(5, "late")), "an older number that nobody took is acknowledged");
-        assert_eq!(self.newest().as_deref(), Some("source 9 c"));
+        assert_eq!(self.document_in_force().as_deref(), Some("source 9 c"));
     }
 
-    /// Every document is known again, and none is confirmed under a number of another.
+    /// Every document is recognised, and none is confirmed under a number of another.
     fn check_all_answers(&mut self) {
         for (number, content) in [(7, "a"), (9, "c"), (5, "late")] {
             assert!(confirmed(&self.offer(number, content)), "{number} {content} was taken");
-            assert!(refused(&self.offer(number, "of another")), "{number} is another's");
+            assert!(rejected(&self.offer(number, "of another")), "{number} is that of another");
         }
-        assert_eq!(self.newest().as_deref(), Some("source 9 c"), "what was sent again alters nothing");
+        assert_eq!(
+            self.document_in_force().as_deref(),
+            Some("source 9 c"),
+            "what was sent again changes nothing"
+        );
     }
 
-    /// So many writes that neither log nor remembered answers reach back.
-    fn outrun_log_and_answers(&mut self) {
+    /// Makes so many writes that neither the log nor the remembered answers hold the earlier ones.
+    fn overflow_log_and_answers(&mut self) {
         let head = self.head();
         for i in 0..(MAX_ANSWERED_WRITES.max(LOG_MAX_ENTRIES) + 8) as u64 {
-            let cmd = Command::AcquireFence { duty: "d".into(), by: "t".into() };
-            self.net.ask(&head, FILL + i, Request::Write { key: format!("f/{i}").into(), command: cmd });
+            let command = Command::AcquireFence { duty: "d".into(), by: "t".into() };
+            self.net.ask(&head, FILL + i, Request::Write { key: format!("f/{i}").into(), command });
             if i % 200 == 0 {
                 self.net.run(60);
             }
@@ -109,24 +113,24 @@
 }
 
 #[test]
-fn two_operators_under_one_number_are_never_both_confirmed() {
-    for doors in [["k2", "k3"], ["k3", "k1"], ["k1", "k2"]] {
+fn only_one_operator_is_confirmed_when_two_use_one_number() {
+    for keepers in [["k2", "k3"], ["k3", "k1"], ["k1", "k2"]] {
         let mut operators = Operators::new();
-        let tokens = [operators.send(doors[0], 7, "a"), operators.send(doors[1], 7, "b")];
+        let tokens = [operators.send(keepers[0], 7, "a"), operators.send(keepers[1], 7, "b")];
         operators.net.run(300);
-        let replies = tokens.map(|t| operators.net.rep(t).unwrap());
+        let replies = tokens.map(|token| operators.net.rep(token).unwrap());
         assert!(confirmed(&replies[0]), "{replies:?}");
-        assert!(refused(&replies[1]), "{replies:?}");
-        assert_eq!(operators.newest().as_deref(), Some("source 7 a"));
+        assert!(rejected(&replies[1]), "{replies:?}");
+        assert_eq!(operators.document_in_force().as_deref(), Some("source 7 a"));
     }
 }
 
 #[test]
-fn a_document_is_known_again_after_later_ones_and_beyond_log_and_answers() {
+fn a_document_is_recognised_when_log_and_answers_no_longer_hold_it() {
     let mut operators = Operators::new();
-    operators.take_three();
+    operators.adopt_three();
     operators.check_all_answers();
-    operators.outrun_log_and_answers();
+    operators.overflow_log_and_answers();
     assert!(
         operators.net.ks["k1"].store.answered_write(&key(7, "a")).is_none(),
         "its answer is no longer remembered"
@@ -135,9 +139,9 @@
 }
 
 #[test]
-fn a_document_is_known_again_after_a_restart_of_all() {
+fn a_document_is_recognised_when_all_keepers_restarted() {
     let mut operators = Operators::new();
-    operators.take_three();
+    operators.adopt_three();
     for keeper in THREE {
         operators.net.again(keeper);
     }
@@ -146,27 +150,28 @@
 }
 
 #[test]
-fn a_document_is_known_again_by_a_new_member_that_leads() {
+fn a_document_is_recognised_when_a_new_member_is_the_head() {
     let mut operators = Operators::new();
-    operators.take_three();
-    operators.outrun_log_and_answers();
+    operators.adopt_three();
+    operators.overflow_log_and_answers();
     let net = &mut operators.net;
     net.down = vec!["k2".into()];
     net.run(3_000);
     let view = net.view("k1").clone();
-    let rest: Vec<Voter> = view.voters.iter().filter(|m| m.name != "k2").cloned().collect();
-    net.ask("k1", 900_001, Request::ChangeVoters { version: view.version, voters: rest.clone() });
+    let remaining: Vec<Voter> = view.voters.iter().filter(|voter| voter.name != "k2").cloned().collect();
+    net.ask("k1", 900_001, Request::ChangeVoters { version: view.version, voters: remaining.clone() });
     net.run(3_000);
     net.add("k4", View::default());
-    let (version, machines) = (net.view("k1").version, [rest, vec![machine("k4")]].concat());
-    net.ask("k3", 900_002, Request::ChangeVoters { version, voters: machines });
+    let version = net.view("k1").version;
+    let voters = [remaining, vec![machine("k4")]].concat();
+    net.ask("k3", 900_002, Request::ChangeVoters { version, voters });
     net.run(6_000);
     assert_eq!(net.view("k1").members, ["k1", "k3", "k4"]);
-    // Both older members go and come back: the new one, which fetched the store, leads.
+    // Both older members leave and return: the new one, which fetched the store, becomes the head.
     for old in ["k1", "k3"] {
         net.down.push(old.into());
         net.run(5_000);
-        net.down.retain(|d| d != old);
+        net.down.retain(|name| name != old);
         net.run(5_000);
     }
     assert_eq!(net.view("k4").head().map(Name::as_str), Some("k4"));
@@ -174,7 +179,7 @@
 }
 
 #[test]
-fn a_refusal_waits_until_the_number_is_taken_for_good() {
+fn no_document_is_rejected_when_the_entry_that_took_its_number_is_lost() {
     let mut operators = Operators::new();
     operators.net.cut = vec!["k1".into()];
     // The head that is cut off has one of them in its log, and nobody else will ever hold it.
@@ -185,36 +190,36 @@
     operators.net.run(6_000);
     for token in lost {
         let reply = operators.net.rep(token);
-        assert!(!reply.as_ref().is_some_and(|r| confirmed(r) || refused(r)), "{reply:?}");
+        assert!(!reply.as_ref().is_some_and(|reply| confirmed(reply) || rejected(reply)), "{reply:?}");
     }
     assert!(confirmed(&operators.offer(7, "b")));
-    assert!(refused(&operators.offer(7, "a")));
-    assert_eq!(operators.newest().as_deref(), Some("source 7 b"));
+    assert!(rejected(&operators.offer(7, "a")));
+    assert_eq!(operators.document_in_force().as_deref(), Some("source 7 b"));
 }
 
 /// A majority is in contact with the head, yet the entry that took the number stays uncommitted and is lost.
 #[test]
-fn a_refusal_waits_for_the_commit_of_the_entry_it_rests_on() {
+fn no_document_is_rejected_while_the_entry_that_took_its_number_is_uncommitted() {
     let mut operators = Operators::new();
     operators.net.deaf = vec!["k2".into()];
     let tokens = [operators.send("k1", 7, "a"), operators.send("k1", 7, "b")];
     operators.net.run(400);
-    assert_eq!(tokens.map(|t| operators.net.rep(t)), [None, None]);
+    assert_eq!(tokens.map(|token| operators.net.rep(token)), [None, None]);
     operators.net.down = vec!["k1".into()];
     operators.net.deaf.clear();
     operators.net.run(6_000);
     assert!(confirmed(&operators.offer(7, "b")));
-    assert!(refused(&operators.offer(7, "a")));
+    assert!(rejected(&operators.offer(7, "a")));
 }
 
 fn apply(store: &mut Store, number: u64, content: &str) -> Answer {
-    let n = store.last_change + 1;
-    let entry = Entry { number: n, key: format!("{n}").into(), command: adopt(number, content) };
+    let change = store.last_change + 1;
+    let entry = Entry { number: change, key: format!("{change}").into(), command: adopt(number, content) };
     store.apply(&entry).unwrap()
 }
 
 #[test]
-fn beyond_the_bound_the_lowest_numbers_are_neither_confirmed_nor_refused() {
+fn the_lowest_numbers_are_neither_confirmed_nor_rejected_when_too_many_were_taken() {
     let mut store = Store::default();
     for number in 1..=MAX_REMEMBERED_DOCUMENTS as u64 + 2 {
         assert_matches!(apply(&mut store, number, "a"), Answer::Version(_));
@@ -222,8 +227,8 @@
     assert_eq!(store.documents.taken.len(), MAX_REMEMBERED_DOCUMENTS);
     for (number, content) in [(1, "a"), (2, "b")] {
         let answer = apply(&mut store, number, content);
-        assert_matches!(answer, Answer::Rejected(e) if e.has_code(ErrorCode::NumberForgotten) && e.http_status() == 503);
+        assert_matches!(answer, Answer::Rejected(error) if error.has_code(ErrorCode::NumberForgotten) && error.http_status() == 503);
     }
     assert_matches!(apply(&mut store, 3, "a"), Answer::Version(_));
-    assert_matches!(apply(&mut store, 3, "b"), Answer::Rejected(e) if e.has_code(ErrorCode::NumberTaken));
+    assert_matches!(apply(&mut store, 3, "b"), Answer::Rejected(error) if error.has_code(ErrorCode::NumberTaken));
 }
--- a/crates/store/tests/hosts/mod.rs
+++ b/crates/store/tests/hosts/mod.rs
@@ -1,4 +1,4 @@
-//! Keepers with disks that refuse or stall, in virtual time (§5.7).
+//! Keepers with disks that fail or stall, in virtual time.
 #![allow(dead_code)]
 use quincehatch_core::{Error, ErrorCode, Millis, Name};
 use quincehatch_store::host::{Batch, KeeperHost};
@@ -10,22 +10,22 @@
 
 const TICK: Millis = 20;
 
-/// A disk in memory that can be told to refuse writes, or to take long over the next one.
+/// A disk in memory that fails or stalls on demand.
 #[derive(Default)]
 pub struct FaultyDisk {
     state: RecoveredState,
-    pub refuses: bool,
+    pub fails: bool,
     pub stall: Millis,
 }
 
-fn refused() -> Error {
+fn disk_full() -> Error {
     ErrorCode::DiskFailed.with_detail("No space left on device")
 }
 
 impl StableStorage for FaultyDisk {
     fn save(&mut self, records: &[Record]) -> Result<(), Error> {
-        if self.refuses {
-            return Err(refused());
+        if self.fails {
+            return Err(disk_full());
         }
         for record in records {
             match record {
@@ -52,39 +52,52 @@
         Ok(())
     }
     fn recover(&mut self) -> Result<RecoveredState, Error> {
-        if self.refuses { Err(refused()) } else { Ok(self.state.clone()) }
+        if self.fails { Err(disk_full()) } else { Ok(self.state.clone()) }
     }
     fn usage(&self) -> DiskUsage {
         DiskUsage { used: 1, allowed: 100 }
     }
 }
 
+/// A message on its way from one keeper to another.
+struct MessageInFlight {
+    from: Name,
+    to: Name,
+    message: PeerMessage,
+}
+
+/// A line that a keeper logged.
+pub struct LoggedLine {
+    pub keeper: Name,
+    pub line: String,
+}
+
 /// Hosts in one loop, each with its disk; a name is an address too.
+#[derive(Default)]
 pub struct Hosts {
     pub now: Millis,
     pub hosts: BTreeMap<Name, KeeperHost>,
     pub disks: BTreeMap<Name, FaultyDisk>,
-    wire: VecDeque<(Name, Name, PeerMessage)>,
+    in_flight: VecDeque<MessageInFlight>,
+    /// Replies, with the tokens of their requests.
     pub replies: Vec<(u64, Reply)>,
-    pub said: Vec<(Name, String)>,
-    /// Messages that each host sent.
+    pub logged: Vec<LoggedLine>,
+    /// Number of messages that each host sent.
     pub sent: BTreeMap<Name, usize>,
 }
 
 impl Hosts {
     pub fn new(names: &[&str]) -> Self {
-        let machine = |n: &&str| Voter { name: (*n).into(), addr: (*n).into() };
-        let members = names.iter().map(|n| Name::from(*n)).collect();
-        let view = View { version: 1, members, voters: names.iter().map(machine).collect() };
-        let (now, hosts, disks) = (1_000, BTreeMap::new(), BTreeMap::new());
-        let (wire, replies, said, sent) = (VecDeque::new(), Vec::new(), Vec::new(), BTreeMap::new());
-        let mut net = Self { now, hosts, disks, wire, replies, said, sent };
-        for name in names {
+        let members: Vec<Name> = names.iter().map(|name| Name::from(*name)).collect();
+        let voters = members.iter().map(|name| Voter { name: name.clone(), addr: name.clone() }).collect();
+        let view = View { version: 1, members: members.clone(), voters };
+        let mut net = Self { now: 1_000, ..Default::default() };
+        for name in members {
             let state = RecoveredState { view: view.clone(), ..Default::default() };
-            let me = Name::from(*name);
-            let make = Box::new(move |state, now| Keeper::new(me.clone(), now, state));
-            net.hosts.insert((*name).into(), KeeperHost::new(state.clone(), now, make));
-            net.disks.insert((*name).into(), FaultyDisk { state, ..Default::default() });
+            let keeper_name = name.clone();
+            let make_keeper = Box::new(move |state, now| Keeper::new(keeper_name.clone(), now, state));
+            net.hosts.insert(name.clone(), KeeperHost::new(state.clone(), net.now, make_keeper));
+            net.disks.insert(name, FaultyDisk { state, ..Default::default() });
         }
         net
     }
@@ -113,10 +126,10 @@
             match output {
                 Output::Send(to, message) => {
                     *self.sent.entry(name.into()).or_default() += 1;
-                    self.wire.push_back((name.into(), to, message));
+                    self.in_flight.push_back(MessageInFlight { from: name.into(), to, message });
                 }
                 Output::Reply(token, reply) => self.replies.push((token, reply)),
-                Output::Log(line) => self.said.push((name.into(), line)),
+                Output::Log(line) => self.logged.push(LoggedLine { keeper: name.into(), line }),
                 Output::Persist(record) => panic!("{record:?} left with the outputs"),
             }
         }
@@ -131,8 +144,8 @@
                 self.step(name, Input::Tick);
                 self.probe(name);
             }
-            while let Some((from, to, m)) = self.wire.pop_front() {
-                self.step(&to, Input::Peer { from, message: m });
+            while let Some(MessageInFlight { from, to, message }) = self.in_flight.pop_front() {
+                self.step(&to, Input::Peer { from, message });
             }
         }
     }
@@ -146,12 +159,12 @@
         }
     }
 
-    pub fn ask(&mut self, name: &str, token: u64, ask: Request) {
-        self.step(name, Input::Request { token, request: ask });
+    pub fn ask(&mut self, name: &str, token: u64, request: Request) {
+        self.step(name, Input::Request { token, request });
     }
 
     pub fn replies_to(&self, token: u64) -> Vec<&Reply> {
-        self.replies.iter().filter(|(t, _)| *t == token).map(|(_, reply)| reply).collect()
+        self.replies.iter().filter(|(answered, _)| *answered == token).map(|(_, reply)| reply).collect()
     }
 
     pub fn keeper(&self, name: &str) -> &Keeper {
--- a/crates/store/tests/samples/mod.rs
+++ b/crates/store/tests/samples/mod.rs
@@ -1,4 +1,4 @@
-//! Configurations of the size that large fleets have.
+//! Configurations of the size that large installations have.
 #![allow(dead_code)]
 use quincehatch_store::{Command, Entry};
 
@@ -24,7 +24,7 @@
     text
 }
 
-/// A document that hardly packs.
+/// A document that hardly compresses.
 pub fn noise(number: u64) -> String {
     let mut state = number.wrapping_add(1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     let mut text = String::with_capacity(DOCUMENT_BYTES);
@@ -42,6 +42,6 @@
     Command::AdoptDocument { number, source: text.clone(), text, by: "operator".into() }
 }
 
-pub fn entry(n: u64, text: String) -> Entry {
-    Entry { number: n, key: format!("adopt/{n}").into(), command: adopt(n, text) }
+pub fn entry(number: u64, text: String) -> Entry {
+    Entry { number, key: format!("adopt/{number}").into(), command: adopt(number, text) }
 }
