--- a/crates/store/src/keeper/requests/voters.rs
+++ b/crates/store/src/keeper/requests/voters.rs
@@ -14,7 +14,10 @@
         let mut members = self.view.members.clone();
         members.retain(|member| voters.iter().any(|voter| voter.name == *member));
         if version != self.view.version || removed + added != 1 || members.is_empty() {
-            let detail = format!("the view is at {}; {added} would come and {removed} go", self.view.version);
+            let detail = format!(
+                "the view is at version {}; {added} voters would be added and {removed} removed",
+                self.view.version
+            );
             return Reply::Rejected { error: ErrorCode::MembershipChangeRejected.with_detail(detail) };
         }
         self.propose(View { version: version + 1, members, voters });
--- a/crates/store/src/keeper/requests/writes.rs
+++ b/crates/store/src/keeper/requests/writes.rs
@@ -35,7 +35,7 @@
             return Some(self.redirect());
         }
         if self.pending_writes.len() >= MAX_PENDING_WRITES {
-            return Some(Reply::Rejected { error: overloaded("too many writes wait") });
+            return Some(Reply::Rejected { error: overloaded("too many writes are pending") });
         }
         let pending = match self.recorded_answer(&key, &command) {
             Some(recorded) => self.await_contact(token, recorded, &command),
@@ -99,7 +99,7 @@
         if self.now < write.deadline {
             return None;
         }
-        let detail = "not acknowledged yet; ask again with the same key";
+        let detail = "not acknowledged yet; retry with the same key";
         let error = ErrorCode::ChainUnavailable.with_detail(detail).with_unknown_outcome();
         Some(Reply::Rejected { error: error.with_retry_after(RETRY_PENDING_AFTER) })
     }
--- a/crates/store/src/keeper/status.rs
+++ b/crates/store/src/keeper/status.rs
@@ -25,7 +25,7 @@
         if self.leaving.is_some() {
             "leaving"
         } else if !self.is_member() && self.invitation.is_some() {
-            "invited, fetches the store"
+            "invited, fetching the store"
         } else if !self.is_member() {
             "outside the view"
         } else if self.catching_up {
@@ -33,15 +33,15 @@
         } else if !self.is_tail() {
             "in the chain"
         } else if !self.in_sync {
-            "waits for its forerunner"
+            "waiting for its predecessor"
         } else if self.now < self.older_tail_until {
-            "waits the old tail out"
+            "waiting for the old tail's lease to end"
         } else if !self.view_lease.is_held(self.now) {
             "no majority renews the view lease"
         } else if !self.can_commit() {
             "the chain is too short to commit"
         } else {
-            "serves as the tail"
+            "serving as the tail"
         }
     }
 }
