--- a/crates/store/tests/catch_up.rs
+++ b/crates/store/tests/catch_up.rs
@@ -1,8 +1,8 @@
 //! A member that lacks more than one message holds, or more than the log holds, catches up.
-mod kit;
+mod cluster;
 mod samples;
 
-use kit::Net;
+use cluster::Cluster;
 use quincehatch_core::{ChangeNumber, Name};
 use quincehatch_store::limits::{LOG_MAX_BYTES, LOG_MAX_ENTRIES, TRANSFER_MAX_BYTES};
 use quincehatch_store::{Answer, Command, Reply, Request};
@@ -14,23 +14,23 @@
 const ENVELOPE: usize = 8 << 10;
 
 /// A chain that serves, and whose member `behind` is out of the view.
-fn chain_without(behind: &str) -> Net {
-    let mut net = Net::new(&NAMES);
-    net.run(3_000);
-    net.down.push(behind.into());
-    net.run(3_000);
-    assert!(net.tail().is_some_and(|tail| !net.view(&tail).is_member(behind)));
-    net
+fn chain_without(behind: &str) -> Cluster {
+    let mut cluster = Cluster::new(&NAMES);
+    cluster.run_for(3_000);
+    cluster.down.push(behind.into());
+    cluster.run_for(3_000);
+    assert!(cluster.tail().is_some_and(|tail| !cluster.view(&tail).is_member(behind)));
+    cluster
 }
 
-fn write(net: &mut Net, number: u64, command: Command) {
-    let tail = net.tail().expect("a tail serves");
-    let head = net.view(&tail).head().cloned().unwrap();
-    net.ask(&head, number, Request::Write { key: format!("key/{number}").into(), command });
-    net.run(40);
-    let reply = net.rep(number);
+fn write(cluster: &mut Cluster, number: u64, command: Command) {
+    let tail = cluster.tail().expect("a tail serves");
+    let head = cluster.view(&tail).head().cloned().unwrap();
+    cluster.request(&head, number, Request::Write { key: format!("key/{number}").into(), command });
+    cluster.run_for(40);
+    let reply = cluster.reply_to(number);
     assert!(!matches!(reply, Some(Reply::Answer { answer: Answer::Rejected(_), .. })), "{reply:?}");
-    net.reps.clear();
+    cluster.replies.clear();
 }
 
 fn fence(number: u64) -> Command {
@@ -38,105 +38,111 @@
 }
 
 /// The longest message sent from now on until `name` holds the change, in bytes.
-fn longest_message_until(net: &mut Net, name: &str, change: ChangeNumber) -> usize {
-    net.sent_lengths.clear();
+fn longest_message_until(cluster: &mut Cluster, name: &str, change: ChangeNumber) -> usize {
+    cluster.sent_lengths.clear();
     for _ in 0..50 {
-        net.run(200);
-        if net.ks[name].store.last_change >= change && net.ks[name].view.is_member(name) {
-            return net.sent_lengths.iter().copied().max().unwrap_or_default();
+        cluster.run_for(200);
+        if cluster.keepers[name].store.last_change >= change && cluster.keepers[name].view.is_member(name) {
+            return cluster.sent_lengths.iter().copied().max().unwrap_or_default();
         }
     }
-    panic!("{name} has {} of {change}, view {:?}", net.ks[name].store.last_change, net.ks[name].view);
+    panic!(
+        "{name} has {} of {change}, view {:?}",
+        cluster.keepers[name].store.last_change, cluster.keepers[name].view
+    );
 }
 
-fn assert_caught_up(net: &Net, name: &str) {
-    let tail = net.tail().expect("a tail serves");
-    assert_eq!(net.ks[name].store, net.ks[&tail].store);
-    assert_eq!(net.disks[&Name::from(name)].store, net.ks[&tail].store, "on disk");
+fn assert_caught_up(cluster: &Cluster, name: &str) {
+    let tail = cluster.tail().expect("a tail serves");
+    assert_eq!(cluster.keepers[name].store, cluster.keepers[&tail].store);
+    assert_eq!(cluster.disks[&Name::from(name)].store, cluster.keepers[&tail].store, "on disk");
 }
 
 #[test]
 fn the_log_in_memory_stays_bounded_when_entries_are_large_or_many() {
-    let mut net = Net::new(&NAMES);
-    net.run(3_000);
+    let mut cluster = Cluster::new(&NAMES);
+    cluster.run_for(3_000);
     for number in 1..=60 {
-        write(&mut net, number, adopt(number, noise(number)));
-        let status = net.ks["a"].status();
+        write(&mut cluster, number, adopt(number, noise(number)));
+        let status = cluster.keepers["a"].status();
         assert!(status.log.bytes <= LOG_MAX_BYTES as u64, "change {number}: {} bytes", status.log.bytes);
     }
     for number in 61..=61 + LOG_MAX_ENTRIES as u64 {
-        write(&mut net, number, fence(number));
+        write(&mut cluster, number, fence(number));
     }
-    assert_eq!(net.ks["a"].status().log.entries, LOG_MAX_ENTRIES as u64);
+    assert_eq!(cluster.keepers["a"].status().log.entries, LOG_MAX_ENTRIES as u64);
 }
 
 #[test]
 fn a_member_gets_a_snapshot_in_parts_when_it_returns_after_thousands_of_changes() {
-    let mut net = chain_without("c");
+    let mut cluster = chain_without("c");
     for number in 1..=2_000 {
         let command = if number % 50 == 0 { adopt(number, noise(number)) } else { fence(number) };
-        write(&mut net, number, command);
+        write(&mut cluster, number, command);
     }
-    net.down.clear();
-    let longest = longest_message_until(&mut net, "c", 2_000);
+    cluster.down.clear();
+    let longest = longest_message_until(&mut cluster, "c", 2_000);
     assert!(longest > TRANSFER_MAX_BYTES, "the snapshot took one part: {longest}");
     assert!(longest <= TRANSFER_MAX_BYTES + ENVELOPE, "{longest}");
-    net.run(1_000);
-    assert_caught_up(&net, "c");
+    cluster.run_for(1_000);
+    assert_caught_up(&cluster, "c");
 }
 
 /// A chain whose head took `changes` while its messages to the others were lost.
-fn chain_behind_its_head(changes: u64) -> Net {
-    let mut net = Net::new(&NAMES);
-    net.run(3_000);
+fn chain_behind_its_head(changes: u64) -> Cluster {
+    let mut cluster = Cluster::new(&NAMES);
+    cluster.run_for(3_000);
     for number in 1..=changes {
-        net.ask(
+        cluster.request(
             "a",
             number,
             Request::Write { key: format!("key/{number}").into(), command: adopt(number, noise(number)) },
         );
-        net.wire.clear();
+        cluster.in_flight.clear();
     }
-    assert_eq!((net.ks["a"].store.last_change, net.ks["b"].store.last_change), (changes, 0));
-    net
+    assert_eq!(
+        (cluster.keepers["a"].store.last_change, cluster.keepers["b"].store.last_change),
+        (changes, 0)
+    );
+    cluster
 }
 
 /// Members within the view lack more entries than go into a message.
 #[test]
 fn messages_stay_far_below_the_longest_frame_when_members_lack_many_entries() {
-    let mut net = chain_behind_its_head(20);
-    let longest = longest_message_until(&mut net, "c", 20);
+    let mut cluster = chain_behind_its_head(20);
+    let longest = longest_message_until(&mut cluster, "c", 20);
     assert!(longest <= TRANSFER_MAX_BYTES + ENVELOPE, "{longest}");
     for name in NAMES {
-        assert_caught_up(&net, name);
+        assert_caught_up(&cluster, name);
     }
 }
 
 /// Members within the view lack more than the log holds.
 #[test]
 fn members_get_a_snapshot_in_parts_when_they_lack_more_than_the_log_holds() {
-    let mut net = chain_behind_its_head(60);
-    let longest = longest_message_until(&mut net, "c", 60);
+    let mut cluster = chain_behind_its_head(60);
+    let longest = longest_message_until(&mut cluster, "c", 60);
     assert!(longest <= TRANSFER_MAX_BYTES + ENVELOPE, "{longest}");
     for name in NAMES {
-        assert_caught_up(&net, name);
+        assert_caught_up(&cluster, name);
     }
 }
 
 /// Messages are lost, some of the parts among them.
 #[test]
 fn a_snapshot_is_requested_again_when_parts_of_it_are_lost() {
-    let mut net = chain_without("c");
+    let mut cluster = chain_without("c");
     for number in 1..=700 {
         let command = if number % 50 == 0 { adopt(number, noise(number)) } else { fence(number) };
-        write(&mut net, number, command);
+        write(&mut cluster, number, command);
     }
-    net.down.clear();
-    net.lose_parts = 3;
-    longest_message_until(&mut net, "c", 700);
-    assert_eq!(net.lose_parts, 0);
-    net.run(1_000);
-    assert_caught_up(&net, "c");
+    cluster.down.clear();
+    cluster.snapshot_parts_to_lose = 3;
+    longest_message_until(&mut cluster, "c", 700);
+    assert_eq!(cluster.snapshot_parts_to_lose, 0);
+    cluster.run_for(1_000);
+    assert_caught_up(&cluster, "c");
 }
 
 /// `cargo test --release -p quincehatch-store --test catch_up -- --ignored --nocapture` prints the rows of docs/measurements.md.
@@ -145,17 +151,17 @@
 fn cost_of_catching_up_by_number_of_changes() {
     println!("| changes missed | bytes | messages | longest | processor ms | log in memory, bytes |");
     for changes in [10, 100, 1_000, 5_000] {
-        let mut net = chain_without("c");
+        let mut cluster = chain_without("c");
         for number in 1..=changes {
-            write(&mut net, number, adopt(number, document(number)));
+            write(&mut cluster, number, adopt(number, document(number)));
         }
-        net.down.clear();
+        cluster.down.clear();
         let began = Instant::now();
-        let longest = longest_message_until(&mut net, "c", changes);
-        let (took, sent) = (began.elapsed().as_millis(), &net.sent_lengths);
+        let longest = longest_message_until(&mut cluster, "c", changes);
+        let (took, sent) = (began.elapsed().as_millis(), &cluster.sent_lengths);
         let full: Vec<usize> = sent.iter().copied().filter(|length| *length > 1_000).collect();
         let (bytes, messages) = (full.iter().sum::<usize>(), full.len());
-        let log = net.ks["a"].status().log.bytes;
+        let log = cluster.keepers["a"].status().log.bytes;
         println!("| {changes} | {bytes} | {messages} | {longest} | {took} | {log} |");
     }
 }
--- a/crates/store/tests/kit/mod.rs
+++ b/crates/store/tests/cluster/mod.rs
@@ -1,6 +1,6 @@
 //! Keepers connected by a simulated network in virtual time, each reached at its address.
 #![allow(dead_code)]
-pub mod fleet;
+pub mod three_keepers;
 
 use quincehatch_core::{ChangeNumber, Millis, Name};
 use quincehatch_store::{
@@ -31,63 +31,63 @@
 }
 
 #[derive(Default)]
-pub struct Net {
+pub struct Cluster {
     pub now: Millis,
-    pub ks: BTreeMap<Name, Keeper>,
+    pub keepers: BTreeMap<Name, Keeper>,
     /// Which keeper runs at an address.
-    pub at: BTreeMap<Name, Name>,
+    pub running_at: BTreeMap<Name, Name>,
     /// Keepers that do not run.
     pub down: Vec<Name>,
-    pub wire: VecDeque<InFlight>,
+    pub in_flight: VecDeque<InFlight>,
     /// So many of the next parts of snapshots are lost.
-    pub lose_parts: usize,
+    pub snapshot_parts_to_lose: usize,
     /// Lengths of the frames that were sent with entries or with parts of snapshots.
     pub sent_lengths: Vec<usize>,
-    pub reps: Vec<SentReply>,
+    pub replies: Vec<SentReply>,
     /// What each keeper's disk holds.
     pub disks: BTreeMap<Name, RecoveredState>,
     /// Keepers that receive no messages.
-    pub deaf: Vec<Name>,
+    pub unreachable: Vec<Name>,
     /// Keepers that are partitioned from all others; clients still reach them.
-    pub cut: Vec<Name>,
+    pub partitioned: Vec<Name>,
     /// Losses of disks at the same time that lose no data; one by default.
-    pub borne: Option<usize>,
+    pub tolerated_losses: Option<usize>,
 }
 
 pub fn voter(name: &str) -> Voter {
     Voter { name: name.into(), addr: name.into() }
 }
 
-impl Net {
+impl Cluster {
     /// Keepers that start from a given view.
     pub fn new(names: &[&str]) -> Self {
         let members = names.iter().map(|name| Name::from(*name)).collect();
         let voters = names.iter().map(|name| voter(name)).collect();
         let view = View { version: 1, members, voters };
-        let mut net = Net { now: START, ..Default::default() };
+        let mut cluster = Cluster { now: START, ..Default::default() };
         for name in names {
-            net.add(name, view.clone());
+            cluster.add(name, view.clone());
         }
-        net
+        cluster
     }
 
     /// Adds a keeper with an empty disk but for the view.
     pub fn add(&mut self, name: &str, view: View) {
         self.disks.insert(name.into(), RecoveredState { view, ..Default::default() });
-        self.again(name);
+        self.restart(name);
     }
 
     /// Starts a keeper from its disk.
-    pub fn again(&mut self, name: &str) {
+    pub fn restart(&mut self, name: &str) {
         let keeper = Keeper::new(name.into(), self.now, self.disks[name].clone());
-        self.put(name, name, keeper);
+        self.insert(name, name, keeper);
     }
 
     /// Starts a keeper that finds its place by itself: from its disk, if that holds anything, otherwise with `view`.
-    pub fn seeker(&mut self, name: &str, addr: &str, seeds: &[&str], view: View) {
+    pub fn start(&mut self, name: &str, addr: &str, seeds: &[&str], view: View) {
         let empty = RecoveredState { view, ..Default::default() };
         let recovered = self.disks.entry(name.into()).or_insert(empty).clone();
-        let tolerated_losses = self.borne.unwrap_or(1);
+        let tolerated_losses = self.tolerated_losses.unwrap_or(1);
         let settings = DiscoverySettings {
             at: addr.into(),
             seeds: seeds.iter().map(|seed| Name::from(*seed)).collect(),
@@ -97,12 +97,12 @@
         let keeper = Keeper::new(name.into(), self.now, recovered)
             .with_discovery(settings)
             .with_min_replicas(tolerated_losses + 1);
-        self.put(name, addr, keeper);
+        self.insert(name, addr, keeper);
     }
 
-    fn put(&mut self, name: &str, addr: &str, keeper: Keeper) {
-        self.at.insert(addr.into(), name.into());
-        self.ks.insert(name.into(), keeper);
+    fn insert(&mut self, name: &str, addr: &str, keeper: Keeper) {
+        self.running_at.insert(addr.into(), name.into());
+        self.keepers.insert(name.into(), keeper);
     }
 
     /// Hands one input to a keeper that is up, and carries out what comes of it.
@@ -110,16 +110,16 @@
         if self.down.iter().any(|down| down == name) {
             return;
         }
-        let Some(keeper) = self.ks.get_mut(name) else { return };
+        let Some(keeper) = self.keepers.get_mut(name) else { return };
         let outputs = keeper.step(self.now, input);
         // The addresses are looked up before any output is carried out, as the keeper's driver does.
-        let keeper = &self.ks[name];
+        let keeper = &self.keepers[name];
         let addressed: Vec<(Option<Name>, Output)> =
             outputs.into_iter().map(|output| (receiver_addr(keeper, &output), output)).collect();
         for (addr, output) in addressed {
             match output {
                 Output::Send(_, message) => self.transmit(name, addr, message),
-                Output::Reply(token, reply) => self.reps.push(SentReply { token, reply }),
+                Output::Reply(token, reply) => self.replies.push(SentReply { token, reply }),
                 Output::Persist(record) => self.persist(name, &record),
                 Output::Log(_) => {}
             }
@@ -128,16 +128,16 @@
 
     fn transmit(&mut self, from: &str, addr: Option<Name>, message: PeerMessage) {
         let is_part = matches!(message, PeerMessage::Snapshot { .. });
-        if self.lose_parts > 0 && is_part {
-            self.lose_parts -= 1;
+        if self.snapshot_parts_to_lose > 0 && is_part {
+            self.snapshot_parts_to_lose -= 1;
             return;
         }
         if is_part || matches!(message, PeerMessage::AppendEntries { .. }) {
             let frame = KeeperRequest::Peer { from: from.into(), message: message.clone() };
             self.sent_lengths.push(borsh::to_vec(&frame).unwrap().len());
         }
-        if let Some(to) = addr.and_then(|addr| self.at.get(&addr).cloned()) {
-            self.wire.push_back(InFlight { from: from.into(), to, message });
+        if let Some(to) = addr.and_then(|addr| self.running_at.get(&addr).cloned()) {
+            self.in_flight.push_back(InFlight { from: from.into(), to, message });
         }
     }
 
@@ -160,17 +160,17 @@
     }
 
     /// Lets time pass.
-    pub fn run(&mut self, time: Millis) {
+    pub fn run_for(&mut self, time: Millis) {
         let end = self.now + time;
         while self.now < end {
             self.now += TICK;
-            let names: Vec<Name> = self.ks.keys().cloned().collect();
+            let names: Vec<Name> = self.keepers.keys().cloned().collect();
             for name in names {
                 self.step(&name, Input::Tick);
             }
-            while let Some(InFlight { from, to, message }) = self.wire.pop_front() {
-                let crosses_partition = self.cut.contains(&to) != self.cut.contains(&from);
-                if !crosses_partition && !self.deaf.contains(&to) && !self.down.contains(&from) {
+            while let Some(InFlight { from, to, message }) = self.in_flight.pop_front() {
+                let crosses_partition = self.partitioned.contains(&to) != self.partitioned.contains(&from);
+                if !crosses_partition && !self.unreachable.contains(&to) && !self.down.contains(&from) {
                     self.step(&to, Input::Peer { from, message });
                 }
             }
@@ -178,7 +178,7 @@
     }
 
     /// Sends a request to a keeper.
-    pub fn ask(&mut self, name: &str, token: u64, request: Request) {
+    pub fn request(&mut self, name: &str, token: u64, request: Request) {
         self.step(name, Input::Request { token, request });
     }
 
@@ -186,9 +186,9 @@
     pub fn enroll(&mut self, node: &str, token: u64) -> ChangeNumber {
         let head = self.head().unwrap();
         let command = Command::EnrollNode { node: node.into(), incarnation: token };
-        self.ask(&head, token, Request::Write { key: format!("enroll/{token}").into(), command });
-        self.run(100);
-        match self.rep(token) {
+        self.request(&head, token, Request::Write { key: format!("enroll/{token}").into(), command });
+        self.run_for(100);
+        match self.reply_to(token) {
             Some(Reply::Answer { answer: Answer::Enrolled(number), .. }) => number,
             other => panic!("{other:?}"),
         }
@@ -199,29 +199,29 @@
         let tail = self.tail().unwrap();
         let request =
             Request::Feed { node: node.into(), addr: node.into(), last_change, applied: 0, enrolled };
-        self.ask(&tail, token, request);
+        self.request(&tail, token, request);
     }
 
     /// The first reply to a request.
-    pub fn rep(&self, token: u64) -> Option<Reply> {
-        self.reps.iter().find(|sent| sent.token == token).map(|sent| sent.reply.clone())
+    pub fn reply_to(&self, token: u64) -> Option<Reply> {
+        self.replies.iter().find(|sent| sent.token == token).map(|sent| sent.reply.clone())
     }
 
     pub fn view(&self, name: &str) -> &View {
-        &self.ks[name].view
+        &self.keepers[name].view
     }
 
     /// The address at which a keeper runs.
     pub fn addr(&self, name: &Name) -> Name {
-        let mut addrs = self.at.iter();
+        let mut addrs = self.running_at.iter();
         addrs.find(|(_, running)| *running == name).map(|(addr, _)| addr.clone()).unwrap()
     }
 
     /// The keeper that serves as the tail.
     pub fn tail(&self) -> Option<Name> {
         let is_reached =
-            |keeper: &&Keeper| !self.down.contains(&keeper.name) && !self.cut.contains(&keeper.name);
-        let mut reached = self.ks.values().filter(is_reached);
+            |keeper: &&Keeper| !self.down.contains(&keeper.name) && !self.partitioned.contains(&keeper.name);
+        let mut reached = self.keepers.values().filter(is_reached);
         reached.find(|keeper| keeper.can_commit()).map(|keeper| keeper.name.clone())
     }
 
--- a/crates/store/tests/cut_off.rs
+++ b/crates/store/tests/cut_off.rs
@@ -1,8 +1,8 @@
 //! A keeper that is partitioned from the majority gives no definite answer: it confirms nothing, rejects nothing and hands
 //! out no outdated document (docs/design-control.md).
-mod kit;
+mod cluster;
 
-use kit::{Net, SentReply};
+use cluster::{Cluster, SentReply};
 use quincehatch_core::{Millis, Name, Role, ServerRecord};
 use quincehatch_store::{Answer, Command, Reply, Request};
 
@@ -38,8 +38,8 @@
     Command::DeregisterServer { server: server.into() }
 }
 
-fn write(net: &mut Net, to: &str, token: u64, key: &str, command: Command) {
-    net.ask(to, token, Request::Write { key: key.into(), command });
+fn write(cluster: &mut Cluster, to: &str, token: u64, key: &str, command: Command) {
+    cluster.request(to, token, Request::Write { key: key.into(), command });
 }
 
 fn is_answer(reply: &Reply) -> bool {
@@ -48,7 +48,7 @@
 
 /// Everything that operators and servers may ask of a keeper: new, repeated and conflicting writes, and those that change
 /// nothing.
-fn ask_everything(net: &mut Net, keeper: &str, token: u64) {
+fn ask_everything(cluster: &mut Cluster, keeper: &str, token: u64) {
     let writes = [
         ("adopt/7/a", adopt(7, "a")),
         ("adopt/7/a again", adopt(7, "a")),
@@ -60,58 +60,58 @@
         ("depart/s3", deregister("s3")),
     ];
     for (i, (key, command)) in (0..).zip(writes) {
-        write(net, keeper, token + i, key, command);
+        write(cluster, keeper, token + i, key, command);
     }
-    net.ask(keeper, token + 8, Request::ReadDocument);
-    net.ask(keeper, token + 9, Request::ReadStore);
+    cluster.request(keeper, token + 8, Request::ReadDocument);
+    cluster.request(keeper, token + 9, Request::ReadStore);
 }
 
 fn check_partition_of(cut: &str) {
-    let mut net = Net::new(&["k1", "k2", "k3"]);
-    net.run(6_000);
-    write(&mut net, "k1", 1, "adopt/7/a", adopt(7, "a"));
-    write(&mut net, "k1", 2, "heartbeat/s1/1", register("s1", 1));
-    net.run(300);
-    assert!(net.rep(1).is_some_and(|reply| is_answer(&reply)));
-    assert!(net.rep(2).is_some_and(|reply| is_answer(&reply)));
+    let mut cluster = Cluster::new(&["k1", "k2", "k3"]);
+    cluster.run_for(6_000);
+    write(&mut cluster, "k1", 1, "adopt/7/a", adopt(7, "a"));
+    write(&mut cluster, "k1", 2, "heartbeat/s1/1", register("s1", 1));
+    cluster.run_for(300);
+    assert!(cluster.reply_to(1).is_some_and(|reply| is_answer(&reply)));
+    assert!(cluster.reply_to(2).is_some_and(|reply| is_answer(&reply)));
 
-    net.cut = vec![cut.into()];
-    let until = net.now + PARTITION_TIME;
+    cluster.partitioned = vec![cut.into()];
+    let until = cluster.now + PARTITION_TIME;
     let mut token = FIRST_TOKEN;
     // How many replies there were when the others had gone on.
     let mut replies_before = None;
-    while net.now < until {
-        ask_everything(&mut net, cut, token);
+    while cluster.now < until {
+        ask_everything(&mut cluster, cut, token);
         token += TOKENS_PER_ROUND;
-        net.run(ROUND_TIME);
-        let other_tail: Option<Name> = net.tail().filter(|tail| tail != cut);
-        let Some(tail) = other_tail.filter(|tail| !net.view(tail).is_member(cut)) else { continue };
+        cluster.run_for(ROUND_TIME);
+        let other_tail: Option<Name> = cluster.tail().filter(|tail| tail != cut);
+        let Some(tail) = other_tail.filter(|tail| !cluster.view(tail).is_member(cut)) else { continue };
         if replies_before.is_none() {
             // The others go on: they adopt another document, s1 is removed and s3 added.
-            let head = net.view(&tail).head().unwrap().to_string();
-            write(&mut net, &head, 3, "adopt/8/c", adopt(8, "c"));
-            write(&mut net, &head, 4, "depart/s1", deregister("s1"));
-            write(&mut net, &head, 5, "heartbeat/s3/1", register("s3", 1));
-            replies_before = Some(net.reps.len());
+            let head = cluster.view(&tail).head().unwrap().to_string();
+            write(&mut cluster, &head, 3, "adopt/8/c", adopt(8, "c"));
+            write(&mut cluster, &head, 4, "depart/s1", deregister("s1"));
+            write(&mut cluster, &head, 5, "heartbeat/s3/1", register("s3", 1));
+            replies_before = Some(cluster.replies.len());
         }
     }
     assert!(
-        (3..=5).all(|token| net.rep(token).is_some_and(|reply| is_answer(&reply))),
+        (3..=5).all(|token| cluster.reply_to(token).is_some_and(|reply| is_answer(&reply))),
         "the others go on without {cut}"
     );
     let during_partition = |sent: &&SentReply| sent.token >= FIRST_TOKEN;
-    for SentReply { token, reply } in net.reps.iter().filter(during_partition) {
+    for SentReply { token, reply } in cluster.replies.iter().filter(during_partition) {
         assert!(!is_answer(reply), "{cut}, partitioned, answers {token}: {reply:?}");
     }
-    let replies_after = &net.reps[replies_before.unwrap()..];
+    let replies_after = &cluster.replies[replies_before.unwrap()..];
     for SentReply { token, reply } in replies_after.iter().filter(during_partition) {
         let is_outdated = matches!(reply, Reply::Document { .. } | Reply::Store { .. });
         assert!(!is_outdated, "{cut}, partitioned, hands out an outdated state for {token}: {reply:?}");
     }
-    net.cut.clear();
-    net.run(6_000);
-    let tail = net.tail().unwrap();
-    assert!(net.ks[&tail].store.servers.contains_key("s3"), "what was registered stays");
+    cluster.partitioned.clear();
+    cluster.run_for(6_000);
+    let tail = cluster.tail().unwrap();
+    assert!(cluster.keepers[&tail].store.servers.contains_key("s3"), "what was registered stays");
 }
 
 #[test]
@@ -132,16 +132,16 @@
 /// A write that changes nothing takes no entry, and yet is answered soon if a majority is in reach.
 #[test]
 fn an_answer_comes_within_100_ms_when_a_write_changes_nothing() {
-    let mut net = Net::new(&["k1", "k2", "k3"]);
-    net.run(6_000);
-    write(&mut net, "k1", 1, "heartbeat/s1/1", register("s1", 1));
-    net.run(300);
-    let entries = net.ks["k1"].store.last_change;
+    let mut cluster = Cluster::new(&["k1", "k2", "k3"]);
+    cluster.run_for(6_000);
+    write(&mut cluster, "k1", 1, "heartbeat/s1/1", register("s1", 1));
+    cluster.run_for(300);
+    let entries = cluster.keepers["k1"].store.last_change;
     for token in 2..40 {
-        write(&mut net, "k1", token, &format!("heartbeat/s1/{token}"), register("s1", token));
-        net.run(ROUND_TIME);
-        let reply = net.rep(token);
+        write(&mut cluster, "k1", token, &format!("heartbeat/s1/{token}"), register("s1", token));
+        cluster.run_for(ROUND_TIME);
+        let reply = cluster.reply_to(token);
         assert!(matches!(reply, Some(Reply::Answer { answer: Answer::Done, .. })), "{token}: {reply:?}");
     }
-    assert_eq!(net.ks["k1"].store.last_change, entries);
+    assert_eq!(cluster.keepers["k1"].store.last_change, entries);
 }
--- a/crates/store/tests/documents.rs
+++ b/crates/store/tests/documents.rs
@@ -1,9 +1,9 @@
 //! One number, one document: what operators are answered through races, lost replies, restarts and changes of members
 //! (docs/design-control.md).
-mod kit;
+mod cluster;
 
 use assert_matches::assert_matches;
-use kit::{Net, voter};
+use cluster::{Cluster, voter};
 use quincehatch_core::{ErrorCode, Name};
 use quincehatch_store::limits::LOG_MAX_ENTRIES;
 use quincehatch_store::store::MAX_ANSWERED_WRITES;
@@ -16,7 +16,7 @@
 
 /// Operators who send documents to a chain.
 struct Operators {
-    net: Net,
+    cluster: Cluster,
     token: u64,
 }
 
@@ -40,25 +40,25 @@
 
 impl Operators {
     fn new() -> Self {
-        let mut net = Net::new(&THREE);
-        net.run(6_000);
-        Self { net, token: 0 }
+        let mut cluster = Cluster::new(&THREE);
+        cluster.run_for(6_000);
+        Self { cluster, token: 0 }
     }
 
     fn head(&self) -> String {
-        let tail = self.net.tail().expect("a keeper serves");
-        self.net.view(&tail).head().unwrap().to_string()
+        let tail = self.cluster.tail().expect("a keeper serves");
+        self.cluster.view(&tail).head().unwrap().to_string()
     }
 
     /// Sends a document through a keeper; the token of the write at the head.
     fn send(&mut self, keeper: &str, number: u64, content: &str) -> u64 {
         let request = Request::Write { key: key(number, content), command: adopt(number, content) };
         self.token += 1;
-        self.net.ask(keeper, self.token, request.clone());
-        if let Some(Reply::Redirect { view }) = self.net.rep(self.token) {
+        self.cluster.request(keeper, self.token, request.clone());
+        if let Some(Reply::Redirect { view }) = self.cluster.reply_to(self.token) {
             self.token += 1;
             let head = view.head().unwrap().to_string();
-            self.net.ask(&head, self.token, request);
+            self.cluster.request(&head, self.token, request);
         }
         self.token
     }
@@ -67,15 +67,15 @@
     fn offer(&mut self, number: u64, content: &str) -> Reply {
         let head = self.head();
         let token = self.send(&head, number, content);
-        self.net.run(300);
-        self.net.rep(token).unwrap_or_else(|| panic!("{number} {content} is not answered"))
+        self.cluster.run_for(300);
+        self.cluster.reply_to(token).unwrap_or_else(|| panic!("{number} {content} is not answered"))
     }
 
     fn document_in_force(&mut self) -> Option<String> {
-        let tail = self.net.tail().unwrap();
+        let tail = self.cluster.tail().unwrap();
         self.token += 1;
-        self.net.ask(&tail, self.token, Request::ReadDocument);
-        assert_matches!(self.net.rep(self.token), Some(Reply::Document { document }) => document.map(|document| document.source))
+        self.cluster.request(&tail, self.token, Request::ReadDocument);
+        assert_matches!(self.cluster.reply_to(self.token), Some(Reply::Document { document }) => document.map(|document| document.source))
     }
 
     fn adopt_three(&mut self) {
@@ -103,12 +103,12 @@
         let head = self.head();
         for i in 0..(MAX_ANSWERED_WRITES.max(LOG_MAX_ENTRIES) + 8) as u64 {
             let command = Command::AcquireFence { duty: "d".into(), by: "t".into() };
-            self.net.ask(&head, FILL + i, Request::Write { key: format!("f/{i}").into(), command });
+            self.cluster.request(&head, FILL + i, Request::Write { key: format!("f/{i}").into(), command });
             if i % 200 == 0 {
-                self.net.run(60);
+                self.cluster.run_for(60);
             }
         }
-        self.net.run(300);
+        self.cluster.run_for(300);
     }
 }
 
@@ -117,8 +117,8 @@
     for keepers in [["k2", "k3"], ["k3", "k1"], ["k1", "k2"]] {
         let mut operators = Operators::new();
         let tokens = [operators.send(keepers[0], 7, "a"), operators.send(keepers[1], 7, "b")];
-        operators.net.run(300);
-        let replies = tokens.map(|token| operators.net.rep(token).unwrap());
+        operators.cluster.run_for(300);
+        let replies = tokens.map(|token| operators.cluster.reply_to(token).unwrap());
         assert!(confirmed(&replies[0]), "{replies:?}");
         assert!(rejected(&replies[1]), "{replies:?}");
         assert_eq!(operators.document_in_force().as_deref(), Some("source 7 a"));
@@ -132,7 +132,7 @@
     operators.check_all_answers();
     operators.overflow_log_and_answers();
     assert!(
-        operators.net.ks["k1"].store.answered_write(&key(7, "a")).is_none(),
+        operators.cluster.keepers["k1"].store.answered_write(&key(7, "a")).is_none(),
         "its answer is no longer remembered"
     );
     operators.check_all_answers();
@@ -143,9 +143,9 @@
     let mut operators = Operators::new();
     operators.adopt_three();
     for keeper in THREE {
-        operators.net.again(keeper);
+        operators.cluster.restart(keeper);
     }
-    operators.net.run(6_000);
+    operators.cluster.run_for(6_000);
     operators.check_all_answers();
 }
 
@@ -154,42 +154,46 @@
     let mut operators = Operators::new();
     operators.adopt_three();
     operators.overflow_log_and_answers();
-    let net = &mut operators.net;
-    net.down = vec!["k2".into()];
-    net.run(3_000);
-    let view = net.view("k1").clone();
+    let cluster = &mut operators.cluster;
+    cluster.down = vec!["k2".into()];
+    cluster.run_for(3_000);
+    let view = cluster.view("k1").clone();
     let remaining: Vec<Voter> = view.voters.iter().filter(|voter| voter.name != "k2").cloned().collect();
-    net.ask("k1", 900_001, Request::ChangeVoters { version: view.version, voters: remaining.clone() });
-    net.run(3_000);
-    net.add("k4", View::default());
-    let version = net.view("k1").version;
+    cluster.request(
+        "k1",
+        900_001,
+        Request::ChangeVoters { version: view.version, voters: remaining.clone() },
+    );
+    cluster.run_for(3_000);
+    cluster.add("k4", View::default());
+    let version = cluster.view("k1").version;
     let voters = [remaining, vec![voter("k4")]].concat();
-    net.ask("k3", 900_002, Request::ChangeVoters { version, voters });
-    net.run(6_000);
-    assert_eq!(net.view("k1").members, ["k1", "k3", "k4"]);
+    cluster.request("k3", 900_002, Request::ChangeVoters { version, voters });
+    cluster.run_for(6_000);
+    assert_eq!(cluster.view("k1").members, ["k1", "k3", "k4"]);
     // Both older members leave and return: the new one, which fetched the store, becomes the head.
     for old in ["k1", "k3"] {
-        net.down.push(old.into());
-        net.run(5_000);
-        net.down.retain(|name| name != old);
-        net.run(5_000);
+        cluster.down.push(old.into());
+        cluster.run_for(5_000);
+        cluster.down.retain(|name| name != old);
+        cluster.run_for(5_000);
     }
-    assert_eq!(net.view("k4").head().map(Name::as_str), Some("k4"));
+    assert_eq!(cluster.view("k4").head().map(Name::as_str), Some("k4"));
     operators.check_all_answers();
 }
 
 #[test]
 fn no_document_is_rejected_when_the_entry_that_took_its_number_is_lost() {
     let mut operators = Operators::new();
-    operators.net.cut = vec!["k1".into()];
+    operators.cluster.partitioned = vec!["k1".into()];
     // The head that is cut off has one of them in its log, and nobody else will ever hold it.
     let lost = [operators.send("k1", 7, "a"), operators.send("k1", 7, "b")];
-    operators.net.run(5_000);
+    operators.cluster.run_for(5_000);
     assert!(confirmed(&operators.offer(7, "b")));
-    operators.net.cut.clear();
-    operators.net.run(6_000);
+    operators.cluster.partitioned.clear();
+    operators.cluster.run_for(6_000);
     for token in lost {
-        let reply = operators.net.rep(token);
+        let reply = operators.cluster.reply_to(token);
         assert!(!reply.as_ref().is_some_and(|reply| confirmed(reply) || rejected(reply)), "{reply:?}");
     }
     assert!(confirmed(&operators.offer(7, "b")));
@@ -201,13 +205,13 @@
 #[test]
 fn no_document_is_rejected_while_the_entry_that_took_its_number_is_uncommitted() {
     let mut operators = Operators::new();
-    operators.net.deaf = vec!["k2".into()];
+    operators.cluster.unreachable = vec!["k2".into()];
     let tokens = [operators.send("k1", 7, "a"), operators.send("k1", 7, "b")];
-    operators.net.run(400);
-    assert_eq!(tokens.map(|token| operators.net.rep(token)), [None, None]);
-    operators.net.down = vec!["k1".into()];
-    operators.net.deaf.clear();
-    operators.net.run(6_000);
+    operators.cluster.run_for(400);
+    assert_eq!(tokens.map(|token| operators.cluster.reply_to(token)), [None, None]);
+    operators.cluster.down = vec!["k1".into()];
+    operators.cluster.unreachable.clear();
+    operators.cluster.run_for(6_000);
     assert!(confirmed(&operators.offer(7, "b")));
     assert!(rejected(&operators.offer(7, "a")));
 }
--- a/crates/store/tests/feed.rs
+++ b/crates/store/tests/feed.rs
@@ -1,8 +1,8 @@
 //! The feed from which nodes learn what the replicated store holds.
-mod kit;
+mod cluster;
 
 use assert_matches::assert_matches;
-use kit::Net;
+use cluster::Cluster;
 use quincehatch_core::{ChangeNumber, PrimaryAssignment, Role, ServerRecord};
 use quincehatch_store::compression::PackedText;
 use quincehatch_store::feed::Patch;
@@ -46,7 +46,7 @@
 
 /// A chain, and a node that follows its feed.
 struct Follower {
-    net: Net,
+    cluster: Cluster,
     token: u64,
     enrolled: ChangeNumber,
     state: FeedState,
@@ -54,26 +54,26 @@
 
 impl Follower {
     fn new() -> Self {
-        let mut net = Net::new(&MEMBERS);
-        net.run(8_000);
-        let enrolled = net.enroll(NODE, ENROLL_TOKEN);
-        Self { net, token: 0, enrolled, state: FeedState::default() }
+        let mut cluster = Cluster::new(&MEMBERS);
+        cluster.run_for(8_000);
+        let enrolled = cluster.enroll(NODE, ENROLL_TOKEN);
+        Self { cluster, token: 0, enrolled, state: FeedState::default() }
     }
 
     fn write(&mut self, command: Command) {
-        let head = self.net.tail().and_then(|tail| self.net.view(&tail).head().cloned()).unwrap();
+        let head = self.cluster.tail().and_then(|tail| self.cluster.view(&tail).head().cloned()).unwrap();
         self.token += 1;
         let key = format!("k{}", self.token).into();
-        self.net.ask(&head, self.token, Request::Write { key, command });
-        self.net.run(100);
+        self.cluster.request(&head, self.token, Request::Write { key, command });
+        self.cluster.run_for(100);
     }
 
     fn poll(&mut self, last_change: ChangeNumber) -> Reply {
         self.token += 1;
-        self.net.poll(NODE, self.token, self.enrolled, last_change);
+        self.cluster.poll(NODE, self.token, self.enrolled, last_change);
         // Where there is nothing new, the poll waits for a while.
-        self.net.run(2_000);
-        self.net.rep(self.token).unwrap()
+        self.cluster.run_for(2_000);
+        self.cluster.reply_to(self.token).unwrap()
     }
 
     /// Polls once and applies the reply; its length on the wire, in bytes.
@@ -94,7 +94,7 @@
 
     /// What nodes should know, as it follows from the store itself.
     fn expected_state(&self) -> FeedState {
-        let store = &self.net.ks["c"].store;
+        let store = &self.cluster.keepers["c"].store;
         let json = store.configuration().map_or("", |entry| &entry.text);
         FeedState::from_snapshot(FeedSnapshot::from_store(store, PackedText::pack(json))).unwrap()
     }
@@ -148,12 +148,12 @@
         follower.write(adopt(number, configuration(MANY_ROUTES, number as usize)));
     }
     // All keepers restart: their logs reach back, the remembered changes do not.
-    for (name, keeper) in std::mem::take(&mut follower.net.ks) {
+    for (name, keeper) in std::mem::take(&mut follower.cluster.keepers) {
         let recovered = RecoveredState { view: keeper.view, store: keeper.store, ..Default::default() };
-        let restarted = Keeper::new(name.clone(), follower.net.now, recovered);
-        follower.net.ks.insert(name, restarted);
+        let restarted = Keeper::new(name.clone(), follower.cluster.now, recovered);
+        follower.cluster.keepers.insert(name, restarted);
     }
-    follower.net.run(8_000);
+    follower.cluster.run_for(8_000);
     let reply = follower.poll(0);
     let size = borsh::to_vec(&reply).unwrap().len();
     assert_matches!(&reply, Reply::Snapshot { snapshot, .. } if snapshot.configuration_version == 12);
--- a/crates/store/tests/interleavings.rs
+++ b/crates/store/tests/interleavings.rs
@@ -2,10 +2,10 @@
 //!
 //! Each fault comes as soon as the one before it no longer counts as a loss. After each, acknowledged writes are there and
 //! new ones are taken; at every moment one keeper serves at most, and all agree on each version of the view.
-mod kit;
+mod cluster;
 
-use kit::fleet::{SEEDS, adopted, is_acknowledged, starting, write};
-use kit::{CATCH_UP, Net};
+use cluster::three_keepers::{SEEDS, adopted, is_acknowledged, starting, write};
+use cluster::{CATCH_UP, Cluster};
 use quincehatch_core::{Millis, Name};
 use quincehatch_store::View;
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
 const FIRST_READ_TOKEN: u64 = 1_000_000;
 
 struct Trial {
-    net: Net,
+    cluster: Cluster,
     /// Every view that a keeper has adopted, by its version.
     views: BTreeMap<u64, View>,
     /// Keepers that started with an empty disk.
@@ -39,8 +39,9 @@
 
 impl Trial {
     fn new(tolerated_losses: usize, spares: usize) -> Trial {
-        let net = starting(tolerated_losses);
-        let mut trial = Trial { net, views: BTreeMap::new(), started_empty: 0, written: 0, acknowledged: 0 };
+        let cluster = starting(tolerated_losses);
+        let mut trial =
+            Trial { cluster, views: BTreeMap::new(), started_empty: 0, written: 0, acknowledged: 0 };
         for _ in 0..spares {
             trial.add_elsewhere();
         }
@@ -52,7 +53,7 @@
 
     fn add(&mut self, addr: &str) {
         self.started_empty += 1;
-        self.net.seeker(&format!("{addr}#{}", self.started_empty), addr, &SEEDS, View::default());
+        self.cluster.start(&format!("{addr}#{}", self.started_empty), addr, &SEEDS, View::default());
     }
 
     fn add_elsewhere(&mut self) {
@@ -61,36 +62,37 @@
 
     fn run(&mut self, ms: Millis) {
         for _ in 0..ms / 20 {
-            self.net.run(20);
+            self.cluster.run_for(20);
             self.check();
         }
     }
 
     fn check(&mut self) {
-        let up = self.net.ks.values().filter(|keeper| !self.net.down.contains(&keeper.name));
+        let up = self.cluster.keepers.values().filter(|keeper| !self.cluster.down.contains(&keeper.name));
         let serving: Vec<&Name> =
             up.filter(|keeper| keeper.is_serving()).map(|keeper| &keeper.name).collect();
         assert!(serving.len() <= 1, "two serve: {serving:?}");
-        for keeper in self.net.ks.values() {
+        for keeper in self.cluster.keepers.values() {
             let known = self.views.entry(keeper.view.version).or_insert_with(|| keeper.view.clone());
             assert_eq!(*known, keeper.view, "two views of one version");
         }
-        if is_acknowledged(&self.net, self.written) {
+        if is_acknowledged(&self.cluster, self.written) {
             self.acknowledged = self.written;
         }
     }
 
     fn write(&mut self) {
-        if self.net.tail().is_some() {
+        if self.cluster.tail().is_some() {
             self.written += 1;
-            write(&mut self.net, self.written);
+            write(&mut self.cluster, self.written);
         }
     }
 
     /// The first or the last member of the chain that is up and reached.
     fn target(&self, last: bool) -> Name {
         let newest = self.views.values().next_back().unwrap();
-        let is_reached = |name: &&Name| !self.net.down.contains(name) && !self.net.cut.contains(name);
+        let is_reached =
+            |name: &&Name| !self.cluster.down.contains(name) && !self.cluster.partitioned.contains(name);
         let mut reached = newest.members.iter().filter(is_reached);
         let target = if last { reached.next_back() } else { reached.next() };
         target.cloned().unwrap()
@@ -100,24 +102,24 @@
     fn begin(&mut self, fault: Fault, target: &Name) {
         self.write();
         match fault {
-            Fault::Partition => self.net.cut.push(target.clone()),
-            _ => self.net.down.push(target.clone()),
+            Fault::Partition => self.cluster.partitioned.push(target.clone()),
+            _ => self.cluster.down.push(target.clone()),
         }
     }
 
     fn end(&mut self, fault: Fault, target: &Name) {
-        let addr = self.net.addr(target);
+        let addr = self.cluster.addr(target);
         match fault {
             Fault::Replace => self.add_elsewhere(),
             Fault::Wipe => {
-                self.net.ks.remove(target);
-                self.net.down.retain(|name| name != target);
+                self.cluster.keepers.remove(target);
+                self.cluster.down.retain(|name| name != target);
                 self.add(&addr);
             }
-            Fault::Partition => self.net.cut.retain(|name| name != target),
+            Fault::Partition => self.cluster.partitioned.retain(|name| name != target),
             Fault::Restart => {
-                self.net.down.retain(|name| name != target);
-                self.net.seeker(target, &addr, &SEEDS, View::default());
+                self.cluster.down.retain(|name| name != target);
+                self.cluster.start(target, &addr, &SEEDS, View::default());
             }
         }
     }
@@ -130,7 +132,7 @@
     fn check_recovery(&mut self) {
         let before = self.acknowledged;
         let token = FIRST_READ_TOKEN + self.written;
-        let held = adopted(&mut self.net, token).map_or(0, |document| document.number);
+        let held = adopted(&mut self.cluster, token).map_or(0, |document| document.number);
         assert!(held >= before, "{before} was acknowledged, {held} is there");
         self.write();
         self.run(1_500);
@@ -172,7 +174,7 @@
                 trial.run(Trial::duration(*fault));
                 trial.end(*fault, &target);
                 trial.run(CATCH_UP);
-                assert!(trial.net.tail().is_some(), "{order:?} {ends:b}: nobody serves after {i}");
+                assert!(trial.cluster.tail().is_some(), "{order:?} {ends:b}: nobody serves after {i}");
                 trial.check_recovery();
             }
         }
@@ -208,7 +210,7 @@
                     trial.end(*fault, target);
                 }
                 trial.run(6_000);
-                assert!(trial.net.tail().is_some(), "{order:?} {ends:b}: nobody serves after {i}");
+                assert!(trial.cluster.tail().is_some(), "{order:?} {ends:b}: nobody serves after {i}");
                 trial.check_recovery();
             }
         }
--- a/crates/store/tests/join_as_voter.rs
+++ b/crates/store/tests/join_as_voter.rs
@@ -1,7 +1,7 @@
 //! Only a voter joins the chain: the others would have no address for any other keeper.
-mod kit;
+mod cluster;
 
-use kit::{InFlight, Net, START, voter};
+use cluster::{Cluster, InFlight, START, voter};
 use quincehatch_core::Name;
 use quincehatch_store::snapshot::SnapshotProgress;
 use quincehatch_store::{Input, PeerMessage, View};
@@ -12,21 +12,21 @@
     let members: Vec<Name> = ["a:1", "b:1"].map(Name::from).into();
     let voters = ["a:1", "b:1", "d:1"].map(voter).into();
     let view = View { version: 3, members, voters };
-    let mut net = Net { now: START, ..Default::default() };
+    let mut cluster = Cluster { now: START, ..Default::default() };
     // `d:1` would join by itself: it receives nothing until the late answer has come.
-    net.deaf = vec!["d:1".into()];
+    cluster.unreachable = vec!["d:1".into()];
     for keeper in ["a:1", "b:1", "c:1", "d:1"] {
-        net.seeker(keeper, keeper, &["a:1", "b:1"], view.clone());
+        cluster.start(keeper, keeper, &["a:1", "b:1"], view.clone());
     }
-    net.run(3_000);
-    assert_eq!(net.tail().as_deref(), Some("b:1"));
+    cluster.run_for(3_000);
+    assert_eq!(cluster.tail().as_deref(), Some("b:1"));
     let message = PeerMessage::FetchSnapshot { version: 3, progress: SnapshotProgress::default() };
-    net.step("b:1", Input::Peer { from: "c:1".into(), message });
+    cluster.step("b:1", Input::Peer { from: "c:1".into(), message });
     let is_snapshot_for_c = |sent: &InFlight| {
         sent.to == "c:1" && matches!(sent.message, PeerMessage::Snapshot { joining: true, .. })
     };
-    assert!(net.wire.iter().any(is_snapshot_for_c), "the tail sends its store");
-    net.run(3_000);
-    assert!(!net.view("a:1").is_member("c:1"), "{:?}", net.view("a:1"));
-    assert_eq!(net.tail().as_deref(), Some("b:1"));
+    assert!(cluster.in_flight.iter().any(is_snapshot_for_c), "the tail sends its store");
+    cluster.run_for(3_000);
+    assert!(!cluster.view("a:1").is_member("c:1"), "{:?}", cluster.view("a:1"));
+    assert_eq!(cluster.tail().as_deref(), Some("b:1"));
 }
--- a/crates/store/tests/restart.rs
+++ b/crates/store/tests/restart.rs
@@ -1,14 +1,14 @@
 //! Restarts of the tail.
-mod kit;
+mod cluster;
 
-use kit::fleet::{SEEDS, first_view};
-use kit::{Net, START};
+use cluster::three_keepers::{SEEDS, first_view};
+use cluster::{Cluster, START};
 
-fn restart_all(net: &mut Net) {
-    net.ks.clear();
-    net.wire.clear();
+fn restart_all(cluster: &mut Cluster) {
+    cluster.keepers.clear();
+    cluster.in_flight.clear();
     for seed in SEEDS {
-        net.seeker(seed, seed, &SEEDS, first_view());
+        cluster.start(seed, seed, &SEEDS, first_view());
     }
 }
 
@@ -16,15 +16,15 @@
 /// again. One that has not served must wait. Found in runs that kill all processes at once.
 #[test]
 fn a_restarted_tail_serves_at_once_if_it_served_in_its_view_before() {
-    let mut net = Net { now: START, ..Default::default() };
-    restart_all(&mut net);
-    net.run(6_000);
-    let tail = net.tail().unwrap();
-    restart_all(&mut net);
-    net.run(300);
-    assert_eq!(net.tail(), Some(tail.clone()));
-    net.disks.get_mut(&tail).unwrap().served_version = 0;
-    restart_all(&mut net);
-    net.run(300);
-    assert_eq!(net.tail(), None, "an older tail might still hold its lease");
+    let mut cluster = Cluster { now: START, ..Default::default() };
+    restart_all(&mut cluster);
+    cluster.run_for(6_000);
+    let tail = cluster.tail().unwrap();
+    restart_all(&mut cluster);
+    cluster.run_for(300);
+    assert_eq!(cluster.tail(), Some(tail.clone()));
+    cluster.disks.get_mut(&tail).unwrap().served_version = 0;
+    restart_all(&mut cluster);
+    cluster.run_for(300);
+    assert_eq!(cluster.tail(), None, "an older tail might still hold its lease");
 }
