--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -78,7 +78,7 @@
             let voters: Vec<Voter> = settings
                 .voters()
                 .into_iter()
-                .map(|(name, addr)| Voter { name: name.into(), addr: addr.into() })
+                .map(|voter| Voter { name: voter.name.into(), addr: voter.addr.into() })
                 .collect();
             let members = voters.iter().map(|voter| voter.name.clone()).collect();
             Some(View { version: 1, members, voters })
