--- a/crates/simulator/tests/held/fleet.rs
+++ b/crates/simulator/tests/held/fleet.rs
@@ -6,7 +6,7 @@
 use quincehatch_runtime::seam;
 use quincehatch_simulator::fleet::core::{ProcessId, Simulation};
 use quincehatch_simulator::fleet::keeper::{self, Disk, KeeperRegistry};
-use quincehatch_store::keeper::RecoveredState;
+use quincehatch_store::record::RecoveredState;
 use quincehatch_store::{Command, View, Voter};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
--- a/crates/store/src/driver.rs
+++ b/crates/store/src/driver.rs
@@ -4,9 +4,9 @@
 mod storage_thread;
 
 use crate::host::{Batch, KeeperHost};
+use crate::keeper::{Input, Output};
 use crate::messages::Reply;
 use crate::peers::Peers;
-use crate::step::{Input, Output};
 use crate::storage::stable_storage::StableStorage;
 use incoming::{Incoming, IncomingQueue, serve_connections};
 use quincehatch_core::{Error, Millis};
--- a/crates/store/src/driver/incoming.rs
+++ b/crates/store/src/driver/incoming.rs
@@ -1,6 +1,6 @@
 //! Messages that arrive over the network, on their way to the keeper.
+use crate::keeper::Input;
 use crate::messages::{KeeperRequest, KeeperResponse, Reply, Request};
-use crate::step::Input;
 use quincehatch_core::ErrorCode;
 use quincehatch_wire::{Identity, serve};
 use tokio::net::TcpListener;
--- a/crates/store/src/entry_log.rs
+++ b/crates/store/src/entry_log.rs
@@ -1,7 +1,7 @@
 //! The newest entries of the replicated log, kept packed for members that lag behind.
+use crate::command::Entry;
 use crate::compression::PackedBytes;
-use crate::messages::Entry;
-use crate::terms::{LOG_MAX_BYTES, LOG_MAX_ENTRIES};
+use crate::limits::{LOG_MAX_BYTES, LOG_MAX_ENTRIES};
 use quincehatch_core::{ChangeNumber, messages};
 use std::collections::VecDeque;
 
--- a/crates/store/src/feed/entry_events.rs
+++ b/crates/store/src/feed/entry_events.rs
@@ -1,6 +1,6 @@
 //! What each log entry means for nodes. It stands here and not with the store, as the feed builds on the store.
+use crate::command::{Answer, Command, Entry};
 use crate::feed::{FeedEvent, Patch};
-use crate::messages::{Answer, Command, Entry};
 use crate::store::{Store, promotion_duty_key};
 use quincehatch_core::Name;
 
--- a/crates/store/src/feed/state.rs
+++ b/crates/store/src/feed/state.rs
@@ -1,7 +1,7 @@
 //! All that a node knows of the replicated store, as it follows from the feed.
+use crate::command::PrimaryState;
 use crate::compression::PackedText;
 use crate::feed::{Change, FeedEvent};
-use crate::messages::PrimaryState;
 use crate::store::{Store, promotion_duty_key, upsert_server};
 use quincehatch_core::{
     ChangeNumber, FencingToken, Name, PrimaryAssignment, ServerRecord, Version, messages,
--- a/crates/store/src/feed_updates.rs
+++ b/crates/store/src/feed_updates.rs
@@ -2,8 +2,8 @@
 use crate::compression::PackedText;
 use crate::feed::{Change, FeedEvent, FeedSnapshot};
 use crate::keeper::Keeper;
+use crate::limits::{FEED_MAX_BYTES, LOG_MAX_ENTRIES};
 use crate::messages::Reply;
-use crate::terms::{FEED_MAX_BYTES, LOG_MAX_ENTRIES};
 use quincehatch_core::{ChangeNumber, Millis};
 use std::collections::VecDeque;
 
--- a/crates/store/src/host.rs
+++ b/crates/store/src/host.rs
@@ -6,13 +6,14 @@
 mod suspension;
 
 pub use batch::Batch;
-pub(crate) use pending_requests::RETRY_PENDING_AFTER;
 
 use crate::keeper::Keeper;
-use crate::messages::{KeeperStatus, Reply, Request, View};
+use crate::keeper::{Input, Output};
+use crate::messages::{KeeperStatus, Reply, Request};
+use crate::record::RecoveredState;
 use crate::stale_reply;
-use crate::step::{Input, Output, RecoveredState};
 use crate::storage::disk_usage::DiskUsage;
+use crate::view::View;
 use pending_requests::PendingRequests;
 use quincehatch_core::{Error, ErrorCode, Millis, Name};
 use suspension::Suspension;
--- a/crates/store/src/host/batch.rs
+++ b/crates/store/src/host/batch.rs
@@ -1,5 +1,6 @@
 //! What some steps of a keeper produced.
-use crate::step::{Output, Record};
+use crate::keeper::Output;
+use crate::record::Record;
 
 /// Records and outputs of some steps, which share one write to the disk. No output may leave before the records are
 /// durable.
--- a/crates/store/src/host/pending_requests.rs
+++ b/crates/store/src/host/pending_requests.rs
@@ -1,12 +1,10 @@
 //! Requests that have not been answered yet.
+use crate::keeper::Output;
 use crate::messages::Reply;
-use crate::step::Output;
-use quincehatch_core::{ErrorCode, Millis};
+use crate::timing::RETRY_PENDING_AFTER;
+use quincehatch_core::ErrorCode;
 use std::collections::BTreeSet;
 
-/// A client whose write was under way when the disk failed is told to retry after this time, in milliseconds.
-pub(crate) const RETRY_PENDING_AFTER: Millis = 500;
-
 /// Tokens of the requests that have not been answered yet.
 #[derive(Debug, Default)]
 pub(super) struct PendingRequests(BTreeSet<u64>);
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,38 +1,45 @@
-//! The state every process shares: chain, view register, leases, store, feed (§5).
-mod ack_level;
-mod calls;
-mod chain;
+//! The replicated store that all processes share: configuration, servers, primaries and fencing tokens.
+//!
+//! Keepers replicate a log of [`Command`]s along a chain (see [`keeper`]). A [`View`] says which keepers form the chain;
+//! its voters decide the next view by consensus (see [`register`]). Nodes hold a copy of the state, kept fresh by the
+//! [`feed`] from the tail, and act on it only while they hold a lease (see [`node_leases`]).
+#![warn(
+    missing_docs,
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::many_single_char_names,
+    clippy::min_ident_chars
+)]
+
+pub mod command;
 pub mod compression;
-mod contact;
-mod discovery;
 pub mod driver;
 pub mod entry_log;
 pub mod feed;
 mod feed_updates;
-mod heartbeat;
 pub mod host;
 pub mod keeper;
-pub mod lease;
-mod lease_handover;
-mod membership;
+pub mod limits;
 pub mod messages;
-mod peer_messages;
+pub mod node_leases;
 mod peers;
+pub mod record;
 pub mod register;
-mod repair;
-mod requests;
 pub mod snapshot;
 mod snapshot_transfer;
 mod stale_reply;
-mod status;
-mod step;
 pub mod storage;
 pub mod store;
-pub mod terms;
-mod voting;
+pub mod timing;
+pub mod view;
 
-pub use discovery::DiscoverySettings;
+pub use command::{Answer, Command, Entry, PrimaryState};
 pub use feed::{Change, FeedEvent, FeedSnapshot, FeedState};
-pub use keeper::Keeper;
-pub use messages::*;
+pub use keeper::{DiscoverySettings, Input, Keeper, Output};
+pub use messages::{
+    AcceptedView, DismissedLease, KeeperRequest, KeeperResponse, KeeperStatus, LeaseStatus, LogSize,
+    PeerMessage, Reply, Request,
+};
+pub use record::{Record, RecoveredState};
 pub use store::{AdoptedDocument, Store};
+pub use view::{Ballot, View, Voter};
--- a/crates/store/src/snapshot/outgoing.rs
+++ b/crates/store/src/snapshot/outgoing.rs
@@ -1,8 +1,8 @@
 //! A snapshot that is being sent.
 use crate::compression::PackedBytes;
+use crate::limits::TRANSFER_MAX_BYTES;
 use crate::snapshot::{SnapshotId, SnapshotPart, SnapshotProgress};
 use crate::store::Store;
-use crate::terms::TRANSFER_MAX_BYTES;
 use quincehatch_core::{ChangeNumber, hash64};
 
 /// A packed snapshot from which parts are sent.
--- a/crates/store/src/snapshot_transfer.rs
+++ b/crates/store/src/snapshot_transfer.rs
@@ -1,7 +1,8 @@
 //! How a keeper brings its store up to date from another: it requests log entries, and where the log does not reach back
 //! a snapshot in parts.
-use crate::keeper::{Keeper, Output, Record};
-use crate::messages::PeerMessage;
+use crate::keeper::{Keeper, Output};
+use crate::messages::{DismissedLease, PeerMessage};
+use crate::record::Record;
 use crate::snapshot::{OutgoingSnapshot, SnapshotPart, SnapshotProgress};
 use crate::store::Store;
 use quincehatch_core::{Millis, Name, Version};
@@ -43,8 +44,10 @@
         let part = self.usable_snapshot().part_after(progress);
         let now = self.now;
         let remaining = |until: Millis| until.saturating_sub(now);
-        let dismissed_leases =
-            self.dismissed_leases.iter().map(|(node, until)| (node.clone(), remaining(*until))).collect();
+        let mut dismissed_leases = Vec::new();
+        for (node, until) in &self.dismissed_leases {
+            dismissed_leases.push(DismissedLease { node: node.clone(), remaining_ms: remaining(*until) });
+        }
         PeerMessage::Snapshot {
             version: self.view.version,
             part,
@@ -106,7 +109,7 @@
         match purpose {
             TransferPurpose::Join => !is_member,
             TransferPurpose::CatchUp => {
-                let is_from_predecessor = self.view.neighbour(&self.name, -1) == Some(from);
+                let is_from_predecessor = self.view.predecessor(&self.name) == Some(from);
                 is_member && is_from_predecessor && part.id.change > self.store.last_change
             }
         }
--- a/crates/store/src/storage/disk.rs
+++ b/crates/store/src/storage/disk.rs
@@ -1,6 +1,5 @@
 //! The data directory of a keeper: one redb file, in which every value has a checksum of its own.
-use crate::messages::View;
-use crate::step::{Record, RecoveredState};
+use crate::record::{Record, RecoveredState};
 use crate::storage::disk_limits::DiskLimits;
 use crate::storage::disk_usage::DiskUsage;
 use crate::storage::errors::{disk_error, read_error, unusable};
@@ -8,6 +7,7 @@
 use crate::storage::records;
 use crate::storage::stable_storage::StableStorage;
 use crate::store::Store;
+use crate::view::View;
 use quincehatch_core::Error;
 use redb::{Database, Durability, ReadableDatabase, WriteTransaction};
 use std::path::{Path, PathBuf};
--- a/crates/store/src/storage/disk_limits.rs
+++ b/crates/store/src/storage/disk_limits.rs
@@ -1,5 +1,5 @@
 //! Sizes that keep a data directory well under its allowed size.
-use crate::terms::LOG_MAX_BYTES;
+use crate::limits::LOG_MAX_BYTES;
 
 /// Allowed size of a data directory where the settings name none: 64 MiB.
 pub const DEFAULT_ALLOWED_BYTES: u64 = 64 << 20;
--- a/crates/store/src/storage/log_rows.rs
+++ b/crates/store/src/storage/log_rows.rs
@@ -1,6 +1,6 @@
 //! Which log entries the file of a keeper holds, and when a snapshot is due.
+use crate::limits::{LOG_MAX_ENTRIES, SNAPSHOT_INTERVAL_ENTRIES};
 use crate::storage::disk_limits::DiskLimits;
-use crate::terms::{LOG_MAX_ENTRIES, SNAPSHOT_INTERVAL_ENTRIES};
 use quincehatch_core::ChangeNumber;
 use std::collections::VecDeque;
 
--- a/crates/store/src/storage/records.rs
+++ b/crates/store/src/storage/records.rs
@@ -1,8 +1,8 @@
 //! The records of a keeper in its redb file: how each is written and read back.
+use crate::command::Entry;
 use crate::compression::PackedBytes;
 use crate::entry_log::{EntryLog, PackedEntry};
-use crate::messages::Entry;
-use crate::step::{Record, RecoveredState};
+use crate::record::{Record, RecoveredState};
 use crate::storage::checksum::{decode, encode};
 use crate::storage::errors::{damaged, disk_error, table_read_error, unusable};
 use crate::storage::log_rows::LogRows;
--- a/crates/store/src/storage/stable_storage.rs
+++ b/crates/store/src/storage/stable_storage.rs
@@ -1,5 +1,5 @@
 //! What a keeper needs of its disk.
-use crate::step::{Record, RecoveredState};
+use crate::record::{Record, RecoveredState};
 use crate::storage::disk_usage::DiskUsage;
 use crate::store::Store;
 use quincehatch_core::Error;
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -14,7 +14,7 @@
 pub use primaries::promotion_duty_key;
 pub(crate) use servers::upsert_server;
 
-use crate::messages::{Answer, Command, Entry, PrimaryState};
+use crate::command::{Answer, Command, Entry, PrimaryState};
 use quincehatch_core::{
     ChangeNumber, ErrorCode, FencingToken, Name, PrimaryAssignment, ServerRecord, Version, hash64, messages,
 };
--- a/crates/store/src/store/commands.rs
+++ b/crates/store/src/store/commands.rs
@@ -1,5 +1,5 @@
 //! What each command does to the store.
-use crate::messages::{Answer, Command};
+use crate::command::{Answer, Command};
 use crate::store::documents::{DocumentOutcome, TakenNumber, document_digest};
 use crate::store::servers::{changes_nothing, upsert_server};
 use crate::store::{AdoptedDocument, HistoryEntry, RecordedAnswer, Store, promotion_duty_key};
--- a/crates/store/src/store/documents.rs
+++ b/crates/store/src/store/documents.rs
@@ -1,6 +1,6 @@
 //! Which document of the operator took which number. A number belongs to the first document that is sent under it, so a
 //! document that is sent again is recognised, and one that reuses a number is rejected.
-use crate::messages::Answer;
+use crate::command::Answer;
 use quincehatch_core::{ChangeNumber, ErrorCode, Version, hash64, messages};
 use std::collections::BTreeMap;
 
--- a/crates/store/src/store/primaries.rs
+++ b/crates/store/src/store/primaries.rs
@@ -1,5 +1,5 @@
 //! The primaries of groups, and the fencing tokens under which they are assigned.
-use crate::messages::Answer;
+use crate::command::Answer;
 use crate::store::{IssuedFence, Store};
 use quincehatch_core::{Error, ErrorCode, FencingToken, Name, PrimaryAssignment};
 use quincehatch_runtime::seam::injected_bug;
@@ -24,7 +24,7 @@
         }
         let primary = with_earlier_voters(self.primaries.get(group), primary);
         self.primaries.insert(group.clone(), primary.clone());
-        Answer::Lead(primary)
+        Answer::Primary(primary)
     }
 
     /// An assignment is rejected if a newer token was issued or used, or if its own token has named another server: a
@@ -52,7 +52,7 @@
         match self.primaries.get_mut(group) {
             Some(primary) if primary.fence == fence && primary.server.is_some() => {
                 primary.previous_voters.clear();
-                Answer::Lead(primary.clone())
+                Answer::Primary(primary.clone())
             }
             _ => Answer::Rejected(ErrorCode::StaleFence.with_detail("no primary is assigned under it")),
         }
--- a/crates/store/tests/disk.rs
+++ b/crates/store/tests/disk.rs
@@ -1,7 +1,7 @@
 //! The data directory of a keeper: what it keeps through restarts, and what it rejects.
 use quincehatch_core::{ErrorCode, hash64};
 use quincehatch_store::entry_log::PackedEntry;
-use quincehatch_store::keeper::Record;
+use quincehatch_store::record::Record;
 use quincehatch_store::storage::disk::{Disk, OpenedDisk};
 use quincehatch_store::storage::stable_storage::StableStorage;
 use quincehatch_store::{Command, Entry, Store, View};
--- a/crates/store/tests/disk_space.rs
+++ b/crates/store/tests/disk_space.rs
@@ -2,7 +2,7 @@
 mod samples;
 
 use quincehatch_store::entry_log::PackedEntry;
-use quincehatch_store::keeper::Record;
+use quincehatch_store::record::Record;
 use quincehatch_store::storage::disk::{Disk, OpenedDisk};
 use quincehatch_store::storage::stable_storage::StableStorage;
 use quincehatch_store::{Store, View};
--- a/crates/store/tests/documents.rs
+++ b/crates/store/tests/documents.rs
@@ -3,11 +3,11 @@
 mod kit;
 
 use assert_matches::assert_matches;
-use kit::{Net, machine};
+use kit::{Net, voter};
 use quincehatch_core::{ErrorCode, Name};
+use quincehatch_store::limits::LOG_MAX_ENTRIES;
 use quincehatch_store::store::MAX_ANSWERED_WRITES;
 use quincehatch_store::store::MAX_REMEMBERED_DOCUMENTS;
-use quincehatch_store::terms::LOG_MAX_ENTRIES;
 use quincehatch_store::{Answer, Command, Entry, Reply, Request, Store, View, Voter};
 
 const THREE: [&str; 3] = ["k1", "k2", "k3"];
@@ -74,8 +74,8 @@
     fn document_in_force(&mut self) -> Option<String> {
         let tail = self.net.tail().unwrap();
         self.token += 1;
-        self.net.ask(&tail, self.token, Request::Adopted);
-        assert_matches!(self.net.rep(self.token), Some(Reply::Adopted { adopted }) => adopted.map(|document| document.source))
+        self.net.ask(&tail, self.token, Request::ReadDocument);
+        assert_matches!(self.net.rep(self.token), Some(Reply::Document { document }) => document.map(|document| document.source))
     }
 
     fn adopt_three(&mut self) {
@@ -163,7 +163,7 @@
     net.run(3_000);
     net.add("k4", View::default());
     let version = net.view("k1").version;
-    let voters = [remaining, vec![machine("k4")]].concat();
+    let voters = [remaining, vec![voter("k4")]].concat();
     net.ask("k3", 900_002, Request::ChangeVoters { version, voters });
     net.run(6_000);
     assert_eq!(net.view("k1").members, ["k1", "k3", "k4"]);
--- a/crates/store/tests/feed.rs
+++ b/crates/store/tests/feed.rs
@@ -6,7 +6,7 @@
 use quincehatch_core::{ChangeNumber, PrimaryAssignment, Role, ServerRecord};
 use quincehatch_store::compression::PackedText;
 use quincehatch_store::feed::Patch;
-use quincehatch_store::keeper::RecoveredState;
+use quincehatch_store::record::RecoveredState;
 use quincehatch_store::{Command, FeedSnapshot, FeedState, Keeper, Reply, Request};
 
 const MEMBERS: [&str; 3] = ["a", "b", "c"];
--- a/crates/store/tests/hosts/mod.rs
+++ b/crates/store/tests/hosts/mod.rs
@@ -2,7 +2,8 @@
 #![allow(dead_code)]
 use quincehatch_core::{Error, ErrorCode, Millis, Name};
 use quincehatch_store::host::{Batch, KeeperHost};
-use quincehatch_store::keeper::{Input, Output, Record, RecoveredState};
+use quincehatch_store::keeper::{Input, Output};
+use quincehatch_store::record::{Record, RecoveredState};
 use quincehatch_store::storage::disk_usage::DiskUsage;
 use quincehatch_store::storage::stable_storage::StableStorage;
 use quincehatch_store::{Keeper, PeerMessage, Reply, Request, Store, View, Voter};
--- a/crates/store/tests/primaries.rs
+++ b/crates/store/tests/primaries.rs
@@ -55,7 +55,7 @@
 
 fn assigned_voter_sets(answer: Answer) -> Vec<Vec<Name>> {
     match answer {
-        Answer::Lead(primary) => primary.voter_sets(),
+        Answer::Primary(primary) => primary.voter_sets(),
         other => panic!("{other:?}"),
     }
 }
@@ -136,7 +136,7 @@
     let expected = PrimaryState { fence, primary: store.0.primaries.get(GROUP).cloned() };
     store.assign(fence, None, &[]);
     assert_stale(&store.acquire_fence_if_unchanged(&expected));
-    let Answer::Lead(named) = store.assign(fence, Some("b"), &[]) else { panic!("it was overtaken") };
+    let Answer::Primary(named) = store.assign(fence, Some("b"), &[]) else { panic!("it was overtaken") };
     let expected = PrimaryState { fence, primary: Some(named) };
     assert_eq!(store.acquire_fence_if_unchanged(&expected), Answer::Fence(fence + 1));
 }
