--- a/crates/core/src/server.rs
+++ b/crates/core/src/server.rs
@@ -106,15 +106,16 @@
 
     /// The group to which the server belongs; empty if the label is missing.
     pub fn group(&self) -> &str {
-        self.label("group")
+        self.label("group").unwrap_or("")
     }
 
-    /// The zone in which the server runs; empty if the label is missing. Servers send it as the label `district`.
+    /// The zone in which the server runs; empty if the label is missing. Servers send it as the label `district`, the
+    /// deprecated name, or as `zone`; where both are given, `zone` may be a label of the operator's own.
     pub fn zone(&self) -> &str {
-        self.label("district")
+        self.label("district").or_else(|| self.label("zone")).unwrap_or("")
     }
 
-    fn label(&self, key: &str) -> &str {
-        self.labels.get(key).map_or("", |value| value.as_str())
+    fn label(&self, key: &str) -> Option<&str> {
+        self.labels.get(key).map(|value| value.as_str())
     }
 }
--- a/crates/proxy/src/direct/transaction.rs
+++ b/crates/proxy/src/direct/transaction.rs
@@ -1,251 +1,157 @@
-//! A transaction of a held session: one link from its first statement to its end (§4.3, §4.10).
-use crate::direct::command::{StatementError, StatementResponse};
-use crate::direct::connection::{CallContext, Connection, ConnectionError, Values, clean, not_run};
-use crate::direct::pool::{self, Checkout};
-use crate::direct::run::{Statement, StatementAttempt, acked, lost, once, seen, watched};
-use crate::direct::single::{declined, patience, pause, told};
-use crate::direct::{DirectProxy, ResolvedRoute, choose};
-use crate::in_flight::InFlightGuard;
+//! A transaction that is open at a server: one connection from its first statement to its end.
+use super::DirectProxy;
+use super::connection::SessionSettings;
+use super::monitored_call::{CallContext, PrimaryTerm};
+use super::pool::Checkout;
+use super::replies::{
+    commit_response, in_doubt_error, leaves_idle, record_primary_position, reject_reason, transaction_lost,
+    transaction_lost_by, was_not_run,
+};
+use super::response::StatementResponse;
+use super::retry::Backoff;
+use super::route::ResolvedRoute;
+use super::statement::{Execution, Statement, StatementAttempt};
 use crate::ports::{RejectReason, ServerCall, ServerReply, TransactionState};
+use crate::routing::in_flight::InFlightGuard;
+use crate::routing::registry::ServerEntry;
 use bytes::Bytes;
-use quincehatch_core::{Error, ErrorCode, FencingToken, Millis};
-use quincehatch_runtime::now;
+use quincehatch_core::{FencingToken, Millis};
+use quincehatch_runtime::{now, seam};
+use std::sync::Arc;
 
-pub enum Transaction {
-    /// Begun, but nothing was sent yet.
-    Lazy {
-        read: bool,
-        way: ResolvedRoute,
-    },
-    Open(Box<Running>),
-    /// It failed; ending it rolls back, and anything else is declined.
-    Broken,
+/// A transaction that is open at a server. Dropping it closes its connection, which rolls it back.
+pub(super) struct OpenTransaction {
+    pub(super) checkout: Checkout,
+    pub(super) server: Arc<ServerEntry>,
+    pub(super) route: ResolvedRoute,
+    pub(super) wrote: bool,
+    pub(super) on_primary: bool,
+    /// The fence under which its server was the primary when it began.
+    pub(super) fence: FencingToken,
+    /// Held until the transaction has ended; `None` where it only reads on a replica.
+    pub(super) _in_flight: Option<InFlightGuard>,
 }
 
-pub struct Running {
-    lent: Checkout,
-    way: ResolvedRoute,
-    wrote: bool,
-    on_lead: bool,
-    /// Under which its server led when it began.
-    fence: FencingToken,
-    _work: Option<InFlightGuard>,
-}
-
-pub fn aborted(why: &str) -> Error {
-    ErrorCode::TransactionLost.with_detail(why).with_retry_after(50)
-}
-
-/// How long a statement within a transaction may go unanswered. Nothing of it is committed, so giving it up leaves the
-/// origin the time to begin anew; a commit or a write of its own has no such way out.
-fn silence(way: &ResolvedRoute) -> Millis {
-    (way.aim * 2).clamp(200, way.timeout.max(200))
-}
-
-/// Sends BEGIN to a server that fits; what is begun so holds its link.
-pub async fn open(
-    held: &DirectProxy,
-    way: &ResolvedRoute,
-    read: bool,
-    values: &Values,
-) -> Result<Running, Error> {
-    let (patient, until) = (now() + patience(way), now() + silence(way));
-    let anywhere = read && !way.lead;
-    let (mut tried, mut n) = (Vec::new(), 0);
-    let mut why = ErrorCode::ConnectionsBusy.without_detail();
-    loop {
-        let work = (!anywhere).then(|| held.proxy.registry.in_flight.begin(&way.group));
-        let place = match anywhere {
-            true => choose::lookup(held, way, &tried, false),
-            false => {
-                let row = choose::lead(held, &way.group, patient).await?;
-                Some(choose::ReadTarget { row, floor: None })
-            }
-        };
-        if let Some(choose::ReadTarget { row, floor }) = place {
-            let on_lead = floor.is_none();
-            match pool::check_out(held, &row, values, way.priority, patient).await {
-                Err(e) => why = e.code().without_detail(),
-                Ok(lent) if on_lead && choose::takes(held, &way.group, &row).is_none() => lent.check_in(),
-                Ok(mut lent) => {
-                    let w = watched(held, &row, way);
-                    let fence = choose::leads(held, &way.group, &row).unwrap_or_default();
-                    let begin = ServerCall::Begin { read, floor };
-                    let got = match lent.connection.as_mut() {
-                        Some(l) => begun(&w, l, values, &begin, until).await,
-                        None => continue,
-                    };
-                    match got {
-                        Ok(s) if s.rejection.is_none() && s.transaction_state == TransactionState::Open => {
-                            let way = way.clone();
-                            return Ok(Running { lent, way, wrote: false, on_lead, fence, _work: work });
-                        }
-                        Ok(s) => {
-                            if clean(&s) {
-                                lent.check_in();
-                            }
-                            let no = s.rejection.map_or(RejectReason::Other, |n| n.0);
-                            if no == RejectReason::NotPrimary && on_lead {
-                                row.note_not_primary(now());
-                            }
-                            why = declined(no);
-                        }
-                        Err(l) => why = lost(&l, false),
-                    }
+impl OpenTransaction {
+    /// Runs one statement. After an error the transaction has failed, unless the server says that it is still open.
+    pub async fn run(
+        &mut self,
+        direct: &DirectProxy,
+        settings: &SessionSettings,
+        statement: &Statement,
+    ) -> StatementResponse {
+        let deadlines = self.route.transaction_deadlines();
+        let mut backoff = Backoff::default();
+        self.wrote |= statement.write;
+        loop {
+            let execution = Execution {
+                statement,
+                settings,
+                floor: None,
+                in_transaction: true,
+                finish_by: deadlines.finish_by,
+            };
+            let context = call_context(direct, &self.server, &self.route, self.primary_fence());
+            let asked_at = now();
+            let reply = match self.checkout.connection.execute(&context, &execution).await {
+                StatementAttempt::Replied(reply) => reply,
+                // Nothing of it was committed, and closing the connection rolls it back.
+                StatementAttempt::NotSent(error) | StatementAttempt::Unanswered(error) => {
+                    let error = transaction_lost_by(&error);
+                    return StatementResponse::failed(error, TransactionState::Failed);
                 }
+            };
+            self.record_position(direct, asked_at, &reply);
+            let still_open = reply.transaction_state == TransactionState::Open;
+            let retriable =
+                matches!(reject_reason(&reply), Some(RejectReason::Busy | RejectReason::Unprepared));
+            if retriable && still_open && !deadlines.start_passed() {
+                backoff.pause().await;
+                continue;
             }
-            tried.push(row);
-        } else {
-            tried.clear();
-        }
-        drop(work);
-        if now() >= patient {
-            // Nothing of the transaction was run.
-            return Err(why.with_retry_after(100));
+            // What the server rolled back by itself is rolled back; closing the connection makes it certain.
+            let state = if still_open { TransactionState::Open } else { TransactionState::Failed };
+            return StatementResponse::from_reply(reply, state);
         }
-        pause(n).await;
-        n += 1;
     }
-}
-
-async fn begun(
-    w: &CallContext<'_>,
-    l: &mut Connection,
-    values: &Values,
-    c: &ServerCall,
-    until: Millis,
-) -> Result<ServerReply, ConnectionError> {
-    l.suit(w, values, until.saturating_sub(now())).await?;
-    l.ask(w, c, until.saturating_sub(now())).await
-}
 
-impl Running {
-    /// One statement. An error of it leaves the transaction broken unless the server says otherwise.
-    pub async fn run(
-        mut self: Box<Self>,
-        held: &DirectProxy,
-        values: &Values,
-        s: &Statement,
-    ) -> (StatementResponse, Transaction) {
-        let until = now() + silence(&self.way);
-        let patient = now() + patience(&self.way);
-        self.wrote |= s.write;
-        let row = self.lent.row.clone();
-        let mut n = 0;
+    /// Commits the transaction. `id` is the client's id of the commit.
+    pub async fn commit(mut self, direct: &DirectProxy, id: Bytes) -> StatementResponse {
+        let deadlines = self.route.deadlines();
+        let mut backoff = Backoff::default();
+        let commit = ServerCall::Commit { id };
         loop {
-            let Some(link) = self.lent.connection.as_mut() else {
-                return (
-                    StatementResponse::failed(aborted("its link is gone"), TransactionState::Failed),
-                    Transaction::Broken,
-                );
-            };
-            let under = self.on_lead.then_some((&self.way.group, self.fence));
-            let w = CallContext { under, ..watched(held, &row, &self.way) };
-            let asked = now();
-            match once(&w, link, values, true, s, None, until).await {
-                StatementAttempt::Said(said) => {
-                    if self.on_lead {
-                        seen(held, &self.way, &row, asked, &said);
-                    }
-                    let no = said.rejection.as_ref().map(|n| n.0);
-                    let again =
-                        no.is_some_and(|n| matches!(n, RejectReason::Busy | RejectReason::Unprepared));
-                    if again && said.transaction_state == TransactionState::Open && now() < patient {
-                        pause(n).await;
-                        n += 1;
-                        continue;
-                    }
-                    if said.transaction_state == TransactionState::Open {
-                        let t = told(said, TransactionState::Open);
-                        return (t, Transaction::Open(self));
-                    }
-                    // What the server rolls back by itself is rolled back; dropping the link makes it certain.
-                    return (told(said, TransactionState::Failed), Transaction::Broken);
-                }
-                // Nothing of it was committed, and closing the link rolls it back.
-                StatementAttempt::NotSent(l) | StatementAttempt::Lost(l) => {
-                    let why = match l {
-                        ConnectionError::Broke(e) => aborted(&e.kind().to_string()),
-                        ConnectionError::TimedOut => aborted("no answer in the rule's time"),
+            let context = call_context(direct, &self.server, &self.route, self.primary_fence());
+            let asked_at = now();
+            let reply = match self.checkout.connection.call(&context, &commit, deadlines.time_left()).await {
+                Ok(reply) => reply,
+                Err(error) => {
+                    let error = if self.wrote {
+                        in_doubt_error(&error)
+                    } else {
+                        transaction_lost("its connection broke")
                     };
-                    return (StatementResponse::failed(why, TransactionState::Failed), Transaction::Broken);
+                    return StatementResponse::failed(error, TransactionState::Idle);
                 }
+            };
+            self.record_position(direct, asked_at, &reply);
+            let busy = reject_reason(&reply) == Some(RejectReason::Busy);
+            let still_open = reply.transaction_state == TransactionState::Open;
+            if busy && still_open && !deadlines.start_passed() {
+                backoff.pause().await;
+                continue;
             }
+            return self.committed(direct, reply);
         }
     }
 
-    pub async fn commit(self: Box<Self>, held: &DirectProxy, id: Bytes) -> StatementResponse {
-        let Running { mut lent, way, wrote, on_lead, fence, _work } = *self;
-        let until = now() + way.timeout;
-        let patient = now() + patience(&way);
-        let row = lent.row.clone();
-        let call = ServerCall::Commit { id };
-        let mut n = 0;
-        loop {
-            let Some(link) = lent.connection.as_mut() else {
-                return StatementResponse::failed(aborted("its link is gone"), TransactionState::Idle);
-            };
-            let under = on_lead.then_some((&way.group, fence));
-            let w = CallContext { under, ..watched(held, &row, &way) };
-            let asked = now();
-            match link.ask(&w, &call, until.saturating_sub(now())).await {
-                Ok(said) => {
-                    if on_lead {
-                        seen(held, &way, &row, asked, &said);
-                    }
-                    let no = said.rejection.as_ref().map(|n| n.0);
-                    if no == Some(RejectReason::Busy)
-                        && said.transaction_state == TransactionState::Open
-                        && now() < patient
-                    {
-                        pause(n).await;
-                        n += 1;
-                        continue;
-                    }
-                    if clean(&said) {
-                        lent.check_in();
-                    }
-                    if no.is_some_and(not_run) {
-                        // It was not run, and its link is rolled back or closed: nothing is kept.
-                        return StatementResponse::failed(
-                            aborted("the commit was not run"),
-                            TransactionState::Idle,
-                        );
-                    }
-                    if wrote {
-                        return match acked(held, &way, fence, said) {
-                            Ok(said) => told(said, TransactionState::Idle),
-                            Err(b) => StatementResponse::failed(b, TransactionState::Idle),
-                        };
-                    }
-                    return told(said, TransactionState::Idle);
-                }
-                Err(l) if wrote => return StatementResponse::failed(lost(&l, true), TransactionState::Idle),
-                Err(_) => {
-                    return StatementResponse::failed(aborted("its link broke"), TransactionState::Idle);
-                }
-            }
+    fn committed(self, direct: &DirectProxy, reply: ServerReply) -> StatementResponse {
+        if leaves_idle(&reply) {
+            self.checkout.check_in();
         }
+        if reject_reason(&reply).is_some_and(was_not_run) {
+            // The commit was not run, and its connection is rolled back or closed: nothing is committed.
+            let error = transaction_lost("the commit was not run");
+            return StatementResponse::failed(error, TransactionState::Idle);
+        }
+        if self.wrote {
+            return commit_response(direct, &self.route, self.fence, reply);
+        }
+        StatementResponse::from_reply(reply, TransactionState::Idle)
     }
 
-    /// Rolls back in the background; the origin need not wait for it.
-    pub fn rollback(mut self: Box<Self>, held: std::sync::Arc<DirectProxy>) {
-        quincehatch_runtime::seam::spawn(async move {
-            let row = self.lent.row.clone();
-            let w = watched(&held, &row, &self.way);
-            let within = self.way.timeout;
-            let got = match self.lent.connection.as_mut() {
-                Some(l) => l.ask(&w, &ServerCall::Rollback, within).await,
-                None => return,
-            };
-            if got.is_ok_and(|s| s.rejection.is_none() && clean(&s)) {
-                self.lent.check_in();
+    /// Rolls back in the background; the client need not wait for it.
+    pub fn roll_back(self: Box<Self>, direct: Arc<DirectProxy>) {
+        seam::spawn(async move {
+            // All of it moves into the task, so that the work counts as in flight until it is rolled back.
+            let mut open = *self;
+            let context = CallContext::new(&direct, &open.server, &open.route);
+            let within = open.route.timeout;
+            let reply = open.checkout.connection.call(&context, &ServerCall::Rollback, within).await;
+            if reply.is_ok_and(|reply| reply.rejection.is_none() && leaves_idle(&reply)) {
+                open.checkout.check_in();
             }
         });
     }
+
+    fn primary_fence(&self) -> Option<FencingToken> {
+        self.on_primary.then_some(self.fence)
+    }
+
+    fn record_position(&self, direct: &DirectProxy, asked_at: Millis, reply: &ServerReply) {
+        if self.on_primary {
+            record_primary_position(direct, &self.route, &self.server, asked_at, reply);
+        }
+    }
 }
 
-/// What a server said no to in words of its own.
-pub fn by_server(t: &StatementResponse) -> bool {
-    matches!(t.result, Err(StatementError::Server(..)))
+/// The context of a call in a transaction that began on the primary under `fence`, or on a replica.
+fn call_context<'a>(
+    direct: &'a DirectProxy,
+    server: &'a Arc<ServerEntry>,
+    route: &'a ResolvedRoute,
+    fence: Option<FencingToken>,
+) -> CallContext<'a> {
+    let primary_term = fence.map(|fence| PrimaryTerm { group: &route.group, fence });
+    CallContext::with_primary_term(direct, server, route, primary_term)
 }
