--- a/crates/store/tests/written_by_8d4197c.rs
+++ b/crates/store/tests/written_by_8d4197c.rs
@@ -1,8 +1,8 @@
 //! A data folder that version 8d4197c wrote is still read, with all that it holds.
 use quincehatch_core::{PrimaryAssignment, Role, ServerRecord};
-use quincehatch_store::disk::Disk;
-use quincehatch_store::keeper::RecoveredState;
-use quincehatch_store::{Command, Voter};
+use quincehatch_store::storage::disk::Disk;
+use quincehatch_store::store::IssuedFence;
+use quincehatch_store::{Command, RecoveredState, Voter};
 use std::path::{Path, PathBuf};
 
 /// The configuration in force, as the same version stored it.
@@ -24,8 +24,7 @@
     }
 
     fn recover(&self) -> RecoveredState {
-        let (_disk, recovered) = Disk::open(&self.0, "k1", None).unwrap();
-        recovered
+        Disk::open(&self.0, "k1", None).unwrap().state
     }
 }
 
@@ -66,7 +65,7 @@
     let authors: Vec<_> = store.history.iter().map(|entry| (entry.version, entry.author.as_str())).collect();
     assert_eq!(authors, [(1, "qhlab"), (2, "operator")]);
     assert_eq!(store.configuration().unwrap().text, STORED_CONFIGURATION);
-    assert_eq!(store.fences["lead/g1"], (2, "n1".into()));
+    assert_eq!(store.fences["lead/g1"], IssuedFence { fence: 2, holder: "n1".into() });
     let primary = PrimaryAssignment {
         fence: 2,
         server: Some("g1s2".into()),
