--- a/crates/store/tests/written_by_8d4197c.rs
+++ b/crates/store/tests/written_by_8d4197c.rs
@@ -1,9 +1,8 @@
 //! A data folder that version 8d4197c wrote is still read, with all that it holds.
 use quincehatch_core::{PrimaryAssignment, Role, ServerRecord};
-use quincehatch_store::RecoveredState;
 use quincehatch_store::storage::disk::Disk;
 use quincehatch_store::store::IssuedFence;
-use quincehatch_store::{Command, Voter};
+use quincehatch_store::{Command, RecoveredState, Voter};
 use std::path::{Path, PathBuf};
 
 /// The configuration in force, as the same version stored it.
