--- a/crates/capacity/src/components/feed.rs
+++ b/crates/capacity/src/components/feed.rs
@@ -23,7 +23,7 @@
     let before = cluster_state_from(&feed, &ClusterState::default());
     let configuration = adopt(&mut store, groups, NEXT_ADOPTED);
     let adopted = timed(|| apply(&mut feed, &configuration, &before));
-    let event = FeedEvent::RegisterServer { at: server_record(1, 9_999) };
+    let event = FeedEvent::RegisterServer { record: server_record(1, 9_999) };
     let server = Change { number: feed.last_change + 1, event };
     let registered = timed(|| apply(&mut feed, &server, &adopted.result));
     ChangeCosts { configuration_ms: adopted.cpu_ms, server_ms: registered.cpu_ms }
--- a/crates/capacity/src/components/frames.rs
+++ b/crates/capacity/src/components/frames.rs
@@ -1,6 +1,6 @@
 //! Sizes of the frames in which keepers tell what they store.
 use super::store::{adopt, populated_store};
-use quincehatch_store::patch::PackedText;
+use quincehatch_store::compression::PackedText;
 use quincehatch_store::{FeedSnapshot, KeeperResponse, Reply, Store};
 use quincehatch_wire::{ANSWER_HEADER_BYTES, LENGTH_BYTES};
 
--- a/crates/capacity/src/components/store.rs
+++ b/crates/capacity/src/components/store.rs
@@ -67,5 +67,5 @@
         command: adoption(groups, number),
     };
     let applied = store.apply_with_event(&entry).expect("it is the next entry");
-    Change { number: entry.number, event: applied.1 }
+    Change { number: entry.number, event: applied.event }
 }
--- a/crates/capacity/src/frame_counts/fleet.rs
+++ b/crates/capacity/src/frame_counts/fleet.rs
@@ -8,7 +8,7 @@
 use quincehatch_runtime::seam::BoxFuture;
 use quincehatch_simulator::fleet::core::{ProcessId, Simulation};
 use quincehatch_simulator::fleet::keeper::{self, Disk, KeeperRegistry};
-use quincehatch_store::keeper::RecoveredState;
+use quincehatch_store::record::RecoveredState;
 use quincehatch_store::{View, Voter};
 use std::fmt;
 use std::sync::{Arc, Mutex};
--- a/crates/capacity/src/hollow_fleet/keepers.rs
+++ b/crates/capacity/src/hollow_fleet/keepers.rs
@@ -3,8 +3,8 @@
 use crate::cpu::current_thread;
 use quincehatch_core::Name;
 use quincehatch_runtime::now;
-use quincehatch_store::disk::Disk;
 use quincehatch_store::host::KeeperHost;
+use quincehatch_store::storage::disk::{Disk, OpenedDisk};
 use quincehatch_store::{Keeper, View, Voter, driver};
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
@@ -44,11 +44,12 @@
 
 async fn run(data_dir: PathBuf, name: Name, view: View, listener: TcpListener) {
     let _ = std::fs::create_dir_all(&data_dir);
-    let Ok((disk, recovered)) = Disk::open(&data_dir, &name, Some(view)) else { return };
+    let Ok(opened) = Disk::open(&data_dir, &name, Some(view)) else { return };
+    let OpenedDisk { disk, state, .. } = opened;
     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
     // The keeper is never stopped: it ends with the process.
     let (_stop, stopped) = watch::channel(false);
     let start = Box::new(move |state, now| Keeper::new(name.clone(), now, state));
-    let host = KeeperHost::new(recovered, now(), start);
+    let host = KeeperHost::new(state, now(), start);
     let _ = driver::run_keeper(host, disk, listener, stopped).await;
 }
--- a/crates/capacity/src/tail_keeper/mod.rs
+++ b/crates/capacity/src/tail_keeper/mod.rs
@@ -7,7 +7,8 @@
 
 use crate::samples::node_names;
 use quincehatch_core::Name;
-use quincehatch_store::keeper::{Input, Output, RecoveredState};
+use quincehatch_store::keeper::{Input, Output};
+use quincehatch_store::record::RecoveredState;
 use quincehatch_store::{Answer, Command, Keeper, KeeperResponse, Reply, Request, View, Voter};
 
 /// How often a keeper's driver lets time pass, in milliseconds.
--- a/crates/simulator/src/direct/laid.rs
+++ b/crates/simulator/src/direct/laid.rs
@@ -8,7 +8,7 @@
 use quincehatch_node::{ClusterNode, gossip};
 use quincehatch_proxy::direct::DirectProxy;
 use quincehatch_runtime::seam;
-use quincehatch_store::keeper::RecoveredState;
+use quincehatch_store::record::RecoveredState;
 use quincehatch_store::{View, Voter};
 use std::sync::{Arc, Mutex};
 
--- a/crates/store/src/keeper/replication.rs
+++ b/crates/store/src/keeper/replication.rs
@@ -2,10 +2,12 @@
 use super::{Keeper, Output};
 use crate::command::{Answer, Command, Entry};
 use crate::entry_log::PackedEntry;
+use crate::feed::AppliedEntry;
 use crate::limits::TRANSFER_MAX_BYTES;
 use crate::messages::PeerMessage;
 use crate::record::Record;
 use crate::snapshot::SnapshotProgress;
+use crate::snapshot_transfer::TransferPurpose;
 use crate::timing::{NODE_LEASE, with_clock_drift};
 use quincehatch_core::{ChangeNumber, Name};
 
@@ -35,7 +37,7 @@
 
     /// Applies an entry if it is the next one, and returns the answer to its command.
     pub(super) fn append_entry(&mut self, entry: &Entry, packed: PackedEntry) -> Option<Answer> {
-        let (answer, event) = self.store.apply_with_event(entry)?;
+        let AppliedEntry { answer, event } = self.store.apply_with_event(entry)?;
         self.note_dismissal(&entry.command);
         self.record_change(entry.number, event);
         self.outputs.push(Output::Persist(Record::Entry { entry: packed.clone() }));
@@ -124,7 +126,7 @@
     ) {
         let message = match self.entries_after(last_change) {
             Some(entries) => self.append_message(last_change, entries),
-            None => self.snapshot_message(false, progress),
+            None => self.snapshot_message(TransferPurpose::CatchUp, progress),
         };
         self.send(successor, message);
         self.hand_over_leases();
--- a/crates/store/src/keeper/requests/quorum_contact.rs
+++ b/crates/store/src/keeper/requests/quorum_contact.rs
@@ -4,10 +4,10 @@
 //! already has no commit to wait for, and a head that was cut off may hold an old store. So the answer waits until a
 //! majority has granted a heartbeat that was sent after the request came: no newer view was decided before that
 //! heartbeat, so the head's log held every entry that was committed by then. No clock is part of the argument.
-use crate::command::{Answer, Command};
+use crate::command::Command;
 use crate::keeper::Keeper;
 use crate::store::RecordedAnswer;
-use quincehatch_core::{ErrorCode, Millis};
+use quincehatch_core::Millis;
 
 /// How long a request that changes nothing waits for others, so that one heartbeat serves them all.
 const CONTACT_WAIT: Millis = 60;
@@ -17,11 +17,7 @@
     /// an entry of its own.
     pub(super) fn recorded_answer(&self, key: &str, command: &Command) -> Option<RecordedAnswer> {
         let Some(earlier) = self.store.answered_write(key) else { return self.store.no_op_answer(command) };
-        let answer = match earlier.digest == command.digest() {
-            true => earlier.answer.clone(),
-            // The key was used for another command.
-            false => Answer::Rejected(ErrorCode::PushConflict.without_detail()),
-        };
+        let answer = earlier.answer_to(command.digest());
         Some(RecordedAnswer { entry: earlier.number, answer })
     }
 
