--- a/crates/core/src/error_code.rs
+++ b/crates/core/src/error_code.rs
@@ -1,4 +1,4 @@
-//! Numbered result codes. docs/codes.md lists them for readers; a test keeps the two equal.
+//! Numbered result codes. docs/codes.md lists them for readers; a test checks that the two are equal.
 
 /// Declares [`ErrorCode`] from rows of name, number, HTTP status and description.
 macro_rules! error_codes {
--- a/crates/core/src/hashing.rs
+++ b/crates/core/src/hashing.rs
@@ -6,8 +6,8 @@
 /// Byte hashed after each part, so that ("ab", "c") and ("a", "bc") differ. UTF-8 text never contains it.
 const PART_END: u8 = 0xff;
 
-/// A 64-bit hash (FNV-1a with a finishing mix) that is the same on every machine and in every version: it is kept on
-/// disk and decides on owners.
+/// A 64-bit hash (FNV-1a with a finishing mix) that is the same on every machine and in every version: it is stored
+/// on disk and decides on owners.
 pub fn hash64(parts: &[&[u8]]) -> u64 {
     let mut hash = FNV_OFFSET_BASIS;
     for part in parts {
--- a/crates/core/src/primary_assignment.rs
+++ b/crates/core/src/primary_assignment.rs
@@ -16,13 +16,13 @@
         /// Servers whose acknowledgement counts towards a commit. A commit needs two of them, so the next promotion
         /// fences all but one to be sure that no commit under the old token can succeed any more.
         pub voters: Vec<Name>,
-        /// Earlier voter sets. They hold beside `voters` until the primary's whole log is on two of the new set.
+        /// Earlier voter sets. They stay valid beside `voters` until the primary's entire log is on two of the new set.
         pub previous_voters: Vec<Vec<Name>>
     }
 }
 
 impl PrimaryAssignment {
-    /// All voter sets that hold, the newest last.
+    /// All voter sets that are valid, the newest last.
     pub fn voter_sets(&self) -> Vec<Vec<Name>> {
         let mut sets = self.previous_voters.clone();
         sets.push(self.voters.clone());
--- a/crates/keeper/src/args.rs
+++ b/crates/keeper/src/args.rs
@@ -7,7 +7,7 @@
 usage: quincehatch-keeper --settings FILE [--init | --join | --check]
 
   --settings FILE   the settings file (TOML)
-  --init            first start of the whole chain: make the data folder
+  --init            first start of the chain: create the data directory
   --join            first start of a machine that `quincehatchctl members --add` brings in
   --check           check the settings and end
   --log SPEC        like info, or debug,chain=trace; wins over the file
@@ -17,7 +17,7 @@
 /// The first start of a keeper, which creates its data directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FirstStart {
-    /// The whole chain starts for the first time.
+    /// All keepers of the chain start for the first time.
     Init,
     /// The machine joins a chain that runs.
     Join,
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -69,7 +69,7 @@
     Ok(settings)
 }
 
-/// The view with which a new data directory begins: all voters on the first start of the whole chain, none on a machine
+/// The view with which a new data directory begins: all voters on the first start of the chain, none on a machine
 /// that joins one. `None` if the directory is not new.
 fn first_view(first_start: Option<FirstStart>, settings: &KeeperSettings) -> Option<View> {
     match first_start? {
@@ -112,7 +112,7 @@
     run_keeper(host, disk, listener, stopped).await
 }
 
-/// Tells the keeper to stop when the process gets SIGTERM or SIGINT.
+/// Stops the keeper when the process gets SIGTERM or SIGINT.
 async fn stop_on_signal(stop: watch::Sender<bool>) {
     let Ok(mut terminate) = signal(SignalKind::terminate()) else { return };
     let Ok(mut interrupt) = signal(SignalKind::interrupt()) else { return };
--- a/crates/runtime/src/logging.rs
+++ b/crates/runtime/src/logging.rs
@@ -2,7 +2,7 @@
 use flexi_logger::{DeferredNow, Logger, LoggerHandle, Record};
 use std::io::{self, Write};
 
-/// Keeps the log open while it lives, and changes its level.
+/// Handle of the log: the log is open until it is dropped, and its level can be changed.
 pub type LogHandle = LoggerHandle;
 
 /// Local time with milliseconds.
--- a/crates/runtime/src/rng.rs
+++ b/crates/runtime/src/rng.rs
@@ -15,7 +15,7 @@
         Self(seed ^ INCREMENT)
     }
 
-    /// The next number, over the whole range.
+    /// The next number, over the full range.
     pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(INCREMENT);
         mix64(self.0)
--- a/crates/runtime/src/seam/world.rs
+++ b/crates/runtime/src/seam/world.rs
@@ -98,7 +98,7 @@
     WORLD.with(|current| current.borrow().as_ref().is_some_and(|world| world.injected_bug(bug)))
 }
 
-/// Tells the simulator which point the process has reached. It does nothing in regular service.
+/// Reports to the simulator which point the process has reached. It does nothing in regular service.
 pub fn trace_point(point: &str) {
     WORLD.with(|current| current.borrow().iter().for_each(|world| world.trace_point(point)));
 }
--- a/crates/store/src/compression.rs
+++ b/crates/store/src/compression.rs
@@ -1,4 +1,4 @@
-//! Byte strings and texts that are kept and sent compressed with deflate.
+//! Byte strings and texts that are stored and sent compressed with deflate.
 
 mod packed_bytes;
 mod packed_text;
--- a/crates/store/src/driver/storage_thread.rs
+++ b/crates/store/src/driver/storage_thread.rs
@@ -1,4 +1,4 @@
-//! Work on the disk, on a thread of its own: a write may take long, and must not hold up the runtime.
+//! Work on the disk, on a thread of its own: a write may take long, and must not block the runtime.
 use crate::driver::Driver;
 use crate::driver::incoming::{Incoming, IncomingQueue};
 use crate::storage::stable_storage::StableStorage;
@@ -14,7 +14,7 @@
 
 impl<D: StableStorage> Driver<D> {
     /// Does the work and waits for its result. If it stalls, requests are rejected meanwhile and messages of peers are
-    /// dropped, as their sender must not take this keeper for one that keeps up.
+    /// dropped, so that their senders do not count this keeper as up to date.
     pub(super) async fn on_disk<T: Send + 'static>(
         &mut self,
         incoming: &mut IncomingQueue,
--- a/crates/store/src/entry_log.rs
+++ b/crates/store/src/entry_log.rs
@@ -1,4 +1,4 @@
-//! The newest entries of the replicated log, kept packed for members that lag behind.
+//! The newest entries of the replicated log, retained in packed form for members that lag behind.
 use crate::command::Entry;
 use crate::compression::PackedBytes;
 use crate::limits::{LOG_MAX_BYTES, LOG_MAX_ENTRIES};
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 
 messages! {
-    /// An entry, serialised and packed once: in this form it is kept in memory, written to disk and sent down the chain.
+    /// An entry, serialised and packed once: in this form it is in memory, on disk and on the wire.
     #[derive(Eq)]
     pub struct PackedEntry {
         /// Number of the entry.
@@ -23,7 +23,7 @@
         Self { number: entry.number, bytes: PackedBytes::pack(serialised) }
     }
 
-    /// The entry; `None` if the bytes are damaged or hold another number.
+    /// The entry; `None` if the bytes are damaged or contain another number.
     pub fn unpack(&self) -> Option<Entry> {
         let serialised = self.bytes.unpack()?;
         let entry: Entry = borsh::from_slice(&serialised).ok()?;
@@ -91,7 +91,7 @@
         self.entries.iter()
     }
 
-    /// Does the log hold every entry that follows `number`, as far as there are any?
+    /// Does the log contain every entry that follows `number`, as far as there are any?
     pub fn reaches_back_to(&self, number: ChangeNumber) -> bool {
         self.entries.front().is_some_and(|oldest| oldest.number <= number + 1)
     }
--- a/crates/store/src/feed.rs
+++ b/crates/store/src/feed.rs
@@ -1,4 +1,4 @@
-//! The change feed: what the tail of the chain tells nodes. Of each log entry it contains only what nodes act on, and of
+//! The change feed from the tail of the chain to the nodes. Of each log entry it contains only what nodes act on, and of
 //! a new configuration only what differs from the one before.
 
 mod entry_events;
--- a/crates/store/src/feed/entry_events.rs
+++ b/crates/store/src/feed/entry_events.rs
@@ -13,7 +13,7 @@
 }
 
 impl Store {
-    /// Applies the entry that follows the last one, as [`Store::apply`] does, and tells what it changed for nodes.
+    /// Applies the entry that follows the last one, as [`Store::apply`] does, and reports what it changed for nodes.
     pub fn apply_with_event(&mut self, entry: &Entry) -> Option<AppliedEntry> {
         // A patch needs the text before the entry; other commands leave it alone.
         let old_json =
--- a/crates/store/src/feed_updates.rs
+++ b/crates/store/src/feed_updates.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 
 impl Keeper {
-    /// Remembers a change for nodes, and forgets the oldest ones that the limits leave no room for.
+    /// Remembers a change for nodes, and forgets the oldest ones beyond the limits.
     pub(crate) fn record_change(&mut self, number: ChangeNumber, event: FeedEvent) {
         self.recent_changes.push_back(Change { number, event });
         while exceeds_limits(&self.recent_changes) {
@@ -31,7 +31,7 @@
         if last_change == self.store.last_change {
             return true;
         }
-        // A node that claims to be ahead followed a store that was lost; it starts anew.
+        // A node that claims to be ahead followed a store that was lost; it gets a snapshot.
         let oldest = self.recent_changes.front().map(|change| change.number);
         oldest.is_some_and(|oldest| oldest <= last_change + 1) && last_change <= self.store.last_change
     }
--- a/crates/store/src/host.rs
+++ b/crates/store/src/host.rs
@@ -18,7 +18,7 @@
 use quincehatch_core::{Error, ErrorCode, Millis, Name};
 use suspension::Suspension;
 
-/// Clients of a suspended keeper are told to retry after this time, in milliseconds.
+/// Retry delay in replies of a suspended keeper, in milliseconds.
 const RETRY_SUSPENDED_AFTER: Millis = 1_000;
 
 /// Makes a keeper of what its disk holds; the time is that of its start.
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the whole store on their way to a member that lacks more than the log holds: packed once, and sent in
+//! Snapshots of the entire store on their way to a member that lacks more than the log contains: packed once, and sent in
 //! parts that are far below the longest frame.
 
 mod incoming;
--- a/crates/store/src/snapshot/incoming.rs
+++ b/crates/store/src/snapshot/incoming.rs
@@ -16,7 +16,7 @@
 }
 
 impl IncomingSnapshot {
-    /// How much is held of the snapshot that `from` sends.
+    /// How much has arrived of the snapshot that `from` sends.
     pub fn progress(&self, from: &Name) -> SnapshotProgress {
         if self.from != *from {
             return SnapshotProgress::default();
@@ -25,7 +25,7 @@
     }
 
     /// Adds a part if it is the next one; `false` if it is not. The first part of another snapshot, or from another
-    /// member, starts anew.
+    /// member, starts over.
     pub fn accept_part(&mut self, from: &Name, part: SnapshotPart) -> bool {
         if part.id.length > MAX_SNAPSHOT_BYTES {
             return false;
--- a/crates/store/src/snapshot_transfer.rs
+++ b/crates/store/src/snapshot_transfer.rs
@@ -24,7 +24,7 @@
 }
 
 impl Keeper {
-    /// Requests from the predecessor the entries that follow the last one held here.
+    /// Requests from the predecessor the entries that follow the last one here.
     pub(crate) fn request_missing_entries(&mut self, predecessor: &Name) {
         let progress = self.incoming_snapshot.progress(predecessor);
         let request = PeerMessage::RequestEntries {
@@ -116,7 +116,7 @@
     }
 
     /// Replaces the store. A keeper that joins proposes the view in which it has a place; without an invitation to one
-    /// it keeps what it has.
+    /// it keeps its own store.
     fn install_snapshot(&mut self, store: Store, purpose: TransferPurpose) -> bool {
         let mut view_to_enter = None;
         if purpose == TransferPurpose::Join {
--- a/crates/store/src/storage.rs
+++ b/crates/store/src/storage.rs
@@ -1,4 +1,4 @@
-//! Stable storage of a keeper: what it keeps through restarts, and the file in which it does.
+//! Stable storage of a keeper: the records that survive restarts, and the file that contains them.
 
 mod checksum;
 pub mod disk;
--- a/crates/store/src/storage/checksum.rs
+++ b/crates/store/src/storage/checksum.rs
@@ -1,4 +1,4 @@
-//! How one value is kept on disk: a checksum, then the serialised value.
+//! How one value is stored on disk: a checksum, then the serialised value.
 use crate::storage::errors::damaged;
 use borsh::{BorshDeserialize, BorshSerialize};
 use quincehatch_core::{Error, hash64};
--- a/crates/store/src/storage/disk.rs
+++ b/crates/store/src/storage/disk.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Opens the directory if a keeper ever kept anything there, whichever keeper that was.
+    /// Opens the directory if it contains the data of a keeper, whichever keeper that is.
     ///
     /// # Errors
     /// If the directory cannot be read or is damaged. One that cannot be read at this time is not an empty one.
@@ -75,7 +75,7 @@
     }
 
     /// Creates the directory of a new keeper. The file gets its name only once all of it is synced: what a crash left
-    /// unfinished is created anew, as nobody has heard of that keeper yet.
+    /// unfinished is created again, as no other process knows of that keeper yet.
     ///
     /// # Errors
     /// If the disk fails.
@@ -149,7 +149,7 @@
         tx.commit().map_err(disk_error)
     }
 
-    /// Writes the whole store, and drops entries that the limits leave no room for.
+    /// Writes the store as the new snapshot, and drops entries beyond the limits.
     fn replace_snapshot(&mut self, store: &Store) -> Result<(), Error> {
         let first_kept = self.rows.truncate(&self.limits).unwrap_or(store.last_change + 1);
         self.write(|tx| records::write_snapshot(tx, store, first_kept))
@@ -169,7 +169,7 @@
     }
 }
 
-/// What a file held when it was opened again.
+/// Contents of a file that was opened again.
 struct Reopened {
     owner: String,
     state: RecoveredState,
--- a/crates/store/src/storage/disk_limits.rs
+++ b/crates/store/src/storage/disk_limits.rs
@@ -15,9 +15,9 @@
 pub struct DiskLimits {
     /// Size that the directory may take.
     pub allowed_bytes: u64,
-    /// Entries kept for members that lag behind.
+    /// Size of the log that is retained for members that lag behind.
     pub log_bytes: usize,
-    /// Entries written since the last snapshot before the next one is due.
+    /// Size of the entries after which the next snapshot is due.
     pub snapshot_bytes: usize,
     /// A longer file is compacted.
     pub compact_above_bytes: u64,
--- a/crates/store/src/storage/records.rs
+++ b/crates/store/src/storage/records.rs
@@ -13,7 +13,7 @@
 
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
-/// Entries as earlier versions kept them, unpacked; read once, never written.
+/// Entries as earlier versions stored them, uncompressed; read once, never written.
 const OLD_LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 
 // Keys of the table META. They are on disk, so they never change.
@@ -23,10 +23,10 @@
 const CATCHING_UP: &str = "newcomer";
 const SERVED: &str = "served";
 const SNAPSHOT: &str = "snapshot";
-/// The store as earlier versions kept it, unpacked.
+/// The store as earlier versions stored it, uncompressed.
 const OLD_SNAPSHOT: &str = "whole";
 
-/// What a keeper's file holds.
+/// Contents of a keeper's file.
 pub(super) struct LoadedFile {
     /// The keeper whose file it is.
     pub owner: String,
@@ -43,7 +43,7 @@
     put(&mut tx.open_table(META).map_err(disk_error)?, NAME, &name.to_owned())
 }
 
-/// Writes the whole store, and drops the entries before `first_kept`.
+/// Writes the store as the new snapshot, and drops the entries before `first_kept`.
 pub(super) fn write_snapshot(
     tx: &WriteTransaction,
     store: &Store,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Writes the snapshot, and removes what an earlier version kept in its place.
+/// Writes the snapshot, and removes the form in which earlier versions stored it.
 fn put_snapshot(tx: &WriteTransaction, store: &Store) -> Result<(), Error> {
     let packed = PackedBytes::pack(borsh::to_vec(store).unwrap_or_default());
     let mut meta = tx.open_table(META).map_err(disk_error)?;
@@ -85,7 +85,7 @@
     tx.delete_table(OLD_LOG).map(drop).map_err(disk_error)
 }
 
-/// Reads all that the file holds.
+/// Reads all contents of the file.
 pub(super) fn load(tx: &ReadTransaction) -> Result<LoadedFile, Error> {
     let meta = MetaTable(tx.open_table(META).map_err(table_read_error)?);
     let owner = meta.value_or_default(NAME)?;
--- a/crates/store/src/storage/stable_storage.rs
+++ b/crates/store/src/storage/stable_storage.rs
@@ -4,7 +4,7 @@
 use crate::store::Store;
 use quincehatch_core::Error;
 
-/// A place where records are kept through restarts. [`Disk`](crate::storage::disk::Disk) is the one of regular service;
+/// Storage whose records survive restarts. [`Disk`](crate::storage::disk::Disk) is the one of regular service;
 /// tests have others, which fail on demand.
 pub trait StableStorage: Send + 'static {
     /// Makes the records durable, all or none.
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -74,7 +74,7 @@
     pub struct AdoptedDocument {
         /// Its number.
         pub number: u64,
-        /// Its text, word for word.
+        /// Its text, byte for byte.
         pub source: String
     }
 }
@@ -89,12 +89,12 @@
 }
 
 impl Command {
-    /// A digest that tells commands of different content apart.
+    /// A digest that differs for commands of different content.
     pub fn digest(&self) -> u64 {
         hash64(&[&borsh::to_vec(self).unwrap_or_default()])
     }
 
-    /// Does the command carry a whole configuration?
+    /// Does the command contain an entire configuration?
     pub fn is_document(&self) -> bool {
         matches!(self, Command::PushConfiguration { .. } | Command::AdoptDocument { .. })
     }
@@ -122,7 +122,7 @@
         self.history.back()
     }
 
-    /// The configuration of that version, if it is still kept.
+    /// The configuration of that version, if it is still retained.
     pub fn history_entry(&self, version: Version) -> Option<&HistoryEntry> {
         self.history.iter().find(|entry| entry.version == version)
     }
--- a/crates/store/src/store/documents.rs
+++ b/crates/store/src/store/documents.rs
@@ -17,7 +17,7 @@
         pub entry: ChangeNumber
     }
 
-    /// The numbers that were taken. It is part of the replicated store, so log, snapshot and catch-up carry it.
+    /// The numbers that were taken. It is part of the replicated store, so log, snapshots and catch-up include it.
     #[derive(Eq, Default)]
     pub struct DocumentRegister {
         /// The document of each number.
--- a/crates/store/src/store/history.rs
+++ b/crates/store/src/store/history.rs
@@ -1,13 +1,13 @@
-//! Configurations kept for history and rollback.
+//! Configurations retained for history and rollback.
 use crate::store::Store;
 use quincehatch_core::{Name, Version, messages};
 use std::collections::VecDeque;
 
-/// Configurations that are kept.
+/// Number of configurations that are retained.
 const MAX_HISTORY_VERSIONS: usize = 32;
-/// Their size together: 1 MiB. The whole store travels in one frame, so it must stay small.
+/// Their total size: 1 MiB. The entire store is sent in one frame, so it must stay small.
 const MAX_HISTORY_BYTES: usize = 1 << 20;
-/// The newest configurations are kept whatever their size: the one in force, and the one to roll back to.
+/// The newest configurations are retained whatever their size: the one in force, and the one to roll back to.
 const MIN_HISTORY_VERSIONS: usize = 2;
 
 messages! {
@@ -24,7 +24,7 @@
 }
 
 impl Store {
-    /// Puts a configuration in force, and drops the oldest ones that the limits leave no room for.
+    /// Puts a configuration in force, and drops the oldest ones beyond the limits.
     pub(super) fn append_history(&mut self, entry: HistoryEntry) {
         self.history.push_back(entry);
         while exceeds_limits(&self.history) {
--- a/crates/store/src/store/primaries.rs
+++ b/crates/store/src/store/primaries.rs
@@ -46,7 +46,7 @@
         Ok(())
     }
 
-    /// Drops the earlier voter sets of the primary that was assigned under the token: its whole log is on two servers
+    /// Drops the earlier voter sets of the primary that was assigned under the token: its entire log is on two servers
     /// of the newest set.
     pub(super) fn drop_previous_voters(&mut self, group: &Name, fence: FencingToken) -> Answer {
         match self.primaries.get_mut(group) {
@@ -59,8 +59,8 @@
     }
 }
 
-/// The assignment with the voter sets that hold beside its own. Whoever writes an assignment can only add a set: one
-/// that brings none leaves the sets as they are.
+/// The assignment with all voter sets that are valid beside its own. A writer can only add a set: an assignment without
+/// voters leaves the sets as they are.
 fn with_earlier_voters(
     current: Option<&PrimaryAssignment>,
     primary: &PrimaryAssignment,
