--- a/crates/core/src/message_macro.rs
+++ b/crates/core/src/message_macro.rs
@@ -6,10 +6,10 @@
 /// The borsh layout follows the order of fields and variants, so new ones are only ever added at the end.
 #[macro_export]
 macro_rules! messages {
-    ($($(#[$m:meta])* $vis:vis $kind:ident $name:ident { $($body:tt)* })*) => {$(
-        $(#[$m])*
+    ($($(#[$attribute:meta])* $visibility:vis $kind:ident $name:ident { $($body:tt)* })*) => {$(
+        $(#[$attribute])*
         #[derive(Clone, Debug, PartialEq, ::borsh::BorshSerialize, ::borsh::BorshDeserialize,
                  ::serde::Serialize, ::serde::Deserialize)]
-        $vis $kind $name { $($body)* }
+        $visibility $kind $name { $($body)* }
     )*};
 }
