--- a/crates/node/src/promotion.rs
+++ b/crates/node/src/promotion.rs
@@ -1,7 +1,7 @@
 //! The singleton duty that looks after a group's primary: watches it, confirms its failure with other nodes, and
 //! promotes another server.
 //!
-//! [`duty`] runs the loop over the groups. What is decided by the kind of servers stands in `pooled` and [`direct`];
+//! The duty runs the loop over the groups. What is decided by the kind of servers stands in `pooled` and [`direct`];
 //! both share the evidence, the plan's identifiers and the execution of the steps.
 mod attempt;
 pub mod direct;
