--- a/crates/node/src/enrollment_cleanup.rs
+++ b/crates/node/src/enrollment_cleanup.rs
@@ -2,7 +2,7 @@
 //! leases that nobody holds.
 use crate::node::Node;
 use quincehatch_core::{ChangeNumber, Millis, Name};
-use quincehatch_gossip::duty::owner;
+use quincehatch_gossip::ownership::owner;
 use quincehatch_runtime::{now, seam};
 use quincehatch_store::Command;
 use std::collections::BTreeMap;
--- a/crates/node/src/feed/follower.rs
+++ b/crates/node/src/feed/follower.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use quincehatch_core::{ChangeNumber, Millis, Name, ServerRecord};
 use quincehatch_runtime::{now, seam};
-use quincehatch_store::terms::minus_clock_drift;
+use quincehatch_store::timing::minus_clock_drift;
 use quincehatch_store::{Change, FeedSnapshot, FeedState, Reply, Request};
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/node/src/gossip/driver.rs
+++ b/crates/node/src/gossip/driver.rs
@@ -1,11 +1,10 @@
 //! The node's end of the gossip protocol: its membership state, its share of session replicas, calls to other nodes.
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::{Error, ErrorCode, Name};
-use quincehatch_gossip::copies::SessionReplicaTable;
-use quincehatch_gossip::member::GossipAction;
+use quincehatch_gossip::session_replicas::SessionReplicaTable;
 use quincehatch_gossip::{
-    GossipEnvelope, GossipMembership, MemberRecord, MemberStatus, NodeQuery, NodeReply, NodeRequest,
-    NodeResponse,
+    GossipAction, GossipEnvelope, GossipMembership, LiveMember, MemberRecord, MemberStatus, NodeQuery,
+    NodeReply, NodeRequest, NodeResponse,
 };
 use quincehatch_runtime::{now, seam};
 use quincehatch_wire::{Caller, Destination, Identity};
@@ -53,14 +52,14 @@
         })
     }
 
-    /// The live nodes, this one too: name and zone of each.
-    pub fn live_nodes(&self) -> Vec<(Name, Name)> {
+    /// The live nodes, this one too.
+    pub fn live_nodes(&self) -> Vec<LiveMember> {
         self.membership.lock().unwrap().live()
     }
 
     /// The names of the live nodes, this one too.
     pub fn live_names(&self) -> Vec<Name> {
-        self.live_nodes().into_iter().map(|(name, _)| name).collect()
+        self.live_nodes().into_iter().map(|member| member.name).collect()
     }
 
     /// The names of the live nodes but this one.
--- a/crates/node/src/gossip/queries.rs
+++ b/crates/node/src/gossip/queries.rs
@@ -2,8 +2,9 @@
 use crate::node::Node;
 use crate::promotion::evidence::observe_server;
 use crate::report;
-use quincehatch_core::{Name, Version};
-use quincehatch_gossip::{NodeQuery, NodeReply};
+use quincehatch_core::Name;
+use quincehatch_gossip::session_replicas::OwnerPair;
+use quincehatch_gossip::{NodeQuery, NodeReply, SessionVersion};
 use quincehatch_proxy::session::SessionState;
 use quincehatch_runtime::now;
 use std::sync::Arc;
@@ -47,18 +48,19 @@
 fn differing_ranges(node: &Node, peer: &Name, digests: &[u64]) -> NodeReply {
     let live = node.gossip.live_nodes();
     let replicas = node.gossip.replicas.lock().unwrap();
-    let own = replicas.range_digests(&node.gossip.local_name, peer, &live);
+    let own = replicas.range_digests(OwnerPair { local: &node.gossip.local_name, peer, live: &live });
     let differs = |i: &usize| digests.get(*i) != own.get(*i);
     let ranges = (0..own.len()).filter(differs).map(|i| i as u8).collect();
     NodeReply::DifferingRanges { ranges }
 }
 
-fn session_repair(node: &Node, peer: &Name, range: u8, have: &[(Name, Version)]) -> NodeReply {
+fn session_repair(node: &Node, peer: &Name, range: u8, have: &[SessionVersion]) -> NodeReply {
     let live = node.gossip.live_nodes();
     let replicas = node.gossip.replicas.lock().unwrap();
-    let own = replicas.versions_in_range(&node.gossip.local_name, peer, &live, range);
-    let (newer, wanted) = replicas.diff_range(&own, have);
-    NodeReply::SessionRepair { newer, wanted }
+    let own =
+        replicas.versions_in_range(OwnerPair { local: &node.gossip.local_name, peer, live: &live }, range);
+    let diff = replicas.diff_range(&own, have);
+    NodeReply::SessionRepair { newer: diff.newer, wanted: diff.wanted }
 }
 
 fn server_evidence(node: &Node, server: &Name) -> NodeReply {
--- a/crates/node/src/promotion/duty.rs
+++ b/crates/node/src/promotion/duty.rs
@@ -4,7 +4,7 @@
 use super::{direct, pooled};
 use crate::node::Node;
 use quincehatch_core::Name;
-use quincehatch_gossip::duty::owner;
+use quincehatch_gossip::ownership::owner;
 use quincehatch_runtime::seam;
 use quincehatch_store::store::promotion_duty_key;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/node/src/promotion/execution.rs
+++ b/crates/node/src/promotion/execution.rs
@@ -149,9 +149,9 @@
     let has_voters = !primary.voters.is_empty();
     let command = Command::AssignPrimary { group: plan.group.clone(), primary };
     match node.store_client.write(key, command, WRITE_TIMEOUT).await {
-        Ok(Answer::Lead(_)) if names_server => PromotionEvent::PrimaryAnnounced,
-        Ok(Answer::Lead(_)) if has_voters => PromotionEvent::VotersRecorded,
-        Ok(Answer::Lead(stored)) => PromotionEvent::PrimaryClosed(stored),
+        Ok(Answer::Primary(_)) if names_server => PromotionEvent::PrimaryAnnounced,
+        Ok(Answer::Primary(_)) if has_voters => PromotionEvent::VotersRecorded,
+        Ok(Answer::Primary(stored)) => PromotionEvent::PrimaryClosed(stored),
         Err(error) if error.has_code(ErrorCode::StaleFence) => PromotionEvent::Superseded,
         Ok(_) | Err(_) => PromotionEvent::Tick,
     }
--- a/crates/node/src/promotion/pooled/actions.rs
+++ b/crates/node/src/promotion/pooled/actions.rs
@@ -2,7 +2,7 @@
 use crate::node::Node;
 use quincehatch_core::{FencingToken, Name};
 use quincehatch_failover::promotion::{PromotionEvent, PromotionPlan};
-use quincehatch_proxy::platform_api::{self, PromotionOutcome};
+use quincehatch_proxy::platform_api::{self, PromotionCandidate, PromotionOutcome};
 use quincehatch_proxy::server_protocol::{FENCE_LOW, call};
 use quincehatch_runtime::seam;
 use quincehatch_wire::http::post_once;
@@ -16,8 +16,8 @@
     if seam::injected_bug("unfenced") {
         return PromotionEvent::ServerFenced(server, entry.heartbeat.read().unwrap().log_end);
     }
-    let (path, body) = call::fence(fence);
-    let Some(reply) = node.proxy.call_once(&entry.addr(), path, body, CALL_TIMEOUT).await else {
+    let request = call::fence(fence);
+    let Some(reply) = node.proxy.call_once(&entry.addr(), &request, CALL_TIMEOUT).await else {
         return PromotionEvent::Tick;
     };
     if reply.has_error_code(FENCE_LOW) {
@@ -42,9 +42,9 @@
     let Some(entry) = node.proxy.registry.server(&server) else {
         return PromotionEvent::ServerNotPromoted(server);
     };
-    let (path, body) =
-        platform_api::promote(&plan.group, &server, &entry.addr(), fence, &plan.coordinator, voters);
-    let response = post_once(&node.proxy.settings.platform, path, &body, CALL_TIMEOUT).await;
+    let candidate = PromotionCandidate { group: &plan.group, server: &server, addr: &entry.addr() };
+    let request = platform_api::promote(&candidate, fence, &plan.coordinator, voters);
+    let response = post_once(&node.proxy.settings.platform, request.path, &request.body, CALL_TIMEOUT).await;
     let http_status = response.ok().map(|(http_status, _)| http_status);
     match platform_api::promotion_outcome(http_status) {
         PromotionOutcome::Done => PromotionEvent::ServerPromoted(server),
--- a/crates/node/src/promotion/pooled/stragglers.rs
+++ b/crates/node/src/promotion/pooled/stragglers.rs
@@ -23,8 +23,8 @@
         let is_primary = Some(&server.name) == assignment.server.as_ref();
         let has_lower_fence = server.heartbeat.read().unwrap().fence < assignment.fence;
         if !is_primary && has_lower_fence && server.status.lock().unwrap().failing_since.is_none() {
-            let (path, body) = call::fence(assignment.fence);
-            let _ = node.proxy.call_once(&server.addr(), path, body, CALL_TIMEOUT).await;
+            let request = call::fence(assignment.fence);
+            let _ = node.proxy.call_once(&server.addr(), &request, CALL_TIMEOUT).await;
         }
     }
 }
--- a/crates/node/src/sessions/housekeeping.rs
+++ b/crates/node/src/sessions/housekeeping.rs
@@ -26,7 +26,7 @@
             Some(configuration) => configuration.queue.txn_idle_ms,
             None => DEFAULT_TRANSACTION_IDLE_MS,
         };
-        transaction::expire_transactions(&proxy, idle_ms);
+        transaction::expire_transactions(&proxy.registry, &proxy.sessions, idle_ms);
         proxy.evict_idle_sessions();
     }
 }
--- a/crates/node/src/sessions/repair.rs
+++ b/crates/node/src/sessions/repair.rs
@@ -2,8 +2,9 @@
 use crate::gossip::GossipDriver;
 use crate::node::Node;
 use quincehatch_core::Name;
-use quincehatch_gossip::duty::replica_owners;
-use quincehatch_gossip::{NodeQuery, NodeReply};
+use quincehatch_gossip::ownership::replica_owners;
+use quincehatch_gossip::session_replicas::OwnerPair;
+use quincehatch_gossip::{LiveMember, NodeQuery, NodeReply};
 use quincehatch_proxy::session::SessionState;
 use quincehatch_runtime::now;
 use std::sync::Arc;
@@ -24,7 +25,7 @@
     let live = gossip.live_nodes();
     gossip.replicas.lock().unwrap().expire_closed(now());
     let others: Vec<Name> =
-        live.iter().map(|(name, _)| name.clone()).filter(|name| *name != gossip.local_name).collect();
+        live.iter().map(|member| member.name.clone()).filter(|name| *name != gossip.local_name).collect();
     let Some(peer) = others.get(fastrand::usize(..others.len().max(1))).cloned() else { return };
     if repair_with(gossip, &peer, &live).await.is_none() {
         return;
@@ -33,13 +34,14 @@
 }
 
 /// None if the peer did not answer.
-async fn repair_with(gossip: &Arc<GossipDriver>, peer: &Name, live: &[(Name, Name)]) -> Option<()> {
+async fn repair_with(gossip: &Arc<GossipDriver>, peer: &Name, live: &[LiveMember]) -> Option<()> {
     let local_name = &gossip.local_name;
-    let digests = gossip.replicas.lock().unwrap().range_digests(local_name, peer, live);
+    let owners = OwnerPair { local: local_name, peer, live };
+    let digests = gossip.replicas.lock().unwrap().range_digests(owners);
     let query = NodeQuery::SessionDigests { from: local_name.clone(), digests };
     let Ok(NodeReply::DifferingRanges { ranges }) = gossip.query(peer, query).await else { return None };
     for range in ranges.into_iter().take(MAX_RANGES) {
-        let have = gossip.replicas.lock().unwrap().versions_in_range(local_name, peer, live, range);
+        let have = gossip.replicas.lock().unwrap().versions_in_range(owners, range);
         let query = NodeQuery::SessionRange { from: local_name.clone(), range, have };
         let Ok(NodeReply::SessionRepair { newer, wanted }) = gossip.query(peer, query).await else {
             return None;
@@ -62,7 +64,7 @@
 }
 
 /// Replicas that are kept here but owned by other nodes now: each is sent to all its owners, then removed.
-async fn hand_on_strays(gossip: &Arc<GossipDriver>, live: &[(Name, Name)]) {
+async fn hand_on_strays(gossip: &Arc<GossipDriver>, live: &[LiveMember]) {
     for session in stray_sessions(gossip, live) {
         let owners = replica_owners(&session.id, live);
         let owner_count = owners.len();
@@ -75,7 +77,7 @@
     }
 }
 
-fn stray_sessions(gossip: &GossipDriver, live: &[(Name, Name)]) -> Vec<SessionState> {
+fn stray_sessions(gossip: &GossipDriver, live: &[LiveMember]) -> Vec<SessionState> {
     let sessions = gossip.replicas.lock().unwrap().sessions();
     let is_stray = |session: &SessionState| !replica_owners(&session.id, live).contains(&gossip.local_name);
     sessions.into_iter().filter(is_stray).take(MAX_STRAYS).collect()
--- a/crates/node/src/sessions/replicas.rs
+++ b/crates/node/src/sessions/replicas.rs
@@ -1,10 +1,11 @@
 //! Replicas of sessions on other nodes, placed over gossip before a request that changed the session is answered.
 use crate::gossip::GossipDriver;
 use quincehatch_core::{Error, ErrorCode, Name, Version};
-use quincehatch_gossip::duty::replica_owners;
+use quincehatch_gossip::ownership::replica_owners;
 use quincehatch_gossip::{NodeQuery, NodeReply};
-use quincehatch_proxy::proxy::{BoxFuture, SessionReplicas};
 use quincehatch_proxy::session::SessionState;
+use quincehatch_proxy::session::replicas::SessionReplicas;
+use quincehatch_runtime::seam::BoxFuture;
 use std::sync::Arc;
 
 /// When a client may retry after its session could not be placed or found, in milliseconds.
@@ -50,7 +51,7 @@
             return Ok(at_owners.newest);
         }
         // The owners changed or some are gone: any node may hold what the client knows to exist.
-        let everyone: Vec<Name> = live.iter().map(|(name, _)| name.clone()).collect();
+        let everyone: Vec<Name> = live.iter().map(|member| member.name.clone()).collect();
         let node_count = everyone.len();
         let anywhere = self.search(everyone, id, version).await;
         if anywhere.newest.is_some() {
--- a/crates/node/src/store_client/read.rs
+++ b/crates/node/src/store_client/read.rs
@@ -11,8 +11,8 @@
 impl StoreClient {
     /// The operator's document in force.
     pub async fn read_adopted_document(&self, within: Duration) -> Result<Option<AdoptedDocument>, Error> {
-        match self.read_from_tail(Request::Adopted, within).await? {
-            Reply::Adopted { adopted } => Ok(adopted),
+        match self.read_from_tail(Request::ReadDocument, within).await? {
+            Reply::Document { document } => Ok(document),
             _ => Err(unexpected_reply()),
         }
     }
--- a/crates/node/src/tasks.rs
+++ b/crates/node/src/tasks.rs
@@ -12,9 +12,10 @@
         seam::spawn(feed::follow(self.clone()));
         seam::spawn(enrollment_cleanup::run(self.clone()));
         if self.has_direct_servers() {
-            seam::spawn(probe::run_health_ticks(self.proxy.clone()));
+            seam::spawn(probe::run_health_ticks(self.proxy.registry.clone()));
         } else {
-            seam::spawn(probe::run_status_probes(self.proxy.clone()));
+            let (registry, spawner) = (self.proxy.registry.clone(), self.proxy.spawner().clone());
+            seam::spawn(probe::run_status_probes(registry, spawner));
         }
         seam::spawn(promotion::run_duty(self.clone()));
         seam::spawn(sessions::run_housekeeping(self.proxy.clone()));
