--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -177,7 +177,7 @@
 fn note_failure(registry: &Registry, attempt: &Attempt, was_abandoned: bool, error: &ExchangeError) {
     let settings = registry.health_settings();
     let server = attempt.checkout.server();
-    let ExchangeError::Io(io_error) = error else {
+    let ExchangeError::Connection(io_error) = error else {
         server.health.lock().unwrap().request_inconclusive(attempt.id);
         return;
     };
--- a/crates/proxy/src/outcome_query.rs
+++ b/crates/proxy/src/outcome_query.rs
@@ -19,9 +19,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Seal {
     /// It is, and only then called not applied.
-    Yes,
+    IfNotCommitted,
     /// It is not: the outcome may still change.
-    No,
+    Never,
 }
 
 /// Asks the outcome of whoever is primary, until it is known or the deadline is here.
@@ -65,7 +65,7 @@
         Some(OUTCOME_NOT_COMMITTED) if seam::injected_bug("no-seal") => {
             Some(Err(ErrorCode::Sealed.without_detail()))
         }
-        Some(OUTCOME_NOT_COMMITTED) if seal == Seal::No => {
+        Some(OUTCOME_NOT_COMMITTED) if seal == Seal::Never => {
             let error = ErrorCode::Unknown.with_detail("not committed so far, and not sealed");
             Some(Err(error.with_unknown_outcome()))
         }
@@ -74,7 +74,7 @@
 }
 
 async fn ask_primary(primary: &Primary, key: &str, seal: Seal, timeout: Duration) -> Option<Reply> {
-    let with_seal = seal == Seal::Yes && !seam::injected_bug("no-seal");
+    let with_seal = seal == Seal::IfNotCommitted && !seam::injected_bug("no-seal");
     let request = call::outcome(key, with_seal, primary.fence);
     let addr = primary.server.addr();
     let (_, body) = post_once(&addr, request.path, &request.body, timeout).await.ok()?;
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -180,7 +180,7 @@
         Operation::Rollback => transaction::rollback(services, request).await,
         Operation::Outcome => {
             let key = request.body.idempotency_key.clone().unwrap_or_default();
-            let seal = if request.body.seal { Seal::Yes } else { Seal::No };
+            let seal = if request.body.seal { Seal::IfNotCommitted } else { Seal::Never };
             resolve_outcome(services, request, &key, seal).await
         }
         Operation::Open | Operation::Set | Operation::Prepare | Operation::Close => {
--- a/crates/proxy/src/pool/connection.rs
+++ b/crates/proxy/src/pool/connection.rs
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub enum ExchangeError {
     /// The connection failed; what was sent may have reached the server.
-    Io(std::io::Error),
+    Connection(std::io::Error),
     /// The reply was not one of the server's own.
     InvalidReply,
 }
@@ -78,7 +78,7 @@
     /// Sends a request and waits for its reply, which must carry the stamp of this server.
     pub async fn send(&mut self, request: &ServerRequest) -> Result<Reply, ExchangeError> {
         let call = Call { method: "POST", path: request.path, body: &request.body, token: None };
-        let (_, body) = self.http.ask(&call).await.map_err(ExchangeError::Io)?;
+        let (_, body) = self.http.ask(&call).await.map_err(ExchangeError::Connection)?;
         let reply = Reply::read(body).ok_or(ExchangeError::InvalidReply)?;
         if reply.stamp.server != self.server {
             return Err(ExchangeError::InvalidReply);
@@ -98,7 +98,7 @@
         let left = Duration::from_millis(deadline.saturating_sub(now()));
         seam::timeout(left, self.change_setup(session))
             .await
-            .unwrap_or_else(|_| Err(ExchangeError::Io(std::io::ErrorKind::TimedOut.into())))
+            .unwrap_or_else(|_| Err(ExchangeError::Connection(std::io::ErrorKind::TimedOut.into())))
     }
 
     async fn change_setup(&mut self, session: &SessionState) -> Result<Option<Reply>, ExchangeError> {
@@ -138,7 +138,7 @@
     /// What a client is told.
     pub fn to_error(&self) -> quincehatch_core::Error {
         match self {
-            ExchangeError::Io(error) => ErrorCode::ServerFailed.with_detail(error.kind()),
+            ExchangeError::Connection(error) => ErrorCode::ServerFailed.with_detail(error.kind()),
             ExchangeError::InvalidReply => ErrorCode::InvalidReply.without_detail(),
         }
     }
--- a/crates/proxy/src/read.rs
+++ b/crates/proxy/src/read/attempts.rs
@@ -1,11 +1,11 @@
-//! Reads outside a transaction: at a fresh replica of the same zone if there is one, never outside the placement, and
-//! retried at another server within the request's time.
+//! The attempts of one read: which servers were asked, and why there is no answer yet.
 use crate::attempt::{Attempt, AttemptOutcome, note_checkout_error, pending_reply, send_with_extension};
 use crate::client_api::reply::{RequestResult, SITE_HEALTHY, SITE_PRIMARY_SHARE, SITE_PROBATION};
 use crate::client_api::request::ClientRequest;
 use crate::health::overdue_replies::PendingReply;
 use crate::pool::slots::ConnectionUse;
 use crate::pool::{CheckoutError, CheckoutRequest, PoolLimits, check_out};
+use crate::read::freshness::{AskedServer, is_fresh};
 use crate::rejections::rejection_error;
 use crate::routing::registry::{Registry, ServerCheckout};
 use crate::routing::server_choice::{
@@ -14,9 +14,8 @@
 use crate::server_protocol::{DRAINING, Reply, STARTING, call};
 use crate::services::Services;
 use crate::session::state::SessionState;
-use crate::staleness;
 use quincehatch_config::configuration::{Configuration, Route};
-use quincehatch_core::{Error, ErrorCode, Millis, Name, Role, Stamp};
+use quincehatch_core::{Error, ErrorCode, Millis, Name};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
 use std::sync::Arc;
@@ -32,7 +31,7 @@
 const RETRY_AFTER: Millis = 500;
 
 /// A read on its way from server to server.
-struct ReadAttempts {
+pub struct ReadAttempts {
     configuration: Arc<Configuration>,
     route: Route,
     session: SessionState,
@@ -45,49 +44,36 @@
     last_error: Error,
 }
 
-/// A server that was asked, and when.
-struct AskedServer<'a> {
-    choice: &'a ServerChoice,
-    at: Millis,
-}
-
 /// What came of asking one server.
-enum Step {
+pub enum Step {
     /// The read is over.
     Done(RequestResult),
     /// Another server is asked.
     TryNext,
 }
 
-/// A read on any server that is fresh enough.
-pub async fn read(services: &Arc<Services>, request: &mut ClientRequest) -> RequestResult {
-    let (configuration, route) = request.configuration_and_route()?;
-    let mut attempts = ReadAttempts {
-        pending: pending_reply(&configuration, &route),
-        session: request.session_state(),
-        configuration,
-        route,
-        tried: Vec::new(),
-        rounds: 0,
-        last_error: ErrorCode::AllReplicasEjected.without_detail(),
-    };
-    services.retry_budget.earn();
-    while request.time_left() > 0 {
-        let attempt_id = services.next_request_id();
-        let Some(choice) = attempts.choose(services, request, attempt_id) else {
-            attempts.wait_for_next_round(services, request).await?;
-            continue;
-        };
-        match attempts.ask(services, request, &choice).await {
-            Step::Done(result) => return result,
-            Step::TryNext => {}
-        }
+impl ReadAttempts {
+    /// Attempts of a request that has a route; none was made yet.
+    pub fn new(request: &ClientRequest) -> Result<ReadAttempts, Error> {
+        let (configuration, route) = request.configuration_and_route()?;
+        Ok(ReadAttempts {
+            pending: pending_reply(&configuration, &route),
+            session: request.session_state(),
+            configuration,
+            route,
+            tried: Vec::new(),
+            rounds: 0,
+            last_error: ErrorCode::AllReplicasEjected.without_detail(),
+        })
     }
-    Err(attempts.deadline_error())
-}
 
-impl ReadAttempts {
-    fn choose(&self, services: &Services, request: &ClientRequest, attempt_id: u64) -> Option<ServerChoice> {
+    /// The server to ask next.
+    pub fn choose(
+        &self,
+        services: &Services,
+        request: &ClientRequest,
+        attempt_id: u64,
+    ) -> Option<ServerChoice> {
         let query = ReadQuery {
             cluster_state: &request.cluster_state,
             placement: &request.site.placement,
@@ -102,7 +88,7 @@
 
     /// All servers were asked. A stale or busy one may do better in a moment: a few rounds, no more. While the primary was
     /// not observed of late nothing can be proved fresh, and soon may be again.
-    async fn wait_for_next_round(
+    pub async fn wait_for_next_round(
         &mut self,
         services: &Services,
         request: &ClientRequest,
@@ -125,7 +111,8 @@
         self.last_error.has_code(ErrorCode::Stale) || self.last_error.has_code(ErrorCode::ConnectionsBusy)
     }
 
-    fn deadline_error(self) -> Error {
+    /// The error of a read whose time is over.
+    pub fn deadline_error(self) -> Error {
         let error = match self.may_do_better() {
             true => self.last_error,
             false => ErrorCode::DeadlinePassed.without_detail(),
@@ -134,7 +121,7 @@
     }
 
     /// Asks one server.
-    async fn ask(
+    pub async fn ask(
         &mut self,
         services: &Arc<Services>,
         request: &mut ClientRequest,
@@ -276,24 +263,3 @@
         ChoiceReason::Healthy | ChoiceReason::Canary => SITE_HEALTHY,
     }
 }
-
-/// Whether the rows are proved, by this node's clock alone, to be no more than `max_staleness` behind.
-fn is_fresh(registry: &Registry, asked: &AskedServer<'_>, stamp: &Stamp, max_staleness: Millis) -> bool {
-    if seam::injected_bug("stale-lookup") {
-        return true;
-    }
-    if !registry.has_lease() {
-        return false;
-    }
-    let group = asked.choice.server.group();
-    if asked.choice.reason == ChoiceReason::Primary {
-        let is_named = registry.primary(&group).is_some_and(|primary| {
-            primary.fence == stamp.fence && primary.server.as_ref() == Some(&stamp.server)
-        });
-        // Fresh when it was asked; a node that was paused since must not pass it on as fresh now.
-        let is_late = now() > asked.at + max_staleness.saturating_sub(staleness::MARGIN);
-        return !is_late && stamp.role == Role::Primary && is_named;
-    }
-    let needed = registry.needed_position(&group, max_staleness);
-    needed.is_some_and(|position| stamp.position >= position)
-}
--- /dev/null
+++ b/crates/proxy/src/read/mod.rs
@@ -0,0 +1,28 @@
+//! Reads outside a transaction: at a fresh replica of the same zone if there is one, never outside the placement, and
+//! retried at another server within the request's time.
+pub mod attempts;
+pub mod freshness;
+
+use crate::client_api::reply::RequestResult;
+use crate::client_api::request::ClientRequest;
+use crate::services::Services;
+use attempts::{ReadAttempts, Step};
+use std::sync::Arc;
+
+/// A read on any server that is fresh enough.
+pub async fn read(services: &Arc<Services>, request: &mut ClientRequest) -> RequestResult {
+    let mut attempts = ReadAttempts::new(request)?;
+    services.retry_budget.earn();
+    while request.time_left() > 0 {
+        let attempt_id = services.next_request_id();
+        let Some(choice) = attempts.choose(services, request, attempt_id) else {
+            attempts.wait_for_next_round(services, request).await?;
+            continue;
+        };
+        match attempts.ask(services, request, &choice).await {
+            Step::Done(result) => return result,
+            Step::TryNext => {}
+        }
+    }
+    Err(attempts.deadline_error())
+}
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -2,6 +2,7 @@
 pub mod acknowledged;
 pub mod cluster_state;
 pub mod in_flight;
+pub mod node_lease;
 pub mod registry;
 pub mod server_choice;
 pub mod server_entry;
--- a/crates/proxy/src/routing/registry.rs
+++ b/crates/proxy/src/routing/registry.rs
@@ -6,6 +6,7 @@
 use crate::latest::Latest;
 use crate::routing::acknowledged::AcknowledgedEnds;
 use crate::routing::in_flight::InFlightCounts;
+use crate::routing::node_lease::NodeLease;
 use crate::staleness::PrimaryPositions;
 use quincehatch_config::configuration::{Configuration, HealthSettings, Placement, default_health_settings};
 use quincehatch_core::name_table::NameTable;
@@ -13,9 +14,8 @@
     FencingToken, Millis, Name, Position, PrimaryAssignment, ServerHeartbeat, ServerState,
 };
 use quincehatch_runtime::now;
-use quincehatch_runtime::seam;
 use std::collections::BTreeMap;
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, RwLock};
 use tokio::sync::Notify;
 
@@ -23,13 +23,13 @@
 const MAX_SERVERS: usize = 1_024;
 
 /// What one node knows.
+#[derive(Default)]
 pub struct Registry {
     names: RwLock<NameTable>,
     servers: RwLock<Vec<Arc<ServerEntry>>>,
     cluster_state: Latest<ClusterState>,
     primary_positions: Mutex<BTreeMap<Name, PrimaryPositions>>,
-    /// The node's lease ends then, on the local clock.
-    lease_until: AtomicU64,
+    lease: NodeLease,
     acknowledged: AcknowledgedEnds,
     /// Work in flight, and requests that wait for a primary.
     pub in_flight: InFlightCounts,
@@ -41,23 +41,6 @@
     pub draining: AtomicBool,
 }
 
-impl Default for Registry {
-    fn default() -> Self {
-        Self {
-            names: RwLock::default(),
-            servers: RwLock::default(),
-            cluster_state: Latest::new(ClusterState::default()),
-            primary_positions: Mutex::default(),
-            lease_until: AtomicU64::new(0),
-            acknowledged: AcknowledgedEnds::default(),
-            in_flight: InFlightCounts::default(),
-            changed: Notify::default(),
-            stopping: AtomicBool::new(false),
-            draining: AtomicBool::new(false),
-        }
-    }
-}
-
 /// Configuration and primaries.
 impl Registry {
     /// Configuration and primaries of this moment.
@@ -107,29 +90,28 @@
 impl Registry {
     /// The lease holds until then on the local clock.
     pub fn renew_lease(&self, until: Millis) {
-        self.lease_until.fetch_max(until, Ordering::SeqCst);
+        self.lease.renew(until);
     }
 
     /// The lease is used no more, whatever is left of it.
     pub fn release_lease(&self) {
-        self.lease_until.store(0, Ordering::SeqCst);
+        self.lease.set(0);
     }
 
     /// Sets the lease outright, to a lower value too: a test's way to a node whose lease runs out.
     #[doc(hidden)]
     pub fn set_lease_for_test(&self, until: Millis) {
-        self.lease_until.store(until, Ordering::SeqCst);
+        self.lease.set(until);
     }
 
     /// What is left of the lease, in milliseconds.
     pub fn lease_remaining(&self) -> Millis {
-        self.lease_until.load(Ordering::SeqCst).saturating_sub(now())
+        self.lease.remaining()
     }
 
     /// Whether the lease holds.
     pub fn has_lease(&self) -> bool {
-        let ever_had_one = || self.lease_until.load(Ordering::SeqCst) > 0;
-        self.lease_remaining() > 0 || (seam::injected_bug("no-lease") && ever_had_one())
+        self.lease.is_held()
     }
 
     /// Whether the node stops.
--- a/crates/proxy/src/write.rs
+++ b/crates/proxy/src/write.rs
@@ -71,7 +71,9 @@
                     .without_detail()
                     .with_unknown_outcome()
                     .with_retry_after(INVALID_REPLY_RETRY_AFTER)),
-                ExchangeError::Io(_) => resolve_outcome(services, request, key, Seal::Yes).await,
+                ExchangeError::Connection(_) => {
+                    resolve_outcome(services, request, key, Seal::IfNotCommitted).await
+                }
             }
         }
         AttemptOutcome::TimedOut => {
@@ -94,7 +96,7 @@
         server.set_draining(true);
     }
     if reply.has_error_code(server_protocol::IN_DOUBT) {
-        return resolve_outcome(services, request, key, Seal::No).await;
+        return resolve_outcome(services, request, key, Seal::Never).await;
     }
     if reply.error.is_some() {
         return Err(commit_error(reply));
