--- a/crates/proxy/src/pool/checkout.rs
+++ b/crates/proxy/src/pool/checkout.rs
@@ -29,6 +29,17 @@
     ConnectFailed(std::io::Error),
 }
 
+impl CheckoutError {
+    /// What a client is told.
+    pub fn into_error(self) -> Error {
+        match self {
+            CheckoutError::Busy(error) => error,
+            CheckoutError::TimedOut(_) => ErrorCode::DeadlinePassed.without_detail(),
+            CheckoutError::ConnectFailed(error) => ErrorCode::ServerFailed.with_detail(error.kind()),
+        }
+    }
+}
+
 /// What connection is wanted, and until when.
 pub struct CheckoutRequest<'a> {
     /// Name of this node.
--- a/crates/proxy/src/read/attempts.rs
+++ b/crates/proxy/src/read/attempts.rs
@@ -1,6 +1,6 @@
 //! The attempts of one read: which servers were asked, and why there is no answer yet.
 use crate::attempt::{Attempt, AttemptOutcome, note_checkout_error, pending_reply, send_with_extension};
-use crate::client_api::reply::{RequestResult, SITE_HEALTHY, SITE_PRIMARY_SHARE, SITE_PROBATION};
+use crate::client_api::reply::RequestResult;
 use crate::client_api::request::ClientRequest;
 use crate::health::overdue_replies::PendingReply;
 use crate::pool::slots::ConnectionUse;
@@ -8,16 +8,13 @@
 use crate::read::freshness::{AskedServer, is_fresh};
 use crate::rejections::rejection_error;
 use crate::routing::registry::{Registry, ServerCheckout};
-use crate::routing::server_choice::{
-    ChoiceReason, ReadQuery, ServerChoice, choose_server, extend_patience, patience,
-};
+use crate::routing::server_choice::{self, ChoiceReason, ReadQuery, ServerChoice};
 use crate::server_protocol::{DRAINING, Reply, STARTING, call};
 use crate::services::Services;
 use crate::session::state::SessionState;
 use quincehatch_config::configuration::{Configuration, Route};
 use quincehatch_core::{Error, ErrorCode, Millis, Name};
-use quincehatch_runtime::now;
-use quincehatch_runtime::seam;
+use quincehatch_runtime::{now, seam};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -83,7 +80,7 @@
             long_running: self.route.long_running,
             attempt_id,
         };
-        choose_server(&services.registry, &query)
+        server_choice::choose_server(&services.registry, &query)
     }
 
     /// All servers were asked. A stale or busy one may do better in a moment: a few rounds, no more. While the primary was
@@ -129,8 +126,8 @@
     ) -> Step {
         self.tried.push(choice.server.name.clone());
         request.group = choice.server.group();
-        request.set_site(&choice.server, site_health(choice.reason));
-        let deadline = patience(choice, self.route.long_running, request.deadline);
+        request.set_site(&choice.server, choice.reason.label());
+        let deadline = server_choice::patience(choice, self.route.long_running, request.deadline);
         let mut checkout = match self.check_out(services, choice, deadline).await {
             Ok(checkout) => checkout,
             Err(error) => {
@@ -154,7 +151,7 @@
         let pending = PendingReply { first_attempt, ..self.pending };
         let attempt = Attempt { id: choice.attempt_id, checkout, request: server_request, pending };
         let request_deadline = request.deadline;
-        let extend = || extend_patience(choice, &services.retry_budget, request_deadline);
+        let extend = || server_choice::extend_patience(choice, &services.retry_budget, request_deadline);
         match send_with_extension(services, attempt, deadline, extend).await {
             AttemptOutcome::Reply(reply, checkout) => {
                 checkout.check_in();
@@ -204,11 +201,7 @@
         }
         request.note(format!("{} no connection", choice.server.name));
         note_checkout_error(&services.registry, &choice.server, &error);
-        self.last_error = match error {
-            CheckoutError::Busy(error) => error,
-            CheckoutError::TimedOut(_) => ErrorCode::DeadlinePassed.without_detail(),
-            CheckoutError::ConnectFailed(error) => ErrorCode::ServerFailed.with_detail(error.kind()),
-        };
+        self.last_error = error.into_error();
     }
 
     fn note_timeout(&mut self, services: &Services, request: &mut ClientRequest, choice: &ServerChoice) {
@@ -255,11 +248,3 @@
         Step::TryNext
     }
 }
-
-fn site_health(reason: ChoiceReason) -> &'static str {
-    match reason {
-        ChoiceReason::Primary => SITE_PRIMARY_SHARE,
-        ChoiceReason::Probation => SITE_PROBATION,
-        ChoiceReason::Healthy | ChoiceReason::Canary => SITE_HEALTHY,
-    }
-}
--- a/crates/proxy/src/routing/server_choice.rs
+++ b/crates/proxy/src/routing/server_choice.rs
@@ -1,4 +1,5 @@
 //! Which server a read goes to, and how long it stays there.
+use crate::client_api::reply::{SITE_HEALTHY, SITE_PRIMARY_SHARE, SITE_PROBATION};
 use crate::retry_budget::RetryBudget;
 use crate::routing::cluster_state::ClusterState;
 use crate::routing::registry::Registry;
@@ -20,6 +21,17 @@
     Primary,
 }
 
+impl ChoiceReason {
+    /// The reason's name in replies to clients.
+    pub fn label(self) -> &'static str {
+        match self {
+            ChoiceReason::Primary => SITE_PRIMARY_SHARE,
+            ChoiceReason::Probation => SITE_PROBATION,
+            ChoiceReason::Healthy | ChoiceReason::Canary => SITE_HEALTHY,
+        }
+    }
+}
+
 /// A server to ask, and why.
 pub struct ServerChoice {
     /// The server.
