--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -133,13 +133,13 @@
 ) -> ExchangeEnd {
     let connection = attempt.checkout.connection();
     let (id, addr) = (connection.id.clone(), connection.addr.clone());
-    let closed_by_us = connection.ours();
+    let closed_by_us = connection.local_close_marker();
     let sending = connection.send(&attempt.request);
     tokio::pin!(sending);
     if let Ok(result) = seam::select_first(&mut sending, sender.closed()).await {
         return ExchangeEnd { result: Some(result), was_abandoned: false };
     }
-    closed_by_us.say();
+    closed_by_us.mark();
     services.spawner.spawn(cancel(id, addr));
     let time_left = Duration::from_millis(attempt.pending.query_timeout + ABANDONED_EXTRA);
     let result = seam::timeout(time_left, &mut sending).await.ok();
--- a/crates/proxy/src/health/probe.rs
+++ b/crates/proxy/src/health/probe.rs
@@ -7,7 +7,7 @@
 use quincehatch_core::{Millis, Name, Role};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
-use quincehatch_wire::http::{Call, HttpConnection};
+use quincehatch_wire::http::{HttpConnection, JsonRequest};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::Arc;
@@ -101,14 +101,14 @@
 ) -> io::Result<Reply> {
     let addr = server.addr();
     let request = call::status();
-    let call = Call { method: "POST", path: request.path, body: &request.body, token: None };
+    let call = JsonRequest { method: "POST", path: request.path, body: &request.body, token: None };
     let asking = async {
         let reusable = connection.take().filter(|kept| kept.addr == addr && !kept.http.is_closed());
         let mut http = match reusable {
             Some(kept) => kept.http,
             None => HttpConnection::open_watched(&addr, None, server.on_disconnect()).await?,
         };
-        let (_, body) = http.ask(&call).await?;
+        let (_, body) = http.call(&call).await?;
         *connection = Some(ProbeConnection { http, addr });
         Reply::read(body).ok_or_else(|| io::Error::other("not a STATUS reply"))
     };
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -42,13 +42,6 @@
 pub mod transaction;
 pub mod write;
 
-#[allow(
-    missing_docs,
-    clippy::too_many_lines,
-    clippy::too_many_arguments,
-    clippy::many_single_char_names,
-    clippy::min_ident_chars
-)]
 pub mod direct;
 pub mod pipeline;
 pub mod proxy;
--- a/crates/proxy/src/pool/connection.rs
+++ b/crates/proxy/src/pool/connection.rs
@@ -4,7 +4,9 @@
 use quincehatch_core::{ErrorCode, Millis, Name};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
-use quincehatch_wire::http::{Call, HttpConnection, KeepaliveSettings, OnDisconnect, Ours};
+use quincehatch_wire::http::{
+    HttpConnection, JsonRequest, KeepaliveSettings, LocalCloseMarker, OnDisconnect,
+};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
@@ -61,8 +63,8 @@
     }
 
     /// A handle by which this side says that it closes the connection itself.
-    pub fn ours(&self) -> Ours {
-        self.http.ours()
+    pub fn local_close_marker(&self) -> LocalCloseMarker {
+        self.http.local_close_marker()
     }
 
     /// Whether the connection has ended.
@@ -77,8 +79,8 @@
 
     /// Sends a request and waits for its reply, which must carry the stamp of this server.
     pub async fn send(&mut self, request: &ServerRequest) -> Result<Reply, ExchangeError> {
-        let call = Call { method: "POST", path: request.path, body: &request.body, token: None };
-        let (_, body) = self.http.ask(&call).await.map_err(ExchangeError::Connection)?;
+        let call = JsonRequest { method: "POST", path: request.path, body: &request.body, token: None };
+        let (_, body) = self.http.call(&call).await.map_err(ExchangeError::Connection)?;
         let reply = Reply::read(body).ok_or(ExchangeError::InvalidReply)?;
         if reply.stamp.server != self.server {
             return Err(ExchangeError::InvalidReply);
--- a/crates/proxy/src/routing/server_entry.rs
+++ b/crates/proxy/src/routing/server_entry.rs
@@ -32,7 +32,7 @@
     /// Connections for requests over the HTTP contract.
     pub pool: ConnectionPool,
     /// Connections of direct sessions.
-    pub direct_pool: DirectPool,
+    pub direct_pool: Arc<DirectPool>,
     /// How idle connections ended since the health was last looked at.
     pub idle_errors: Mutex<Vec<std::io::Error>>,
     /// What STATUS brought last.
@@ -81,7 +81,7 @@
             heartbeat: RwLock::new(ServerHeartbeat { seq: 0, ..heartbeat.clone() }),
             health: Mutex::default(),
             pool: ConnectionPool::default(),
-            direct_pool: DirectPool::default(),
+            direct_pool: Arc::default(),
             idle_errors: Mutex::default(),
             status: Mutex::default(),
         }
