--- a/crates/proxy/src/client_api/reply.rs
+++ b/crates/proxy/src/client_api/reply.rs
@@ -31,12 +31,10 @@
     /// The placement of its route.
     pub placement: Name,
     /// The zone of the server.
-    #[serde(rename = "district")]
     pub zone: Name,
     /// The configuration it was executed under.
     pub version: Version,
     /// Why that server was chosen; one of the constants of this module.
-    #[serde(rename = "verdict")]
     pub health: Name,
 }
 
--- a/crates/proxy/src/client_api/request.rs
+++ b/crates/proxy/src/client_api/request.rs
@@ -1,4 +1,5 @@
 //! A client's request on its way through the proxy.
+pub use crate::client_api::body::{RequestBody, parse_body};
 use crate::client_api::reply::result_json;
 pub use crate::client_api::reply::{ExecutionSite, RequestResult, Success, error_json};
 use crate::routing::cluster_state::ClusterState;
@@ -6,9 +7,8 @@
 use crate::session::sessions::Session;
 use crate::session::state::SessionState;
 use quincehatch_config::configuration::{Configuration, Route};
-use quincehatch_core::{Error, ErrorCode, Labels, Millis, Name, Version};
+use quincehatch_core::{Error, ErrorCode, Millis, Name};
 use quincehatch_runtime::now;
-use serde::Deserialize;
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
 use std::sync::Arc;
@@ -19,34 +19,6 @@
 /// HTTP status of every success.
 const STATUS_OK: u16 = 200;
 
-/// The body of a request. A field that is not listed here is rejected.
-#[derive(Clone, Debug, Default, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct RequestBody {
-    /// The session it belongs to.
-    pub session: Option<Name>,
-    /// The version of the session that the client was last told.
-    pub version: Option<Version>,
-    /// Names a write, so that it is committed at most once.
-    #[serde(rename = "idempotency_key", alias = "try")]
-    pub idempotency_key: Option<Name>,
-    /// Name of a statement that is prepared.
-    pub name: Option<Name>,
-    /// The statement, as the client gave it.
-    pub text: Option<String>,
-    /// Its parameters.
-    pub params: Value,
-    /// What routes are chosen by.
-    pub labels: Labels,
-    /// How long the client waits, in milliseconds.
-    pub deadline_ms: Option<u64>,
-    /// A read that must run on the primary.
-    #[serde(rename = "primary_read", alias = "order_side")]
-    pub primary_read: bool,
-    /// With `outcome`: make the write impossible if it was not committed.
-    pub seal: bool,
-}
-
 /// What a request asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
@@ -184,7 +156,7 @@
     pub fn reply(&self, result: &RequestResult) -> (u16, Value) {
         let mut reply = result_json(result, self.id);
         if let Some(fields) = reply.as_object_mut() {
-            fields.insert("visit".into(), json!(self.id));
+            fields.insert("request_id".into(), json!(self.id));
             fields.insert("where".into(), json!(self.site));
             if let Some(session) = &self.session {
                 fields.insert("session".into(), json!(session.state.id));
@@ -206,19 +178,3 @@
     }
     hasher.finalize().iter().map(|byte| format!("{byte:02x}")).collect()
 }
-
-/// Reads a body; the error says what is wrong but never repeats a value.
-pub fn parse_body(bytes: &[u8]) -> Result<RequestBody, Error> {
-    if bytes.is_empty() {
-        return Ok(RequestBody::default());
-    }
-    serde_json::from_slice(bytes).map_err(|error| {
-        let kind = match error.classify() {
-            serde_json::error::Category::Data => "a field is unknown or of the wrong kind",
-            serde_json::error::Category::Eof => "it ends too soon",
-            _ => "it is not JSON",
-        };
-        let detail = format_args!("{kind}, at line {} column {}", error.line(), error.column());
-        ErrorCode::Malformed.with_detail(detail)
-    })
-}
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -37,7 +37,8 @@
 const NO_LEASE_RETRY_AFTER: Millis = 500;
 /// When it may come again after there was no configuration.
 const NO_CONFIGURATION_RETRY_AFTER: Millis = 1_000;
-/// The label of a request that names the zone of the node it came to.
+/// The label of a request that names the zone of the node it came to. The deprecated name of `zone`, which selectors by
+/// either name match, so that a label `zone` of the client's own stays what it is.
 const ZONE_LABEL: &str = "district";
 
 /// All filters.
--- a/crates/testbed/tests/node.rs
+++ b/crates/testbed/tests/node.rs
@@ -153,7 +153,7 @@
         k.set_aside(s);
     }
     let v = k.post("/v1/lookup", json!({"text": "get l", "labels": {"db": "g1"}})).await;
-    assert_eq!((&v["where"]["verdict"], &v["rows"]), (&json!("primary-share"), &json!([[["t1"]]])), "{v}");
+    assert_eq!((&v["where"]["health"], &v["rows"]), (&json!("primary-share"), &json!([[["t1"]]])), "{v}");
     // One link is the share: beside a long one, one more is held and the next is declined at once.
     let slow = json!({"text": "sleep 800", "labels": {"db": "g1"}});
     let (a, b, c) = tokio::join!(
