--- a/crates/proxy/tests/direct_sessions.rs
+++ b/crates/proxy/tests/direct_sessions.rs
@@ -1,252 +1,164 @@
-//! Held sessions before servers whose answers get lost, whose links break, and whose lead changes (§4.10).
-mod fake;
+//! Statements outside a transaction, before servers whose replies get lost, whose connections break, and whose primary
+//! changes.
+#[allow(dead_code)]
+mod fake_servers;
+
 use assert_matches::assert_matches;
-use bytes::Bytes;
-use fake::{Fault, Kit, ask, read, write};
+use fake_servers::{Fault, Fixture, assert_stamped, error, execute, proxy_error, read, write};
 use quincehatch_core::{ErrorCode, Outcome, Position};
-use quincehatch_proxy::direct::DirectSession;
-use quincehatch_proxy::direct::{SessionCommand, StatementError, StatementResponse};
-use quincehatch_proxy::ports::{RejectReason, TransactionState};
+use quincehatch_proxy::direct::{DirectSession, SessionCommand, StatementError};
+use quincehatch_proxy::ports::RejectReason;
 use quincehatch_runtime::now;
 
-fn ours(t: &StatementResponse) -> (u16, Outcome) {
-    match &t.result {
-        Err(StatementError::Proxy(b)) => (b.code, b.outcome),
-        other => panic!("not a breakdown of ours: {other:?}"),
-    }
-}
-fn good(t: &StatementResponse) {
-    assert_matches!(t.result, Ok(Some(_)), "no success with a stamp");
-}
-
 #[tokio::test]
-async fn a_write_whose_answer_is_lost_is_in_doubt_and_never_sent_again() {
-    for f in [Fault::Lose, Fault::Silent, Fault::Cut] {
-        let k = Kit::new();
-        let mut s = k.session("orders").await;
-        k.fault("s1", f);
-        let t = ask(&mut s, write("a")).await;
-        assert_eq!(ours(&t), (ErrorCode::Unknown.number(), Outcome::Unknown), "{f:?}");
-        assert!(k.ran("s1").len() <= 1 && k.kept().len() <= 1, "{f:?}: {:?}", k.ran("s1"));
-        good(&ask(&mut s, write("b")).await);
+async fn a_write_is_in_doubt_and_never_sent_again_when_its_reply_is_lost() {
+    for fault in [Fault::DisconnectAfter, Fault::NoReply, Fault::DisconnectBefore] {
+        let fixture = Fixture::new();
+        let mut session = fixture.session("orders").await;
+        fixture.inject("s1", fault);
+        let response = execute(&mut session, write("a")).await;
+        assert_eq!(proxy_error(&response), error(ErrorCode::Unknown, Outcome::Unknown), "{fault:?}");
+        let ran = fixture.ran("s1");
+        assert!(ran.len() <= 1 && fixture.committed().len() <= 1, "{fault:?}: {ran:?}");
+        assert_stamped(&execute(&mut session, write("b")).await);
     }
 }
 
 #[tokio::test]
-async fn what_a_server_declined_to_run_is_sent_again_and_runs_once() {
-    let k = Kit::new();
-    let mut s = k.session("orders").await;
-    for no in [
+async fn a_write_is_sent_again_and_runs_once_when_servers_rejected_to_run_it() {
+    let fixture = Fixture::new();
+    let mut session = fixture.session("orders").await;
+    for reason in [
         RejectReason::Busy,
         RejectReason::TooManyConnections,
         RejectReason::NotPrimary,
         RejectReason::WrongServer,
     ] {
-        k.fault("s1", Fault::Decline(no));
+        fixture.inject("s1", Fault::Reject(reason));
     }
-    good(&ask(&mut s, write("a")).await);
-    assert_eq!(k.kept(), ["WRITE a"]);
+    assert_stamped(&execute(&mut session, write("a")).await);
+    assert_eq!(fixture.committed(), ["WRITE a"]);
 }
 
-/// What cannot be begun in the rule's aim is declined then, not held to its deadline, and says when to come back.
+/// It is not queued up to its timeout, and the client is told when to come back.
 #[tokio::test]
-async fn a_busy_server_is_given_up_on_with_a_promise() {
-    let k = Kit::new();
-    let mut s = k.session("orders").await;
-    (0..500).for_each(|_| k.fault("s1", Fault::Decline(RejectReason::Busy)));
+async fn a_write_is_rejected_when_it_cannot_be_started_within_the_latency_target() {
+    let fixture = Fixture::new();
+    let mut session = fixture.session("orders").await;
+    (0..500).for_each(|_| fixture.inject("s1", Fault::Reject(RejectReason::Busy)));
     let began = now();
-    let t = ask(&mut s, write("a")).await;
-    assert_eq!(ours(&t).1, Outcome::NotApplied);
-    assert_matches!(&t.result, Err(StatementError::Proxy(b)) if b.retry_after_ms.is_some());
-    assert!(now() - began < 400 && k.kept().is_empty());
+    let response = execute(&mut session, write("a")).await;
+    assert_eq!(proxy_error(&response).1, Outcome::NotApplied);
+    assert_matches!(&response.result, Err(StatementError::Proxy(error)) if error.retry_after_ms.is_some());
+    assert!(now() - began < 400 && fixture.committed().is_empty());
 }
 
 #[tokio::test]
-async fn prepared_names_of_two_origins_do_not_meet() {
-    let k = Kit::new();
-    let (mut a, mut b) = (k.session("orders").await, k.session("orders").await);
-    let prep = |shape: &str| SessionCommand::Prepare {
-        name: Bytes::from_static(b"s1"),
-        write: false,
-        template: Bytes::copy_from_slice(shape.as_bytes()),
-    };
-    ask(&mut a, prep("qa")).await;
-    ask(&mut b, prep("qb")).await;
-    let run =
-        || SessionCommand::Execute { name: Bytes::from_static(b"s1"), arguments: Bytes::from_static(b"1") };
-    good(&ask(&mut a, run()).await);
-    good(&ask(&mut b, run()).await);
-    assert_eq!(k.ran("s1"), ["qa 1 []", "qb 1 []"]);
-    ask(&mut b, SessionCommand::Deallocate { name: Bytes::from_static(b"s1") }).await;
-    assert_matches!(
-        ask(&mut b, run()).await.result,
-        Err(StatementError::Server(RejectReason::Unprepared, _))
-    );
+async fn reads_demand_a_position_of_replicas_and_go_to_the_primary_when_none_has_it() {
+    let fixture = Fixture::new();
+    let mut session = fixture.session("looks").await;
+    assert_stamped(&execute(&mut session, read("a")).await);
+    let on_primary = fixture.ran("s1");
+    assert_eq!(on_primary, ["READ a []"], "no position is known yet: only the primary is fresh for certain");
+    assert_stamped(&execute(&mut session, read("b")).await);
+    let (used, other) = if fixture.ran("s2").is_empty() { ("s3", "s2") } else { ("s2", "s3") };
+    assert_eq!(fixture.ran(used), ["@1.0 READ b []"]);
+    fixture.inject(used, Fault::Reject(RejectReason::Behind));
+    fixture.inject(other, Fault::Reject(RejectReason::Behind));
+    assert_stamped(&execute(&mut session, read("c")).await);
+    assert_eq!(fixture.ran("s1").last().unwrap(), "READ c []", "both replicas were behind");
 }
 
 #[tokio::test]
-async fn settings_go_with_their_session_and_with_no_other() {
-    let k = Kit::new();
-    let (mut a, mut b) = (k.session("orders").await, k.session("orders").await);
-    let set = |v: &'static str| SessionCommand::Set {
-        name: Bytes::from_static(b"x"),
-        value: Bytes::from_static(v.as_bytes()),
-    };
-    ask(&mut a, set("1")).await;
-    good(&ask(&mut a, read("a")).await);
-    good(&ask(&mut b, read("b")).await);
-    good(&ask(&mut a, read("c")).await);
-    ask(&mut a, SessionCommand::Begin { read: false }).await;
-    good(&ask(&mut a, read("d")).await);
-    ask(&mut a, set("2")).await;
-    good(&ask(&mut a, read("e")).await);
-    assert_eq!(k.ran("s1"), ["READ a [x=1]", "READ b []", "READ c [x=1]", "READ d [x=1]", "READ e [x=2]"]);
+async fn a_replica_is_ejected_and_the_read_goes_elsewhere_when_its_connection_broke() {
+    let fixture = Fixture::new();
+    let mut session = fixture.session("looks").await;
+    let position = Position { fence: 1, number: 0 };
+    fixture.direct.proxy.registry.record_primary_position("g1", now(), position);
+    fixture.inject("s2", Fault::DisconnectBefore);
+    fixture.inject("s3", Fault::DisconnectBefore);
+    assert_stamped(&execute(&mut session, read("a")).await);
+    assert_eq!(fixture.ran("s1"), ["READ a []"]);
+    assert_stamped(&execute(&mut session, read("b")).await);
+    assert_eq!(fixture.ran("s1").len(), 2, "both replicas are ejected");
 }
 
 #[tokio::test]
-async fn a_transaction_that_lost_its_link_before_its_commit_kept_nothing() {
-    let k = Kit::new();
-    let mut s = k.session("orders").await;
-    assert_eq!(
-        ask(&mut s, SessionCommand::Begin { read: false }).await.transaction_state,
-        TransactionState::Open
-    );
-    good(&ask(&mut s, write("a")).await);
-    k.fault("s1", Fault::Lose);
-    let t = ask(&mut s, write("b")).await;
-    assert_eq!(
-        (ours(&t), t.transaction_state),
-        ((ErrorCode::TransactionLost.number(), Outcome::NotApplied), TransactionState::Failed)
-    );
-    assert_eq!(ours(&ask(&mut s, read("c")).await).0, ErrorCode::Malformed.number());
-    assert_eq!(ask(&mut s, SessionCommand::Rollback).await.transaction_state, TransactionState::Idle);
-    assert!(k.kept().is_empty());
-    good(&ask(&mut s, write("d")).await);
-}
-
-#[tokio::test]
-async fn a_commit_whose_answer_is_lost_is_in_doubt_and_one_in_a_broken_transaction_is_none() {
-    let k = Kit::new();
-    let mut s = k.session("orders").await;
-    ask(&mut s, SessionCommand::Begin { read: false }).await;
-    good(&ask(&mut s, write("a")).await);
-    k.fault("s1", Fault::Lose);
-    let t = ask(&mut s, SessionCommand::Commit).await;
-    assert_eq!((ours(&t).1, t.transaction_state), (Outcome::Unknown, TransactionState::Idle));
-    ask(&mut s, SessionCommand::Begin { read: false }).await;
-    good(&ask(&mut s, write("b")).await);
-    s.abort_transaction();
-    assert_eq!(
-        ours(&ask(&mut s, SessionCommand::Commit).await),
-        (ErrorCode::TransactionLost.number(), Outcome::NotApplied)
-    );
-    assert_eq!(k.kept(), ["WRITE a"]);
-}
-
-#[tokio::test]
-async fn lookups_ask_for_a_floor_at_replicas_and_else_go_to_the_lead() {
-    let k = Kit::new();
-    let mut s = k.session("looks").await;
-    good(&ask(&mut s, read("a")).await);
-    assert_eq!(k.ran("s1"), ["READ a []"], "no position is known yet: only the lead is fresh for certain");
-    good(&ask(&mut s, read("b")).await);
-    let on = if k.ran("s2").is_empty() { ("s3", "s2") } else { ("s2", "s3") };
-    assert_eq!(k.ran(on.0), ["@1.0 READ b []"]);
-    k.fault(on.0, Fault::Decline(RejectReason::Behind));
-    k.fault(on.1, Fault::Decline(RejectReason::Behind));
-    good(&ask(&mut s, read("c")).await);
-    assert_eq!(k.ran("s1").last().unwrap(), "READ c []", "both replicas were behind");
-}
-
-#[tokio::test]
-async fn a_replica_whose_link_broke_is_set_aside_and_the_lookup_goes_elsewhere() {
-    let k = Kit::new();
-    let mut s = k.session("looks").await;
-    k.held.proxy.registry.record_primary_position("g1", now(), Position { fence: 1, number: 0 });
-    k.fault("s2", Fault::Cut);
-    k.fault("s3", Fault::Cut);
-    good(&ask(&mut s, read("a")).await);
-    assert_eq!(k.ran("s1"), ["READ a []"]);
-    good(&ask(&mut s, read("b")).await);
-    assert_eq!(k.ran("s1").len(), 2, "both replicas are set aside");
+async fn a_write_is_queued_and_runs_on_the_new_primary_when_the_primary_changes() {
+    let mut fixture = Fixture::new();
+    fixture.assign_primary(None);
+    let mut session = fixture.session("orders").await;
+    let writing = tokio::spawn(async move { execute(&mut session, write("a")).await });
+    tokio::task::yield_now().await;
+    fixture.assign_primary(Some("s2"));
+    assert_stamped(&writing.await.unwrap());
+    assert!(fixture.ran("s1").is_empty());
+    assert_eq!(fixture.ran("s2"), ["WRITE a []"]);
 }
 
-/// Orders are held while hands change, and run only at whoever is named then (§5.5).
+/// At once, not at its timeout.
 #[tokio::test]
-async fn an_order_in_a_change_of_hands_waits_and_runs_at_the_new_lead() {
-    let mut k = Kit::new();
-    k.named(None);
-    let mut s = k.session("orders").await;
-    let order = tokio::spawn(async move { ask(&mut s, write("a")).await });
-    tokio::task::yield_now().await;
-    k.named(Some("s2"));
-    good(&order.await.unwrap());
-    assert!(k.ran("s1").is_empty());
-    assert_eq!(k.ran("s2"), ["WRITE a []"]);
+async fn a_write_is_in_doubt_at_once_when_its_primary_is_replaced() {
+    let mut fixture = Fixture::new();
+    let mut session = fixture.session("orders").await;
+    fixture.inject("s1", Fault::NoReply);
+    let began = now();
+    let writing = tokio::spawn(async move { execute(&mut session, write("a")).await });
+    while fixture.ran("s1").is_empty() {
+        tokio::task::yield_now().await;
+    }
+    fixture.assign_primary(None);
+    fixture.assign_primary(Some("s2"));
+    let response = writing.await.unwrap();
+    assert_eq!(proxy_error(&response), error(ErrorCode::Unknown, Outcome::Unknown));
+    assert!(now() - began < 400, "the route's timeout was waited for");
+    assert!(fixture.ran("s2").is_empty());
 }
 
 #[tokio::test]
-async fn without_a_lease_nothing_goes_to_the_lead() {
-    let k = Kit::new();
-    let mut s = k.session("orders").await;
-    k.held.proxy.registry.set_lease_for_test(0);
-    let t = ask(&mut s, write("a")).await;
-    assert_eq!(ours(&t), (ErrorCode::NoLease.number(), Outcome::NotApplied));
-    assert!(k.ran("s1").is_empty());
+async fn nothing_goes_to_the_primary_when_the_proxy_holds_no_lease() {
+    let fixture = Fixture::new();
+    let mut session = fixture.session("orders").await;
+    fixture.direct.proxy.registry.set_lease_for_test(0);
+    let response = execute(&mut session, write("a")).await;
+    assert_eq!(proxy_error(&response), error(ErrorCode::NoLease, Outcome::NotApplied));
+    assert!(fixture.ran("s1").is_empty());
 }
 
-/// It does not know the rules in force, so it may not say that there is none (found on a day when all lost power).
+/// It does not know the routes in force. Seen once after all machines had lost power.
 #[tokio::test]
-async fn a_node_without_a_lease_does_not_say_that_there_is_no_rule() {
-    let k = Kit::new();
-    k.held.proxy.registry.set_lease_for_test(0);
+async fn a_proxy_does_not_say_that_there_is_no_route_when_it_holds_no_lease() {
+    let fixture = Fixture::new();
+    fixture.direct.proxy.registry.set_lease_for_test(0);
     for db in ["orders", "nowhere"] {
-        let no = DirectSession::open(&k.held, db).await.err().unwrap();
-        assert!(no.has_code(ErrorCode::NotReady) && no.retry_after_ms.is_some(), "{no}");
+        let refused = DirectSession::open(&fixture.direct, db).await.err().unwrap();
+        assert!(refused.has_code(ErrorCode::NotReady) && refused.retry_after_ms.is_some(), "{refused}");
     }
-    k.held.proxy.registry.renew_lease(now() + 10_000);
-    assert!(DirectSession::open(&k.held, "orders").await.is_ok());
-    assert!(DirectSession::open(&k.held, "nowhere").await.is_err_and(|b| b.has_code(ErrorCode::NoRoute)));
+    fixture.direct.proxy.registry.renew_lease(now() + 10_000);
+    assert!(DirectSession::open(&fixture.direct, "orders").await.is_ok());
+    let refused = DirectSession::open(&fixture.direct, "nowhere").await;
+    assert!(refused.is_err_and(|error| error.has_code(ErrorCode::NoRoute)));
 }
 
-/// The answer got lost without a word: a read is asked again elsewhere, a transaction is given up while there is time.
+/// The read is sent a second time; the transaction is given up while there is time to begin anew.
 #[tokio::test]
-async fn silence_costs_a_read_no_more_than_half_its_aim() {
-    let k = Kit::new();
-    let mut s = k.session("looks").await;
-    k.held.proxy.registry.record_primary_position("g1", now(), Position { fence: 1, number: 0 });
-    k.fault("s2", Fault::Silent);
-    good(&ask(&mut s, read("a")).await);
-    assert_eq!((k.ran("s2").len(), k.ran("s3").len()), (1, 1));
-    let mut o = k.session("orders").await;
-    k.fault("s1", Fault::Silent);
+async fn a_read_takes_little_more_than_half_its_latency_target_when_a_reply_is_lost() {
+    let fixture = Fixture::new();
+    let mut session = fixture.session("looks").await;
+    let position = Position { fence: 1, number: 0 };
+    fixture.direct.proxy.registry.record_primary_position("g1", now(), position);
+    fixture.inject("s2", Fault::NoReply);
+    assert_stamped(&execute(&mut session, read("a")).await);
+    assert_eq!((fixture.ran("s2").len(), fixture.ran("s3").len()), (1, 1));
+    let mut on_primary = fixture.session("orders").await;
+    fixture.inject("s1", Fault::NoReply);
     let began = now();
-    good(&ask(&mut o, read("b")).await);
+    assert_stamped(&execute(&mut on_primary, read("b")).await);
     assert!(now() - began < 300);
-    ask(&mut o, SessionCommand::Begin { read: false }).await;
-    good(&ask(&mut o, write("c")).await);
-    k.fault("s1", Fault::Silent);
-    assert_eq!(
-        ours(&ask(&mut o, write("d")).await),
-        (ErrorCode::TransactionLost.number(), Outcome::NotApplied)
-    );
-    assert!(k.kept().is_empty());
-}
-
-/// Whoever led is replaced while a write waits for its answer: it is in doubt at once, not at its timeout.
-#[tokio::test]
-async fn a_write_at_a_lead_that_was_replaced_is_in_doubt_at_once() {
-    let mut k = Kit::new();
-    let mut s = k.session("orders").await;
-    k.fault("s1", Fault::Silent);
-    let began = now();
-    let order = tokio::spawn(async move { ask(&mut s, write("a")).await });
-    while k.ran("s1").is_empty() {
-        tokio::task::yield_now().await;
-    }
-    k.named(None);
-    k.named(Some("s2"));
-    assert_eq!(ours(&order.await.unwrap()), (ErrorCode::Unknown.number(), Outcome::Unknown));
-    assert!(now() - began < 400, "the rule's timeout was waited for");
-    assert!(k.ran("s2").is_empty());
+    execute(&mut on_primary, SessionCommand::Begin { read: false }).await;
+    assert_stamped(&execute(&mut on_primary, write("c")).await);
+    fixture.inject("s1", Fault::NoReply);
+    let response = execute(&mut on_primary, write("d")).await;
+    assert_eq!(proxy_error(&response), error(ErrorCode::TransactionLost, Outcome::NotApplied));
+    assert!(fixture.committed().is_empty());
 }
