--- a/crates/store/src/host.rs
+++ b/crates/store/src/host.rs
@@ -7,12 +7,12 @@
 
 pub use batch::Batch;
 
+use crate::disk_usage::DiskUsage;
 use crate::keeper::Keeper;
 use crate::keeper::{Input, Output};
 use crate::messages::{KeeperStatus, Reply, Request};
 use crate::record::RecoveredState;
 use crate::stale_reply;
-use crate::storage::disk_usage::DiskUsage;
 use crate::view::View;
 use pending_requests::PendingRequests;
 use quincehatch_core::{Error, ErrorCode, Millis, Name};
--- a/crates/store/src/host/suspension.rs
+++ b/crates/store/src/host/suspension.rs
@@ -1,6 +1,6 @@
 //! The time in which a keeper takes no part in the chain, as its disk takes no writes.
+use crate::disk_usage::DiskUsage;
 use crate::messages::KeeperStatus;
-use crate::storage::disk_usage::DiskUsage;
 use crate::view::View;
 use quincehatch_core::{Error, Millis, Name};
 
--- a/crates/store/src/keeper.rs
+++ b/crates/store/src/keeper.rs
@@ -4,12 +4,14 @@
 //! [`Keeper::step`] is the whole protocol without input or output: it takes one [`Input`] and returns [`Output`]s. The
 //! caller makes records durable, sends messages and tells the time.
 mod event;
+mod feed_updates;
 mod heartbeat;
 mod lease_handover;
 mod membership;
 mod proposals;
 mod replication;
 mod requests;
+mod snapshot_transfer;
 mod status;
 mod step;
 mod view_adoption;
@@ -17,13 +19,13 @@
 mod view_repair;
 
 use crate::compression::PackedText;
+use crate::disk_usage::DiskUsage;
 use crate::entry_log::EntryLog;
 use crate::feed::Change;
 use crate::node_leases::NodeLeases;
 use crate::record::RecoveredState;
 use crate::register::{Acceptor, Proposer};
 use crate::snapshot::{IncomingSnapshot, OutgoingSnapshot};
-use crate::storage::disk_usage::DiskUsage;
 use crate::store::Store;
 use crate::timing::{NODE_LEASE, VIEW_LEASE, with_clock_drift};
 use crate::view::View;
@@ -52,14 +54,14 @@
     pub in_force: ChangeNumber,
 
     // The step that is under way.
-    pub(crate) now: Millis,
-    pub(crate) outputs: Vec<Output>,
+    now: Millis,
+    outputs: Vec<Output>,
 
     // Replication.
     /// The newest entries, for members that lag behind.
-    pub(crate) log: EntryLog,
+    log: EntryLog,
     /// Whether the keeper holds everything that its predecessor held when the view was adopted, or later.
-    pub(crate) in_sync: bool,
+    in_sync: bool,
     /// Whether the keeper was taken into the chain and its predecessor has not passed on everything yet. It may lack
     /// what was committed before it came: it neither serves nor removes other members.
     catching_up: bool,
@@ -69,16 +71,16 @@
     acknowledged: ChangeNumber,
     /// Fewest members of a view that commits: every committed entry is on as many disks.
     min_replicas: usize,
-    pub(crate) outgoing_snapshot: Option<OutgoingSnapshot>,
-    pub(crate) incoming_snapshot: IncomingSnapshot,
-    pub(crate) last_fetch_at: Millis,
+    outgoing_snapshot: Option<OutgoingSnapshot>,
+    incoming_snapshot: IncomingSnapshot,
+    last_fetch_at: Millis,
     disk_usage: DiskUsage,
 
     // Requests and the feed.
     /// Recent changes as nodes get them, since this process began or took a whole store.
-    pub(crate) recent_changes: VecDeque<Change>,
+    recent_changes: VecDeque<Change>,
     /// The configuration of that version, packed once for all snapshots that carry it.
-    pub(crate) packed_configuration: Option<(Version, PackedText)>,
+    packed_configuration: Option<(Version, PackedText)>,
     commit_times: CommitTimes,
     pending_writes: Vec<PendingWrite>,
     pending_polls: Vec<PendingPoll>,
@@ -107,9 +109,9 @@
     /// The leases granted as the tail of the view before, to be handed to the present tail.
     previous_node_leases: Option<NodeLeases>,
     /// Until when each recently dismissed node may hold a lease.
-    pub(crate) dismissed_leases: BTreeMap<Name, Millis>,
+    dismissed_leases: BTreeMap<Name, Millis>,
     /// Until then there may be further ones: what was dismissed before this process began is not known.
-    pub(crate) unknown_leases_until: Millis,
+    unknown_leases_until: Millis,
 
     // Membership.
     discovery: Option<Discovery>,
--- a/crates/store/src/feed_updates.rs
+++ b/crates/store/src/keeper/feed_updates.rs
@@ -1,7 +1,7 @@
 //! The feed as the tail serves it: recent changes, or a snapshot for a node that lacks more than is remembered.
+use super::Keeper;
 use crate::compression::PackedText;
 use crate::feed::{Change, FeedEvent, FeedSnapshot};
-use crate::keeper::Keeper;
 use crate::limits::{FEED_MAX_BYTES, LOG_MAX_ENTRIES};
 use crate::messages::Reply;
 use quincehatch_core::{ChangeNumber, Millis};
@@ -9,7 +9,7 @@
 
 impl Keeper {
     /// Remembers a change for nodes, and forgets the oldest ones that the limits leave no room for.
-    pub(crate) fn record_change(&mut self, number: ChangeNumber, event: FeedEvent) {
+    pub(super) fn record_change(&mut self, number: ChangeNumber, event: FeedEvent) {
         self.recent_changes.push_back(Change { number, event });
         while exceeds_limits(&self.recent_changes) {
             self.recent_changes.pop_front();
@@ -17,7 +17,7 @@
     }
 
     /// The changes that follow `last_change`, or a snapshot if they are not all remembered.
-    pub(crate) fn changes_since(&mut self, last_change: ChangeNumber, lease_ms: Millis) -> Reply {
+    pub(super) fn changes_since(&mut self, last_change: ChangeNumber, lease_ms: Millis) -> Reply {
         if self.remembers_all_since(last_change) {
             let following = self.recent_changes.iter().filter(|change| change.number > last_change);
             return Reply::Changes { changes: following.cloned().collect(), lease_ms };
--- a/crates/store/src/keeper/membership/invitation.rs
+++ b/crates/store/src/keeper/membership/invitation.rs
@@ -67,7 +67,7 @@
 
     /// The view that this keeper may propose now that it holds the whole store: a voter returns to the chain, an invited
     /// keeper takes up its invitation.
-    pub(crate) fn take_view_to_enter(&mut self) -> Option<View> {
+    pub(in crate::keeper) fn take_view_to_enter(&mut self) -> Option<View> {
         if self.is_voter() {
             return Some(self.view.with_member(&self.name));
         }
--- a/crates/store/src/keeper/proposals.rs
+++ b/crates/store/src/keeper/proposals.rs
@@ -25,7 +25,7 @@
 
     /// Proposes the view unless a proposal is under way. A view with a member that does not vote is not proposed: the
     /// others would have no address for that member.
-    pub(crate) fn propose(&mut self, wanted: View) {
+    pub(super) fn propose(&mut self, wanted: View) {
         let all_vote = wanted.members.iter().all(|member| wanted.is_voter(member));
         if !all_vote || self.proposer.is_busy(self.now, PROPOSAL_INTERVAL) {
             return;
--- a/crates/store/src/keeper/replication.rs
+++ b/crates/store/src/keeper/replication.rs
@@ -1,4 +1,5 @@
 //! Replication along the chain: entries go from the head to the tail, acknowledgements from the tail to the head.
+use super::snapshot_transfer::TransferPurpose;
 use super::{Keeper, Output};
 use crate::command::{Answer, Command, Entry};
 use crate::entry_log::PackedEntry;
@@ -7,7 +8,6 @@
 use crate::messages::PeerMessage;
 use crate::record::Record;
 use crate::snapshot::SnapshotProgress;
-use crate::snapshot_transfer::TransferPurpose;
 use crate::timing::{NODE_LEASE, with_clock_drift};
 use quincehatch_core::{ChangeNumber, Name};
 
@@ -57,7 +57,7 @@
     }
 
     /// Sends the entries after `previous_change` to the successor.
-    pub(crate) fn forward_entries(&mut self, previous_change: ChangeNumber) {
+    pub(super) fn forward_entries(&mut self, previous_change: ChangeNumber) {
         let Some(successor) = self.successor().cloned() else { return };
         if let Some(entries) = self.entries_after(previous_change) {
             let message = self.append_message(previous_change, entries);
@@ -83,7 +83,7 @@
     }
 
     /// Records durably whether this keeper may lack committed entries.
-    pub(crate) fn set_catching_up(&mut self, catching_up: bool) {
+    pub(super) fn set_catching_up(&mut self, catching_up: bool) {
         if self.catching_up != catching_up {
             self.catching_up = catching_up;
             self.outputs.push(Output::Persist(Record::CatchingUp { catching_up }));
--- a/crates/store/src/snapshot_transfer.rs
+++ b/crates/store/src/keeper/snapshot_transfer.rs
@@ -1,6 +1,6 @@
 //! How a keeper brings its store up to date from another: it requests log entries, and where the log does not reach back
 //! a snapshot in parts.
-use crate::keeper::{Keeper, Output};
+use super::{Keeper, Output};
 use crate::messages::{DismissedLease, PeerMessage};
 use crate::record::Record;
 use crate::snapshot::{OutgoingSnapshot, SnapshotPart, SnapshotProgress};
@@ -9,7 +9,7 @@
 
 /// Why a snapshot is transferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum TransferPurpose {
+pub(super) enum TransferPurpose {
     /// The receiver joins the chain; the tail sends.
     Join,
     /// The receiver is a member that fell behind; its predecessor sends.
@@ -25,7 +25,7 @@
 
 impl Keeper {
     /// Requests from the predecessor the entries that follow the last one held here.
-    pub(crate) fn request_missing_entries(&mut self, predecessor: &Name) {
+    pub(super) fn request_missing_entries(&mut self, predecessor: &Name) {
         let progress = self.incoming_snapshot.progress(predecessor);
         let request = PeerMessage::RequestEntries {
             version: self.view.version,
@@ -36,7 +36,7 @@
     }
 
     /// The part of a snapshot that follows what the receiver holds.
-    pub(crate) fn snapshot_message(
+    pub(super) fn snapshot_message(
         &mut self,
         purpose: TransferPurpose,
         progress: SnapshotProgress,
@@ -71,7 +71,7 @@
     }
 
     /// Answers a keeper that is to join and fetches the store. Only a serving tail does: what it holds is committed.
-    pub(crate) fn handle_fetch(&mut self, from: &Name, progress: SnapshotProgress) {
+    pub(super) fn handle_fetch(&mut self, from: &Name, progress: SnapshotProgress) {
         if self.is_serving() && !self.view.is_member(from) {
             let message = self.snapshot_message(TransferPurpose::Join, progress);
             self.send(from, message);
@@ -79,7 +79,7 @@
     }
 
     /// Takes a part of a snapshot, and requests the next one or installs the store; `true` if it was installed.
-    pub(crate) fn accept_snapshot_part(
+    pub(super) fn accept_snapshot_part(
         &mut self,
         from: &Name,
         version: Version,
@@ -144,7 +144,7 @@
     }
 
     /// Requests from the tail the next part of its store.
-    pub(crate) fn request_snapshot_part(&mut self, tail: &Name) {
+    pub(super) fn request_snapshot_part(&mut self, tail: &Name) {
         self.last_fetch_at = self.now;
         let progress = self.incoming_snapshot.progress(tail);
         let request = PeerMessage::FetchSnapshot { version: self.view.version, progress };
--- a/crates/store/src/keeper/step.rs
+++ b/crates/store/src/keeper/step.rs
@@ -1,7 +1,7 @@
 //! One step of a keeper: dispatch of its inputs.
+use super::snapshot_transfer::TransferPurpose;
 use super::{Input, Keeper, Output};
 use crate::messages::PeerMessage;
-use crate::snapshot_transfer::TransferPurpose;
 use crate::timing::PEER_TIMEOUT;
 use quincehatch_core::{Millis, Name};
 
@@ -33,7 +33,7 @@
     }
 
     /// Sends a message; one to the keeper itself, which votes like any other, is handled at once.
-    pub(crate) fn send(&mut self, to: &Name, message: PeerMessage) {
+    pub(super) fn send(&mut self, to: &Name, message: PeerMessage) {
         if *to == self.name {
             let own_name = self.name.clone();
             self.handle_peer_message(&own_name, message);
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -13,10 +13,10 @@
 
 pub mod command;
 pub mod compression;
+pub mod disk_usage;
 pub mod driver;
 pub mod entry_log;
 pub mod feed;
-mod feed_updates;
 pub mod host;
 pub mod keeper;
 pub mod limits;
@@ -26,7 +26,6 @@
 pub mod record;
 pub mod register;
 pub mod snapshot;
-mod snapshot_transfer;
 mod stale_reply;
 pub mod storage;
 pub mod store;
--- a/crates/store/src/messages/status.rs
+++ b/crates/store/src/messages/status.rs
@@ -1,5 +1,5 @@
 //! What a keeper reports about itself.
-use crate::storage::disk_usage::DiskUsage;
+use crate::disk_usage::DiskUsage;
 use crate::view::View;
 use quincehatch_core::{ChangeNumber, Millis, Name, Version, messages};
 
--- a/crates/store/src/storage.rs
+++ b/crates/store/src/storage.rs
@@ -3,7 +3,6 @@
 mod checksum;
 pub mod disk;
 pub mod disk_limits;
-pub mod disk_usage;
 mod errors;
 mod log_rows;
 mod records;
--- a/crates/store/src/storage/disk.rs
+++ b/crates/store/src/storage/disk.rs
@@ -1,7 +1,7 @@
 //! The data directory of a keeper: one redb file, in which every value has a checksum of its own.
+use crate::disk_usage::DiskUsage;
 use crate::record::{Record, RecoveredState};
 use crate::storage::disk_limits::DiskLimits;
-use crate::storage::disk_usage::DiskUsage;
 use crate::storage::errors::{disk_error, read_error, unusable};
 use crate::storage::log_rows::LogRows;
 use crate::storage::records;
--- a/crates/store/src/storage/stable_storage.rs
+++ b/crates/store/src/storage/stable_storage.rs
@@ -1,6 +1,6 @@
 //! What a keeper needs of its disk.
+use crate::disk_usage::DiskUsage;
 use crate::record::{Record, RecoveredState};
-use crate::storage::disk_usage::DiskUsage;
 use crate::store::Store;
 use quincehatch_core::Error;
 
--- a/crates/store/tests/reserve.rs
+++ b/crates/store/tests/disk_reserve.rs
@@ -5,7 +5,7 @@
 use assert_matches::assert_matches;
 use cluster::Cluster;
 use quincehatch_core::ErrorCode;
-use quincehatch_store::storage::disk_usage::DiskUsage;
+use quincehatch_store::disk_usage::DiskUsage;
 use quincehatch_store::{Command, Reply, Request};
 use samples::{adopt, document};
 
--- a/crates/store/tests/hosts/mod.rs
+++ b/crates/store/tests/hosts/mod.rs
@@ -1,10 +1,10 @@
 //! Keepers with disks that fail or stall, in virtual time.
 #![allow(dead_code)]
 use quincehatch_core::{Error, ErrorCode, Millis, Name};
+use quincehatch_store::disk_usage::DiskUsage;
 use quincehatch_store::host::{Batch, KeeperHost};
 use quincehatch_store::keeper::{Input, Output};
 use quincehatch_store::record::{Record, RecoveredState};
-use quincehatch_store::storage::disk_usage::DiskUsage;
 use quincehatch_store::storage::stable_storage::StableStorage;
 use quincehatch_store::{Keeper, PeerMessage, Reply, Request, Store, View, Voter};
 use std::collections::{BTreeMap, VecDeque};
