--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,31 +1,80 @@
-//! quincehatchctl: the operators' command line over the whole fleet (§8.2).
-mod args;
-mod call;
-mod show;
+//! `quincehatchctl`: the operators' command line for the whole cluster.
+#![warn(
+    missing_docs,
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::many_single_char_names,
+    clippy::min_ident_chars
+)]
+
+mod arguments;
+mod client;
+mod command;
+mod flags;
+mod tables;
+
+use arguments::{Arguments, Invocation, OutputFormat};
+use command::Command;
+use quincehatch_core::Error;
+use quincehatch_operator_api::{ErrorDetail, ErrorReply, OperatorCall};
+use std::process::exit;
+use tables::Table;
+
+/// Exit status of a wrong command line.
+const EXIT_USAGE: i32 = 2;
+/// A result code divided by this gives the exit status.
+const CODES_PER_EXIT_STATUS: u16 = 100;
 
 fn main() {
-    let a = match args::read() {
-        Ok(Some(a)) => a,
-        Ok(None) => return,
-        Err(e) => {
-            eprintln!("quincehatchctl: {e}\ntry `quincehatchctl --help`");
-            std::process::exit(2);
+    let arguments = match arguments::read() {
+        Ok(Invocation::Run(arguments)) => arguments,
+        Ok(Invocation::Answered) => return,
+        Err(error) => {
+            eprintln!("quincehatchctl: {error}\ntry `quincehatchctl --help`");
+            exit(EXIT_USAGE);
         }
     };
-    match call::ask(&a) {
-        Ok(v) => {
-            if a.json {
-                println!("{v:#}");
-            } else {
-                print!("{}", show::table(&a.cmd, &v));
-            }
-        }
-        Err(b) => {
-            if a.json {
-                println!("{:#}", serde_json::json!({"error": {"code": b.code, "text": b.text.as_str()}}));
-            }
-            eprintln!("quincehatchctl: {b}");
-            std::process::exit(i32::from(b.code / 100));
-        }
+    if let Err(error) = run(&arguments) {
+        report_error(&error, arguments.output);
+        exit(i32::from(error.code / CODES_PER_EXIT_STATUS));
+    }
+}
+
+fn run(arguments: &Arguments) -> Result<(), Error> {
+    match &arguments.command {
+        Command::Status(request) => send(arguments, request),
+        Command::Nodes(request) => send(arguments, request),
+        Command::Servers(request) => send(arguments, request),
+        Command::Placements(request) => send(arguments, request),
+        Command::Push(request) => send(arguments, request),
+        Command::History(request) => send(arguments, request),
+        Command::Rollback(request) => send(arguments, request),
+        Command::Explain(request) => send(arguments, request),
+        Command::Promote(request) => send(arguments, request),
+        Command::Drain(request) => send(arguments, request),
+        Command::Members(request) => send(arguments, request),
+    }
+}
+
+/// Sends one request and prints its reply. JSON is printed as the node sent it, with fields unknown here.
+fn send<Request>(arguments: &Arguments, request: &Request) -> Result<(), Error>
+where
+    Request: OperatorCall,
+    Request::Reply: Table,
+{
+    let reply = client::call(&arguments.endpoint, request)?;
+    match arguments.output {
+        OutputFormat::Json => println!("{reply:#}"),
+        OutputFormat::Table => print!("{}", client::typed_reply::<Request>(reply)?.to_table()),
+    }
+    Ok(())
+}
+
+fn report_error(error: &Error, output: OutputFormat) {
+    if output == OutputFormat::Json {
+        let detail = ErrorDetail { code: error.code, text: error.text.to_string() };
+        let body = serde_json::json!(ErrorReply { error: detail });
+        println!("{body:#}");
     }
+    eprintln!("quincehatchctl: {error}");
 }
--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -39,7 +39,7 @@
 }
 
 fn lead_of(v: &Value) -> Option<String> {
-    v["leads"][0]["server"].as_str().map(str::to_owned)
+    v["primaries"][0]["server"].as_str().map(str::to_owned)
 }
 
 /// The cost of the front: the same order and lookup straight to the stand-in and through a node, in turn.
@@ -100,7 +100,7 @@
 async fn verdict(r: &RunningFleet, node: usize, server: &str) -> Option<String> {
     let (_, v) = operator_call(&r.plan.nodes[node].operator_listener, "servers", &json!({}), 1_000).await?;
     let row = v["servers"].as_array()?.iter().find(|s| s["server"] == server)?.clone();
-    row["verdict"].as_str().map(str::to_owned)
+    row["health"].as_str().map(str::to_owned)
 }
 
 /// From a fault to out of rotation, at one node, with a lookup about each 25 ms.
@@ -189,7 +189,7 @@
             let (_, v) =
                 operator_call(&r.plan.nodes[0].operator_listener, "nodes", &json!({}), 3_000).await?;
             let rows = v["nodes"].as_array()?.clone();
-            let sum: u64 = rows.iter().filter_map(|n| n["answer"]["letters"].as_u64()).sum();
+            let sum: u64 = rows.iter().filter_map(|n| n["answer"]["gossip_messages_sent"].as_u64()).sum();
             Some((sum, rows.len()))
         };
         tokio::time::sleep(Duration::from_secs(3)).await;
--- a/crates/lab/src/bench_fleet.rs
+++ b/crates/lab/src/bench_fleet.rs
@@ -30,7 +30,7 @@
 async fn asides(desk: &str) -> u64 {
     let got = operator_call(desk, "servers", &json!({}), 2_000).await;
     let rows = got.map_or(Value::Null, |g| g.1["servers"].clone());
-    rows.as_array().into_iter().flatten().filter_map(|r| r["asides"].as_u64()).sum()
+    rows.as_array().into_iter().flatten().filter_map(|r| r["ejections"].as_u64()).sum()
 }
 
 /// Long queries beside short ones, by a rule that is not `long`: how many replicas are set aside wrongly?
@@ -64,7 +64,7 @@
             .await
             .map(|x| x.1)
             .unwrap_or(Value::Null);
-        let lead = st["leads"][0]["server"].as_str().unwrap_or_default().to_owned();
+        let lead = st["primaries"][0]["server"].as_str().unwrap_or_default().to_owned();
         for s in r.plan.servers.iter().filter(|s| s.name != lead) {
             let w = json!({"stall": true});
             let _ =
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -1,5 +1,5 @@
 //! Runs the mesh under tokio, and keeps sessions' copies over it (§6).
-use crate::{ClusterNode, report};
+use crate::{ClusterNode, operator};
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::{Error, ErrorCode, Name};
 use quincehatch_gossip::copies::SessionReplicaTable;
@@ -221,7 +221,7 @@
         },
         NodeQuery::Report { what, key } => {
             drop(t);
-            NodeReply::Report { json: report::of(f, &what, &key).to_string() }
+            NodeReply::Report { json: operator::local_report(f, &what, &key).to_string() }
         }
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,5 +1,6 @@
 //! A node put together (§2, §4, §6): what the planes do, driven over whatever runs it (§5.8).
 pub mod acknowledged;
+pub mod client_api;
 pub mod commit_lists;
 pub mod copies;
 pub mod duties;
@@ -13,10 +14,8 @@
 pub mod held_promotion;
 pub mod held_watch;
 pub mod lease_roll;
-pub mod operator_api;
-pub mod ops;
+pub mod operator;
 pub mod promoting;
-pub mod report;
 pub mod server_queries;
 pub mod store_client;
 
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -3,7 +3,7 @@
 
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::{Error, ErrorCode};
-use quincehatch_node::{ClusterNode, gossip, open_transactions, operator_api};
+use quincehatch_node::{ClusterNode, client_api, gossip, open_transactions, operator};
 use quincehatch_runtime::now;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -43,13 +43,13 @@
     let n = node.clone();
     let door: quincehatch_proxy::listener::JsonHandler = Arc::new(move |k| {
         let n = n.clone();
-        Box::pin(async move { operator_api::origin(&n, k).await })
+        Box::pin(async move { client_api::answer(&n, k).await })
     });
     let door = quincehatch_proxy::listener::listen(&set.client_listener, set.threads, door, rt)?;
     let f = fleet.clone();
     let at_desk: quincehatch_proxy::listener::JsonHandler = Arc::new(move |k| {
         let f = f.clone();
-        Box::pin(async move { operator_api::answer(&f, k).await })
+        Box::pin(async move { operator::answer(&f, k).await })
     });
     let desk = quincehatch_proxy::listener::listen(&set.operator_listener, 1, at_desk, rt)?;
     log::info!(target: "node", "node {} in {} listens on {}", set.name, set.zone, set.client_listener);
--- /dev/null
+++ b/crates/node/src/operator/maintenance.rs
@@ -0,0 +1,49 @@
+//! `promote` and `drain`.
+use super::report_query::ReportQuery;
+use crate::ClusterNode;
+use quincehatch_core::{Error, ErrorCode, Name};
+use quincehatch_gossip::{NodeReply, duty};
+use quincehatch_operator_api::maintenance::{
+    DrainReply, DrainRequest, DrainState, PromoteReply, PromoteRequest,
+};
+use quincehatch_store::store::promotion_duty_key;
+use std::sync::atomic::Ordering;
+
+/// Asks the node that is responsible for the group's promotions to hand its primary over.
+pub async fn promote(node: &ClusterNode, request: &PromoteRequest) -> Result<PromoteReply, Error> {
+    let group = &request.group;
+    if node.proxy.registry.primary(group).is_none() {
+        return Err(ErrorCode::NoSuchServer.with_detail(format_args!("no group is called {group:?}")));
+    }
+    let live: Vec<Name> = node.gossip.live_nodes().into_iter().map(|(name, _)| name).collect();
+    let responsible = duty::owner(&promotion_duty_key(group), &live);
+    let responsible = responsible.cloned().ok_or_else(|| ErrorCode::NoMajority.without_detail())?;
+    let to = if request.to.is_empty() { None } else { Some(request.to.clone()) };
+    let query = ReportQuery::Handover { group: group.clone(), to };
+    node.gossip.query(&responsible, query.to_message()).await?;
+    Ok(PromoteReply { asked: responsible, group: group.clone() })
+}
+
+/// Asks a node to take no new clients, or to take them again.
+pub async fn drain(node: &ClusterNode, request: &DrainRequest) -> Result<DrainReply, Error> {
+    let query = ReportQuery::SetDraining(!request.undo);
+    match node.gossip.query(&request.name, query.to_message()).await? {
+        NodeReply::Report { json } => {
+            let answer = serde_json::from_str(&json).unwrap_or(None);
+            Ok(DrainReply { node: request.name.clone(), answer })
+        }
+        _ => Err(ErrorCode::Unreachable.without_detail()),
+    }
+}
+
+/// Takes no new clients here, or takes them again.
+pub fn set_draining(node: &ClusterNode, draining: bool) -> DrainState {
+    let proxy = &node.proxy;
+    proxy.registry.draining.store(draining, Ordering::SeqCst);
+    log::info!(target: "node", "draining is {}", if draining { "on" } else { "off" });
+    DrainState {
+        draining,
+        sessions: proxy.sessions.len(),
+        in_flight: proxy.requests_in_flight.load(Ordering::Relaxed),
+    }
+}
--- /dev/null
+++ b/crates/node/src/operator/server_report.rs
@@ -0,0 +1,76 @@
+//! Database servers as this node sees them.
+use crate::ClusterNode;
+use quincehatch_operator_api::explain::{EvidenceReport, HealthReport, TransitionReport};
+use quincehatch_operator_api::servers::{ServerReport, ServersReply};
+use quincehatch_proxy::evidence::Evidence;
+use quincehatch_proxy::read::health_label;
+use quincehatch_proxy::registry::ServerEntry;
+use quincehatch_proxy::state::HealthTransition;
+use quincehatch_runtime::now;
+use std::sync::atomic::Ordering;
+
+/// All servers that this node knows.
+pub fn servers(node: &ClusterNode) -> ServersReply {
+    let servers = node.proxy.registry.servers();
+    ServersReply {
+        node: node.proxy.settings.name.as_str().into(),
+        servers: servers.iter().map(|server| server_report(node, server)).collect(),
+    }
+}
+
+fn server_report(node: &ClusterNode, server: &ServerEntry) -> ServerReport {
+    let heartbeat = server.heartbeat.read().unwrap().clone();
+    let status = server.status.lock().unwrap().clone();
+    let (connections, idle_connections) = server.pool.slots.count();
+    let health = server.health.lock().unwrap();
+    ServerReport {
+        server: server.name.clone(),
+        is_primary: node.proxy.registry.is_primary(heartbeat.group(), &server.name),
+        addr: heartbeat.addr,
+        labels: heartbeat.labels,
+        role: heartbeat.role,
+        state: heartbeat.state,
+        fence: heartbeat.fence,
+        position: heartbeat.position,
+        health: health_label(health.state).to_owned(),
+        ejections: health.ejections,
+        pending_replies: health.overdue.pending_count(),
+        status_age_ms: now().saturating_sub(status.answered_at),
+        failing_ms: status.failing_since.map(|since| now().saturating_sub(since)),
+        connections,
+        idle_connections,
+        queued: server.pool.queued.load(Ordering::Relaxed),
+    }
+}
+
+/// How this node came to see a server's health as it does; `None` if it does not know the server.
+pub fn health_report(node: &ClusterNode, server: &str) -> Option<HealthReport> {
+    let server = node.proxy.registry.server(server)?;
+    let health = server.health.lock().unwrap();
+    let probation_in_ms =
+        if health.is_healthy() { None } else { Some(health.ejected_until.saturating_sub(now())) };
+    Some(HealthReport {
+        node: node.proxy.settings.name.as_str().into(),
+        server: server.name.clone(),
+        health: health_label(health.state).to_owned(),
+        probation_in_ms,
+        transitions: health.transitions.iter().map(transition_report).collect(),
+    })
+}
+
+fn transition_report(transition: &HealthTransition) -> TransitionReport {
+    TransitionReport {
+        ago_ms: now().saturating_sub(transition.at),
+        to: health_label(transition.to).to_owned(),
+        why: transition.reason.clone(),
+        evidence: transition.evidence.iter().map(evidence_report).collect(),
+    }
+}
+
+fn evidence_report(evidence: &Evidence) -> EvidenceReport {
+    EvidenceReport {
+        signal: format!("{:?}", evidence.signal),
+        weight: evidence.weight,
+        ago_ms: now().saturating_sub(evidence.at),
+    }
+}
--- a/crates/simulator/src/fleet/procs.rs
+++ b/crates/simulator/src/fleet/procs.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::Name;
-use quincehatch_node::{ClusterNode, gossip, operator_api};
+use quincehatch_node::{ClusterNode, client_api, gossip, operator};
 use quincehatch_proxy::listener::HttpRequest;
 use quincehatch_runtime::seam;
 use quincehatch_store::keeper::RecoveredState;
@@ -79,13 +79,13 @@
     let n = f.proxy.clone();
     let door: HttpHandler = Arc::new(move |v| {
         let n = n.clone();
-        Box::pin(async move { Some(operator_api::origin(&n, knock(v)).await) })
+        Box::pin(async move { Some(client_api::answer(&n, knock(v)).await) })
     });
     core.listen_http(&set.client_listener, pid, door, Arc::new(|_| ()));
     let g = f.clone();
     let at_desk: HttpHandler = Arc::new(move |v| {
         let f = g.clone();
-        Box::pin(async move { Some(operator_api::answer(&f, knock(v)).await) })
+        Box::pin(async move { Some(operator::answer(&f, knock(v)).await) })
     });
     core.listen_http(&set.operator_listener, pid, at_desk, Arc::new(|_| ()));
     let g = f.clone();
--- a/crates/testbed/src/aftermath.rs
+++ b/crates/testbed/src/aftermath.rs
@@ -37,7 +37,7 @@
 /// What the servers hold, as the named lead tells it, how far the others agree, and what each of them did.
 pub async fn collect_facts(desks: &[String], servers: &[ServerAddress]) -> Result<Facts, String> {
     let mut f = Facts::default();
-    let leads = fleet_status(desks).await["leads"].clone();
+    let leads = fleet_status(desks).await["primaries"].clone();
     for g in servers.iter().map(|s| s.group.clone()).collect::<BTreeSet<_>>() {
         let named = leads.as_array().into_iter().flatten().find(|l| l["group"] == g.as_str());
         let lead =
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -55,7 +55,7 @@
 
 async fn find(p: &FleetPlan, who: &Target, hit: &BTreeMap<&'static str, String>) -> Option<String> {
     let lead = |v: &Value, g: &str| {
-        v["leads"]
+        v["primaries"]
             .as_array()?
             .iter()
             .find(|l| l["group"] == g)
