--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -2,7 +2,7 @@
 use crate::arguments::Endpoint;
 use quincehatch_core::{Error, ErrorCode};
 use quincehatch_operator_api::{ErrorReply, OperatorCall};
-use quincehatch_wire::http::{Call, call_once};
+use quincehatch_wire::http::{JsonRequest, call_once};
 use serde_json::Value;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     };
     let path = Request::NAME.path();
     let body = serde_json::to_value(request).map_err(|error| ErrorCode::Malformed.with_detail(error))?;
-    let call = Call { method: "POST", path: &path, body: &body, token: Some(&endpoint.token) };
+    let call = JsonRequest { method: "POST", path: &path, body: &body, token: Some(&endpoint.token) };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(unreachable)?;
     let sent = runtime.block_on(call_once(&endpoint.address, &call, CALL_TIMEOUT));
     let (status, reply) = sent.map_err(unreachable)?;
--- a/crates/node/src/client_api.rs
+++ b/crates/node/src/client_api.rs
@@ -13,7 +13,7 @@
 pub async fn answer(proxy: &Arc<Proxy>, request: HttpRequest) -> (u16, Value) {
     match (request.method.as_str(), request.path.as_str()) {
         ("GET", "/ready") => readiness_reply(proxy.readiness()),
-        ("POST", path) => proxy.visit(path, &request.body).await,
+        ("POST", path) => proxy.handle(path, &request.body).await,
         _ => {
             let error = ErrorCode::NoSuchCall.without_detail();
             (error.http_status(), error_json(&error))
--- a/crates/node/src/operator/maintenance.rs
+++ b/crates/node/src/operator/maintenance.rs
@@ -2,7 +2,7 @@
 use super::report_query::ReportQuery;
 use crate::ClusterNode;
 use quincehatch_core::{Error, ErrorCode, Name};
-use quincehatch_gossip::{NodeReply, duty};
+use quincehatch_gossip::{NodeReply, ownership};
 use quincehatch_operator_api::maintenance::{
     DrainReply, DrainRequest, DrainState, PromoteReply, PromoteRequest,
 };
@@ -15,8 +15,8 @@
     if node.proxy.registry.primary(group).is_none() {
         return Err(ErrorCode::NoSuchServer.with_detail(format_args!("no group is called {group:?}")));
     }
-    let live: Vec<Name> = node.gossip.live_nodes().into_iter().map(|(name, _)| name).collect();
-    let responsible = duty::owner(&promotion_duty_key(group), &live);
+    let live: Vec<Name> = node.gossip.live_nodes().into_iter().map(|member| member.name).collect();
+    let responsible = ownership::owner(&promotion_duty_key(group), &live);
     let responsible = responsible.cloned().ok_or_else(|| ErrorCode::NoMajority.without_detail())?;
     let to = if request.to.is_empty() { None } else { Some(request.to.clone()) };
     let query = ReportQuery::Handover { group: group.clone(), to };
--- a/crates/node/src/operator/node_report.rs
+++ b/crates/node/src/operator/node_report.rs
@@ -62,9 +62,9 @@
             node: site.node.clone(),
             server: site.server.clone(),
             placement: site.placement.clone(),
-            zone: site.district.clone(),
+            zone: site.zone.clone(),
             version: site.version,
-            health: site.verdict.clone(),
+            health: site.health.clone(),
         },
         path: trace.steps.clone(),
     })
--- a/crates/node/src/operator/server_report.rs
+++ b/crates/node/src/operator/server_report.rs
@@ -3,7 +3,6 @@
 use quincehatch_operator_api::explain::{EvidenceReport, HealthReport, TransitionReport};
 use quincehatch_operator_api::servers::{ServerReport, ServersReply};
 use quincehatch_proxy::evidence::Evidence;
-use quincehatch_proxy::read::health_label;
 use quincehatch_proxy::registry::ServerEntry;
 use quincehatch_proxy::state::HealthTransition;
 use quincehatch_runtime::now;
@@ -21,7 +20,7 @@
 fn server_report(node: &ClusterNode, server: &ServerEntry) -> ServerReport {
     let heartbeat = server.heartbeat.read().unwrap().clone();
     let status = server.status.lock().unwrap().clone();
-    let (connections, idle_connections) = server.pool.slots.count();
+    let connections = server.pool.slots.count();
     let health = server.health.lock().unwrap();
     ServerReport {
         server: server.name.clone(),
@@ -32,13 +31,13 @@
         state: heartbeat.state,
         fence: heartbeat.fence,
         position: heartbeat.position,
-        health: health_label(health.state).to_owned(),
+        health: health.state.label().to_owned(),
         ejections: health.ejections,
         pending_replies: health.overdue.pending_count(),
         status_age_ms: now().saturating_sub(status.answered_at),
         failing_ms: status.failing_since.map(|since| now().saturating_sub(since)),
-        connections,
-        idle_connections,
+        connections: connections.open,
+        idle_connections: connections.idle,
         queued: server.pool.queued.load(Ordering::Relaxed),
     }
 }
@@ -52,7 +51,7 @@
     Some(HealthReport {
         node: node.proxy.settings.name.as_str().into(),
         server: server.name.clone(),
-        health: health_label(health.state).to_owned(),
+        health: health.state.label().to_owned(),
         probation_in_ms,
         transitions: health.transitions.iter().map(transition_report).collect(),
     })
@@ -61,7 +60,7 @@
 fn transition_report(transition: &HealthTransition) -> TransitionReport {
     TransitionReport {
         ago_ms: now().saturating_sub(transition.at),
-        to: health_label(transition.to).to_owned(),
+        to: transition.to.label().to_owned(),
         why: transition.reason.clone(),
         evidence: transition.evidence.iter().map(evidence_report).collect(),
     }
