--- a/crates/ctl/src/tables/mod.rs
+++ b/crates/ctl/src/tables/mod.rs
@@ -8,6 +8,8 @@
 mod placements;
 mod servers;
 mod status;
+#[cfg(test)]
+mod tests;
 
 /// A reply that can be shown to people.
 pub trait Table {
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,75 +1,137 @@
-//! quincehatch-node: a node. Opens its doors, runs until it is told to stop (§2, §4, §6).
-mod args;
+//! `quincehatch-node`: a node. Opens its listeners and runs until it is told to stop.
+#![warn(
+    missing_docs,
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::many_single_char_names,
+    clippy::min_ident_chars
+)]
+mod arguments;
+mod settings_watch;
 
+use arguments::Invocation;
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::{Error, ErrorCode};
-use quincehatch_node::{ClusterNode, client_api, gossip, open_transactions, operator};
+use quincehatch_node::{ClusterNode, client_api, feed, gossip, open_transactions, operator};
+use quincehatch_proxy::listener::{JsonHandler, ListenerHandle, listen};
 use quincehatch_runtime::now;
+use std::process::exit;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::runtime::Handle;
 
-/// How long a stopping node waits for the visits in hand.
-const STOP_WITHIN: u64 = 8_000;
+/// Longest time that a stopping node waits for requests in flight, in milliseconds.
+const STOP_TIMEOUT_MS: u64 = 8_000;
+/// Time that the platform gets to see that the node is not ready.
+const NOT_READY_NOTICE: Duration = Duration::from_millis(500);
+/// Time between two looks at the requests in flight.
+const STOP_POLL: Duration = Duration::from_millis(20);
+/// Threads of the operator listener.
+const OPERATOR_THREADS: usize = 1;
+
+const EXIT_FAILURE: i32 = 1;
+/// Exit status of a wrong command line or settings file.
+const EXIT_INVALID_SETTINGS: i32 = 2;
 
 fn main() {
-    let set = match args::read() {
-        Ok(Some(s)) => s,
-        Ok(None) => return,
-        Err(b) => {
-            eprintln!("quincehatch-node: {b}");
-            std::process::exit(2);
+    let settings = match arguments::read() {
+        Ok(Invocation::Run(settings)) => settings,
+        Ok(Invocation::Check) => {
+            println!("the settings are valid");
+            return;
+        }
+        Ok(Invocation::Answered) => return,
+        Err(error) => {
+            eprintln!("quincehatch-node: {error}");
+            exit(EXIT_INVALID_SETTINGS);
         }
     };
-    let rt = tokio::runtime::Builder::new_multi_thread().worker_threads(set.threads).enable_all().build();
-    let done = rt
-        .map_err(|e| ErrorCode::InvalidSettings.with_detail(e))
-        .and_then(|rt| rt.block_on(run(set, rt.handle())));
-    if let Err(b) = done {
-        eprintln!("quincehatch-node: {b}");
-        std::process::exit(1);
+    if let Err(error) = run_to_end(&settings) {
+        eprintln!("quincehatch-node: {error}");
+        exit(EXIT_FAILURE);
     }
-    // Doors run on threads of their own; all that matters is done.
-    std::process::exit(0);
+    // Listeners run on threads of their own, which are not waited for.
+    exit(0);
+}
+
+fn run_to_end(settings: &NodeSettings) -> Result<(), Error> {
+    let threads = settings.threads;
+    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(threads).enable_all().build();
+    let runtime = runtime.map_err(|error| ErrorCode::InvalidSettings.with_detail(error))?;
+    runtime.block_on(run(settings, runtime.handle()))
+}
+
+async fn run(settings: &NodeSettings, runtime: &Handle) -> Result<(), Error> {
+    let log = quincehatch_runtime::logging::start(&settings.log)
+        .map_err(|error| ErrorCode::InvalidSettings.with_detail(error))?;
+    let gossip_listener = bind(&settings.gossip_listener).await?;
+    let node = ClusterNode::new(settings);
+    let client_listener = open_client_listener(&node, settings, runtime)?;
+    let operator_listener = open_operator_listener(&node, settings, runtime)?;
+    log::info!(
+        target: "node",
+        "node {} in {} listens on {}",
+        settings.name, settings.zone, settings.client_listener
+    );
+    runtime.spawn(gossip::serve(node.clone(), gossip_listener));
+    node.start();
+    settings_watch::wait_for_stop(settings, &log).await;
+    shut_down(&node).await;
+    client_listener.close();
+    operator_listener.close();
+    let in_flight = node.proxy.requests_in_flight.load(Ordering::SeqCst);
+    log::info!(target: "node", "stopped with {in_flight} requests in flight");
+    Ok(())
+}
+
+async fn bind(address: &str) -> Result<TcpListener, Error> {
+    TcpListener::bind(address)
+        .await
+        .map_err(|error| ErrorCode::PortInUse.with_detail(format_args!("{address}: {error}")))
 }
 
-async fn run(set: NodeSettings, rt: &tokio::runtime::Handle) -> Result<(), Error> {
-    let handle = quincehatch_runtime::logging::start(&set.log)
-        .map_err(|e| ErrorCode::InvalidSettings.with_detail(e))?;
-    let in_use = |e| ErrorCode::PortInUse.with_detail(format_args!("{}: {e}", set.gossip_listener));
-    let lst = tokio::net::TcpListener::bind(&set.gossip_listener).await.map_err(in_use)?;
-    let fleet = ClusterNode::new(&set);
-    let (node, mesh) = (fleet.proxy.clone(), fleet.gossip.clone());
-    let n = node.clone();
-    let door: quincehatch_proxy::listener::JsonHandler = Arc::new(move |k| {
-        let n = n.clone();
-        Box::pin(async move { client_api::answer(&n, k).await })
+fn open_client_listener(
+    node: &Arc<ClusterNode>,
+    settings: &NodeSettings,
+    runtime: &Handle,
+) -> Result<ListenerHandle, Error> {
+    let proxy = node.proxy.clone();
+    let handler: JsonHandler = Arc::new(move |request| {
+        let proxy = proxy.clone();
+        Box::pin(async move { client_api::answer(&proxy, request).await })
     });
-    let door = quincehatch_proxy::listener::listen(&set.client_listener, set.threads, door, rt)?;
-    let f = fleet.clone();
-    let at_desk: quincehatch_proxy::listener::JsonHandler = Arc::new(move |k| {
-        let f = f.clone();
-        Box::pin(async move { operator::answer(&f, k).await })
+    listen(&settings.client_listener, settings.threads, handler, runtime)
+}
+
+fn open_operator_listener(
+    node: &Arc<ClusterNode>,
+    settings: &NodeSettings,
+    runtime: &Handle,
+) -> Result<ListenerHandle, Error> {
+    let node = node.clone();
+    let handler: JsonHandler = Arc::new(move |request| {
+        let node = node.clone();
+        Box::pin(async move { operator::answer(&node, request).await })
     });
-    let desk = quincehatch_proxy::listener::listen(&set.operator_listener, 1, at_desk, rt)?;
-    log::info!(target: "node", "node {} in {} listens on {}", set.name, set.zone, set.client_listener);
-    rt.spawn(gossip::serve(fleet.clone(), lst));
-    fleet.start();
-    args::wait_for_stop(&set, &handle).await;
-    log::info!(target: "node", "stopping: no new visits are taken");
-    node.registry.stopping.store(true, Ordering::SeqCst);
-    // The platform needs a moment to see that this node is not ready; open transactions get theirs.
-    tokio::time::sleep(Duration::from_millis(500)).await;
-    let until = now() + STOP_WITHIN;
-    while now() < until
-        && (node.requests_in_flight.load(Ordering::SeqCst) > 0 || open_transactions(&node) > 0)
-    {
-        tokio::time::sleep(Duration::from_millis(20)).await;
+    listen(&settings.operator_listener, OPERATOR_THREADS, handler, runtime)
+}
+
+/// Ends the node's work: it is not ready any more, requests and transactions in flight get their time, then it leaves
+/// the cluster.
+async fn shut_down(node: &Arc<ClusterNode>) {
+    log::info!(target: "node", "stopping: no new requests are taken");
+    node.proxy.registry.stopping.store(true, Ordering::SeqCst);
+    tokio::time::sleep(NOT_READY_NOTICE).await;
+    let deadline = now() + STOP_TIMEOUT_MS;
+    while now() < deadline && has_work(node) {
+        tokio::time::sleep(STOP_POLL).await;
     }
-    quincehatch_node::feed::leave_cluster(&fleet).await;
-    mesh.announce_leave().await;
-    door.close();
-    desk.close();
-    log::info!(target: "node", "stopped with {} visits in hand", node.requests_in_flight.load(Ordering::SeqCst));
-    Ok(())
+    feed::leave_cluster(node).await;
+    node.gossip.announce_leave().await;
+}
+
+fn has_work(node: &ClusterNode) -> bool {
+    node.proxy.requests_in_flight.load(Ordering::SeqCst) > 0 || open_transactions(&node.proxy) > 0
 }
--- a/crates/node/src/operator/mod.rs
+++ b/crates/node/src/operator/mod.rs
@@ -13,6 +13,9 @@
 mod server_report;
 mod status;
 
+#[cfg(test)]
+mod tests;
+
 pub use local_report::local_report;
 
 use crate::ClusterNode;
