--- a/crates/node/src/promotion.rs
+++ b/crates/node/src/promotion.rs
@@ -13,6 +13,7 @@
 mod pooled;
 mod state;
 mod suspicion;
+mod voter_sets;
 
 pub use duty::run as run_duty;
 pub use state::PromotionState;
--- a/crates/node/src/promotion/direct.rs
+++ b/crates/node/src/promotion/direct.rs
@@ -2,10 +2,12 @@
 mod acknowledged;
 mod acknowledged_bounds;
 mod actions;
+mod bound_refresh;
 mod group_state;
 mod handover;
 mod holders;
 mod initial_primary;
+mod launch;
 mod polling;
 mod probation;
 mod repair;
--- a/crates/node/src/promotion/direct/initial_primary.rs
+++ b/crates/node/src/promotion/direct/initial_primary.rs
@@ -1,7 +1,7 @@
 //! The first primary of a direct group.
 use super::super::fence::{FenceOutcome, FenceRequest, acquire_fence};
 use super::super::group_state::GroupState;
-use super::tending::begin_promotion;
+use super::launch::begin_promotion;
 use crate::node::Node;
 use quincehatch_core::{FencingToken, Millis, Name, PrimaryAssignment, Role};
 use quincehatch_proxy::registry::ServerEntry;
--- /dev/null
+++ b/crates/node/src/promotion/direct/launch.rs
@@ -0,0 +1,68 @@
+//! Plans a promotion of a direct group and starts it.
+use super::super::attempt::{begin_plan, old_primary};
+use super::super::execution::run_promotion;
+use super::super::group_state::GroupState;
+use super::handover::hand_over;
+use super::holders::{departed_servers, holders};
+use crate::node::Node;
+use quincehatch_core::Name;
+use quincehatch_failover::direct::candidate::SyncGroup;
+use quincehatch_failover::promotion::PromotionPlan;
+use quincehatch_proxy::registry::ServerEntry;
+use quincehatch_runtime::seam;
+use std::sync::Arc;
+
+/// Begins a promotion in a task of its own: a planned one as a handover, if that can be had.
+pub(super) fn begin_promotion(
+    node: &Arc<Node>,
+    group: &Name,
+    servers: &[Arc<ServerEntry>],
+    state: &mut GroupState,
+    planned: bool,
+) {
+    let plan = plan_promotion(node, group, servers, state, planned);
+    state.planned_at_fence = state.latest_fence;
+    state.promotion = Some(seam::spawn(promote(node.clone(), plan)));
+}
+
+fn plan_promotion(
+    node: &Node,
+    group: &Name,
+    servers: &[Arc<ServerEntry>],
+    state: &GroupState,
+    planned: bool,
+) -> PromotionPlan {
+    let names = || servers.iter().map(|server| server.name.clone());
+    let draining = servers.iter().filter(|server| server.is_draining());
+    let sync_group = SyncGroup {
+        sync_replicas: configured_sync_replicas(node, group),
+        holders: holders(node, group, servers, state.primary.as_ref()),
+        draining: draining.map(|server| server.name.clone()).collect(),
+        gathered_under: node.promotion_state.acknowledged_bounds.primary_fence(group),
+    };
+    PromotionPlan {
+        old_primary: old_primary(state.primary.as_ref()),
+        servers: names().collect(),
+        server_count: servers.len(),
+        planned,
+        preferred: node.promotion_state.take_handover_request(group),
+        voters: names().chain(departed_servers(node, group, servers)).collect(),
+        sync_group: Some(sync_group),
+        ..begin_plan(node, group, state)
+    }
+}
+
+fn configured_sync_replicas(node: &Node, group: &Name) -> u64 {
+    let state = node.proxy.registry.cluster_state();
+    let group = state.configuration.as_ref().and_then(|configuration| configuration.group(group));
+    group.and_then(|group| group.sync_replicas).unwrap_or(0)
+}
+
+async fn promote(node: Arc<Node>, mut plan: PromotionPlan) {
+    if plan.planned && hand_over(&node, &plan).await {
+        return;
+    }
+    // A handover that did not succeed took a fencing token, above which the promotion goes on.
+    plan.expected_fence = plan.expected_fence.max(node.promotion_state.own_fence(&plan.group));
+    run_promotion(node, plan).await;
+}
--- a/crates/node/src/promotion/evidence.rs
+++ b/crates/node/src/promotion/evidence.rs
@@ -2,7 +2,7 @@
 use super::group_state::GroupState;
 use crate::node::Node;
 use quincehatch_core::{Millis, Name};
-use quincehatch_failover::observation::GroupObservation;
+use quincehatch_failover::observation::{GroupObservation, PromotionNeed};
 use quincehatch_failover::votes::{FailureVotes, PrimaryObservation, SuspectedFailure};
 use quincehatch_gossip::{NodeQuery, NodeReply};
 use quincehatch_proxy::registry::{ServerEntry, StatusRecord};
@@ -81,7 +81,7 @@
 }
 
 /// Asks other nodes what they see of the primary's server, and whether they confirm its failure.
-pub(super) async fn others_confirm(
+async fn others_confirm(
     node: &Arc<Node>,
     observation: &GroupObservation,
     suspected: SuspectedFailure,
@@ -103,7 +103,21 @@
     votes.confirmed()
 }
 
-/// Which failure an observation that needs confirmation shows.
-pub(super) fn suspected_failure(primary_failed: bool) -> SuspectedFailure {
-    if primary_failed { SuspectedFailure::Unresponsive } else { SuspectedFailure::Stalled }
+/// What remains of a need once other nodes were asked, if it is to be confirmed: a promotion now, or nothing.
+/// `primary_failed`: the primary fails its status probes, as opposed to stalling.
+pub(super) async fn confirm_need(
+    node: &Arc<Node>,
+    observation: &GroupObservation,
+    need: PromotionNeed,
+    primary_failed: bool,
+) -> PromotionNeed {
+    if need != PromotionNeed::Confirm {
+        return need;
+    }
+    let suspected = if primary_failed { SuspectedFailure::Unresponsive } else { SuspectedFailure::Stalled };
+    if others_confirm(node, observation, suspected).await {
+        PromotionNeed::Now { planned: false }
+    } else {
+        PromotionNeed::Nothing
+    }
 }
--- a/crates/node/src/promotion/pooled.rs
+++ b/crates/node/src/promotion/pooled.rs
@@ -1,13 +1,14 @@
 //! Promotion in pooled groups, whose servers check fencing tokens and keep a majority-acknowledged log.
 mod actions;
 mod observation;
+mod servers;
 mod stragglers;
 mod voters;
 
 pub(super) use actions::{fence_server, promote_server};
 
 use super::attempt::{begin_plan, old_primary};
-use super::evidence::{others_confirm, suspected_failure};
+use super::evidence::confirm_need;
 use super::execution::run_promotion;
 use super::group_state::GroupState;
 use crate::node::Node;
@@ -28,17 +29,9 @@
     if now() < state.pause_until {
         return;
     }
-    let planned = match promotion_need(&observation) {
-        PromotionNeed::Nothing => return,
-        PromotionNeed::Now { planned } => planned,
-        PromotionNeed::Confirm => {
-            let suspected = suspected_failure(primary_failed(&observation));
-            if !others_confirm(node, &observation, suspected).await {
-                return;
-            }
-            false
-        }
-    };
+    let need = promotion_need(&observation);
+    let need = confirm_need(node, &observation, need, primary_failed(&observation)).await;
+    let PromotionNeed::Now { planned } = need else { return };
     let plan = plan_promotion(node, state, group, &observation, planned);
     state.planned_at_fence = state.latest_fence;
     state.promotion = Some(seam::spawn(run_promotion(node.clone(), plan)));
--- a/crates/node/src/promotion/pooled/observation.rs
+++ b/crates/node/src/promotion/pooled/observation.rs
@@ -1,6 +1,7 @@
 //! What the owner of a pooled group's duty observes of it.
 use super::super::evidence::{observe_group, observe_primary};
 use super::super::group_state::GroupState;
+use super::servers::servers_of;
 use super::voters::observe_replicas;
 use crate::node::Node;
 use quincehatch_core::{Name, Role, ServerState};
@@ -15,11 +16,6 @@
 /// The number of servers of a group none of whose servers declares it.
 const DEFAULT_SERVER_COUNT: usize = 3;
 
-/// The servers of the group that the registry knows.
-pub(super) fn servers_of(node: &Node, group: &Name) -> Vec<Arc<ServerEntry>> {
-    node.proxy.registry.servers().into_iter().filter(|server| server.group() == *group).collect()
-}
-
 /// Observes the group, and keeps in `state` since when conditions hold.
 pub(super) fn observe(node: &Node, group: &Name, state: &mut GroupState) -> GroupObservation {
     let servers = servers_of(node, group);
--- a/crates/node/src/promotion/pooled/stragglers.rs
+++ b/crates/node/src/promotion/pooled/stragglers.rs
@@ -1,6 +1,6 @@
 //! Servers that have not heard of the fencing token in force.
 use super::super::group_state::GroupState;
-use super::observation::servers_of;
+use super::servers::servers_of;
 use crate::node::Node;
 use quincehatch_core::{Millis, Name};
 use quincehatch_proxy::server_protocol::call;
--- a/crates/node/src/promotion/pooled/voters.rs
+++ b/crates/node/src/promotion/pooled/voters.rs
@@ -1,17 +1,13 @@
 //! Which servers vote on a group's commits.
-use super::observation::servers_of;
+use super::super::voter_sets;
+use super::servers::servers_of;
 use crate::node::Node;
 use quincehatch_core::{Name, PrimaryAssignment, Role, ServerState};
 use quincehatch_failover::observation::GroupObservation;
 use quincehatch_failover::voters::ReplicaObservation;
 use quincehatch_proxy::registry::ServerEntry;
 use quincehatch_runtime::{now, seam};
-use quincehatch_store::Command;
-use quincehatch_store::store::promotion_duty_key;
 use std::sync::Arc;
-use std::time::Duration;
-
-const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How the group's servers look from here.
 pub(super) fn observe_replicas(node: &Node, group: &Name) -> Vec<ReplicaObservation> {
@@ -38,13 +34,8 @@
     if !shows_all_of_its_log(node, assignment) {
         return;
     }
-    let fence = assignment.fence;
-    let key = format!("{}/lists/{fence}", promotion_duty_key(group));
-    let command = Command::DropPreviousVoters { group: group.clone(), fence };
-    let node = node.clone();
-    seam::spawn(async move {
-        let _ = node.store_client.write(&key, command, WRITE_TIMEOUT).await;
-    });
+    let (node, group, fence) = (node.clone(), group.clone(), assignment.fence);
+    seam::spawn(async move { voter_sets::drop_previous_voters(&node, &group, fence).await });
 }
 
 /// A primary is up only once it shows all of its log.
