--- a/crates/proxy/src/client_api/reply.rs
+++ b/crates/proxy/src/client_api/reply.rs
@@ -1,4 +1,4 @@
-//! The replies to clients (docs/origin.md).
+//! The replies to clients (docs/client-api.md).
 use quincehatch_core::{Error, Name, Outcome, Stamp, Version};
 use quincehatch_runtime::seam;
 use serde::{Deserialize, Serialize};
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -117,7 +117,7 @@
         Reply::read(body)
     }
 
-    /// Whether the platform may send clients here, and why not (docs/origin.md).
+    /// Whether the platform may send clients here, and why not (docs/client-api.md).
     pub fn readiness(&self) -> Result<Value, Error> {
         if self.registry.is_stopping() {
             return Err(ErrorCode::Stopping.without_detail());
