--- a/crates/node/src/operator/configuration.rs
+++ b/crates/node/src/operator/configuration.rs
@@ -1,6 +1,6 @@
 //! `push`, `history` and `rollback`.
 use super::configuration_diff::configuration_diff;
-use crate::ClusterNode;
+use crate::Node;
 use quincehatch_config::configuration::Configuration;
 use quincehatch_core::{Error, ErrorCode, Name};
 use quincehatch_operator_api::configuration::{
@@ -20,7 +20,7 @@
 const DEFAULT_AUTHOR: &str = "operator";
 
 /// Validates a configuration and writes it as a new version, unless only the difference is asked for.
-pub async fn push(node: &ClusterNode, text: &str, options: &WriteOptions) -> Result<PushReply, Error> {
+pub async fn push(node: &Node, text: &str, options: &WriteOptions) -> Result<PushReply, Error> {
     let configuration = parse(node, text)?;
     let stored_text = configuration.to_stored_json();
     let in_force = node.feed_state.lock().unwrap().clone();
@@ -43,7 +43,7 @@
     }
 }
 
-fn parse(node: &ClusterNode, text: &str) -> Result<Configuration, Error> {
+fn parse(node: &Node, text: &str) -> Result<Configuration, Error> {
     let parsed = Configuration::parse(text);
     let in_force = node.proxy.registry.cluster_state().configuration.clone();
     match in_force {
@@ -55,7 +55,7 @@
     }
 }
 
-fn placements_without_server(node: &ClusterNode, configuration: &Configuration) -> Vec<String> {
+fn placements_without_server(node: &Node, configuration: &Configuration) -> Vec<String> {
     let mut names = Vec::new();
     for placement in &configuration.placements {
         if node.proxy.registry.servers_in_placement(configuration, placement).is_empty() {
@@ -74,7 +74,7 @@
 }
 
 /// The versions that the store retains.
-pub async fn history(node: &ClusterNode) -> Result<HistoryReply, Error> {
+pub async fn history(node: &Node) -> Result<HistoryReply, Error> {
     let store = node.store_client.read_store(READ_TIMEOUT).await?;
     Ok(HistoryReply { history: store.history.iter().map(retained_version).collect() })
 }
@@ -98,7 +98,7 @@
 }
 
 /// Writes a new version with the content of an older one.
-pub async fn rollback(node: &ClusterNode, request: &RollbackRequest) -> Result<PushReply, Error> {
+pub async fn rollback(node: &Node, request: &RollbackRequest) -> Result<PushReply, Error> {
     let store = node.store_client.read_store(READ_TIMEOUT).await?;
     let entry = store.history_entry(request.version);
     let entry = entry.ok_or_else(|| ErrorCode::NoSuchVersion.with_detail(request.version))?;
--- a/crates/node/src/operator/explain.rs
+++ b/crates/node/src/operator/explain.rs
@@ -1,13 +1,13 @@
 //! `explain`.
 use super::fan_out::report_from_all_nodes;
 use super::report_query::ReportQuery;
-use crate::ClusterNode;
+use crate::Node;
 use quincehatch_core::{Error, ErrorCode};
 use quincehatch_operator_api::explain::{ExplainReply, ExplainRequest, ExplainSubject};
 use std::sync::Arc;
 
 /// What every node has recorded about the subject.
-pub async fn explain(node: &Arc<ClusterNode>, request: ExplainRequest) -> Result<ExplainReply, Error> {
+pub async fn explain(node: &Arc<Node>, request: ExplainRequest) -> Result<ExplainReply, Error> {
     let query = match request.subject() {
         Some(ExplainSubject::Server(server)) => ReportQuery::ServerHealth(server.into()),
         Some(ExplainSubject::Request(id)) => ReportQuery::RequestTrace(id.into()),
--- a/crates/node/src/operator/fan_out.rs
+++ b/crates/node/src/operator/fan_out.rs
@@ -1,6 +1,6 @@
 //! One question to every node of the cluster.
 use super::report_query::ReportQuery;
-use crate::ClusterNode;
+use crate::Node;
 use quincehatch_core::Name;
 use quincehatch_gossip::NodeReply;
 use quincehatch_operator_api::fan_out::NodeAnswer;
@@ -11,7 +11,7 @@
 ///
 /// An answer that cannot be read counts as none: the node may run another version.
 pub async fn report_from_all_nodes<Report: DeserializeOwned>(
-    node: &Arc<ClusterNode>,
+    node: &Arc<Node>,
     query: &ReportQuery,
 ) -> Vec<NodeAnswer<Report>> {
     let records = node.gossip.membership.lock().unwrap().member_records();
--- a/crates/node/src/operator/maintenance.rs
+++ b/crates/node/src/operator/maintenance.rs
@@ -1,6 +1,6 @@
 //! `promote` and `drain`.
 use super::report_query::ReportQuery;
-use crate::ClusterNode;
+use crate::Node;
 use quincehatch_core::{Error, ErrorCode, Name};
 use quincehatch_gossip::{NodeReply, ownership};
 use quincehatch_operator_api::maintenance::{
@@ -10,7 +10,7 @@
 use std::sync::atomic::Ordering;
 
 /// Asks the node that is responsible for the group's promotions to hand its primary over.
-pub async fn promote(node: &ClusterNode, request: &PromoteRequest) -> Result<PromoteReply, Error> {
+pub async fn promote(node: &Node, request: &PromoteRequest) -> Result<PromoteReply, Error> {
     let group = &request.group;
     if node.proxy.registry.primary(group).is_none() {
         return Err(ErrorCode::NoSuchServer.with_detail(format_args!("no group is called {group:?}")));
@@ -25,7 +25,7 @@
 }
 
 /// Asks a node to take no new clients, or to take them again.
-pub async fn drain(node: &ClusterNode, request: &DrainRequest) -> Result<DrainReply, Error> {
+pub async fn drain(node: &Node, request: &DrainRequest) -> Result<DrainReply, Error> {
     let query = ReportQuery::SetDraining(!request.undo);
     match node.gossip.query(&request.name, query.to_message()).await? {
         NodeReply::Report { json } => {
@@ -37,7 +37,7 @@
 }
 
 /// Takes no new clients here, or takes them again.
-pub fn set_draining(node: &ClusterNode, draining: bool) -> DrainState {
+pub fn set_draining(node: &Node, draining: bool) -> DrainState {
     let proxy = &node.proxy;
     proxy.registry.draining.store(draining, Ordering::SeqCst);
     log::info!(target: "node", "draining is {}", if draining { "on" } else { "off" });
--- a/crates/node/src/operator/members.rs
+++ b/crates/node/src/operator/members.rs
@@ -1,5 +1,5 @@
 //! `members`.
-use crate::ClusterNode;
+use crate::Node;
 use quincehatch_core::{Error, ErrorCode};
 use quincehatch_operator_api::members::{MembersReply, MembersRequest, ViewReport, VoterReport};
 use quincehatch_runtime::seam;
@@ -17,7 +17,7 @@
 const CHANGE_INTERVAL: Duration = Duration::from_millis(400);
 
 /// The voting keepers, after the change that is requested, if any.
-pub async fn members(node: &ClusterNode, request: &MembersRequest) -> Result<MembersReply, Error> {
+pub async fn members(node: &Node, request: &MembersRequest) -> Result<MembersReply, Error> {
     let any_keeper = node.store_client.next_keeper();
     node.store_client.refresh_view_from(&any_keeper).await;
     let view = node.store_client.view();
@@ -47,7 +47,7 @@
     Ok(Some(Voter { name: name.into(), addr: addr.into() }))
 }
 
-async fn require_running(node: &ClusterNode, voter: &Voter) -> Result<(), Error> {
+async fn require_running(node: &Node, voter: &Voter) -> Result<(), Error> {
     let Voter { name, addr } = voter;
     match node.store_client.call(addr, Request::Status, STATUS_TIMEOUT).await {
         Ok(Reply::Status { status }) if status.name == *name => Ok(()),
@@ -59,7 +59,7 @@
 }
 
 /// Requests a view with other voters, until it is in force.
-async fn change_voters(node: &ClusterNode, view: &View, voters: Vec<Voter>) -> Result<View, Error> {
+async fn change_voters(node: &Node, view: &View, voters: Vec<Voter>) -> Result<View, Error> {
     let store_client = &node.store_client;
     for _ in 0..CHANGE_ATTEMPTS {
         let request = Request::ChangeVoters { version: view.version, voters: voters.clone() };
--- a/crates/node/src/operator/mod.rs
+++ b/crates/node/src/operator/mod.rs
@@ -18,7 +18,7 @@
 
 pub use local_report::local_report;
 
-use crate::ClusterNode;
+use crate::Node;
 use bytes::Bytes;
 use quincehatch_core::{Error, ErrorCode};
 use quincehatch_operator_api::configuration::{HistoryRequest, PushRequest, RollbackRequest};
@@ -40,7 +40,7 @@
 const HEARTBEAT_PATH: &str = "/beat";
 
 /// Answers one request at the operator listener with an HTTP status and a JSON body.
-pub async fn answer(node: &Arc<ClusterNode>, request: HttpRequest) -> (u16, Value) {
+pub async fn answer(node: &Arc<Node>, request: HttpRequest) -> (u16, Value) {
     let reply = if request.path == HEARTBEAT_PATH {
         heartbeat::handle(node, &request.body)
     } else {
@@ -52,7 +52,7 @@
     }
 }
 
-async fn answer_operator(node: &Arc<ClusterNode>, request: &HttpRequest) -> Result<Value, Error> {
+async fn answer_operator(node: &Arc<Node>, request: &HttpRequest) -> Result<Value, Error> {
     if !CallName::is_operator_path(&request.path) {
         return Err(ErrorCode::NoSuchCall.without_detail());
     }
@@ -72,7 +72,7 @@
     serde_json::from_slice(body).map_err(|error| ErrorCode::Malformed.with_detail(error))
 }
 
-async fn dispatch(node: &Arc<ClusterNode>, call: CallName, body: Value) -> Result<Value, Error> {
+async fn dispatch(node: &Arc<Node>, call: CallName, body: Value) -> Result<Value, Error> {
     match call {
         CallName::Status => to_json::<StatusRequest>(status::status(node).await),
         CallName::Nodes => to_json::<NodesRequest>(status::nodes(node).await),
--- a/crates/node/src/operator/node_report.rs
+++ b/crates/node/src/operator/node_report.rs
@@ -1,5 +1,5 @@
 //! A node's report on itself, and on the requests that passed it.
-use crate::ClusterNode;
+use crate::Node;
 use quincehatch_core::Error;
 use quincehatch_operator_api::explain::{RequestLocation, RequestTrace};
 use quincehatch_operator_api::nodes::NodeReport;
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering;
 
 /// This node's report on itself.
-pub fn node_report(node: &ClusterNode) -> NodeReport {
+pub fn node_report(node: &Node) -> NodeReport {
     let proxy = &node.proxy;
     let settings = &proxy.settings;
     let cluster_state = proxy.registry.cluster_state();
@@ -48,7 +48,7 @@
 }
 
 /// The path of a request through this node; `None` if it did not pass here or is forgotten.
-pub fn request_trace(node: &ClusterNode, id: &str) -> Option<RequestTrace> {
+pub fn request_trace(node: &Node, id: &str) -> Option<RequestTrace> {
     let id = id.parse::<u64>().ok()?;
     let traces = node.proxy.traces.lock().unwrap();
     let trace = traces.iter().rev().find(|trace| trace.id == id)?;
--- a/crates/node/src/operator/placements.rs
+++ b/crates/node/src/operator/placements.rs
@@ -1,12 +1,12 @@
 //! `placements`.
-use crate::ClusterNode;
+use crate::Node;
 use quincehatch_config::configuration::{Configuration, Placement, Zone};
 use quincehatch_core::{Error, ErrorCode, Name};
 use quincehatch_operator_api::placements::{PlacementReport, PlacementsReply, ZoneReport};
 use std::collections::BTreeSet;
 
 /// The placements of the configuration in force, with their servers and routes.
-pub fn placements(node: &ClusterNode) -> Result<PlacementsReply, Error> {
+pub fn placements(node: &Node) -> Result<PlacementsReply, Error> {
     let cluster_state = node.proxy.registry.cluster_state();
     let configuration =
         cluster_state.configuration.clone().ok_or_else(|| ErrorCode::NoConfiguration.without_detail())?;
@@ -19,11 +19,7 @@
     })
 }
 
-fn placement_report(
-    node: &ClusterNode,
-    configuration: &Configuration,
-    placement: &Placement,
-) -> PlacementReport {
+fn placement_report(node: &Node, configuration: &Configuration, placement: &Placement) -> PlacementReport {
     let servers = node.proxy.registry.servers_in_placement(configuration, placement);
     let routes = configuration.routes.iter().filter(|route| route.placement == placement.name);
     PlacementReport {
@@ -41,7 +37,7 @@
 
 /// Zones of known servers and nodes that the configuration does not list: where zones are listed, these have no labels,
 /// so that selectors may miss their servers and nodes.
-fn unknown_zones(node: &ClusterNode, configuration: &Configuration) -> Vec<Name> {
+fn unknown_zones(node: &Node, configuration: &Configuration) -> Vec<Name> {
     if configuration.zones.is_empty() {
         return Vec::new();
     }
--- a/crates/simulator/src/control/cluster.rs
+++ b/crates/simulator/src/control/cluster.rs
@@ -8,7 +8,7 @@
 use crate::fleet::core::{ProcessId, Simulation};
 use quincehatch_core::{Millis, Name};
 use quincehatch_store::View;
-use quincehatch_store::keeper::RecoveredState;
+use quincehatch_store::record::RecoveredState;
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
 
