--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`sessions`]: replicas of client sessions on other nodes;
 //! - [`promotion`]: the singleton duty that watches a group's primary and promotes another;
 //! - [`enrollment_cleanup`]: the singleton duty that dismisses nodes that are gone;
-//! - [`client_api`] and [`operator`]: what clients and operators call.
+//! - [`client_api`] and [`operator`]: what the two HTTP listeners answer.
 //!
 //! All of it runs over the runtime seam, so the simulator runs the same code in virtual time.
 #![warn(
--- a/crates/node/src/operator/local_report.rs
+++ b/crates/node/src/operator/local_report.rs
@@ -3,11 +3,11 @@
 //! Reports never contain statement text, parameters or rows.
 use super::report_query::ReportQuery;
 use super::{maintenance, node_report, server_report};
-use crate::ClusterNode;
+use crate::Node;
 use serde_json::{Value, json};
 
 /// The answer as JSON; `null` if this node knows nothing of the subject or does not know the question.
-pub fn local_report(node: &ClusterNode, what: &str, key: &str) -> Value {
+pub fn local_report(node: &Node, what: &str, key: &str) -> Value {
     match ReportQuery::parse(what, key) {
         Some(ReportQuery::Node) => json!(node_report::node_report(node)),
         Some(ReportQuery::ServerHealth(server)) => json!(server_report::health_report(node, &server)),
--- a/crates/node/src/operator/server_report.rs
+++ b/crates/node/src/operator/server_report.rs
@@ -1,5 +1,5 @@
 //! Database servers as this node sees them.
-use crate::ClusterNode;
+use crate::Node;
 use quincehatch_operator_api::explain::{EvidenceReport, HealthReport, TransitionReport};
 use quincehatch_operator_api::servers::{ServerReport, ServersReply};
 use quincehatch_proxy::evidence::Evidence;
@@ -9,7 +9,7 @@
 use std::sync::atomic::Ordering;
 
 /// All servers that this node knows.
-pub fn servers(node: &ClusterNode) -> ServersReply {
+pub fn servers(node: &Node) -> ServersReply {
     let servers = node.proxy.registry.servers();
     ServersReply {
         node: node.proxy.settings.name.as_str().into(),
@@ -17,7 +17,7 @@
     }
 }
 
-fn server_report(node: &ClusterNode, server: &ServerEntry) -> ServerReport {
+fn server_report(node: &Node, server: &ServerEntry) -> ServerReport {
     let heartbeat = server.heartbeat.read().unwrap().clone();
     let status = server.status.lock().unwrap().clone();
     let connections = server.pool.slots.count();
@@ -43,7 +43,7 @@
 }
 
 /// How this node came to see a server's health as it does; `None` if it does not know the server.
-pub fn health_report(node: &ClusterNode, server: &str) -> Option<HealthReport> {
+pub fn health_report(node: &Node, server: &str) -> Option<HealthReport> {
     let server = node.proxy.registry.server(server)?;
     let health = server.health.lock().unwrap();
     let probation_in_ms =
--- a/crates/node/src/operator/status.rs
+++ b/crates/node/src/operator/status.rs
@@ -2,7 +2,7 @@
 use super::fan_out::report_from_all_nodes;
 use super::members::view_report;
 use super::report_query::ReportQuery;
-use crate::ClusterNode;
+use crate::Node;
 use quincehatch_core::Name;
 use quincehatch_operator_api::nodes::NodesReply;
 use quincehatch_operator_api::status::{
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 /// The state of the whole cluster.
-pub async fn status(node: &Arc<ClusterNode>) -> StatusReply {
+pub async fn status(node: &Arc<Node>) -> StatusReply {
     let statuses = node.store_client.keeper_statuses().await;
     let keepers =
         statuses.into_iter().map(|(name, addr, status)| keeper_answer(name, addr, status)).collect();
@@ -32,7 +32,7 @@
 }
 
 /// Every node's report on itself.
-pub async fn nodes(node: &Arc<ClusterNode>) -> NodesReply {
+pub async fn nodes(node: &Arc<Node>) -> NodesReply {
     NodesReply { nodes: report_from_all_nodes(node, &ReportQuery::Node).await }
 }
 
