--- a/crates/simulator/src/control/budget.rs
+++ b/crates/simulator/src/control/budget.rs
@@ -4,19 +4,19 @@
 
 /// Until when a place of the deployment counts as lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Lost {
+enum Loss {
     Now,
     Until(Millis),
 }
 
 #[derive(Debug, Default)]
-pub struct Budget {
-    lost: BTreeMap<usize, Lost>,
+pub struct FaultBudget {
+    lost: BTreeMap<usize, Loss>,
     /// Spans of trouble with the core; an event is an empty span.
     disturbances: Vec<(Millis, Millis)>,
 }
 
-impl Budget {
+impl FaultBudget {
     /// True when losing the machine in `slot` as well stays within what is tolerated.
     pub fn allows(&self, slot: usize, now: Millis, tolerated: usize) -> bool {
         let others = self.lost.iter().filter(|(other, lost)| **other != slot && lost.holds(now)).count();
@@ -28,24 +28,24 @@
     }
     /// True while the machine in `slot` is down or in trouble.
     pub fn is_lost_now(&self, slot: usize) -> bool {
-        self.lost.get(&slot) == Some(&Lost::Now)
+        self.lost.get(&slot) == Some(&Loss::Now)
     }
-    pub fn lose(&mut self, slot: usize) {
-        self.lost.insert(slot, Lost::Now);
+    pub fn mark_lost(&mut self, slot: usize) {
+        self.lost.insert(slot, Loss::Now);
     }
     pub fn mark_lost_until(&mut self, slot: usize, until: Millis) {
         let had = match self.lost.get(&slot) {
-            Some(Lost::Until(had)) => *had,
+            Some(Loss::Until(had)) => *had,
             _ => 0,
         };
-        self.lost.insert(slot, Lost::Until(until.max(had)));
+        self.lost.insert(slot, Loss::Until(until.max(had)));
     }
-    pub fn trouble(&mut self, from: Millis, to: Millis) {
+    pub fn record_disturbance(&mut self, from: Millis, to: Millis) {
         self.disturbances.push((from, to));
     }
 
     /// Spans until `end` without trouble, each from `contact` after the last.
-    pub fn settled(&self, contact: Millis, end: Millis) -> Vec<(Millis, Millis)> {
+    pub fn settled_spans(&self, contact: Millis, end: Millis) -> Vec<(Millis, Millis)> {
         let mut troubles = self.disturbances.clone();
         troubles.sort_unstable();
         let mut spans = Vec::new();
@@ -60,11 +60,11 @@
     }
 }
 
-impl Lost {
+impl Loss {
     fn holds(self, now: Millis) -> bool {
         match self {
-            Lost::Now => true,
-            Lost::Until(until) => now < until,
+            Loss::Now => true,
+            Loss::Until(until) => now < until,
         }
     }
 }
--- a/crates/simulator/src/control/call_kind.rs
+++ b/crates/simulator/src/control/call_kind.rs
@@ -13,7 +13,7 @@
 }
 
 impl CallKind {
-    pub fn of(ask: &Request) -> CallKind {
+    pub fn from_request(ask: &Request) -> CallKind {
         match ask {
             Request::Status => CallKind::Status,
             Request::ChangeVoters { .. } => CallKind::Machines,
--- a/crates/simulator/src/control/checks.rs
+++ b/crates/simulator/src/control/checks.rs
@@ -1,13 +1,13 @@
 //! The checks of a finished run's history. Each breach begins with its check's number.
-use super::history::{Document, History, Order};
+use super::history::{Document, History, Submission};
 use super::parameters::Parameters;
 use quincehatch_core::Millis;
 use std::collections::BTreeMap;
 
 /// Breaches of one check that are reported at most.
-const REPORTED: usize = 5;
+const MAX_REPORTED: usize = 5;
 
-pub fn check(history: &History, parameters: &Parameters) -> Vec<String> {
+pub fn check_history(history: &History, parameters: &Parameters) -> Vec<String> {
     let found = [
         check_acknowledged_is_durable(history),
         check_one_document_per_number(history),
@@ -16,9 +16,9 @@
         check_read_back(history),
         check_settled_liveness(history, parameters),
         check_leased_nodes_are_current(history, parameters),
-        history.breaches.clone(),
+        history.violations.clone(),
     ];
-    found.into_iter().flat_map(|breaches| breaches.into_iter().take(REPORTED)).collect()
+    found.into_iter().flat_map(|breaches| breaches.into_iter().take(MAX_REPORTED)).collect()
 }
 
 /// The highest document known by each time; times rise.
@@ -46,7 +46,7 @@
     document.is_none_or(|document| document.number < floor.number)
 }
 
-fn shown(document: Option<Document>) -> String {
+fn describe(document: Option<Document>) -> String {
     document.map_or_else(|| "nothing".into(), |document| document.text())
 }
 
@@ -55,13 +55,13 @@
     let floor = Floor::of(history.acknowledged.iter().copied());
     let mut breaches = Vec::new();
     for read in &history.reads {
-        let Some(least) = floor.before(read.began) else { continue };
+        let Some(least) = floor.before(read.began_at) else { continue };
         if is_below(read.document, least) {
-            let got = shown(read.document);
+            let got = describe(read.document);
             breaches.push(format!(
                 "C1 a read of {} to {} gave {got}; {} was acknowledged",
-                read.began,
-                read.ended,
+                read.began_at,
+                read.ended_at,
                 least.text()
             ));
         }
@@ -95,19 +95,19 @@
     let shown = |(at, document): &(Millis, Document)| {
         format!("C3 {} was refused at {at} after its acknowledgement", document.text())
     };
-    history.refused.iter().filter(refused_after).map(shown).collect()
+    history.rejected.iter().filter(refused_after).map(shown).collect()
 }
 
 /// C4: no read returns an older document than a read that ended before it began.
 fn check_reads_are_monotonic(history: &History) -> Vec<String> {
-    let seen = history.reads.iter().filter_map(|read| Some((read.ended, read.document?)));
+    let seen = history.reads.iter().filter_map(|read| Some((read.ended_at, read.document?)));
     let floor = Floor::of(seen);
     let mut breaches = Vec::new();
     for read in &history.reads {
-        let Some(least) = floor.before(read.began) else { continue };
+        let Some(least) = floor.before(read.began_at) else { continue };
         if is_below(read.document, least) {
-            let got = shown(read.document);
-            breaches.push(format!("C4 a read at {} gave {got} after {}", read.began, least.text()));
+            let got = describe(read.document);
+            breaches.push(format!("C4 a read at {} gave {got} after {}", read.began_at, least.text()));
         }
     }
     breaches
@@ -124,8 +124,8 @@
 /// C-live: while the core is settled, a proper order is acknowledged in time.
 fn check_settled_liveness(history: &History, parameters: &Parameters) -> Vec<String> {
     let mut breaches = Vec::new();
-    for order in history.orders.iter().filter(|order| !order.contested) {
-        let late = history.settled.iter().find(|span| waited(order, **span) > parameters.ack);
+    for order in history.submissions.iter().filter(|order| !order.contested) {
+        let late = history.settled.iter().find(|span| waited(order, **span) > parameters.acknowledge_within);
         if let Some(span) = late {
             let document = order.document.text();
             breaches.push(format!(
@@ -141,8 +141,8 @@
 }
 
 /// How long the order waited for its answer within the span.
-fn waited(order: &Order, span: (Millis, Millis)) -> Millis {
-    let ends = [order.ended, order.superseded_at, Some(span.1)];
+fn waited(order: &Submission, span: (Millis, Millis)) -> Millis {
+    let ends = [order.ended_at, order.superseded_at, Some(span.1)];
     let end = ends.into_iter().flatten().min().unwrap_or(span.1);
     end.saturating_sub(order.sent_at.max(span.0))
 }
@@ -152,13 +152,15 @@
     let floor = Floor::of(history.acknowledged.iter().copied());
     let mut breaches = Vec::new();
     for applied in &history.applied {
-        let Some(least) = floor.before(applied.at.saturating_sub(parameters.apply_within)) else { continue };
+        let Some(least) = floor.before(applied.observed_at.saturating_sub(parameters.apply_within)) else {
+            continue;
+        };
         if is_below(applied.document, least) {
-            let got = shown(applied.document);
+            let got = describe(applied.document);
             breaches.push(format!(
                 "C10 node {} holds its lease at {} with {got}; {} was acknowledged",
                 applied.node,
-                applied.at,
+                applied.observed_at,
                 least.text()
             ));
         }
--- a/crates/simulator/src/control/cluster.rs
+++ b/crates/simulator/src/control/cluster.rs
@@ -1,11 +1,11 @@
 //! The simulated machines and all that a run's parts share.
-use super::budget::Budget;
+use super::budget::FaultBudget;
 use super::disk::Disk;
 use super::history::{Document, History};
 use super::invariants::Invariants;
 use super::machine::{self, Process};
 use super::parameters::Parameters;
-use crate::fleet::core::{ProcessId, Simulation};
+use crate::fleet::simulation::{ProcessId, Simulation};
 use quincehatch_core::{Millis, Name};
 use quincehatch_store::View;
 use quincehatch_store::keeper::RecoveredState;
@@ -13,7 +13,7 @@
 use std::sync::{Arc, Mutex};
 
 /// Machines that are named to all others at the first start.
-const SEEDS: usize = 3;
+const INITIAL_SEEDS: usize = 3;
 
 pub struct Machine {
     pub pid: ProcessId,
@@ -29,7 +29,7 @@
 }
 
 #[derive(Default)]
-pub struct State {
+pub struct ClusterState {
     pub machines: Vec<Machine>,
     /// The seeds that the operators' list names, known to processes that start from now on.
     pub seeds: Vec<Name>,
@@ -44,10 +44,10 @@
 pub struct Cluster {
     pub core: Arc<Simulation>,
     pub parameters: Parameters,
-    pub state: Mutex<State>,
+    pub state: Mutex<ClusterState>,
     pub history: Mutex<History>,
     pub invariants: Mutex<Invariants>,
-    pub budget: Mutex<Budget>,
+    pub budget: Mutex<FaultBudget>,
 }
 
 impl Cluster {
@@ -55,7 +55,7 @@
         Arc::new(Cluster {
             core,
             parameters,
-            state: Mutex::new(State { first_start: true, ..Default::default() }),
+            state: Mutex::new(ClusterState { first_start: true, ..Default::default() }),
             history: Mutex::default(),
             invariants: Mutex::default(),
             budget: Mutex::default(),
@@ -65,7 +65,7 @@
     /// All machines of the first start, which begin within 0.3 s of each other.
     pub fn start_all(self: &Arc<Self>) {
         let count = self.parameters.shape.machines;
-        self.state.lock().unwrap().seeds = (1..=SEEDS.min(count)).map(address).collect();
+        self.state.lock().unwrap().seeds = (1..=INITIAL_SEEDS.min(count)).map(address).collect();
         for slot in 0..count {
             let cluster = self.clone();
             let at = self.below(300);
@@ -173,7 +173,7 @@
     }
 
     /// Processes that are not core machines: operators, readers and nodes.
-    pub fn others(&self) -> Vec<ProcessId> {
+    pub fn non_machine_processes(&self) -> Vec<ProcessId> {
         let state = self.state.lock().unwrap();
         let core: BTreeSet<ProcessId> = state.machines.iter().map(|machine| machine.pid).collect();
         drop(state);
--- a/crates/simulator/src/control/door.rs
+++ b/crates/simulator/src/control/configuration_api.rs
@@ -1,7 +1,7 @@
 //! The control door of a machine: what the platform's control calls come to, over the real chain client.
 use super::cluster::Cluster;
 use super::history::Document;
-use crate::fleet::core::ProcessId;
+use crate::fleet::simulation::ProcessId;
 use quincehatch_core::{Error, ErrorCode, Name, messages};
 use quincehatch_node::store_client::StoreClient;
 use quincehatch_runtime::seam::{self, BoxFuture};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// The door answers within this time, as its callers move on after a second.
-const WITHIN: Duration = Duration::from_millis(900);
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
 messages! {
     pub enum DoorCall { Replace { text: String }, Retrieve }
@@ -24,7 +24,7 @@
     format!("door/{address}")
 }
 
-pub fn open(cluster: &Arc<Cluster>, pid: ProcessId, address: &Name, seeds: &[Name]) {
+pub fn listen(cluster: &Arc<Cluster>, pid: ProcessId, address: &Name, seeds: &[Name]) {
     let keepers: Vec<String> = std::iter::once(address).chain(seeds).map(Name::to_string).collect();
     let chain = Arc::new(StoreClient::new(address, &keepers));
     let on_frame = move |bytes: Vec<u8>| {
@@ -54,7 +54,7 @@
         return DoorAnswer::Acknowledged;
     }
     let (key, command) = adopt_command(document, text);
-    match seam::timeout(WITHIN, chain.write(&key, command, WITHIN)).await {
+    match seam::timeout(CALL_TIMEOUT, chain.write(&key, command, CALL_TIMEOUT)).await {
         Ok(Ok(_)) => DoorAnswer::Acknowledged,
         Ok(Err(why)) if is_rejection(&why) => DoorAnswer::Refused,
         _ if seam::injected_bug("confirm-unseen") => DoorAnswer::Acknowledged,
@@ -64,7 +64,7 @@
 
 /// The deliberate bug's look at the number alone.
 async fn holds_number(chain: &StoreClient, number: u64) -> bool {
-    let held = chain.read_adopted_document(WITHIN).await.ok().flatten();
+    let held = chain.read_adopted_document(CALL_TIMEOUT).await.ok().flatten();
     held.is_some_and(|held| held.number >= number)
 }
 
@@ -74,7 +74,7 @@
 }
 
 async fn retrieve(chain: &StoreClient) -> DoorAnswer {
-    match chain.read_adopted_document(WITHIN).await {
+    match chain.read_adopted_document(CALL_TIMEOUT).await {
         Ok(adopted) => DoorAnswer::Document { text: adopted.map(|adopted| adopted.source) },
         Err(_) => DoorAnswer::NoClearAnswer,
     }
--- a/crates/simulator/src/control/effects.rs
+++ b/crates/simulator/src/control/fault_effects.rs
@@ -1,37 +1,37 @@
 //! What each fault does to machines, links and disks, and how it ends.
 use super::cluster::{Cluster, Machine};
 use super::machine;
-use crate::fleet::core::ProcessId;
+use crate::fleet::simulation::ProcessId;
 use quincehatch_core::{Millis, Name};
 use std::sync::Arc;
 
 /// How often an orderly stop that has to wait is tried again.
 const RETRY: Millis = 20;
 /// A keeper that has left the chain stays so long, for its last messages to go out.
-const FAREWELL: Millis = 100;
+const LINGER_AFTER_LEAVE: Millis = 100;
 /// Time after the end of a leave in which a keeper that hangs is stopped all the same.
 const STOP_MARGIN: Millis = 500;
 
 /// Does something at a later time.
-pub fn after(cluster: &Arc<Cluster>, at: Millis, act: impl FnOnce(&Arc<Cluster>) + Send + 'static) {
+pub fn schedule_at(cluster: &Arc<Cluster>, at: Millis, act: impl FnOnce(&Arc<Cluster>) + Send + 'static) {
     let shared = cluster.clone();
     cluster.core.schedule_action(at, move |_| act(&shared));
 }
 
-pub fn trouble(cluster: &Cluster) {
+pub fn record_disturbance(cluster: &Cluster) {
     let now = cluster.core.now();
-    cluster.budget.lock().unwrap().trouble(now, now);
+    cluster.budget.lock().unwrap().record_disturbance(now, now);
 }
 
 /// The machine's trouble is over: it counts as lost for the time it needs to catch up.
-pub fn recovered(cluster: &Cluster, machine: usize) {
-    trouble(cluster);
-    let until = cluster.core.now() + cluster.parameters.catch_up;
+pub fn mark_recovered(cluster: &Cluster, machine: usize) {
+    record_disturbance(cluster);
+    let until = cluster.core.now() + cluster.parameters.catch_up_time;
     cluster.budget.lock().unwrap().mark_lost_until(cluster.slot(machine), until);
 }
 
 pub fn kill_machine(cluster: &Arc<Cluster>, machine: usize, power: bool) {
-    trouble(cluster);
+    record_disturbance(cluster);
     cluster.core.crash(cluster.pid(machine), power);
     let keeps = !power && cluster.chance(500);
     let disk = cluster.disk(machine);
@@ -45,7 +45,7 @@
 
 pub fn restart_machine(cluster: &Arc<Cluster>, machine: usize) {
     cluster.core.restart(cluster.pid(machine));
-    recovered(cluster, machine);
+    mark_recovered(cluster, machine);
 }
 
 pub fn remove_machine(cluster: &Arc<Cluster>, machine: usize) {
@@ -55,15 +55,15 @@
     *present = false;
     let address = address.clone();
     drop(state);
-    cluster.core.lock().network.at.remove(address.as_str());
+    cluster.core.lock().network.addresses.remove(address.as_str());
 }
 
 pub fn add_successor(cluster: &Arc<Cluster>, slot: usize) {
-    trouble(cluster);
+    record_disturbance(cluster);
     let address = cluster.fresh_address();
     cluster.add_machine(slot, address);
     let at = cluster.core.now() + cluster.parameters.seed_lag;
-    after(cluster, at, |c| replace_absent_seeds(c));
+    schedule_at(cluster, at, |c| replace_absent_seeds(c));
 }
 
 /// Seeds that are no machine's address any more give way to machines that are there.
@@ -93,7 +93,7 @@
         return core
             .schedule_action(now + RETRY, move |_| stop_when_allowed(cluster, machine, successor_start));
     }
-    trouble(&cluster);
+    record_disturbance(&cluster);
     let process = cluster.state.lock().unwrap().machines[machine].process.clone();
     let up = cluster.core.lock().processes[cluster.pid(machine)].up;
     if let Some(process) = process.filter(|_| up) {
@@ -101,7 +101,7 @@
         cluster.core.run_in(cluster.pid(machine), || machine::request_leave(&process, within));
     }
     // A removed machine stops counting once its successor has had its time.
-    let until = successor_start + cluster.parameters.catch_up;
+    let until = successor_start + cluster.parameters.catch_up_time;
     cluster.budget.lock().unwrap().mark_lost_until(slot, until);
     end_once_left(cluster.clone(), machine, now + cluster.parameters.leave_timeout + STOP_MARGIN);
 }
@@ -115,39 +115,39 @@
         let core = cluster.core.clone();
         return core.schedule_action(now + RETRY, move |_| end_once_left(cluster, machine, latest));
     }
-    after(&cluster, now + FAREWELL, move |c| remove_machine(c, machine));
+    schedule_at(&cluster, now + LINGER_AFTER_LEAVE, move |c| remove_machine(c, machine));
 }
 
-pub fn cut(cluster: &Arc<Cluster>, machine: usize, all: bool, one_way: bool, until: Millis) {
-    trouble(cluster);
+pub fn isolate(cluster: &Arc<Cluster>, machine: usize, all: bool, one_way: bool, until: Millis) {
+    record_disturbance(cluster);
     let pid = cluster.pid(machine);
     let mut others: Vec<ProcessId> = cluster.present().into_iter().map(|index| cluster.pid(index)).collect();
     if all {
-        others.extend(cluster.others());
+        others.extend(cluster.non_machine_processes());
     }
     others.retain(|other| *other != pid);
-    others.iter().for_each(|other| cluster.core.cut(pid, *other, !one_way));
-    after(cluster, until, move |c| {
-        others.iter().for_each(|other| c.core.mend(pid, *other));
-        recovered(c, machine);
+    others.iter().for_each(|other| cluster.core.partition(pid, *other, !one_way));
+    schedule_at(cluster, until, move |c| {
+        others.iter().for_each(|other| c.core.heal_partition(pid, *other));
+        mark_recovered(c, machine);
     });
 }
 
-pub fn split(cluster: &Arc<Cluster>, time: Millis) {
+pub fn split_core(cluster: &Arc<Cluster>, time: Millis) {
     let now = cluster.core.now();
     let (left, right): (Vec<usize>, Vec<usize>) =
         cluster.present().into_iter().partition(|_| cluster.chance(500));
     {
         let mut budget = cluster.budget.lock().unwrap();
-        budget.trouble(now, now + time + cluster.parameters.contact);
-        cluster.present().into_iter().for_each(|machine| budget.lose(cluster.slot(machine)));
+        budget.record_disturbance(now, now + time + cluster.parameters.settle_time);
+        cluster.present().into_iter().for_each(|machine| budget.mark_lost(cluster.slot(machine)));
     }
     let pairs = left.iter().flat_map(|a| right.iter().map(|b| (cluster.pid(*a), cluster.pid(*b))));
     let pairs: Vec<(ProcessId, ProcessId)> = pairs.collect();
-    pairs.iter().for_each(|(a, b)| cluster.core.cut(*a, *b, true));
-    after(cluster, now + time, move |c| {
-        pairs.iter().for_each(|(a, b)| c.core.mend(*a, *b));
-        left.iter().chain(&right).for_each(|machine| recovered(c, *machine));
+    pairs.iter().for_each(|(a, b)| cluster.core.partition(*a, *b, true));
+    schedule_at(cluster, now + time, move |c| {
+        pairs.iter().for_each(|(a, b)| c.core.heal_partition(*a, *b));
+        left.iter().chain(&right).for_each(|machine| mark_recovered(c, *machine));
     });
 }
 
@@ -157,17 +157,17 @@
         let mut state = cluster.state.lock().unwrap();
         std::mem::replace(&mut state.machines[machine].address, fresh)
     };
-    cluster.core.lock().network.at.remove(old.as_str());
+    cluster.core.lock().network.addresses.remove(old.as_str());
     let at = cluster.core.now() + cluster.parameters.seed_lag;
-    after(cluster, at, |c| replace_absent_seeds(c));
+    schedule_at(cluster, at, |c| replace_absent_seeds(c));
 }
 
 pub fn slow_disk(cluster: &Arc<Cluster>, machine: usize, sync: Millis, until: Millis) {
     let disk = cluster.disk(machine);
     let usual = std::mem::replace(&mut disk.lock().unwrap().sync_ms, sync);
-    after(cluster, until, move |c| {
+    schedule_at(cluster, until, move |c| {
         disk.lock().unwrap().sync_ms = usual;
-        recovered(c, machine);
+        mark_recovered(c, machine);
     });
 }
 
@@ -193,11 +193,11 @@
 pub fn kill_all_machines(cluster: &Arc<Cluster>, power: bool, down: Millis) {
     let now = cluster.core.now();
     // A core that was down as a whole has twice the time to be in touch again.
-    let contact = cluster.parameters.contact;
-    cluster.budget.lock().unwrap().trouble(now, now + down + contact);
+    let contact = cluster.parameters.settle_time;
+    cluster.budget.lock().unwrap().record_disturbance(now, now + down + contact);
     for machine in cluster.present() {
-        cluster.budget.lock().unwrap().lose(cluster.slot(machine));
+        cluster.budget.lock().unwrap().mark_lost(cluster.slot(machine));
         kill_machine(cluster, machine, power);
-        after(cluster, now + down, move |c| restart_machine(c, machine));
+        schedule_at(cluster, now + down, move |c| restart_machine(c, machine));
     }
 }
--- a/crates/simulator/src/control/faults.rs
+++ b/crates/simulator/src/control/faults.rs
@@ -11,11 +11,11 @@
         after: Millis,
     },
     /// The disk is lost; an empty machine comes back at the same address.
-    Wipe {
+    WipeDisk {
         down: Millis,
     },
     /// Cut off from the rest of the core, and from all others too if `all`; only what it sends is lost if `one_way`.
-    Cut {
+    Isolate {
         all: bool,
         one_way: bool,
         time: Millis,
@@ -72,7 +72,7 @@
     /// It strikes one machine, which counts as lost once it is stopped.
     Planned,
     /// It counts for nothing.
-    Free,
+    None,
     /// It strikes all, and comes only while none is lost.
     All,
 }
@@ -80,7 +80,7 @@
 impl Fault {
     pub fn cost(self) -> FaultCost {
         match self {
-            Fault::LoseReplies { .. } | Fault::ChangeSeeds => FaultCost::Free,
+            Fault::LoseReplies { .. } | Fault::ChangeSeeds => FaultCost::None,
             Fault::PlannedReplace { .. } => FaultCost::Planned,
             Fault::KillAll { .. } | Fault::Split { .. } => FaultCost::All,
             _ => FaultCost::Machine,
@@ -94,17 +94,17 @@
 const MAX_DISK_STALL: Millis = 6_000;
 const MAX_DOWNTIME: Millis = 3_000;
 
-pub fn draw(cluster: &Cluster) -> Fault {
+pub fn draw_fault(cluster: &Cluster) -> Fault {
     let mut core = cluster.core.lock();
     let rng = &mut core.rng;
     let down = 100 + rng.below(MAX_DOWNTIME);
     match rng.below(100) {
         0..16 => Fault::Replace,
         16..24 => Fault::PlannedReplace { after: 500 + rng.below(6_000) },
-        24..32 => Fault::Wipe { down },
+        24..32 => Fault::WipeDisk { down },
         32..46 => {
             let (all, one_way) = (rng.chance(400), rng.chance(350));
-            Fault::Cut { all, one_way, time: 200 + rng.below(MAX_PARTITION) }
+            Fault::Isolate { all, one_way, time: 200 + rng.below(MAX_PARTITION) }
         }
         46..53 => Fault::Suspend { time: 200 + rng.below(MAX_SUSPENSION) },
         53..61 => Fault::Kill { down },
@@ -122,7 +122,7 @@
 }
 
 /// Waits until the next fault: often none, so that it comes as soon as it may.
-pub fn gap(cluster: &Cluster) -> Millis {
+pub fn draw_gap(cluster: &Cluster) -> Millis {
     let mut core = cluster.core.lock();
     let rng = &mut core.rng;
     if rng.chance(500) { rng.below(300) } else { rng.below(2 * cluster.parameters.mean_fault_gap) }
--- a/crates/simulator/src/control/history.rs
+++ b/crates/simulator/src/control/history.rs
@@ -21,7 +21,7 @@
 
 /// One document on its way to an acknowledgement.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct Submission {
     pub document: Document,
     pub sent_at: Millis,
     /// Another document was sent under the same number.
@@ -29,14 +29,14 @@
     /// A higher number was sent at that time.
     pub superseded_at: Option<Millis>,
     /// When its operator had an answer, or gave up.
-    pub ended: Option<Millis>,
+    pub ended_at: Option<Millis>,
 }
 
 /// A read that returned, with what it returned.
 #[derive(Clone, Debug)]
 pub struct Read {
-    pub began: Millis,
-    pub ended: Millis,
+    pub began_at: Millis,
+    pub ended_at: Millis,
     pub document: Option<Document>,
 }
 
@@ -44,15 +44,15 @@
 #[derive(Clone, Debug)]
 pub struct Applied {
     pub node: Name,
-    pub at: Millis,
+    pub observed_at: Millis,
     pub document: Option<Document>,
 }
 
 #[derive(Debug, Default)]
 pub struct History {
-    pub orders: Vec<Order>,
+    pub submissions: Vec<Submission>,
     pub acknowledged: Vec<(Millis, Document)>,
-    pub refused: Vec<(Millis, Document)>,
+    pub rejected: Vec<(Millis, Document)>,
     pub reads: Vec<Read>,
     pub applied: Vec<Applied>,
     /// A read was answered after everything had healed.
@@ -60,34 +60,40 @@
     /// Spans in which the core was settled.
     pub settled: Vec<(Millis, Millis)>,
     /// What the keepers themselves were seen to do wrong.
-    pub breaches: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 impl History {
     /// Notes a document's first sending; the place of its order.
-    pub fn send(&mut self, at: Millis, document: Document) -> usize {
-        for order in &mut self.orders {
+    pub fn record_submission(&mut self, at: Millis, document: Document) -> usize {
+        for order in &mut self.submissions {
             if order.document.number < document.number {
                 order.superseded_at.get_or_insert(at);
             }
         }
-        let highest = self.orders.iter().map(|order| order.document.number).max().unwrap_or(0);
+        let highest = self.submissions.iter().map(|order| order.document.number).max().unwrap_or(0);
         let superseded = (highest > document.number).then_some(at);
         let contested = false;
-        self.orders.push(Order { document, sent_at: at, contested, superseded_at: superseded, ended: None });
+        self.submissions.push(Submission {
+            document,
+            sent_at: at,
+            contested,
+            superseded_at: superseded,
+            ended_at: None,
+        });
         self.mark_contested(document.number);
-        self.orders.len() - 1
+        self.submissions.len() - 1
     }
 
     fn mark_contested(&mut self, number: u64) {
         let variants: BTreeMap<u64, ()> = self.of_number(number).map(|o| (o.document.variant, ())).collect();
         if variants.len() > 1 {
-            let same = self.orders.iter_mut().filter(|order| order.document.number == number);
+            let same = self.submissions.iter_mut().filter(|order| order.document.number == number);
             same.for_each(|order| order.contested = true);
         }
     }
 
-    fn of_number(&self, number: u64) -> impl Iterator<Item = &Order> {
-        self.orders.iter().filter(move |order| order.document.number == number)
+    fn of_number(&self, number: u64) -> impl Iterator<Item = &Submission> {
+        self.submissions.iter().filter(move |order| order.document.number == number)
     }
 }
--- a/crates/simulator/src/control/inject.rs
+++ b/crates/simulator/src/control/inject.rs
@@ -1,23 +1,24 @@
 //! Brings drawn faults about, one after the other, each as soon as the machines that are lost allow it.
 use super::cluster::Cluster;
-use super::effects::{
-    add_successor, after, change_seeds, cut, kill_all_machines, kill_machine, move_to_new_address, recovered,
-    remove_machine, restart_machine, slow_disk, split, stop_when_allowed, trouble,
+use super::fault_effects::{
+    add_successor, change_seeds, isolate, kill_all_machines, kill_machine, mark_recovered,
+    move_to_new_address, record_disturbance, remove_machine, restart_machine, schedule_at, slow_disk,
+    split_core, stop_when_allowed,
 };
 use super::faults::{self, Fault, FaultCost};
-use crate::fleet::core::Simulation;
+use crate::fleet::simulation::Simulation;
 use quincehatch_core::Millis;
 use std::sync::Arc;
 
 /// How often a fault that has to wait is tried again.
-const RETRY: Millis = 20;
+const RETRY_INTERVAL: Millis = 20;
 
 /// Draws and brings about faults until the time for them is over.
-pub fn next(cluster: Arc<Cluster>) {
-    let at = cluster.core.now() + faults::gap(&cluster);
+pub fn schedule_next(cluster: Arc<Cluster>) {
+    let at = cluster.core.now() + faults::draw_gap(&cluster);
     let core = cluster.core.clone();
     core.schedule_action(at, move |_| {
-        let fault = faults::draw(&cluster);
+        let fault = faults::draw_fault(&cluster);
         let present = cluster.present();
         let machine = present[cluster.below(present.len() as u64) as usize];
         inject_when_allowed(cluster, fault, machine);
@@ -29,21 +30,22 @@
     if now >= cluster.parameters.faults_until {
         return;
     }
-    if !allowed(&cluster, fault, machine, now) {
+    if !is_allowed(&cluster, fault, machine, now) {
         let core = cluster.core.clone();
-        return core.schedule_action(now + RETRY, move |_| inject_when_allowed(cluster, fault, machine));
+        return core
+            .schedule_action(now + RETRY_INTERVAL, move |_| inject_when_allowed(cluster, fault, machine));
     }
     cluster.core.log(&format!("FAULT {fault:?} at machine {machine}"));
-    strike(&cluster, fault, machine);
-    next(cluster);
+    inject(&cluster, fault, machine);
+    schedule_next(cluster);
 }
 
-fn allowed(cluster: &Cluster, fault: Fault, machine: usize, now: Millis) -> bool {
+fn is_allowed(cluster: &Cluster, fault: Fault, machine: usize, now: Millis) -> bool {
     let slot = cluster.slot(machine);
     let up = cluster.core.lock().processes[cluster.pid(machine)].up;
     let budget = cluster.budget.lock().unwrap();
     match fault.cost() {
-        FaultCost::Free => true,
+        FaultCost::None => true,
         FaultCost::Planned => up && cluster.state.lock().unwrap().machines[machine].present,
         FaultCost::All => budget.none_lost(now),
         FaultCost::Machine => {
@@ -55,66 +57,66 @@
 }
 
 /// Brings one fault about at once.
-pub fn strike(cluster: &Arc<Cluster>, fault: Fault, machine: usize) {
+pub fn inject(cluster: &Arc<Cluster>, fault: Fault, machine: usize) {
     let now = cluster.core.now();
     if fault.cost() == FaultCost::Machine {
-        cluster.budget.lock().unwrap().lose(cluster.slot(machine));
+        cluster.budget.lock().unwrap().mark_lost(cluster.slot(machine));
     }
     match fault {
         Fault::Replace => {
             remove_machine(cluster, machine);
             let start = now + cluster.parameters.successor_delay;
-            after(cluster, start, move |c| {
+            schedule_at(cluster, start, move |c| {
                 add_successor(c, c.slot(machine));
-                recovered(c, machine);
+                mark_recovered(c, machine);
             });
         }
         Fault::PlannedReplace { after: wait } => {
             add_successor(cluster, cluster.fresh_slot());
-            after(cluster, now + wait, move |c| stop_when_allowed(c.clone(), machine, now));
+            schedule_at(cluster, now + wait, move |c| stop_when_allowed(c.clone(), machine, now));
         }
-        Fault::Wipe { down } => {
+        Fault::WipeDisk { down } => {
             kill_machine(cluster, machine, false);
             let address = cluster.state.lock().unwrap().machines[machine].address.clone();
             *cluster.disk(machine).lock().unwrap() = cluster.empty_disk(&address);
-            after(cluster, now + down, move |c| restart_machine(c, machine));
+            schedule_at(cluster, now + down, move |c| restart_machine(c, machine));
         }
-        Fault::Cut { all, one_way, time } => cut(cluster, machine, all, one_way, now + time),
-        Fault::Split { time } => split(cluster, time),
+        Fault::Isolate { all, one_way, time } => isolate(cluster, machine, all, one_way, now + time),
+        Fault::Split { time } => split_core(cluster, time),
         Fault::Suspend { time } => {
-            trouble(cluster);
-            cluster.core.pause(cluster.pid(machine), time);
-            after(cluster, now + time, move |c| recovered(c, machine));
+            record_disturbance(cluster);
+            cluster.core.suspend(cluster.pid(machine), time);
+            schedule_at(cluster, now + time, move |c| mark_recovered(c, machine));
         }
         Fault::Kill { down } => {
             kill_machine(cluster, machine, false);
-            after(cluster, now + down, move |c| restart_machine(c, machine));
+            schedule_at(cluster, now + down, move |c| restart_machine(c, machine));
         }
         Fault::PowerLoss { down } => {
             kill_machine(cluster, machine, true);
-            after(cluster, now + down, move |c| restart_machine(c, machine));
+            schedule_at(cluster, now + down, move |c| restart_machine(c, machine));
         }
         Fault::ChangeAddress { down } => {
             kill_machine(cluster, machine, false);
             move_to_new_address(cluster, machine);
-            after(cluster, now + down, move |c| restart_machine(c, machine));
+            schedule_at(cluster, now + down, move |c| restart_machine(c, machine));
         }
         Fault::SlowSteps { step, time } => {
-            cluster.budget.lock().unwrap().trouble(now, now + time);
+            cluster.budget.lock().unwrap().record_disturbance(now, now + time);
             cluster.state.lock().unwrap().machines[machine].step_delay = step;
-            after(cluster, now + time, move |c| {
+            schedule_at(cluster, now + time, move |c| {
                 c.state.lock().unwrap().machines[machine].step_delay = 0;
-                recovered(c, machine);
+                mark_recovered(c, machine);
             });
         }
         Fault::SlowDisk { sync, time } => slow_disk(cluster, machine, sync, now + time),
         Fault::StalledDisk { time } => {
             cluster.disk(machine).lock().unwrap().stalled_until = now + time;
-            after(cluster, now + time, move |c| recovered(c, machine));
+            schedule_at(cluster, now + time, move |c| mark_recovered(c, machine));
         }
         Fault::FullDisk { time } => {
             cluster.disk(machine).lock().unwrap().full_until = now + time;
-            after(cluster, now + time, move |c| recovered(c, machine));
+            schedule_at(cluster, now + time, move |c| mark_recovered(c, machine));
         }
         Fault::LoseReplies { time } => {
             cluster.state.lock().unwrap().replies_lost_until = now + time;
@@ -129,12 +131,12 @@
     let core: &Arc<Simulation> = &cluster.core;
     core.lock().partitions.clear();
     for machine in cluster.present() {
-        core.pause(cluster.pid(machine), 0);
+        core.suspend(cluster.pid(machine), 0);
         core.restart(cluster.pid(machine));
         let disk = cluster.disk(machine);
         let mut disk = disk.lock().unwrap();
         (disk.stalled_until, disk.full_until) = (0, 0);
         cluster.state.lock().unwrap().machines[machine].step_delay = 0;
     }
-    trouble(cluster);
+    record_disturbance(cluster);
 }
--- a/crates/simulator/src/control/invariants.rs
+++ b/crates/simulator/src/control/invariants.rs
@@ -3,7 +3,7 @@
 use quincehatch_store::{Keeper, View};
 use std::collections::BTreeMap;
 
-const REPORTED: usize = 20;
+const MAX_REPORTED: usize = 20;
 
 #[derive(Debug, Default)]
 pub struct Invariants {
@@ -11,13 +11,13 @@
     /// Who began to serve as the tail of each view.
     served: BTreeMap<Version, Name>,
     views: BTreeMap<Version, View>,
-    pub breaches: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 impl Invariants {
     pub fn record_violation(&mut self, text: String) {
-        if self.breaches.len() < REPORTED {
-            self.breaches.push(text);
+        if self.violations.len() < MAX_REPORTED {
+            self.violations.push(text);
         }
     }
 
--- a/crates/simulator/src/control/intake.rs
+++ b/crates/simulator/src/control/keeper_requests.rs
@@ -1,8 +1,8 @@
 //! What reaches a machine's keeper over the network: messages of its peers, and clients' requests.
 use super::call_kind::CallKind;
 use super::cluster::Cluster;
-use super::machine::{Call, Process, input};
-use crate::fleet::core::ProcessId;
+use super::machine::{PendingCall, Process, enqueue};
+use crate::fleet::simulation::ProcessId;
 use quincehatch_core::Name;
 use quincehatch_runtime::seam::BoxFuture;
 use quincehatch_store::keeper::Input;
@@ -17,7 +17,7 @@
     let on_frame = move |bytes: Vec<u8>| {
         let received = quincehatch_wire::receive::<KeeperRequest>(&me, &bytes);
         let (call, waiting) = match received {
-            Ok(Received::Request { call, request }) => (call, take(&process, request)),
+            Ok(Received::Request { call, request }) => (call, submit(&process, request)),
             Ok(Received::Rejected(frame)) => return Box::pin(async { Some(frame) }) as BoxFuture<'static, _>,
             Err(_) => return Box::pin(async { None }) as BoxFuture<'static, _>,
         };
@@ -34,21 +34,21 @@
 }
 
 /// Hands a request to the keeper; a client's has a reply to wait for.
-fn take(process: &Process, request: KeeperRequest) -> Option<oneshot::Receiver<Reply>> {
+fn submit(process: &Process, request: KeeperRequest) -> Option<oneshot::Receiver<Reply>> {
     match request {
         KeeperRequest::Peer { from, message } => {
             if !process.lock().unwrap().stalled {
-                input(process, Input::Peer { from, message: message });
+                enqueue(process, Input::Peer { from, message: message });
             }
             None
         }
-        KeeperRequest::Node { request } => Some(call(process, request)),
+        KeeperRequest::Node { request } => Some(submit_request(process, request)),
     }
 }
 
-fn call(process: &Process, ask: Request) -> oneshot::Receiver<Reply> {
+fn submit_request(process: &Process, ask: Request) -> oneshot::Receiver<Reply> {
     let (answer, waiting) = oneshot::channel();
-    let kind = CallKind::of(&ask);
+    let kind = CallKind::from_request(&ask);
     let token = {
         let mut process = process.lock().unwrap();
         if process.stalled {
@@ -57,9 +57,9 @@
         }
         process.next_token += 1;
         let token = process.next_token;
-        process.calls.insert(token, Call { kind, answer });
+        process.calls.insert(token, PendingCall { kind, reply_to: answer });
         token
     };
-    input(process, Input::Request { token, request: ask });
+    enqueue(process, Input::Request { token, request: ask });
     waiting
 }
--- a/crates/simulator/src/control/machine.rs
+++ b/crates/simulator/src/control/machine.rs
@@ -2,11 +2,11 @@
 //! persists is synced before anything of the same step leaves; inputs wait meanwhile.
 use super::call_kind::CallKind;
 use super::cluster::Cluster;
+use super::configuration_api;
 use super::disk::Disk;
-use super::door;
-use super::intake;
+use super::keeper_requests;
 use super::recovery::recover;
-use crate::fleet::core::ProcessId;
+use crate::fleet::simulation::ProcessId;
 use quincehatch_core::{Millis, Name};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
@@ -29,12 +29,12 @@
 /// A write that lasts longer is a stall, as for the daemon's driver: requests are declined until it ends.
 const STALL: Millis = 500;
 /// A peer that does not take a message in this time is given up.
-const TAKEN_WITHIN: Duration = Duration::from_millis(500);
+const SEND_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A client's request that waits for its reply.
-pub struct Call {
+pub struct PendingCall {
     pub kind: CallKind,
-    pub answer: oneshot::Sender<Reply>,
+    pub reply_to: oneshot::Sender<Reply>,
 }
 
 /// The process of one machine.
@@ -48,7 +48,7 @@
     /// A sync is under way; `stalled` once it lasts too long.
     busy: bool,
     pub(super) stalled: bool,
-    pub(super) calls: BTreeMap<u64, Call>,
+    pub(super) calls: BTreeMap<u64, PendingCall>,
     pub(super) next_token: u64,
 }
 
@@ -75,8 +75,8 @@
         next_token: 0,
     }));
     cluster.state.lock().unwrap().machines[index].process = Some(process.clone());
-    intake::listen(cluster, &process, &address, pid, me);
-    door::open(cluster, pid, &address, &seeds);
+    keeper_requests::listen(cluster, &process, &address, pid, me);
+    configuration_api::listen(cluster, pid, &address, &seeds);
     seam::spawn(async move {
         loop {
             seam::sleep(TICK).await;
@@ -87,12 +87,12 @@
 
 /// The process is told other seeds.
 pub fn update_seeds(process: &Process, seeds: Vec<Name>) {
-    input(process, Input::Seeds(seeds));
+    enqueue(process, Input::Seeds(seeds));
 }
 
 /// The process is told to leave the chain and end.
 pub fn request_leave(process: &Process, within: Millis) {
-    input(process, Input::Leave { within });
+    enqueue(process, Input::Leave { within });
 }
 
 pub fn has_left(process: &Process) -> bool {
@@ -101,42 +101,42 @@
 
 fn tick(process: &Process) {
     if !process.lock().unwrap().busy {
-        input(process, Input::Tick);
+        enqueue(process, Input::Tick);
     }
 }
 
-pub fn input(process: &Process, input: Input) {
+pub fn enqueue(process: &Process, input: Input) {
     {
         let mut process = process.lock().unwrap();
         if process.inbox.len() < INBOX_CAPACITY {
             process.inbox.push_back(input);
         }
     }
-    work(process);
+    process_inbox(process);
 }
 
 /// Steps whatever has come, unless a sync is under way.
-fn work(shared: &Process) {
+fn process_inbox(shared: &Process) {
     let mut process = shared.lock().unwrap();
     while !process.busy && !process.inbox.is_empty() {
         let batch = process.step_batch();
-        process.begin(shared, batch);
+        process.persist(shared, batch);
     }
 }
 
 /// The sync is done, or was refused: what the steps sent leaves now. A suspended keeper tries its disk.
-fn finish(shared: &Process, batch: Batch) {
+fn complete_sync(shared: &Process, batch: Batch) {
     {
         let mut process = shared.lock().unwrap();
         process.busy = false;
         process.stalled = false;
         process.complete_batch(batch);
     }
-    work(shared);
+    process_inbox(shared);
 }
 
 /// Waits as long as the disk takes; requests are declined once that is too long.
-async fn sync(shared: Process, batch: Batch, cost: Millis) {
+async fn sync_to_disk(shared: Process, batch: Batch, cost: Millis) {
     let (disk, core) = {
         let process = shared.lock().unwrap();
         (process.disk.clone(), process.cluster.core.clone())
@@ -150,7 +150,7 @@
         }
         seam::sleep(TICK).await;
     }
-    finish(&shared, batch);
+    complete_sync(&shared, batch);
 }
 
 /// Whoever waits for a write that lasts too long is told to ask again.
@@ -177,14 +177,14 @@
     }
 
     /// Makes the batch durable, then sends what came of it.
-    fn begin(&mut self, shared: &Process, batch: Batch) {
-        let cost = self.cost();
+    fn persist(&mut self, shared: &Process, batch: Batch) {
+        let cost = self.step_delay();
         if batch.records.is_empty() && cost == 0 {
             return self.complete_batch(batch);
         }
         self.busy = true;
         self.disk.lock().unwrap().write(batch.records.clone());
-        seam::spawn(sync(shared.clone(), batch, cost));
+        seam::spawn(sync_to_disk(shared.clone(), batch, cost));
     }
 
     fn complete_batch(&mut self, batch: Batch) {
@@ -200,7 +200,7 @@
         }
     }
 
-    fn cost(&self) -> Millis {
+    fn step_delay(&self) -> Millis {
         self.cluster.state.lock().unwrap().machines[self.index].step_delay
     }
 
@@ -229,7 +229,7 @@
             };
             let request = KeeperRequest::Peer { from, message: m };
             // The protocol sends again what is not taken.
-            drop(caller.call(destination, &request, TAKEN_WITHIN).await);
+            drop(caller.call(destination, &request, SEND_TIMEOUT).await);
         });
     }
 
@@ -245,6 +245,6 @@
             let text = format!("C5 {} answers {:?} with another kind at {at}", self.host.name(), call.kind);
             invariants.record_violation(text);
         }
-        drop(call.answer.send(reply));
+        drop(call.reply_to.send(reply));
     }
 }
--- a/crates/simulator/src/control/node.rs
+++ b/crates/simulator/src/control/node.rs
@@ -11,15 +11,15 @@
 
 const POLL_WITHIN: Duration = Duration::from_millis(600);
 const ENROLL_WITHIN: Duration = Duration::from_secs(2);
-const PAUSE: Duration = Duration::from_millis(40);
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
 
 struct Node {
     cluster: Arc<Cluster>,
     name: Name,
-    chain: StoreClient,
+    store_client: StoreClient,
     enrolled: ChangeNumber,
     tries: u64,
-    known: FeedState,
+    feed_state: FeedState,
     lease_until: Millis,
 }
 
@@ -29,7 +29,7 @@
         let (shared, host) = (cluster.clone(), name.clone());
         let begin = move |_: &Arc<_>, _| {
             let node = Node::new(shared.clone(), host.clone());
-            seam::spawn(node.run());
+            seam::spawn(node.follow_feed());
         };
         cluster.core.add_process(&name, Arc::new(begin), false);
     }
@@ -39,21 +39,29 @@
     fn new(cluster: Arc<Cluster>, name: Name) -> Node {
         let seeds: Vec<String> = cluster.addresses().iter().map(Name::to_string).collect();
         let chain = StoreClient::new(&name, &seeds);
-        Node { cluster, name, chain, enrolled: 0, tries: 0, known: FeedState::default(), lease_until: 0 }
+        Node {
+            cluster,
+            name,
+            store_client: chain,
+            enrolled: 0,
+            tries: 0,
+            feed_state: FeedState::default(),
+            lease_until: 0,
+        }
     }
 
-    async fn run(mut self) {
-        let mut to = self.chain.tail_address();
+    async fn follow_feed(mut self) {
+        let mut to = self.store_client.tail_address();
         while !self.cluster.stopped() {
             let seeds: Vec<String> = self.cluster.addresses().iter().map(Name::to_string).collect();
-            self.chain.set_keepers(&seeds);
+            self.store_client.set_keepers(&seeds);
             if self.enrolled == 0 {
                 self.enroll().await;
                 continue;
             }
             to = self.poll(to).await;
-            self.note();
-            seam::sleep(PAUSE).await;
+            self.record_applied();
+            seam::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -61,52 +69,56 @@
         self.tries += 1;
         let (node, life) = (self.name.clone(), seam::incarnation());
         let key = format!("enroll/{node}/{life:x}/{}", self.tries);
-        match self.chain.write(&key, Command::EnrollNode { node, incarnation: life }, ENROLL_WITHIN).await {
+        match self
+            .store_client
+            .write(&key, Command::EnrollNode { node, incarnation: life }, ENROLL_WITHIN)
+            .await
+        {
             Ok(Answer::Enrolled(entry)) => self.enrolled = entry,
-            _ => seam::sleep(PAUSE).await,
+            _ => seam::sleep(POLL_INTERVAL).await,
         }
     }
 
     /// One poll; where the next one goes.
     async fn poll(&mut self, to: String) -> String {
         let asked = now();
-        let (node, have) = (self.name.clone(), self.known.last_change);
-        let (addr, applied, enrolled) = (node.clone(), self.known.configuration_version, self.enrolled);
+        let (node, have) = (self.name.clone(), self.feed_state.last_change);
+        let (addr, applied, enrolled) = (node.clone(), self.feed_state.configuration_version, self.enrolled);
         let ask = Request::Feed { node, addr, last_change: have, applied, enrolled };
-        match self.chain.call(&to, ask, POLL_WITHIN).await {
+        match self.store_client.call(&to, ask, POLL_WITHIN).await {
             Ok(Reply::Changes { changes, lease_ms }) => {
-                if changes.iter().all(|change| self.known.apply(change)) {
+                if changes.iter().all(|change| self.feed_state.apply(change)) {
                     self.lease_until = asked + minus_clock_drift(lease_ms);
                 }
             }
             Ok(Reply::Snapshot { snapshot, lease_ms }) => {
                 let newer = Some(*snapshot)
-                    .filter(|snapshot| snapshot.last_change >= self.known.last_change)
+                    .filter(|snapshot| snapshot.last_change >= self.feed_state.last_change)
                     .and_then(FeedState::from_snapshot);
                 if let Some(known) = newer {
-                    self.known = known;
+                    self.feed_state = known;
                     self.lease_until = asked + minus_clock_drift(lease_ms);
                 }
             }
             Ok(Reply::Redirect { view }) => {
-                self.chain.learn_view(view);
-                return self.chain.tail_after_failure(&to).await;
+                self.store_client.learn_view(view);
+                return self.store_client.tail_after_failure(&to).await;
             }
             Ok(Reply::NotEnrolled) => self.enrolled = 0,
             _ => {
-                self.chain.refresh_view().await;
-                return self.chain.tail_address();
+                self.store_client.refresh_view().await;
+                return self.store_client.tail_address();
             }
         }
         to
     }
 
     /// What the node has in force while its lease holds.
-    fn note(&self) {
+    fn record_applied(&self) {
         if now() < self.lease_until {
             let (node, at) = (self.name.clone(), self.cluster.core.now());
-            let document = Document::parse(&self.known.configuration_json);
-            self.cluster.history.lock().unwrap().applied.push(Applied { node, at, document });
+            let document = Document::parse(&self.feed_state.configuration_json);
+            self.cluster.history.lock().unwrap().applied.push(Applied { node, observed_at: at, document });
         }
     }
 }
--- a/crates/simulator/src/control/operator.rs
+++ b/crates/simulator/src/control/operator.rs
@@ -1,6 +1,6 @@
 //! Operators who send documents until they have an answer, and readers of the document in force.
 use super::cluster::Cluster;
-use super::door::{DoorAnswer, DoorCall, api_address};
+use super::configuration_api::{DoorAnswer, DoorCall, api_address};
 use super::history::{Document, Read};
 use quincehatch_core::{Millis, Name};
 use quincehatch_runtime::seam;
@@ -11,7 +11,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// An order that was superseded is given up after so long.
 const SUPERSEDED_PATIENCE: Millis = 5_000;
-const RETRY: u64 = 150;
+const MAX_RETRY_PAUSE: u64 = 150;
 /// Parts in a thousand of the orders that are not new.
 const CONTESTED_PER_MILLE: u64 = 80;
 const RESENT_PER_MILLE: u64 = 80;
@@ -38,21 +38,21 @@
     }
 }
 
-async fn pause(cluster: &Cluster, limit: Millis) {
+async fn random_pause(cluster: &Cluster, limit: Millis) {
     let ms = 1 + cluster.below(limit);
     seam::sleep(Duration::from_millis(ms)).await;
 }
 
 async fn submit_documents(cluster: Arc<Cluster>) {
     while !cluster.stopped() {
-        pause(&cluster, cluster.parameters.max_submission_pause).await;
-        let document = choose(&cluster);
-        order(&cluster, document).await;
+        random_pause(&cluster, cluster.parameters.max_submission_pause).await;
+        let document = choose_document(&cluster);
+        submit_until_answered(&cluster, document).await;
     }
 }
 
 /// Most orders bring a new number; some are sent again, some come under a number that another operator uses.
-fn choose(cluster: &Cluster) -> Document {
+fn choose_document(cluster: &Cluster) -> Document {
     let kind = cluster.below(1_000);
     let newest = cluster.state.lock().unwrap().next_number;
     if kind < CONTESTED_PER_MILLE && newest > 0 {
@@ -70,15 +70,15 @@
 }
 
 /// Sends the document, to any machine, until it is answered.
-async fn order(cluster: &Cluster, document: Document) {
-    let place = cluster.history.lock().unwrap().send(cluster.core.now(), document);
+async fn submit_until_answered(cluster: &Cluster, document: Document) {
+    let place = cluster.history.lock().unwrap().record_submission(cluster.core.now(), document);
     while !cluster.stopped() {
         let call = DoorCall::Replace { text: document.text() };
         let answer = call_any_machine(cluster, &call).await;
         if record_reply(cluster, place, document, answer) {
             return;
         }
-        pause(cluster, RETRY).await;
+        random_pause(cluster, MAX_RETRY_PAUSE).await;
     }
 }
 
@@ -94,13 +94,13 @@
             true
         }
         Some(DoorAnswer::Refused) => {
-            history.refused.push((at, document));
+            history.rejected.push((at, document));
             true
         }
-        _ => history.orders[place].superseded_at.is_some_and(|since| at >= since + SUPERSEDED_PATIENCE),
+        _ => history.submissions[place].superseded_at.is_some_and(|since| at >= since + SUPERSEDED_PATIENCE),
     };
     if ends {
-        history.orders[place].ended = Some(at);
+        history.submissions[place].ended_at = Some(at);
     }
     ends
 }
@@ -108,10 +108,10 @@
 async fn call_any_machine(cluster: &Cluster, call: &DoorCall) -> Option<DoorAnswer> {
     let addresses = cluster.addresses();
     let address = cluster.core.lock().rng.pick(&addresses).cloned()?;
-    ask(&address, call).await
+    call_machine(&address, call).await
 }
 
-async fn ask(address: &Name, call: &DoorCall) -> Option<DoorAnswer> {
+async fn call_machine(address: &Name, call: &DoorCall) -> Option<DoorAnswer> {
     let frame = borsh::to_vec(call).ok()?;
     let answer = seam::current_world()?.exchange_frame(&api_address(address), frame);
     let bytes = seam::timeout(CALL_TIMEOUT, answer).await.ok()?.ok()?;
@@ -120,19 +120,19 @@
 
 async fn read_repeatedly(cluster: Arc<Cluster>) {
     while !cluster.stopped() {
-        pause(&cluster, cluster.parameters.max_submission_pause / 2).await;
-        read(&cluster).await;
+        random_pause(&cluster, cluster.parameters.max_submission_pause / 2).await;
+        read_document(&cluster).await;
     }
 }
 
 /// One read of the document in force, noted if it was answered.
-async fn read(cluster: &Cluster) -> Option<()> {
+async fn read_document(cluster: &Cluster) -> Option<()> {
     let began = cluster.core.now();
     let DoorAnswer::Document { text } = call_any_machine(cluster, &DoorCall::Retrieve).await? else {
         return None;
     };
     let document = text.and_then(|text| Document::parse(&text));
-    let read = Read { began, ended: cluster.core.now(), document };
+    let read = Read { began_at: began, ended_at: cluster.core.now(), document };
     cluster.history.lock().unwrap().reads.push(read);
     Some(())
 }
@@ -140,10 +140,10 @@
 /// Reads the document in force back until some machine answers.
 pub async fn read_back(cluster: Arc<Cluster>) {
     loop {
-        if read(&cluster).await.is_some() {
+        if read_document(&cluster).await.is_some() {
             cluster.history.lock().unwrap().read_back = true;
             return;
         }
-        pause(&cluster, RETRY).await;
+        random_pause(&cluster, MAX_RETRY_PAUSE).await;
     }
 }
--- a/crates/simulator/src/control/parameters.rs
+++ b/crates/simulator/src/control/parameters.rs
@@ -45,11 +45,11 @@
     /// A machine that is stopped in order has so long to leave the chain, as the platform's has.
     pub leave_timeout: Millis,
     /// A machine counts as lost for so long after its return, or after its successor's start.
-    pub catch_up: Millis,
+    pub catch_up_time: Millis,
     /// The core is settled once nothing has troubled it for so long.
-    pub contact: Millis,
+    pub settle_time: Millis,
     /// A settled core acknowledges a proper order within this time.
-    pub ack: Millis,
+    pub acknowledge_within: Millis,
     /// A node that holds a lease has an acknowledged document in force after so long.
     pub apply_within: Millis,
     /// The operators' list of seeds lags behind the machines by so much.
@@ -73,7 +73,7 @@
     pub max_submission_pause: Millis,
 }
 
-const LEAVE_WITHIN: Millis = 4_500;
+const LEAVE_TIMEOUT: Millis = 4_500;
 /// Every so many seeds of a shape, one is a storm of changes; the others have few.
 const STORM_EVERY: u64 = 8;
 
@@ -86,10 +86,10 @@
         Parameters {
             shape,
             allowed,
-            leave_timeout: LEAVE_WITHIN,
-            catch_up,
-            contact: 4_000,
-            ack: 5_000,
+            leave_timeout: LEAVE_TIMEOUT,
+            catch_up_time: catch_up,
+            settle_time: 4_000,
+            acknowledge_within: 5_000,
             apply_within: 3_000,
             seed_lag: 3_000,
             successor_delay: 1_000,
--- a/crates/simulator/src/control/recovery.rs
+++ b/crates/simulator/src/control/recovery.rs
@@ -22,7 +22,7 @@
     let settings = DiscoverySettings {
         at: address.clone(),
         seeds: seeds.to_vec(),
-        replace_after: terms::replace_after(cluster.parameters.catch_up),
+        replace_after: terms::replace_after(cluster.parameters.catch_up_time),
         voter_count: shape.voters,
     };
     let disks = (shape.tolerated + 1).min(seeds.len());
--- a/crates/simulator/src/control/run.rs
+++ b/crates/simulator/src/control/run.rs
@@ -1,11 +1,11 @@
 //! One seed of the simulated control plane from start to end.
-use super::checks::check;
+use super::checks::check_history;
 use super::cluster::Cluster;
 use super::faults::Fault;
 use super::history::{Document, History};
 use super::parameters::{Allowed, Parameters};
 use super::{inject, node, operator};
-use crate::fleet::core::Simulation;
+use crate::fleet::simulation::Simulation;
 use quincehatch_core::Millis;
 use std::sync::Arc;
 
@@ -55,20 +55,20 @@
     node::start(&cluster);
     operator::start(&cluster);
     core.run_until(cluster.parameters.faults_from);
-    inject::next(cluster.clone());
+    inject::schedule_next(cluster.clone());
     core.run_until(cluster.parameters.faults_until);
-    close(&cluster);
-    finish(&cluster);
+    inject_closing_fault(&cluster);
+    settle_and_read_back(&cluster);
     let report = report(sim.seed, &cluster);
     core.shut_down();
     report
 }
 
 /// Every other seed ends with a closing fault, right after an acknowledgement.
-fn close(cluster: &Arc<Cluster>) {
+fn inject_closing_fault(cluster: &Arc<Cluster>) {
     let core = &cluster.core;
     inject::heal_all(cluster);
-    let quiet = cluster.parameters.catch_up + cluster.parameters.contact;
+    let quiet = cluster.parameters.catch_up_time + cluster.parameters.settle_time;
     core.run_until(core.now() + quiet);
     if cluster.chance(500) {
         return;
@@ -80,8 +80,8 @@
     }
     let down = 200 + cluster.below(2_000);
     match cluster.below(3) {
-        0 => inject::strike(cluster, Fault::KillAll { power: false, down }, 0),
-        1 => inject::strike(cluster, Fault::KillAll { power: true, down }, 0),
+        0 => inject::inject(cluster, Fault::KillAll { power: false, down }, 0),
+        1 => inject::inject(cluster, Fault::KillAll { power: true, down }, 0),
         _ => wipe_tolerated(cluster, down),
     }
 }
@@ -91,22 +91,22 @@
     let mut machines = cluster.present();
     cluster.core.lock().rng.shuffle(&mut machines);
     for machine in machines.into_iter().take(cluster.parameters.shape.tolerated) {
-        inject::strike(cluster, Fault::Wipe { down }, machine);
+        inject::inject(cluster, Fault::WipeDisk { down }, machine);
     }
 }
 
 /// Lets the core settle, ends the orders, and reads back what is in force.
-fn finish(cluster: &Arc<Cluster>) {
+fn settle_and_read_back(cluster: &Arc<Cluster>) {
     let core = &cluster.core;
     core.run_until(core.now() + cluster.parameters.healing_time);
     let (end, settled) = {
         let budget = cluster.budget.lock().unwrap();
-        (core.now(), budget.settled(cluster.parameters.contact, core.now()))
+        (core.now(), budget.settled_spans(cluster.parameters.settle_time, core.now()))
     };
     cluster.history.lock().unwrap().settled = settled;
     cluster.state.lock().unwrap().stopped = true;
     core.run_until(end + 1_000);
-    let reader = cluster.others().last().copied().unwrap_or_default();
+    let reader = cluster.non_machine_processes().last().copied().unwrap_or_default();
     let shared = cluster.clone();
     core.run_in(reader, || quincehatch_runtime::seam::spawn(operator::read_back(shared)));
     let limit = core.now() + READ_BACK_TIMEOUT;
@@ -118,8 +118,8 @@
 fn report(seed: u64, cluster: &Cluster) -> ControlReport {
     let mut history = cluster.history.lock().unwrap();
     let invariants = cluster.invariants.lock().unwrap();
-    history.breaches.clone_from(&invariants.breaches);
-    let mut breaches = check(&history, &cluster.parameters);
+    history.violations.clone_from(&invariants.violations);
+    let mut breaches = check_history(&history, &cluster.parameters);
     if proves_nothing(&history) {
         breaches.push("the run proves nothing: no acknowledgement, read or poll came through".into());
     }
@@ -127,7 +127,7 @@
     ControlReport {
         seed,
         violations: breaches,
-        submissions: history.orders.len(),
+        submissions: history.submissions.len(),
         acknowledged: history.acknowledged.len(),
         reads: history.reads.len(),
         applied: history.applied.len(),
--- a/crates/simulator/src/direct/faults.rs
+++ b/crates/simulator/src/direct/faults.rs
@@ -1,8 +1,8 @@
 //! What goes wrong in a held fleet, drawn from the seed.
-use super::laid::{Laid, SERVERS};
-use super::operator::leave;
-use super::site::Server;
-use crate::fleet::core::{ProcessId, Trap};
+use super::operator::drain_and_replace;
+use super::server_group::Server;
+use super::setup::{DirectFleet, SERVERS};
+use crate::fleet::simulation::{ProcessId, Trap};
 use quincehatch_core::Millis;
 use quincehatch_runtime::seam;
 use std::sync::Arc;
@@ -11,9 +11,9 @@
 pub enum Fault {
     Crash(ProcessId, bool, Millis),
     Pause(ProcessId, Millis),
-    Cut(ProcessId, ProcessId, bool, Millis),
+    Partition(ProcessId, ProcessId, bool, Millis),
     /// Cut off from all others; with the flag only what it sends is lost.
-    Alone(ProcessId, bool, Millis),
+    Isolate(ProcessId, bool, Millis),
     /// Some are cut off from the rest; with the flag only what they send is lost.
     Split(Vec<ProcessId>, bool, Millis),
     /// A node and the lead are cut off from all others.
@@ -21,17 +21,17 @@
     /// The lead, slowed, and a replica are reached by one node only.
     PrimaryAndReplicaReachOneNode(usize, Millis),
     /// Every keeper loses its power in the same moment.
-    Power(Millis),
+    KeeperPowerLoss(Millis),
     PacketLoss(u64, Millis),
     ReplicationStopped(usize, Millis),
     Lag(usize, Millis),
     Slow(usize, Millis),
-    Lose(usize, u32),
+    LoseReplies(usize, u32),
     /// The lead crashes, dark or not, while a replica is deaf, dark, lagging or held back.
     PrimaryAndReplica(bool, u64, Millis),
     /// Two leads are lost one shortly after the other.
     TwoPrimaries(Millis, Millis),
-    Leave(usize),
+    Drain(usize),
     /// Whoever comes to this point of a promotion next stands still for so long, or dies.
     Trap(&'static str, Option<Millis>),
     /// An operator wants a hand-over.
@@ -42,15 +42,15 @@
 const PROMOTION_PHASES: &[&str] =
     &["is begun", "is closing", "is fencing", "chose", "is promoting", "is naming"];
 
-impl Laid {
+impl DirectFleet {
     /// Everything that may be cut off or stopped.
-    fn all(&self) -> Vec<ProcessId> {
-        let servers = self.site.with(|s| s.servers.iter().map(|s| s.pid).collect::<Vec<_>>());
+    fn faultable_processes(&self) -> Vec<ProcessId> {
+        let servers = self.group.with(|s| s.servers.iter().map(|s| s.pid).collect::<Vec<_>>());
         self.keepers.iter().copied().chain(self.nodes.iter().map(|n| n.pid)).chain(servers).collect()
     }
-    fn draw(&self) -> Fault {
-        let all = self.all();
-        let promoter = self.site.with(|s| s.promoter);
+    fn draw_fault(&self) -> Fault {
+        let all = self.faultable_processes();
+        let promoter = self.group.with(|s| s.promoter);
         let mut m = self.core.lock();
         let r = &mut m.rng;
         let p = *r.pick(&all).unwrap_or(&0);
@@ -69,18 +69,18 @@
             }
             0..16 => Fault::Crash(p, r.chance(400), ms),
             16..28 => Fault::Pause(p, ms),
-            28..42 => Fault::Cut(p, q, yes, ms),
-            42..48 => Fault::Alone(p, yes, ms),
-            48..51 => Fault::Power(ms / 2),
+            28..42 => Fault::Partition(p, q, yes, ms),
+            42..48 => Fault::Isolate(p, yes, ms),
+            48..51 => Fault::KeeperPowerLoss(ms / 2),
             51..56 => Fault::PacketLoss(20 + r.below(150), ms),
             56..61 => Fault::ReplicationStopped(s, ms),
             61..66 => Fault::Lag(s, ms),
             66..70 => Fault::Slow(s, ms),
-            70..77 => Fault::Lose(s, 1 + r.below(6) as u32),
+            70..77 => Fault::LoseReplies(s, 1 + r.below(6) as u32),
             77..86 => Fault::PrimaryAndReplica(yes, r.below(4), ms),
             86..91 => Fault::TwoPrimaries(100 + r.below(2_500), ms),
             91..95 => Fault::RequestHandover,
-            _ => Fault::Leave(s),
+            _ => Fault::Drain(s),
         }
     }
 
@@ -94,20 +94,20 @@
             }
             let x = self.clone();
             self.core.schedule_action(t, move |_| {
-                let f = x.draw();
-                x.strike(f);
+                let f = x.draw_fault();
+                x.inject(f);
             });
         }
     }
-    fn after(self: &Arc<Self>, ms: Millis, f: impl FnOnce(&Arc<Laid>) + Send + 'static) {
+    fn schedule_after(self: &Arc<Self>, ms: Millis, f: impl FnOnce(&Arc<DirectFleet>) + Send + 'static) {
         let x = self.clone();
         self.core.schedule_action(self.core.now() + ms, move |_| f(&x));
     }
     /// This process, and the links to it, are in trouble until then.
     fn mark_disturbed(&self, p: ProcessId, ms: Millis) {
         let until = self.core.now() + ms;
-        self.site.with(|s| {
-            let t = s.trouble.entry(p).or_default();
+        self.group.with(|s| {
+            let t = s.disturbed_until.entry(p).or_default();
             *t = (*t).max(until);
             if self.keepers.contains(&p) {
                 s.keepers_disturbed_until = s.keepers_disturbed_until.max(until);
@@ -115,77 +115,83 @@
         });
     }
     fn mark_all_disturbed(&self, ms: Millis) {
-        self.all().into_iter().for_each(|p| self.mark_disturbed(p, ms));
+        self.faultable_processes().into_iter().for_each(|p| self.mark_disturbed(p, ms));
     }
-    fn server(self: &Arc<Self>, i: usize, ms: Millis, on: fn(&mut Server), off: fn(&mut Server)) {
-        self.site.with(|s| on(&mut s.servers[i]));
-        self.after(ms, move |l| l.site.with(|s| off(&mut s.servers[i])));
+    fn change_server_for(self: &Arc<Self>, i: usize, ms: Millis, on: fn(&mut Server), off: fn(&mut Server)) {
+        self.group.with(|s| on(&mut s.servers[i]));
+        self.schedule_after(ms, move |l| l.group.with(|s| off(&mut s.servers[i])));
     }
     fn crash_temporarily(self: &Arc<Self>, p: ProcessId, dark: bool, ms: Millis) {
         self.mark_disturbed(p, ms);
         self.crash_process(p, dark);
-        self.after(ms, move |l| l.start(p));
+        self.schedule_after(ms, move |l| l.start_process(p));
     }
-    fn lead(&self) -> (usize, ProcessId) {
-        self.site.with(|s| {
-            let i = s.lead().unwrap_or(0);
+    fn current_primary(&self) -> (usize, ProcessId) {
+        self.group.with(|s| {
+            let i = s.primary().unwrap_or(0);
             (i, s.servers[i].pid)
         })
     }
     /// Cuts some off from all but themselves and `but`.
-    fn split(self: &Arc<Self>, some: &[ProcessId], but: &[ProcessId], one_way: bool, ms: Millis) {
-        let promoter = self.site.with(|s| s.promoter);
-        let rest = self.all().into_iter().chain([promoter]);
+    fn partition_from_rest(
+        self: &Arc<Self>,
+        some: &[ProcessId],
+        but: &[ProcessId],
+        one_way: bool,
+        ms: Millis,
+    ) {
+        let promoter = self.group.with(|s| s.promoter);
+        let rest = self.faultable_processes().into_iter().chain([promoter]);
         let rest: Vec<ProcessId> = rest.filter(|q| !some.contains(q) && !but.contains(q)).collect();
         let pairs: Vec<(ProcessId, ProcessId)> =
             some.iter().flat_map(|p| rest.iter().map(|q| (*p, *q))).collect();
         self.mark_all_disturbed(ms);
-        pairs.iter().for_each(|(p, q)| self.core.cut(*p, *q, !one_way));
-        self.after(ms, move |l| pairs.iter().for_each(|(p, q)| l.core.mend(*p, *q)));
+        pairs.iter().for_each(|(p, q)| self.core.partition(*p, *q, !one_way));
+        self.schedule_after(ms, move |l| pairs.iter().for_each(|(p, q)| l.core.heal_partition(*p, *q)));
     }
     fn crash_primary(self: &Arc<Self>, dark: bool, ms: Millis) -> usize {
-        let (i, pid) = self.lead();
+        let (i, pid) = self.current_primary();
         self.crash_temporarily(pid, dark, ms);
         i
     }
 
-    pub fn strike(self: &Arc<Self>, f: Fault) {
+    pub fn inject(self: &Arc<Self>, f: Fault) {
         let (c, now) = (&self.core, self.core.now());
         c.log(&format!("fault {f:?}"));
-        self.site.with(|s| s.book.event_log.push(format!("{now} fault {f:?}")));
+        self.group.with(|s| s.ledger.event_log.push(format!("{now} fault {f:?}")));
         c.lock().crashes_enabled = true;
         match f {
             Fault::Crash(p, dark, ms) => self.crash_temporarily(p, dark, ms),
             Fault::Pause(p, ms) => {
                 self.mark_disturbed(p, ms);
-                c.pause(p, ms);
+                c.suspend(p, ms);
             }
-            Fault::Cut(p, q, both, ms) => {
+            Fault::Partition(p, q, both, ms) => {
                 self.mark_disturbed(p, ms);
                 self.mark_disturbed(q, ms);
-                c.cut(p, q, both);
-                self.after(ms, move |l| l.core.mend(p, q));
+                c.partition(p, q, both);
+                self.schedule_after(ms, move |l| l.core.heal_partition(p, q));
             }
-            Fault::Alone(p, one_way, ms) => {
+            Fault::Isolate(p, one_way, ms) => {
                 self.mark_disturbed(p, ms);
-                let others = self.all().into_iter().chain([self.site.with(|s| s.promoter)]);
+                let others = self.faultable_processes().into_iter().chain([self.group.with(|s| s.promoter)]);
                 let others: Vec<ProcessId> = others.filter(|q| *q != p).collect();
-                others.iter().for_each(|q| c.cut(p, *q, !one_way));
-                self.after(ms, move |l| others.iter().for_each(|q| l.core.mend(p, *q)));
+                others.iter().for_each(|q| c.partition(p, *q, !one_way));
+                self.schedule_after(ms, move |l| others.iter().for_each(|q| l.core.heal_partition(p, *q)));
             }
-            Fault::Split(some, one_way, ms) => self.split(&some, &[], one_way, ms),
+            Fault::Split(some, one_way, ms) => self.partition_from_rest(&some, &[], one_way, ms),
             Fault::IsolatePrimaryWithNode(n, ms) => {
-                let lead = self.lead();
-                self.split(&[self.nodes[n].pid, lead.1], &[], false, ms);
+                let lead = self.current_primary();
+                self.partition_from_rest(&[self.nodes[n].pid, lead.1], &[], false, ms);
             }
             Fault::PrimaryAndReplicaReachOneNode(n, ms) => {
-                let (i, pid) = self.lead();
-                let other = self.site.with(|s| s.servers[(i + 1) % SERVERS].pid);
-                let third = self.site.with(|s| s.servers[(i + 2) % SERVERS].pid);
-                self.server(i, ms, |s| s.extra_latency = 150, |s| s.extra_latency = 0);
-                self.split(&[pid, other], &[self.nodes[n].pid, third], false, ms);
+                let (i, pid) = self.current_primary();
+                let other = self.group.with(|s| s.servers[(i + 1) % SERVERS].pid);
+                let third = self.group.with(|s| s.servers[(i + 2) % SERVERS].pid);
+                self.change_server_for(i, ms, |s| s.extra_latency = 150, |s| s.extra_latency = 0);
+                self.partition_from_rest(&[pid, other], &[self.nodes[n].pid, third], false, ms);
             }
-            Fault::Power(ms) => {
+            Fault::KeeperPowerLoss(ms) => {
                 self.keepers.clone().iter().for_each(|k| self.crash_temporarily(*k, false, ms))
             }
             Fault::PacketLoss(pm, ms) => {
@@ -194,50 +200,64 @@
                     let mut m = c.lock();
                     (m.loss_per_mille, m.delay_range) = (pm, (1, 80));
                 }
-                self.after(ms, |l| {
+                self.schedule_after(ms, |l| {
                     let mut m = l.core.lock();
                     (m.loss_per_mille, m.delay_range) = (0, (1, 12));
                 });
             }
-            Fault::ReplicationStopped(s, ms) => self.server(s, ms, |s| s.deaf = true, |s| s.deaf = false),
-            Fault::Lag(s, ms) => self.server(s, ms, |s| s.replication_lag = 900, |s| s.replication_lag = 5),
-            Fault::Slow(s, ms) => self.server(s, ms, |s| s.extra_latency = 300, |s| s.extra_latency = 0),
-            Fault::Lose(s, n) => self.site.with(|st| st.servers[s].lose = n),
+            Fault::ReplicationStopped(s, ms) => self.change_server_for(
+                s,
+                ms,
+                |s| s.replication_stopped = true,
+                |s| s.replication_stopped = false,
+            ),
+            Fault::Lag(s, ms) => {
+                self.change_server_for(s, ms, |s| s.replication_lag = 900, |s| s.replication_lag = 5)
+            }
+            Fault::Slow(s, ms) => {
+                self.change_server_for(s, ms, |s| s.extra_latency = 300, |s| s.extra_latency = 0)
+            }
+            Fault::LoseReplies(s, n) => self.group.with(|st| st.servers[s].replies_to_lose = n),
             Fault::PrimaryAndReplica(dark, what, ms) => {
                 let i = self.crash_primary(dark, ms);
                 let other = (i + 1 + what as usize % 2) % SERVERS;
-                let pid = self.site.with(|s| s.servers[other].pid);
+                let pid = self.group.with(|s| s.servers[other].pid);
                 match what {
-                    0 => self.server(other, ms, |s| s.deaf = true, |s| s.deaf = false),
+                    0 => self.change_server_for(
+                        other,
+                        ms,
+                        |s| s.replication_stopped = true,
+                        |s| s.replication_stopped = false,
+                    ),
                     1 => self.crash_temporarily(pid, true, ms / 2),
                     2 => self.crash_temporarily(pid, false, 400),
-                    _ => c.pause(pid, ms / 2),
+                    _ => c.suspend(pid, ms / 2),
                 }
             }
             Fault::TwoPrimaries(gap, ms) => {
                 self.crash_primary(gap % 2 == 0, ms);
-                self.after(gap, move |l| {
+                self.schedule_after(gap, move |l| {
                     l.crash_primary(false, ms);
                 });
             }
             Fault::Trap(point, pause) => {
-                c.lock().trap = Some(Trap { point: point.into(), pause });
+                c.lock().trap = Some(Trap { trace_point: point.into(), pause });
             }
-            Fault::Leave(i) => {
-                if !self.site.with(|s| s.servers.iter().any(|s| s.leaving)) {
+            Fault::Drain(i) => {
+                if !self.group.with(|s| s.servers.iter().any(|s| s.draining)) {
                     let l = self.clone();
-                    c.run_in(self.clients, || seam::spawn(leave(l, i)));
+                    c.run_in(self.clients, || seam::spawn(drain_and_replace(l, i)));
                 }
             }
             Fault::RequestHandover => {
                 for n in &self.nodes {
                     if let Some(live) = n.live() {
-                        live.fleet
+                        live.node
                             .promotion_state
                             .handover_requests
                             .lock()
                             .unwrap()
-                            .insert(super::laid::GROUP.into(), None);
+                            .insert(super::setup::GROUP.into(), None);
                     }
                 }
             }
--- a/crates/simulator/src/direct/mod.rs
+++ b/crates/simulator/src/direct/mod.rs
@@ -1,20 +1,20 @@
 //! Simulated held fleets (§3.6, §4.10, §5.5, §9.1): keepers and nodes whole, over a group of servers that are met over
 //! held links and know neither tries nor fences, a promoter, origins on sessions, faults by the seed, and a checker by
 //! call and journal.
-mod book;
-mod conn;
-mod exec;
+mod call_execution;
+mod client;
+mod client_connection;
+mod delivery;
 mod faults;
-mod laid;
+mod ledger;
 mod operator;
-mod origin;
-mod ports;
-mod power;
-mod promote;
-mod replicate;
+mod process_control;
+mod promotion;
+mod replication;
+mod request_execution;
 mod run;
-mod server;
-mod site;
-mod trip;
+mod server_group;
+mod server_ports;
+mod setup;
 
 pub use run::{DirectReport, DirectSimOptions, run_seed};
--- a/crates/simulator/src/direct/site.rs
+++ b/crates/simulator/src/direct/server_group.rs
@@ -1,6 +1,6 @@
 //! What the servers of a simulated group are and hold: one thread's state, changed by events in the order of time.
-use super::book::Book;
-use crate::fleet::core::{ProcessId, Simulation};
+use super::ledger::Ledger;
+use crate::fleet::simulation::{ProcessId, Simulation};
 use bytes::Bytes;
 use quincehatch_core::{FencingToken, Millis, Name, Position, Role};
 use quincehatch_proxy::ports::{ServerReply, ServerStatus};
@@ -10,21 +10,21 @@
 use std::sync::{Arc, Mutex, Weak};
 use tokio::sync::oneshot;
 
-pub type Reply = oneshot::Sender<io::Result<ServerReply>>;
+pub type ReplySender = oneshot::Sender<io::Result<ServerReply>>;
 
 /// A commit in a server's log, and the ids of the writes in it.
 #[derive(Debug, PartialEq)]
-pub struct Entry {
-    pub at: Position,
-    pub ids: Vec<u64>,
+pub struct LogEntry {
+    pub position: Position,
+    pub writes: Vec<u64>,
 }
 
 /// A commit that waits for a replica to receive it.
 pub struct PendingCommit {
-    pub entry: Arc<Entry>,
-    pub link: u64,
-    pub said: ServerReply,
-    pub reply: Reply,
+    pub entry: Arc<LogEntry>,
+    pub connection: u64,
+    pub reply_message: ServerReply,
+    pub reply: ReplySender,
 }
 
 #[derive(Default)]
@@ -35,128 +35,128 @@
     pub role: Role,
     pub term: u64,
     /// Held by SUSPEND up to this term; none: 0.
-    pub held: u64,
-    pub log: Vec<Arc<Entry>>,
+    pub suspended_term: u64,
+    pub log: Vec<Arc<LogEntry>>,
     /// What of the log reads see, and when more of it does.
-    pub applied: usize,
+    pub visible: usize,
     pub pending_visibility: VecDeque<(Millis, usize)>,
-    pub busy: usize,
+    pub slots_in_use: usize,
     pub busy_until: Millis,
-    pub waiting: Vec<PendingCommit>,
-    pub deaf: bool,
+    pub pending_commits: Vec<PendingCommit>,
+    pub replication_stopped: bool,
     pub replication_lag: Millis,
     pub extra_latency: Millis,
     /// So many answers to come are lost.
-    pub lose: u32,
-    pub leaving: bool,
+    pub replies_to_lose: u32,
+    pub draining: bool,
     /// When its word that it leaves was acknowledged.
-    pub left: Option<Millis>,
+    pub drain_acknowledged_at: Option<Millis>,
     /// Rises with each word to the chain.
-    pub seq: u64,
+    pub registration_sequence: u64,
     /// What the chain was last told.
-    pub told: Option<(Name, Role, bool)>,
+    pub registered_as: Option<(Name, Role, bool)>,
 }
 
 /// A transaction on a server's link.
 #[derive(Debug)]
-pub struct Txn {
+pub struct OpenTransaction {
     pub read: bool,
     /// The term it began under.
     pub term: u64,
     /// Which of the origins' it is, once a statement of it ran.
-    pub of: Option<u64>,
+    pub client_transaction: Option<u64>,
     pub writes: Vec<u64>,
     /// What a read-only one sees.
-    pub sees: usize,
-    pub broken: bool,
+    pub visible: usize,
+    pub failed: bool,
 }
 
 /// The server's end of a link.
-pub struct Link {
+pub struct ServerLink {
     pub node: ProcessId,
     pub server: usize,
     pub values: BTreeMap<Bytes, Bytes>,
     pub prepared: BTreeMap<Name, (bool, Bytes)>,
-    pub txn: Option<Txn>,
+    pub transaction: Option<OpenTransaction>,
     /// Questions on their way or in hand.
-    pub asked: usize,
+    pub requests_in_flight: usize,
     /// The node's end is closed.
     pub closed: bool,
     pub broken: Arc<AtomicBool>,
 }
 
-pub struct State {
+pub struct GroupState {
     pub servers: Vec<Server>,
-    pub links: BTreeMap<u64, Link>,
-    pub next: u64,
+    pub connections: BTreeMap<u64, ServerLink>,
+    pub next_connection_id: u64,
     /// The highest fence the promoter has seen.
     pub fence: FencingToken,
     pub promoter: ProcessId,
-    pub book: Book,
+    pub ledger: Ledger,
     /// Until when a node's own processes and links are in trouble, and the keepers together.
-    pub trouble: BTreeMap<ProcessId, Millis>,
+    pub disturbed_until: BTreeMap<ProcessId, Millis>,
     pub keepers_disturbed_until: Millis,
     pub promotions: usize,
     /// When the last one that was taken has its effect.
-    pub promoting: Millis,
+    pub last_promotion_effective: Millis,
 }
 
 /// Slots of one server, and the links it takes.
 pub const SLOTS: usize = 5;
-pub const LINKS: usize = 24;
+pub const MAX_CONNECTIONS: usize = 24;
 /// A node is in touch this long after the last trouble.
 const RECONNECT_PERIOD: Millis = 4_000;
 
 pub struct ServerGroup {
-    core: Weak<Simulation>,
-    state: Mutex<State>,
+    simulation: Weak<Simulation>,
+    state: Mutex<GroupState>,
 }
 
 impl Server {
-    pub fn end(&self) -> Position {
-        self.log.last().map_or(Position { fence: 1, number: 0 }, |e| e.at)
+    pub fn log_end(&self) -> Position {
+        self.log.last().map_or(Position { fence: 1, number: 0 }, |e| e.position)
     }
     /// What reads see at that time.
-    pub fn sees(&mut self, now: Millis) -> usize {
+    pub fn visible_entries(&mut self, now: Millis) -> usize {
         while let Some((_, n)) = self.pending_visibility.front().copied().filter(|(at, _)| *at <= now) {
             self.pending_visibility.pop_front();
-            self.applied = self.applied.max(n.min(self.log.len()));
+            self.visible = self.visible.max(n.min(self.log.len()));
         }
         if self.role == Role::Primary {
-            self.applied = self.log.len();
+            self.visible = self.log.len();
         }
-        self.applied
+        self.visible
     }
     /// The end of what reads see.
     pub fn visible_end(&mut self, now: Millis) -> Position {
-        let n = self.sees(now);
-        if n == 0 { Position { fence: 1, number: 0 } } else { self.log[n - 1].at }
+        let n = self.visible_entries(now);
+        if n == 0 { Position { fence: 1, number: 0 } } else { self.log[n - 1].position }
     }
-    pub fn holds(&self, e: &Arc<Entry>, within: usize) -> bool {
-        let i = e.at.number as usize;
+    pub fn holds(&self, e: &Arc<LogEntry>, within: usize) -> bool {
+        let i = e.position.number as usize;
         i <= within && self.log.get(i - 1).is_some_and(|x| Arc::ptr_eq(x, e))
     }
     /// How much of the log is the same as that one's.
-    pub fn common_prefix(&self, log: &[Arc<Entry>]) -> usize {
+    pub fn common_prefix(&self, log: &[Arc<LogEntry>]) -> usize {
         self.log.iter().zip(log).take_while(|(a, b)| Arc::ptr_eq(a, b)).count()
     }
-    pub fn truncate_to(&mut self, log: &[Arc<Entry>]) -> bool {
+    pub fn truncate_to(&mut self, log: &[Arc<LogEntry>]) -> bool {
         let n = self.common_prefix(log);
         let ahead = self.log.len() > n;
         self.log.truncate(n);
-        self.applied = self.applied.min(n);
+        self.visible = self.visible.min(n);
         self.pending_visibility.clear();
-        if self.applied < n {
+        if self.visible < n {
             self.pending_visibility.push_back((0, n));
         }
         ahead
     }
-    pub fn look(&self, lag_ms: u64, links: u64) -> ServerStatus {
-        let (role, term, held, busy) = (self.role, self.term, self.held, self.busy as u64);
+    pub fn status(&self, lag_ms: u64, links: u64) -> ServerStatus {
+        let (role, term, held, busy) = (self.role, self.term, self.suspended_term, self.slots_in_use as u64);
         ServerStatus {
             role,
             term,
-            received: self.end(),
+            received: self.log_end(),
             suspended_term: held,
             lag_ms,
             busy_slots: busy,
@@ -165,43 +165,43 @@
     }
 }
 
-impl State {
+impl GroupState {
     /// Was the node, and were the keepers, without trouble for long enough before `at`?
     pub fn is_undisturbed(&self, node: ProcessId, at: Millis) -> bool {
-        at > self.trouble.get(&node).map_or(0, |t| t + RECONNECT_PERIOD)
+        at > self.disturbed_until.get(&node).map_or(0, |t| t + RECONNECT_PERIOD)
             && at > self.keepers_disturbed_until + RECONNECT_PERIOD
     }
     /// The server that leads in the highest term.
-    pub fn lead(&self) -> Option<usize> {
+    pub fn primary(&self) -> Option<usize> {
         let all = self.servers.iter().enumerate().filter(|(_, s)| s.role == Role::Primary);
         all.max_by_key(|(_, s)| s.term).map(|(i, _)| i)
     }
-    pub fn index(&self, server: &str) -> Option<usize> {
+    pub fn server_named(&self, server: &str) -> Option<usize> {
         self.servers.iter().position(|s| s.name == server)
     }
 }
 
 impl ServerGroup {
     pub fn new(core: &Arc<Simulation>, promoter: ProcessId) -> Arc<ServerGroup> {
-        let state = State {
+        let state = GroupState {
             servers: Vec::new(),
-            links: BTreeMap::new(),
-            next: 0,
+            connections: BTreeMap::new(),
+            next_connection_id: 0,
             fence: 0,
             promoter,
-            book: Book::default(),
-            trouble: BTreeMap::new(),
+            ledger: Ledger::default(),
+            disturbed_until: BTreeMap::new(),
             keepers_disturbed_until: 0,
             promotions: 0,
-            promoting: 0,
+            last_promotion_effective: 0,
         };
-        Arc::new(ServerGroup { core: Arc::downgrade(core), state: Mutex::new(state) })
+        Arc::new(ServerGroup { simulation: Arc::downgrade(core), state: Mutex::new(state) })
     }
     /// The run's core; none once the run has ended.
     pub fn core(&self) -> Option<Arc<Simulation>> {
-        self.core.upgrade()
+        self.simulation.upgrade()
     }
-    pub fn with<T>(&self, f: impl FnOnce(&mut State) -> T) -> T {
+    pub fn with<T>(&self, f: impl FnOnce(&mut GroupState) -> T) -> T {
         f(&mut self.state.lock().unwrap())
     }
 }
--- a/crates/simulator/src/direct/ports.rs
+++ b/crates/simulator/src/direct/server_ports.rs
@@ -1,7 +1,7 @@
 //! The ports of held links as a simulated node has them (§3.6).
-use super::site::{LINKS, Link, ServerGroup};
-use super::trip::{Delivery, carry};
-use crate::fleet::core::ProcessId;
+use super::delivery::{Delivery, deliver};
+use super::server_group::{MAX_CONNECTIONS, ServerGroup, ServerLink};
+use crate::fleet::simulation::ProcessId;
 use bytes::Bytes;
 use quincehatch_core::{FencingToken, Name, Position};
 use quincehatch_proxy::ports::{
@@ -19,18 +19,18 @@
 const PROMOTE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// The group as one node reaches it.
-struct From {
+struct NodeView {
     site: Arc<ServerGroup>,
     node: ProcessId,
 }
 
-pub fn ports(site: &Arc<ServerGroup>, node: ProcessId) -> ServerPorts {
-    let from = || From { site: site.clone(), node };
+pub fn server_ports(site: &Arc<ServerGroup>, node: ProcessId) -> ServerPorts {
+    let from = || NodeView { site: site.clone(), node };
     ServerPorts { servers: Arc::new(from()), promoter: Arc::new(from()) }
 }
 
-pub fn servers(site: &Arc<ServerGroup>, node: ProcessId) -> Arc<dyn ServerConnector> {
-    Arc::new(From { site: site.clone(), node })
+pub fn server_connector(site: &Arc<ServerGroup>, node: ProcessId) -> Arc<dyn ServerConnector> {
+    Arc::new(NodeView { site: site.clone(), node })
 }
 
 struct NodeConnection {
@@ -48,7 +48,7 @@
 impl ServerConnection for NodeConnection {
     fn call<'a>(&'a mut self, c: &'a ServerCall) -> BoxFuture<'a, io::Result<ServerReply>> {
         let (tx, rx) = oneshot::channel();
-        self.site.ask(self.id, c.clone(), tx);
+        self.site.send_request(self.id, c.clone(), tx);
         Box::pin(async move {
             let got = rx.await.unwrap_or_else(|_| Err(io::ErrorKind::ConnectionReset.into()));
             if got.is_err() {
@@ -65,7 +65,7 @@
 /// What the server said to a new link: its own number of it, and its log's end.
 type SimulatedOpenResult = io::Result<Result<(u64, Arc<AtomicBool>, Position), RejectReason>>;
 
-impl ServerConnector for From {
+impl ServerConnector for NodeView {
     fn connect(
         &self,
         addr: Name,
@@ -75,16 +75,16 @@
     ) -> BoxFuture<'static, io::Result<OpenResult>> {
         let (site, node) = (self.site.clone(), self.node);
         let (tx, rx) = oneshot::channel::<SimulatedOpenResult>();
-        if let (Some(core), Some(to)) = (site.core(), site.with(|s| s.at(&addr))) {
+        if let (Some(core), Some(to)) = (site.core(), site.with(|s| s.server_at(&addr))) {
             let at = site.clone();
             let pid = site.with(|s| s.servers[to].pid);
-            carry(&core, node, pid, move |c, trip| {
+            deliver(&core, node, pid, move |c, trip| {
                 let begun = match trip {
-                    Delivery::Arrived => Ok(at.with(|s| s.begin(c.now(), node, to, &server))),
+                    Delivery::Arrived => Ok(at.with(|s| s.open_connection(c.now(), node, to, &server))),
                     Delivery::Refused => Err(io::ErrorKind::ConnectionRefused.into()),
-                    Delivery::Lost => return drop(tx.send(Err(io::ErrorKind::TimedOut.into()))),
+                    Delivery::TimedOut => return drop(tx.send(Err(io::ErrorKind::TimedOut.into()))),
                 };
-                carry(c, pid, node, move |_, _| {
+                deliver(c, pid, node, move |_, _| {
                     if let Err(Ok(Ok((id, ..)))) = tx.send(begun) {
                         at.close(id);
                     }
@@ -104,12 +104,12 @@
     }
 }
 
-impl super::site::State {
-    fn at(&self, addr: &str) -> Option<usize> {
+impl super::server_group::GroupState {
+    fn server_at(&self, addr: &str) -> Option<usize> {
         self.servers.iter().position(|s| s.addr == addr)
     }
     /// A new link at a server, or its no.
-    fn begin(
+    fn open_connection(
         &mut self,
         now: u64,
         node: ProcessId,
@@ -120,28 +120,28 @@
         if s.name != *name {
             return Err(RejectReason::WrongServer);
         }
-        if self.links.values().filter(|l| l.server == server).count() >= LINKS {
+        if self.connections.values().filter(|l| l.server == server).count() >= MAX_CONNECTIONS {
             return Err(RejectReason::TooManyConnections);
         }
         let end = s.visible_end(now);
         let broken = Arc::new(AtomicBool::new(false));
-        self.next += 1;
-        let l = Link {
+        self.next_connection_id += 1;
+        let l = ServerLink {
             node,
             server,
             values: Default::default(),
             prepared: Default::default(),
-            txn: None,
-            asked: 0,
+            transaction: None,
+            requests_in_flight: 0,
             closed: false,
             broken: broken.clone(),
         };
-        self.links.insert(self.next, l);
-        Ok((self.next, broken, end))
+        self.connections.insert(self.next_connection_id, l);
+        Ok((self.next_connection_id, broken, end))
     }
 }
 
-impl Promoter for From {
+impl Promoter for NodeView {
     fn promote(
         &self,
         _: Name,
@@ -153,10 +153,10 @@
         if let Some(core) = self.site.core() {
             let (site, node) = (self.site.clone(), self.node);
             let promoter = site.with(|s| s.promoter);
-            carry(&core, node, promoter, move |c, trip| {
+            deliver(&core, node, promoter, move |c, trip| {
                 if trip == Delivery::Arrived {
-                    let said = site.promote(c, &server, fence);
-                    carry(c, promoter, node, move |_, _| {
+                    let said = site.accept_promotion(c, &server, fence);
+                    deliver(c, promoter, node, move |_, _| {
                         let _ = tx.send(said);
                     });
                 }
--- a/crates/simulator/src/fleet/exec.rs
+++ b/crates/simulator/src/fleet/executor.rs
@@ -1,5 +1,5 @@
 //! Runs the tasks of all simulated processes in one order (§9.1).
-use super::core::{Event, Inner, ProcessId, Simulation, Task};
+use super::simulation::{Event, ProcessId, Simulation, SimulationState, Task};
 use quincehatch_core::Millis;
 use quincehatch_runtime::seam::BoxFuture;
 use std::sync::{Arc, Weak};
@@ -12,10 +12,10 @@
             m.dead_tasks.push((host, f));
             return;
         }
-        m.seq += 1;
-        let id = m.seq;
-        m.tasks.insert(id, Task { host, life, fut: Some(f), queued: true });
-        m.ready.push_back(id);
+        m.next_sequence += 1;
+        let id = m.next_sequence;
+        m.tasks.insert(id, Task { process: host, incarnation: life, future: Some(f), queued: true });
+        m.ready_tasks.push_back(id);
     }
     pub fn wake_at(&self, pid: ProcessId, at: Millis, w: Waker) -> u64 {
         let mut m = self.lock();
@@ -27,7 +27,7 @@
     }
     pub fn cancel(&self, timer: u64) {
         let mut m = self.lock();
-        let gone = m.timers.remove(&timer).and_then(|at| m.q.remove(&(at, timer)));
+        let gone = m.timers.remove(&timer).and_then(|at| m.events.remove(&(at, timer)));
         drop(m);
         drop(gone);
     }
@@ -38,13 +38,13 @@
             while self.poll_next_task() {}
             let ev = {
                 let mut m = self.lock();
-                let Some((&(at, n), _)) = m.q.first_key_value().filter(|(k, _)| k.0 <= end) else {
+                let Some((&(at, n), _)) = m.events.first_key_value().filter(|(k, _)| k.0 <= end) else {
                     m.now = end;
                     return;
                 };
                 m.now = at;
                 m.timers.remove(&n);
-                m.q.remove(&(at, n))
+                m.events.remove(&(at, n))
             };
             match ev {
                 Some(Event::Wake(w)) => w.wake(),
@@ -52,11 +52,11 @@
                     let mut m = self.lock();
                     if m.processes[p].paused_until <= m.now {
                         let parked = std::mem::take(&mut m.processes[p].suspended_tasks);
-                        m.ready.extend(parked);
+                        m.ready_tasks.extend(parked);
                     }
                 }
-                Some(Event::Net { from, to, sent, n }) => self.arrive(from, to, sent, n),
-                Some(Event::Do(f)) => f(self),
+                Some(Event::Message { from, to, sent, n }) => self.deliver(from, to, sent, n),
+                Some(Event::Run(f)) => f(self),
                 None => {}
             }
         }
@@ -71,17 +71,17 @@
         }
         let (id, host, mut fut) = {
             let mut m = self.lock();
-            let Some(id) = m.ready.pop_front() else { return false };
+            let Some(id) = m.ready_tasks.pop_front() else { return false };
             let now = m.now;
-            let Some(host) = m.tasks.get(&id).map(|t| t.host) else { return true };
+            let Some(host) = m.tasks.get(&id).map(|t| t.process) else { return true };
             if m.processes[host].paused_until > now {
                 m.processes[host].suspended_tasks.push(id);
                 return true;
             }
             let Some(t) = m.tasks.get_mut(&id) else { return true };
             t.queued = false;
-            let Some(fut) = t.fut.take() else { return true };
-            m.mark(id, host as u64);
+            let Some(fut) = t.future.take() else { return true };
+            m.extend_trace(id, host as u64);
             (id, host, fut)
         };
         let waker = Waker::from(Arc::new(TaskWaker { id, core: Arc::downgrade(self) }));
@@ -92,18 +92,22 @@
             m.tasks.remove(&id);
             m.dead_tasks.push((host, fut));
         } else if let Some(t) = m.tasks.get_mut(&id) {
-            t.fut = Some(fut);
+            t.future = Some(fut);
         }
         true
     }
 
     /// All tasks of a process are gone, in the midst of whatever they did.
-    pub(super) fn kill_tasks(&self, m: &mut Inner, pid: ProcessId) {
+    pub(super) fn kill_tasks(&self, m: &mut SimulationState, pid: ProcessId) {
         let life = m.processes[pid].incarnation;
-        let gone: Vec<u64> =
-            m.tasks.iter().filter(|(_, t)| t.host == pid && t.life == life).map(|(i, _)| *i).collect();
+        let gone: Vec<u64> = m
+            .tasks
+            .iter()
+            .filter(|(_, t)| t.process == pid && t.incarnation == life)
+            .map(|(i, _)| *i)
+            .collect();
         for id in gone {
-            let fut = m.tasks.remove(&id).and_then(|t| t.fut);
+            let fut = m.tasks.remove(&id).and_then(|t| t.future);
             m.dead_tasks.extend(fut.map(|f| (pid, f)));
         }
         m.processes[pid].suspended_tasks.clear();
@@ -117,7 +121,7 @@
                 self.kill_tasks(&mut m, p);
                 m.processes[p].up = false;
             }
-            (std::mem::take(&mut m.q), m.network.clear())
+            (std::mem::take(&mut m.events), m.network.take())
         };
         drop(q);
         while self.poll_next_task() {}
@@ -137,7 +141,7 @@
         let mut m = core.lock();
         if let Some(t) = m.tasks.get_mut(&self.id).filter(|t| !t.queued) {
             t.queued = true;
-            m.ready.push_back(self.id);
+            m.ready_tasks.push_back(self.id);
         }
     }
 }
--- a/crates/simulator/src/fleet/last.rs
+++ b/crates/simulator/src/fleet/final_faults.rs
@@ -1,17 +1,17 @@
 //! Breakdowns that are final (§9.1): one at a time, or two that belong together, and nothing is healed after.
-use super::core::{ProcessId, Trap};
-use super::procs::Laid;
+use super::setup::SimulatedFleet;
+use super::simulation::{ProcessId, Trap};
 use std::sync::Arc;
 
 /// What breaks down, by the seed; tells what it was.
-pub fn strike(l: &Arc<Laid>, seed: u64) -> String {
+pub fn inject_final_fault(l: &Arc<SimulatedFleet>, seed: u64) -> String {
     let dark = l.core.lock().rng.chance(500);
-    let fleet = l.fleets.iter().find_map(|f| f.lock().unwrap().clone());
+    let fleet = l.live_nodes.iter().find_map(|f| f.lock().unwrap().clone());
     let lead = fleet.as_ref().and_then(|f| f.proxy.registry.primary("g1")).and_then(|x| x.server);
     let lead = l
         .servers
         .iter()
-        .find(|s| lead.as_deref() == Some(s.at.name.as_str()))
+        .find(|s| lead.as_deref() == Some(s.address.name.as_str()))
         .map_or(l.servers[0].pid, |s| s.pid);
     let view = fleet.map(|f| f.store_client.view()).unwrap_or_default();
     let at = |n: Option<&quincehatch_core::Name>| {
@@ -25,7 +25,7 @@
         let point = ["is closing", "is fencing", "chose", "is promoting", "is naming"][seed as usize / 2 % 5]
             .to_owned();
         let pause = l.core.lock().rng.chance(500).then_some(3_000);
-        l.core.lock().trap = Some(Trap { point, pause });
+        l.core.lock().trap = Some(Trap { trace_point: point, pause });
     }
     let (what, of): (&str, Vec<ProcessId>) = match seed % 10 {
         0 => ("the lead", vec![lead]),
@@ -50,11 +50,11 @@
     s
 }
 
-impl Laid {
+impl SimulatedFleet {
     /// A replica leaves and another comes under a new name and address; then the lead dies.
     fn replace_replica_then_crash_primary(self: &Arc<Self>, lead: ProcessId, dark: bool) -> String {
         let old = (0..3).find(|i| self.servers[*i].pid != lead).unwrap_or(0);
-        self.leave(old, true);
+        self.set_draining(old, true);
         self.core.restart(self.spares[0].pid);
         let (l, at) = (self.clone(), self.core.now() + 7_500);
         self.core.lock().trap_sprung_at = at + 3_000;
@@ -73,7 +73,7 @@
         let nodes = self.nodes.iter().enumerate().filter_map(here);
         let copies = self.shape.replicas;
         let server =
-            |(i, s): (usize, &super::procs::Server)| ((i / copies + i % copies) % n == d).then_some(s.pid);
+            |(i, s): (usize, &super::setup::Server)| ((i / copies + i % copies) % n == d).then_some(s.pid);
         let servers = self.servers.iter().enumerate().filter_map(server);
         keepers.chain(nodes).chain(servers).collect()
     }
--- a/crates/simulator/src/fleet/keeper.rs
+++ b/crates/simulator/src/fleet/keeper.rs
@@ -1,6 +1,6 @@
 //! A keeper in the simulator: the real [`Keeper`] with a disk that is what was synced (§5.7).
-use super::core::{ProcessId, Simulation};
-use super::net::Net;
+use super::network::Message;
+use super::simulation::{ProcessId, Simulation};
 use quincehatch_core::{Millis, Name};
 use quincehatch_runtime::{now, seam};
 use quincehatch_store::keeper::{Input, Output, Record, RecoveredState};
@@ -14,17 +14,17 @@
 
 pub type Disk = Arc<Mutex<RecoveredState>>;
 
-struct Proc {
-    k: Keeper,
+struct KeeperProcess {
+    keeper: Keeper,
     disk: Disk,
-    waits: BTreeMap<u64, oneshot::Sender<Reply>>,
-    token: u64,
-    told: Millis,
+    pending_replies: BTreeMap<u64, oneshot::Sender<Reply>>,
+    next_token: u64,
+    last_logged: Millis,
 }
 
 /// What all keepers of a run committed, so that one that serves with less is seen (§1 N10).
 #[derive(Default)]
-pub struct Watch {
+pub struct CommitWatch {
     committed: u64,
     pub breaches: Vec<String>,
 }
@@ -32,7 +32,7 @@
 /// Where keepers are found: name to process.
 pub struct KeeperRegistry {
     pub process_by_name: Mutex<BTreeMap<Name, ProcessId>>,
-    pub commit_watch: Mutex<Watch>,
+    pub commit_watch: Mutex<CommitWatch>,
 }
 
 pub fn start_keeper(
@@ -45,10 +45,16 @@
 ) {
     let k = Keeper::new(name.clone(), now(), disk.lock().unwrap().clone());
     let (waits, token, told) = (BTreeMap::new(), 0, 0);
-    let p = Arc::new(Mutex::new(Proc { k, disk: disk.clone(), waits, token, told }));
+    let p = Arc::new(Mutex::new(KeeperProcess {
+        keeper: k,
+        disk: disk.clone(),
+        pending_replies: waits,
+        next_token: token,
+        last_logged: told,
+    }));
     let step = {
         let (core, all) = (core.clone(), all.clone());
-        move |p: &Arc<Mutex<Proc>>, i: Input| step(&core, pid, &all, p, i)
+        move |p: &Arc<Mutex<KeeperProcess>>, i: Input| step_keeper(&core, pid, &all, p, i)
     };
     let (q, s, a) = (p.clone(), step.clone(), all.clone());
     let on_peer = move |from: ProcessId, m| {
@@ -57,7 +63,7 @@
             s(&q, Input::Peer { from, message: m });
         }
     };
-    core.lock().network.peer.insert(pid, Arc::new(on_peer));
+    core.lock().network.peer_handlers.insert(pid, Arc::new(on_peer));
     let (q, s, c, me) = (p.clone(), step.clone(), core.clone(), Identity::new(name));
     core.listen_frames(
         addr,
@@ -72,17 +78,17 @@
             // The bug: a tail hands its store out without asking whether it may.
             let stale = matches!(ask, Request::Feed { .. })
                 && c.has_bug("stale-tail")
-                && q.lock().unwrap().k.is_tail();
+                && q.lock().unwrap().keeper.is_tail();
             if stale {
-                let store = &q.lock().unwrap().k.store;
+                let store = &q.lock().unwrap().keeper.store;
                 let text = PackedText::pack(store.configuration().map_or("", |k| &k.text));
                 let told = Box::new(FeedSnapshot::from_store(store, text));
                 let _ = tx.send(Reply::Snapshot { snapshot: told, lease_ms: 4_000 });
             } else {
                 let mut x = q.lock().unwrap();
-                x.token += 1;
-                let token = x.token;
-                x.waits.insert(token, tx);
+                x.next_token += 1;
+                let token = x.next_token;
+                x.pending_replies.insert(token, tx);
                 drop(x);
                 s(&q, Input::Request { token, request: ask });
             }
@@ -101,7 +107,7 @@
     });
 }
 
-fn sync(disk: &Disk, r: &Record, forgets: bool) {
+fn persist(disk: &Disk, r: &Record, forgets: bool) {
     let mut d = disk.lock().unwrap();
     match r {
         Record::Acceptor { acceptor } => d.acceptor = acceptor.clone(),
@@ -121,9 +127,15 @@
     }
 }
 
-fn step(core: &Arc<Simulation>, pid: ProcessId, all: &KeeperRegistry, p: &Arc<Mutex<Proc>>, i: Input) {
+fn step_keeper(
+    core: &Arc<Simulation>,
+    pid: ProcessId,
+    all: &KeeperRegistry,
+    p: &Arc<Mutex<KeeperProcess>>,
+    i: Input,
+) {
     let mut x = p.lock().unwrap();
-    let outs = x.k.step(now(), i);
+    let outs = x.keeper.step(now(), i);
     // A crash in the midst: all of the step is lost, or it is synced and nothing of it is sent.
     let (fate, faulty) = {
         let mut m = core.lock();
@@ -133,7 +145,7 @@
     if !doomed || fate >= 2 {
         for o in &outs {
             if let Output::Persist(r) = o {
-                sync(&x.disk, r, core.has_bug("unsynced"));
+                persist(&x.disk, r, core.has_bug("unsynced"));
             }
         }
     }
@@ -147,24 +159,24 @@
             Output::Send(to, m) => {
                 let to = all.process_by_name.lock().unwrap().get(&to).copied();
                 if let Some(to) = to {
-                    core.lock().send(pid, to, Net::Peer(m));
+                    core.lock().send(pid, to, Message::Peer(m));
                 }
             }
-            Output::Reply(t, rep) => replies.extend(x.waits.remove(&t).map(|tx| (tx, rep))),
-            Output::Log(s) => core.log(&format!("{}: {s}", x.k.name)),
+            Output::Reply(t, rep) => replies.extend(x.pending_replies.remove(&t).map(|tx| (tx, rep))),
+            Output::Log(s) => core.log(&format!("{}: {s}", x.keeper.name)),
             Output::Persist(_) => {}
         }
     }
-    if core.verbose && x.told + 1_000 < now() {
-        x.told = now();
-        let s = x.k.status();
+    if core.verbose && x.last_logged + 1_000 < now() {
+        x.last_logged = now();
+        let s = x.keeper.status();
         core.log(&format!(
             "{} n {} committed {} in force {} {}",
             s.name, s.last_change, s.committed, s.in_force, s.reason
         ));
     }
-    let (serving, n, committed) = (x.k.is_serving(), x.k.store.last_change, x.k.committed);
-    let (name, view) = (x.k.name.clone(), x.k.view.version);
+    let (serving, n, committed) = (x.keeper.is_serving(), x.keeper.store.last_change, x.keeper.committed);
+    let (name, view) = (x.keeper.name.clone(), x.keeper.view.version);
     drop(x);
     let mut w = all.commit_watch.lock().unwrap();
     if serving && n < w.committed && w.breaches.len() < 20 {
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -1,17 +1,17 @@
 //! The seeded simulator (§9.1): virtual time, one thread, and the very code that the daemons, the stand-ins and the
 //! callers run. A seed replays exactly.
-mod arrive;
-pub mod core;
-mod exec;
+mod delivery;
+mod executor;
 pub mod faults;
-mod hands;
+mod promotion_faults;
+pub mod simulation;
 
-mod host;
+mod final_faults;
 pub mod keeper;
-mod last;
-pub mod net;
-mod power;
-pub mod procs;
+pub mod network;
+mod process_control;
+mod process_world;
 pub mod run;
+pub mod setup;
 
 pub use run::{Report, SimOptions, run_seed};
--- a/crates/simulator/src/fleet/power.rs
+++ b/crates/simulator/src/fleet/process_control.rs
@@ -1,23 +1,23 @@
 //! Cutting, pausing, killing and starting simulated processes (§9.1).
-use super::core::{Event, ProcessId, Simulation};
+use super::simulation::{Event, ProcessId, Simulation};
 use quincehatch_core::Millis;
 use std::sync::Arc;
 
 impl Simulation {
-    pub fn cut(&self, p: ProcessId, q: ProcessId, both: bool) {
+    pub fn partition(&self, p: ProcessId, q: ProcessId, both: bool) {
         let mut m = self.lock();
         m.partitions.insert((p, q));
         if both {
             m.partitions.insert((q, p));
         }
     }
-    pub fn mend(&self, p: ProcessId, q: ProcessId) {
+    pub fn heal_partition(&self, p: ProcessId, q: ProcessId) {
         let mut m = self.lock();
         m.partitions.remove(&(p, q));
         m.partitions.remove(&(q, p));
     }
     /// Stands still for so long; with 0 goes on at once.
-    pub fn pause(&self, p: ProcessId, ms: Millis) {
+    pub fn suspend(&self, p: ProcessId, ms: Millis) {
         let mut m = self.lock();
         let until = m.now + ms;
         m.processes[p].paused_until = if ms == 0 { 0 } else { m.processes[p].paused_until.max(until) };
@@ -51,13 +51,13 @@
     /// A process came to a point of its work: a snare there makes it stand still, or die and come back.
     pub fn reach_trace_point(self: &Arc<Self>, p: ProcessId, what: &str) {
         let mut m = self.lock();
-        let Some(s) = m.trap.take_if(|s| what.contains(&s.point)) else { return };
+        let Some(s) = m.trap.take_if(|s| what.contains(&s.trace_point)) else { return };
         let at = m.now;
         m.trap_sprung_at = at;
         drop(m);
         self.log(&format!("snare {s:?}"));
         self.schedule_action(at, move |c| match s.pause {
-            Some(ms) => c.pause(p, ms),
+            Some(ms) => c.suspend(p, ms),
             None => {
                 c.crash(p, false);
                 c.schedule_action(c.now() + 4_000, move |c| c.restart(p));
--- a/crates/simulator/src/fleet/host.rs
+++ b/crates/simulator/src/fleet/process_world.rs
@@ -1,6 +1,6 @@
 //! What a simulated process has in place of tokio and the kernel (§5.8, §9.1).
-use super::core::{ProcessId, Simulation};
-use super::net::{Link, Net, Visit};
+use super::network::{Connection, HttpRequest, Message};
+use super::simulation::{ProcessId, Simulation};
 use quincehatch_core::{Millis, hash64};
 use quincehatch_runtime::seam::{BoxFuture, OnDisconnect, VirtualConnection, World};
 use serde_json::Value;
@@ -14,14 +14,14 @@
 pub struct ProcessWorld {
     pub core: Arc<Simulation>,
     pub pid: ProcessId,
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 struct SimulatedPipe {
     core: Arc<Simulation>,
     id: u64,
-    a: ProcessId,
-    b: ProcessId,
+    client: ProcessId,
+    server: ProcessId,
     closed: Arc<AtomicBool>,
 }
 
@@ -36,9 +36,13 @@
         let gone = || Error::from(ErrorKind::ConnectionReset);
         {
             let mut m = self.core.lock();
-            if let Some(l) = m.network.open.get_mut(&self.id).filter(|l| l.client_open) {
-                l.asking = Some(tx);
-                m.send(self.a, self.b, Net::Request(Visit { link: self.id, path, body, token }));
+            if let Some(l) = m.network.connections.get_mut(&self.id).filter(|l| l.client_open) {
+                l.http_reply = Some(tx);
+                m.send(
+                    self.client,
+                    self.server,
+                    Message::Request(HttpRequest { connection: self.id, path, body, token }),
+                );
             }
         }
         Box::pin(async move { rx.await.unwrap_or_else(|_| Err(gone())) })
@@ -48,11 +52,11 @@
     }
     fn close(&self) {
         let mut m = self.core.lock();
-        let Some(l) = m.network.open.get_mut(&self.id) else { return };
+        let Some(l) = m.network.connections.get_mut(&self.id) else { return };
         if std::mem::replace(&mut l.client_open, false) {
-            let gone = (l.connect_reply.take(), l.asking.take(), l.on_break.take());
+            let gone = (l.connect_reply.take(), l.http_reply.take(), l.on_break.take());
             m.deferred_drops.push(Box::new(gone));
-            m.send(self.a, self.b, Net::Closed(self.id));
+            m.send(self.client, self.server, Message::Closed(self.id));
         }
     }
 }
@@ -69,13 +73,13 @@
 
 impl World for ProcessWorld {
     fn now(&self) -> Millis {
-        self.core.lock().local(self.pid)
+        self.core.lock().local_time(self.pid)
     }
     fn wall_clock_ms(&self) -> u64 {
         self.core.lock().now + 1_000_000
     }
     fn incarnation(&self) -> u64 {
-        hash64(&[&self.pid.to_le_bytes(), &self.life.to_le_bytes()])
+        hash64(&[&self.pid.to_le_bytes(), &self.incarnation.to_le_bytes()])
     }
     fn wake_at(&self, at: Millis, w: Waker) -> u64 {
         self.core.wake_at(self.pid, at, w)
@@ -84,7 +88,7 @@
         self.core.cancel(timer);
     }
     fn spawn(&self, f: BoxFuture<'static, ()>) {
-        self.core.spawn(self.pid, self.life, f);
+        self.core.spawn(self.pid, self.incarnation, f);
     }
     fn connect(
         &self,
@@ -93,27 +97,27 @@
     ) -> BoxFuture<'static, Result<Arc<dyn VirtualConnection>>> {
         let (tx, rx) = oneshot::channel();
         let mut m = self.core.lock();
-        let Some(b) = m.network.at.get(addr).copied() else {
+        let Some(b) = m.network.addresses.get(addr).copied() else {
             return Box::pin(async { Err(ErrorKind::ConnectionRefused.into()) });
         };
-        m.network.next += 1;
-        let (id, a, closed) = (m.network.next, self.pid, Arc::new(AtomicBool::new(false)));
+        m.network.next_id += 1;
+        let (id, a, closed) = (m.network.next_id, self.pid, Arc::new(AtomicBool::new(false)));
         let (addr, on_break, opening) = (addr.to_owned(), Some(on_break), Some(tx));
-        let l = Link {
-            a,
-            b,
+        let l = Connection {
+            client: a,
+            server: b,
             addr,
             client_open: true,
             server_open: false,
             closed: closed.clone(),
             on_break,
             connect_reply: opening,
-            asking: None,
+            http_reply: None,
         };
-        m.network.open.insert(id, l);
-        m.send(a, b, Net::Syn(id));
+        m.network.connections.insert(id, l);
+        m.send(a, b, Message::Syn(id));
         drop(m);
-        let pipe = Arc::new(SimulatedPipe { core: self.core.clone(), id, a, b, closed });
+        let pipe = Arc::new(SimulatedPipe { core: self.core.clone(), id, client: a, server: b, closed });
         Box::pin(async move {
             let mut guard = CloseUnlessOpened(Some(pipe));
             rx.await.unwrap_or_else(|_| Err(ErrorKind::ConnectionReset.into()))?;
@@ -127,13 +131,13 @@
     fn exchange_frame(&self, addr: &str, bytes: Vec<u8>) -> BoxFuture<'static, Result<Vec<u8>>> {
         let (tx, rx) = oneshot::channel();
         let mut m = self.core.lock();
-        let Some(b) = m.network.at.get(addr).copied() else {
+        let Some(b) = m.network.addresses.get(addr).copied() else {
             return Box::pin(async { Err(ErrorKind::ConnectionRefused.into()) });
         };
-        m.network.next += 1;
-        let rid = m.network.next;
-        m.network.frames.insert(rid, tx);
-        m.send(self.pid, b, Net::Frame { rid, addr: addr.to_owned(), bytes });
+        m.network.next_id += 1;
+        let rid = m.network.next_id;
+        m.network.pending_frames.insert(rid, tx);
+        m.send(self.pid, b, Message::Frame { rid, addr: addr.to_owned(), bytes });
         Box::pin(async move { rx.await.unwrap_or_else(|_| Err(ErrorKind::ConnectionReset.into())) })
     }
     fn injected_bug(&self, bug: &str) -> bool {
--- a/crates/simulator/src/fleet/procs.rs
+++ b/crates/simulator/src/fleet/setup.rs
@@ -1,8 +1,8 @@
 //! The processes of a simulated fleet (§9.1): nodes, servers, platform and callers are the very code that runs on a
 //! real one; what stands here only gives them addresses.
-use super::core::{ProcessId, Simulation, StartProcess};
 use super::keeper::{self, Disk, KeeperRegistry};
-use super::net::HttpHandler;
+use super::network::HttpHandler;
+use super::simulation::{ProcessId, Simulation, StartProcess};
 use bytes::Bytes;
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::Name;
@@ -13,8 +13,8 @@
 use quincehatch_store::{View, Voter};
 use quincehatch_testbed::fleet::{ServerAddress, Shape, TOKEN, configuration_for};
 use quincehatch_testbed::platform::{Platform, poll_readiness};
-use quincehatch_testbed::stand_in::{self, StandIn, calls, repl};
-use quincehatch_testbed::stmt::ConnectionState;
+use quincehatch_testbed::stand_in::{self, StandIn, calls, replication};
+use quincehatch_testbed::statement::ConnectionState;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
@@ -22,53 +22,53 @@
 #[derive(Clone)]
 pub struct Server {
     pub pid: ProcessId,
-    pub at: ServerAddress,
-    pub live: Arc<Mutex<Option<Arc<StandIn>>>>,
-    pub disk: Arc<stand_in::Disk>,
+    pub address: ServerAddress,
+    pub stand_in: Arc<Mutex<Option<Arc<StandIn>>>>,
+    pub disk: Arc<stand_in::MemoryDisk>,
 }
 
-pub struct Laid {
+pub struct SimulatedFleet {
     pub core: Arc<Simulation>,
     pub shape: Shape,
     pub keepers: Vec<ProcessId>,
     pub keeper_registry: Arc<KeeperRegistry>,
     pub nodes: Vec<ProcessId>,
-    pub fleets: Vec<Arc<Mutex<Option<Arc<ClusterNode>>>>>,
+    pub live_nodes: Vec<Arc<Mutex<Option<Arc<ClusterNode>>>>>,
     pub servers: Vec<Server>,
     /// One a group, under a name of its own; not running at first.
     pub spares: Vec<Server>,
-    pub desks: Vec<String>,
+    pub operator_addresses: Vec<String>,
     pub platform: String,
     /// Those with a lower number are the fleet and its servers.
     pub platform_process: ProcessId,
     pub callers: ProcessId,
-    pub blueprint: String,
+    pub configuration: String,
 }
 
-fn addr(kind: u64, i: usize) -> String {
+fn address(kind: u64, i: usize) -> String {
     format!("127.0.0.{kind}:{}", 1_000 + i)
 }
-fn district(i: usize, of: usize) -> String {
+fn zone_name(i: usize, of: usize) -> String {
     format!("d{}", i % of + 1)
 }
 
-fn settings(shape: &Shape, i: usize) -> NodeSettings {
+fn node_settings(shape: &Shape, i: usize) -> NodeSettings {
     NodeSettings {
         name: format!("n{}", i + 1),
-        zone: district(i, shape.zones),
-        client_listener: addr(2, i),
-        operator_listener: addr(3, i),
-        gossip_listener: addr(4, i),
-        seeds: (0..shape.nodes.min(3)).map(|i| addr(4, i)).collect(),
-        keepers: (0..shape.keepers).map(|i| addr(1, i)).collect(),
-        platform: addr(6, 0),
+        zone: zone_name(i, shape.zones),
+        client_listener: address(2, i),
+        operator_listener: address(3, i),
+        gossip_listener: address(4, i),
+        seeds: (0..shape.nodes.min(3)).map(|i| address(4, i)).collect(),
+        keepers: (0..shape.keepers).map(|i| address(1, i)).collect(),
+        platform: address(6, 0),
         token: TOKEN.into(),
         log: "off".into(),
         threads: 1,
     }
 }
 
-fn knock(v: super::net::Visit) -> HttpRequest {
+fn http_request(v: super::network::HttpRequest) -> HttpRequest {
     let method = if v.path == "/ready" { "GET" } else { "POST" }.to_owned();
     let body = if v.body.is_null() { Bytes::new() } else { Bytes::from(v.body.to_string()) };
     HttpRequest { method, path: v.path, token: v.token, body }
@@ -79,13 +79,13 @@
     let n = f.proxy.clone();
     let door: HttpHandler = Arc::new(move |v| {
         let n = n.clone();
-        Box::pin(async move { Some(operator_api::origin(&n, knock(v)).await) })
+        Box::pin(async move { Some(operator_api::origin(&n, http_request(v)).await) })
     });
     core.listen_http(&set.client_listener, pid, door, Arc::new(|_| ()));
     let g = f.clone();
     let at_desk: HttpHandler = Arc::new(move |v| {
         let f = g.clone();
-        Box::pin(async move { Some(operator_api::answer(&f, knock(v)).await) })
+        Box::pin(async move { Some(operator_api::answer(&f, http_request(v)).await) })
     });
     core.listen_http(&set.operator_listener, pid, at_desk, Arc::new(|_| ()));
     let g = f.clone();
@@ -107,11 +107,11 @@
     let links: Arc<Mutex<BTreeMap<u64, Arc<tokio::sync::Mutex<ConnectionState>>>>> = Arc::default();
     let (t, of) = (s.clone(), links.clone());
     let http: HttpHandler = Arc::new(move |v| {
-        let ctx = of.lock().unwrap().entry(v.link).or_default().clone();
+        let ctx = of.lock().unwrap().entry(v.connection).or_default().clone();
         let s = t.clone();
         Box::pin(async move {
             s.faults.wait_while(&s.faults.dark).await;
-            let got = calls::answer(&s, &ctx, &v.path, v.body).await.ok()?;
+            let got = calls::answer_call(&s, &ctx, &v.path, v.body).await.ok()?;
             s.faults.wait_while(&s.faults.dark).await;
             Some((if got.get("error").is_some() { 409 } else { 200 }, got))
         })
@@ -119,16 +119,17 @@
     // A link's end drops its context, and with it its open transaction.
     let closed = Arc::new(move |id| drop(links.lock().unwrap().remove(&id)));
     core.listen_http(&at, pid, http, closed);
-    seam::spawn(repl::follow(s.clone()));
-    seam::spawn(repl::beats(s.clone()));
+    seam::spawn(replication::follow_primary(s.clone()));
+    seam::spawn(replication::send_heartbeats(s.clone()));
     s
 }
 
-pub fn build_fleet(seed: u64, shape: Shape, bug: Option<&str>, tell: bool) -> Laid {
+pub fn build_fleet(seed: u64, shape: Shape, bug: Option<&str>, tell: bool) -> SimulatedFleet {
     fastrand::seed(seed);
     let core = Simulation::new(seed, bug, tell);
     let names: Vec<Name> = (0..shape.keepers).map(|i| format!("k{}", i + 1).into()).collect();
-    let machines = names.iter().enumerate().map(|(i, n)| Voter { name: n.clone(), addr: addr(1, i).into() });
+    let machines =
+        names.iter().enumerate().map(|(i, n)| Voter { name: n.clone(), addr: address(1, i).into() });
     let view = View { version: 1, members: names.clone(), voters: machines.collect() };
     let all = Arc::new(KeeperRegistry { process_by_name: Mutex::default(), commit_watch: Mutex::default() });
     let keepers: Vec<ProcessId> = names
@@ -139,7 +140,7 @@
                 Arc::new(Mutex::new(RecoveredState { view: view.clone(), ..Default::default() }));
             let (n2, all2) = (n.clone(), all.clone());
             let start: StartProcess =
-                Arc::new(move |c, pid| keeper::start_keeper(c, pid, &n2, &addr(1, i), &disk, &all2));
+                Arc::new(move |c, pid| keeper::start_keeper(c, pid, &n2, &address(1, i), &disk, &all2));
             let pid = core.add_process(n, start, false);
             all.process_by_name.lock().unwrap().insert(n.clone(), pid);
             pid
@@ -148,7 +149,7 @@
     let mut fleets = Vec::new();
     let nodes: Vec<ProcessId> = (0..shape.nodes)
         .map(|i| {
-            let set = settings(&shape, i);
+            let set = node_settings(&shape, i);
             let live: Arc<Mutex<Option<Arc<ClusterNode>>>> = Arc::default();
             fleets.push(live.clone());
             let name = set.name.clone();
@@ -159,18 +160,18 @@
             core.add_process(&name, start, false)
         })
         .collect();
-    let desks: Vec<String> = (0..shape.nodes).map(|i| addr(3, i)).collect();
+    let desks: Vec<String> = (0..shape.nodes).map(|i| address(3, i)).collect();
     let (mut servers, mut spares) = (Vec::new(), Vec::new());
     for g in 0..shape.groups {
         // The last is a spare, which is not there at first.
         let addrs: Vec<String> =
-            (0..=shape.replicas).map(|i| addr(5, g * (shape.replicas + 1) + i)).collect();
+            (0..=shape.replicas).map(|i| address(5, g * (shape.replicas + 1) + i)).collect();
         for (i, a) in addrs.iter().enumerate() {
             let (name, group) = (format!("g{}s{}", g + 1, i + 1), format!("g{}", g + 1));
-            let d = district(g + i, shape.zones);
+            let d = zone_name(g + i, shape.zones);
             let labels =
                 [format!("group={group}"), format!("district={d}"), format!("copies={}", shape.replicas)];
-            let disk: Arc<stand_in::Disk> = Arc::default();
+            let disk: Arc<stand_in::MemoryDisk> = Arc::default();
             let args = stand_in::StandInOptions {
                 name: name.clone(),
                 addr: a.clone(),
@@ -187,7 +188,8 @@
                 *l.lock().unwrap() = Some(s);
             });
             let pid = core.add_process(&name, start, false);
-            let s = Server { pid, at: ServerAddress { name, group, addr: a.clone() }, live, disk };
+            let s =
+                Server { pid, address: ServerAddress { name, group, addr: a.clone() }, stand_in: live, disk };
             if i < shape.replicas {
                 servers.push(s);
             } else {
@@ -196,8 +198,8 @@
             }
         }
     }
-    let platform = addr(6, 0);
-    let doors = (0..shape.nodes).map(|i| (district(i, shape.zones), addr(2, i))).collect();
+    let platform = address(6, 0);
+    let doors = (0..shape.nodes).map(|i| (zone_name(i, shape.zones), address(2, i))).collect();
     let (p, at) = (Platform::new(doors), platform.clone());
     let start: StartProcess = Arc::new(move |c, pid| {
         let q = p.clone();
@@ -211,28 +213,28 @@
     let platform_pid = core.add_process("platform", start, true);
     let callers = core.add_process("callers", Arc::new(|_, _| ()), true);
     let blueprint = configuration_for(&shape);
-    Laid {
+    SimulatedFleet {
         core,
         shape,
         keepers,
         keeper_registry: all,
         nodes,
-        fleets,
+        live_nodes: fleets,
         servers,
         spares,
-        desks,
+        operator_addresses: desks,
         platform,
         platform_process: platform_pid,
         callers,
-        blueprint,
+        configuration: blueprint,
     }
 }
 
-impl Laid {
+impl SimulatedFleet {
     /// Lets go of what the processes hold, so that nothing of the run stays behind.
-    pub fn end(&self) {
+    pub fn shut_down(&self) {
         self.core.shut_down();
-        self.fleets.iter().for_each(|f| drop(f.lock().unwrap().take()));
-        self.servers.iter().chain(&self.spares).for_each(|s| drop(s.live.lock().unwrap().take()));
+        self.live_nodes.iter().for_each(|f| drop(f.lock().unwrap().take()));
+        self.servers.iter().chain(&self.spares).for_each(|s| drop(s.stand_in.lock().unwrap().take()));
     }
 }
--- a/crates/simulator/src/fleet/core.rs
+++ b/crates/simulator/src/fleet/simulation.rs
@@ -1,5 +1,5 @@
 //! Virtual time, processes and their tasks (§9.1): one thread, everything in the order of one queue.
-use super::net::{Links, Net};
+use super::network::{Message, Network};
 use quincehatch_core::Millis;
 use quincehatch_runtime::rng::Rng;
 use quincehatch_runtime::seam::{self, BoxFuture, World};
@@ -8,20 +8,20 @@
 use std::task::Waker;
 
 pub type ProcessId = usize;
-pub type Act = Box<dyn FnOnce(&Arc<Simulation>) + Send>;
+pub type Action = Box<dyn FnOnce(&Arc<Simulation>) + Send>;
 
 /// What is to happen at a time.
 pub enum Event {
     Wake(Waker),
     Resume(ProcessId),
     /// Something on its way between two processes, and when it was sent.
-    Net {
+    Message {
         from: ProcessId,
         to: ProcessId,
         sent: Millis,
-        n: Net,
+        n: Message,
     },
-    Do(Act),
+    Run(Action),
 }
 
 /// How a process is started; kept, so that it can be started again.
@@ -42,19 +42,19 @@
 }
 
 pub(super) struct Task {
-    pub(super) host: ProcessId,
-    pub(super) life: u64,
-    pub(super) fut: Option<BoxFuture<'static, ()>>,
+    pub(super) process: ProcessId,
+    pub(super) incarnation: u64,
+    pub(super) future: Option<BoxFuture<'static, ()>>,
     pub(super) queued: bool,
 }
 
-pub struct Inner {
+pub struct SimulationState {
     pub now: Millis,
-    pub(super) seq: u64,
-    pub(super) q: BTreeMap<(Millis, u64), Event>,
+    pub(super) next_sequence: u64,
+    pub(super) events: BTreeMap<(Millis, u64), Event>,
     pub(super) timers: BTreeMap<u64, Millis>,
     pub(super) tasks: BTreeMap<u64, Task>,
-    pub(super) ready: VecDeque<u64>,
+    pub(super) ready_tasks: VecDeque<u64>,
     pub(super) dead_tasks: Vec<(ProcessId, BoxFuture<'static, ()>)>,
     /// What may do something when it is dropped, and so must not be while the lock is held.
     pub deferred_drops: Vec<Box<dyn std::any::Any + Send>>,
@@ -64,7 +64,7 @@
     pub loss_per_mille: u64,
     pub duplicate_per_mille: u64,
     pub delay_range: (Millis, Millis),
-    pub network: Links,
+    pub network: Network,
     pub messages_sent: u64,
     pub trace: u64,
     /// Keepers may die in the midst of a step.
@@ -77,27 +77,27 @@
 /// A trap for a process at a point of its work.
 #[derive(Clone, Debug)]
 pub struct Trap {
-    pub point: String,
+    pub trace_point: String,
     pub pause: Option<Millis>,
 }
 
 pub struct Simulation {
-    m: Mutex<Inner>,
+    state: Mutex<SimulationState>,
     pub bug: Option<String>,
     pub verbose: bool,
 }
 
-impl Inner {
+impl SimulationState {
     pub fn schedule(&mut self, when: Millis, e: Event) -> u64 {
-        self.seq += 1;
-        self.q.insert((when.max(self.now), self.seq), e);
-        self.seq
+        self.next_sequence += 1;
+        self.events.insert((when.max(self.now), self.next_sequence), e);
+        self.next_sequence
     }
-    pub fn local(&self, p: ProcessId) -> Millis {
+    pub fn local_time(&self, p: ProcessId) -> Millis {
         let h = &self.processes[p];
         h.clock_offset + self.now * h.clock_rate / 100_000
     }
-    pub(super) fn mark(&mut self, a: u64, b: u64) {
+    pub(super) fn extend_trace(&mut self, a: u64, b: u64) {
         let x = self.trace ^ a.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ b.rotate_left(32);
         self.trace = (x ^ (x >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) ^ self.now;
     }
@@ -105,13 +105,13 @@
 
 impl Simulation {
     pub fn new(seed: u64, bug: Option<&str>, tell: bool) -> Arc<Simulation> {
-        let m = Mutex::new(Inner {
+        let m = Mutex::new(SimulationState {
             now: 0,
-            seq: 0,
-            q: BTreeMap::new(),
+            next_sequence: 0,
+            events: BTreeMap::new(),
             timers: BTreeMap::new(),
             tasks: BTreeMap::new(),
-            ready: VecDeque::new(),
+            ready_tasks: VecDeque::new(),
             dead_tasks: Vec::new(),
             deferred_drops: Vec::new(),
             processes: Vec::new(),
@@ -120,17 +120,17 @@
             loss_per_mille: 0,
             duplicate_per_mille: 5,
             delay_range: (1, 12),
-            network: Links::default(),
+            network: Network::default(),
             messages_sent: 0,
             trace: seed,
             crashes_enabled: false,
             trap: None,
             trap_sprung_at: 0,
         });
-        Arc::new(Simulation { m, bug: bug.map(str::to_owned), verbose: tell })
+        Arc::new(Simulation { state: m, bug: bug.map(str::to_owned), verbose: tell })
     }
-    pub fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.m.lock().unwrap()
+    pub fn lock(&self) -> MutexGuard<'_, SimulationState> {
+        self.state.lock().unwrap()
     }
     pub fn now(&self) -> Millis {
         self.lock().now
@@ -144,7 +144,7 @@
         self.bug.as_deref() == Some(b)
     }
     pub fn schedule_action(&self, when: Millis, f: impl FnOnce(&Arc<Simulation>) + Send + 'static) {
-        self.lock().schedule(when, Event::Do(Box::new(f)));
+        self.lock().schedule(when, Event::Run(Box::new(f)));
     }
 
     /// A process, which is started at once.
@@ -174,7 +174,7 @@
     }
     pub fn world(self: &Arc<Self>, pid: ProcessId) -> Arc<dyn World> {
         let life = self.lock().processes[pid].incarnation;
-        Arc::new(super::host::ProcessWorld { core: self.clone(), pid, life })
+        Arc::new(super::process_world::ProcessWorld { core: self.clone(), pid, incarnation: life })
     }
     pub fn run_in<T>(self: &Arc<Self>, pid: ProcessId, f: impl FnOnce() -> T) -> T {
         seam::with_world(self.world(pid), f)
--- a/crates/simulator/tests/control_history.rs
+++ b/crates/simulator/tests/control_history.rs
@@ -1,6 +1,6 @@
 //! Each check of the simulated control plane's history, seen to fail on a history that is spoilt in its way (§9.8).
 use quincehatch_core::Millis;
-use quincehatch_simulator::control::checks::check;
+use quincehatch_simulator::control::checks::check_history;
 use quincehatch_simulator::control::history::{Applied, Document, History, Read};
 use quincehatch_simulator::control::{Allowed, Parameters};
 
@@ -9,15 +9,15 @@
 }
 
 fn read(began: Millis, document: Document) -> Read {
-    Read { began, ended: began + 10, document: Some(document) }
+    Read { began_at: began, ended_at: began + 10, document: Some(document) }
 }
 
 /// Two documents, each acknowledged and read back.
 fn sound() -> History {
     let mut history = History { read_back: true, settled: vec![(0, 60_000)], ..Default::default() };
     for (at, number) in [(1_000, 1), (2_000, 2)] {
-        let order = history.send(at, document(number, 0));
-        history.orders[order].ended = Some(at + 100);
+        let order = history.record_submission(at, document(number, 0));
+        history.submissions[order].ended_at = Some(at + 100);
         history.acknowledged.push((at + 100, document(number, 0)));
         history.reads.push(read(at + 200, document(number, 0)));
     }
@@ -28,7 +28,7 @@
 fn fails(check_name: &str, spoil: impl FnOnce(&mut History)) {
     let mut history = sound();
     spoil(&mut history);
-    let breaches = check(&history, &Parameters::for_seed(1, Allowed::default()));
+    let breaches = check_history(&history, &Parameters::for_seed(1, Allowed::default()));
     assert!(!breaches.is_empty(), "{check_name} saw nothing");
     let prefix = format!("{check_name} ");
     assert!(breaches.iter().all(|breach| breach.starts_with(&prefix)), "{breaches:#?}");
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_sound_history_has_no_breach() {
-    let breaches = check(&sound(), &Parameters::for_seed(1, Allowed::default()));
+    let breaches = check_history(&sound(), &Parameters::for_seed(1, Allowed::default()));
     assert!(breaches.is_empty(), "{breaches:#?}");
 }
 
@@ -55,7 +55,7 @@
 
 #[test]
 fn c3_sees_a_refusal_of_what_was_acknowledged() {
-    fails("C3", |history| history.refused.push((3_000, document(1, 0))));
+    fails("C3", |history| history.rejected.push((3_000, document(1, 0))));
 }
 
 #[test]
@@ -74,13 +74,13 @@
 #[test]
 fn c10_sees_a_leased_node_that_is_behind() {
     let node = quincehatch_core::Name::from("node-0");
-    let applied = Applied { node, at: 9_000, document: Some(document(1, 0)) };
+    let applied = Applied { node, observed_at: 9_000, document: Some(document(1, 0)) };
     fails("C10", |history| history.applied.push(applied));
 }
 
 #[test]
 fn c_live_sees_an_order_without_its_answer() {
     fails("C-live", |history| {
-        history.send(10_000, document(3, 0));
+        history.record_submission(10_000, document(3, 0));
     });
 }
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/caller.rs
@@ -1,6 +1,7 @@
 //! Callers (§9.2): many sessions that order, ask after orders, look up, and remember what they were told.
 use crate::history::{
-    AnswerRecord, AttemptRecord, Book, End, SentStatement, SentStatements, Served, VersionRecord,
+    AnswerRecord, AttemptRecord, CallEnd, SentStatement, SentStatements, ServedCall, SharedHistory,
+    VersionRecord,
 };
 use crate::stand_in::journal::request_id;
 use quincehatch_runtime::now;
@@ -13,11 +14,11 @@
 use std::time::Duration;
 
 /// What all callers of a run share.
-pub struct World {
-    pub book: Book,
+pub struct LoadEnvironment {
+    pub history: SharedHistory,
     pub platform: String,
     pub groups: usize,
-    pub districts: usize,
+    pub zones: usize,
     pub zone_affinity: bool,
     /// Time between two calls of one caller, in the mean.
     pub pause_ms: u64,
@@ -27,77 +28,77 @@
     /// Moves to another district, of a thousand calls.
     pub moves_per_mille: u64,
     pub stop: AtomicBool,
-    pub sent: std::sync::Mutex<SentStatements>,
+    pub sent_statements: std::sync::Mutex<SentStatements>,
     pub calls: AtomicU64,
     /// Callers that came beside the first ones.
-    pub more: AtomicU64,
+    pub extra_callers: AtomicU64,
 }
 
 pub struct Caller {
-    pub w: Arc<World>,
+    pub env: Arc<LoadEnvironment>,
     pub id: usize,
     pub rng: Rng,
-    district: String,
-    wire: Option<(HttpConnection, String)>,
+    zone: String,
+    connection: Option<(HttpConnection, String)>,
     pub(crate) session: Option<(String, u64)>,
-    pub(crate) n: u64,
+    pub(crate) order_count: u64,
     mark_count: u64,
 }
 
 pub(crate) const ORDER_MS: u64 = 1_000;
 
 impl Caller {
-    pub fn new(w: Arc<World>, id: usize, seed: u64) -> Self {
+    pub fn new(w: Arc<LoadEnvironment>, id: usize, seed: u64) -> Self {
         // Where callers keep to their district's group, only its nodes see what that group's servers do.
         let place = if w.zone_affinity { id } else { id / w.groups };
-        let district = format!("d{}", place % w.districts + 1);
+        let district = format!("d{}", place % w.zones + 1);
         Self {
-            w,
+            env: w,
             id,
             rng: Rng::new(seed ^ (id as u64) << 20),
-            district,
-            wire: None,
+            zone: district,
+            connection: None,
             session: None,
-            n: 0,
+            order_count: 0,
             mark_count: 0,
         }
     }
-    pub fn mark(&self) -> String {
+    pub fn caller_mark(&self) -> String {
         format!("c{}", self.id)
     }
     pub fn group(&self) -> String {
-        format!("g{}", self.id % self.w.groups + 1)
+        format!("g{}", self.id % self.env.groups + 1)
     }
     pub fn list(&self) -> String {
-        format!("orders/{}", self.mark())
+        format!("orders/{}", self.caller_mark())
     }
 
     /// One call to this caller's node; `None` when no answer came.
     pub async fn call(&mut self, path: &str, body: Value, within: u64) -> Option<(u16, Value)> {
-        if self.wire.is_none() {
-            let place = json!({"district": self.district});
+        if self.connection.is_none() {
+            let place = json!({"district": self.zone});
             let (st, v) =
-                post_once(&self.w.platform, "/v1/place", &place, Duration::from_millis(500)).await.ok()?;
+                post_once(&self.env.platform, "/v1/place", &place, Duration::from_millis(500)).await.ok()?;
             let door = v["door"].as_str().filter(|_| st == 200)?.to_owned();
             let wire = seam::timeout(Duration::from_millis(500), HttpConnection::open(&door, None))
                 .await
                 .ok()?
                 .ok()?;
-            self.wire = Some((wire, door));
+            self.connection = Some((wire, door));
         }
         self.record_sent(path, &body);
-        self.w.calls.fetch_add(1, Ordering::Relaxed);
+        self.env.calls.fetch_add(1, Ordering::Relaxed);
         let asked = now();
         let c = Call { method: "POST", path, body: &body, token: None };
-        let (wire, _) = self.wire.as_mut()?;
+        let (wire, _) = self.connection.as_mut()?;
         let got = seam::timeout(Duration::from_millis(within + 500), wire.ask(&c)).await;
         let Ok(Ok((st, v))) = got else {
-            self.wire = None;
+            self.connection = None;
             return None;
         };
-        let mut h = self.w.book.lock().unwrap();
+        let mut h = self.env.history.lock().unwrap();
         if now() > asked + within + 200 {
-            h.late += 1;
+            h.late_replies += 1;
         }
         // A visit that no rule was found for ran under none: its node may hold no lease and no blueprint.
         let ran = v["where"]["placement"].as_str().is_some_and(|p| !p.is_empty());
@@ -106,12 +107,12 @@
         }
         if v["end"] == "kept" {
             let (stamp, rows) = (v["stamp"].clone(), v["rows"].clone());
-            h.said.push(AnswerRecord { path: path.into(), id: request_id(&body), stamp, rows });
+            h.answers.push(AnswerRecord { path: path.into(), id: request_id(&body), stamp, rows });
         }
         drop(h);
         // A node that stops or is not ready: the platform knows another.
         if matches!(v["error"]["code"].as_u64(), Some(1501..=1503)) {
-            self.wire = None;
+            self.connection = None;
         }
         Some((st, v))
     }
@@ -119,7 +120,7 @@
     /// Keeps what is sent, so that a server's journal can be held against it.
     fn record_sent(&self, path: &str, body: &Value) {
         let Some(t) = body["text"].as_str() else { return };
-        let mut all = self.w.sent.lock().unwrap();
+        let mut all = self.env.sent_statements.lock().unwrap();
         match path {
             "/v1/set" => drop(all.session_state.insert(t.to_owned())),
             "/v1/prepare" => {
@@ -142,33 +143,33 @@
     /// A mark that no other statement of this caller bears.
     pub(crate) fn next_mark(&mut self) -> String {
         self.mark_count += 1;
-        format!("{}#{}", self.mark(), self.mark_count)
+        format!("{}#{}", self.caller_mark(), self.mark_count)
     }
     /// One order or lookup is over, and went well or not.
-    pub(crate) fn served(&self, kind: &'static str, asked: u64, well: bool, code: u64) {
-        let row = Served { asked, over: now(), well, code };
-        self.w.book.lock().unwrap().served.entry((self.group(), kind)).or_default().push(row);
+    pub(crate) fn record_served(&self, kind: &'static str, asked: u64, well: bool, code: u64) {
+        let row = ServedCall { asked, ended: now(), succeeded: well, code };
+        self.env.history.lock().unwrap().served.entry((self.group(), kind)).or_default().push(row);
     }
 
-    pub(crate) fn end_of_reply(got: &Option<(u16, Value)>) -> End {
+    pub(crate) fn end_of_reply(got: &Option<(u16, Value)>) -> CallEnd {
         match got.as_ref().map(|(_, v)| v["end"].as_str().unwrap_or_default()) {
-            Some("kept") => End::Kept,
-            Some("promised") => End::Promised,
-            Some("nothing") => End::Nothing,
-            Some(_) => End::Unknown,
-            None => End::Lost,
+            Some("kept") => CallEnd::Committed,
+            Some("promised") => CallEnd::Accepted,
+            Some("nothing") => CallEnd::NotApplied,
+            Some(_) => CallEnd::Unknown,
+            None => CallEnd::NoReply,
         }
     }
 
-    pub(crate) fn told(&self, key: &str, asked: u64, got: &Option<(u16, Value)>) -> End {
+    pub(crate) fn record_reply(&self, key: &str, asked: u64, got: &Option<(u16, Value)>) -> CallEnd {
         let mut end = Self::end_of_reply(got);
         // What the platform could not place was never sent.
-        if got.is_none() && self.wire.is_none() && asked == 0 {
-            end = End::Nothing;
+        if got.is_none() && self.connection.is_none() && asked == 0 {
+            end = CallEnd::NotApplied;
         }
         let sealed = got.as_ref().is_some_and(|(_, v)| v["error"]["code"] == 1407);
-        let mut h = self.w.book.lock().unwrap();
-        let row = h.tries.entry(key.to_owned()).or_insert_with(|| AttemptRecord {
+        let mut h = self.env.history.lock().unwrap();
+        let row = h.attempts.entry(key.to_owned()).or_insert_with(|| AttemptRecord {
             group: self.group(),
             list: self.list(),
             key: key.to_owned(),
@@ -185,10 +186,10 @@
             let (_, v) = self.call("/v1/open", json!({}), ORDER_MS).await?;
             let id = v["session"].as_str()?.to_owned();
             let e = v["version"].as_u64()?;
-            let set = json!({"session": id, "version": e, "text": format!("tag={}", self.mark())});
+            let set = json!({"session": id, "version": e, "text": format!("tag={}", self.caller_mark())});
             let (_, v) = self.call("/v1/set", set, ORDER_MS).await?;
             let e = v["version"].as_u64().filter(|_| v["end"] == "promised")?;
-            let prep = json!({"session": id, "version": e, "name": "mine", "text": format!("echo {} $1", self.mark())});
+            let prep = json!({"session": id, "version": e, "name": "mine", "text": format!("echo {} $1", self.caller_mark())});
             let (_, v) = self.call("/v1/prepare", prep, ORDER_MS).await?;
             let e = v["version"].as_u64().filter(|_| v["end"] == "promised")?;
             self.session = Some((id, e));
@@ -201,20 +202,20 @@
     }
 
     /// Calls until the run stops, or until `until`.
-    pub async fn run(mut self, until: u64, pause_ms: u64) {
-        while !self.w.stop.load(Ordering::Relaxed) && now() < until {
+    pub async fn run_until(mut self, until: u64, pause_ms: u64) {
+        while !self.env.stop.load(Ordering::Relaxed) && now() < until {
             let pause = pause_ms / 2 + self.rng.below(pause_ms.max(1));
             seam::sleep(Duration::from_millis(pause)).await;
             // Callers move between districts and take their sessions along.
-            if self.rng.chance(self.w.moves_per_mille) {
-                let to = self.rng.below(self.w.districts as u64) + 1;
-                self.district = format!("d{to}");
-                self.wire = None;
+            if self.rng.chance(self.env.moves_per_mille) {
+                let to = self.rng.below(self.env.zones as u64) + 1;
+                self.zone = format!("d{to}");
+                self.connection = None;
             }
-            if self.rng.chance(self.w.orders_per_mille) {
-                self.order().await;
+            if self.rng.chance(self.env.orders_per_mille) {
+                self.place_order().await;
             } else {
-                self.look().await;
+                self.look_up().await;
             }
         }
     }
--- a/crates/testbed/src/db.rs
+++ b/crates/testbed/src/database.rs
@@ -13,7 +13,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum RecordKind {
     /// A primary's first record under its fence.
     Start,
     Commit {
@@ -28,46 +28,50 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rec {
-    pub pos: Position,
-    pub kind: Kind,
+pub struct LogRecord {
+    #[serde(rename = "pos")]
+    pub position: Position,
+    pub kind: RecordKind,
 }
 
 /// What a try came to on this server.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
-    Kept {
+pub enum KeyOutcome {
+    Committed {
         sum: Name,
         rows: Value,
     },
     Sealed,
     /// In the log, not yet on a second server.
-    Running(u64),
+    Pending(u64),
     NotCommitted,
 }
 
 /// What must be on disk before the call is answered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Line {
-    Rec(Rec),
-    Cut(u64),
+pub enum DiskRecord {
+    #[serde(rename = "Rec")]
+    Append(LogRecord),
+    #[serde(rename = "Cut")]
+    Truncate(u64),
     Fence(FencingToken, Role),
-    Counts(Vec<Name>),
+    #[serde(rename = "Counts")]
+    Voters(Vec<Name>),
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Db {
+pub struct Database {
     pub name: Name,
     pub role: Role,
     pub fence: FencingToken,
-    pub log: Vec<Rec>,
+    pub log: Vec<LogRecord>,
     /// Records on two servers, and so visible.
     pub commit: u64,
-    pub kv: BTreeMap<String, Value>,
-    tries: BTreeMap<Name, Outcome>,
+    pub values: BTreeMap<String, Value>,
+    outcomes: BTreeMap<Name, KeyOutcome>,
     pub(crate) replicated_to: BTreeMap<Name, u64>,
-    pub(crate) counts: Vec<Name>,
-    pub lines: Vec<Line>,
+    pub(crate) voters: Vec<Name>,
+    pub unwritten: Vec<DiskRecord>,
     /// A primary's log when it took the lead or came back: reads wait until that much is visible (§3.2).
     readable_at: u64,
 }
@@ -86,53 +90,53 @@
     /// The end that was asked with: what comes goes on from there.
     pub have: Position,
     pub commit: u64,
-    pub recs: Vec<Rec>,
+    pub recs: Vec<LogRecord>,
     /// The replica's log differs: each fence of the primary's log with its last number.
     pub fences: Option<Vec<Position>>,
 }
 
-impl Rec {
+impl LogRecord {
     /// The record in a word, without what it holds.
-    pub fn word(&self) -> String {
+    pub fn summary(&self) -> String {
         let what = match &self.kind {
-            Kind::Start => "start".into(),
-            Kind::Commit { key, .. } => format!("commit {key}"),
-            Kind::Seal { key } => format!("seal {key}"),
+            RecordKind::Start => "start".into(),
+            RecordKind::Commit { key, .. } => format!("commit {key}"),
+            RecordKind::Seal { key } => format!("seal {key}"),
         };
-        format!("{}.{} {what}", self.pos.fence, self.pos.number)
+        format!("{}.{} {what}", self.position.fence, self.position.number)
     }
 }
 
-impl Db {
+impl Database {
     pub fn new(name: &str) -> Self {
         Self { name: name.into(), ..Default::default() }
     }
     /// What is left after a crash: everything that was written as a line.
-    pub fn replay(name: &str, lines: impl Iterator<Item = Line>) -> Self {
+    pub fn replay(name: &str, lines: impl Iterator<Item = DiskRecord>) -> Self {
         let mut d = Self::new(name);
         for l in lines {
             match l {
-                Line::Rec(r) => d.log.push(r),
-                Line::Cut(n) => d.log.truncate(n as usize),
-                Line::Fence(f, r) => (d.fence, d.role) = (f, r),
-                Line::Counts(c) => d.counts = c,
+                DiskRecord::Append(r) => d.log.push(r),
+                DiskRecord::Truncate(n) => d.log.truncate(n as usize),
+                DiskRecord::Fence(f, r) => (d.fence, d.role) = (f, r),
+                DiskRecord::Voters(c) => d.voters = c,
             }
         }
         d.readable_at = d.log.len() as u64;
         d
     }
-    pub fn end(&self) -> Position {
-        self.log.last().map_or(Position::default(), |r| r.pos)
+    pub fn log_end(&self) -> Position {
+        self.log.last().map_or(Position::default(), |r| r.position)
     }
     /// The last visible position.
-    pub fn position(&self) -> Position {
+    pub fn commit_position(&self) -> Position {
         let at = self.commit.checked_sub(1).and_then(|i| self.log.get(i as usize));
-        at.map_or(Position::default(), |r| r.pos)
+        at.map_or(Position::default(), |r| r.position)
     }
-    fn push(&mut self, kind: Kind) -> u64 {
+    fn append(&mut self, kind: RecordKind) -> u64 {
         let n = self.log.len() as u64 + 1;
-        let r = Rec { pos: Position { fence: self.fence, number: n }, kind };
-        self.lines.push(Line::Rec(r.clone()));
+        let r = LogRecord { position: Position { fence: self.fence, number: n }, kind };
+        self.unwritten.push(DiskRecord::Append(r.clone()));
         self.log.push(r);
         n
     }
@@ -142,7 +146,7 @@
             self.fence = f;
             self.role = Role::Replica;
             self.replicated_to.clear();
-            self.lines.push(Line::Fence(f, self.role));
+            self.unwritten.push(DiskRecord::Fence(f, self.role));
         }
         f >= self.fence
     }
@@ -157,14 +161,14 @@
         self.fence = f;
         self.role = Role::Primary;
         self.replicated_to.clear();
-        self.lines.push(Line::Fence(f, self.role));
-        self.lines.push(Line::Counts(counts.clone()));
-        self.counts = counts;
-        self.readable_at = self.push(Kind::Start);
+        self.unwritten.push(DiskRecord::Fence(f, self.role));
+        self.unwritten.push(DiskRecord::Voters(counts.clone()));
+        self.voters = counts;
+        self.readable_at = self.append(RecordKind::Start);
         true
     }
     /// May this primary answer reads? Before, it could miss what its forerunner acknowledged.
-    pub fn whole(&self) -> bool {
+    pub fn is_readable(&self) -> bool {
         self.role == Role::Replica || self.commit >= self.readable_at
     }
     /// Makes a primary look as if part of its log were not visible: a test's way to one that is starting.
@@ -172,29 +176,29 @@
     pub fn set_unreadable_for_test(&mut self, on: bool) {
         self.readable_at = if on { u64::MAX } else { 0 };
     }
-    pub fn leads(&self, f: FencingToken) -> bool {
+    pub fn is_primary_under(&self, f: FencingToken) -> bool {
         self.role == Role::Primary && self.fence == f
     }
 
-    pub fn outcome(&self, key: &str) -> Outcome {
-        self.tries.get(key).cloned().unwrap_or_else(|| {
+    pub fn outcome(&self, key: &str) -> KeyOutcome {
+        self.outcomes.get(key).cloned().unwrap_or_else(|| {
             let at = self.log[self.commit as usize..].iter().find(|r| match &r.kind {
-                Kind::Commit { key: k, .. } | Kind::Seal { key: k } => k == key,
-                Kind::Start => false,
+                RecordKind::Commit { key: k, .. } | RecordKind::Seal { key: k } => k == key,
+                RecordKind::Start => false,
             });
-            at.map_or(Outcome::NotCommitted, |r| Outcome::Running(r.pos.number))
+            at.map_or(KeyOutcome::NotCommitted, |r| KeyOutcome::Pending(r.position.number))
         })
     }
     /// Appends a commit; whoever calls waits until `commit` has reached the number.
     pub fn add_commit(&mut self, key: &str, sum: &str, writes: Vec<Write>, rows: Value) -> u64 {
-        self.push(Kind::Commit { key: key.into(), sum: sum.into(), writes, rows })
+        self.append(RecordKind::Commit { key: key.into(), sum: sum.into(), writes, rows })
     }
     pub fn add_seal(&mut self, key: &str) -> u64 {
-        self.push(Kind::Seal { key: key.into() })
+        self.append(RecordKind::Seal { key: key.into() })
     }
     /// True while the record at `n` is the one this primary wrote under `f`.
-    pub fn still(&self, n: u64, f: FencingToken) -> bool {
-        self.log.get(n as usize - 1).is_some_and(|r| r.pos.fence == f)
+    pub fn wrote_under(&self, n: u64, f: FencingToken) -> bool {
+        self.log.get(n as usize - 1).is_some_and(|r| r.position.fence == f)
     }
 
     pub(crate) fn commit_up_to(&mut self, n: u64) {
@@ -202,13 +206,13 @@
             let kind = self.log[self.commit as usize].kind.clone();
             self.commit += 1;
             match kind {
-                Kind::Start => {}
-                Kind::Seal { key } => {
-                    self.tries.entry(key).or_insert(Outcome::Sealed);
+                RecordKind::Start => {}
+                RecordKind::Seal { key } => {
+                    self.outcomes.entry(key).or_insert(KeyOutcome::Sealed);
                 }
-                Kind::Commit { key, sum, writes, rows } => {
-                    writes.into_iter().for_each(|w| apply(&mut self.kv, w));
-                    self.tries.insert(key, Outcome::Kept { sum, rows });
+                RecordKind::Commit { key, sum, writes, rows } => {
+                    writes.into_iter().for_each(|w| apply_write(&mut self.values, w));
+                    self.outcomes.insert(key, KeyOutcome::Committed { sum, rows });
                 }
             }
         }
@@ -216,7 +220,7 @@
 }
 
 /// Does one write to a table of values.
-pub fn apply(kv: &mut BTreeMap<String, Value>, w: Write) {
+pub fn apply_write(kv: &mut BTreeMap<String, Value>, w: Write) {
     match w {
         Write::Put(k, v) => {
             kv.insert(k, v);
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -32,11 +32,11 @@
 
 /// One process of the fleet.
 #[derive(Clone, Debug)]
-pub struct Proc {
+pub struct ProcessSpec {
     pub name: String,
     pub executable: String,
     pub args: Vec<String>,
-    pub again: Vec<String>,
+    pub restart_args: Vec<String>,
 }
 
 #[derive(Clone, Debug)]
@@ -59,7 +59,7 @@
 pub struct FleetPlan {
     pub dir: PathBuf,
     pub shape: Shape,
-    pub processes: Vec<Proc>,
+    pub processes: Vec<ProcessSpec>,
     pub nodes: Vec<NodeAddress>,
     pub keepers: Vec<(String, String)>,
     pub servers: Vec<ServerAddress>,
@@ -75,7 +75,7 @@
 
 pub const TOKEN: &str = "lab-token";
 
-fn district(i: usize) -> String {
+fn zone_name(i: usize) -> String {
     format!("d{}", i + 1)
 }
 
@@ -94,7 +94,7 @@
     let kaddrs: Vec<String> = keepers.iter().map(|(_, a)| format!("\"{a}\"")).collect();
     let nodes: Vec<(NodeAddress, String)> = (0..shape.nodes)
         .map(|i| {
-            let (name, district) = (format!("n{}", i + 1), district(i % shape.zones));
+            let (name, district) = (format!("n{}", i + 1), zone_name(i % shape.zones));
             (NodeAddress { name, zone: district, client_listener: next(), operator_listener: next() }, next())
         })
         .collect();
@@ -108,7 +108,12 @@
         let again = vec!["--settings".into(), file.display().to_string()];
         let mut args = again.clone();
         args.push("--init".into());
-        procs.push(Proc { name: n.clone(), executable: "quincehatch-keeper".into(), args, again });
+        procs.push(ProcessSpec {
+            name: n.clone(),
+            executable: "quincehatch-keeper".into(),
+            args,
+            restart_args: again,
+        });
     }
     let seeds: Vec<String> = nodes.iter().take(3).map(|(_, m)| format!("\"{m}\"")).collect();
     for (n, mesh) in &nodes {
@@ -125,10 +130,10 @@
         );
         std::fs::write(&file, text)?;
         let args = vec!["--settings".to_owned(), file.display().to_string()];
-        procs.push(Proc {
+        procs.push(ProcessSpec {
             name: n.name.clone(),
             executable: "quincehatch-node".into(),
-            again: args.clone(),
+            restart_args: args.clone(),
             args,
         });
     }
@@ -140,7 +145,7 @@
         for (i, addr) in addrs.iter().enumerate() {
             let name = format!("{group}s{}", i + 1);
             let peers: Vec<String> = addrs.iter().filter(|a| *a != addr).cloned().collect();
-            let d = district((g + i) % shape.zones);
+            let d = zone_name((g + i) % shape.zones);
             let mut args = vec!["stand".into(), "--name".into(), name.clone(), "--addr".into(), addr.clone()];
             for l in [format!("group={group}"), format!("district={d}"), format!("copies={}", shape.replicas)]
             {
@@ -150,10 +155,10 @@
             desks.iter().for_each(|p| args.extend(["--desk".into(), p.clone()]));
             args.extend(["--data".into(), dir.join("servers").display().to_string()]);
             args.extend(["--relay".into(), next()]);
-            procs.push(Proc {
+            procs.push(ProcessSpec {
                 name: name.clone(),
                 executable: "quincehatch-lab".into(),
-                again: args.clone(),
+                restart_args: args.clone(),
                 args,
             });
             servers.push(ServerAddress { name, group: group.clone(), addr: addr.clone() });
@@ -163,10 +168,10 @@
     nodes
         .iter()
         .for_each(|(n, _)| args.extend(["--door".into(), format!("{}={}", n.zone, n.client_listener)]));
-    procs.push(Proc {
+    procs.push(ProcessSpec {
         name: "platform".into(),
         executable: "quincehatch-lab".into(),
-        again: args.clone(),
+        restart_args: args.clone(),
         args,
     });
     let blueprint = dir.join("blueprint.toml");
--- a/crates/testbed/src/history/mod.rs
+++ b/crates/testbed/src/history/mod.rs
@@ -1,11 +1,11 @@
 //! What callers saw, and the checks of it against the BRIEF's must-nevers (§1, §9.4).
-mod back;
-mod kept;
-mod pushed;
-mod said;
+mod answers;
+mod orders;
+mod pushes;
+mod recovery;
 
-use crate::stand_in::journal::Entry;
-pub use back::{GAP, SHARE, Window};
+use crate::stand_in::journal::JournalEntry;
+pub use recovery::{MAX_GAP, MIN_SUCCESS_PERCENT, Window};
 use serde::Serialize;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,14 +13,14 @@
 
 /// How a call ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum End {
-    Kept,
+pub enum CallEnd {
+    Committed,
     /// The nodes took it on; no server was asked.
-    Promised,
-    Nothing,
+    Accepted,
+    NotApplied,
     Unknown,
     /// No answer at all: the node or the way to it broke.
-    Lost,
+    NoReply,
 }
 
 /// One try of an order, every time it was sent or asked after.
@@ -30,7 +30,7 @@
     pub list: String,
     pub key: String,
     /// Every end told, with the time of asking and of the answer.
-    pub ends: Vec<(End, u64, u64)>,
+    pub ends: Vec<(CallEnd, u64, u64)>,
     /// The last word was a seal: it can never be kept.
     pub sealed: bool,
 }
@@ -71,10 +71,10 @@
 
 /// One order or lookup as a caller had it: asked, over, and whether it was answered well.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Served {
+pub struct ServedCall {
     pub asked: u64,
-    pub over: u64,
-    pub well: bool,
+    pub ended: u64,
+    pub succeeded: bool,
     /// The result code it ended with; 0 if it went well or had no answer.
     pub code: u64,
 }
@@ -90,9 +90,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum PushEnd {
     Version(u64),
-    Declined(u64),
+    Rejected(u64),
     /// No answer, or none that came in time.
-    None,
+    NoReply,
 }
 
 /// A push under its key, every time it was sent.
@@ -120,19 +120,19 @@
 
 #[derive(Debug, Default, Serialize)]
 pub struct History {
-    pub tries: BTreeMap<String, AttemptRecord>,
+    pub attempts: BTreeMap<String, AttemptRecord>,
     pub reads: Vec<ReadRecord>,
     pub pushes: Vec<AcknowledgedPush>,
     pub push_attempts: Vec<PushAttempt>,
     pub versions: Vec<VersionRecord>,
-    pub said: Vec<AnswerRecord>,
+    pub answers: Vec<AnswerRecord>,
     /// Breaches seen as they happened: a lost setting, a push taken twice.
     pub violations: Vec<String>,
     /// Orders and lookups by group.
-    pub served: BTreeMap<(String, &'static str), Vec<Served>>,
-    pub late: u64,
+    pub served: BTreeMap<(String, &'static str), Vec<ServedCall>>,
+    pub late_replies: u64,
     /// In the simulator an acknowledged blueprint is held to be in force at once, as the design claims (§5.6).
-    pub at_once: bool,
+    pub immediate_effect: bool,
 }
 
 /// What the servers hold and did, once all is quiet again.
@@ -143,15 +143,15 @@
     /// Visible logs by group: the lead's first, then the other servers' by name.
     pub logs: BTreeMap<String, Vec<(String, Vec<String>)>>,
     /// What each server did.
-    pub journals: BTreeMap<String, Vec<Entry>>,
+    pub journals: BTreeMap<String, Vec<JournalEntry>>,
 }
 
-pub type Book = Mutex<History>;
+pub type SharedHistory = Mutex<History>;
 
 /// Bounds of the BRIEF, in milliseconds.
 pub const MAX_STALENESS: u64 = 1_500;
 pub const MAX_APPLY_DELAY: u64 = 3_000;
-pub const BACK: u64 = 12_000;
+pub const MAX_RECOVERY: u64 = 12_000;
 /// A valid push is answered for good within this, while a majority of the disk machines is up: a node's lease
 /// that has to run out, a chain that has to be mended, and one call that was lost (§5.6).
 pub const MAX_PUSH_TIME: u64 = 12_000;
@@ -166,7 +166,7 @@
 }
 
 /// Every breach, as a line that names the must-never (§1).
-pub fn check(
+pub fn check_history(
     h: &History,
     f: &Facts,
     sent: &SentStatements,
@@ -174,20 +174,20 @@
     end: u64,
 ) -> Vec<String> {
     let mut bad = h.violations.clone();
-    kept::orders(h, f, &mut bad);
-    kept::logs(f, &mut bad);
-    kept::check_reads(h, &mut bad);
-    said::answers(h, f, &mut bad);
-    said::statements(f, sent, &mut bad);
-    said::late(f, &mut bad);
-    kept::check_versions(h, &mut bad);
-    pushed::pushes(h, &mut bad);
-    back::back(h, faults, end, &mut bad);
+    orders::check_orders(h, f, &mut bad);
+    orders::check_logs(f, &mut bad);
+    orders::check_reads(h, &mut bad);
+    answers::check_answers(h, f, &mut bad);
+    answers::check_statements(f, sent, &mut bad);
+    answers::check_drain(f, &mut bad);
+    orders::check_versions(h, &mut bad);
+    pushes::check_pushes(h, &mut bad);
+    recovery::check_recovery(h, faults, end, &mut bad);
     bad
 }
 
 /// The longest time without a kept order in a group after `at`.
 pub fn longest_gaps_after(h: &History, at: u64) -> BTreeMap<String, u64> {
     let orders = h.served.iter().filter(|(k, _)| k.1 == "order");
-    orders.map(|(k, v)| (k.0.clone(), back::gap(v, at, None))).collect()
+    orders.map(|(k, v)| (k.0.clone(), recovery::longest_gap(v, at, None))).collect()
 }
--- a/crates/testbed/src/history/kept.rs
+++ b/crates/testbed/src/history/orders.rs
@@ -1,20 +1,20 @@
 //! Orders, reads and blueprints against what callers were told (§1 N1, N2, N3, N5, N6, N10).
-use super::{End, Facts, History, MAX_APPLY_DELAY, MAX_STALENESS, OBSERVATION_SLACK, VersionRecord};
+use super::{CallEnd, Facts, History, MAX_APPLY_DELAY, MAX_STALENESS, OBSERVATION_SLACK, VersionRecord};
 use std::collections::BTreeMap;
 
-pub(super) fn orders(h: &History, f: &Facts, bad: &mut Vec<String>) {
+pub(super) fn check_orders(h: &History, f: &Facts, bad: &mut Vec<String>) {
     let mut count: BTreeMap<&str, usize> = BTreeMap::new();
     f.lists.values().flatten().for_each(|k| *count.entry(k.as_str()).or_default() += 1);
     for (k, n) in count.iter().filter(|(_, n)| **n > 1) {
         bad.push(format!("N1 the order {k} took effect {n} times"));
     }
-    for t in h.tries.values() {
+    for t in h.attempts.values() {
         let n = count.get(t.key.as_str()).copied().unwrap_or(0);
-        let kept = t.ends.iter().any(|e| e.0 == End::Kept);
+        let kept = t.ends.iter().any(|e| e.0 == CallEnd::Committed);
         if kept && n == 0 {
             bad.push(format!("N2 the acknowledged order {} vanished", t.key));
         }
-        let doubt = t.ends.iter().any(|e| matches!(e.0, End::Unknown | End::Lost));
+        let doubt = t.ends.iter().any(|e| matches!(e.0, CallEnd::Unknown | CallEnd::NoReply));
         if n > 0 && !kept && !doubt {
             bad.push(format!(
                 "N3 the order {} was kept though every answer said nothing was: {:?}",
@@ -28,7 +28,7 @@
 }
 
 /// Every server's visible log is the lead's, as far as it goes.
-pub(super) fn logs(f: &Facts, bad: &mut Vec<String>) {
+pub(super) fn check_logs(f: &Facts, bad: &mut Vec<String>) {
     for (g, all) in &f.logs {
         let Some((lead, log)) = all.first() else { continue };
         for (s, other) in &all[1..] {
@@ -44,8 +44,8 @@
 pub(super) fn check_reads(h: &History, bad: &mut Vec<String>) {
     // For each list: keys with the time at which they were first acknowledged.
     let mut acked: BTreeMap<(&str, &str), Vec<(u64, &str)>> = BTreeMap::new();
-    for t in h.tries.values() {
-        if let Some(at) = t.ends.iter().filter(|e| e.0 == End::Kept).map(|e| e.2).min() {
+    for t in h.attempts.values() {
+        if let Some(at) = t.ends.iter().filter(|e| e.0 == CallEnd::Committed).map(|e| e.2).min() {
             acked.entry((&t.group, &t.list)).or_default().push((at, &t.key));
         }
     }
@@ -66,7 +66,7 @@
 }
 
 pub(super) fn check_versions(h: &History, bad: &mut Vec<String>) {
-    let within = if h.at_once { 0 } else { MAX_APPLY_DELAY };
+    let within = if h.immediate_effect { 0 } else { MAX_APPLY_DELAY };
     for p in &h.pushes {
         let late = h.versions.iter().find(|e| e.asked > p.acked + within && e.version < p.version);
         if let Some(e) = late {
--- a/crates/testbed/src/history/pushed.rs
+++ b/crates/testbed/src/history/pushes.rs
@@ -3,9 +3,9 @@
 use quincehatch_core::ErrorCode;
 use std::collections::{BTreeMap, BTreeSet};
 
-pub(super) fn pushes(h: &History, bad: &mut Vec<String>) {
-    let invalid = PushEnd::Declined(ErrorCode::ConfigurationInvalid.number().into());
-    let stale = PushEnd::Declined(ErrorCode::ConfigurationStale.number().into());
+pub(super) fn check_pushes(h: &History, bad: &mut Vec<String>) {
+    let invalid = PushEnd::Rejected(ErrorCode::ConfigurationInvalid.number().into());
+    let stale = PushEnd::Rejected(ErrorCode::ConfigurationStale.number().into());
     let mut won: BTreeMap<&str, BTreeSet<u64>> = BTreeMap::new();
     let mut races: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
     for t in &h.push_attempts {
@@ -18,8 +18,8 @@
                 _ => {}
             }
         }
-        let last = t.ends.last().map_or(PushEnd::None, |e| e.0);
-        if !t.valid && last != invalid && (t.majority_up || last != PushEnd::None) {
+        let last = t.ends.last().map_or(PushEnd::NoReply, |e| e.0);
+        if !t.valid && last != invalid && (t.majority_up || last != PushEnd::NoReply) {
             bad.push(format!("N11 the broken push {} came to {last:?}", t.key));
         }
         let over = t.ends.last().map_or(u64::MAX, |e| e.1).saturating_sub(t.asked);
@@ -49,7 +49,7 @@
 /// A push outside the race that was never answered took the version after `base`: a later push builds on it, and nobody
 /// was told that it is his.
 fn lost_to_unanswered_push(h: &History, base: u64, race: u64) -> bool {
-    let unanswered = |t: &PushAttempt| t.ends.iter().all(|(end, _)| *end == PushEnd::None);
+    let unanswered = |t: &PushAttempt| t.ends.iter().all(|(end, _)| *end == PushEnd::NoReply);
     let rival = |t: &&PushAttempt| t.race != Some(race) && t.base == base && t.valid && unanswered(t);
     let built_upon = h.push_attempts.iter().any(|t| t.base == base + 1);
     built_upon && h.push_attempts.iter().any(|t| rival(&t))
--- a/crates/testbed/src/history/back.rs
+++ b/crates/testbed/src/history/recovery.rs
@@ -1,10 +1,10 @@
 //! Service after a final breakdown (§1 N12): back is back for all, and stays back.
-use super::{BACK, History, Served};
+use super::{History, MAX_RECOVERY, ServedCall};
 
 /// Of all calls in the window at least so many of a hundred are answered well.
-pub const SHARE: u64 = 95;
+pub const MIN_SUCCESS_PERCENT: u64 = 95;
 /// No longer than this passes in the window without one answered well.
-pub const GAP: u64 = 1_500;
+pub const MAX_GAP: u64 = 1_500;
 /// A shorter window proves nothing.
 const MIN_WINDOW: u64 = 2_000;
 
@@ -16,10 +16,10 @@
 }
 
 /// The longest time without a call answered well, from `at` on; to the last one, or to an end that is given.
-pub fn gap(rows: &[Served], at: u64, to: Option<u64>) -> u64 {
+pub fn longest_gap(rows: &[ServedCall], at: u64, to: Option<u64>) -> u64 {
     let last = to.unwrap_or(u64::MAX);
     let mut t: Vec<u64> =
-        rows.iter().filter(|s| s.well && s.over >= at && s.over <= last).map(|s| s.over).collect();
+        rows.iter().filter(|s| s.succeeded && s.ended >= at && s.ended <= last).map(|s| s.ended).collect();
     t.push(at);
     t.extend(to);
     t.sort_unstable();
@@ -28,21 +28,21 @@
 
 /// In every group, orders and lookups alike: from 12 s after the breakdown to the end of the run the share
 /// answered well and the longest gap stay within their bounds.
-pub(super) fn back(h: &History, faults: &[(u64, String)], end: u64, bad: &mut Vec<String>) {
+pub(super) fn check_recovery(h: &History, faults: &[(u64, String)], end: u64, bad: &mut Vec<String>) {
     for (at, what) in faults.iter().filter(|(_, w)| w.starts_with("final")) {
-        let w = Window { from: at + BACK, to: end };
+        let w = Window { from: at + MAX_RECOVERY, to: end };
         if w.to < w.from + MIN_WINDOW {
             bad.push(format!("N12 after '{what}' the run ended too soon to tell"));
             continue;
         }
         for ((group, kind), rows) in &h.served {
-            let of: Vec<Served> =
-                rows.iter().filter(|s| s.asked >= w.from && s.over <= w.to).copied().collect();
-            let well = of.iter().filter(|s| s.well).count() as u64;
-            let gap = gap(&of, w.from, Some(w.to));
+            let of: Vec<ServedCall> =
+                rows.iter().filter(|s| s.asked >= w.from && s.ended <= w.to).copied().collect();
+            let well = of.iter().filter(|s| s.succeeded).count() as u64;
+            let gap = longest_gap(&of, w.from, Some(w.to));
             let codes: std::collections::BTreeSet<u64> =
-                of.iter().filter(|s| !s.well).map(|s| s.code).collect();
-            if of.is_empty() || well * 100 < SHARE * of.len() as u64 || gap > GAP {
+                of.iter().filter(|s| !s.succeeded).map(|s| s.code).collect();
+            if of.is_empty() || well * 100 < MIN_SUCCESS_PERCENT * of.len() as u64 || gap > MAX_GAP {
                 bad.push(format!(
                     "N12 from 12 s after '{what}' on, {well} of {} {kind}s of {group} went well, the longest gap was {gap} ms, codes {codes:?}",
                     of.len()
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,17 +1,17 @@
 //! The lab (§9): stand-ins, fault relay, fleet runner, load, history checker, simulator.
-pub mod aftermath;
-mod calls;
-pub mod db;
-mod db_repl;
+pub mod caller;
+mod caller_operations;
+pub mod configuration_pushes;
+pub mod database;
 pub mod fleet;
 pub mod history;
-pub mod load;
 pub mod platform;
-pub mod pushing;
 pub mod relay;
+mod replication;
+pub mod run_facts;
 pub mod running;
 pub mod scenario;
+mod scenarios;
 pub mod script;
-mod scripts;
 pub mod stand_in;
-pub mod stmt;
+pub mod statement;
--- a/crates/testbed/src/platform.rs
+++ b/crates/testbed/src/platform.rs
@@ -35,7 +35,7 @@
     pub async fn call(&self, path: &str, b: &Value) -> (u16, Value) {
         match path {
             "/v1/promote" => promote(&self.0, b).await,
-            "/v1/place" => place(&self.0, b["district"].as_str().unwrap_or_default()),
+            "/v1/place" => place_client(&self.0, b["district"].as_str().unwrap_or_default()),
             _ => (404, json!({"error": "no such call"})),
         }
     }
@@ -82,7 +82,7 @@
 }
 
 /// A ready node of the district; another's if it has none.
-fn place(st: &Mutex<State>, district: &str) -> (u16, Value) {
+fn place_client(st: &Mutex<State>, district: &str) -> (u16, Value) {
     let st = st.lock().unwrap();
     let ready: Vec<_> = st.nodes.iter().filter(|n| n.2).collect();
     let near: Vec<_> = ready.iter().filter(|n| n.0 == district).collect();
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -10,23 +10,23 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// What a lost packet costs a stream: the sender's wait before it sends again.
-const RESEND: Duration = Duration::from_millis(250);
+const RETRANSMIT_DELAY: Duration = Duration::from_millis(250);
 
 /// Relays from `listen` to `to` for ever.
-pub async fn run(listen: &str, to: String, f: Arc<Faults>) -> std::io::Result<()> {
+pub async fn start_relay(listen: &str, to: String, f: Arc<Faults>) -> std::io::Result<()> {
     let lst = TcpListener::bind(listen).await?;
     tokio::spawn(async move {
         let mut n = 0;
         loop {
             let Ok((a, _)) = lst.accept().await else { continue };
             n += 1;
-            tokio::spawn(link(a, to.clone(), f.clone(), n));
+            tokio::spawn(relay_connection(a, to.clone(), f.clone(), n));
         }
     });
     Ok(())
 }
 
-async fn link(mut a: TcpStream, to: String, f: Arc<Faults>, n: u64) {
+async fn relay_connection(mut a: TcpStream, to: String, f: Arc<Faults>, n: u64) {
     // In a hole not even the greeting gets through.
     f.wait_while(&f.hole).await;
     let Ok(mut b) = TcpStream::connect(&to).await else { return };
@@ -38,8 +38,8 @@
     // Borrowed halves: an owned one would say an orderly farewell when it is dropped, and there would be no reset.
     let (ar, aw) = a.split();
     let (br, bw) = b.split();
-    let there = pump(ar, bw, f.clone(), Rng::new(n));
-    let back = pump(br, aw, f.clone(), Rng::new(!n));
+    let there = copy_with_faults(ar, bw, f.clone(), Rng::new(n));
+    let back = copy_with_faults(br, aw, f.clone(), Rng::new(!n));
     let cut = async {
         loop {
             let changed = f.changed.notified();
@@ -53,7 +53,7 @@
     tokio::select! { () = there => {}, () = back => {}, () = cut => {} }
 }
 
-async fn pump(mut r: ReadHalf<'_>, mut w: WriteHalf<'_>, f: Arc<Faults>, mut rng: Rng) {
+async fn copy_with_faults(mut r: ReadHalf<'_>, mut w: WriteHalf<'_>, f: Arc<Faults>, mut rng: Rng) {
     let mut buf = vec![0; 16 << 10];
     loop {
         f.wait_while(&f.hole).await;
@@ -65,7 +65,7 @@
             tokio::time::sleep(Duration::from_millis(delay)).await;
         }
         while rng.chance(f.drop_pm.load(Ordering::SeqCst)) {
-            tokio::time::sleep(RESEND).await;
+            tokio::time::sleep(RETRANSMIT_DELAY).await;
         }
         if w.write_all(&buf[..n]).await.is_err() {
             return;
--- a/crates/testbed/src/aftermath.rs
+++ b/crates/testbed/src/run_facts.rs
@@ -1,7 +1,7 @@
 //! After a run on a real fleet: tries in doubt are settled, and the servers tell what they hold (§9.4).
+use crate::caller::{Caller, LoadEnvironment};
 use crate::fleet::{FleetPlan, ServerAddress};
 use crate::history::Facts;
-use crate::load::{Caller, World};
 use crate::scenario::{fleet_status, lab_call};
 use crate::stand_in::journal;
 use quincehatch_runtime::seam;
@@ -11,13 +11,13 @@
 use std::time::Duration;
 
 /// Every try in doubt is asked after until it is settled, so that the check can be strict.
-pub async fn settle(w: &Arc<World>, seed: u64) {
+pub async fn resolve_open_attempts(w: &Arc<LoadEnvironment>, seed: u64) {
     let doubt: Vec<(String, usize)> = {
-        let h = w.book.lock().unwrap();
+        let h = w.history.lock().unwrap();
         let last = |t: &crate::history::AttemptRecord| {
-            t.ends.last().is_some_and(|e| e.0 != crate::history::End::Kept)
+            t.ends.last().is_some_and(|e| e.0 != crate::history::CallEnd::Committed)
         };
-        let open = h.tries.values().filter(|t| last(t) && !t.sealed);
+        let open = h.attempts.values().filter(|t| last(t) && !t.sealed);
         let id = |k: &str| k[1..].split('-').next().and_then(|n| n.parse().ok()).unwrap_or(0);
         open.map(|t| (t.key.clone(), id(&t.key))).collect()
     };
@@ -25,8 +25,8 @@
         let mut c = Caller::new(w.clone(), id, seed);
         for _ in 0..40 {
             let end = c.resolve_outcome(&key).await;
-            let sealed = w.book.lock().unwrap().tries.get(&key).is_some_and(|t| t.sealed);
-            if end == crate::history::End::Kept || sealed {
+            let sealed = w.history.lock().unwrap().attempts.get(&key).is_some_and(|t| t.sealed);
+            if end == crate::history::CallEnd::Committed || sealed {
                 break;
             }
             seam::sleep(Duration::from_millis(200)).await;
@@ -68,7 +68,7 @@
 }
 
 /// What each stand-in of a fleet did, from the files beside its data.
-pub fn read_journals(p: &FleetPlan) -> BTreeMap<String, Vec<journal::Entry>> {
+pub fn read_journals(p: &FleetPlan) -> BTreeMap<String, Vec<journal::JournalEntry>> {
     let path = |s: &ServerAddress| p.dir.join("servers").join(format!("{}.journal", s.name));
-    p.servers.iter().map(|s| (s.name.clone(), journal::read(&path(s)))).collect()
+    p.servers.iter().map(|s| (s.name.clone(), journal::read_journal(&path(s)))).collect()
 }
--- a/crates/testbed/src/running.rs
+++ b/crates/testbed/src/running.rs
@@ -29,7 +29,7 @@
             .append(true)
             .open(self.plan.dir.join(format!("{name}.log")))?;
         let kid = Command::new(self.binaries.join(&p.executable))
-            .args(if again { &p.again } else { &p.args })
+            .args(if again { &p.restart_args } else { &p.args })
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
--- a/crates/testbed/src/script.rs
+++ b/crates/testbed/src/script.rs
@@ -1,5 +1,5 @@
 //! Scripts of faults for a real fleet (§9.2): what is done to whom, and when.
-use crate::stand_in::faults::Wish;
+use crate::stand_in::faults::FaultSettings;
 use serde_json::json;
 
 /// Whom an act is meant for; leads and chain places are looked up when it is done.
@@ -7,26 +7,26 @@
 pub enum Target {
     Name(String),
     /// The server that leads the group at that time.
-    Lead(String),
+    Primary(String),
     /// Some replica of the group.
     Replica(String),
     Head,
     Tail,
     /// Whoever an earlier act with this label hit.
-    Same(&'static str),
+    SameAs(&'static str),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     Kill,
     Start,
     /// A graceful stop.
     Stop,
     Pause,
-    Go,
-    Fault(Wish),
-    Leave,
-    Back,
+    Continue,
+    Fault(FaultSettings),
+    Drain,
+    StopDraining,
     /// Two pushes at once, one stale, one broken, then one that is sent twice.
     PushConfigurations,
     /// A hundred and fifty callers more, for five seconds, with hardly a pause.
@@ -37,29 +37,29 @@
 pub struct Step {
     pub at: u64,
     pub who: Target,
-    pub act: Act,
+    pub act: Action,
     pub label: &'static str,
     /// Service must be back within the bound after this.
-    pub last: bool,
+    pub is_final: bool,
 }
 
-pub(crate) fn step(at: u64, who: Target, act: Act, label: &'static str) -> Step {
-    Step { at, who, act, label, last: false }
+pub(crate) fn step(at: u64, who: Target, act: Action, label: &'static str) -> Step {
+    Step { at, who, act, label, is_final: false }
 }
-pub(crate) fn last(mut s: Step) -> Step {
-    s.last = true;
+pub(crate) fn final_step(mut s: Step) -> Step {
+    s.is_final = true;
     s
 }
-pub(crate) fn wish(f: impl FnOnce(&mut Wish)) -> Act {
-    let mut w = Wish::default();
+pub(crate) fn fault(f: impl FnOnce(&mut FaultSettings)) -> Action {
+    let mut w = FaultSettings::default();
     f(&mut w);
-    Act::Fault(w)
+    Action::Fault(w)
 }
 pub(crate) fn name(n: &str) -> Target {
     Target::Name(n.into())
 }
 
-pub use crate::scripts::{SCENARIO_NAMES, named};
+pub use crate::scenarios::{SCENARIO_NAMES, named};
 
 /// A blueprint text that differs from any other by its own mark.
 pub fn with_mark(text: &str, mark: u64) -> String {
@@ -67,7 +67,7 @@
 }
 
 /// A blueprint that must be declined.
-pub fn broken() -> String {
+pub fn invalid_configuration() -> String {
     json!({"placements": [{"name": "p", "select": {"host": ["10.0.0.1"]}}], "rules": [{"name": "r", "class": "order",
         "placement": "nowhere"}]})
     .to_string()
--- a/crates/testbed/src/stand_in/faults.rs
+++ b/crates/testbed/src/stand_in/faults.rs
@@ -9,7 +9,7 @@
 /// The wish as JSON: every field that is given is set.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Wish {
+pub struct FaultSettings {
     /// Storage stalls: statements hang, STATUS and the socket look well.
     pub stall: Option<bool>,
     /// Every statement takes this much longer.
@@ -45,7 +45,7 @@
     pub deaf: AtomicBool,
     pub slow_ms: AtomicU64,
     pub lag_ms: AtomicU64,
-    pub lose: AtomicU64,
+    pub lose_answers: AtomicU64,
     pub forge: AtomicU64,
     pub mute: AtomicU64,
     pub reset_count: AtomicU64,
@@ -58,7 +58,7 @@
 }
 
 impl Faults {
-    pub fn wish(&self, w: &Wish) {
+    pub fn apply(&self, w: &FaultSettings) {
         let _g = self.lock.lock().unwrap();
         let flag = |f: &AtomicBool, v: Option<bool>| v.into_iter().for_each(|v| f.store(v, Ordering::SeqCst));
         let num = |f: &AtomicU64, v: Option<u64>| v.into_iter().for_each(|v| f.store(v, Ordering::SeqCst));
@@ -67,7 +67,7 @@
         flag(&self.deaf, w.deaf);
         num(&self.slow_ms, w.slow_ms);
         num(&self.lag_ms, w.lag_ms);
-        num(&self.lose, w.lose_answers);
+        num(&self.lose_answers, w.lose_answers);
         num(&self.forge, w.forge);
         num(&self.mute, w.mute);
         flag(&self.hole, w.hole);
@@ -82,17 +82,17 @@
         self.changed.notify_waiters();
     }
     /// Takes one of a counted fault.
-    pub fn one(&self, f: &AtomicU64) -> bool {
+    pub fn take_one(&self, f: &AtomicU64) -> bool {
         f.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1)).is_ok()
     }
-    pub fn is(&self, f: &AtomicBool) -> bool {
+    pub fn is_set(&self, f: &AtomicBool) -> bool {
         f.load(Ordering::SeqCst)
     }
     /// Waits while the flag is up.
     pub async fn wait_while(&self, f: &AtomicBool) {
         loop {
             let n = self.changed.notified();
-            if !self.is(f) {
+            if !self.is_set(f) {
                 return;
             }
             let _ = seam::timeout(Duration::from_millis(200), n).await;
--- a/crates/testbed/src/stand_in/journal.rs
+++ b/crates/testbed/src/stand_in/journal.rs
@@ -7,7 +7,7 @@
 use std::sync::Mutex;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Entry {
+pub enum JournalEntry {
     /// A statement ran; outside a transaction `txn` is 0.
     Ran { link: Name, txn: u64, text: String, params: Value },
     /// A setting or a prepared text was put on a link.
@@ -20,18 +20,18 @@
 
 #[derive(Default)]
 pub struct Journal {
-    held: Mutex<(Vec<Entry>, Option<std::fs::File>)>,
+    entries: Mutex<(Vec<JournalEntry>, Option<std::fs::File>)>,
 }
 
 impl Journal {
     /// Goes on with what an earlier life of the server wrote there.
     pub fn open(path: &Path) -> std::io::Result<Journal> {
-        let had = read(path);
+        let had = read_journal(path);
         let file = std::fs::OpenOptions::new().append(true).create(true).open(path)?;
-        Ok(Journal { held: Mutex::new((had, Some(file))) })
+        Ok(Journal { entries: Mutex::new((had, Some(file))) })
     }
-    pub fn note(&self, e: Entry) {
-        let mut h = self.held.lock().unwrap();
+    pub fn record(&self, e: JournalEntry) {
+        let mut h = self.entries.lock().unwrap();
         if let Some(f) = h.1.as_mut() {
             let mut line = serde_json::to_vec(&e).unwrap_or_default();
             line.push(b'\n');
@@ -39,12 +39,12 @@
         }
         h.0.push(e);
     }
-    pub fn all(&self) -> Vec<Entry> {
-        self.held.lock().unwrap().0.clone()
+    pub fn entries_so_far(&self) -> Vec<JournalEntry> {
+        self.entries.lock().unwrap().0.clone()
     }
 }
 
-pub fn read(path: &Path) -> Vec<Entry> {
+pub fn read_journal(path: &Path) -> Vec<JournalEntry> {
     let text = std::fs::read_to_string(path).unwrap_or_default();
     text.lines().filter_map(|l| serde_json::from_str(l).ok()).collect()
 }
--- a/crates/testbed/src/stand_in/lab.rs
+++ b/crates/testbed/src/stand_in/lab_calls.rs
@@ -4,11 +4,11 @@
 use quincehatch_runtime::now;
 use serde_json::{Value, json};
 
-pub fn answer(s: &StandIn, path: &str, b: Value) -> Value {
+pub fn answer_lab_call(s: &StandIn, path: &str, b: Value) -> Value {
     match path {
         "/lab/fault" => {
             if let Ok(w) = serde_json::from_value(b) {
-                s.faults.wish(&w);
+                s.faults.apply(&w);
             }
             json!({})
         }
@@ -19,8 +19,9 @@
         }
         "/lab/facts" => {
             let d = s.db.lock().unwrap();
-            let log: Vec<String> = d.log.iter().take(d.commit as usize).map(crate::db::Rec::word).collect();
-            json!({"kv": d.kv, "log": log, "role": d.role, "fence": d.fence})
+            let log: Vec<String> =
+                d.log.iter().take(d.commit as usize).map(crate::database::LogRecord::summary).collect();
+            json!({"kv": d.values, "log": log, "role": d.role, "fence": d.fence})
         }
         _ => json!({"error": {"code": "no-such-call", "text": ""}}),
     }
--- a/crates/testbed/src/stand_in/mod.rs
+++ b/crates/testbed/src/stand_in/mod.rs
@@ -1,15 +1,15 @@
 //! A stand-in database server over HTTP (§3): it keeps data, replicates, beats, and can be made to fail.
 pub mod calls;
+mod commits;
 pub mod faults;
+pub mod http_server;
 pub mod journal;
-mod keep;
-mod lab;
-pub mod net;
-pub mod repl;
+mod lab_calls;
+pub mod replication;
 
-use crate::db::{Db, Line};
+use crate::database::{Database, DiskRecord};
 use faults::Faults;
-use journal::{Entry, Journal};
+use journal::{Journal, JournalEntry};
 use quincehatch_core::{Labels, Position, Role, ServerHeartbeat, ServerState, Stamp};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam;
@@ -29,19 +29,19 @@
     pub operator_addresses: Vec<String>,
     pub data_dir: Option<std::path::PathBuf>,
     /// In place of a folder: a disk of the simulator's.
-    pub memory_disk: Option<Arc<Disk>>,
+    pub memory_disk: Option<Arc<MemoryDisk>>,
     /// Where a relay stands before this server: the address told to nodes.
     pub advertised_addr: Option<String>,
 }
 
 /// A disk that outlives the server's process.
 #[derive(Default)]
-pub struct Disk {
-    lines: Mutex<Vec<Line>>,
+pub struct MemoryDisk {
+    records: Mutex<Vec<DiskRecord>>,
     pub journal: Arc<Journal>,
 }
 
-impl std::fmt::Debug for Disk {
+impl std::fmt::Debug for MemoryDisk {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("disk")
     }
@@ -49,24 +49,24 @@
 
 pub struct StandIn {
     pub args: StandInOptions,
-    pub db: Mutex<Db>,
-    pub moved: tokio::sync::Notify,
+    pub db: Mutex<Database>,
+    pub log_changed: tokio::sync::Notify,
     pub faults: Arc<Faults>,
     pub state: Mutex<(ServerState, u64)>,
     pub journal: Arc<Journal>,
-    pub declined: AtomicU64,
+    pub rejected_reads: AtomicU64,
     /// Long statements that run, by link, so that they can be cancelled.
     pub running_statements:
         Mutex<std::collections::BTreeMap<quincehatch_core::Name, Arc<tokio::sync::Notify>>>,
-    pub links: AtomicU64,
-    boot: u64,
-    seq: AtomicU64,
+    pub connections: AtomicU64,
+    boot_number: u64,
+    heartbeat_sequence: AtomicU64,
     file: Mutex<Option<std::fs::File>>,
 }
 
 impl StandIn {
     pub fn open(args: StandInOptions) -> std::io::Result<Arc<StandIn>> {
-        let mut db = Db::new(&args.name);
+        let mut db = Database::new(&args.name);
         let (mut file, mut journal) = (None, Arc::<Journal>::default());
         // The boot number rises with each start: from the wall clock, as only this server's own order matters.
         let boot = seam::wall_clock_ms();
@@ -74,39 +74,39 @@
             std::fs::create_dir_all(dir)?;
             let path = dir.join(format!("{}.log", args.name));
             let old = std::fs::read_to_string(&path).unwrap_or_default();
-            let lines = old.lines().filter_map(|l| serde_json::from_str::<Line>(l).ok());
-            db = Db::replay(&args.name, lines);
+            let lines = old.lines().filter_map(|l| serde_json::from_str::<DiskRecord>(l).ok());
+            db = Database::replay(&args.name, lines);
             journal = Arc::new(Journal::open(&dir.join(format!("{}.journal", args.name)))?);
             file = Some(std::fs::OpenOptions::new().append(true).create(true).open(path)?);
         }
         if let Some(d) = &args.memory_disk {
-            db = Db::replay(&args.name, d.lines.lock().unwrap().iter().cloned());
+            db = Database::replay(&args.name, d.records.lock().unwrap().iter().cloned());
             journal = d.journal.clone();
         }
         Ok(Arc::new(StandIn {
             args,
             db: Mutex::new(db),
-            moved: tokio::sync::Notify::new(),
+            log_changed: tokio::sync::Notify::new(),
             faults: Arc::default(),
             state: Mutex::new((ServerState::Up, 0)),
             journal,
-            declined: AtomicU64::new(0),
+            rejected_reads: AtomicU64::new(0),
             running_statements: Mutex::default(),
-            links: AtomicU64::new(0),
-            boot,
-            seq: AtomicU64::new(1),
+            connections: AtomicU64::new(0),
+            boot_number: boot,
+            heartbeat_sequence: AtomicU64::new(1),
             file: Mutex::new(file),
         }))
     }
 
     /// Works on the data; what must last is written before this returns.
-    pub fn with<T>(&self, f: impl FnOnce(&mut Db) -> T) -> T {
+    pub fn with_db<T>(&self, f: impl FnOnce(&mut Database) -> T) -> T {
         let mut db = self.db.lock().unwrap();
         let commit = db.commit;
         let t = f(&mut db);
-        let lines = std::mem::take(&mut db.lines);
+        let lines = std::mem::take(&mut db.unwritten);
         if let Some(d) = &self.args.memory_disk {
-            d.lines.lock().unwrap().extend(lines.iter().cloned());
+            d.records.lock().unwrap().extend(lines.iter().cloned());
         }
         if !lines.is_empty()
             && let Some(file) = self.file.lock().unwrap().as_mut()
@@ -122,25 +122,25 @@
             }
         }
         if db.commit != commit || !lines.is_empty() {
-            self.moved.notify_waiters();
+            self.log_changed.notify_waiters();
         }
         t
     }
     pub fn stamp(&self) -> Stamp {
         let db = self.db.lock().unwrap();
-        Stamp { server: db.name.clone(), fence: db.fence, position: db.position(), role: db.role }
+        Stamp { server: db.name.clone(), fence: db.fence, position: db.commit_position(), role: db.role }
     }
-    pub fn beat(&self) -> ServerHeartbeat {
+    pub fn heartbeat(&self) -> ServerHeartbeat {
         let (role, fence, position, log_end, whole) = {
             let db = self.db.lock().unwrap();
-            (db.role, db.fence, db.position(), db.end(), db.whole())
+            (db.role, db.fence, db.commit_position(), db.log_end(), db.is_readable())
         };
         let state = self.state.lock().unwrap().0;
         let shown = self.args.advertised_addr.as_ref().unwrap_or(&self.args.addr);
         ServerHeartbeat {
             server: self.args.name.as_str().into(),
-            boot: self.boot,
-            seq: self.seq.fetch_add(1, Ordering::Relaxed),
+            boot: self.boot_number,
+            seq: self.heartbeat_sequence.fetch_add(1, Ordering::Relaxed),
             addr: shown.as_str().into(),
             labels: self.args.labels.clone(),
             role,
@@ -150,27 +150,27 @@
             log_end,
         }
     }
-    pub fn good(&self, rows: Value) -> Value {
+    pub fn success(&self, rows: Value) -> Value {
         json!({"stamp": self.stamp(), "rows": rows})
     }
-    pub fn bad(&self, code: &str, text: impl std::fmt::Display) -> Value {
+    pub fn failure(&self, code: &str, text: impl std::fmt::Display) -> Value {
         json!({"stamp": self.stamp(), "error": {"code": code, "text": text.to_string()}})
     }
     /// Rises with every start, so that no two lives give a transaction the same number.
     pub fn boot(&self) -> u64 {
-        self.boot & 0xffff_ffff
+        self.boot_number & 0xffff_ffff
     }
-    pub fn leads(&self) -> bool {
+    pub fn is_primary(&self) -> bool {
         self.db.lock().unwrap().role == Role::Primary
     }
-    pub fn end(&self) -> Position {
-        self.db.lock().unwrap().end()
+    pub fn log_end(&self) -> Position {
+        self.db.lock().unwrap().log_end()
     }
     /// New work is counted once the server has been leaving for over 7 s (§1 N9).
     pub fn check_drain_limit(&self) {
         let (s, at) = *self.state.lock().unwrap();
         if s == ServerState::Draining && now() > at + 7_000 {
-            self.journal.note(Entry::Late);
+            self.journal.record(JournalEntry::Late);
         }
     }
 }
@@ -181,9 +181,9 @@
     let s = StandIn::open(args)?;
     log::info!(target: "stand", "server {} listens on {}", s.args.name, s.args.addr);
     if let Some(at) = &s.args.advertised_addr {
-        crate::relay::run(at, s.args.addr.clone(), s.faults.clone()).await?;
+        crate::relay::start_relay(at, s.args.addr.clone(), s.faults.clone()).await?;
     }
-    seam::spawn(repl::follow(s.clone()));
-    seam::spawn(repl::beats(s.clone()));
-    net::serve(s, lst).await
+    seam::spawn(replication::follow_primary(s.clone()));
+    seam::spawn(replication::send_heartbeats(s.clone()));
+    http_server::accept_connections(s, lst).await
 }
