--- a/crates/testbed/src/stand_in/repl.rs
+++ b/crates/testbed/src/stand_in/replication.rs
@@ -1,6 +1,6 @@
 //! Replication and beats of a stand-in (§3.2, §3.3).
 use super::StandIn;
-use crate::db::{PullRequest, PullResponse};
+use crate::database::{PullRequest, PullResponse};
 use quincehatch_runtime::seam;
 use quincehatch_wire::http::{Call, HttpConnection, post_once};
 use serde_json::{Value, json};
@@ -9,11 +9,14 @@
 use std::time::Duration;
 
 /// Follows whichever peer leads; one link is kept while it answers.
-pub async fn follow(s: Arc<StandIn>) {
+pub async fn follow_primary(s: Arc<StandIn>) {
     let mut at = 0;
     let mut wire: Option<HttpConnection> = None;
     loop {
-        if s.leads() || s.args.peers.is_empty() || s.faults.is(&s.faults.deaf) || s.faults.is(&s.faults.dark)
+        if s.is_primary()
+            || s.args.peers.is_empty()
+            || s.faults.is_set(&s.faults.deaf)
+            || s.faults.is_set(&s.faults.dark)
         {
             wire = None;
             seam::sleep(Duration::from_millis(20)).await;
@@ -24,8 +27,8 @@
             seam::sleep(Duration::from_millis(lag)).await;
         }
         let peer = s.args.peers[at % s.args.peers.len()].clone();
-        let got = seam::timeout(Duration::from_millis(1_500), ask(&s, &peer, &mut wire)).await;
-        let took = got.ok().flatten().is_some_and(|p| s.with(|d| d.take(p)));
+        let got = seam::timeout(Duration::from_millis(1_500), pull_from(&s, &peer, &mut wire)).await;
+        let took = got.ok().flatten().is_some_and(|p| s.with_db(|d| d.apply_pull(p)));
         if !took {
             wire = None;
             at += 1;
@@ -34,8 +37,8 @@
     }
 }
 
-async fn ask(s: &StandIn, peer: &str, wire: &mut Option<HttpConnection>) -> Option<PullResponse> {
-    let p = s.with(|d| PullRequest { server: d.name.clone(), fence: d.fence, have: d.end() });
+async fn pull_from(s: &StandIn, peer: &str, wire: &mut Option<HttpConnection>) -> Option<PullResponse> {
+    let p = s.with_db(|d| PullRequest { server: d.name.clone(), fence: d.fence, have: d.log_end() });
     let body = json!(p);
     if wire.is_none() {
         *wire = HttpConnection::open(peer, None).await.ok();
@@ -48,28 +51,28 @@
 /// Answers a replica: at once when there is news, else after a short wait.
 pub async fn serve_pull(s: &StandIn, p: PullRequest) -> Value {
     for _ in 0..2 {
-        let moved = s.moved.notified();
+        let moved = s.log_changed.notified();
         tokio::pin!(moved);
         moved.as_mut().enable();
         let had = s.db.lock().unwrap().commit;
-        let got = s.with(|d| d.pull(&p, 512).map(|g| (g, d.commit)));
+        let got = s.with_db(|d| d.serve_pull(&p, 512).map(|g| (g, d.commit)));
         match got {
-            None => return s.bad("not-primary", "this server does not lead"),
+            None => return s.failure("not-primary", "this server does not lead"),
             Some((g, c)) if !g.recs.is_empty() || g.fences.is_some() || c > had => return json!(g),
             Some(_) => {}
         }
         let _ = seam::timeout(Duration::from_millis(100), moved).await;
     }
-    s.with(|d| d.pull(&p, 512))
-        .map_or_else(|| s.bad("not-primary", "this server does not lead"), |g| json!(g))
+    s.with_db(|d| d.serve_pull(&p, 512))
+        .map_or_else(|| s.failure("not-primary", "this server does not lead"), |g| json!(g))
 }
 
 /// Beats to two nodes at a time.
-pub async fn beats(s: Arc<StandIn>) {
+pub async fn send_heartbeats(s: Arc<StandIn>) {
     let mut at = 0;
     while !s.args.operator_addresses.is_empty() {
-        if !s.faults.is(&s.faults.dark) {
-            let beat = json!(s.beat());
+        if !s.faults.is_set(&s.faults.dark) {
+            let beat = json!(s.heartbeat());
             for i in 0..2.min(s.args.operator_addresses.len()) {
                 let desk = s.args.operator_addresses[(at + i) % s.args.operator_addresses.len()].clone();
                 let beat = beat.clone();
--- a/crates/testbed/src/stmt.rs
+++ b/crates/testbed/src/statement.rs
@@ -1,5 +1,5 @@
 //! The stand-ins' little statement language: put, append, add, get, len, echo, sleep, show, exec (§3.5).
-use crate::db::{Write, apply};
+use crate::database::{Write, apply_write};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
@@ -8,19 +8,19 @@
 pub struct ConnectionState {
     pub settings: BTreeMap<String, String>,
     pub prepared: BTreeMap<String, String>,
-    pub txn: Option<Txn>,
+    pub transaction: Option<OpenTransaction>,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Txn {
+pub struct OpenTransaction {
     pub id: u64,
     pub writes: Vec<Write>,
-    pub last: Value,
+    pub last_rows: Value,
 }
 
 /// What running a statement asks of its caller.
 #[derive(Debug, PartialEq)]
-pub struct Ran {
+pub struct StatementResult {
     pub rows: Value,
     pub writes: Vec<Write>,
     pub sleep_ms: u64,
@@ -33,36 +33,36 @@
     }
 }
 
-fn text(v: &Value) -> String {
+fn as_text(v: &Value) -> String {
     v.as_str().map_or_else(|| v.to_string(), str::to_owned)
 }
 
 /// Sets `name=value`.
-pub fn set(c: &mut ConnectionState, t: &str) -> Result<(), String> {
+pub fn set_setting(c: &mut ConnectionState, t: &str) -> Result<(), String> {
     let (k, v) = t.split_once('=').ok_or("a setting is name=value")?;
     c.settings.insert(k.trim().into(), v.trim().into());
     Ok(())
 }
 
 /// Runs one statement against `kv` as seen through the link's open transaction.
-pub fn run(
+pub fn run_statement(
     c: &ConnectionState,
     kv: &BTreeMap<String, Value>,
     t: &str,
     params: &Value,
-) -> Result<Ran, String> {
+) -> Result<StatementResult, String> {
     let words: Vec<&str> = t.split_whitespace().collect();
-    let ran = |rows, writes| Ok(Ran { rows, writes, sleep_ms: 0 });
+    let ran = |rows, writes| Ok(StatementResult { rows, writes, sleep_ms: 0 });
     let a = |i: usize| words.get(i).map_or(Err("a word is missing".into()), |w| argument(w, params));
-    let key = |i: usize| a(i).map(|v| text(&v));
-    let mine = || c.txn.iter().flat_map(|t| t.writes.iter().cloned());
+    let key = |i: usize| a(i).map(|v| as_text(&v));
+    let mine = || c.transaction.iter().flat_map(|t| t.writes.iter().cloned());
     let seen = |k: &str| {
         let mut one: BTreeMap<String, Value> =
             kv.get(k).map(|v| (k.to_owned(), v.clone())).into_iter().collect();
         for w in mine()
             .filter(|w| matches!(w, Write::Put(x, _) | Write::Append(x, _) | Write::Add(x, _) if x == k))
         {
-            apply(&mut one, w);
+            apply_write(&mut one, w);
         }
         one.remove(k).unwrap_or(Value::Null)
     };
@@ -86,7 +86,7 @@
         }
         Some("sleep") => {
             let ms = a(1)?.as_u64().ok_or("sleep takes milliseconds")?;
-            Ok(Ran { rows: json!([["slept"]]), writes: vec![], sleep_ms: ms })
+            Ok(StatementResult { rows: json!([["slept"]]), writes: vec![], sleep_ms: ms })
         }
         Some("exec") => {
             let name = words.get(1).copied().unwrap_or_default();
@@ -94,7 +94,7 @@
             if body.starts_with("exec") {
                 return Err("a prepared statement may not exec".into());
             }
-            run(c, kv, body, params)
+            run_statement(c, kv, body, params)
         }
         _ => Err("no such statement".into()),
     }
--- a/crates/testbed/tests/choice/net.rs
+++ b/crates/testbed/tests/choice/net.rs
@@ -5,7 +5,7 @@
 use quincehatch_runtime::seam;
 use quincehatch_store::store::promotion_duty_key;
 use quincehatch_store::{Answer, Command, Entry, Store};
-use quincehatch_testbed::db::{Db, PullRequest, PullResponse};
+use quincehatch_testbed::database::{Database, PullRequest, PullResponse};
 use serde_json::Value;
 use std::sync::Arc;
 
@@ -53,7 +53,7 @@
 #[derive(Clone)]
 pub struct Net {
     store: Arc<Store>,
-    dbs: Vec<Arc<Db>>,
+    dbs: Vec<Arc<Database>>,
     /// Whom each server was told to count on.
     counts: Vec<Arc<Vec<Name>>>,
     /// What each replica asked of whom, and what it was given.
@@ -75,7 +75,7 @@
     pub fn new(z: Size) -> Net {
         let mut n = Net {
             store: Arc::default(),
-            dbs: "abcd".chars().take(z.servers).map(|c| Arc::new(Db::new(&c.to_string()))).collect(),
+            dbs: "abcd".chars().take(z.servers).map(|c| Arc::new(Database::new(&c.to_string()))).collect(),
             counts: (0..z.servers).map(|_| Arc::new(names("abc"))).collect(),
             wire: vec![None; z.servers],
             all: vec![],
@@ -99,7 +99,7 @@
         store.answers.clear();
         got.filter(|a| !matches!(a, Answer::Rejected(_)))
     }
-    fn db(&mut self, s: usize) -> &mut Db {
+    fn db(&mut self, s: usize) -> &mut Database {
         Arc::make_mut(&mut self.dbs[s])
     }
     fn at(&mut self, i: usize) -> &mut At {
@@ -199,7 +199,7 @@
                 if !seam::injected_bug("unfenced") && !n.db(s).set_fence(f) {
                     return None;
                 }
-                let end = n.dbs[s].end();
+                let end = n.dbs[s].log_end();
                 n.at(i).heard.push((s, end));
                 n.at(i).heard.sort_unstable();
                 n.step(i, PromotionEvent::ServerFenced(n.dbs[s].name.clone(), end))?;
@@ -225,18 +225,18 @@
                 n.step(i, PromotionEvent::PrimaryAnnounced)?;
             }
             Act::Request(r, l) => {
-                let (server, fence, have) = (n.dbs[r].name.clone(), n.dbs[r].fence, n.dbs[r].end());
+                let (server, fence, have) = (n.dbs[r].name.clone(), n.dbs[r].fence, n.dbs[r].log_end());
                 n.wire[r] = Some(Arc::new((l, PullRequest { server, fence, have }, None)));
                 return if z.late { Some(n) } else { n.after(z, Act::Give(r))?.after(z, Act::Take(r)) };
             }
             Act::Give(r) => {
                 let (l, pull, _) = (*n.wire[r].take()?).clone();
-                let got = n.db(l).pull(&pull, 9);
+                let got = n.db(l).serve_pull(&pull, 9);
                 n.wire[r] = got.map(|g| Arc::new((l, pull, Some(g))));
             }
             Act::Take(r) => {
                 let got = n.wire[r].take()?.2.clone()?;
-                n.db(r).take(got);
+                n.db(r).apply_pull(got);
             }
             Act::Order(s) => {
                 n.named.contains(&(n.dbs[s].fence, s)).then_some(())?;
@@ -246,14 +246,14 @@
             Act::Settle => {
                 let l = n.store.primaries["g"].clone();
                 let s = n.index(l.server.as_ref()?);
-                if !n.dbs[s].leads(l.fence) || !n.dbs[s].whole() {
+                if !n.dbs[s].is_primary_under(l.fence) || !n.dbs[s].is_readable() {
                     return None;
                 }
                 n.write(Command::DropPreviousVoters { group: "g".into(), fence: l.fence })?;
             }
         }
-        let wrote = n.dbs.iter_mut().filter(|d| !d.lines.is_empty());
-        wrote.for_each(|d| Arc::make_mut(d).lines.clear());
+        let wrote = n.dbs.iter_mut().filter(|d| !d.unwritten.is_empty());
+        wrote.for_each(|d| Arc::make_mut(d).unwritten.clear());
         Some(n)
     }
 }
--- a/crates/testbed/tests/choice/net/look.rs
+++ b/crates/testbed/tests/choice/net/look.rs
@@ -2,11 +2,11 @@
 use super::{At, Net};
 use quincehatch_core::{Position, Role};
 use quincehatch_failover::promotion::{Phase, PromotionAction};
-use quincehatch_testbed::db::{Db, Kind};
+use quincehatch_testbed::database::{Database, RecordKind};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-fn log(d: &Db) -> Vec<(Position, bool)> {
-    d.log.iter().map(|r| (r.pos, r.kind == Kind::Start)).collect()
+fn log(d: &Database) -> Vec<(Position, bool)> {
+    d.log.iter().map(|r| (r.position, r.kind == RecordKind::Start)).collect()
 }
 
 impl Net {
@@ -20,7 +20,7 @@
         }
         for (l, p, got) in self.wire.iter().flatten().map(|w| &**w) {
             let got = got.as_ref().map(|g| {
-                let recs: Vec<_> = g.recs.iter().map(|r| r.pos).collect();
+                let recs: Vec<_> = g.recs.iter().map(|r| r.position).collect();
                 (g.fence, g.commit, recs, &g.fences)
             });
             (l, &p.server, p.fence, p.have, got).hash(&mut h);
@@ -40,7 +40,7 @@
         }
         let l = self.store.primaries.get("g");
         l.map(|l| (l.fence, &l.server, l.voter_sets())).hash(&mut h);
-        let leads: Vec<_> = self.named.iter().filter(|(f, s)| self.dbs[*s].leads(*f)).collect();
+        let leads: Vec<_> = self.named.iter().filter(|(f, s)| self.dbs[*s].is_primary_under(*f)).collect();
         (newest, leads, self.orders).hash(&mut h);
         h.finish()
     }
@@ -59,7 +59,7 @@
         let l = self.index(lead.server.as_ref()?);
         let d = &self.dbs[l];
         let lost = (0..n).find(|i| !logs[l].starts_with(shown(*i)));
-        let lost = &self.dbs[lost.filter(|_| d.leads(lead.fence))?];
+        let lost = &self.dbs[lost.filter(|_| d.is_primary_under(lead.fence))?];
         Some(format!("the named lead {} lacks what {} shows", d.name, lost.name))
     }
 }
--- a/crates/testbed/tests/history.rs
+++ b/crates/testbed/tests/history.rs
@@ -1,13 +1,13 @@
 //! The lab's history checker is shown to catch a breach of each must-never (§9.4).
 use quincehatch_testbed::history::*;
-use quincehatch_testbed::stand_in::journal::Entry;
+use quincehatch_testbed::stand_in::journal::JournalEntry;
 use serde_json::{Value, json};
 
 type Run = (History, Facts, SentStatements);
 const FAULT: (u64, &str) = (1_500, "final kill");
 const END: u64 = 18_000;
 
-fn row(key: &str, ends: &[(End, u64, u64)]) -> (String, AttemptRecord) {
+fn row(key: &str, ends: &[(CallEnd, u64, u64)]) -> (String, AttemptRecord) {
     let t = AttemptRecord {
         group: "g1".into(),
         list: "l".into(),
@@ -21,11 +21,11 @@
 fn stamp() -> Value {
     json!({"server": "s1", "fence": 1})
 }
-fn ran(txn: u64, mark: &str, text: &str) -> Entry {
-    Entry::Ran { link: "n1/1".into(), txn, text: text.into(), params: json!([mark]) }
+fn ran(txn: u64, mark: &str, text: &str) -> JournalEntry {
+    JournalEntry::Ran { link: "n1/1".into(), txn, text: text.into(), params: json!([mark]) }
 }
-fn said(id: &str) -> Entry {
-    Entry::Said { id: id.into(), stamp: stamp(), rows: json!([["ok"]]) }
+fn said(id: &str) -> JournalEntry {
+    JournalEntry::Said { id: id.into(), stamp: stamp(), rows: json!([["ok"]]) }
 }
 fn push(key: &str, race: Option<u64>, valid: bool, end: PushEnd) -> PushAttempt {
     PushAttempt {
@@ -42,10 +42,10 @@
 /// A run in which all went well.
 fn good() -> Run {
     let mut h = History::default();
-    h.tries.extend([
-        row("a", &[(End::Kept, 100, 110)]),
-        row("b", &[(End::Nothing, 200, 210)]),
-        row("c", &[(End::Lost, 300, 900), (End::Kept, 1_000, 1_010)]),
+    h.attempts.extend([
+        row("a", &[(CallEnd::Committed, 100, 110)]),
+        row("b", &[(CallEnd::NotApplied, 200, 210)]),
+        row("c", &[(CallEnd::NoReply, 300, 900), (CallEnd::Committed, 1_000, 1_010)]),
     ]);
     let read = |order_side, asked| ReadRecord {
         group: "g1".into(),
@@ -61,22 +61,22 @@
     h.pushes.push(AcknowledgedPush { version: 2, acked: 500 });
     h.push_attempts = vec![
         push("p", Some(1), true, PushEnd::Version(2)),
-        push("q", Some(1), true, PushEnd::Declined(1602)),
-        push("x", None, false, PushEnd::Declined(1601)),
+        push("q", Some(1), true, PushEnd::Rejected(1602)),
+        push("x", None, false, PushEnd::Rejected(1601)),
     ];
     let ed = |version, asked| VersionRecord { node: "n1".into(), asked, answered: asked + 5, version };
     h.versions = vec![ed(1, 400), ed(2, 600), ed(2, 4_000)];
-    h.said = vec![AnswerRecord {
+    h.answers = vec![AnswerRecord {
         path: "/v1/order".into(),
         id: "a".into(),
         stamp: stamp(),
         rows: json!([["ok"]]),
     }];
     for kind in ["order", "lookup"] {
-        let rows = (0..180).map(|i| Served {
+        let rows = (0..180).map(|i| ServedCall {
             asked: i * 100,
-            over: i * 100 + 10,
-            well: !(10..=60).contains(&i),
+            ended: i * 100 + 10,
+            succeeded: !(10..=60).contains(&i),
             code: 0,
         });
         h.served.insert(("g1".into(), kind), rows.collect());
@@ -87,7 +87,7 @@
         ["1.1 start", "1.2 commit a", "1.3 commit c"][..n].iter().map(|s| (*s).to_owned()).collect()
     };
     f.logs.insert("g1".into(), vec![("s1".into(), log(3)), ("s2".into(), log(2))]);
-    let wore = Entry::Wore { link: "n1/1".into(), text: "tag=c1".into() };
+    let wore = JournalEntry::Wore { link: "n1/1".into(), text: "tag=c1".into() };
     let did =
         vec![wore, ran(7, "c1#1", "append"), ran(7, "c1#2", "append"), ran(0, "c2#1", "get"), said("a")];
     f.journals.insert("s1".into(), did);
@@ -104,7 +104,7 @@
 }
 
 fn verdict((h, f, sent): &Run) -> Vec<String> {
-    check(h, f, sent, &[(FAULT.0, FAULT.1.into())], END)
+    check_history(h, f, sent, &[(FAULT.0, FAULT.1.into())], END)
 }
 fn breach(word: &str, spoil: impl FnOnce(&mut Run)) {
     let mut r = good();
@@ -129,7 +129,7 @@
     breach("N1", |r| list(r, "a"));
     breach("N2 the ack", |r| r.1.lists.clear());
     breach("N3", |r| list(r, "b"));
-    breach("N3 the sealed", |r| r.0.tries.get_mut("c").unwrap().sealed = true);
+    breach("N3 the sealed", |r| r.0.attempts.get_mut("c").unwrap().sealed = true);
     let log = |r: &mut Run, s: &str| r.1.logs.get_mut("g1").unwrap()[1].1.push(s.into());
     breach("N2 in g1", |r| log(r, "1.3 commit z"));
     breach("N2 in g1", |r| (0..2).for_each(|_| log(r, "1.3 commit c")));
@@ -152,22 +152,22 @@
 
 #[test]
 fn a_success_in_words_that_no_server_said() {
-    breach("N4", |r| r.0.said[0].stamp = Value::Null);
-    breach("N4", |r| r.0.said[0].stamp["server"] = json!("s2"));
-    breach("N4", |r| r.0.said[0].rows = json!([["no"]]));
-    breach("N4", |r| r.0.said[0].id = "c".into());
+    breach("N4", |r| r.0.answers[0].stamp = Value::Null);
+    breach("N4", |r| r.0.answers[0].stamp["server"] = json!("s2"));
+    breach("N4", |r| r.0.answers[0].rows = json!([["no"]]));
+    breach("N4", |r| r.0.answers[0].id = "c".into());
     breach("N4", |r| r.1.journals.clear());
 }
 
 #[test]
 fn statements_in_a_foreign_transaction_or_from_nobody_or_too_often() {
-    let at = |r: &mut Run, i: usize, e: Entry| r.1.journals.get_mut("s1").unwrap()[i] = e;
+    let at = |r: &mut Run, i: usize, e: JournalEntry| r.1.journals.get_mut("s1").unwrap()[i] = e;
     breach("N7", |r| at(r, 2, ran(7, "c2#1", "get")));
     breach("N8", |r| at(r, 1, ran(7, "c1#1", "delete")));
     breach("N8", |r| at(r, 1, ran(7, "c3#1", "append")));
-    breach("N8", |r| at(r, 0, Entry::Wore { link: "n1/1".into(), text: "tag=c9".into() }));
+    breach("N8", |r| at(r, 0, JournalEntry::Wore { link: "n1/1".into(), text: "tag=c9".into() }));
     breach("N8 the statement", |r| at(r, 2, ran(0, "c1#1", "append")));
-    breach("N9", |r| at(r, 3, Entry::Late));
+    breach("N9", |r| at(r, 3, JournalEntry::Late));
 }
 
 #[test]
@@ -186,11 +186,11 @@
     breach("N11 of 2", |r| end(r, 1, PushEnd::Version(3)));
     breach("N11 of 2", |r| {
         r.0.pushes.clear();
-        end(r, 0, PushEnd::Declined(1602));
+        end(r, 0, PushEnd::Rejected(1602));
     });
-    breach("N11 the valid", |r| end(r, 0, PushEnd::None));
+    breach("N11 the valid", |r| end(r, 0, PushEnd::NoReply));
     breach("N11 the valid", |r| r.0.push_attempts[0].ends[0].1 = 400 + MAX_PUSH_TIME + 1);
-    breach("N11 the valid", |r| end(r, 1, PushEnd::Declined(1601)));
+    breach("N11 the valid", |r| end(r, 1, PushEnd::Rejected(1601)));
     breach("N11 the broken", |r| end(r, 2, PushEnd::Version(9)));
     breach("N11 the push", |r| r.0.push_attempts[0].ends.push((PushEnd::Version(3), 600)));
     fine(|r| end(r, 0, PushEnd::Version(2)));
@@ -202,14 +202,14 @@
 fn two_pushes_may_lose_to_one_that_was_never_answered() {
     let lose = |r: &mut Run, rival: PushEnd, later: u64| {
         r.0.pushes.clear();
-        r.0.push_attempts[0].ends[0].0 = PushEnd::Declined(1602);
+        r.0.push_attempts[0].ends[0].0 = PushEnd::Rejected(1602);
         r.0.push_attempts.push(PushAttempt { majority_up: false, ..push("r", None, true, rival) });
         r.0.push_attempts
             .push(PushAttempt { base: later, ..push("s", None, true, PushEnd::Version(later + 1)) });
     };
-    fine(|r| lose(r, PushEnd::None, 2));
-    breach("N11 of 2", |r| lose(r, PushEnd::None, 3));
-    breach("N11 of 2", |r| lose(r, PushEnd::Declined(1602), 2));
+    fine(|r| lose(r, PushEnd::NoReply, 2));
+    breach("N11 of 2", |r| lose(r, PushEnd::NoReply, 3));
+    breach("N11 of 2", |r| lose(r, PushEnd::Rejected(1602), 2));
 }
 
 #[test]
@@ -218,7 +218,7 @@
         move |r: &mut Run| {
             let rows = r.0.served.get_mut(&("g1".into(), kind)).unwrap();
             for (i, s) in rows.iter_mut().enumerate() {
-                s.well &= !(s.asked >= from && s.asked < to && (i as u64).is_multiple_of(every));
+                s.succeeded &= !(s.asked >= from && s.asked < to && (i as u64).is_multiple_of(every));
             }
         }
     };
@@ -230,5 +230,5 @@
     fine(spoil("order", 14_000, 14_200, 1));
     breach("N12", |r| drop(r.0.served.insert(("g2".into(), "order"), vec![])));
     let r = good();
-    assert!(check(&r.0, &r.1, &r.2, &[(4_500, "final kill".into())], END)[0].contains("too soon"));
+    assert!(check_history(&r.0, &r.1, &r.2, &[(4_500, "final kill".into())], END)[0].contains("too soon"));
 }
--- a/crates/testbed/tests/kit/mod.rs
+++ b/crates/testbed/tests/kit/mod.rs
@@ -8,7 +8,7 @@
 use quincehatch_proxy::state::HealthState;
 use quincehatch_proxy::{Proxy, probe};
 use quincehatch_runtime::now;
-use quincehatch_testbed::stand_in::{StandIn, StandInOptions, net, repl};
+use quincehatch_testbed::stand_in::{StandIn, StandInOptions, http_server, replication};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -44,11 +44,11 @@
             let (name, addr) = (format!("s{}", i + 1), addrs[i].clone());
             let s =
                 StandIn::open(StandInOptions { name, addr, labels, peers, ..Default::default() }).unwrap();
-            tokio::spawn(repl::follow(s.clone()));
-            tokio::spawn(net::serve(s.clone(), lst));
+            tokio::spawn(replication::follow_primary(s.clone()));
+            tokio::spawn(http_server::accept_connections(s.clone(), lst));
             stands.push(s);
         }
-        stands[0].with(|d| d.promote(1, vec![]));
+        stands[0].with_db(|d| d.promote(1, vec![]));
         let any = || "127.0.0.1:1".to_owned();
         let set = NodeSettings {
             name: "n1".into(),
@@ -69,7 +69,7 @@
             quincehatch_runtime::seam::Spawner::current(),
         );
         for s in &stands {
-            node.registry.apply_heartbeat(s.beat());
+            node.registry.apply_heartbeat(s.heartbeat());
         }
         let blueprint = Some(Arc::new(Configuration::parse(&format!("{BASE}{more}")).unwrap()));
         let lead = PrimaryAssignment {
@@ -93,7 +93,7 @@
         let k = Kit { node, stands };
         k.until("all to be up and fresh", || {
             let seen = k.node.registry.with_primary_positions("g1", |s| s.needed(now(), 1_500));
-            let end = k.stands[0].end();
+            let end = k.stands[0].log_end();
             let up = k.node.registry.servers().iter().all(|r| r.status.lock().unwrap().answered_at > 0);
             up && seen == Some(end) && k.stands.iter().all(|s| s.stamp().position == end)
         })
@@ -117,22 +117,22 @@
         assert_eq!(v["end"], "kept", "{v}");
     }
     pub fn fault(&self, i: usize, wish: Value) {
-        self.stands[i].faults.wish(&serde_json::from_value(wish).unwrap());
+        self.stands[i].faults.apply(&serde_json::from_value(wish).unwrap());
     }
     pub fn leave(&self, i: usize) {
         *self.stands[i].state.lock().unwrap() = (quincehatch_core::ServerState::Draining, now());
     }
     /// A primary that does not show all of its log.
     pub fn starting(&self, i: usize, on: bool) {
-        self.stands[i].with(|d| d.set_unreadable_for_test(on));
+        self.stands[i].with_db(|d| d.set_unreadable_for_test(on));
     }
     /// How often the stand-in declined a read as it is starting.
     pub fn declined(&self, i: usize) -> u64 {
-        self.stands[i].declined.load(std::sync::atomic::Ordering::SeqCst)
+        self.stands[i].rejected_reads.load(std::sync::atomic::Ordering::SeqCst)
     }
     /// What the primary holds under a key.
     pub fn value(&self, key: &str) -> Value {
-        self.stands[0].with(|d| d.kv.get(key).cloned().unwrap_or(Value::Null))
+        self.stands[0].with_db(|d| d.values.get(key).cloned().unwrap_or(Value::Null))
     }
     /// Links open to a stand-in, the node's own STATUS link and replication's left out by counting contexts.
     pub fn links(&self, i: usize) -> usize {
