--- a/crates/capacity/src/counted.rs
+++ b/crates/capacity/src/counted.rs
@@ -6,7 +6,7 @@
 use quincehatch_gossip::{GossipMessage, NodeQuery, NodeRequest};
 use quincehatch_node::{ClusterNode, gossip};
 use quincehatch_runtime::seam;
-use quincehatch_simulator::fleet::keeper::{self, Disk, KeeperRegistry};
+use quincehatch_simulator::fleet::keeper::{self, Disk, KeeperRegistry, KeeperSetup};
 use quincehatch_simulator::fleet::network::FrameHandler;
 use quincehatch_simulator::fleet::simulation::{ProcessId, Simulation};
 use quincehatch_store::keeper::RecoveredState;
@@ -92,12 +92,14 @@
     let names: Vec<Name> = (0..KEEPERS).map(|i| format!("k{i}").into()).collect();
     let machines = names.iter().enumerate().map(|(i, n)| Voter { name: n.clone(), addr: at(1, i).into() });
     let view = View { version: 1, members: names.clone(), voters: machines.collect() };
-    let all = Arc::new(KeeperRegistry { process_by_name: Mutex::default(), commit_watch: Mutex::default() });
+    let all = Arc::<KeeperRegistry>::default();
     for (i, n) in names.into_iter().enumerate() {
         let disk: Disk = Arc::new(Mutex::new(RecoveredState { view: view.clone(), ..Default::default() }));
-        let (name, of, to) = (n.clone(), all.clone(), to.clone());
+        let addr = at(1, i);
+        let setup = KeeperSetup { name: n.clone(), addr, disk, registry: all.clone() };
+        let to = to.clone();
         let start = move |c: &Arc<Simulation>, pid| {
-            keeper::start_keeper(c, pid, &name, &at(1, i), &disk, &of);
+            keeper::start_keeper(c, pid, &setup);
             tap(c, &at(1, i), to_keeper, &to);
         };
         let pid = core.add_process(&n, Arc::new(start), true);
--- a/crates/simulator/src/direct/call_execution.rs
+++ b/crates/simulator/src/direct/call_execution.rs
@@ -1,184 +1,229 @@
-//! What a simulated server does with a question on a held link.
-use super::server_group::{GroupState, OpenTransaction, ServerLink};
+//! What a simulated server does with one call on a direct connection.
+use super::connection::{Connection, OpenTransaction, PreparedStatement};
+use super::server_group::GroupState;
 use bytes::Bytes;
 use quincehatch_core::{Millis, Position, Role};
-use quincehatch_proxy::ports::{RejectReason, ServerCall, ServerReply, TransactionState};
+use quincehatch_proxy::ports::{RejectReason, ServerCall, ServerReply};
 
-/// What an executed question comes to.
+/// Writes that a server is to commit.
+pub struct Commit {
+    /// Id of the single write or of the COMMIT.
+    pub id: u64,
+    /// Ids of the writes.
+    pub writes: Vec<u64>,
+}
+
+/// What an executed call comes to.
 pub enum CallResult {
+    /// It is answered at once.
     Reply(ServerReply),
-    /// A commit under this id of these writes, answered once a replica has it.
-    Commit(u64, Vec<u64>),
+    /// It is answered once a replica has received the commit.
+    Commit(Commit),
 }
 
-impl ServerLink {
-    pub fn transaction_state(&self) -> TransactionState {
-        match &self.transaction {
-            None => TransactionState::Idle,
-            Some(t) if t.failed => TransactionState::Failed,
-            Some(_) => TransactionState::Open,
-        }
+/// A statement in execution.
+struct StatementCall {
+    id: u64,
+    text: Bytes,
+    prepared: Option<PreparedStatement>,
+}
+
+/// What the server's reads show when a call is executed.
+#[derive(Clone, Copy)]
+struct Visibility {
+    entries: usize,
+    end: Position,
+}
+
+impl Visibility {
+    fn is_behind(&self, floor: Option<Position>) -> bool {
+        floor.is_some_and(|floor| self.end < floor)
     }
-    fn reject(&mut self, no: RejectReason) -> CallResult {
-        if let Some(t) =
-            self.transaction.as_mut().filter(|_| !matches!(no, RejectReason::Busy | RejectReason::Unprepared))
-        {
-            t.failed = true;
+}
+
+impl Connection {
+    /// Rejects a call; an open transaction fails with it unless nothing was executed.
+    fn reject(&mut self, reason: RejectReason) -> CallResult {
+        let was_executed = !matches!(reason, RejectReason::Busy | RejectReason::Unprepared);
+        if let Some(transaction) = self.transaction.as_mut().filter(|_| was_executed) {
+            transaction.failed = true;
         }
-        CallResult::Reply(ServerReply {
-            rejection: Some((no, Bytes::new())),
-            transaction_state: self.transaction_state(),
-            ..ServerReply::default()
-        })
+        self.reply(ServerReply { rejection: Some((reason, Bytes::new())), ..ServerReply::default() })
     }
+
     fn succeed(&self) -> CallResult {
-        CallResult::Reply(ServerReply {
-            transaction_state: self.transaction_state(),
-            ..ServerReply::default()
-        })
+        self.reply(ServerReply::default())
+    }
+
+    fn reply(&self, reply: ServerReply) -> CallResult {
+        CallResult::Reply(ServerReply { transaction_state: self.transaction_state(), ..reply })
+    }
+
+    /// The statement of a call; none if its prepared statement is unknown.
+    fn statement_call(&self, call: &ServerCall) -> Option<StatementCall> {
+        match call {
+            ServerCall::Run { id, text, .. } => {
+                Some(StatementCall { id: statement_id(id), text: text.clone(), prepared: None })
+            }
+            ServerCall::Execute { id, name, rest, .. } => {
+                let prepared = self.prepared.get(name)?.clone();
+                Some(StatementCall { id: statement_id(id), text: rest.clone(), prepared: Some(prepared) })
+            }
+            _ => None,
+        }
     }
 }
 
+/// The number that clients put into the id of a statement.
 pub fn statement_id(id: &Bytes) -> u64 {
-    std::str::from_utf8(id).ok().and_then(|s| s.parse().ok()).unwrap_or(0)
+    std::str::from_utf8(id).ok().and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
 impl GroupState {
+    /// Executes a call; `fails`: a statement fails in the server.
     pub fn execute_call(
         &mut self,
         now: Millis,
-        l: &mut ServerLink,
+        connection: &mut Connection,
         call: &ServerCall,
         fails: bool,
     ) -> CallResult {
-        let s = &mut self.servers[l.server];
-        let (sees, end) = (s.visible_entries(now), s.visible_end(now));
-        let behind = |f: &Option<Position>| f.is_some_and(|p| end < p);
+        let server = &mut self.servers[connection.server];
+        let visibility = Visibility { entries: server.visible_entries(now), end: server.visible_end(now) };
         match call {
             ServerCall::Begin { read, floor } => {
-                if behind(floor) {
-                    return l.reject(RejectReason::Behind);
+                if visibility.is_behind(*floor) {
+                    return connection.reject(RejectReason::Behind);
                 }
-                if !read && s.role != Role::Primary {
-                    return l.reject(RejectReason::NotPrimary);
-                }
-                let (of, writes) = (None, Vec::new());
-                l.transaction = Some(OpenTransaction {
-                    read: *read,
-                    term: s.term,
-                    client_transaction: of,
-                    writes,
-                    visible: sees,
-                    failed: false,
-                });
-                l.succeed()
+                self.begin(connection, *read, visibility)
             }
-            ServerCall::Run { id, floor, .. } | ServerCall::Execute { id, floor, .. } => {
-                let id = statement_id(id);
-                if behind(floor) {
-                    return l.reject(RejectReason::Behind);
-                }
-                let shape = match call {
-                    ServerCall::Execute { name, .. } if !l.prepared.contains_key(name) => {
-                        return l.reject(RejectReason::Unprepared);
-                    }
-                    ServerCall::Execute { name, .. } => l.prepared.get(name).cloned(),
-                    _ => None,
-                };
-                let s = &self.servers[l.server];
-                let lost = |t: &OpenTransaction| {
-                    t.failed || (!t.read && (s.role != Role::Primary || s.term != t.term))
-                };
-                if l.transaction.as_ref().is_some_and(lost) {
-                    return l.reject(RejectReason::NotPrimary);
+            ServerCall::Run { floor, .. } | ServerCall::Execute { floor, .. } => {
+                if visibility.is_behind(*floor) {
+                    return connection.reject(RejectReason::Behind);
                 }
-                let sees = l.transaction.as_ref().filter(|t| t.read).map_or(sees, |t| t.visible);
-                self.ledger.check_execution(now, id, l, s, sees);
-                let Some(a) = self.ledger.sent.get(&id) else { return l.reject(RejectReason::Other) };
-                let text = match call {
-                    ServerCall::Run { text, .. } => text.clone(),
-                    ServerCall::Execute { rest, .. } => rest.clone(),
-                    _ => Bytes::new(),
+                let Some(statement) = connection.statement_call(call) else {
+                    return connection.reject(RejectReason::Unprepared);
                 };
-                if (&a.text, &a.prepared) != (&text, &shape) {
-                    let why =
-                        format!("{id} ran as {text:?} {shape:?} instead of {:?} {:?}", a.text, a.prepared);
-                    self.ledger.record_violation(format!("UNASKED at {now}: {why}"));
-                    return l.reject(RejectReason::Other);
-                }
-                if fails {
-                    return l.reject(RejectReason::Failed);
-                }
-                let (write, of) = (a.write, a.transaction.map(|t| t.0));
-                if let Some(t) = l.transaction.as_mut() {
-                    t.client_transaction = of;
-                    t.writes.extend(write.then_some(id));
-                } else if write {
-                    return match s.role {
-                        Role::Primary => CallResult::Commit(id, vec![id]),
-                        Role::Replica => l.reject(RejectReason::NotPrimary),
-                    };
-                }
-                let rows = vec![Bytes::from(format!("row {id}"))];
-                CallResult::Reply(ServerReply {
-                    rows,
-                    transaction_state: l.transaction_state(),
-                    ..ServerReply::default()
-                })
-            }
-            ServerCall::Commit { id } => {
-                let id = statement_id(id);
-                let s = &self.servers[l.server];
-                let Some(t) = l.transaction.take() else { return l.reject(RejectReason::Other) };
-                if t.failed {
-                    return l.reject(RejectReason::Other);
-                }
-                if !self.ledger.sent.get(&id).is_some_and(|a| {
-                    a.commit
-                        && (t.client_transaction.is_none()
-                            || a.transaction.map(|x| x.0) == t.client_transaction)
-                }) {
-                    self.ledger.record_violation(format!(
-                        "UNASKED at {now}: {id} commits {:?} on {}",
-                        t.client_transaction, s.name
-                    ));
-                }
-                let lost = s.role != Role::Primary || s.term != t.term;
-                match (t.writes.is_empty(), lost) {
-                    (true, _) => l.succeed(),
-                    (false, true) => l.reject(RejectReason::NotPrimary),
-                    (false, false) => CallResult::Commit(id, t.writes),
-                }
+                self.execute_statement(now, connection, &statement, visibility, fails)
             }
+            ServerCall::Commit { id } => self.commit(now, connection, statement_id(id)),
             ServerCall::Rollback => {
-                l.transaction = None;
-                l.succeed()
+                connection.transaction = None;
+                connection.succeed()
             }
             ServerCall::Set { name, value } => {
-                l.values.insert(name.clone(), value.clone());
-                l.succeed()
+                connection.values.insert(name.clone(), value.clone());
+                connection.succeed()
             }
             ServerCall::Prepare { name, write, shape } => {
-                l.prepared.insert(name.clone(), (*write, shape.clone()));
-                l.succeed()
+                let prepared = PreparedStatement { write: *write, template: shape.clone() };
+                connection.prepared.insert(name.clone(), prepared);
+                connection.succeed()
             }
             ServerCall::Reset => {
-                l.values.clear();
-                l.prepared.clear();
-                l.succeed()
+                connection.values.clear();
+                connection.prepared.clear();
+                connection.succeed()
             }
             ServerCall::Status
             | ServerCall::Suspend { .. }
             | ServerCall::Resume
             | ServerCall::Demote { .. } => {
-                let links = self.connections.values().filter(|x| x.server == l.server).count() as u64;
-                let look = self.apply_control_call(now, l.server, call, links);
-                CallResult::Reply(ServerReply {
-                    status: Some(look),
-                    transaction_state: l.transaction_state(),
-                    ..ServerReply::default()
-                })
+                let connections = self.connections_of_server(connection.server).len() as u64;
+                let status = self.apply_control_call(now, connection.server, call, connections);
+                connection.reply(ServerReply { status: Some(status), ..ServerReply::default() })
             }
         }
     }
+
+    fn begin(&mut self, connection: &mut Connection, read_only: bool, visibility: Visibility) -> CallResult {
+        let server = &self.servers[connection.server];
+        if !read_only && server.role != Role::Primary {
+            return connection.reject(RejectReason::NotPrimary);
+        }
+        connection.transaction = Some(OpenTransaction {
+            read_only,
+            term: server.term,
+            client_transaction: None,
+            writes: Vec::new(),
+            visible: visibility.entries,
+            failed: false,
+        });
+        connection.succeed()
+    }
+
+    fn execute_statement(
+        &mut self,
+        now: Millis,
+        connection: &mut Connection,
+        statement: &StatementCall,
+        visibility: Visibility,
+        fails: bool,
+    ) -> CallResult {
+        let id = statement.id;
+        if self.has_lost_transaction(connection) {
+            return connection.reject(RejectReason::NotPrimary);
+        }
+        let read_transaction = connection.transaction.as_ref().filter(|open| open.read_only);
+        let visible = read_transaction.map_or(visibility.entries, |open| open.visible);
+        let server = &self.servers[connection.server];
+        self.ledger.check_execution(now, id, connection, server, visible);
+        let Some(sent) = self.ledger.sent.get(&id) else { return connection.reject(RejectReason::Other) };
+        if sent.text != statement.text || sent.prepared != statement.prepared {
+            let (ran, prepared) = (&statement.text, &statement.prepared);
+            let violation = format!(
+                "UNASKED at {now}: {id} ran as {ran:?} {prepared:?} instead of {:?} {:?}",
+                sent.text, sent.prepared
+            );
+            self.ledger.record_violation(violation);
+            return connection.reject(RejectReason::Other);
+        }
+        if fails {
+            return connection.reject(RejectReason::Failed);
+        }
+        if let Some(open) = connection.transaction.as_mut() {
+            open.client_transaction = sent.transaction.map(|transaction| transaction.id);
+            open.writes.extend(sent.write.then_some(id));
+        } else if sent.write {
+            return match server.role {
+                Role::Primary => CallResult::Commit(Commit { id, writes: vec![id] }),
+                Role::Replica => connection.reject(RejectReason::NotPrimary),
+            };
+        }
+        let rows = vec![Bytes::from(format!("row {id}"))];
+        connection.reply(ServerReply { rows, ..ServerReply::default() })
+    }
+
+    /// A transaction is lost once it failed, and a writing one when its server is no longer the primary it began at.
+    fn has_lost_transaction(&self, connection: &Connection) -> bool {
+        let server = &self.servers[connection.server];
+        connection.transaction.as_ref().is_some_and(|open| {
+            let same_primary = server.role == Role::Primary && server.term == open.term;
+            open.failed || (!open.read_only && !same_primary)
+        })
+    }
+
+    fn commit(&mut self, now: Millis, connection: &mut Connection, id: u64) -> CallResult {
+        let server = &self.servers[connection.server];
+        let Some(open) = connection.transaction.take().filter(|open| !open.failed) else {
+            return connection.reject(RejectReason::Other);
+        };
+        let belongs = self.ledger.sent.get(&id).is_some_and(|sent| {
+            let own = sent.transaction.map(|transaction| transaction.id);
+            sent.commit && (open.client_transaction.is_none() || own == open.client_transaction)
+        });
+        if !belongs {
+            let (transaction, name) = (open.client_transaction, &server.name);
+            let violation = format!("UNASKED at {now}: {id} commits {transaction:?} on {name}");
+            self.ledger.record_violation(violation);
+        }
+        let same_primary = server.role == Role::Primary && server.term == open.term;
+        if open.writes.is_empty() {
+            connection.succeed()
+        } else if same_primary {
+            CallResult::Commit(Commit { id, writes: open.writes })
+        } else {
+            connection.reject(RejectReason::NotPrimary)
+        }
+    }
 }
--- a/crates/simulator/src/direct/client.rs
+++ b/crates/simulator/src/direct/client.rs
@@ -1,118 +1,149 @@
-//! Origins, as the platform's clients are: operations one after the other on a session, and a whole operation again,
-//! under new ids, where the first surely kept nothing.
-use super::client_connection::{AttemptEnd, ClientConnection, open_connection};
+//! Clients: operations one after the other on a session, and a whole operation again, under new ids, where the first
+//! attempt is certainly not applied.
+use super::client_connection::{AttemptEnd, ClientConnection, StatementRun, open_connection};
+use super::connection::ClientTransaction;
 use super::ledger::SentStatement;
 use super::setup::DirectFleet;
 use quincehatch_core::Millis;
 use quincehatch_proxy::direct::SessionCommand;
-use quincehatch_proxy::ports::TransactionState;
 use quincehatch_runtime::{now, seam};
+use std::ops::Range;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
 /// An operation is tried again until then.
-const RETRY_PERIOD_MS: Millis = 2_500;
+const RETRY_PERIOD: Millis = 2_500;
+/// Pauses before another connection, an operation, a retry and a statement of a transaction, in milliseconds.
+const RECONNECT_PAUSE: Range<u64> = 50..300;
+const OPERATION_PAUSE: Range<u64> = 5..150;
+const RETRY_PAUSE: Range<u64> = 20..120;
+const STATEMENT_PAUSE: Range<u64> = 0..60;
+
+async fn pause(range: Range<u64>) {
+    seam::sleep(Duration::from_millis(fastrand::u64(range))).await;
+}
+
+/// True once in `draws` draws on average.
+fn one_in(draws: u64) -> bool {
+    fastrand::u64(0..draws) == 0
+}
+
+/// How a client ends a transaction that went well.
+enum TransactionEnd {
+    Abandon,
+    Rollback,
+    Commit,
+}
+
+impl TransactionEnd {
+    fn draw() -> TransactionEnd {
+        match fastrand::u64(0..20) {
+            0 => TransactionEnd::Abandon,
+            1 | 2 => TransactionEnd::Rollback,
+            _ => TransactionEnd::Commit,
+        }
+    }
+}
 
 impl ClientConnection {
     async fn run_single(&mut self) -> AttemptEnd {
-        let (id, write, told) = self.run_statement(None, None).await;
-        let writes: &[u64] = if write { &[id] } else { &[] };
-        let ended = self.record_outcome(id, write, writes, &told);
-        self.closed |= told.is_some_and(|t| t.transaction_state != TransactionState::Idle);
-        ended
+        let run = self.run_statement(None, None).await;
+        let writes: &[u64] = if run.write { &[run.id] } else { &[] };
+        let end = self.record_outcome(&run, run.write, writes);
+        self.closed |= run.leaves_transaction();
+        end
     }
 
     async fn run_transaction(&mut self) -> AttemptEnd {
-        let (no, read, from) = (self.next_statement_id(), fastrand::u64(0..3) == 0, self.now());
-        let Some(t) = self.request(no, SessionCommand::Begin { read }).await else {
-            return AttemptEnd::Failed;
-        };
-        if t.result.is_err() {
+        let transaction = ClientTransaction { id: self.next_statement_id(), read_only: one_in(3) };
+        let began = self.now();
+        let begin = SessionCommand::Begin { read: transaction.read_only };
+        let Some(response) = self.request(transaction.id, begin).await else { return AttemptEnd::Failed };
+        if response.result.is_err() {
             return AttemptEnd::Retry;
         }
         let mut writes = Vec::new();
         for _ in 0..fastrand::u64(0..5) {
-            seam::sleep(Duration::from_millis(fastrand::u64(0..60))).await;
-            if fastrand::u64(0..20) == 0 {
+            pause(STATEMENT_PAUSE).await;
+            if one_in(20) {
                 self.change_session_state().await;
                 if self.closed {
                     return AttemptEnd::Failed;
                 }
             }
-            let (id, write, told) = self.run_statement(Some((no, read)), Some(from)).await;
-            writes.extend(write.then_some(id));
-            match self.record_outcome(id, false, &writes, &told) {
-                AttemptEnd::Succeeded => {}
-                ended => {
-                    if told.is_some_and(|t| t.transaction_state != TransactionState::Idle) {
-                        self.closed |= self
-                            .request(no, SessionCommand::Rollback)
-                            .await
-                            .is_none_or(|t| t.transaction_state != TransactionState::Idle);
-                    }
-                    // Its commit was not sent.
-                    return if ended == AttemptEnd::Failed { AttemptEnd::Retry } else { ended };
+            let run = self.run_statement(Some(transaction), Some(began)).await;
+            writes.extend(run.write.then_some(run.id));
+            if self.record_outcome(&run, false, &writes) != AttemptEnd::Succeeded {
+                if run.leaves_transaction() {
+                    self.rollback(transaction.id).await;
                 }
+                // Its commit was not sent, so that nothing of it is applied.
+                return AttemptEnd::Retry;
             }
         }
-        match fastrand::u64(0..20) {
-            0 => {
+        match TransactionEnd::draw() {
+            TransactionEnd::Abandon => {
                 self.closed = true;
-                return AttemptEnd::Failed;
+                AttemptEnd::Failed
             }
-            1 | 2 => {
-                self.closed |= self
-                    .request(no, SessionCommand::Rollback)
-                    .await
-                    .is_none_or(|t| t.transaction_state != TransactionState::Idle);
-                return AttemptEnd::Succeeded;
+            TransactionEnd::Rollback => {
+                self.rollback(transaction.id).await;
+                AttemptEnd::Succeeded
             }
-            _ => {}
+            TransactionEnd::Commit => self.commit(transaction, began, &writes).await,
         }
+    }
+
+    async fn commit(&mut self, transaction: ClientTransaction, began: Millis, writes: &[u64]) -> AttemptEnd {
         let id = self.next_statement_id();
-        let txn = Some((no, read));
-        self.record_sent(
-            id,
-            SentStatement {
-                transaction: txn,
-                commit: true,
-                at_primary: self.at_primary,
-                sent_at: from,
-                ..SentStatement::default()
-            },
-        );
-        let told = self.request(id, SessionCommand::Commit).await;
-        self.closed |= told.as_ref().is_some_and(|t| t.transaction_state != TransactionState::Idle);
-        self.record_outcome(id, !writes.is_empty(), &writes, &told)
+        let statement = SentStatement {
+            transaction: Some(transaction),
+            commit: true,
+            at_primary: self.at_primary,
+            sent_at: began,
+            ..SentStatement::default()
+        };
+        self.record_sent(id, statement);
+        let response = self.request(id, SessionCommand::Commit).await;
+        let run = StatementRun { id, write: !writes.is_empty(), response };
+        self.closed |= run.leaves_transaction();
+        self.record_outcome(&run, run.write, writes)
+    }
+
+    /// One operation, tried again while that is safe and its time is not over.
+    async fn run_operation(&mut self) {
+        let is_single = fastrand::u64(0..3) > 0;
+        let began = now();
+        while !self.closed {
+            let end = if is_single { self.run_single().await } else { self.run_transaction().await };
+            if end != AttemptEnd::Retry || now() > began + RETRY_PERIOD {
+                return;
+            }
+            pause(RETRY_PAUSE).await;
+        }
     }
 }
 
-/// One origin, until it is told to stop.
-pub async fn run_client(l: Arc<DirectFleet>, stop: Arc<AtomicBool>) {
-    while !stop.load(Ordering::SeqCst) {
-        let n = l.nodes[fastrand::usize(0..l.nodes.len())].clone();
-        let order = fastrand::u64(0..10) < 7;
-        let Some(mut c) = open_connection(&l, &n, order).await else {
-            seam::sleep(Duration::from_millis(fastrand::u64(50..300))).await;
+/// One client, until it is told to stop.
+pub async fn run_client(fleet: Arc<DirectFleet>, stop: Arc<AtomicBool>) {
+    let is_stopped = || stop.load(Ordering::SeqCst);
+    while !is_stopped() {
+        let node = fleet.nodes[fastrand::usize(0..fleet.nodes.len())].clone();
+        let at_primary = fastrand::u64(0..10) < 7;
+        let Some(mut connection) = open_connection(&fleet, &node, at_primary).await else {
+            pause(RECONNECT_PAUSE).await;
             continue;
         };
         for _ in 0..fastrand::u64(1..30) {
-            if c.closed || stop.load(Ordering::SeqCst) {
+            if connection.closed || is_stopped() {
                 break;
             }
-            seam::sleep(Duration::from_millis(fastrand::u64(5..150))).await;
-            if fastrand::u64(0..8) == 0 {
-                c.change_session_state().await;
-            }
-            let (single, began) = (fastrand::u64(0..3) > 0, now());
-            while !c.closed {
-                let ended = if single { c.run_single().await } else { c.run_transaction().await };
-                if ended != AttemptEnd::Retry || now() > began + RETRY_PERIOD_MS {
-                    break;
-                }
-                seam::sleep(Duration::from_millis(fastrand::u64(20..120))).await;
+            pause(OPERATION_PAUSE).await;
+            if one_in(8) {
+                connection.change_session_state().await;
             }
+            connection.run_operation().await;
         }
     }
 }
--- a/crates/simulator/src/direct/client_connection.rs
+++ b/crates/simulator/src/direct/client_connection.rs
@@ -1,4 +1,5 @@
-//! An origin's connection to a node, and what it asks and is told there.
+//! A client's connection to a node, and what it sends and learns on it.
+use super::connection::{ClientTransaction, PreparedStatement};
 use super::ledger::SentStatement;
 use super::setup::{DirectFleet, SimulatedNode};
 use bytes::Bytes;
@@ -6,86 +7,126 @@
 use quincehatch_proxy::direct::{
     DirectProxy, DirectSession, SessionCommand, SessionRequest, StatementResponse, command::StatementError,
 };
-use quincehatch_proxy::ports::RejectReason;
+use quincehatch_proxy::ports::{RejectReason, TransactionState};
 use quincehatch_runtime::seam;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// A transaction that rests is ended after so long.
+/// A node aborts a transaction that is idle for so long.
 pub const TRANSACTION_IDLE_MS: Millis = 3_000;
-const REPLY_TIMEOUT_MS: Millis = 3_000;
+/// A client gives its session up when no answer comes for so long.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(3);
+/// A client gives a connection up that is not opened within this time.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
+/// Names of settings and prepared statements, templates, and values that clients choose among.
+const NAMES: u64 = 3;
+const TEMPLATES: u64 = 9;
+const VALUES: u64 = 5;
+/// Share of statements that write, at the primary and elsewhere, in percent.
+const PRIMARY_WRITE_PERCENT: u64 = 60;
+const OTHER_WRITE_PERCENT: u64 = 8;
+/// Tables that statements name.
+const TABLES: u64 = 7;
 
-type RequestSender = mpsc::UnboundedSender<(SessionRequest, oneshot::Sender<StatementResponse>)>;
+/// A request on its way to the session's task at its node.
+struct SessionCall {
+    request: SessionRequest,
+    reply_to: oneshot::Sender<StatementResponse>,
+}
 
-/// A session's task at its node, as the node's door has one.
+/// Runs a session at its node, as the node's listener does.
 async fn serve_session(
-    held: Arc<DirectProxy>,
-    db: &'static str,
-    mut rx: mpsc::UnboundedReceiver<(SessionRequest, oneshot::Sender<StatementResponse>)>,
+    proxy: Arc<DirectProxy>,
+    database: &'static str,
+    mut calls: mpsc::UnboundedReceiver<SessionCall>,
     opened: oneshot::Sender<bool>,
 ) {
-    let session = DirectSession::open(&held, db).await.ok();
+    let session = DirectSession::open(&proxy, database).await.ok();
     let _ = opened.send(session.is_some());
-    let Some(mut s) = session else { return };
+    let Some(mut session) = session else { return };
     loop {
-        let got = if s.holds_connection() {
-            let Ok(got) = seam::timeout(Duration::from_millis(TRANSACTION_IDLE_MS), rx.recv()).await else {
-                s.abort_transaction();
+        let call = if session.holds_connection() {
+            let idle = Duration::from_millis(TRANSACTION_IDLE_MS);
+            let Ok(call) = seam::timeout(idle, calls.recv()).await else {
+                session.abort_transaction();
                 continue;
             };
-            got
+            call
         } else {
-            rx.recv().await
+            calls.recv().await
         };
-        let Some((ask, tx)) = got else { return };
-        let told = s.execute(ask).await;
-        let _ = tx.send(told);
+        let Some(SessionCall { request, reply_to }) = call else { return };
+        let response = session.execute(request).await;
+        let _ = reply_to.send(response);
     }
 }
 
-/// How an operation's try ended, as its origin sees it.
+/// How an attempt of an operation ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptEnd {
+    /// It succeeded.
     Succeeded,
-    /// Nothing is kept, or it only reads and failed, or it was broken off before its commit: it is tried again.
+    /// It is not applied, or only reads and failed, or was abandoned before its commit: it is tried again.
     Retry,
+    /// It failed, or whether it is applied is unknown.
     Failed,
 }
 
-/// Is it a promise that nothing of the try is kept? The words of the platform's line say it so.
-pub fn guarantees_not_applied(g: &StatementError) -> bool {
-    match g {
-        StatementError::Server(no, _) => {
-            matches!(
-                no,
-                RejectReason::Busy
-                    | RejectReason::Behind
-                    | RejectReason::NotPrimary
-                    | RejectReason::WrongServer
-                    | RejectReason::TooManyConnections
-            )
-        }
-        StatementError::Proxy(b) => {
-            let other = [
+/// True if the error guarantees that nothing of the attempt is applied.
+pub fn guarantees_not_applied(error: &StatementError) -> bool {
+    match error {
+        StatementError::Server(reason, _) => matches!(
+            reason,
+            RejectReason::Busy
+                | RejectReason::Behind
+                | RejectReason::NotPrimary
+                | RejectReason::WrongServer
+                | RejectReason::TooManyConnections
+        ),
+        StatementError::Proxy(error) => {
+            let is_final = [
                 ErrorCode::DeadlinePassed,
                 ErrorCode::NoRoute,
                 ErrorCode::Malformed,
                 ErrorCode::TooLarge,
                 ErrorCode::ServerRejected,
-            ];
-            b.outcome == Outcome::NotApplied && !other.iter().any(|c| b.has_code(*c))
+            ]
+            .iter()
+            .any(|code| error.has_code(*code));
+            error.outcome == Outcome::NotApplied && !is_final
         }
     }
 }
 
+/// A statement that was sent, and what came of it.
+pub struct StatementRun {
+    /// Its id.
+    pub id: u64,
+    /// It writes.
+    pub write: bool,
+    /// The answer; none if none came.
+    pub response: Option<StatementResponse>,
+}
+
+impl StatementRun {
+    /// True if the answer shows a transaction that is not over.
+    pub fn leaves_transaction(&self) -> bool {
+        self.response.as_ref().is_some_and(|response| response.transaction_state != TransactionState::Idle)
+    }
+}
+
+/// A client's connection to a node.
 pub struct ClientConnection {
+    /// The fleet that it reaches.
     pub fleet: Arc<DirectFleet>,
-    requests: RequestSender,
+    calls: mpsc::UnboundedSender<SessionCall>,
+    /// Its statements go to the primary.
     pub at_primary: bool,
     settings: BTreeMap<Bytes, Bytes>,
-    prepared: BTreeMap<Bytes, (bool, Bytes)>,
+    prepared: BTreeMap<Bytes, PreparedStatement>,
+    /// Its client gave it up.
     pub closed: bool,
 }
 
@@ -93,149 +134,161 @@
     seam::sleep(Duration::from_millis(fastrand::u64(1..5))).await;
 }
 
-/// A connection to one node; none where nobody answers in time, or no rule takes the database.
+/// A connection to a node; none where nobody answers in time, or no route takes the database.
 pub async fn open_connection(
-    l: &Arc<DirectFleet>,
-    n: &SimulatedNode,
-    order: bool,
+    fleet: &Arc<DirectFleet>,
+    node: &SimulatedNode,
+    at_primary: bool,
 ) -> Option<ClientConnection> {
-    let up = l.core.lock().processes[n.pid].up;
-    let live = n.live().filter(|_| up)?;
-    let (wire, rx) = mpsc::unbounded_channel();
+    let is_up = || fleet.simulation.lock().processes[node.pid].up;
+    let was_up = is_up();
+    let running = node.running().filter(|_| was_up)?;
+    let (calls, receiver) = mpsc::unbounded_channel();
     let (tx, opened) = oneshot::channel();
     network_delay().await;
-    if !l.core.lock().processes[n.pid].up {
+    if !is_up() {
         return None;
     }
-    let db = if order { "o" } else { "l" };
-    l.core.run_in(n.pid, || seam::spawn(serve_session(live.direct_proxy.clone(), db, rx, tx)));
-    let said = seam::timeout(Duration::from_secs(2), opened).await.ok()?.ok()?;
-    let (values, prepared) = (BTreeMap::new(), BTreeMap::new());
-    said.then_some(ClientConnection {
-        fleet: l.clone(),
-        requests: wire,
-        at_primary: order,
-        settings: values,
-        prepared,
+    let database = if at_primary { "o" } else { "l" };
+    let session = serve_session(running.direct_proxy.clone(), database, receiver, tx);
+    fleet.simulation.run_in(node.pid, || seam::spawn(session));
+    let accepted = seam::timeout(OPEN_TIMEOUT, opened).await.ok()?.ok()?;
+    accepted.then(|| ClientConnection {
+        fleet: fleet.clone(),
+        calls,
+        at_primary,
+        settings: BTreeMap::new(),
+        prepared: BTreeMap::new(),
         closed: false,
     })
 }
 
 impl ClientConnection {
+    /// The id of a new statement.
     pub fn next_statement_id(&self) -> u64 {
-        self.fleet.group.with(|s| {
-            s.ledger.statements += 1;
-            s.ledger.statements as u64
-        })
+        self.fleet.group.with(|state| state.ledger.next_statement_id())
     }
-    /// One wish and its answer; silence ends the session.
-    pub async fn request(&mut self, id: u64, wish: SessionCommand) -> Option<StatementResponse> {
+
+    /// Sends a command; without an answer the session is given up.
+    pub async fn request(&mut self, id: u64, command: SessionCommand) -> Option<StatementResponse> {
         network_delay().await;
-        let (tx, rx) = oneshot::channel();
-        let sent =
-            self.requests.send((SessionRequest { id: Bytes::from(id.to_string()), command: wish }, tx));
-        let got = match sent {
-            Ok(()) => {
-                seam::timeout(Duration::from_millis(REPLY_TIMEOUT_MS), rx).await.ok().and_then(Result::ok)
-            }
+        let (reply_to, reply) = oneshot::channel();
+        let request = SessionRequest { id: Bytes::from(id.to_string()), command };
+        let sent = self.calls.send(SessionCall { request, reply_to });
+        let response = match sent {
+            Ok(()) => seam::timeout(REPLY_TIMEOUT, reply).await.ok().and_then(Result::ok),
             Err(_) => None,
         };
         network_delay().await;
-        self.closed |= got.is_none();
-        got
+        self.closed |= response.is_none();
+        response
+    }
+
+    /// Rolls the transaction back; the session is given up unless that leaves it idle.
+    pub async fn rollback(&mut self, transaction: u64) {
+        let response = self.request(transaction, SessionCommand::Rollback).await;
+        let idle = response.is_some_and(|response| response.transaction_state == TransactionState::Idle);
+        self.closed |= !idle;
     }
-    pub fn record_sent(&self, id: u64, a: SentStatement) {
-        self.fleet.group.with(|s| s.ledger.sent.insert(id, a));
+
+    /// Notes a statement before it is sent.
+    pub fn record_sent(&self, id: u64, statement: SentStatement) {
+        self.fleet.group.with(|state| state.ledger.sent.insert(id, statement));
     }
+
+    /// True time.
     pub fn now(&self) -> Millis {
-        self.fleet.core.now()
+        self.fleet.simulation.now()
     }
 
-    /// A setting or a prepared text; an error to it ends the session.
+    /// Changes a setting or prepares a statement; a failure gives the session up.
     pub async fn change_session_state(&mut self) {
-        let name = Bytes::from(format!("x{}", fastrand::u64(0..3)));
+        let name = Bytes::from(format!("x{}", fastrand::u64(0..NAMES)));
         let id = self.next_statement_id();
-        let set = fastrand::bool();
-        let (write, shape) =
-            (self.at_primary && fastrand::bool(), Bytes::from(format!("q{}", fastrand::u64(0..9))));
-        let value = Bytes::from(fastrand::u64(0..5).to_string());
-        let wish = match set {
-            true => SessionCommand::Set { name: name.clone(), value: value.clone() },
-            false => SessionCommand::Prepare { name: name.clone(), write, template: shape.clone() },
+        let sets = fastrand::bool();
+        let write = self.at_primary && fastrand::bool();
+        let template = Bytes::from(format!("q{}", fastrand::u64(0..TEMPLATES)));
+        let value = Bytes::from(fastrand::u64(0..VALUES).to_string());
+        let command = if sets {
+            SessionCommand::Set { name: name.clone(), value: value.clone() }
+        } else {
+            SessionCommand::Prepare { name: name.clone(), write, template: template.clone() }
         };
-        match self.request(id, wish).await {
-            Some(t) if t.result.is_ok() && set => drop(self.settings.insert(name, value)),
-            Some(t) if t.result.is_ok() => drop(self.prepared.insert(name, (write, shape))),
-            _ => self.closed = true,
+        let response = self.request(id, command).await;
+        if !response.is_some_and(|response| response.result.is_ok()) {
+            self.closed = true;
+        } else if sets {
+            self.settings.insert(name, value);
+        } else {
+            self.prepared.insert(name, PreparedStatement { write, template });
         }
     }
 
-    /// One statement; its id, whether it writes, and what came of it.
+    /// One of the prepared statements, or none, as for a third of the draws.
+    fn choose_prepared(&self, read_only: bool) -> Option<(Bytes, PreparedStatement)> {
+        let usable = self.prepared.iter().filter(|(_, prepared)| !(read_only && prepared.write));
+        let usable: Vec<(&Bytes, &PreparedStatement)> = usable.collect();
+        let drawn = fastrand::usize(0..3 * usable.len().max(1));
+        usable.get(drawn).map(|(name, prepared)| ((*name).clone(), (*prepared).clone()))
+    }
+
+    /// Sends one statement; `sent_at` is that of its transaction.
     pub async fn run_statement(
         &mut self,
-        txn: Option<(u64, bool)>,
-        from: Option<Millis>,
-    ) -> (u64, bool, Option<StatementResponse>) {
+        transaction: Option<ClientTransaction>,
+        sent_at: Option<Millis>,
+    ) -> StatementRun {
         let id = self.next_statement_id();
-        let read_only = txn.is_some_and(|t| t.1);
-        let named = self.prepared.iter().filter(|(_, p)| !(read_only && p.0));
-        let named: Vec<_> = named.map(|(n, p)| (n.clone(), p.clone())).collect();
-        let of = fastrand::usize(0..3 * named.len().max(1));
-        let named = named.get(of).cloned();
-        let write = match &named {
-            Some((_, p)) => p.0,
-            None => !read_only && fastrand::u64(0..100) < if self.at_primary { 60 } else { 8 },
-        };
-        let text = match (&named, write) {
-            (Some(_), _) => Bytes::from(format!("a{} d{id}", id % 7)),
-            (None, true) => Bytes::from(format!("WRITE a{} d{id}", id % 7)),
-            (None, false) => Bytes::from(format!("READ a{}", id % 7)),
+        let read_only = transaction.is_some_and(|transaction| transaction.read_only);
+        let chosen = self.choose_prepared(read_only);
+        let write_percent = if self.at_primary { PRIMARY_WRITE_PERCENT } else { OTHER_WRITE_PERCENT };
+        let write = match &chosen {
+            Some((_, prepared)) => prepared.write,
+            None => !read_only && fastrand::u64(0..100) < write_percent,
         };
-        let a = SentStatement {
+        let table = id % TABLES;
+        let text = Bytes::from(match (&chosen, write) {
+            (Some(_), _) => format!("a{table} d{id}"),
+            (None, true) => format!("WRITE a{table} d{id}"),
+            (None, false) => format!("READ a{table}"),
+        });
+        let statement = SentStatement {
             text: text.clone(),
-            prepared: named.as_ref().map(|(_, p)| p.clone()),
+            prepared: chosen.as_ref().map(|(_, prepared)| prepared.clone()),
             values: self.settings.clone(),
-            transaction: txn,
+            transaction,
             write,
             commit: false,
             at_primary: self.at_primary,
-            sent_at: from.unwrap_or(self.now()),
+            sent_at: sent_at.unwrap_or(self.now()),
         };
-        self.record_sent(id, a);
-        let wish = match (named, write) {
+        self.record_sent(id, statement);
+        let command = match (chosen, write) {
             (Some((name, _)), _) => SessionCommand::Execute { name, arguments: text },
             (None, true) => SessionCommand::Write { text },
             (None, false) => SessionCommand::Read { text },
         };
-        (id, write, self.request(id, wish).await)
+        StatementRun { id, write, response: self.request(id, command).await }
     }
 
-    /// What an answer to a read, write or commit means to the books and to the origin.
-    pub fn record_outcome(
-        &mut self,
-        id: u64,
-        kept: bool,
-        writes: &[u64],
-        t: &Option<StatementResponse>,
-    ) -> AttemptEnd {
-        let at = self.now();
-        self.fleet.group.with(|s| match t.as_ref().map(|t| &t.result) {
-            Some(Ok(stamp)) => {
-                let rows = t.as_ref().map_or(&[][..], |t| &t.rows);
-                s.ledger.check_success(at, id, stamp.as_ref(), rows);
-                if kept {
-                    s.ledger.record_acknowledgement(at, id);
+    /// What the answer to a read, write or commit means; `commits`: a success acknowledges `writes`.
+    pub fn record_outcome(&mut self, run: &StatementRun, commits: bool, writes: &[u64]) -> AttemptEnd {
+        let now = self.now();
+        let Some(response) = &run.response else { return AttemptEnd::Failed };
+        self.fleet.group.with(|state| match &response.result {
+            Ok(stamp) => {
+                state.ledger.check_success(now, run.id, stamp.as_ref(), &response.rows);
+                if commits {
+                    state.ledger.record_acknowledgement(now, run.id);
                 }
                 AttemptEnd::Succeeded
             }
-            Some(Err(g)) if guarantees_not_applied(g) => {
-                s.ledger.record_rejection(at, writes);
-                AttemptEnd::Retry
-            }
-            Some(Err(StatementError::Server(RejectReason::Failed, _))) if writes.is_empty() => {
+            Err(error) if guarantees_not_applied(error) => {
+                state.ledger.record_rejection(now, writes);
                 AttemptEnd::Retry
             }
-            _ => AttemptEnd::Failed,
+            Err(StatementError::Server(RejectReason::Failed, _)) if writes.is_empty() => AttemptEnd::Retry,
+            Err(_) => AttemptEnd::Failed,
         })
     }
 }
--- a/crates/simulator/src/direct/delivery.rs
+++ b/crates/simulator/src/direct/delivery.rs
@@ -1,64 +1,68 @@
-//! A trip of one message between two simulated processes: cuts delay it, standing still holds it, and after four
-//! seconds without an acknowledgement the kernel gives it up (§9.1).
+//! Delivery of one message between two simulated processes, for protocols that are not simulated as streams.
+//!
+//! A partition delays the message, a suspended receiver takes it late, and after [`TCP_USER_TIMEOUT`] without an
+//! acknowledgement the kernel gives it up.
+use crate::fleet::network::{RETRANSMIT_AFTER, TCP_USER_TIMEOUT};
 use crate::fleet::simulation::{ProcessId, Simulation};
 use quincehatch_core::Millis;
 use std::sync::Arc;
 
-const RETRANSMIT_AFTER: Millis = 250;
-const USER_TIMEOUT: Millis = 4_000;
-
-/// How it ended.
+/// How a delivery ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
+    /// The receiver has the message.
     Arrived,
-    /// The machine is there and nobody listens.
+    /// The machine is there, and nobody listens.
     Refused,
+    /// It was given up without an acknowledgement.
     TimedOut,
 }
 
-type DeliveryHandler = Box<dyn FnOnce(&Arc<Simulation>, Delivery) + Send>;
+/// A message that is not delivered yet.
+struct Attempt {
+    from: ProcessId,
+    to: ProcessId,
+    sent_at: Millis,
+    on_end: Box<dyn FnOnce(&Arc<Simulation>, Delivery) + Send>,
+}
 
+/// Sends a message, and tells at its end how that went.
 pub fn deliver(
-    core: &Arc<Simulation>,
+    simulation: &Arc<Simulation>,
     from: ProcessId,
     to: ProcessId,
-    then: impl FnOnce(&Arc<Simulation>, Delivery) + Send + 'static,
+    on_end: impl FnOnce(&Arc<Simulation>, Delivery) + Send + 'static,
 ) {
-    let (sent, at) = {
-        let mut m = core.lock();
-        let d = m.delay_range;
-        let mut at = m.now + d.0 + m.rng.below(d.1 - d.0 + 1);
-        let loss = m.loss_per_mille;
-        while m.rng.chance(loss) {
+    let (sent_at, arrives_at) = {
+        let mut state = simulation.lock();
+        let (least, most) = state.delay_range;
+        let mut at = state.now + least + state.rng.below(most - least + 1);
+        let loss = state.loss_per_mille;
+        while state.rng.chance(loss) {
             at += RETRANSMIT_AFTER;
         }
-        (m.now, at)
+        (state.now, at)
     };
-    let then: DeliveryHandler = Box::new(then);
-    core.schedule_action(at, move |c| attempt_delivery(c, from, to, sent, then));
+    let attempt = Attempt { from, to, sent_at, on_end: Box::new(on_end) };
+    simulation.schedule_action(arrives_at, move |simulation| attempt.arrive(simulation));
 }
 
-fn attempt_delivery(
-    core: &Arc<Simulation>,
-    from: ProcessId,
-    to: ProcessId,
-    sent: Millis,
-    then: DeliveryHandler,
-) {
-    let (now, cut, up, dark, still) = {
-        let m = core.lock();
-        let Some(h) = m.processes.get(to) else { return };
-        (m.now, m.partitions.contains(&(from, to)), h.up, h.powered_off, h.paused_until)
-    };
-    if cut || (!up && dark) {
-        if now < sent + USER_TIMEOUT {
-            core.schedule_action(now + RETRANSMIT_AFTER, move |c| attempt_delivery(c, from, to, sent, then));
+impl Attempt {
+    fn arrive(self, simulation: &Arc<Simulation>) {
+        let state = simulation.lock();
+        let now = state.now;
+        let Some(receiver) = state.processes.get(self.to) else { return };
+        let (up, powered_off, paused_until) = (receiver.up, receiver.powered_off, receiver.paused_until);
+        let unreachable = state.partitions.contains(&(self.from, self.to)) || (!up && powered_off);
+        drop(state);
+        if unreachable && now < self.sent_at + TCP_USER_TIMEOUT {
+            simulation.schedule_action(now + RETRANSMIT_AFTER, move |simulation| self.arrive(simulation));
+        } else if unreachable {
+            (self.on_end)(simulation, Delivery::TimedOut);
+        } else if up && paused_until > now {
+            simulation.schedule_action(paused_until, move |simulation| self.arrive(simulation));
         } else {
-            then(core, Delivery::TimedOut);
+            (self.on_end)(simulation, if up { Delivery::Arrived } else { Delivery::Refused });
         }
-    } else if up && still > now {
-        core.schedule_action(still, move |c| attempt_delivery(c, from, to, sent, then));
-    } else {
-        then(core, if up { Delivery::Arrived } else { Delivery::Refused });
     }
 }
--- a/crates/simulator/src/direct/faults.rs
+++ b/crates/simulator/src/direct/faults.rs
@@ -1,266 +1,443 @@
-//! What goes wrong in a held fleet, drawn from the seed.
+//! Faults of a fleet on direct connections, drawn from the seed.
 use super::operator::drain_and_replace;
-use super::server_group::Server;
-use super::setup::{DirectFleet, SERVERS};
+use super::process_control::HEALTHY_LAG;
+use super::server::Server;
+use super::setup::{DirectFleet, GROUP, SERVERS};
 use crate::fleet::simulation::{ProcessId, Trap};
 use quincehatch_core::Millis;
 use quincehatch_runtime::seam;
 use std::sync::Arc;
 
+/// Shortest fault, and how much longer one may be.
+const MIN_FAULT_TIME: Millis = 200;
+const FAULT_TIME_SPREAD: Millis = 6_500;
+/// Partitions of several processes last this much longer than other faults.
+const EXTRA_SPLIT_TIME: Millis = 2_500;
+const EXTRA_ISOLATION_TIME: Millis = 5_000;
+/// Least time between two faults, and how much more it may be.
+const MIN_FAULT_GAP: Millis = 300;
+const FAULT_GAP_SPREAD: Millis = 4_000;
+/// Least share of packets that a lossy network loses, and how much more it may be.
+const MIN_LOSS_PER_MILLE: u64 = 20;
+const LOSS_SPREAD: u64 = 150;
+/// Least time between the crashes of two primaries, and how much more it may be.
+const MIN_CRASH_GAP: Millis = 100;
+const CRASH_GAP_SPREAD: Millis = 2_500;
+/// Lag of a lagging replica, and latency of a slowed server and of a slowed primary that few reach.
+const LAG: Millis = 900;
+const SLOW_LATENCY: Millis = 300;
+const ISOLATED_LATENCY: Millis = 150;
+/// A replica that crashes beside its primary is down for so long.
+const SHORT_CRASH: Millis = 400;
+/// Sum of the weights of all faults.
+const FAULT_WEIGHTS: u64 = 126;
+
+/// What happens to a replica while its primary crashes.
+#[derive(Clone, Copy, Debug)]
+enum ReplicaFault {
+    ReplicationStopped,
+    PowerLoss,
+    Crash,
+    Pause,
+}
+
+const REPLICA_FAULTS: [ReplicaFault; 4] =
+    [ReplicaFault::ReplicationStopped, ReplicaFault::PowerLoss, ReplicaFault::Crash, ReplicaFault::Pause];
+
+/// A fault; servers and nodes are given by index.
 #[derive(Clone, Debug)]
-pub enum Fault {
-    Crash(ProcessId, bool, Millis),
-    Pause(ProcessId, Millis),
-    Partition(ProcessId, ProcessId, bool, Millis),
-    /// Cut off from all others; with the flag only what it sends is lost.
-    Isolate(ProcessId, bool, Millis),
-    /// Some are cut off from the rest; with the flag only what they send is lost.
-    Split(Vec<ProcessId>, bool, Millis),
-    /// A node and the lead are cut off from all others.
-    IsolatePrimaryWithNode(usize, Millis),
-    /// The lead, slowed, and a replica are reached by one node only.
-    PrimaryAndReplicaReachOneNode(usize, Millis),
-    /// Every keeper loses its power in the same moment.
-    KeeperPowerLoss(Millis),
-    PacketLoss(u64, Millis),
-    ReplicationStopped(usize, Millis),
-    Lag(usize, Millis),
-    Slow(usize, Millis),
-    LoseReplies(usize, u32),
-    /// The lead crashes, dark or not, while a replica is deaf, dark, lagging or held back.
-    PrimaryAndReplica(bool, u64, Millis),
-    /// Two leads are lost one shortly after the other.
-    TwoPrimaries(Millis, Millis),
-    Drain(usize),
-    /// Whoever comes to this point of a promotion next stands still for so long, or dies.
-    Trap(&'static str, Option<Millis>),
-    /// An operator wants a hand-over.
+enum Fault {
+    Crash {
+        pid: ProcessId,
+        power_loss: bool,
+        time: Millis,
+    },
+    Pause {
+        pid: ProcessId,
+        time: Millis,
+    },
+    Partition {
+        from: ProcessId,
+        to: ProcessId,
+        both_ways: bool,
+        time: Millis,
+    },
+    /// Cut off from all others; `one_way`: only what it sends is lost.
+    Isolate {
+        pid: ProcessId,
+        one_way: bool,
+        time: Millis,
+    },
+    /// Some are cut off from the rest; `one_way`: only what they send is lost.
+    Split {
+        part: Vec<ProcessId>,
+        one_way: bool,
+        time: Millis,
+    },
+    /// A node and the primary are cut off from all others.
+    IsolatePrimaryWithNode {
+        node: usize,
+        time: Millis,
+    },
+    /// The primary, slowed, and a replica are reached by one node only.
+    PrimaryAndReplicaReachOneNode {
+        node: usize,
+        time: Millis,
+    },
+    /// Every keeper crashes in the same moment.
+    AllKeepersCrash {
+        time: Millis,
+    },
+    /// The whole network loses this share of packets.
+    PacketLoss {
+        per_mille: u64,
+        time: Millis,
+    },
+    ReplicationStopped {
+        server: usize,
+        time: Millis,
+    },
+    Lag {
+        server: usize,
+        time: Millis,
+    },
+    Slow {
+        server: usize,
+        time: Millis,
+    },
+    LoseReplies {
+        server: usize,
+        count: u32,
+    },
+    /// The primary crashes while something happens to the replica that many places behind it.
+    PrimaryAndReplica {
+        power_loss: bool,
+        replica_offset: usize,
+        replica_fault: ReplicaFault,
+        time: Millis,
+    },
+    /// Two primaries crash one shortly after the other.
+    TwoPrimaries {
+        gap: Millis,
+        time: Millis,
+    },
+    Drain {
+        server: usize,
+    },
+    /// The next process that reaches this point of a promotion is suspended for so long, or crashes.
+    Trap {
+        phase: &'static str,
+        pause: Option<Millis>,
+    },
+    /// An operator asks for a hand-over.
     RequestHandover,
 }
 
-/// Where a promotion may be caught.
+/// Trace points of a promotion at which the promoting node is stopped.
 const PROMOTION_PHASES: &[&str] =
     &["is begun", "is closing", "is fencing", "chose", "is promoting", "is naming"];
 
 impl DirectFleet {
-    /// Everything that may be cut off or stopped.
+    /// Keepers, nodes and servers.
     fn faultable_processes(&self) -> Vec<ProcessId> {
-        let servers = self.group.with(|s| s.servers.iter().map(|s| s.pid).collect::<Vec<_>>());
-        self.keepers.iter().copied().chain(self.nodes.iter().map(|n| n.pid)).chain(servers).collect()
+        let mut all = self.keepers.clone();
+        all.extend(self.nodes.iter().map(|node| node.pid));
+        self.group.with(|state| all.extend(state.servers.iter().map(|server| server.pid)));
+        all
     }
+
+    /// The same, and the promoter.
+    fn partitionable_processes(&self) -> Vec<ProcessId> {
+        let mut all = self.faultable_processes();
+        all.push(self.group.with(|state| state.promoter));
+        all
+    }
+
+    /// Draws one fault. The order of draws is part of what a seed means.
     fn draw_fault(&self) -> Fault {
-        let all = self.faultable_processes();
-        let promoter = self.group.with(|s| s.promoter);
-        let mut m = self.core.lock();
-        let r = &mut m.rng;
-        let p = *r.pick(&all).unwrap_or(&0);
-        let wider: Vec<ProcessId> = all.iter().copied().chain([promoter]).collect();
-        let q = *r.pick(&wider).unwrap_or(&0);
-        let (s, ms, yes) = (r.below(SERVERS as u64) as usize, 200 + r.below(6_500), r.chance(500));
-        match r.below(126) {
-            116..126 => Fault::Trap(r.pick(PROMOTION_PHASES).copied().unwrap_or("chose"), yes.then_some(ms)),
+        let faultable = self.faultable_processes();
+        let partitionable = self.partitionable_processes();
+        let nodes = self.nodes.len() as u64;
+        let mut state = self.simulation.lock();
+        let rng = &mut state.rng;
+        let pid = *rng.pick(&faultable).unwrap_or(&0);
+        let other = *rng.pick(&partitionable).unwrap_or(&0);
+        let server = rng.below(SERVERS as u64) as usize;
+        let time = MIN_FAULT_TIME + rng.below(FAULT_TIME_SPREAD);
+        let coin = rng.chance(500);
+        match rng.below(FAULT_WEIGHTS) {
+            0..16 => Fault::Crash { pid, power_loss: rng.chance(400), time },
+            16..28 => Fault::Pause { pid, time },
+            28..42 => Fault::Partition { from: pid, to: other, both_ways: coin, time },
+            42..48 => Fault::Isolate { pid, one_way: coin, time },
+            48..51 => Fault::AllKeepersCrash { time: time / 2 },
+            51..56 => Fault::PacketLoss { per_mille: MIN_LOSS_PER_MILLE + rng.below(LOSS_SPREAD), time },
+            56..61 => Fault::ReplicationStopped { server, time },
+            61..66 => Fault::Lag { server, time },
+            66..70 => Fault::Slow { server, time },
+            70..77 => Fault::LoseReplies { server, count: 1 + rng.below(6) as u32 },
+            77..86 => {
+                let drawn = rng.below(REPLICA_FAULTS.len() as u64) as usize;
+                let (replica_fault, replica_offset) = (REPLICA_FAULTS[drawn], 1 + drawn % 2);
+                Fault::PrimaryAndReplica { power_loss: coin, replica_offset, replica_fault, time }
+            }
+            86..91 => Fault::TwoPrimaries { gap: MIN_CRASH_GAP + rng.below(CRASH_GAP_SPREAD), time },
+            91..95 => Fault::RequestHandover,
+            95..100 => Fault::Drain { server },
             100..106 => {
-                let some = wider.iter().copied().filter(|_| r.chance(300)).collect();
-                Fault::Split(some, r.chance(300), ms + 2_500)
+                let part = partitionable.iter().copied().filter(|_| rng.chance(300)).collect();
+                Fault::Split { part, one_way: rng.chance(300), time: time + EXTRA_SPLIT_TIME }
+            }
+            106..111 => {
+                let node = rng.below(nodes) as usize;
+                Fault::IsolatePrimaryWithNode { node, time: time + EXTRA_ISOLATION_TIME }
             }
-            106..111 => Fault::IsolatePrimaryWithNode(r.below(self.nodes.len() as u64) as usize, ms + 5_000),
             111..116 => {
-                Fault::PrimaryAndReplicaReachOneNode(r.below(self.nodes.len() as u64) as usize, ms + 2_500)
+                let node = rng.below(nodes) as usize;
+                Fault::PrimaryAndReplicaReachOneNode { node, time: time + EXTRA_SPLIT_TIME }
+            }
+            _ => {
+                let phase = rng.pick(PROMOTION_PHASES).copied().unwrap_or("chose");
+                Fault::Trap { phase, pause: coin.then_some(time) }
             }
-            0..16 => Fault::Crash(p, r.chance(400), ms),
-            16..28 => Fault::Pause(p, ms),
-            28..42 => Fault::Partition(p, q, yes, ms),
-            42..48 => Fault::Isolate(p, yes, ms),
-            48..51 => Fault::KeeperPowerLoss(ms / 2),
-            51..56 => Fault::PacketLoss(20 + r.below(150), ms),
-            56..61 => Fault::ReplicationStopped(s, ms),
-            61..66 => Fault::Lag(s, ms),
-            66..70 => Fault::Slow(s, ms),
-            70..77 => Fault::LoseReplies(s, 1 + r.below(6) as u32),
-            77..86 => Fault::PrimaryAndReplica(yes, r.below(4), ms),
-            86..91 => Fault::TwoPrimaries(100 + r.below(2_500), ms),
-            91..95 => Fault::RequestHandover,
-            _ => Fault::Drain(s),
         }
     }
 
-    /// Draws faults for a stretch of time; some run side by side.
-    pub fn schedule_faults(self: &Arc<Self>, from: Millis, len: Millis) {
-        let mut t = from;
+    /// Draws faults for a stretch of time; some overlap.
+    pub fn schedule_faults(self: &Arc<Self>, from: Millis, period: Millis) {
+        let mut at = from;
         loop {
-            t += 300 + self.core.lock().rng.below(4_000);
-            if t >= from + len {
+            at += MIN_FAULT_GAP + self.simulation.lock().rng.below(FAULT_GAP_SPREAD);
+            if at >= from + period {
                 return;
             }
-            let x = self.clone();
-            self.core.schedule_action(t, move |_| {
-                let f = x.draw_fault();
-                x.inject(f);
+            let fleet = self.clone();
+            self.simulation.schedule_action(at, move |_| {
+                let fault = fleet.draw_fault();
+                fleet.inject(fault);
             });
         }
     }
-    fn schedule_after(self: &Arc<Self>, ms: Millis, f: impl FnOnce(&Arc<DirectFleet>) + Send + 'static) {
-        let x = self.clone();
-        self.core.schedule_action(self.core.now() + ms, move |_| f(&x));
+
+    fn schedule_after(self: &Arc<Self>, time: Millis, act: impl FnOnce(&Arc<DirectFleet>) + Send + 'static) {
+        let fleet = self.clone();
+        self.simulation.schedule_action(self.simulation.now() + time, move |_| act(&fleet));
     }
-    /// This process, and the links to it, are in trouble until then.
-    fn mark_disturbed(&self, p: ProcessId, ms: Millis) {
-        let until = self.core.now() + ms;
-        self.group.with(|s| {
-            let t = s.disturbed_until.entry(p).or_default();
-            *t = (*t).max(until);
-            if self.keepers.contains(&p) {
-                s.keepers_disturbed_until = s.keepers_disturbed_until.max(until);
+
+    /// Notes that a fault touches a process and its connections for so long.
+    fn mark_disturbed(&self, pid: ProcessId, time: Millis) {
+        let until = self.simulation.now() + time;
+        self.group.with(|state| {
+            state.mark_disturbed(pid, until);
+            if self.keepers.contains(&pid) {
+                state.mark_keepers_disturbed(until);
             }
         });
     }
-    fn mark_all_disturbed(&self, ms: Millis) {
-        self.faultable_processes().into_iter().for_each(|p| self.mark_disturbed(p, ms));
+
+    fn mark_all_disturbed(&self, time: Millis) {
+        for pid in self.faultable_processes() {
+            self.mark_disturbed(pid, time);
+        }
+    }
+
+    /// Changes a server for so long.
+    fn change_server_for(
+        self: &Arc<Self>,
+        server: usize,
+        time: Millis,
+        begin: fn(&mut Server),
+        end: fn(&mut Server),
+    ) {
+        self.group.with(|state| begin(&mut state.servers[server]));
+        self.schedule_after(time, move |fleet| fleet.group.with(|state| end(&mut state.servers[server])));
+    }
+
+    fn stop_replication_for(self: &Arc<Self>, server: usize, time: Millis) {
+        self.change_server_for(
+            server,
+            time,
+            |server| server.replication_stopped = true,
+            |server| server.replication_stopped = false,
+        );
+    }
+
+    fn crash_for(self: &Arc<Self>, pid: ProcessId, power_loss: bool, time: Millis) {
+        self.mark_disturbed(pid, time);
+        self.crash_process(pid, power_loss);
+        self.schedule_after(time, move |fleet| fleet.start_process(pid));
     }
-    fn change_server_for(self: &Arc<Self>, i: usize, ms: Millis, on: fn(&mut Server), off: fn(&mut Server)) {
-        self.group.with(|s| on(&mut s.servers[i]));
-        self.schedule_after(ms, move |l| l.group.with(|s| off(&mut s.servers[i])));
+
+    /// Index of the primary; of the first server where there is none.
+    fn current_primary(&self) -> usize {
+        self.group.with(|state| state.primary().unwrap_or(0))
     }
-    fn crash_temporarily(self: &Arc<Self>, p: ProcessId, dark: bool, ms: Millis) {
-        self.mark_disturbed(p, ms);
-        self.crash_process(p, dark);
-        self.schedule_after(ms, move |l| l.start_process(p));
+
+    fn server_process(&self, server: usize) -> ProcessId {
+        self.group.with(|state| state.servers[server].pid)
     }
-    fn current_primary(&self) -> (usize, ProcessId) {
-        self.group.with(|s| {
-            let i = s.primary().unwrap_or(0);
-            (i, s.servers[i].pid)
-        })
+
+    /// Crashes the primary for so long; its index.
+    fn crash_primary(self: &Arc<Self>, power_loss: bool, time: Millis) -> usize {
+        let primary = self.current_primary();
+        self.crash_for(self.server_process(primary), power_loss, time);
+        primary
     }
-    /// Cuts some off from all but themselves and `but`.
-    fn partition_from_rest(
+
+    fn partition_for(self: &Arc<Self>, pairs: Vec<(ProcessId, ProcessId)>, both_ways: bool, time: Millis) {
+        for (from, to) in &pairs {
+            self.simulation.partition(*from, *to, both_ways);
+        }
+        self.schedule_after(time, move |fleet| {
+            for (from, to) in pairs {
+                fleet.simulation.heal_partition(from, to);
+            }
+        });
+    }
+
+    /// Cuts a part off from all but itself and the processes that it still reaches.
+    fn split_for(
         self: &Arc<Self>,
-        some: &[ProcessId],
-        but: &[ProcessId],
+        part: &[ProcessId],
+        still_reached: &[ProcessId],
         one_way: bool,
-        ms: Millis,
+        time: Millis,
     ) {
-        let promoter = self.group.with(|s| s.promoter);
-        let rest = self.faultable_processes().into_iter().chain([promoter]);
-        let rest: Vec<ProcessId> = rest.filter(|q| !some.contains(q) && !but.contains(q)).collect();
-        let pairs: Vec<(ProcessId, ProcessId)> =
-            some.iter().flat_map(|p| rest.iter().map(|q| (*p, *q))).collect();
-        self.mark_all_disturbed(ms);
-        pairs.iter().for_each(|(p, q)| self.core.partition(*p, *q, !one_way));
-        self.schedule_after(ms, move |l| pairs.iter().for_each(|(p, q)| l.core.heal_partition(*p, *q)));
+        let mut rest = self.partitionable_processes();
+        rest.retain(|other| !part.contains(other) && !still_reached.contains(other));
+        let pairs = part.iter().flat_map(|pid| rest.iter().map(|other| (*pid, *other))).collect();
+        self.mark_all_disturbed(time);
+        self.partition_for(pairs, !one_way, time);
     }
-    fn crash_primary(self: &Arc<Self>, dark: bool, ms: Millis) -> usize {
-        let (i, pid) = self.current_primary();
-        self.crash_temporarily(pid, dark, ms);
-        i
+
+    /// Begins a fault and schedules its end.
+    fn inject(self: &Arc<Self>, fault: Fault) {
+        let now = self.simulation.now();
+        self.simulation.log(&format!("fault {fault:?}"));
+        self.group.with(|state| state.ledger.event_log.push(format!("{now} fault {fault:?}")));
+        self.simulation.lock().crashes_enabled = true;
+        match fault {
+            Fault::Partition { .. }
+            | Fault::Isolate { .. }
+            | Fault::Split { .. }
+            | Fault::IsolatePrimaryWithNode { .. }
+            | Fault::PrimaryAndReplicaReachOneNode { .. }
+            | Fault::PacketLoss { .. } => self.inject_network_fault(fault),
+            Fault::ReplicationStopped { .. }
+            | Fault::Lag { .. }
+            | Fault::Slow { .. }
+            | Fault::LoseReplies { .. }
+            | Fault::Drain { .. } => self.inject_server_fault(fault),
+            _ => self.inject_process_fault(fault),
+        }
     }
 
-    pub fn inject(self: &Arc<Self>, f: Fault) {
-        let (c, now) = (&self.core, self.core.now());
-        c.log(&format!("fault {f:?}"));
-        self.group.with(|s| s.ledger.event_log.push(format!("{now} fault {f:?}")));
-        c.lock().crashes_enabled = true;
-        match f {
-            Fault::Crash(p, dark, ms) => self.crash_temporarily(p, dark, ms),
-            Fault::Pause(p, ms) => {
-                self.mark_disturbed(p, ms);
-                c.suspend(p, ms);
+    fn inject_network_fault(self: &Arc<Self>, fault: Fault) {
+        match fault {
+            Fault::Partition { from, to, both_ways, time } => {
+                self.mark_disturbed(from, time);
+                self.mark_disturbed(to, time);
+                self.partition_for(vec![(from, to)], both_ways, time);
             }
-            Fault::Partition(p, q, both, ms) => {
-                self.mark_disturbed(p, ms);
-                self.mark_disturbed(q, ms);
-                c.partition(p, q, both);
-                self.schedule_after(ms, move |l| l.core.heal_partition(p, q));
+            Fault::Isolate { pid, one_way, time } => {
+                self.mark_disturbed(pid, time);
+                let others = self.partitionable_processes().into_iter().filter(|other| *other != pid);
+                self.partition_for(others.map(|other| (pid, other)).collect(), !one_way, time);
             }
-            Fault::Isolate(p, one_way, ms) => {
-                self.mark_disturbed(p, ms);
-                let others = self.faultable_processes().into_iter().chain([self.group.with(|s| s.promoter)]);
-                let others: Vec<ProcessId> = others.filter(|q| *q != p).collect();
-                others.iter().for_each(|q| c.partition(p, *q, !one_way));
-                self.schedule_after(ms, move |l| others.iter().for_each(|q| l.core.heal_partition(p, *q)));
+            Fault::Split { part, one_way, time } => self.split_for(&part, &[], one_way, time),
+            Fault::IsolatePrimaryWithNode { node, time } => {
+                let primary = self.server_process(self.current_primary());
+                self.split_for(&[self.nodes[node].pid, primary], &[], false, time);
             }
-            Fault::Split(some, one_way, ms) => self.partition_from_rest(&some, &[], one_way, ms),
-            Fault::IsolatePrimaryWithNode(n, ms) => {
-                let lead = self.current_primary();
-                self.partition_from_rest(&[self.nodes[n].pid, lead.1], &[], false, ms);
+            Fault::PrimaryAndReplicaReachOneNode { node, time } => {
+                let primary = self.current_primary();
+                let behind = |offset: usize| self.server_process((primary + offset) % SERVERS);
+                self.change_server_for(
+                    primary,
+                    time,
+                    |server| server.extra_latency = ISOLATED_LATENCY,
+                    |server| server.extra_latency = 0,
+                );
+                let part = [behind(0), behind(1)];
+                self.split_for(&part, &[self.nodes[node].pid, behind(2)], false, time);
             }
-            Fault::PrimaryAndReplicaReachOneNode(n, ms) => {
-                let (i, pid) = self.current_primary();
-                let other = self.group.with(|s| s.servers[(i + 1) % SERVERS].pid);
-                let third = self.group.with(|s| s.servers[(i + 2) % SERVERS].pid);
-                self.change_server_for(i, ms, |s| s.extra_latency = 150, |s| s.extra_latency = 0);
-                self.partition_from_rest(&[pid, other], &[self.nodes[n].pid, third], false, ms);
+            Fault::PacketLoss { per_mille, time } => {
+                self.mark_all_disturbed(time);
+                self.simulation.lock().degrade_network(per_mille);
+                self.schedule_after(time, |fleet| fleet.simulation.lock().restore_network());
             }
-            Fault::KeeperPowerLoss(ms) => {
-                self.keepers.clone().iter().for_each(|k| self.crash_temporarily(*k, false, ms))
+            _ => {}
+        }
+    }
+
+    fn inject_server_fault(self: &Arc<Self>, fault: Fault) {
+        match fault {
+            Fault::ReplicationStopped { server, time } => self.stop_replication_for(server, time),
+            Fault::Lag { server, time } => self.change_server_for(
+                server,
+                time,
+                |server| server.replication_lag = LAG,
+                |server| server.replication_lag = HEALTHY_LAG,
+            ),
+            Fault::Slow { server, time } => self.change_server_for(
+                server,
+                time,
+                |server| server.extra_latency = SLOW_LATENCY,
+                |server| server.extra_latency = 0,
+            ),
+            Fault::LoseReplies { server, count } => {
+                self.group.with(|state| state.servers[server].replies_to_lose = count);
             }
-            Fault::PacketLoss(pm, ms) => {
-                self.mark_all_disturbed(ms);
-                {
-                    let mut m = c.lock();
-                    (m.loss_per_mille, m.delay_range) = (pm, (1, 80));
+            Fault::Drain { server } => {
+                let one_drains = self.group.with(|state| state.servers.iter().any(|server| server.draining));
+                if !one_drains {
+                    let drain = drain_and_replace(self.clone(), server);
+                    self.simulation.run_in(self.clients, || seam::spawn(drain));
                 }
-                self.schedule_after(ms, |l| {
-                    let mut m = l.core.lock();
-                    (m.loss_per_mille, m.delay_range) = (0, (1, 12));
-                });
             }
-            Fault::ReplicationStopped(s, ms) => self.change_server_for(
-                s,
-                ms,
-                |s| s.replication_stopped = true,
-                |s| s.replication_stopped = false,
-            ),
-            Fault::Lag(s, ms) => {
-                self.change_server_for(s, ms, |s| s.replication_lag = 900, |s| s.replication_lag = 5)
+            _ => {}
+        }
+    }
+
+    fn inject_process_fault(self: &Arc<Self>, fault: Fault) {
+        match fault {
+            Fault::Crash { pid, power_loss, time } => self.crash_for(pid, power_loss, time),
+            Fault::Pause { pid, time } => {
+                self.mark_disturbed(pid, time);
+                self.simulation.suspend(pid, time);
             }
-            Fault::Slow(s, ms) => {
-                self.change_server_for(s, ms, |s| s.extra_latency = 300, |s| s.extra_latency = 0)
+            Fault::AllKeepersCrash { time } => {
+                for keeper in self.keepers.clone() {
+                    self.crash_for(keeper, false, time);
+                }
             }
-            Fault::LoseReplies(s, n) => self.group.with(|st| st.servers[s].replies_to_lose = n),
-            Fault::PrimaryAndReplica(dark, what, ms) => {
-                let i = self.crash_primary(dark, ms);
-                let other = (i + 1 + what as usize % 2) % SERVERS;
-                let pid = self.group.with(|s| s.servers[other].pid);
-                match what {
-                    0 => self.change_server_for(
-                        other,
-                        ms,
-                        |s| s.replication_stopped = true,
-                        |s| s.replication_stopped = false,
-                    ),
-                    1 => self.crash_temporarily(pid, true, ms / 2),
-                    2 => self.crash_temporarily(pid, false, 400),
-                    _ => c.suspend(pid, ms / 2),
+            Fault::PrimaryAndReplica { power_loss, replica_offset, replica_fault, time } => {
+                let primary = self.crash_primary(power_loss, time);
+                let replica = (primary + replica_offset) % SERVERS;
+                let pid = self.server_process(replica);
+                match replica_fault {
+                    ReplicaFault::ReplicationStopped => self.stop_replication_for(replica, time),
+                    ReplicaFault::PowerLoss => self.crash_for(pid, true, time / 2),
+                    ReplicaFault::Crash => self.crash_for(pid, false, SHORT_CRASH),
+                    ReplicaFault::Pause => self.simulation.suspend(pid, time / 2),
                 }
             }
-            Fault::TwoPrimaries(gap, ms) => {
-                self.crash_primary(gap % 2 == 0, ms);
-                self.schedule_after(gap, move |l| {
-                    l.crash_primary(false, ms);
+            Fault::TwoPrimaries { gap, time } => {
+                self.crash_primary(gap % 2 == 0, time);
+                self.schedule_after(gap, move |fleet| {
+                    fleet.crash_primary(false, time);
                 });
             }
-            Fault::Trap(point, pause) => {
-                c.lock().trap = Some(Trap { trace_point: point.into(), pause });
-            }
-            Fault::Drain(i) => {
-                if !self.group.with(|s| s.servers.iter().any(|s| s.draining)) {
-                    let l = self.clone();
-                    c.run_in(self.clients, || seam::spawn(drain_and_replace(l, i)));
-                }
+            Fault::Trap { phase, pause } => {
+                self.simulation.lock().trap = Some(Trap { trace_point: phase.into(), pause });
             }
             Fault::RequestHandover => {
-                for n in &self.nodes {
-                    if let Some(live) = n.live() {
-                        live.node
-                            .promotion_state
-                            .handover_requests
-                            .lock()
-                            .unwrap()
-                            .insert(super::setup::GROUP.into(), None);
-                    }
+                for running in self.nodes.iter().filter_map(|node| node.running()) {
+                    let mut requested = running.node.promotion_state.handover_requests.lock().unwrap();
+                    requested.insert(GROUP.into(), None);
                 }
             }
+            _ => {}
         }
     }
 }
--- a/crates/simulator/src/direct/ledger.rs
+++ b/crates/simulator/src/direct/ledger.rs
@@ -1,5 +1,8 @@
-//! What origins asked and were told, and what servers ran: each breach is seen by call where it happens, or at the end.
-use super::server_group::{LogEntry, Server, ServerLink};
+//! What clients sent and learned, and what servers executed: violations are found call by call, or at the end.
+//!
+//! Each violation is a line that begins with the name of its check: TWICE, REFUSED, LOST, UNASKED, PINNED, STALE, MIXED.
+use super::connection::{ClientTransaction, Connection, PreparedStatement};
+use super::server::{LogEntry, Server};
 use bytes::Bytes;
 use quincehatch_core::Millis;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,147 +10,247 @@
 
 /// A lookup may miss what was acknowledged no longer ago than that.
 pub const STALENESS_BOUND: Millis = 1_500;
+/// Violations that are kept at most.
 const MAX_REPORTED: usize = 20;
 
-/// One statement as its origin sent it.
+/// One statement as its client sent it.
 #[derive(Clone, Debug, Default)]
 pub struct SentStatement {
+    /// Its text, or the arguments of a prepared statement.
     pub text: Bytes,
-    /// The prepared text that its name stands for.
-    pub prepared: Option<(bool, Bytes)>,
+    /// The prepared statement that its name stands for.
+    pub prepared: Option<PreparedStatement>,
+    /// The session's settings.
     pub values: BTreeMap<Bytes, Bytes>,
-    /// Its transaction, and whether that one only reads.
-    pub transaction: Option<(u64, bool)>,
+    /// The transaction it belongs to.
+    pub transaction: Option<ClientTransaction>,
+    /// It writes.
     pub write: bool,
+    /// It is a COMMIT.
     pub commit: bool,
-    /// On the side that may miss nothing.
+    /// It goes to the primary, where a read may miss nothing.
     pub at_primary: bool,
-    /// Its first byte, or its transaction's.
+    /// When it, or its transaction, was sent.
     pub sent_at: Millis,
 }
 
+/// A success that a server stamped.
+#[derive(Debug)]
+pub struct StampedAnswer {
+    /// Id of the statement.
+    pub statement: u64,
+    /// Rows of the answer.
+    pub rows: Vec<Bytes>,
+}
+
+/// A commit whose client learned of it.
+struct Acknowledgement {
+    at: Millis,
+    entry: Arc<LogEntry>,
+}
+
+/// A version of the configuration that was acknowledged.
+#[derive(Clone, Copy, Debug)]
+pub struct AcknowledgedVersion {
+    /// Its number.
+    pub number: u64,
+    /// When it was acknowledged.
+    pub at: Millis,
+}
+
+/// What is known of a run's statements.
 #[derive(Default)]
 pub struct Ledger {
+    /// Statements by id.
     pub sent: BTreeMap<u64, SentStatement>,
     /// What each stamp was given for.
-    pub answers_by_stamp: BTreeMap<Bytes, (u64, Vec<Bytes>)>,
-    /// The commits of each id: of a single write or of a COMMIT.
-    pub commit_by_id: BTreeMap<u64, Arc<LogEntry>>,
-    pub committed_writes: BTreeSet<u64>,
-    /// When what was acknowledged, and the highest of all until then.
-    pub acknowledged: Vec<(Millis, Arc<LogEntry>)>,
-    highest_acknowledged: Vec<(Millis, Arc<LogEntry>)>,
-    /// Writes whose origin was told that nothing is kept.
-    pub rejected_writes: BTreeSet<u64>,
+    answers_by_stamp: BTreeMap<Bytes, StampedAnswer>,
+    /// Commits by the id of the single write or of the COMMIT.
+    commit_by_id: BTreeMap<u64, Arc<LogEntry>>,
+    committed_writes: BTreeSet<u64>,
+    acknowledged: Vec<Acknowledgement>,
+    /// Acknowledgements of a commit above all before.
+    highest_acknowledged: Vec<Acknowledgement>,
+    /// Writes whose client was told that they are not applied.
+    rejected_writes: BTreeSet<u64>,
+    /// Violations found so far.
     pub violations: Vec<String>,
+    /// Reads that servers executed.
     pub reads: usize,
+    /// Statements sent so far; the last one's id.
     pub statements: usize,
-    /// Versions of the blueprint: when each was acknowledged.
-    pub config_versions: Vec<(u64, Millis)>,
+    /// Acknowledged versions of the configuration.
+    pub config_versions: Vec<AcknowledgedVersion>,
+    /// What happened, for the report of a violation.
     pub event_log: Vec<String>,
 }
 
 impl Ledger {
-    pub fn record_violation(&mut self, s: String) {
+    /// Keeps a violation, up to a limit.
+    pub fn record_violation(&mut self, violation: String) {
         if self.violations.len() < MAX_REPORTED {
-            self.violations.push(s);
+            self.violations.push(violation);
         }
     }
-    /// A write took effect, in this commit of that id.
-    pub fn record_commit(&mut self, now: Millis, id: u64, e: &Arc<LogEntry>) {
-        for w in &e.writes {
-            if !self.committed_writes.insert(*w) {
-                self.record_violation(format!("TWICE at {now}: write {w} again in {:?}", e.position));
+
+    /// The id of a new statement.
+    pub fn next_statement_id(&mut self) -> u64 {
+        self.statements += 1;
+        self.statements as u64
+    }
+
+    /// Writes took effect, in the commit of that id.
+    pub fn record_commit(&mut self, now: Millis, id: u64, entry: &Arc<LogEntry>) {
+        let position = entry.position;
+        for write in &entry.writes {
+            if !self.committed_writes.insert(*write) {
+                self.record_violation(format!("TWICE at {now}: write {write} again in {position:?}"));
             }
-            if self.rejected_writes.contains(w) {
+            if self.rejected_writes.contains(write) {
                 self.record_violation(format!(
-                    "REFUSED at {now}: write {w} is committed in {:?}",
-                    e.position
+                    "REFUSED at {now}: write {write} is committed in {position:?}"
                 ));
             }
         }
-        self.commit_by_id.insert(id, e.clone());
+        self.commit_by_id.insert(id, entry.clone());
     }
+
+    /// A client learned that its commit succeeded.
     pub fn record_acknowledgement(&mut self, now: Millis, id: u64) {
-        let Some(e) = self.commit_by_id.get(&id).cloned() else {
-            return self
-                .record_violation(format!("LOST at {now}: {id} was acknowledged and never committed"));
+        let Some(entry) = self.commit_by_id.get(&id).cloned() else {
+            let violation = format!("LOST at {now}: {id} was acknowledged and never committed");
+            return self.record_violation(violation);
         };
-        if self.highest_acknowledged.last().is_none_or(|(_, t)| t.position < e.position) {
-            self.highest_acknowledged.push((now, e.clone()));
+        let highest = self.highest_acknowledged.last();
+        if highest.is_none_or(|highest| highest.entry.position < entry.position) {
+            self.highest_acknowledged.push(Acknowledgement { at: now, entry: entry.clone() });
         }
-        self.acknowledged.push((now, e));
+        self.acknowledged.push(Acknowledgement { at: now, entry });
     }
-    /// The highest commit acknowledged before then.
-    fn highest_acknowledged_before(&self, t: Millis) -> Option<&Arc<LogEntry>> {
-        let n = self.highest_acknowledged.partition_point(|(at, _)| *at < t);
-        n.checked_sub(1).map(|i| &self.highest_acknowledged[i].1)
+
+    /// Times of all acknowledgements.
+    pub fn acknowledgement_times(&self) -> impl ExactSizeIterator<Item = Millis> + '_ {
+        self.acknowledged.iter().map(|acknowledgement| acknowledgement.at)
     }
 
-    /// A statement is about to run on a server that holds `sees` of its log.
-    pub fn check_execution(&mut self, now: Millis, id: u64, l: &ServerLink, s: &Server, sees: usize) {
-        let Some(a) = self.sent.get(&id).cloned() else {
-            return self.record_violation(format!("UNASKED at {now}: {id} on {}", s.name));
+    /// The highest commit acknowledged before `at`.
+    fn highest_acknowledged_before(&self, at: Millis) -> Option<&Arc<LogEntry>> {
+        let count = self.highest_acknowledged.partition_point(|acknowledged| acknowledged.at < at);
+        count.checked_sub(1).map(|last| &self.highest_acknowledged[last].entry)
+    }
+
+    /// Checks a statement that is about to be executed on a server that shows `visible` entries of its log.
+    pub fn check_execution(
+        &mut self,
+        now: Millis,
+        id: u64,
+        connection: &Connection,
+        server: &Server,
+        visible: usize,
+    ) {
+        let Some(sent) = self.sent.get(&id).cloned() else {
+            return self.record_violation(format!("UNASKED at {now}: {id} on {}", server.name));
         };
-        if l.values != a.values {
-            let why = format!("{id} on {} with {:?} instead of {:?}", s.name, l.values, a.values);
-            self.record_violation(format!("PINNED at {now}: {why}"));
+        self.check_session(now, id, connection, server, &sent);
+        if !sent.write && !sent.commit {
+            self.reads += 1;
+            self.check_freshness(now, id, &sent, server, visible);
+        }
+    }
+
+    /// The connection wears the client's session and is in the client's transaction.
+    fn check_session(
+        &mut self,
+        now: Millis,
+        id: u64,
+        connection: &Connection,
+        server: &Server,
+        sent: &SentStatement,
+    ) {
+        let name = &server.name;
+        if connection.values != sent.values {
+            let (worn, wanted) = (&connection.values, &sent.values);
+            self.record_violation(format!(
+                "PINNED at {now}: {id} on {name} with {worn:?} instead of {wanted:?}"
+            ));
         }
-        let within = l.transaction.as_ref().map(|t| (t.client_transaction, t.read));
-        let fits = match (within, a.transaction) {
+        let open = &connection.transaction;
+        let fits = match (open, sent.transaction) {
             (None, None) => true,
-            (Some((of, read)), Some((x, r))) => of.is_none_or(|of| of == x) && read == r,
+            (Some(open), Some(own)) => {
+                open.client_transaction.is_none_or(|id| id == own.id) && open.read_only == own.read_only
+            }
             _ => false,
         };
         if !fits {
-            self.record_violation(format!(
-                "PINNED at {now}: {id} of {:?} in {within:?} on {}",
-                a.transaction, s.name
-            ));
-        }
-        if a.write || a.commit {
-            return;
-        }
-        self.reads += 1;
-        let by = if a.at_primary { a.sent_at } else { a.sent_at.saturating_sub(STALENESS_BOUND) };
-        if let Some(e) = self.highest_acknowledged_before(by).filter(|e| !s.holds(e, sees)).cloned() {
-            let side = if a.at_primary { "an order's read" } else { "a lookup" };
-            let at = s.log.get(sees.wrapping_sub(1)).map(|e| e.position);
-            self.record_violation(format!(
-                "STALE at {now}: {side} {id} from {} on {} at {at:?} lacks {:?}",
-                a.sent_at, s.name, e.position
-            ));
+            let own = sent.transaction;
+            self.record_violation(format!("PINNED at {now}: {id} of {own:?} in {open:?} on {name}"));
         }
     }
-    /// An origin was told that this succeeded.
+
+    /// A read misses nothing that was acknowledged before it; at a replica, nothing older than the bound.
+    fn check_freshness(
+        &mut self,
+        now: Millis,
+        id: u64,
+        sent: &SentStatement,
+        server: &Server,
+        visible: usize,
+    ) {
+        let needed_from =
+            if sent.at_primary { sent.sent_at } else { sent.sent_at.saturating_sub(STALENESS_BOUND) };
+        let needed = self.highest_acknowledged_before(needed_from);
+        let Some(missing) = needed.filter(|entry| !server.holds(entry, visible)) else { return };
+        let kind = if sent.at_primary { "a read at the primary" } else { "a lookup" };
+        let at = visible.checked_sub(1).and_then(|last| server.log.get(last)).map(|entry| entry.position);
+        let violation = format!(
+            "STALE at {now}: {kind} {id} from {} on {} at {at:?} lacks {:?}",
+            sent.sent_at, server.name, missing.position
+        );
+        self.record_violation(violation);
+    }
+
+    /// Notes a success under a new stamp.
+    pub fn stamp(&mut self, server: &str, answer: StampedAnswer) -> Bytes {
+        let stamp = Bytes::from(format!("{server}.{:x}", self.answers_by_stamp.len()));
+        self.answers_by_stamp.insert(stamp.clone(), answer);
+        stamp
+    }
+
+    /// A client was told that this succeeded: some server said so, of this very statement.
     pub fn check_success(&mut self, now: Millis, id: u64, stamp: Option<&Bytes>, rows: &[Bytes]) {
-        let given = stamp.and_then(|s| self.answers_by_stamp.get(s));
-        if given.is_none_or(|(of, r)| *of != id || r != rows) {
+        let given = stamp.and_then(|stamp| self.answers_by_stamp.get(stamp));
+        if given.is_none_or(|given| given.statement != id || given.rows != rows) {
             self.record_violation(format!("MIXED at {now}: {id} with {stamp:?} given for {given:?}"));
         }
     }
-    /// A promise was given for these writes.
+
+    /// A client was told that these writes are not applied.
     pub fn record_rejection(&mut self, now: Millis, writes: &[u64]) {
-        for w in writes {
-            self.rejected_writes.insert(*w);
-            if self.committed_writes.contains(w) {
+        for write in writes {
+            self.rejected_writes.insert(*write);
+            if self.committed_writes.contains(write) {
                 self.record_violation(format!(
-                    "REFUSED at {now}: write {w} was committed before the promise"
+                    "REFUSED at {now}: write {write} was committed before its rejection"
                 ));
             }
         }
     }
-    /// What of the acknowledged a log lacks.
-    pub fn check_log_complete(&mut self, now: Millis, s: &Server, when: &str) {
-        let lacks = self.acknowledged.iter().filter(|(_, e)| !s.holds(e, s.log.len()));
-        let all: Vec<_> = lacks.map(|(at, e)| format!("{:?} acknowledged at {at}", e.position)).collect();
-        if let Some(first) = all.first() {
-            let n = all.len();
-            self.record_violation(format!(
-                "LOST at {now}: {} {when} at {:?} lacks {n}, first {first}",
-                s.name,
-                s.log_end()
-            ));
-        }
+
+    /// A server's log holds all that was acknowledged.
+    pub fn check_log_complete(&mut self, now: Millis, server: &Server, when: &str) {
+        let is_missing =
+            |acknowledged: &&Acknowledgement| !server.holds(&acknowledged.entry, server.log.len());
+        let missing: Vec<&Acknowledgement> = self.acknowledged.iter().filter(is_missing).collect();
+        let Some(first) = missing.first() else { return };
+        let violation = format!(
+            "LOST at {now}: {} {when} at {:?} lacks {}, first {:?} acknowledged at {}",
+            server.name,
+            server.log_end(),
+            missing.len(),
+            first.entry.position,
+            first.at
+        );
+        self.record_violation(violation);
     }
 }
--- a/crates/simulator/src/direct/mod.rs
+++ b/crates/simulator/src/direct/mod.rs
@@ -1,9 +1,10 @@
-//! Simulated held fleets (§3.6, §4.10, §5.5, §9.1): keepers and nodes whole, over a group of servers that are met over
-//! held links and know neither tries nor fences, a promoter, origins on sessions, faults by the seed, and a checker by
-//! call and journal.
+//! Simulated fleets on direct connections: keepers and nodes as they ship, over a group of servers that speak their own
+//! protocol and know neither idempotency keys nor fences, with a promoter, clients on sessions, faults drawn from the
+//! seed, and a check of every call.
 mod call_execution;
 mod client;
 mod client_connection;
+mod connection;
 mod delivery;
 mod faults;
 mod ledger;
@@ -13,6 +14,7 @@
 mod replication;
 mod request_execution;
 mod run;
+mod server;
 mod server_group;
 mod server_ports;
 mod setup;
--- a/crates/simulator/src/direct/operator.rs
+++ b/crates/simulator/src/direct/operator.rs
@@ -1,7 +1,11 @@
-//! The words that reach the chain from outside: servers' standings, blueprints; and what nodes have in force of them.
+//! What reaches the chain from outside: registrations of servers, and versions of the configuration; and the check of
+//! what nodes have in force of these.
 use super::client_connection::TRANSACTION_IDLE_MS;
-use super::setup::{DirectFleet, GROUP, SERVERS};
-use quincehatch_core::{Millis, Role, ServerRecord};
+use super::ledger::AcknowledgedVersion;
+use super::server::{MAX_CONNECTIONS, Registration, SLOTS};
+use super::server_group::GroupState;
+use super::setup::{DirectFleet, GROUP, RunningNode, SERVERS, SimulatedNode};
+use quincehatch_core::{Millis, Name, Role, ServerRecord};
 use quincehatch_node::store_client::StoreClient;
 use quincehatch_runtime::seam;
 use quincehatch_store::Command;
@@ -10,17 +14,33 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
+/// A write to the chain is given up after so long.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(900);
-/// How long after its acknowledgement a blueprint binds every node in touch.
-const CONFIG_APPLY_MS: Millis = 3_000;
-/// The newest versions that nodes are asked for.
+const WRITE_RETRY: Duration = Duration::from_millis(200);
+/// An undisturbed node has a configuration in force so long after its acknowledgement.
+const CONFIG_APPLY_TIME: Millis = 3_000;
+/// How often nodes are asked what they have in force.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Nodes are asked for so many of the newest acknowledged versions, and for numbers so far above them.
 const VERSIONS_CHECKED: usize = 6;
+const NUMBERS_AHEAD: u64 = 4;
+/// A server waits so long for the acknowledgement of its drain, and looks for it so often.
+const DRAIN_PATIENCE: Millis = 10_000;
+const DRAIN_POLL: Duration = Duration::from_millis(50);
+/// A draining server stops so long after the acknowledgement.
+const DRAIN_TIME: Millis = 7_600;
+/// Attempts to take a stopped server off the chain.
+const DEREGISTRATIONS: u64 = 5;
 
-fn millis(n: u64) -> Duration {
-    Duration::from_millis(n)
+fn millis(count: u64) -> Duration {
+    Duration::from_millis(count)
 }
 
-/// A blueprint that tells its number by a rule of its own.
+fn operator_client(fleet: &DirectFleet) -> StoreClient {
+    StoreClient::new("operator", &fleet.keeper_addresses)
+}
+
+/// A configuration that shows its number by a route of its own.
 fn configuration_text(number: u64) -> String {
     let rule = |name: &str, class: &str| {
         format!(
@@ -31,164 +51,210 @@
     let rules = [rule("o", "order"), rule("l", "lookup"), rule(&format!("v{number}"), "order")].concat();
     format!(
         "[[placements]]\nname = \"p\"\nselect = {{ group = [\"{GROUP}\"] }}\n{rules}\
-         [[groups]]\nname = \"{GROUP}\"\nsync_replicas = 1\nlinks = {}\n\
+         [[groups]]\nname = \"{GROUP}\"\nsync_replicas = 1\nlinks = {MAX_CONNECTIONS}\n\
          [holding]\ntxn_idle_ms = {TRANSACTION_IDLE_MS}\n\
-         [judges]\nreturn_after_ms = 1000\ntrial_good = 1\nuser_timeout_ms = 4000\n",
-        super::server_group::MAX_CONNECTIONS
+         [judges]\nreturn_after_ms = 1000\ntrial_good = 1\nuser_timeout_ms = 4000\n"
     )
 }
 
-/// Adopts blueprints one after the other, each until it is taken.
-pub async fn adopt_configurations(l: Arc<DirectFleet>, stop: Arc<AtomicBool>) {
-    let chain = StoreClient::new("operator", &l.keeper_addresses);
+/// Adopts configurations one after the other, each until it is acknowledged.
+async fn adopt_configurations(fleet: Arc<DirectFleet>, stop: Arc<AtomicBool>) {
+    let client = operator_client(&fleet);
     let mut number = 1;
     while !stop.load(Ordering::SeqCst) {
         let text = configuration_text(number);
-        let cmd = Command::AdoptDocument { number, source: text.clone(), text, by: "operator".into() };
-        while chain.write(&format!("adopt/{number}"), cmd.clone(), WRITE_TIMEOUT).await.is_err() {
-            seam::sleep(millis(200)).await;
+        let command = Command::AdoptDocument { number, source: text.clone(), text, by: "operator".into() };
+        let key = format!("adopt/{number}");
+        while client.write(&key, command.clone(), WRITE_TIMEOUT).await.is_err() {
+            seam::sleep(WRITE_RETRY).await;
         }
-        let at = l.core.now();
-        l.group.with(|s| s.ledger.config_versions.push((number, at)));
+        let acknowledged = AcknowledgedVersion { number, at: fleet.simulation.now() };
+        fleet.group.with(|state| state.ledger.config_versions.push(acknowledged));
         number += fastrand::u64(1..4);
         seam::sleep(millis(fastrand::u64(1_500..6_000))).await;
     }
 }
 
-/// One server's word of itself, whenever something of it changes.
-pub async fn register_server_changes(l: Arc<DirectFleet>, i: usize) {
-    let chain = StoreClient::new("operator", &l.keeper_addresses);
+impl GroupState {
+    /// The registration that a server has to send, with its record; none if the chain has it.
+    fn next_registration(&mut self, index: usize) -> Option<(Registration, ServerRecord)> {
+        let server = &mut self.servers[index];
+        let registration = server.registration();
+        if server.registered_as.as_ref() == Some(&registration) {
+            return None;
+        }
+        server.registration_sequence += 1;
+        let record = ServerRecord {
+            server: registration.name.clone(),
+            group: GROUP.into(),
+            addr: server.addr.clone(),
+            zone: format!("d{index}").into(),
+            slots: SLOTS as u32,
+            draining: registration.draining,
+            role: registration.role,
+            seq: server.registration_sequence,
+        };
+        Some((registration, record))
+    }
+
+    /// The chain acknowledged a registration; one of a predecessor means nothing.
+    fn registered(&mut self, index: usize, registration: Registration, now: Millis) {
+        let server = &mut self.servers[index];
+        if server.name != registration.name {
+            return;
+        }
+        if registration.draining && server.drain_acknowledged_at.is_none() {
+            server.drain_acknowledged_at = Some(now);
+        }
+        server.registered_as = Some(registration);
+    }
+
+    /// Another server takes the address and the log of one that stopped.
+    fn replace_server(&mut self, index: usize, old_name: &str) {
+        let salt = self.last_connection_id;
+        let server = &mut self.servers[index];
+        server.name = format!("{}x{salt}", &old_name[..2]).into();
+        server.role = Role::Replica;
+        server.draining = false;
+        server.drain_acknowledged_at = None;
+        server.registered_as = None;
+        server.registration_sequence = 0;
+    }
+}
+
+/// Registers a server whenever something of it changes.
+async fn register_server_changes(fleet: Arc<DirectFleet>, index: usize) {
+    let client = operator_client(&fleet);
     loop {
         seam::sleep(millis(fastrand::u64(100..300))).await;
-        let now = l.core.now();
-        let pid = l.group.with(|s| s.servers[i].pid);
-        let runs = {
-            let m = l.core.lock();
-            m.processes[pid].up && m.processes[pid].paused_until <= now
-        };
-        let news = l.group.with(|st| {
-            let s = &mut st.servers[i];
-            let is = (s.name.clone(), s.role, s.draining);
-            if !runs || s.registered_as.as_ref() == Some(&is) {
-                return None;
-            }
-            s.registration_sequence += 1;
-            let (server, role, leaving) = is.clone();
-            let (group, addr, district) = (GROUP.into(), s.addr.clone(), format!("d{i}").into());
-            Some((
-                is,
-                ServerRecord {
-                    server,
-                    group,
-                    addr,
-                    zone: district,
-                    slots: 5,
-                    draining: leaving,
-                    role,
-                    seq: s.registration_sequence,
-                },
-            ))
-        });
-        let Some((is, at)) = news else { continue };
-        let key = format!("beat/{}/{}", at.server, at.seq);
-        if chain.write(&key, Command::RegisterServer { at }, WRITE_TIMEOUT).await.is_err() {
+        let pid = fleet.group.with(|state| state.servers[index].pid);
+        if !fleet.simulation.lock().is_running(pid) {
             continue;
         }
-        let now = l.core.now();
-        l.group.with(|st| {
-            let s = &mut st.servers[i];
-            if s.name == is.0 {
-                s.drain_acknowledged_at = s.drain_acknowledged_at.or(is.2.then_some(now));
-                s.registered_as = Some(is);
-            }
-        });
+        let next = fleet.group.with(|state| state.next_registration(index));
+        let Some((registration, at)) = next else { continue };
+        let key = format!("beat/{}/{}", at.server, at.seq);
+        if client.write(&key, Command::RegisterServer { at }, WRITE_TIMEOUT).await.is_ok() {
+            let now = fleet.simulation.now();
+            fleet.group.with(|state| state.registered(index, registration, now));
+        }
     }
 }
 
-/// A server leaves: it says so, goes on for as long as the contract has it, ends, and another takes its address and log.
-pub async fn drain_and_replace(l: Arc<DirectFleet>, i: usize) {
-    let old = l.group.with(|st| {
-        st.servers[i].draining = true;
-        st.servers[i].name.clone()
-    });
-    let began = l.core.now();
-    let left = loop {
-        seam::sleep(millis(50)).await;
-        match l.group.with(|st| st.servers[i].drain_acknowledged_at) {
-            Some(t) => break t,
-            None if l.core.now() > began + 10_000 => break began,
-            None => {}
+/// When the server's drain was acknowledged; when it began if that takes too long.
+async fn drain_start(fleet: &DirectFleet, index: usize) -> Millis {
+    let began = fleet.simulation.now();
+    loop {
+        seam::sleep(DRAIN_POLL).await;
+        if let Some(at) = fleet.group.with(|state| state.servers[index].drain_acknowledged_at) {
+            return at;
         }
-    };
-    seam::sleep(millis((left + 7_600).saturating_sub(l.core.now()).max(1))).await;
-    let chain = StoreClient::new("operator", &l.keeper_addresses);
-    for n in 0..5 {
-        let cmd = Command::DeregisterServer { server: old.clone() };
-        if chain.write(&format!("depart/{old}"), cmd, WRITE_TIMEOUT).await.is_ok() {
-            break;
+        if fleet.simulation.now() > began + DRAIN_PATIENCE {
+            return began;
         }
-        seam::sleep(millis(100 * n)).await;
     }
-    l.crash_server(i, false);
-    seam::sleep(millis(fastrand::u64(300..1_500))).await;
-    l.group.with(|st| {
-        let n = st.next_connection_id;
-        let s = &mut st.servers[i];
-        (s.name, s.role) = (format!("{}x{n}", &old[..2]).into(), Role::Replica);
-        (s.draining, s.drain_acknowledged_at, s.registered_as, s.registration_sequence) =
-            (false, None, None, 0);
+}
+
+async fn deregister_server(fleet: &DirectFleet, name: &Name) {
+    let client = operator_client(fleet);
+    for attempt in 0..DEREGISTRATIONS {
+        let command = Command::DeregisterServer { server: name.clone() };
+        if client.write(&format!("depart/{name}"), command, WRITE_TIMEOUT).await.is_ok() {
+            return;
+        }
+        seam::sleep(millis(100 * attempt)).await;
+    }
+}
+
+/// A server drains for as long as the contract has it, stops, and another takes its address and log.
+pub async fn drain_and_replace(fleet: Arc<DirectFleet>, index: usize) {
+    let name = fleet.group.with(|state| {
+        state.servers[index].draining = true;
+        state.servers[index].name.clone()
     });
-    l.start_server(i);
+    let stop_at = drain_start(&fleet, index).await + DRAIN_TIME;
+    let rest = stop_at.saturating_sub(fleet.simulation.now()).max(1);
+    seam::sleep(millis(rest)).await;
+    deregister_server(&fleet, &name).await;
+    fleet.crash_server(index, false);
+    seam::sleep(millis(fastrand::u64(300..1_500))).await;
+    fleet.group.with(|state| state.replace_server(index, &name));
+    fleet.start_server(index);
 }
 
-/// Which version each node has in force, as its rules tell: never back within a life, and in time.
-pub async fn check_config_versions(l: Arc<DirectFleet>) {
-    let mut had: BTreeMap<usize, (u64, u64)> = BTreeMap::new();
+/// The version that an incarnation of a node had in force.
+#[derive(Clone, Copy)]
+struct ObservedVersion {
+    incarnation: u64,
+    number: u64,
+}
+
+/// Checks which version each node has in force: never an older one than before, and acknowledged ones in time.
+async fn check_config_versions(fleet: Arc<DirectFleet>) {
+    let mut observed: BTreeMap<usize, ObservedVersion> = BTreeMap::new();
     loop {
-        seam::sleep(millis(100)).await;
-        let now = l.core.now();
-        let acked = l.group.with(|s| s.ledger.config_versions.clone());
-        // A keeper that died in the midst of a step is trouble of the keepers too.
-        if l.keepers.iter().any(|k| !l.core.lock().processes[*k].up) {
-            l.group.with(|s| s.keepers_disturbed_until = s.keepers_disturbed_until.max(now));
+        seam::sleep(CHECK_INTERVAL).await;
+        let now = fleet.simulation.now();
+        let acknowledged = fleet.group.with(|state| state.ledger.config_versions.clone());
+        // A keeper that crashed in the middle of a step disturbs all keepers.
+        let keeper_down = fleet.keepers.iter().any(|pid| !fleet.simulation.lock().processes[*pid].up);
+        if keeper_down {
+            fleet.group.with(|state| state.mark_keepers_disturbed(now));
         }
-        let due =
-            acked.iter().filter(|(_, at)| now > at + CONFIG_APPLY_MS).map(|(n, _)| *n).max().unwrap_or(0);
-        for n in &l.nodes {
-            let (up, life) = {
-                let m = l.core.lock();
-                let h = &m.processes[n.pid];
-                (h.up && h.paused_until <= now, h.incarnation)
-            };
-            if !up {
-                l.group.with(|s| {
-                    s.disturbed_until
-                        .insert(n.pid, now.max(s.disturbed_until.get(&n.pid).copied().unwrap_or(0)))
-                });
-            }
-            let Some(live) = n.live().filter(|_| up) else { continue };
-            let newest = acked.last().map_or(1, |e| e.0) + 4;
-            let least = acked.iter().rev().nth(VERSIONS_CHECKED).map_or(1, |e| e.0);
-            let has = |v: &u64| live.direct_proxy.resolve_route(&format!("v{v}")).is_some();
-            let is = l.core.run_in(n.pid, || (least..=newest).rev().find(has)).unwrap_or(0);
-            let before = had.insert(n.pid, (life, is)).filter(|b| b.0 == life).map_or(0, |b| b.1);
-            let touch = l.group.with(|s| s.is_undisturbed(n.pid, now));
-            let word = |why: &str| format!("CONFIG at {now}: {} has {is} in force {why}", n.name);
-            if is < before {
-                l.group.with(|s| s.ledger.record_violation(word(&format!("after {before}"))));
-            } else if touch && is < due {
-                l.group
-                    .with(|s| s.ledger.record_violation(word(&format!("and {due} was acknowledged before"))));
-            }
+        for node in &fleet.nodes {
+            check_node_version(&fleet, node, &acknowledged, &mut observed);
         }
     }
 }
 
-/// Sets all of it going, in the origins' process.
-pub fn start(l: &Arc<DirectFleet>, stop: &Arc<AtomicBool>) {
-    for i in 0..SERVERS {
-        seam::spawn(register_server_changes(l.clone(), i));
+fn check_node_version(
+    fleet: &DirectFleet,
+    node: &SimulatedNode,
+    acknowledged: &[AcknowledgedVersion],
+    observed: &mut BTreeMap<usize, ObservedVersion>,
+) {
+    let now = fleet.simulation.now();
+    let (is_running, incarnation) = {
+        let state = fleet.simulation.lock();
+        (state.is_running(node.pid), state.processes[node.pid].incarnation)
+    };
+    if !is_running {
+        fleet.group.with(|state| state.mark_disturbed(node.pid, now));
+        return;
+    }
+    let Some(running) = node.running() else { return };
+    let number = fleet.simulation.run_in(node.pid, || version_in_force(&running, acknowledged));
+    let previous = observed.insert(node.pid, ObservedVersion { incarnation, number });
+    let previous = previous.filter(|before| before.incarnation == incarnation);
+    let before = previous.map_or(0, |before| before.number);
+    let overdue = acknowledged.iter().filter(|version| now > version.at + CONFIG_APPLY_TIME);
+    let due = overdue.map(|version| version.number).max().unwrap_or(0);
+    let name = &node.name;
+    fleet.group.with(|state| {
+        if number < before {
+            let violation = format!("CONFIG at {now}: {name} has {number} in force after {before}");
+            state.ledger.record_violation(violation);
+        } else if number < due && state.is_undisturbed(node.pid, now) {
+            let violation =
+                format!("CONFIG at {now}: {name} has {number} in force and {due} was acknowledged before");
+            state.ledger.record_violation(violation);
+        }
+    });
+}
+
+/// The highest version that the node has a route of.
+fn version_in_force(running: &RunningNode, acknowledged: &[AcknowledgedVersion]) -> u64 {
+    let newest = acknowledged.last().map_or(1, |version| version.number) + NUMBERS_AHEAD;
+    let oldest = acknowledged.iter().rev().nth(VERSIONS_CHECKED).map_or(1, |version| version.number);
+    let has = |number: &u64| running.direct_proxy.resolve_route(&format!("v{number}")).is_some();
+    (oldest..=newest).rev().find(has).unwrap_or(0)
+}
+
+/// Starts all of it, in the clients' process.
+pub fn start(fleet: &Arc<DirectFleet>, stop: &Arc<AtomicBool>) {
+    for index in 0..SERVERS {
+        seam::spawn(register_server_changes(fleet.clone(), index));
     }
-    seam::spawn(adopt_configurations(l.clone(), stop.clone()));
-    seam::spawn(check_config_versions(l.clone()));
+    seam::spawn(adopt_configurations(fleet.clone(), stop.clone()));
+    seam::spawn(check_config_versions(fleet.clone()));
 }
--- a/crates/simulator/src/direct/process_control.rs
+++ b/crates/simulator/src/direct/process_control.rs
@@ -1,83 +1,97 @@
-//! Ending and starting what a held fleet is made of, and healing it.
+//! Crashes and starts the processes of a fleet on direct connections, and heals it.
 use super::setup::{DirectFleet, SERVERS};
 use crate::fleet::simulation::ProcessId;
+use quincehatch_core::Millis;
 use std::sync::Arc;
 
-/// A server drops a link whose far end went dark after so long.
-const DEAD_PEER_TIMEOUT: u64 = 3_000;
+/// A server drops a connection whose node lost power after so long.
+const DEAD_NODE_TIMEOUT: Millis = 3_000;
+/// Clients learn that a server lost power after so long.
+const DEAD_SERVER_TIMEOUT: Millis = 4_000;
+/// Lag of a healthy replica.
+pub(super) const HEALTHY_LAG: Millis = 5;
 
 impl DirectFleet {
-    pub fn crash_server(self: &Arc<Self>, i: usize, dark: bool) {
-        let pid = self.group.with(|s| s.servers[i].pid);
-        if !self.core.lock().processes[pid].up {
+    /// Crashes a server that is up.
+    pub fn crash_server(self: &Arc<Self>, server: usize, power_loss: bool) {
+        let pid = self.group.with(|state| state.servers[server].pid);
+        if !self.simulation.lock().processes[pid].up {
             return;
         }
-        self.core.crash(pid, dark);
-        let gone = self.group.with(|s| s.server_stopped(i, dark));
-        if dark {
-            self.core.schedule_action(self.core.now() + 4_000, move |_| drop(gone));
+        self.simulation.crash(pid, power_loss);
+        let pending = self.group.with(|state| state.server_stopped(server, power_loss));
+        if power_loss {
+            let until = self.simulation.now() + DEAD_SERVER_TIMEOUT;
+            self.simulation.schedule_action(until, move |_| drop(pending));
         }
     }
-    pub fn start_server(self: &Arc<Self>, i: usize) {
-        let pid = self.group.with(|s| s.servers[i].pid);
-        if self.core.lock().processes[pid].up {
+
+    /// Starts a server that is down.
+    pub fn start_server(self: &Arc<Self>, server: usize) {
+        let pid = self.group.with(|state| state.servers[server].pid);
+        if self.simulation.lock().processes[pid].up {
             return;
         }
-        self.core.restart(pid);
-        self.group.with(|s| s.server_started(i, self.core.now()));
+        self.simulation.restart(pid);
+        let now = self.simulation.now();
+        self.group.with(|state| state.server_started(server, now));
     }
-    pub fn crash_node(self: &Arc<Self>, pid: ProcessId, dark: bool) {
-        self.core.crash(pid, dark);
-        let of: Vec<u64> = self
-            .group
-            .with(|s| s.connections.iter().filter(|(_, l)| l.node == pid).map(|(i, _)| *i).collect());
-        let l = self.clone();
-        let end = move || {
-            for id in of {
-                l.group.with(|s| s.connections.remove(&id));
+
+    fn crash_node(self: &Arc<Self>, pid: ProcessId, power_loss: bool) {
+        self.simulation.crash(pid, power_loss);
+        let ids: Vec<u64> = self.group.with(|state| {
+            let own = state.connections.iter().filter(|(_, connection)| connection.node == pid);
+            own.map(|(id, _)| *id).collect()
+        });
+        let group = self.group.clone();
+        let drop_connections = move || {
+            for id in ids {
+                group.with(|state| state.connections.remove(&id));
             }
         };
-        if dark {
-            self.core.schedule_action(self.core.now() + DEAD_PEER_TIMEOUT, move |_| end());
+        if power_loss {
+            let until = self.simulation.now() + DEAD_NODE_TIMEOUT;
+            self.simulation.schedule_action(until, move |_| drop_connections());
         } else {
-            end();
+            drop_connections();
         }
     }
-    pub fn crash_process(self: &Arc<Self>, pid: ProcessId, dark: bool) {
-        let server = self.group.with(|s| s.servers.iter().position(|s| s.pid == pid));
+
+    /// Crashes a server, a node, or another process.
+    pub fn crash_process(self: &Arc<Self>, pid: ProcessId, power_loss: bool) {
+        let server = self.group.with(|state| state.server_of_process(pid));
+        let is_node = self.nodes.iter().any(|node| node.pid == pid);
         match server {
-            Some(i) => self.crash_server(i, dark),
-            None if self.nodes.iter().any(|n| n.pid == pid) => self.crash_node(pid, dark),
-            None => self.core.crash(pid, dark),
+            Some(server) => self.crash_server(server, power_loss),
+            None if is_node => self.crash_node(pid, power_loss),
+            None => self.simulation.crash(pid, power_loss),
         }
     }
+
+    /// Starts a process that is down.
     pub fn start_process(self: &Arc<Self>, pid: ProcessId) {
-        let server = self.group.with(|s| s.servers.iter().position(|s| s.pid == pid));
-        match server {
-            Some(i) => self.start_server(i),
-            None => self.core.restart(pid),
+        match self.group.with(|state| state.server_of_process(pid)) {
+            Some(server) => self.start_server(server),
+            None => self.simulation.restart(pid),
         }
     }
-    /// All that is broken is made whole.
+
+    /// Ends all faults.
     pub fn heal_all(self: &Arc<Self>) {
-        self.core.log("all is healed");
-        {
-            let mut m = self.core.lock();
-            (m.crashes_enabled, m.loss_per_mille, m.delay_range) = (false, 0, (1, 12));
-            m.partitions.clear();
-            m.trap = None;
-        }
-        let n = self.core.lock().processes.len();
-        for p in 0..n {
-            self.core.suspend(p, 0);
-            self.start_process(p);
-        }
-        for i in 0..SERVERS {
-            self.group.with(|s| {
-                let s = &mut s.servers[i];
-                (s.replication_stopped, s.replication_lag, s.extra_latency, s.replies_to_lose) =
-                    (false, 5, 0, 0);
-            });
+        self.simulation.log("all is healed");
+        self.simulation.lock().clear_faults();
+        let count = self.simulation.lock().processes.len();
+        for pid in 0..count {
+            self.simulation.suspend(pid, 0);
+            self.start_process(pid);
         }
+        self.group.with(|state| {
+            for server in state.servers.iter_mut().take(SERVERS) {
+                server.replication_stopped = false;
+                server.replication_lag = HEALTHY_LAG;
+                server.extra_latency = 0;
+                server.replies_to_lose = 0;
+            }
+        });
     }
 }
--- a/crates/simulator/src/direct/promotion.rs
+++ b/crates/simulator/src/direct/promotion.rs
@@ -1,107 +1,132 @@
-//! The promoter's stand-in, and what servers do when they come back.
-use super::server_group::{GroupState, PendingCommit, ServerGroup};
+//! The stand-in of the platform's promoter, and what servers do when they stop and start.
+use super::server::PendingCommit;
+use super::server_group::{GroupState, ServerGroup};
 use crate::fleet::simulation::Simulation;
 use quincehatch_core::{FencingToken, Millis, Role};
 use quincehatch_proxy::ports::PromotionOutcome;
 use std::sync::Arc;
 
-/// A replica that was cut back declines everything for so long.
-const TRUNCATION_BUSY_MS: Millis = 120;
+/// A replica whose log was truncated rejects everything as busy for so long.
+const TRUNCATION_TIME: Millis = 120;
+/// Least time from a promotion's acceptance to its effect, and how much longer it may be.
+const MIN_PROMOTION_TIME: Millis = 150;
+const PROMOTION_TIME_SPREAD: Millis = 400;
 
 impl ServerGroup {
-    /// `POST` of a promotion: the server named leads some hundred ms later, with what it has received then.
+    /// Accepts a promotion: the server becomes primary a little later, with what it has received by then.
     pub fn accept_promotion(
         self: &Arc<Self>,
-        c: &Arc<Simulation>,
-        server: &str,
+        simulation: &Arc<Simulation>,
+        name: &str,
         fence: FencingToken,
     ) -> PromotionOutcome {
-        let now = c.now();
-        let there = self.with(|st| {
-            st.ledger.event_log.push(format!("{now} {server} is to lead under {fence}, seen {}", st.fence));
-            let low = fence < st.fence;
-            st.fence = st.fence.max(fence);
-            st.server_named(server).filter(|_| !low)
-        });
-        let Some(i) = there.filter(|i| c.lock().processes[self.with(|s| s.servers[*i].pid)].up) else {
-            return PromotionOutcome::Rejected;
-        };
-        if self.with(|st| st.primary() == Some(i)) {
+        let now = simulation.now();
+        let is_up = |pid: usize| simulation.lock().processes[pid].up;
+        let target = self.with(|state| state.promotion_target(now, name, fence));
+        let target = target.filter(|server| is_up(self.with(|state| state.servers[*server].pid)));
+        let Some(server) = target else { return PromotionOutcome::Rejected };
+        if self.with(|state| state.primary() == Some(server)) {
             return PromotionOutcome::Done;
         }
-        let after = now + 150 + c.lock().rng.below(400);
-        // One promotion takes effect after the other, in the order in which they were taken.
-        let at = self.with(|st| {
-            st.last_promotion_effective = after.max(st.last_promotion_effective + 1);
-            st.last_promotion_effective
+        let drawn = simulation.lock().rng.below(PROMOTION_TIME_SPREAD);
+        let earliest = now + MIN_PROMOTION_TIME + drawn;
+        // Promotions take effect one after the other, in the order of their acceptance.
+        let effective = self.with(|state| {
+            state.last_promotion_effective = earliest.max(state.last_promotion_effective + 1);
+            state.last_promotion_effective
         });
-        let (site, server) = (self.clone(), server.to_owned());
-        c.schedule_action(at, move |c| {
-            let up = |st: &GroupState| c.lock().processes[st.servers[i].pid].up;
-            let gone = site.with(|st| {
-                let same = st.servers[i].name == server && up(st) && st.primary() != Some(i);
-                if same { st.make_primary(c, i) } else { Vec::new() }
-            });
-            site.fail_commits(c, gone);
+        let (group, name) = (self.clone(), name.to_owned());
+        simulation.schedule_action(effective, move |simulation| {
+            let failed = group.with(|state| state.take_promotion(simulation, server, &name));
+            group.fail_commits(simulation, failed);
         });
         PromotionOutcome::Done
     }
 }
 
 impl GroupState {
-    fn make_primary(&mut self, c: &Arc<Simulation>, i: usize) -> Vec<PendingCommit> {
-        let now = c.now();
-        let term = self.servers.iter().map(|s| s.term.max(s.suspended_term)).max().unwrap_or(0) + 1;
-        let s = &mut self.servers[i];
-        (s.role, s.term, s.suspended_term) = (Role::Primary, term, 0);
-        s.visible = s.log.len();
-        let (log, name, end) = (s.log.clone(), s.name.clone(), s.log_end());
+    /// The server to promote, unless the fence is below one that was seen.
+    fn promotion_target(&mut self, now: Millis, name: &str, fence: FencingToken) -> Option<usize> {
+        let seen = self.fence;
+        self.ledger.event_log.push(format!("{now} {name} is to be promoted under {fence}, seen {seen}"));
+        self.fence = seen.max(fence);
+        self.server_named(name).filter(|_| fence >= seen)
+    }
+
+    /// A promotion takes effect, unless its server was replaced, stopped or promoted meanwhile.
+    fn take_promotion(&mut self, simulation: &Simulation, server: usize, name: &str) -> Vec<PendingCommit> {
+        let target = &self.servers[server];
+        let still_wanted = target.name == name && simulation.lock().processes[target.pid].up;
+        if !still_wanted || self.primary() == Some(server) {
+            return Vec::new();
+        }
+        self.make_primary(simulation, server)
+    }
+
+    /// Makes a server the primary of a new term; the commits of others that are lost with it.
+    fn make_primary(&mut self, simulation: &Simulation, promoted: usize) -> Vec<PendingCommit> {
+        let now = simulation.now();
+        let highest_term = self.servers.iter().map(|server| server.term.max(server.suspended_term)).max();
+        let term = highest_term.unwrap_or(0) + 1;
+        let primary = &mut self.servers[promoted];
+        primary.role = Role::Primary;
+        primary.term = term;
+        primary.suspended_term = 0;
+        primary.visible = primary.log.len();
+        let (log, name, end) = (primary.log.clone(), primary.name.clone(), primary.log_end());
         self.promotions += 1;
-        self.ledger.event_log.push(format!("{now} {name} leads term {term} from {end:?}"));
-        self.ledger.check_log_complete(now, &self.servers[i], "was promoted");
-        let mut gone = Vec::new();
-        for (_, s) in self.servers.iter_mut().enumerate().filter(|(j, _)| *j != i) {
-            let up = c.lock().processes[s.pid].up;
-            if s.role == Role::Primary {
-                s.role = Role::Replica;
+        self.ledger.event_log.push(format!("{now} {name} is primary of term {term} from {end:?}"));
+        self.ledger.check_log_complete(now, &self.servers[promoted], "was promoted");
+        let mut failed = Vec::new();
+        for (index, server) in self.servers.iter_mut().enumerate() {
+            if index == promoted {
+                continue;
             }
-            // One that is off learns of it when it is back.
-            if up && s.truncate_to(&log) {
-                s.busy_until = now + TRUNCATION_BUSY_MS;
-                let lacks = |w: &PendingCommit| w.entry.position.number as usize > s.log.len();
-                let (out, stay) = std::mem::take(&mut s.pending_commits).into_iter().partition(lacks);
-                s.pending_commits = stay;
-                gone.extend::<Vec<_>>(out);
+            server.role = Role::Replica;
+            // One that is down learns of it when it starts.
+            let up = simulation.lock().processes[server.pid].up;
+            if up && server.truncate_to(&log) {
+                server.busy_until = now + TRUNCATION_TIME;
+                let end = server.log.len();
+                let is_lost = |commit: &PendingCommit| commit.entry.position.number as usize > end;
+                let pending = std::mem::take(&mut server.pending_commits);
+                let (lost, kept): (Vec<_>, Vec<_>) = pending.into_iter().partition(is_lost);
+                server.pending_commits = kept;
+                failed.extend(lost);
             }
         }
-        gone
+        failed
     }
-    /// A server's process is gone: its links, and what it had in hand.
-    pub fn server_stopped(&mut self, i: usize, dark: bool) -> Vec<PendingCommit> {
-        let of: Vec<u64> =
-            self.connections.iter().filter(|(_, l)| l.server == i).map(|(id, _)| *id).collect();
-        for id in of {
-            match dark {
-                true => drop(self.connections.remove(&id)),
-                false => self.server_closed(id),
+
+    /// A server's process is gone, and with it its connections and the commits that it was to answer.
+    pub fn server_stopped(&mut self, server: usize, power_loss: bool) -> Vec<PendingCommit> {
+        for id in self.connections_of_server(server) {
+            if power_loss {
+                self.connections.remove(&id);
+            } else {
+                self.break_connection(id);
             }
         }
-        let s = &mut self.servers[i];
-        s.slots_in_use = 0;
-        std::mem::take(&mut s.pending_commits)
+        let server = &mut self.servers[server];
+        server.slots_in_use = 0;
+        std::mem::take(&mut server.pending_commits)
     }
-    /// It is back with its log: as a replica if another was promoted meanwhile.
-    pub fn server_started(&mut self, i: usize, now: Millis) {
-        let lead = self.primary().filter(|l| *l != i);
-        let log = lead.map(|l| self.servers[l].log.clone());
-        let s = &mut self.servers[i];
-        (s.suspended_term, s.slots_in_use, s.busy_until, s.replication_stopped, s.replies_to_lose) =
-            (0, 0, 0, false, 0);
-        if let Some(log) = log {
-            s.role = Role::Replica;
-            s.truncate_to(&log);
+
+    /// A server is back with its log: as a replica if another was promoted meanwhile.
+    pub fn server_started(&mut self, index: usize, now: Millis) {
+        let other_primary = self.primary().filter(|primary| *primary != index);
+        let primary_log = other_primary.map(|primary| self.servers[primary].log.clone());
+        let server = &mut self.servers[index];
+        server.suspended_term = 0;
+        server.slots_in_use = 0;
+        server.busy_until = 0;
+        server.replication_stopped = false;
+        server.replies_to_lose = 0;
+        if let Some(log) = primary_log {
+            server.role = Role::Replica;
+            server.truncate_to(&log);
         }
-        let (name, role, end) = (s.name.clone(), s.role, s.log_end());
+        let (name, role, end) = (server.name.clone(), server.role, server.log_end());
         self.ledger.event_log.push(format!("{now} {name} is back as {role:?} at {end:?}"));
     }
 }
--- a/crates/simulator/src/direct/replication.rs
+++ b/crates/simulator/src/direct/replication.rs
@@ -1,181 +1,197 @@
-//! Commits at a simulated server, and how its replicas get them.
+//! Commits at a simulated primary, their replication, and the calls that change a server's role.
+use super::call_execution::Commit;
 use super::delivery::{Delivery, deliver};
-use super::server_group::{GroupState, LogEntry, PendingCommit, ReplySender, ServerGroup};
-use crate::fleet::simulation::Simulation;
+use super::server::{LogEntry, PendingCommit, ReplySender, Server};
+use super::server_group::{GroupState, ServerGroup};
+use crate::fleet::simulation::{ProcessId, Simulation};
 use bytes::Bytes;
 use quincehatch_core::{Millis, Position, Role};
 use quincehatch_proxy::ports::{RejectReason, ServerCall, ServerReply, ServerStatus};
 use std::sync::Arc;
 
-/// How often a lead sends its replicas what they lack.
+/// How often a primary sends its replicas what they lack.
 const REPLICATION_INTERVAL: Millis = 60;
+/// A replica's reads see what it received after this time and its lag.
+const APPLY_TIME: Millis = 2;
 
-impl GroupState {
-    /// STATUS and the calls that change how a server stands.
-    pub fn apply_control_call(
-        &mut self,
-        now: Millis,
-        server: usize,
-        call: &ServerCall,
-        links: u64,
-    ) -> ServerStatus {
-        let s = &mut self.servers[server];
-        match call {
-            ServerCall::Suspend { term }
-                if s.role == Role::Replica && *term > s.term.max(s.suspended_term) =>
-            {
-                s.suspended_term = *term
-            }
-            ServerCall::Resume => s.suspended_term = 0,
-            ServerCall::Demote { term } if s.role == Role::Primary && *term > s.term => {
-                (s.role, s.term) = (Role::Replica, *term);
-            }
-            _ => {}
-        }
-        let (look, name) = (s.status(s.replication_lag, links), s.name.clone());
-        if !matches!(call, ServerCall::Status) {
-            self.ledger.event_log.push(format!("{now} {name} {call:?}: {look:?}"));
-        }
-        look
-    }
+/// Entries on their way from a primary to one replica.
+struct Append {
+    primary: usize,
+    /// The primary's term.
+    term: u64,
+    replica: usize,
+    /// Entries of the log before these.
+    after: usize,
+    entries: Vec<Arc<LogEntry>>,
 }
 
 impl ServerGroup {
-    /// A commit of these writes: in the lead's log at once, answered once a replica received it.
+    /// Appends a commit to the primary's log; it is answered once a replica has received it.
     pub fn append_commit(
         self: &Arc<Self>,
-        c: &Arc<Simulation>,
-        i: usize,
-        of: (u64, u64),
-        ids: Vec<u64>,
-        reply: ReplySender,
+        simulation: &Arc<Simulation>,
+        server: usize,
+        commit: Commit,
+        connection: u64,
+        reply_to: ReplySender,
     ) {
-        let now = c.now();
-        self.with(|st| {
-            let s = &mut st.servers[i];
-            let at = Position { fence: s.term, number: s.log.len() as u64 + 1 };
-            let entry = Arc::new(LogEntry { position: at, writes: ids });
-            s.log.push(entry.clone());
-            st.ledger.record_commit(now, of.1, &entry);
-            let mut said = ServerReply { rows: Vec::new(), log_end: Some(at), ..ServerReply::default() };
-            st.add_stamp(of.1, i, &mut said);
-            st.servers[i].pending_commits.push(PendingCommit {
-                entry,
-                connection: of.0,
-                reply_message: said,
-                reply,
-            });
+        let now = simulation.now();
+        self.with(|state| {
+            let primary = &mut state.servers[server];
+            let number = primary.log.len() as u64 + 1;
+            let position = Position { fence: primary.term, number };
+            let entry = Arc::new(LogEntry { position, writes: commit.writes });
+            primary.log.push(entry.clone());
+            state.ledger.record_commit(now, commit.id, &entry);
+            let mut reply = ServerReply { log_end: Some(position), ..ServerReply::default() };
+            state.add_stamp(commit.id, server, &mut reply);
+            let pending = PendingCommit { entry, connection, reply, reply_to };
+            state.servers[server].pending_commits.push(pending);
         });
-        self.send_missing_entries(c, i);
+        self.send_missing_entries(simulation, server);
     }
 
     /// Sends each replica what it lacks.
-    fn send_missing_entries(self: &Arc<Self>, c: &Arc<Simulation>, lead: usize) {
-        let to: Vec<_> = self.with(|st| {
-            let l = &st.servers[lead];
-            let lacks = |(i, s): (usize, &super::server_group::Server)| {
-                let n = s.common_prefix(&l.log);
-                (i != lead && s.role == Role::Replica && n < l.log.len())
-                    .then(|| (i, s.pid, n, l.log[n..].to_vec()))
-            };
-            st.servers.iter().enumerate().filter_map(lacks).collect()
-        });
-        let (pid, term) = self.with(|st| (st.servers[lead].pid, st.servers[lead].term));
-        for (i, to, n, entries) in to {
-            let site = self.clone();
-            deliver(c, pid, to, move |c, trip| {
-                if trip == Delivery::Arrived
-                    && let Some(end) = site.with(|st| st.append_entries(c.now(), i, term, n, entries))
-                {
-                    let s = site.clone();
-                    deliver(c, to, pid, move |c, trip| {
-                        if trip == Delivery::Arrived {
-                            s.complete_commits(c, lead, &end);
-                        }
-                    });
-                }
-            });
+    fn send_missing_entries(self: &Arc<Self>, simulation: &Arc<Simulation>, primary: usize) {
+        let (appends, pid) = self.with(|state| (state.missing_entries(primary), state.servers[primary].pid));
+        for append in appends {
+            self.send_append(simulation, pid, append);
         }
     }
 
-    /// A replica has received up to there: commits that waited for it are answered.
-    fn complete_commits(self: &Arc<Self>, c: &Arc<Simulation>, lead: usize, end: &Arc<LogEntry>) {
-        let done: Vec<PendingCommit> = self.with(|st| {
-            let s = &mut st.servers[lead];
-            if !s.holds(end, s.log.len()) {
-                return Vec::new();
+    fn send_append(self: &Arc<Self>, simulation: &Arc<Simulation>, primary: ProcessId, append: Append) {
+        let replica = self.with(|state| state.servers[append.replica].pid);
+        let group = self.clone();
+        deliver(simulation, primary, replica, move |simulation, delivery| {
+            if delivery != Delivery::Arrived {
+                return;
             }
-            let all = std::mem::take(&mut s.pending_commits);
-            let (done, wait) = all.into_iter().partition(|w| w.entry.position <= end.position);
-            s.pending_commits = wait;
-            done
+            let now = simulation.now();
+            let primary_index = append.primary;
+            let Some(end) = group.with(|state| state.append_entries(now, &append)) else { return };
+            deliver(simulation, replica, primary, move |simulation, delivery| {
+                if delivery == Delivery::Arrived {
+                    group.complete_commits(simulation, primary_index, &end);
+                }
+            });
         });
-        done.into_iter().for_each(|w| self.send_reply(c, w.connection, w.reply_message, w.reply));
     }
 
-    /// Leads go on sending, all the run long.
-    pub fn replicate_periodically(self: &Arc<Self>, c: &Arc<Simulation>) {
-        let leads: Vec<_> = self.with(|st| {
-            let all = st.servers.iter().enumerate().filter(|(_, s)| s.role == Role::Primary);
-            all.map(|(i, s)| (i, s.pid)).collect()
+    /// A replica has received the log up to an entry: commits that waited for it are answered.
+    fn complete_commits(self: &Arc<Self>, simulation: &Arc<Simulation>, primary: usize, end: &Arc<LogEntry>) {
+        let completed = self.with(|state| state.servers[primary].take_commits_until(end));
+        for commit in completed {
+            self.send_reply(simulation, commit.connection, commit.reply, commit.reply_to);
+        }
+    }
+
+    /// Primaries send what replicas lack, again and again, all the run long.
+    pub fn replicate_periodically(self: &Arc<Self>, simulation: &Arc<Simulation>) {
+        let primaries: Vec<(usize, ProcessId)> = self.with(|state| {
+            let servers = state.servers.iter().enumerate();
+            let primaries = servers.filter(|(_, server)| server.role == Role::Primary);
+            primaries.map(|(index, server)| (index, server.pid)).collect()
         });
-        for (i, pid) in leads {
-            let runs = {
-                let m = c.lock();
-                m.processes[pid].up && m.processes[pid].paused_until <= m.now
-            };
-            if runs {
-                self.send_missing_entries(c, i);
+        for (index, pid) in primaries {
+            if simulation.lock().is_running(pid) {
+                self.send_missing_entries(simulation, index);
             }
         }
-        let site = self.clone();
-        c.schedule_action(c.now() + REPLICATION_INTERVAL, move |c| site.replicate_periodically(c));
+        let group = self.clone();
+        let next = simulation.now() + REPLICATION_INTERVAL;
+        simulation.schedule_action(next, move |simulation| group.replicate_periodically(simulation));
     }
 
-    /// Commits that nobody will answer any more: they ran, and what became of them is not said.
-    pub fn fail_commits(self: &Arc<Self>, c: &Arc<Simulation>, waiting: Vec<PendingCommit>) {
-        for w in waiting {
-            let no = Some((RejectReason::TimedOut, Bytes::new()));
-            self.send_reply(
-                c,
-                w.connection,
-                ServerReply { rejection: no, ..ServerReply::default() },
-                w.reply,
-            );
+    /// Answers commits that no replica will receive any more: whether they stand is not told.
+    pub fn fail_commits(self: &Arc<Self>, simulation: &Arc<Simulation>, pending: Vec<PendingCommit>) {
+        for commit in pending {
+            let rejection = Some((RejectReason::TimedOut, Bytes::new()));
+            let reply = ServerReply { rejection, ..ServerReply::default() };
+            self.send_reply(simulation, commit.connection, reply, commit.reply_to);
         }
     }
 }
 
+impl Server {
+    /// Takes the pending commits up to an entry, if that is in the log.
+    fn take_commits_until(&mut self, end: &Arc<LogEntry>) -> Vec<PendingCommit> {
+        if !self.holds(end, self.log.len()) {
+            return Vec::new();
+        }
+        let pending = std::mem::take(&mut self.pending_commits);
+        let is_complete = |commit: &PendingCommit| commit.entry.position <= end.position;
+        let (completed, waiting) = pending.into_iter().partition(is_complete);
+        self.pending_commits = waiting;
+        completed
+    }
+}
+
 impl GroupState {
-    /// Entries behind the first `n` come from the lead of `term`; the newest that is had by then.
-    fn append_entries(
-        &mut self,
-        now: Millis,
-        i: usize,
-        term: u64,
-        n: usize,
-        got: Vec<Arc<LogEntry>>,
-    ) -> Option<Arc<LogEntry>> {
-        // What a lead sent before another was promoted comes too late.
-        let over = self.primary().is_some_and(|l| self.servers[l].term > term);
-        let s = &mut self.servers[i];
-        if over
-            || s.role != Role::Replica
-            || s.suspended_term > 0
-            || s.replication_stopped
-            || term < s.term
-            || s.log.len() < n
-        {
+    /// For each replica that lacks entries of a primary's log, those entries.
+    fn missing_entries(&self, primary: usize) -> Vec<Append> {
+        let log = &self.servers[primary].log;
+        let term = self.servers[primary].term;
+        let mut appends = Vec::new();
+        for (replica, server) in self.servers.iter().enumerate() {
+            let after = server.common_prefix(log);
+            if replica != primary && server.role == Role::Replica && after < log.len() {
+                appends.push(Append { primary, term, replica, after, entries: log[after..].to_vec() });
+            }
+        }
+        appends
+    }
+
+    /// A replica takes entries of a primary; the newest that it has by then, none if it does not take them.
+    fn append_entries(&mut self, now: Millis, append: &Append) -> Option<Arc<LogEntry>> {
+        // What a primary sent before another was promoted comes too late.
+        let superseded = self.primary().is_some_and(|primary| self.servers[primary].term > append.term);
+        let replica = &mut self.servers[append.replica];
+        let takes_entries = replica.role == Role::Replica
+            && replica.suspended_term == 0
+            && !replica.replication_stopped
+            && append.term >= replica.term
+            && replica.log.len() >= append.after;
+        if superseded || !takes_entries {
             return None;
         }
-        let fits = s.log[n..].iter().zip(&got).all(|(a, b)| Arc::ptr_eq(a, b));
-        if !fits {
+        let held = &replica.log[append.after..];
+        if !held.iter().zip(&append.entries).all(|(held, sent)| Arc::ptr_eq(held, sent)) {
             return None;
         }
-        s.term = term;
-        let had = s.log.len() - n;
-        s.log.extend(got.iter().skip(had).cloned());
-        s.pending_visibility.push_back((now + 2 + s.replication_lag, s.log.len()));
-        got.last().cloned()
+        let held = held.len();
+        replica.term = append.term;
+        replica.log.extend(append.entries.iter().skip(held).cloned());
+        let visible_at = now + APPLY_TIME + replica.replication_lag;
+        replica.pending_visibility.push_back((visible_at, replica.log.len()));
+        append.entries.last().cloned()
+    }
+
+    /// STATUS and the calls that change how a server stands; its status after it.
+    pub fn apply_control_call(
+        &mut self,
+        now: Millis,
+        server: usize,
+        call: &ServerCall,
+        connections: u64,
+    ) -> ServerStatus {
+        let server = &mut self.servers[server];
+        match call {
+            ServerCall::Suspend { term }
+                if server.role == Role::Replica && *term > server.term.max(server.suspended_term) =>
+            {
+                server.suspended_term = *term;
+            }
+            ServerCall::Resume => server.suspended_term = 0,
+            ServerCall::Demote { term } if server.role == Role::Primary && *term > server.term => {
+                server.role = Role::Replica;
+                server.term = *term;
+            }
+            _ => {}
+        }
+        let (status, name) = (server.status(connections), server.name.clone());
+        if !matches!(call, ServerCall::Status) {
+            self.ledger.event_log.push(format!("{now} {name} {call:?}: {status:?}"));
+        }
+        status
     }
 }
--- a/crates/simulator/src/direct/request_execution.rs
+++ b/crates/simulator/src/direct/request_execution.rs
@@ -1,209 +1,292 @@
-//! How a question on a held link comes to a simulated server, takes a slot there, and is answered.
+//! How a request on a direct connection reaches a simulated server, takes a slot there, and is answered.
 use super::call_execution::{CallResult, statement_id};
 use super::delivery::{Delivery, deliver};
-use super::server_group::{GroupState, ReplySender, SLOTS, ServerGroup};
-use crate::fleet::simulation::Simulation;
+use super::ledger::StampedAnswer;
+use super::server::{ReplySender, SLOTS};
+use super::server_group::{GroupState, ServerGroup};
+use crate::fleet::simulation::{ProcessId, Simulation};
 use bytes::Bytes;
 use quincehatch_core::Millis;
 use quincehatch_proxy::ports::{RejectReason, ServerCall, ServerReply};
 use std::io;
 use std::sync::Arc;
-use std::sync::atomic::Ordering;
 
-/// Work under a leave that was acknowledged so long ago is new work too late.
+/// New work that is sent so long after a server's drain was acknowledged is a violation.
 const DRAIN_LIMIT: Millis = 7_000;
-/// A server that answers nothing keeps the link for so long.
+/// A node gives a request up that an unresponsive server does not answer for so long.
 const UNRESPONSIVE_TIMEOUT: Millis = 4_000;
+/// Least time of a request that takes a slot, and how much longer it may take.
+const MIN_EXECUTION_TIME: Millis = 2;
+const EXECUTION_TIME_SPREAD: Millis = 7;
+/// Share of statements that fail in the server.
+const FAILURES_PER_MILLE: u64 = 3;
+/// Share of lost replies whose connection is reset; the others are never answered.
+const RESETS_PER_MILLE: u64 = 500;
+
+/// A request on its way.
+struct Request {
+    connection: u64,
+    call: ServerCall,
+    sent_at: Millis,
+    reply_to: ReplySender,
+}
+
+/// What a server does with a request that arrives.
+enum Admission {
+    Busy,
+    /// It is executed, this much later than usual.
+    Admitted {
+        extra_latency: Millis,
+    },
+}
+
+/// A request in execution.
+struct Execution {
+    connection: u64,
+    call: ServerCall,
+    reply_to: ReplySender,
+    server: usize,
+    /// The server's incarnation that admitted it.
+    incarnation: u64,
+    takes_slot: bool,
+}
+
+/// What becomes of a reply that leaves a server.
+enum ReplyFate {
+    Sent {
+        node: ProcessId,
+        server: ProcessId,
+    },
+    /// It is lost, and the connection seems well.
+    Swallowed,
+    /// Its connection is gone.
+    Dropped,
+}
+
+/// True if the call takes one of the server's slots.
+fn takes_slot(call: &ServerCall) -> bool {
+    !matches!(
+        call,
+        ServerCall::Set { .. } | ServerCall::Prepare { .. } | ServerCall::Reset | ServerCall::Rollback
+    )
+}
 
 impl ServerGroup {
-    /// A question leaves a node.
-    pub fn send_request(self: &Arc<Self>, id: u64, call: ServerCall, reply: ReplySender) {
-        let Some(core) = self.core() else { return };
-        let ends = self.with(|s| {
-            let l = s.connections.get_mut(&id)?;
-            l.requests_in_flight += 1;
-            Some((l.node, s.servers[l.server].pid))
+    /// A node sends a request.
+    pub fn send_request(self: &Arc<Self>, id: u64, call: ServerCall, reply_to: ReplySender) {
+        let Some(simulation) = self.simulation() else { return };
+        let ends = self.with(|state| {
+            let connection = state.connections.get_mut(&id)?;
+            connection.requests_in_flight += 1;
+            Some((connection.node, state.servers[connection.server].pid))
         });
-        let Some((node, pid)) = ends else { return };
-        let (site, sent) = (self.clone(), core.now());
-        deliver(&core, node, pid, move |c, trip| match trip {
-            Delivery::Arrived => site.admit_request(c, id, call, sent, reply),
-            Delivery::Refused => drop(reply),
-            Delivery::TimedOut => drop(reply.send(Err(io::ErrorKind::TimedOut.into()))),
+        let Some((node, server)) = ends else { return };
+        let group = self.clone();
+        let request = Request { connection: id, call, sent_at: simulation.now(), reply_to };
+        deliver(&simulation, node, server, move |simulation, delivery| match delivery {
+            Delivery::Arrived => group.admit_request(simulation, request),
+            Delivery::Refused => drop(request),
+            Delivery::TimedOut => {
+                let _ = request.reply_to.send(Err(io::ErrorKind::TimedOut.into()));
+            }
         });
     }
-    /// A node's end of a link is closed: what is open on it is rolled back.
+
+    /// A node closes its end of a connection: what is open on it is rolled back.
     pub fn close(self: &Arc<Self>, id: u64) {
-        let Some(core) = self.core() else { return };
-        let ends = self.with(|s| s.connections.get(&id).map(|l| (l.node, s.servers[l.server].pid)));
-        let Some((node, pid)) = ends else { return };
-        let site = self.clone();
-        deliver(&core, node, pid, move |_, _| site.with(|s| s.client_closed(id)));
+        let Some(simulation) = self.simulation() else { return };
+        let ends = self.with(|state| {
+            let connection = state.connections.get(&id)?;
+            Some((connection.node, state.servers[connection.server].pid))
+        });
+        let Some((node, server)) = ends else { return };
+        let group = self.clone();
+        deliver(&simulation, node, server, move |_, _| group.with(|state| state.close_at_server(id)));
     }
 
-    fn admit_request(
-        self: &Arc<Self>,
-        c: &Arc<Simulation>,
-        id: u64,
-        call: ServerCall,
-        sent: Millis,
-        reply: ReplySender,
-    ) {
-        let takes = !matches!(
-            call,
-            ServerCall::Set { .. } | ServerCall::Prepare { .. } | ServerCall::Reset | ServerCall::Rollback
-        );
-        let now = c.now();
-        let work = self.with(|st| {
-            let l = st.connections.get(&id)?;
-            let (i, node) = (l.server, l.node);
-            let first =
-                l.transaction.as_ref().is_none_or(|t| t.client_transaction.is_none() && t.writes.is_empty());
-            let new = first && matches!(call, ServerCall::Run { .. } | ServerCall::Execute { .. });
-            let late = st.servers[i]
-                .drain_acknowledged_at
-                .filter(|t| sent > t + DRAIN_LIMIT && st.is_undisturbed(node, sent));
-            if let Some(t) = late.filter(|_| new) {
-                let name = st.servers[i].name.clone();
-                st.ledger.record_violation(format!(
-                    "DRAIN at {now}: {call:?} sent {sent} to {name} that left at {t}"
-                ));
+    fn admit_request(self: &Arc<Self>, simulation: &Arc<Simulation>, request: Request) {
+        let now = simulation.now();
+        let Some((server, admission)) = self.with(|state| state.admit(now, &request)) else { return };
+        let Request { connection, call, reply_to, .. } = request;
+        match admission {
+            Admission::Busy => {
+                let reply = self.with(|state| state.busy_reply(now, connection));
+                if let Some(reply) = reply {
+                    self.send_reply(simulation, connection, reply, reply_to);
+                }
             }
-            let s = &mut st.servers[i];
-            if takes && (s.slots_in_use >= SLOTS || now < s.busy_until) {
-                return Some((i, None));
+            Admission::Admitted { extra_latency } => {
+                let pid = self.with(|state| state.servers[server].pid);
+                let incarnation = simulation.lock().processes[pid].incarnation;
+                let takes_slot = takes_slot(&call);
+                let time = if takes_slot {
+                    let drawn = simulation.lock().rng.below(EXECUTION_TIME_SPREAD);
+                    MIN_EXECUTION_TIME + drawn + extra_latency
+                } else {
+                    0
+                };
+                let execution = Execution { connection, call, reply_to, server, incarnation, takes_slot };
+                let group = self.clone();
+                simulation
+                    .schedule_action(now + time, move |simulation| group.execute(simulation, execution));
             }
-            s.slots_in_use += usize::from(takes);
-            Some((i, Some(s.extra_latency)))
-        });
-        let Some((i, slow)) = work else { return };
-        let Some(slow) = slow else {
-            let said = self.with(|st| {
-                let end = st.servers[i].visible_end(now);
-                let l = st.connections.get_mut(&id)?;
-                l.requests_in_flight -= 1;
-                let no = Some((RejectReason::Busy, Bytes::new()));
-                Some(ServerReply {
-                    rejection: no,
-                    transaction_state: l.transaction_state(),
-                    log_end: Some(end),
-                    ..ServerReply::default()
-                })
-            });
-            return said.map_or((), |said| self.send_reply(c, id, said, reply));
-        };
-        let life = c.lock().processes[self.with(|s| s.servers[i].pid)].incarnation;
-        let takes_ms = if takes { 2 + c.lock().rng.below(7) + slow } else { 0 };
-        let site = self.clone();
-        c.schedule_action(now + takes_ms, move |c| {
-            site.execute_request(c, (id, i, life), takes, call, reply)
-        });
+        }
     }
 
-    fn execute_request(
-        self: &Arc<Self>,
-        c: &Arc<Simulation>,
-        at: (u64, usize, u64),
-        takes: bool,
-        call: ServerCall,
-        reply: ReplySender,
-    ) {
-        let (id, i, life) = at;
-        let pid = self.with(|s| s.servers[i].pid);
-        let (now, up, same, dark, still) = {
-            let m = c.lock();
-            let h = &m.processes[pid];
-            (m.now, h.up, h.incarnation == life, h.powered_off, h.paused_until)
+    fn execute(self: &Arc<Self>, simulation: &Arc<Simulation>, execution: Execution) {
+        let pid = self.with(|state| state.servers[execution.server].pid);
+        let now = simulation.now();
+        let (alive, powered_off, paused_until) = {
+            let state = simulation.lock();
+            let process = &state.processes[pid];
+            let alive = process.up && process.incarnation == execution.incarnation;
+            (alive, process.powered_off, process.paused_until)
         };
-        if !up || !same {
-            return if dark {
-                c.schedule_action(now + UNRESPONSIVE_TIMEOUT, move |_| drop(reply))
-            } else {
-                drop(reply)
-            };
+        if !alive && powered_off {
+            let reply_to = execution.reply_to;
+            return simulation.schedule_action(now + UNRESPONSIVE_TIMEOUT, move |_| drop(reply_to));
         }
-        if still > now {
-            let site = self.clone();
-            return c.schedule_action(still, move |c| site.execute_request(c, at, takes, call, reply));
+        if !alive {
+            return drop(execution);
         }
-        let fails = c.lock().rng.chance(3);
-        let done = self.with(|st| {
-            st.servers[i].slots_in_use -= usize::from(takes);
-            // Closed while it ran: it may be done all the same, or not.
-            let mut l = st.connections.remove(&id)?;
-            l.requests_in_flight -= 1;
-            let done = st.execute_call(now, &mut l, &call, fails);
-            let mut done = Some(done);
-            if let Some(CallResult::Reply(said)) = &mut done {
-                said.log_end = Some(st.servers[i].visible_end(now));
-                if let ServerCall::Run { id, .. }
-                | ServerCall::Execute { id, .. }
-                | ServerCall::Commit { id } = &call
-                {
-                    st.add_stamp(statement_id(id), i, said);
-                }
-            }
-            if !l.closed {
-                st.connections.insert(id, l);
+        if paused_until > now {
+            let group = self.clone();
+            return simulation
+                .schedule_action(paused_until, move |simulation| group.execute(simulation, execution));
+        }
+        let fails = simulation.lock().rng.chance(FAILURES_PER_MILLE);
+        let result = self.with(|state| state.finish_execution(now, &execution, fails));
+        let Execution { connection, reply_to, server, .. } = execution;
+        match result {
+            Some(CallResult::Reply(reply)) => self.send_reply(simulation, connection, reply, reply_to),
+            Some(CallResult::Commit(commit)) => {
+                self.append_commit(simulation, server, commit, connection, reply_to);
             }
-            done
-        });
-        match done {
-            Some(CallResult::Reply(said)) => self.send_reply(c, id, said, reply),
-            Some(CallResult::Commit(of, ids)) => self.append_commit(c, i, (id, of), ids, reply),
-            None => drop(reply),
+            None => drop(reply_to),
         }
     }
 
-    /// An answer leaves a server, unless it is lost with or without its link.
-    pub fn send_reply(self: &Arc<Self>, c: &Arc<Simulation>, id: u64, said: ServerReply, reply: ReplySender) {
-        let resets = c.lock().rng.chance(500);
-        let ends = self.with(|st| {
-            let l = st.connections.get(&id)?;
-            let (node, s) = (l.node, &mut st.servers[l.server]);
-            let pid = s.pid;
-            if s.replies_to_lose == 0 {
-                return Some((node, pid, false));
+    /// A reply leaves a server, unless it is lost, with or without its connection.
+    pub fn send_reply(
+        self: &Arc<Self>,
+        simulation: &Arc<Simulation>,
+        connection: u64,
+        reply: ServerReply,
+        reply_to: ReplySender,
+    ) {
+        let resets = simulation.lock().rng.chance(RESETS_PER_MILLE);
+        match self.with(|state| state.reply_fate(connection, resets)) {
+            ReplyFate::Dropped => drop(reply_to),
+            ReplyFate::Swallowed => {
+                let give_up_at = simulation.now() + UNRESPONSIVE_TIMEOUT;
+                simulation.schedule_action(give_up_at, move |_| drop(reply_to));
             }
-            s.replies_to_lose -= 1;
-            if resets {
-                st.server_closed(id);
-                return None;
+            ReplyFate::Sent { node, server } => {
+                deliver(simulation, server, node, move |_, delivery| {
+                    if delivery == Delivery::Arrived {
+                        let _ = reply_to.send(Ok(reply));
+                    }
+                });
             }
-            Some((node, pid, true))
-        });
-        match ends {
-            None => drop(reply),
-            Some((_, _, true)) => c.schedule_action(c.now() + UNRESPONSIVE_TIMEOUT, move |_| drop(reply)),
-            Some((node, pid, false)) => deliver(c, pid, node, move |_, trip| match trip {
-                Delivery::Arrived => drop(reply.send(Ok(said))),
-                _ => drop(reply),
-            }),
         }
     }
 }
 
 impl GroupState {
-    fn client_closed(&mut self, id: u64) {
-        if self.connections.get(&id).is_some_and(|l| l.requests_in_flight == 0) {
-            self.connections.remove(&id);
-        } else if let Some(l) = self.connections.get_mut(&id) {
-            l.closed = true;
+    /// Whether the request's server executes it; none if its connection is gone.
+    fn admit(&mut self, now: Millis, request: &Request) -> Option<(usize, Admission)> {
+        let server = self.connections.get(&request.connection)?.server;
+        self.check_drain(now, request);
+        let takes_slot = takes_slot(&request.call);
+        let target = &mut self.servers[server];
+        if takes_slot && (target.slots_in_use >= SLOTS || now < target.busy_until) {
+            return Some((server, Admission::Busy));
         }
+        target.slots_in_use += usize::from(takes_slot);
+        Some((server, Admission::Admitted { extra_latency: target.extra_latency }))
     }
-    /// The server's end of a link is gone.
-    pub fn server_closed(&mut self, id: u64) {
-        if let Some(l) = self.connections.remove(&id) {
-            l.broken.store(true, Ordering::SeqCst);
+
+    /// No new work is sent to a server whose drain every undisturbed node knows of.
+    fn check_drain(&mut self, now: Millis, request: &Request) {
+        let Some(connection) = self.connections.get(&request.connection) else { return };
+        let unused = connection.transaction.as_ref().is_none_or(|transaction| {
+            transaction.client_transaction.is_none() && transaction.writes.is_empty()
+        });
+        let is_statement = matches!(request.call, ServerCall::Run { .. } | ServerCall::Execute { .. });
+        if !unused || !is_statement {
+            return;
+        }
+        let server = &self.servers[connection.server];
+        let Some(drained_at) = server.drain_acknowledged_at else { return };
+        let sent_at = request.sent_at;
+        if sent_at > drained_at + DRAIN_LIMIT && self.is_undisturbed(connection.node, sent_at) {
+            let (call, name) = (&request.call, &server.name);
+            let violation =
+                format!("DRAIN at {now}: {call:?} sent {sent_at} to {name} that drains since {drained_at}");
+            self.ledger.record_violation(violation);
         }
     }
-    pub fn add_stamp(&mut self, id: u64, server: usize, said: &mut ServerReply) {
-        if said.rejection.is_some() {
-            return;
+
+    fn busy_reply(&mut self, now: Millis, id: u64) -> Option<ServerReply> {
+        let connection = self.connections.get_mut(&id)?;
+        connection.requests_in_flight -= 1;
+        let transaction_state = connection.transaction_state();
+        let log_end = Some(self.servers[connection.server].visible_end(now));
+        let rejection = Some((RejectReason::Busy, Bytes::new()));
+        Some(ServerReply { rejection, transaction_state, log_end, ..ServerReply::default() })
+    }
+
+    /// Executes a request whose time is over; none if its connection was closed meanwhile.
+    fn finish_execution(&mut self, now: Millis, execution: &Execution, fails: bool) -> Option<CallResult> {
+        let Execution { connection: id, call, server, .. } = execution;
+        self.servers[*server].slots_in_use -= usize::from(execution.takes_slot);
+        let mut connection = self.connections.remove(id)?;
+        connection.requests_in_flight -= 1;
+        let mut result = self.execute_call(now, &mut connection, call, fails);
+        if let CallResult::Reply(reply) = &mut result {
+            reply.log_end = Some(self.servers[*server].visible_end(now));
+            if let ServerCall::Run { id, .. } | ServerCall::Execute { id, .. } | ServerCall::Commit { id } =
+                call
+            {
+                self.add_stamp(statement_id(id), *server, reply);
+            }
+        }
+        if !connection.closed {
+            self.connections.insert(*id, connection);
+        }
+        Some(result)
+    }
+
+    fn reply_fate(&mut self, id: u64, resets: bool) -> ReplyFate {
+        let Some(connection) = self.connections.get(&id) else { return ReplyFate::Dropped };
+        let node = connection.node;
+        let server = &mut self.servers[connection.server];
+        if server.replies_to_lose == 0 {
+            return ReplyFate::Sent { node, server: server.pid };
+        }
+        server.replies_to_lose -= 1;
+        if resets {
+            self.break_connection(id);
+            return ReplyFate::Dropped;
+        }
+        ReplyFate::Swallowed
+    }
+
+    /// The node's end is closed; requests in execution keep the connection until they are done.
+    fn close_at_server(&mut self, id: u64) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if connection.requests_in_flight == 0 {
+            self.connections.remove(&id);
+        } else {
+            connection.closed = true;
+        }
+    }
+
+    /// Stamps a success, so that it can be told from any other.
+    pub fn add_stamp(&mut self, statement: u64, server: usize, reply: &mut ServerReply) {
+        if reply.rejection.is_none() {
+            let answer = StampedAnswer { statement, rows: reply.rows.clone() };
+            reply.stamp = Some(self.ledger.stamp(&self.servers[server].name, answer));
         }
-        let n = self.ledger.answers_by_stamp.len();
-        let stamp = Bytes::from(format!("{}.{n:x}", self.servers[server].name));
-        self.ledger.answers_by_stamp.insert(stamp.clone(), (id, said.rows.clone()));
-        said.stamp = Some(stamp);
     }
 }
--- a/crates/simulator/src/direct/server_ports.rs
+++ b/crates/simulator/src/direct/server_ports.rs
@@ -1,9 +1,11 @@
-//! The ports of held links as a simulated node has them (§3.6).
+//! The servers and the promoter, as a simulated node reaches them.
+use super::connection::{Connection, OpenedConnection};
 use super::delivery::{Delivery, deliver};
-use super::server_group::{MAX_CONNECTIONS, ServerGroup, ServerLink};
+use super::server::MAX_CONNECTIONS;
+use super::server_group::{GroupState, ServerGroup};
 use crate::fleet::simulation::ProcessId;
 use bytes::Bytes;
-use quincehatch_core::{FencingToken, Name, Position};
+use quincehatch_core::{FencingToken, Millis, Name};
 use quincehatch_proxy::ports::{
     OpenResult, Promoter, PromotionOutcome, RejectReason, ServerCall, ServerConnection, ServerConnector,
     ServerPorts, ServerReply,
@@ -16,158 +18,170 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
+/// A node waits so long for the promoter's answer.
 const PROMOTE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// The group as one node reaches it.
 struct NodeView {
-    site: Arc<ServerGroup>,
+    group: Arc<ServerGroup>,
     node: ProcessId,
 }
 
-pub fn server_ports(site: &Arc<ServerGroup>, node: ProcessId) -> ServerPorts {
-    let from = || NodeView { site: site.clone(), node };
-    ServerPorts { servers: Arc::new(from()), promoter: Arc::new(from()) }
+/// Servers and promoter as a node reaches them.
+pub fn server_ports(group: &Arc<ServerGroup>, node: ProcessId) -> ServerPorts {
+    let view = || NodeView { group: group.clone(), node };
+    ServerPorts { servers: Arc::new(view()), promoter: Arc::new(view()) }
 }
 
-pub fn server_connector(site: &Arc<ServerGroup>, node: ProcessId) -> Arc<dyn ServerConnector> {
-    Arc::new(NodeView { site: site.clone(), node })
+/// Servers as a node reaches them.
+pub fn server_connector(group: &Arc<ServerGroup>, node: ProcessId) -> Arc<dyn ServerConnector> {
+    Arc::new(NodeView { group: group.clone(), node })
 }
 
+/// A node's end of a connection.
 struct NodeConnection {
-    site: Arc<ServerGroup>,
+    group: Arc<ServerGroup>,
     id: u64,
     broken: Arc<AtomicBool>,
 }
 
 impl Drop for NodeConnection {
     fn drop(&mut self) {
-        self.site.close(self.id);
+        self.group.close(self.id);
     }
 }
 
+fn connection_reset() -> io::Error {
+    io::ErrorKind::ConnectionReset.into()
+}
+
 impl ServerConnection for NodeConnection {
-    fn call<'a>(&'a mut self, c: &'a ServerCall) -> BoxFuture<'a, io::Result<ServerReply>> {
+    fn call<'call>(&'call mut self, call: &'call ServerCall) -> BoxFuture<'call, io::Result<ServerReply>> {
         let (tx, rx) = oneshot::channel();
-        self.site.send_request(self.id, c.clone(), tx);
+        self.group.send_request(self.id, call.clone(), tx);
         Box::pin(async move {
-            let got = rx.await.unwrap_or_else(|_| Err(io::ErrorKind::ConnectionReset.into()));
-            if got.is_err() {
+            let result = rx.await.unwrap_or_else(|_| Err(connection_reset()));
+            if result.is_err() {
                 self.broken.store(true, Ordering::SeqCst);
             }
-            got
+            result
         })
     }
+
     fn broken(&mut self) -> Option<io::Error> {
-        self.broken.load(Ordering::SeqCst).then(|| io::ErrorKind::ConnectionReset.into())
+        self.broken.load(Ordering::SeqCst).then(connection_reset)
     }
 }
 
-/// What the server said to a new link: its own number of it, and its log's end.
-type SimulatedOpenResult = io::Result<Result<(u64, Arc<AtomicBool>, Position), RejectReason>>;
+/// What a server says to a new connection.
+type Opened = io::Result<Result<OpenedConnection, RejectReason>>;
+
+impl NodeView {
+    /// Asks a server for a connection; its answer goes to `tx`, and no connection is left if nobody waits for it.
+    fn request_connection(&self, addr: &str, server: Name, tx: oneshot::Sender<Opened>) {
+        let Some(simulation) = self.group.simulation() else { return };
+        let Some(index) = self.group.with(|state| state.server_at(addr)) else { return };
+        let (group, node) = (self.group.clone(), self.node);
+        let pid = group.with(|state| state.servers[index].pid);
+        deliver(&simulation, node, pid, move |simulation, delivery| {
+            let opened = match delivery {
+                Delivery::Arrived => {
+                    let now = simulation.now();
+                    Ok(group.with(|state| state.open_connection(now, node, index, &server)))
+                }
+                Delivery::Refused => Err(io::ErrorKind::ConnectionRefused.into()),
+                Delivery::TimedOut => {
+                    let _ = tx.send(Err(io::ErrorKind::TimedOut.into()));
+                    return;
+                }
+            };
+            deliver(simulation, pid, node, move |_, _| {
+                if let Err(Ok(Ok(abandoned))) = tx.send(opened) {
+                    group.close(abandoned.id);
+                }
+            });
+        });
+    }
+}
 
 impl ServerConnector for NodeView {
     fn connect(
         &self,
         addr: Name,
-        _: Name,
+        _group: Name,
         server: Name,
-        _: KeepaliveSettings,
+        _keepalive: KeepaliveSettings,
     ) -> BoxFuture<'static, io::Result<OpenResult>> {
-        let (site, node) = (self.site.clone(), self.node);
-        let (tx, rx) = oneshot::channel::<SimulatedOpenResult>();
-        if let (Some(core), Some(to)) = (site.core(), site.with(|s| s.server_at(&addr))) {
-            let at = site.clone();
-            let pid = site.with(|s| s.servers[to].pid);
-            deliver(&core, node, pid, move |c, trip| {
-                let begun = match trip {
-                    Delivery::Arrived => Ok(at.with(|s| s.open_connection(c.now(), node, to, &server))),
-                    Delivery::Refused => Err(io::ErrorKind::ConnectionRefused.into()),
-                    Delivery::TimedOut => return drop(tx.send(Err(io::ErrorKind::TimedOut.into()))),
-                };
-                deliver(c, pid, node, move |_, _| {
-                    if let Err(Ok(Ok((id, ..)))) = tx.send(begun) {
-                        at.close(id);
-                    }
-                });
-            });
-        }
+        let (tx, rx) = oneshot::channel::<Opened>();
+        self.request_connection(&addr, server, tx);
+        let group = self.group.clone();
         Box::pin(async move {
-            let reset = || io::Error::from(io::ErrorKind::ConnectionReset);
-            Ok(match rx.await.unwrap_or_else(|_| Err(reset()))? {
-                Ok((id, broken, end)) => Ok((
-                    Box::new(NodeConnection { site, id, broken }) as Box<dyn ServerConnection>,
-                    Some(end),
-                )),
-                Err(no) => Err((no, Bytes::new())),
+            let opened = rx.await.unwrap_or_else(|_| Err(connection_reset()))?;
+            Ok(match opened {
+                Ok(OpenedConnection { id, broken, log_end }) => {
+                    let connection: Box<dyn ServerConnection> =
+                        Box::new(NodeConnection { group, id, broken });
+                    Ok((connection, Some(log_end)))
+                }
+                Err(reason) => Err((reason, Bytes::new())),
             })
         })
     }
 }
 
-impl super::server_group::GroupState {
+impl GroupState {
     fn server_at(&self, addr: &str) -> Option<usize> {
-        self.servers.iter().position(|s| s.addr == addr)
+        self.servers.iter().position(|server| server.addr == addr)
     }
-    /// A new link at a server, or its no.
+
+    /// Opens a connection at a server that still has the expected name, and room.
     fn open_connection(
         &mut self,
-        now: u64,
+        now: Millis,
         node: ProcessId,
-        server: usize,
+        index: usize,
         name: &Name,
-    ) -> Result<(u64, Arc<AtomicBool>, Position), RejectReason> {
-        let s = &mut self.servers[server];
-        if s.name != *name {
+    ) -> Result<OpenedConnection, RejectReason> {
+        if self.servers[index].name != *name {
             return Err(RejectReason::WrongServer);
         }
-        if self.connections.values().filter(|l| l.server == server).count() >= MAX_CONNECTIONS {
+        if self.connections_of_server(index).len() >= MAX_CONNECTIONS {
             return Err(RejectReason::TooManyConnections);
         }
-        let end = s.visible_end(now);
-        let broken = Arc::new(AtomicBool::new(false));
-        self.next_connection_id += 1;
-        let l = ServerLink {
-            node,
-            server,
-            values: Default::default(),
-            prepared: Default::default(),
-            transaction: None,
-            requests_in_flight: 0,
-            closed: false,
-            broken: broken.clone(),
-        };
-        self.connections.insert(self.next_connection_id, l);
-        Ok((self.next_connection_id, broken, end))
+        let log_end = self.servers[index].visible_end(now);
+        self.last_connection_id += 1;
+        let id = self.last_connection_id;
+        let connection = Connection::new(node, index);
+        let broken = connection.broken.clone();
+        self.connections.insert(id, connection);
+        Ok(OpenedConnection { id, broken, log_end })
     }
 }
 
 impl Promoter for NodeView {
     fn promote(
         &self,
-        _: Name,
+        _group: Name,
         server: Name,
-        _: Name,
+        _addr: Name,
         fence: FencingToken,
     ) -> BoxFuture<'static, PromotionOutcome> {
         let (tx, rx) = oneshot::channel();
-        if let Some(core) = self.site.core() {
-            let (site, node) = (self.site.clone(), self.node);
-            let promoter = site.with(|s| s.promoter);
-            deliver(&core, node, promoter, move |c, trip| {
-                if trip == Delivery::Arrived {
-                    let said = site.accept_promotion(c, &server, fence);
-                    deliver(c, promoter, node, move |_, _| {
-                        let _ = tx.send(said);
+        if let Some(simulation) = self.group.simulation() {
+            let (group, node) = (self.group.clone(), self.node);
+            let promoter = group.with(|state| state.promoter);
+            deliver(&simulation, node, promoter, move |simulation, delivery| {
+                if delivery == Delivery::Arrived {
+                    let outcome = group.accept_promotion(simulation, &server, fence);
+                    deliver(simulation, promoter, node, move |_, _| {
+                        let _ = tx.send(outcome);
                     });
                 }
             });
         }
         Box::pin(async move {
-            seam::timeout(PROMOTE_TIMEOUT, rx)
-                .await
-                .ok()
-                .and_then(Result::ok)
-                .unwrap_or(PromotionOutcome::InDoubt)
+            let answer = seam::timeout(PROMOTE_TIMEOUT, rx).await;
+            answer.ok().and_then(Result::ok).unwrap_or(PromotionOutcome::InDoubt)
         })
     }
 }
--- a/crates/simulator/src/direct/setup.rs
+++ b/crates/simulator/src/direct/setup.rs
@@ -1,76 +1,95 @@
-//! Lays a held fleet out: keepers, nodes, a group's servers, the promoter, and the origins' process.
-use super::server_group::{Server, ServerGroup};
+//! Builds a fleet on direct connections: keepers, nodes, a group's servers, the promoter, and the clients' process.
+use super::server::Server;
+use super::server_group::ServerGroup;
 use super::server_ports;
-use crate::fleet::keeper::{self, Disk, KeeperRegistry};
+use crate::addresses;
+use crate::fleet::keeper::{KeeperGroup, KeeperRegistry};
 use crate::fleet::simulation::{ProcessId, Simulation, StartProcess};
 use quincehatch_config::settings::NodeSettings;
-use quincehatch_core::{Name, Role};
+use quincehatch_core::Role;
 use quincehatch_node::{ClusterNode, gossip};
 use quincehatch_proxy::direct::DirectProxy;
-use quincehatch_runtime::seam;
-use quincehatch_store::keeper::RecoveredState;
-use quincehatch_store::{View, Voter};
+use quincehatch_runtime::seam::{self, BoxFuture};
+use quincehatch_store::Voter;
 use std::sync::{Arc, Mutex};
 
+/// Name of the only group.
 pub const GROUP: &str = "g";
+/// Servers of the group.
 pub const SERVERS: usize = 3;
+/// Nodes that every node knows from its settings.
+const SEED_NODES: usize = 3;
+const ZONES: usize = 3;
 
-/// One life of a node's process.
+/// How large a fleet is.
+pub struct FleetSize {
+    /// Number of keepers.
+    pub keepers: usize,
+    /// Number of nodes.
+    pub nodes: usize,
+}
+
+/// What runs in one incarnation of a node's process.
 pub struct RunningNode {
+    /// The node.
     pub node: Arc<ClusterNode>,
+    /// Its sessions on direct connections.
     pub direct_proxy: Arc<DirectProxy>,
 }
 
+type RunningSlot = Arc<Mutex<Option<Arc<RunningNode>>>>;
+
+/// A node's process.
 #[derive(Clone)]
 pub struct SimulatedNode {
+    /// The process.
     pub pid: ProcessId,
+    /// The node's name.
     pub name: String,
-    running: Arc<Mutex<Option<Arc<RunningNode>>>>,
+    running: RunningSlot,
 }
 
+impl SimulatedNode {
+    /// What runs in its newest incarnation.
+    pub fn running(&self) -> Option<Arc<RunningNode>> {
+        self.running.lock().unwrap().clone()
+    }
+}
+
+/// A fleet in a simulation.
 pub struct DirectFleet {
-    pub core: Arc<Simulation>,
+    /// The simulation it runs in.
+    pub simulation: Arc<Simulation>,
+    /// The group's servers.
     pub group: Arc<ServerGroup>,
+    /// Processes of the keepers.
     pub keepers: Vec<ProcessId>,
+    /// Where the keepers listen.
     pub keeper_addresses: Vec<String>,
+    /// What the keepers share.
     pub keeper_registry: Arc<KeeperRegistry>,
+    /// The nodes.
     pub nodes: Vec<SimulatedNode>,
+    /// The process of all clients.
     pub clients: ProcessId,
 }
 
-fn address(kind: u64, i: usize) -> String {
-    format!("127.0.0.{kind}:{}", 1_000 + i)
-}
-
-fn build_keepers(core: &Arc<Simulation>, n: usize) -> (Vec<ProcessId>, Arc<KeeperRegistry>) {
-    let names: Vec<Name> = (0..n).map(|i| format!("k{i}").into()).collect();
-    let machines =
-        names.iter().enumerate().map(|(i, n)| Voter { name: n.clone(), addr: address(1, i).into() });
-    let view = View { version: 1, members: names.clone(), voters: machines.collect() };
-    let all = Arc::new(KeeperRegistry { process_by_name: Mutex::default(), commit_watch: Mutex::default() });
-    let mut pids = Vec::new();
-    for (i, n) in names.into_iter().enumerate() {
-        let disk: Disk = Arc::new(Mutex::new(RecoveredState { view: view.clone(), ..Default::default() }));
-        let (name, of) = (n.clone(), all.clone());
-        let start: StartProcess =
-            Arc::new(move |c, pid| keeper::start_keeper(c, pid, &name, &address(1, i), &disk, &of));
-        let pid = core.add_process(&n, start, false);
-        all.process_by_name.lock().unwrap().insert(n, pid);
-        pids.push(pid);
-    }
-    (pids, all)
+fn start_keepers(simulation: &Arc<Simulation>, count: usize) -> KeeperGroup {
+    let voter =
+        |index: usize| Voter { name: format!("k{index}").into(), addr: addresses::keeper(index).into() };
+    KeeperGroup::start(simulation, (0..count).map(voter).collect())
 }
 
-fn node_settings(i: usize, nodes: usize, keepers_at: &[String]) -> NodeSettings {
+fn node_settings(index: usize, size: &FleetSize) -> NodeSettings {
     NodeSettings {
-        name: format!("n{i}"),
-        zone: format!("d{}", i % 3),
-        client_listener: address(2, i),
-        operator_listener: address(3, i),
-        gossip_listener: address(4, i),
-        seeds: (0..nodes.min(3)).map(|i| address(4, i)).collect(),
-        keepers: keepers_at.to_vec(),
-        platform: address(6, 0),
+        name: format!("n{index}"),
+        zone: format!("d{}", index % ZONES),
+        client_listener: addresses::client_listener(index),
+        operator_listener: addresses::operator_listener(index),
+        gossip_listener: addresses::gossip_listener(index),
+        seeds: (0..size.nodes.min(SEED_NODES)).map(addresses::gossip_listener).collect(),
+        keepers: (0..size.keepers).map(addresses::keeper).collect(),
+        platform: addresses::platform(),
         token: "t".into(),
         log: "off".into(),
         threads: 1,
@@ -78,92 +97,97 @@
 }
 
 fn start_node(
-    core: &Arc<Simulation>,
+    simulation: &Arc<Simulation>,
     pid: ProcessId,
-    set: &NodeSettings,
-    site: &Arc<ServerGroup>,
+    settings: &NodeSettings,
+    group: &Arc<ServerGroup>,
 ) -> Arc<RunningNode> {
-    let fleet = ClusterNode::with_ports(set, Some(server_ports::server_ports(site, pid)));
-    let held = DirectProxy::new(fleet.proxy.clone(), server_ports::server_connector(site, pid));
-    let to = fleet.clone();
-    let on_frame = move |b: Vec<u8>| {
-        let f = to.clone();
-        Box::pin(async move { gossip::respond_to_frame(&f, &b).await }) as seam::BoxFuture<'_, _>
+    let node = ClusterNode::with_ports(settings, Some(server_ports::server_ports(group, pid)));
+    let direct_proxy = DirectProxy::new(node.proxy.clone(), server_ports::server_connector(group, pid));
+    let shared = node.clone();
+    let on_gossip = move |bytes: Vec<u8>| {
+        let node = shared.clone();
+        Box::pin(async move { gossip::respond_to_frame(&node, &bytes).await }) as BoxFuture<'_, _>
     };
-    core.listen_frames(&set.gossip_listener, pid, Arc::new(on_frame));
-    fleet.start();
-    let f = fleet.clone();
-    seam::spawn(held.clone().trim_idle_connections(move || f.gossip.live_nodes().len()));
-    Arc::new(RunningNode { node: fleet, direct_proxy: held })
+    simulation.listen_frames(&settings.gossip_listener, pid, Arc::new(on_gossip));
+    node.start();
+    let shared = node.clone();
+    let live_nodes = move || shared.gossip.live_nodes().len();
+    seam::spawn(direct_proxy.clone().trim_idle_connections(live_nodes));
+    Arc::new(RunningNode { node, direct_proxy })
 }
 
-impl SimulatedNode {
-    pub fn live(&self) -> Option<Arc<RunningNode>> {
-        self.running.lock().unwrap().clone()
+/// A server before the first commit; the first is the primary.
+fn new_server(index: usize, pid: ProcessId) -> Server {
+    Server {
+        name: format!("s{index}").into(),
+        pid,
+        addr: addresses::server(index).into(),
+        role: if index == 0 { Role::Primary } else { Role::Replica },
+        term: 1,
+        ..Server::default()
     }
 }
 
-pub fn build_fleet(
-    seed: u64,
-    keepers: usize,
-    nodes: usize,
-    bug: Option<&str>,
-    tell: bool,
-) -> Arc<DirectFleet> {
-    fastrand::seed(seed);
-    let core = Simulation::new(seed, bug, tell);
-    let (keeper_pids, watched) = build_keepers(&core, keepers);
-    let keepers_at: Vec<String> = (0..keepers).map(|i| address(1, i)).collect();
-    let idle: StartProcess = Arc::new(|_, _| ());
-    let servers: Vec<ProcessId> =
-        (0..SERVERS).map(|i| core.add_process(&format!("s{i}"), idle.clone(), true)).collect();
-    let promoter = core.add_process("promoter", idle.clone(), true);
-    let site = ServerGroup::new(&core, promoter);
-    site.with(|st| {
-        st.servers = servers
-            .iter()
-            .enumerate()
-            .map(|(i, pid)| Server {
-                name: format!("s{i}").into(),
-                pid: *pid,
-                addr: address(5, i).into(),
-                role: if i == 0 { Role::Primary } else { Role::Replica },
-                term: 1,
-                ..Server::default()
-            })
-            .collect();
+fn add_group(simulation: &Arc<Simulation>, passive: &StartProcess) -> Arc<ServerGroup> {
+    let mut servers = Vec::new();
+    for index in 0..SERVERS {
+        let pid = simulation.add_process(&format!("s{index}"), passive.clone(), true);
+        servers.push(new_server(index, pid));
+    }
+    let promoter = simulation.add_process("promoter", passive.clone(), true);
+    let group = ServerGroup::new(simulation, promoter);
+    group.with(|state| state.servers = servers);
+    group
+}
+
+fn add_node(simulation: &Arc<Simulation>, settings: NodeSettings, group: &Arc<ServerGroup>) -> SimulatedNode {
+    let running = RunningSlot::default();
+    let (slot, name, group) = (running.clone(), settings.name.clone(), group.clone());
+    let start: StartProcess = Arc::new(move |simulation, pid| {
+        let started = start_node(simulation, pid, &settings, &group);
+        *slot.lock().unwrap() = Some(started);
     });
-    let mut all = Vec::new();
-    for i in 0..nodes {
-        let set = node_settings(i, nodes, &keepers_at);
-        let live: Arc<Mutex<Option<Arc<RunningNode>>>> = Arc::default();
-        let (l, name, s) = (live.clone(), set.name.clone(), site.clone());
-        let start: StartProcess = Arc::new(move |c, pid| {
-            let now = start_node(c, pid, &set, &s);
-            *l.lock().unwrap() = Some(now);
-        });
-        let pid = core.add_process(&name, start, false);
-        all.push(SimulatedNode { pid, name, running: live });
+    let pid = simulation.add_process(&name, start, false);
+    SimulatedNode { pid, name, running }
+}
+
+/// Builds a fleet and starts its processes, in an order that is part of what a seed means.
+pub fn build_fleet(seed: u64, size: &FleetSize, bug: Option<&str>, verbose: bool) -> Arc<DirectFleet> {
+    fastrand::seed(seed);
+    let simulation = Simulation::new(seed, bug, verbose);
+    let keepers = start_keepers(&simulation, size.keepers);
+    // Servers, promoter and clients are no processes of their own code: their state is in this crate.
+    let passive: StartProcess = Arc::new(|_, _| ());
+    let group = add_group(&simulation, &passive);
+    let mut nodes = Vec::new();
+    for index in 0..size.nodes {
+        nodes.push(add_node(&simulation, node_settings(index, size), &group));
     }
-    let origins = core.add_process("origins", idle, true);
-    let c = core.clone();
-    site.replicate_periodically(&c);
+    let clients = simulation.add_process("clients", passive, true);
+    group.replicate_periodically(&simulation);
     Arc::new(DirectFleet {
-        core,
-        group: site,
-        keepers: keeper_pids,
-        keeper_addresses: keepers_at,
-        keeper_registry: watched,
-        nodes: all,
-        clients: origins,
+        simulation,
+        group,
+        keepers: keepers.processes,
+        keeper_addresses: (0..size.keepers).map(addresses::keeper).collect(),
+        keeper_registry: keepers.registry,
+        nodes,
+        clients,
     })
 }
 
 impl DirectFleet {
-    /// Lets go of what the processes hold.
+    /// Releases what the processes hold.
     pub fn shut_down(&self) {
-        self.core.shut_down();
-        self.nodes.iter().for_each(|n| drop(n.running.lock().unwrap().take()));
-        self.group.with(|s| s.servers.iter_mut().for_each(|s| s.pending_commits.clear()));
+        self.simulation.shut_down();
+        for node in &self.nodes {
+            drop(node.running.lock().unwrap().take());
+        }
+        self.group.with(|state| {
+            for server in &mut state.servers {
+                server.pending_commits.clear();
+            }
+        });
     }
 }
