--- a/crates/simulator/src/fleet/delivery.rs
+++ b/crates/simulator/src/fleet/delivery.rs
@@ -1,148 +1,214 @@
-//! What happens when something arrives at a simulated process (§9.1).
-use super::network::{FRAME_TIMEOUT, HttpRequest, Message, RETRANSMIT_AFTER, USER_TIMEOUT};
+//! Arrival of messages at simulated processes.
+use super::network::{
+    Envelope, FRAME_TIMEOUT, HttpReply, HttpRequest, Message, RETRANSMIT_AFTER, TCP_USER_TIMEOUT,
+};
 use super::simulation::{Event, ProcessId, Simulation};
 use quincehatch_core::Millis;
+use quincehatch_runtime::seam;
+use quincehatch_store::PeerMessage;
 use std::io::{Error, ErrorKind};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
+/// What becomes of a message that reaches its destination's machine.
+enum Arrival {
+    /// Nothing of the machine answers.
+    Unreachable,
+    /// The process is suspended until that time.
+    Suspended(Millis),
+    /// The process, or the kernel of its machine, takes the message.
+    Taken,
+}
+
 impl Simulation {
-    pub(super) fn deliver(self: &Arc<Self>, from: ProcessId, to: ProcessId, sent: Millis, n: Message) {
-        let mut m = self.lock();
-        let now = m.now;
-        let (up, dark, paused) =
-            (m.processes[to].up, m.processes[to].powered_off, m.processes[to].paused_until);
-        let lost = m.partitions.contains(&(from, to)) || (!up && dark);
-        if lost {
-            let most = if matches!(n, Message::Frame { .. } | Message::FrameReply { .. }) {
-                FRAME_TIMEOUT
-            } else {
-                USER_TIMEOUT
-            };
-            match n {
-                Message::Peer(_) => {}
-                n if now < sent + most => {
-                    drop(m.schedule(now + RETRANSMIT_AFTER, Event::Message { from, to, sent, n }))
-                }
-                Message::Syn(id) | Message::Request(HttpRequest { connection: id, .. }) => {
-                    drop(m);
-                    self.break_connection(id, ErrorKind::TimedOut);
-                }
-                _ => {}
+    /// Handles a message at the time of its arrival.
+    pub(super) fn deliver(self: &Arc<Self>, envelope: Envelope) {
+        match self.arrival(envelope.from, envelope.to) {
+            Arrival::Unreachable => self.retransmit_or_give_up(envelope),
+            Arrival::Suspended(until) => {
+                self.lock().schedule(until, Event::Message(envelope));
             }
-            return;
+            Arrival::Taken => self.dispatch(envelope),
+        }
+    }
+
+    fn arrival(&self, from: ProcessId, to: ProcessId) -> Arrival {
+        let state = self.lock();
+        let receiver = &state.processes[to];
+        let without_power = !receiver.up && receiver.powered_off;
+        if state.partitions.contains(&(from, to)) || without_power {
+            Arrival::Unreachable
+        } else if receiver.up && receiver.paused_until > state.now {
+            Arrival::Suspended(receiver.paused_until)
+        } else {
+            Arrival::Taken
         }
-        if up && paused > now {
-            m.schedule(paused, Event::Message { from, to, sent, n });
+    }
+
+    fn retransmit_or_give_up(self: &Arc<Self>, envelope: Envelope) {
+        let now = self.now();
+        let timeout = match envelope.message {
+            // A datagram is not sent again.
+            Message::Peer(_) => return,
+            Message::Frame { .. } | Message::FrameReply { .. } => FRAME_TIMEOUT,
+            _ => TCP_USER_TIMEOUT,
+        };
+        if now < envelope.sent_at + timeout {
+            self.lock().schedule(now + RETRANSMIT_AFTER, Event::Message(envelope));
             return;
         }
-        match n {
-            Message::Peer(p) => {
-                let f = m.network.peer_handlers.get(&to).cloned().filter(|_| up);
-                drop(m);
-                if let Some(f) = f {
-                    self.run_in(to, || f(from, p));
-                }
-            }
-            Message::Syn(id) => {
-                let ok = up
-                    && m.network
-                        .connections
-                        .get(&id)
-                        .is_some_and(|l| m.network.http_listeners.contains_key(&l.addr));
-                if let Some(l) = m.network.connections.get_mut(&id) {
-                    l.server_open = ok;
-                }
-                m.send(to, from, Message::SynAck(id, ok));
-            }
-            Message::SynAck(id, ok) => {
-                let Some(l) = m.network.connections.get_mut(&id) else { return };
-                let tx = l.connect_reply.take();
-                if !ok && let Some(l) = m.network.connections.remove(&id) {
-                    m.deferred_drops.push(Box::new(l));
-                }
-                drop(m);
-                let r = if ok { Ok(()) } else { Err(Error::from(ErrorKind::ConnectionRefused)) };
-                drop(tx.map(|tx| tx.send(r)));
-            }
-            Message::Request(v) => {
-                let Some(l) = m.network.connections.get(&v.connection) else { return };
-                let (id, open, f) = (
-                    v.connection,
-                    l.server_open && up,
-                    m.network.http_listeners.get(&l.addr).map(|h| h.0.clone()),
-                );
-                let Some(f) = f.filter(|_| open) else { return m.send(to, from, Message::Reset(id)) };
-                drop(m);
-                self.run_in(to, || {
-                    let (core, fut) = (self.clone(), f(v));
-                    let work = async move {
-                        let got = fut.await;
-                        let mut m = core.lock();
-                        match got {
-                            Some(r) if m.network.connections.get(&id).is_some_and(|l| l.server_open) => {
-                                m.send(to, from, Message::HttpReply(id, r));
-                            }
-                            Some(_) => {}
-                            None => m.reset_connection(id),
-                        }
-                    };
-                    quincehatch_runtime::seam::spawn(work)
-                });
-            }
-            Message::HttpReply(id, r) => {
-                let tx = m.network.connections.get_mut(&id).and_then(|l| l.http_reply.take());
-                drop(m);
-                drop(tx.map(|tx| tx.send(Ok(r))));
-            }
-            Message::Reset(id) => {
-                drop(m);
-                self.break_connection(id, ErrorKind::ConnectionReset);
-            }
-            Message::Closed(id) => {
-                let Some(l) = m.network.connections.remove(&id) else { return };
-                let f = m.network.http_listeners.get(&l.addr).map(|h| h.1.clone()).filter(|_| up);
-                drop(m);
-                if let Some(f) = f {
-                    self.run_in(to, || f(id));
-                }
-            }
-            Message::Frame { rid, addr, bytes } => {
-                let f = m.network.frame_listeners.get(&addr).cloned().filter(|_| up);
-                let Some(f) = f else { return m.send(to, from, Message::FrameReply { rid, got: None }) };
-                drop(m);
-                self.run_in(to, || {
-                    let (core, fut) = (self.clone(), f(bytes));
-                    quincehatch_runtime::seam::spawn(async move {
-                        let got = fut.await;
-                        core.lock().send(to, from, Message::FrameReply { rid, got });
-                    })
-                });
-            }
-            Message::FrameReply { rid, got } => {
-                let tx = m.network.pending_frames.remove(&rid);
-                drop(m);
-                drop(tx.map(|tx| tx.send(got.ok_or_else(|| ErrorKind::ConnectionRefused.into()))));
+        if let Message::Syn(id) | Message::Request(HttpRequest { connection: id, .. }) = envelope.message {
+            self.break_connection(id, ErrorKind::TimedOut);
+        }
+    }
+
+    fn dispatch(self: &Arc<Self>, envelope: Envelope) {
+        let Envelope { from, to, message, .. } = envelope;
+        match message {
+            Message::Peer(message) => self.deliver_to_peer(from, to, message),
+            Message::Syn(id) => self.accept_connection(from, to, id),
+            Message::SynAck(id, accepted) => self.finish_connecting(id, accepted),
+            Message::Request(request) => self.serve_request(from, to, request),
+            Message::HttpReply(id, reply) => self.deliver_reply(id, reply),
+            Message::Reset(id) => self.break_connection(id, ErrorKind::ConnectionReset),
+            Message::Closed(id) => self.close_at_server(to, id),
+            Message::Frame { request_id, addr, bytes } => {
+                self.serve_frame((from, to), request_id, &addr, bytes);
             }
+            Message::FrameReply { request_id, reply } => self.deliver_frame_reply(request_id, reply),
         }
     }
 
-    /// The asker's end of a link breaks.
+    fn is_up(&self, pid: ProcessId) -> bool {
+        self.lock().processes[pid].up
+    }
+
+    fn deliver_to_peer(self: &Arc<Self>, from: ProcessId, to: ProcessId, message: PeerMessage) {
+        if !self.is_up(to) {
+            return;
+        }
+        let handler = self.lock().network.peer_handlers.get(&to).cloned();
+        if let Some(handler) = handler {
+            self.run_in(to, || handler(from, message));
+        }
+    }
+
+    fn accept_connection(&self, from: ProcessId, to: ProcessId, id: u64) {
+        let mut state = self.lock();
+        let up = state.processes[to].up;
+        let network = &mut state.network;
+        let addr = network.connections.get(&id).map(|connection| &connection.addr);
+        let accepted = up && addr.is_some_and(|addr| network.http_listeners.contains_key(addr));
+        if let Some(connection) = network.connections.get_mut(&id) {
+            connection.server_open = accepted;
+        }
+        state.send(to, from, Message::SynAck(id, accepted));
+    }
+
+    fn finish_connecting(&self, id: u64, accepted: bool) {
+        let mut state = self.lock();
+        let Some(connection) = state.network.connections.get_mut(&id) else { return };
+        let connect_reply = connection.connect_reply.take();
+        if !accepted && let Some(connection) = state.network.connections.remove(&id) {
+            state.deferred_drops.push(Box::new(connection));
+        }
+        drop(state);
+        let result = if accepted { Ok(()) } else { Err(Error::from(ErrorKind::ConnectionRefused)) };
+        drop(connect_reply.map(|reply| reply.send(result)));
+    }
+
+    fn serve_request(self: &Arc<Self>, from: ProcessId, to: ProcessId, request: HttpRequest) {
+        let id = request.connection;
+        let mut state = self.lock();
+        let up = state.processes[to].up;
+        let Some(connection) = state.network.connections.get(&id) else { return };
+        let open = up && connection.server_open;
+        let listener = state.network.http_listeners.get(&connection.addr).filter(|_| open).cloned();
+        let Some(listener) = listener else { return state.send(to, from, Message::Reset(id)) };
+        drop(state);
+        self.run_in(to, || {
+            let (simulation, reply) = (self.clone(), (listener.on_request)(request));
+            seam::spawn(async move {
+                let reply = reply.await;
+                simulation.finish_request(from, to, id, reply);
+            })
+        });
+    }
+
+    /// Sends a reply on a connection that is still open; a request without one resets the connection.
+    fn finish_request(&self, client: ProcessId, server: ProcessId, id: u64, reply: Option<HttpReply>) {
+        let mut state = self.lock();
+        let Some(reply) = reply else { return state.reset_connection(id) };
+        if state.network.connections.get(&id).is_some_and(|connection| connection.server_open) {
+            state.send(server, client, Message::HttpReply(id, reply));
+        }
+    }
+
+    fn deliver_reply(&self, id: u64, reply: HttpReply) {
+        let mut state = self.lock();
+        let waiting = state.network.connections.get_mut(&id).and_then(|found| found.http_reply.take());
+        drop(state);
+        drop(waiting.map(|waiting| waiting.send(Ok(reply))));
+    }
+
+    fn close_at_server(self: &Arc<Self>, server: ProcessId, id: u64) {
+        let mut state = self.lock();
+        let up = state.processes[server].up;
+        let Some(connection) = state.network.connections.remove(&id) else { return };
+        let listener = state.network.http_listeners.get(&connection.addr).filter(|_| up).cloned();
+        drop(state);
+        if let Some(listener) = listener {
+            self.run_in(server, || (listener.on_close)(id));
+        }
+    }
+
+    fn serve_frame(
+        self: &Arc<Self>,
+        (from, to): (ProcessId, ProcessId),
+        request_id: u64,
+        addr: &str,
+        bytes: Vec<u8>,
+    ) {
+        let mut state = self.lock();
+        let up = state.processes[to].up;
+        let handler = state.network.frame_listeners.get(addr).filter(|_| up).cloned();
+        let Some(handler) = handler else {
+            return state.send(to, from, Message::FrameReply { request_id, reply: None });
+        };
+        drop(state);
+        self.run_in(to, || {
+            let (simulation, reply) = (self.clone(), handler(bytes));
+            seam::spawn(async move {
+                let reply = reply.await;
+                simulation.lock().send(to, from, Message::FrameReply { request_id, reply });
+            })
+        });
+    }
+
+    fn deliver_frame_reply(&self, request_id: u64, reply: Option<Vec<u8>>) {
+        let waiting = self.lock().network.pending_frames.remove(&request_id);
+        let result = reply.ok_or_else(|| ErrorKind::ConnectionRefused.into());
+        drop(waiting.map(|waiting| waiting.send(result)));
+    }
+
+    /// The client's end of a connection breaks.
     fn break_connection(self: &Arc<Self>, id: u64, kind: ErrorKind) {
-        let mut m = self.lock();
-        let Some(l) = m.network.connections.remove(&id) else { return };
-        let closed =
-            m.network.http_listeners.get(&l.addr).map(|h| h.1.clone()).filter(|_| m.processes[l.server].up);
-        drop(m);
-        l.closed.store(true, Ordering::SeqCst);
-        drop(l.connect_reply.map(|tx| tx.send(Err(kind.into()))));
-        match (l.http_reply, l.on_break) {
-            (Some(tx), _) => drop(tx.send(Err(kind.into()))),
-            (None, Some(f)) if l.client_open => self.run_in(l.client, || f(kind.into())),
+        let mut state = self.lock();
+        let Some(connection) = state.network.connections.remove(&id) else { return };
+        let server_up = state.processes[connection.server].up;
+        let listener = state.network.http_listeners.get(&connection.addr).filter(|_| server_up).cloned();
+        drop(state);
+        connection.closed.store(true, Ordering::SeqCst);
+        drop(connection.connect_reply.map(|reply| reply.send(Err(kind.into()))));
+        match (connection.http_reply, connection.on_break) {
+            (Some(reply), _) => drop(reply.send(Err(kind.into()))),
+            (None, Some(on_break)) if connection.client_open => {
+                self.run_in(connection.client, || on_break(kind.into()));
+            }
             _ => {}
         }
-        if let Some(f) = closed {
-            self.run_in(l.server, || f(id));
+        if let Some(listener) = listener {
+            self.run_in(connection.server, || (listener.on_close)(id));
         }
     }
 }
--- a/crates/simulator/src/fleet/executor.rs
+++ b/crates/simulator/src/fleet/executor.rs
@@ -1,147 +1,181 @@
-//! Runs the tasks of all simulated processes in one order (§9.1).
-use super::simulation::{Event, ProcessId, Simulation, SimulationState, Task};
+//! Runs the tasks of all simulated processes, one at a time, in the order of the event queue.
+use super::simulation::{CLOCK_RATE_UNIT, Event, ProcessId, Simulation, SimulationState, Task};
 use quincehatch_core::Millis;
 use quincehatch_runtime::seam::BoxFuture;
 use std::sync::{Arc, Weak};
 use std::task::{Context, Wake, Waker};
 
+/// A task taken out for a poll.
+struct PolledTask {
+    id: u64,
+    process: ProcessId,
+    future: BoxFuture<'static, ()>,
+}
+
 impl Simulation {
-    pub fn spawn(self: &Arc<Self>, host: ProcessId, life: u64, f: BoxFuture<'static, ()>) {
-        let mut m = self.lock();
-        if !m.processes[host].up || m.processes[host].incarnation != life {
-            m.dead_tasks.push((host, f));
+    /// Adds a task to an incarnation of a process; one that is over drops it.
+    pub fn spawn(self: &Arc<Self>, pid: ProcessId, incarnation: u64, future: BoxFuture<'static, ()>) {
+        let mut state = self.lock();
+        if !state.processes[pid].up || state.processes[pid].incarnation != incarnation {
+            state.dead_tasks.push((pid, future));
             return;
         }
-        m.next_sequence += 1;
-        let id = m.next_sequence;
-        m.tasks.insert(id, Task { process: host, incarnation: life, future: Some(f), queued: true });
-        m.ready_tasks.push_back(id);
+        state.next_sequence += 1;
+        let id = state.next_sequence;
+        state.tasks.insert(id, Task { process: pid, incarnation, future: Some(future), queued: true });
+        state.ready_tasks.push_back(id);
     }
-    pub fn wake_at(&self, pid: ProcessId, at: Millis, w: Waker) -> u64 {
-        let mut m = self.lock();
-        let (base, rate) = (m.processes[pid].clock_offset, m.processes[pid].clock_rate);
-        let when = (at.saturating_sub(base) * 100_000).div_ceil(rate).max(m.now + 1);
-        let id = m.schedule(when, Event::Wake(w));
-        m.timers.insert(id, when);
-        id
+
+    /// Sets a timer at a local time of the process; its id.
+    pub fn wake_at(&self, pid: ProcessId, at: Millis, waker: Waker) -> u64 {
+        let mut state = self.lock();
+        let process = &state.processes[pid];
+        let elapsed = at.saturating_sub(process.clock_offset) * CLOCK_RATE_UNIT;
+        let when = elapsed.div_ceil(process.clock_rate).max(state.now + 1);
+        let timer = state.schedule(when, Event::Wake(waker));
+        state.timers.insert(timer, when);
+        timer
     }
-    pub fn cancel(&self, timer: u64) {
-        let mut m = self.lock();
-        let gone = m.timers.remove(&timer).and_then(|at| m.events.remove(&(at, timer)));
-        drop(m);
-        drop(gone);
+
+    /// Cancels a timer; none if it has run out.
+    pub fn cancel_timer(&self, timer: u64) {
+        let mut state = self.lock();
+        let cancelled = state.timers.remove(&timer).and_then(|at| state.events.remove(&(at, timer)));
+        drop(state);
+        // The waker may hold the last reference to its task, whose drop takes the lock.
+        drop(cancelled);
     }
 
     /// Runs until that time, and leaves no task that could go on before it.
     pub fn run_until(self: &Arc<Self>, end: Millis) {
         loop {
             while self.poll_next_task() {}
-            let ev = {
-                let mut m = self.lock();
-                let Some((&(at, n), _)) = m.events.first_key_value().filter(|(k, _)| k.0 <= end) else {
-                    m.now = end;
-                    return;
-                };
-                m.now = at;
-                m.timers.remove(&n);
-                m.events.remove(&(at, n))
-            };
-            match ev {
-                Some(Event::Wake(w)) => w.wake(),
-                Some(Event::Resume(p)) => {
-                    let mut m = self.lock();
-                    if m.processes[p].paused_until <= m.now {
-                        let parked = std::mem::take(&mut m.processes[p].suspended_tasks);
-                        m.ready_tasks.extend(parked);
-                    }
-                }
-                Some(Event::Message { from, to, sent, n }) => self.deliver(from, to, sent, n),
-                Some(Event::Run(f)) => f(self),
-                None => {}
-            }
+            let Some(event) = self.take_event_until(end) else { return };
+            self.handle(event);
+        }
+    }
+
+    /// The next event, at whose time it now is; none before or at `end`, at which it is then.
+    fn take_event_until(&self, end: Millis) -> Option<Event> {
+        let mut state = self.lock();
+        let next = state.events.first_key_value().map(|(key, _)| *key).filter(|(at, _)| *at <= end);
+        let Some((at, sequence)) = next else {
+            state.now = end;
+            return None;
+        };
+        state.now = at;
+        state.timers.remove(&sequence);
+        state.events.remove(&(at, sequence))
+    }
+
+    fn handle(self: &Arc<Self>, event: Event) {
+        match event {
+            Event::Wake(waker) => waker.wake(),
+            Event::Resume(pid) => self.lock().resume(pid),
+            Event::Message(envelope) => self.deliver(envelope),
+            Event::Run(action) => action(self),
         }
     }
 
+    /// Polls the first task that is ready; false if there is none.
     fn poll_next_task(self: &Arc<Self>) -> bool {
-        let trash = std::mem::take(&mut self.lock().deferred_drops);
-        drop(trash);
-        let graves = std::mem::take(&mut self.lock().dead_tasks);
-        for (pid, f) in graves {
-            self.run_in(pid, || drop(f));
+        self.drop_dead_tasks();
+        if self.lock().ready_tasks.is_empty() {
+            return false;
         }
-        let (id, host, mut fut) = {
-            let mut m = self.lock();
-            let Some(id) = m.ready_tasks.pop_front() else { return false };
-            let now = m.now;
-            let Some(host) = m.tasks.get(&id).map(|t| t.process) else { return true };
-            if m.processes[host].paused_until > now {
-                m.processes[host].suspended_tasks.push(id);
-                return true;
-            }
-            let Some(t) = m.tasks.get_mut(&id) else { return true };
-            t.queued = false;
-            let Some(fut) = t.future.take() else { return true };
-            m.extend_trace(id, host as u64);
-            (id, host, fut)
-        };
-        let waker = Waker::from(Arc::new(TaskWaker { id, core: Arc::downgrade(self) }));
-        let done = self.run_in(host, || fut.as_mut().poll(&mut Context::from_waker(&waker)).is_ready());
-        let mut m = self.lock();
-        let alive = m.tasks.contains_key(&id);
+        let Some(PolledTask { id, process, mut future }) = self.lock().take_ready_task() else { return true };
+        let waker = Waker::from(Arc::new(TaskWaker { id, simulation: Arc::downgrade(self) }));
+        let mut context = Context::from_waker(&waker);
+        let done = self.run_in(process, || future.as_mut().poll(&mut context).is_ready());
+        let mut state = self.lock();
+        let alive = state.tasks.contains_key(&id);
         if done || !alive {
-            m.tasks.remove(&id);
-            m.dead_tasks.push((host, fut));
-        } else if let Some(t) = m.tasks.get_mut(&id) {
-            t.future = Some(fut);
+            state.tasks.remove(&id);
+            state.dead_tasks.push((process, future));
+        } else if let Some(task) = state.tasks.get_mut(&id) {
+            task.future = Some(future);
         }
         true
     }
 
-    /// All tasks of a process are gone, in the midst of whatever they did.
-    pub(super) fn kill_tasks(&self, m: &mut SimulationState, pid: ProcessId) {
-        let life = m.processes[pid].incarnation;
-        let gone: Vec<u64> = m
-            .tasks
-            .iter()
-            .filter(|(_, t)| t.process == pid && t.incarnation == life)
-            .map(|(i, _)| *i)
-            .collect();
-        for id in gone {
-            let fut = m.tasks.remove(&id).and_then(|t| t.future);
-            m.dead_tasks.extend(fut.map(|f| (pid, f)));
+    /// Drops what could not be dropped under the lock; futures within their process, as their drop may act.
+    fn drop_dead_tasks(self: &Arc<Self>) {
+        let deferred = std::mem::take(&mut self.lock().deferred_drops);
+        drop(deferred);
+        let dead = std::mem::take(&mut self.lock().dead_tasks);
+        for (pid, future) in dead {
+            self.run_in(pid, || drop(future));
         }
-        m.processes[pid].suspended_tasks.clear();
     }
 
-    /// Ends the run: whatever holds on to the world is let go.
+    /// Ends the run: releases whatever refers to the simulation.
     pub fn shut_down(self: &Arc<Self>) {
-        let q = {
-            let mut m = self.lock();
-            for p in 0..m.processes.len() {
-                self.kill_tasks(&mut m, p);
-                m.processes[p].up = false;
+        let released = {
+            let mut state = self.lock();
+            for pid in 0..state.processes.len() {
+                state.kill_tasks(pid);
+                state.processes[pid].up = false;
             }
-            (std::mem::take(&mut m.events), m.network.take())
+            (std::mem::take(&mut state.events), state.network.take())
         };
-        drop(q);
+        drop(released);
         while self.poll_next_task() {}
-        let hosts = std::mem::take(&mut self.lock().processes);
-        drop(hosts);
+        let processes = std::mem::take(&mut self.lock().processes);
+        drop(processes);
+    }
+}
+
+impl SimulationState {
+    /// The first ready task, unless it is gone or its process is suspended.
+    fn take_ready_task(&mut self) -> Option<PolledTask> {
+        let id = self.ready_tasks.pop_front()?;
+        let process = self.tasks.get(&id)?.process;
+        if self.processes[process].paused_until > self.now {
+            self.processes[process].suspended_tasks.push(id);
+            return None;
+        }
+        let task = self.tasks.get_mut(&id)?;
+        task.queued = false;
+        let future = task.future.take()?;
+        self.extend_trace(id, process as u64);
+        Some(PolledTask { id, process, future })
+    }
+
+    /// Lets a process go on if its suspension is over.
+    fn resume(&mut self, pid: ProcessId) {
+        if self.processes[pid].paused_until <= self.now {
+            let suspended = std::mem::take(&mut self.processes[pid].suspended_tasks);
+            self.ready_tasks.extend(suspended);
+        }
+    }
+
+    /// Removes all tasks of a process, wherever they are.
+    pub(super) fn kill_tasks(&mut self, pid: ProcessId) {
+        let incarnation = self.processes[pid].incarnation;
+        let of_process = |task: &Task| task.process == pid && task.incarnation == incarnation;
+        let killed: Vec<u64> =
+            self.tasks.iter().filter(|(_, task)| of_process(task)).map(|(id, _)| *id).collect();
+        for id in killed {
+            let future = self.tasks.remove(&id).and_then(|task| task.future);
+            self.dead_tasks.extend(future.map(|future| (pid, future)));
+        }
+        self.processes[pid].suspended_tasks.clear();
     }
 }
 
+/// Wakes a task by its id.
 struct TaskWaker {
     id: u64,
-    core: Weak<Simulation>,
+    simulation: Weak<Simulation>,
 }
 
 impl Wake for TaskWaker {
     fn wake(self: Arc<Self>) {
-        let Some(core) = self.core.upgrade() else { return };
-        let mut m = core.lock();
-        if let Some(t) = m.tasks.get_mut(&self.id).filter(|t| !t.queued) {
-            t.queued = true;
-            m.ready_tasks.push_back(self.id);
+        let Some(simulation) = self.simulation.upgrade() else { return };
+        let mut state = simulation.lock();
+        if let Some(task) = state.tasks.get_mut(&self.id).filter(|task| !task.queued) {
+            task.queued = true;
+            state.ready_tasks.push_back(self.id);
         }
     }
 }
--- a/crates/simulator/src/fleet/faults.rs
+++ b/crates/simulator/src/fleet/faults.rs
@@ -1,213 +1,285 @@
-//! What goes wrong in a simulated fleet, drawn from the seed (§9.1).
+//! Faults of a simulated fleet, drawn from the seed.
 use super::setup::SimulatedFleet;
 use super::simulation::{ProcessId, Trap};
 use quincehatch_core::{Millis, ServerState};
+use quincehatch_runtime::now;
 use quincehatch_testbed::stand_in::faults::FaultSettings;
 use std::sync::Arc;
 
+/// Shortest fault, and how much longer one may be.
+pub(super) const MIN_FAULT_TIME: Millis = 200;
+pub(super) const FAULT_TIME_SPREAD: Millis = 6_500;
+/// A split lasts this much longer than other faults.
+const EXTRA_SPLIT_TIME: Millis = 2_500;
+/// Least time between two faults, and how much more it may be.
+const MIN_FAULT_GAP: Millis = 300;
+const FAULT_GAP_SPREAD: Millis = 3_500;
+/// Least share of packets that a lossy network loses, and how much more it may be.
+const MIN_LOSS_PER_MILLE: u64 = 20;
+const LOSS_SPREAD: u64 = 150;
+/// A draining server goes on for so long, as the server contract has it.
+const DRAIN_TIME: Millis = 8_000;
+/// What a slowed server's statements take longer, and what a lagging replica's log arrives later.
+const SLOW_MS: u64 = 300;
+const LAG_MS: u64 = 900;
+/// Replies that a server loses in one fault.
+const LOST_REPLIES: u64 = 5;
+
+/// A fault and how long it lasts.
 #[derive(Clone, Debug)]
 pub enum Fault {
+    /// A process crashes.
     Crash(ProcessId, Millis),
-    /// The machine goes off without a word: its links are not closed.
+    /// The machine of a process loses power: its connections are not closed.
     PowerOff(ProcessId, Millis),
+    /// A process is suspended.
     Pause(ProcessId, Millis),
-    /// From the first to the second, for so long; both ways when the flag is up.
-    Partition(ProcessId, ProcessId, bool, Millis),
-    /// Cut off from everyone; with the flag only what it sends is lost.
-    Isolate(ProcessId, bool, Millis),
-    /// Some are cut off from the rest, though callers reach all; with the flag only what they send is lost.
-    Split(Vec<ProcessId>, bool, Millis),
-    PacketLoss(u64, Millis),
-    /// Something inside a server, and its end after so long.
-    Server(usize, FaultSettings, FaultSettings, Millis),
-    /// A server says that it leaves, goes, and is back.
-    Drain(usize, Millis),
-    /// Whoever promotes next is stopped at a point of it.
+    /// One process does not reach another.
+    Partition {
+        /// Sender that is cut off.
+        from: ProcessId,
+        /// Receiver that it does not reach.
+        to: ProcessId,
+        /// Neither reaches the other.
+        both_ways: bool,
+        /// How long.
+        time: Millis,
+    },
+    /// A process is cut off from all others; `one_way`: only what it sends is lost.
+    Isolate {
+        /// The process.
+        pid: ProcessId,
+        /// It still receives.
+        one_way: bool,
+        /// How long.
+        time: Millis,
+    },
+    /// Some are cut off from the rest, though callers reach all; `one_way`: only what they send is lost.
+    Split {
+        /// The smaller part.
+        part: Vec<ProcessId>,
+        /// The part still receives.
+        one_way: bool,
+        /// How long.
+        time: Millis,
+    },
+    /// The whole network loses this share of packets.
+    PacketLoss {
+        /// Lost packets in a thousand.
+        per_mille: u64,
+        /// How long.
+        time: Millis,
+    },
+    /// Something inside a server.
+    Server {
+        /// Index of the server.
+        server: usize,
+        /// What begins the fault.
+        begin: FaultSettings,
+        /// What ends it.
+        end: FaultSettings,
+        /// How long.
+        time: Millis,
+    },
+    /// A server announces that it drains, stops, and is back after this time.
+    Drain {
+        /// Index of the server.
+        server: usize,
+        /// How long it is down.
+        time: Millis,
+    },
+    /// The next process that reaches a trace point is stopped there.
     Trap(Trap),
 }
 
-pub fn fault_settings(f: impl FnOnce(&mut FaultSettings)) -> FaultSettings {
-    let mut w = FaultSettings::default();
-    f(&mut w);
-    w
+/// Settings with some fields set.
+pub fn fault_settings(set: impl FnOnce(&mut FaultSettings)) -> FaultSettings {
+    let mut settings = FaultSettings::default();
+    set(&mut settings);
+    settings
+}
+
+/// A fault inside a server that is switched on and off.
+fn switched(server: usize, time: Millis, set: fn(&mut FaultSettings, bool)) -> Fault {
+    let begin = fault_settings(|settings| set(settings, true));
+    let end = fault_settings(|settings| set(settings, false));
+    Fault::Server { server, begin, end, time }
 }
 
-/// Draws one fault.
-pub fn draw_fault(l: &SimulatedFleet) -> Fault {
-    let mut m = l.core.lock();
-    let all: Vec<ProcessId> =
-        l.keepers.iter().chain(&l.nodes).copied().chain(l.servers.iter().map(|s| s.pid)).collect();
-    let r = &mut m.rng;
-    let p = *r.pick(&all).unwrap_or(&0);
-    let q = *r.pick(&all).unwrap_or(&0);
-    let s = r.below(l.servers.len() as u64) as usize;
-    let ms = 200 + r.below(6_500);
-    let off =
-        |f: fn(&mut FaultSettings, bool)| (fault_settings(|w| f(w, true)), fault_settings(|w| f(w, false)));
-    match r.below(100) {
-        0..20 => Fault::Crash(p, ms),
-        20..28 => Fault::PowerOff(p, ms),
-        28..42 => Fault::Pause(p, ms),
-        42..47 => Fault::Partition(p, q, r.chance(500), ms),
+/// A fault inside a server that has a size, which 0 ends.
+fn sized(server: usize, time: Millis, size: u64, set: fn(&mut FaultSettings, u64)) -> Fault {
+    let begin = fault_settings(|settings| set(settings, size));
+    let end = fault_settings(|settings| set(settings, 0));
+    Fault::Server { server, begin, end, time }
+}
+
+/// Draws one fault. The order of draws is part of what a seed means.
+pub fn draw_fault(fleet: &SimulatedFleet) -> Fault {
+    let mut state = fleet.simulation.lock();
+    let all = fleet.faultable_processes();
+    let rng = &mut state.rng;
+    let pid = *rng.pick(&all).unwrap_or(&0);
+    let other = *rng.pick(&all).unwrap_or(&0);
+    let server = rng.below(fleet.servers.len() as u64) as usize;
+    let time = MIN_FAULT_TIME + rng.below(FAULT_TIME_SPREAD);
+    match rng.below(100) {
+        0..20 => Fault::Crash(pid, time),
+        20..28 => Fault::PowerOff(pid, time),
+        28..42 => Fault::Pause(pid, time),
+        42..47 => Fault::Partition { from: pid, to: other, both_ways: rng.chance(500), time },
         47..56 => {
-            let some = all.iter().copied().filter(|_| r.chance(300)).collect();
-            Fault::Split(some, r.chance(300), ms + 2_500)
-        }
-        56..62 => Fault::Isolate(p, r.chance(400), ms),
-        62..68 => Fault::PacketLoss(20 + r.below(150), ms),
-        68..78 => {
-            let (a, b) = off(|w, on| w.stall = Some(on));
-            Fault::Server(s, a, b, ms)
+            let part = all.iter().copied().filter(|_| rng.chance(300)).collect();
+            Fault::Split { part, one_way: rng.chance(300), time: time + EXTRA_SPLIT_TIME }
         }
-        78..82 => {
-            let (a, b) = off(|w, on| w.deaf = Some(on));
-            Fault::Server(s, a, b, ms)
+        56..62 => Fault::Isolate { pid, one_way: rng.chance(400), time },
+        62..68 => Fault::PacketLoss { per_mille: MIN_LOSS_PER_MILLE + rng.below(LOSS_SPREAD), time },
+        68..78 => switched(server, time, |settings, on| settings.stall = Some(on)),
+        78..82 => switched(server, time, |settings, on| settings.deaf = Some(on)),
+        82..85 => sized(server, time, SLOW_MS, |settings, size| settings.slow_ms = Some(size)),
+        85..88 => sized(server, time, LAG_MS, |settings, size| settings.lag_ms = Some(size)),
+        88..92 => sized(server, time, LOST_REPLIES, |settings, size| settings.lose_answers = Some(size)),
+        92..96 => {
+            let begin = fault_settings(|settings| settings.reset = Some(true));
+            Fault::Server { server, begin, end: FaultSettings::default(), time }
         }
-        82..85 => Fault::Server(
-            s,
-            fault_settings(|w| w.slow_ms = Some(300)),
-            fault_settings(|w| w.slow_ms = Some(0)),
-            ms,
-        ),
-        85..88 => Fault::Server(
-            s,
-            fault_settings(|w| w.lag_ms = Some(900)),
-            fault_settings(|w| w.lag_ms = Some(0)),
-            ms,
-        ),
-        88..92 => Fault::Server(
-            s,
-            fault_settings(|w| w.lose_answers = Some(5)),
-            fault_settings(|w| w.lose_answers = Some(0)),
-            ms,
-        ),
-        92..96 => Fault::Server(s, fault_settings(|w| w.reset = Some(true)), FaultSettings::default(), ms),
-        _ => Fault::Drain(s, ms),
+        _ => Fault::Drain { server, time },
     }
 }
 
-/// Draws faults for a stretch of time; some run side by side.
+/// Draws faults for a stretch of time; some overlap.
 pub fn schedule_faults(
-    l: &Arc<SimulatedFleet>,
+    fleet: &Arc<SimulatedFleet>,
     from: Millis,
-    len: Millis,
+    period: Millis,
     draw: fn(&SimulatedFleet) -> Fault,
 ) {
-    let mut t = from;
+    let mut at = from;
     loop {
-        t += 300 + l.core.lock().rng.below(3_500);
-        if t >= from + len {
+        at += MIN_FAULT_GAP + fleet.simulation.lock().rng.below(FAULT_GAP_SPREAD);
+        if at >= from + period {
             return;
         }
-        let x = l.clone();
-        l.core.schedule_action(t, move |_| {
-            let f = draw(&x);
-            inject(&x, f);
+        let shared = fleet.clone();
+        fleet.simulation.schedule_action(at, move |_| {
+            let fault = draw(&shared);
+            inject(&shared, fault);
         });
     }
 }
 
 fn schedule_after(
-    l: &Arc<SimulatedFleet>,
-    ms: Millis,
-    f: impl FnOnce(&Arc<SimulatedFleet>) + Send + 'static,
+    fleet: &Arc<SimulatedFleet>,
+    time: Millis,
+    act: impl FnOnce(&Arc<SimulatedFleet>) + Send + 'static,
 ) {
-    let (x, at) = (l.clone(), l.core.now() + ms);
-    l.core.schedule_action(at, move |_| f(&x));
+    let shared = fleet.clone();
+    let at = fleet.simulation.now() + time;
+    fleet.simulation.schedule_action(at, move |_| act(&shared));
 }
 
-pub fn inject(l: &Arc<SimulatedFleet>, f: Fault) {
-    let c = &l.core;
-    c.log(&format!("fault {f:?}"));
-    c.lock().crashes_enabled = true;
-    match f {
-        Fault::Crash(p, ms) => {
-            c.crash(p, false);
-            schedule_after(l, ms, move |l| l.core.restart(p));
+/// Begins a fault and schedules its end.
+pub fn inject(fleet: &Arc<SimulatedFleet>, fault: Fault) {
+    let simulation = &fleet.simulation;
+    simulation.log(&format!("fault {fault:?}"));
+    simulation.lock().crashes_enabled = true;
+    match fault {
+        Fault::Crash(pid, time) => fleet.crash_for(pid, false, time),
+        Fault::PowerOff(pid, time) => fleet.crash_for(pid, true, time),
+        Fault::Pause(pid, time) => simulation.suspend(pid, time),
+        Fault::Partition { from, to, both_ways, time } => {
+            fleet.partition_for(vec![(from, to)], both_ways, time);
         }
-        Fault::PowerOff(p, ms) => {
-            c.crash(p, true);
-            schedule_after(l, ms, move |l| l.core.restart(p));
+        Fault::Isolate { pid, one_way, time } => {
+            let count = simulation.lock().processes.len();
+            let pairs = (0..count).filter(|other| *other != pid).map(|other| (pid, other)).collect();
+            fleet.partition_for(pairs, !one_way, time);
         }
-        Fault::Pause(p, ms) => c.suspend(p, ms),
-        Fault::Partition(p, q, both, ms) => {
-            c.partition(p, q, both);
-            schedule_after(l, ms, move |l| l.core.heal_partition(p, q));
+        Fault::Split { part, one_way, time } => {
+            let rest: Vec<ProcessId> =
+                (0..fleet.platform_process).filter(|other| !part.contains(other)).collect();
+            let pairs = part.iter().flat_map(|pid| rest.iter().map(|other| (*pid, *other))).collect();
+            fleet.partition_for(pairs, !one_way, time);
         }
-        Fault::Isolate(p, one_way, ms) => {
-            let n = c.lock().processes.len();
-            (0..n).filter(|q| *q != p).for_each(|q| c.partition(p, q, !one_way));
-            schedule_after(l, ms, move |l| (0..n).for_each(|q| l.core.heal_partition(p, q)));
+        Fault::PacketLoss { per_mille, time } => {
+            simulation.lock().degrade_network(per_mille);
+            schedule_after(fleet, time, |fleet| fleet.simulation.lock().restore_network());
         }
-        Fault::Split(some, one_way, ms) => {
-            let n = l.platform_process;
-            let pairs: Vec<(ProcessId, ProcessId)> =
-                some.iter().flat_map(|p| (0..n).filter(|q| !some.contains(q)).map(|q| (*p, q))).collect();
-            pairs.iter().for_each(|(p, q)| c.partition(*p, *q, !one_way));
-            schedule_after(l, ms, move |l| pairs.iter().for_each(|(p, q)| l.core.heal_partition(*p, *q)));
-        }
-        Fault::PacketLoss(pm, ms) => {
-            {
-                let mut m = c.lock();
-                (m.loss_per_mille, m.delay_range) = (pm, (1, 80));
-            }
-            schedule_after(l, ms, |l| {
-                let mut m = l.core.lock();
-                (m.loss_per_mille, m.delay_range) = (0, (1, 12));
-            });
-        }
-        Fault::Server(s, on, off, ms) => {
-            l.set_server_fault(s, &on);
-            schedule_after(l, ms, move |l| l.set_server_fault(s, &off));
-        }
-        Fault::Trap(s) => c.lock().trap = Some(s),
-        Fault::Drain(s, ms) => {
-            l.set_draining(s, true);
-            let p = l.servers[s].pid;
-            // Another comes in its place, under its own name; the old one may be back as well.
-            l.core.restart(l.spares[s / l.shape.replicas].pid);
-            schedule_after(l, 8_000, move |l| l.core.crash(p, false));
-            schedule_after(l, 8_000 + ms, move |l| {
-                l.core.restart(p);
-                l.set_draining(s, false);
-            });
+        Fault::Server { server, begin, end, time } => {
+            fleet.set_server_fault(server, &begin);
+            schedule_after(fleet, time, move |fleet| fleet.set_server_fault(server, &end));
         }
+        Fault::Trap(trap) => simulation.lock().trap = Some(trap),
+        Fault::Drain { server, time } => fleet.drain_and_replace(server, time),
     }
 }
 
 impl SimulatedFleet {
-    pub fn set_server_fault(&self, s: usize, w: &FaultSettings) {
-        let srv = &self.servers[s];
-        if w.reset == Some(true) {
-            self.core.lock().reset_connections(srv.pid);
-        }
-        let live = srv.stand_in.lock().unwrap().clone().filter(|_| self.core.lock().processes[srv.pid].up);
-        if let Some(s) = live {
-            self.core.run_in(srv.pid, || s.faults.apply(w));
+    /// Keepers, nodes and servers, without spares.
+    fn faultable_processes(&self) -> Vec<ProcessId> {
+        let servers = self.servers.iter().map(|server| server.pid);
+        self.keepers.iter().chain(&self.nodes).copied().chain(servers).collect()
+    }
+
+    fn crash_for(self: &Arc<Self>, pid: ProcessId, power_loss: bool, time: Millis) {
+        self.simulation.crash(pid, power_loss);
+        schedule_after(self, time, move |fleet| fleet.simulation.restart(pid));
+    }
+
+    fn partition_for(self: &Arc<Self>, pairs: Vec<(ProcessId, ProcessId)>, both_ways: bool, time: Millis) {
+        for (from, to) in &pairs {
+            self.simulation.partition(*from, *to, both_ways);
         }
+        schedule_after(self, time, move |fleet| {
+            for (from, to) in pairs {
+                fleet.simulation.heal_partition(from, to);
+            }
+        });
+    }
+
+    /// A server drains and stops; its group's spare takes its place under a name of its own. The old one is back
+    /// later all the same.
+    fn drain_and_replace(self: &Arc<Self>, server: usize, time: Millis) {
+        self.set_draining(server, true);
+        let pid = self.servers[server].pid;
+        self.simulation.restart(self.spares[server / self.shape.replicas].pid);
+        schedule_after(self, DRAIN_TIME, move |fleet| fleet.simulation.crash(pid, false));
+        schedule_after(self, DRAIN_TIME + time, move |fleet| {
+            fleet.simulation.restart(pid);
+            fleet.set_draining(server, false);
+        });
     }
-    pub fn set_draining(&self, s: usize, leaves: bool) {
-        let srv = &self.servers[s];
-        if let Some(s) = srv.stand_in.lock().unwrap().clone() {
-            let st = if leaves { ServerState::Draining } else { ServerState::Up };
-            self.core.run_in(srv.pid, || *s.state.lock().unwrap() = (st, quincehatch_runtime::now()));
+
+    /// Changes what goes wrong inside a server, if it is up.
+    pub fn set_server_fault(&self, server: usize, settings: &FaultSettings) {
+        let server = &self.servers[server];
+        if settings.reset == Some(true) {
+            self.simulation.lock().reset_connections(server.pid);
+        }
+        let running = server.running();
+        let up = self.simulation.lock().processes[server.pid].up;
+        if let Some(stand_in) = running.filter(|_| up) {
+            self.simulation.run_in(server.pid, || stand_in.faults.apply(settings));
         }
     }
-    /// All that is broken is made whole; from here the bound of the BRIEF counts.
+
+    /// Lets a server announce that it drains, or that it does not.
+    pub fn set_draining(&self, server: usize, draining: bool) {
+        let server = &self.servers[server];
+        let Some(stand_in) = server.running() else { return };
+        let announced = if draining { ServerState::Draining } else { ServerState::Up };
+        self.simulation.run_in(server.pid, || *stand_in.state.lock().unwrap() = (announced, now()));
+    }
+
+    /// Ends all faults; from here the bound on recovery counts.
     pub fn heal_all(&self) {
-        self.core.log("all is healed");
-        {
-            let mut m = self.core.lock();
-            (m.crashes_enabled, m.loss_per_mille, m.delay_range) = (false, 0, (1, 12));
-            m.partitions.clear();
-            m.trap = None;
-        }
-        let n = self.core.lock().processes.len();
-        for p in 0..n {
-            self.core.suspend(p, 0);
-            self.core.restart(p);
+        self.simulation.log("all is healed");
+        self.simulation.lock().clear_faults();
+        let count = self.simulation.lock().processes.len();
+        for pid in 0..count {
+            self.simulation.suspend(pid, 0);
+            self.simulation.restart(pid);
         }
-        let off = FaultSettings {
+        let no_fault = FaultSettings {
             stall: Some(false),
             slow_ms: Some(0),
             lag_ms: Some(0),
@@ -215,9 +287,9 @@
             lose_answers: Some(0),
             ..Default::default()
         };
-        for s in 0..self.servers.len() {
-            self.set_server_fault(s, &off);
-            self.set_draining(s, false);
+        for server in 0..self.servers.len() {
+            self.set_server_fault(server, &no_fault);
+            self.set_draining(server, false);
         }
     }
 }
--- a/crates/simulator/src/fleet/final_faults.rs
+++ b/crates/simulator/src/fleet/final_faults.rs
@@ -1,80 +1,152 @@
-//! Breakdowns that are final (§9.1): one at a time, or two that belong together, and nothing is healed after.
+//! Final faults: one thing, or two that belong together, fail for good, and nothing is healed after.
 use super::setup::SimulatedFleet;
 use super::simulation::{ProcessId, Trap};
+use quincehatch_core::{Millis, Name};
 use std::sync::Arc;
 
-/// What breaks down, by the seed; tells what it was.
-pub fn inject_final_fault(l: &Arc<SimulatedFleet>, seed: u64) -> String {
-    let dark = l.core.lock().rng.chance(500);
-    let fleet = l.live_nodes.iter().find_map(|f| f.lock().unwrap().clone());
-    let lead = fleet.as_ref().and_then(|f| f.proxy.registry.primary("g1")).and_then(|x| x.server);
-    let lead = l
-        .servers
-        .iter()
-        .find(|s| lead.as_deref() == Some(s.address.name.as_str()))
-        .map_or(l.servers[0].pid, |s| s.pid);
-    let view = fleet.map(|f| f.store_client.view()).unwrap_or_default();
-    let at = |n: Option<&quincehatch_core::Name>| {
-        n.and_then(|n| l.keeper_registry.process_by_name.lock().unwrap().get(n).copied())
-    };
-    let (head, tail) = (at(view.head()).unwrap_or(l.keepers[0]), at(view.tail()).unwrap_or(l.keepers[0]));
-    let draw = |n: usize| l.core.lock().rng.below(n as u64) as usize;
-    let node = l.nodes[draw(l.nodes.len())];
-    // Half of the time whoever promotes dies, or stands still, in one phase of it.
+/// Trace points of a promotion at which every other run stops the promoting node.
+const PROMOTION_PHASES: [&str; 5] = ["is closing", "is fencing", "chose", "is promoting", "is naming"];
+/// How long a trapped node is suspended.
+const TRAP_TIME: Millis = 3_000;
+/// A replica that is replaced drains for so long before it stops.
+const REPLACEMENT_DRAIN: Millis = 7_500;
+/// The primary crashes so long after the replaced replica has stopped.
+const PRIMARY_CRASH_DELAY: Millis = 3_000;
+
+/// Processes that fail together.
+struct FinalFault {
+    what: &'static str,
+    processes: Vec<ProcessId>,
+}
+
+impl FinalFault {
+    fn of(what: &'static str, processes: &[ProcessId]) -> FinalFault {
+        FinalFault { what, processes: processes.to_vec() }
+    }
+}
+
+/// The processes that faults are aimed at.
+struct Targets {
+    primary: ProcessId,
+    head: ProcessId,
+    tail: ProcessId,
+    node: ProcessId,
+}
+
+/// Injects what the seed chooses; its description.
+pub fn inject_final_fault(fleet: &Arc<SimulatedFleet>, seed: u64) -> String {
+    let power_loss = fleet.simulation.lock().rng.chance(500);
+    let targets = fleet.draw_targets();
     if seed % 2 == 1 {
-        let point = ["is closing", "is fencing", "chose", "is promoting", "is naming"][seed as usize / 2 % 5]
-            .to_owned();
-        let pause = l.core.lock().rng.chance(500).then_some(3_000);
-        l.core.lock().trap = Some(Trap { trace_point: point, pause });
+        fleet.trap_promotion(seed);
     }
-    let (what, of): (&str, Vec<ProcessId>) = match seed % 10 {
-        0 => ("the lead", vec![lead]),
-        1 => ("a node", vec![node]),
-        2 => ("the head", vec![head]),
-        3 => ("the tail", vec![tail]),
-        4 => ("a machine with a node and a keeper", vec![node, l.keepers[draw(l.keepers.len())]]),
-        5 => ("the lead and the tail", vec![lead, tail]),
-        6 => ("the lead and a node", vec![lead, node]),
-        7 => ("a replica", l.servers.iter().map(|s| s.pid).filter(|p| *p != lead).take(1).collect()),
-        9 => return l.replace_replica_then_crash_primary(lead, dark),
-        _ => {
-            let n = l.shape.zones;
-            let keepers = |d: usize| (0..l.keepers.len()).filter(|i| i % n == d).count();
-            let may: Vec<usize> = (0..n).filter(|d| keepers(*d) * 2 < l.keepers.len()).collect();
-            ("a district", l.processes_of_zone(may[draw(may.len())]))
-        }
+    let Some(fault) = fleet.choose_final_fault(seed, &targets) else {
+        return fleet.replace_replica_then_crash_primary(targets.primary, power_loss);
     };
-    of.iter().for_each(|p| l.core.crash(*p, dark));
-    let s = format!("{what}, {}", if dark { "without a word" } else { "links reset" });
-    l.core.log(&format!("final: {s}"));
-    s
+    for pid in &fault.processes {
+        fleet.simulation.crash(*pid, power_loss);
+    }
+    let how = if power_loss { "power loss" } else { "connections reset" };
+    let description = format!("{}, {how}", fault.what);
+    fleet.simulation.log(&format!("final: {description}"));
+    description
 }
 
 impl SimulatedFleet {
-    /// A replica leaves and another comes under a new name and address; then the lead dies.
-    fn replace_replica_then_crash_primary(self: &Arc<Self>, lead: ProcessId, dark: bool) -> String {
-        let old = (0..3).find(|i| self.servers[*i].pid != lead).unwrap_or(0);
-        self.set_draining(old, true);
-        self.core.restart(self.spares[0].pid);
-        let (l, at) = (self.clone(), self.core.now() + 7_500);
-        self.core.lock().trap_sprung_at = at + 3_000;
-        self.core.schedule_action(at, move |c| {
-            c.crash(l.servers[old].pid, false);
-            c.schedule_action(c.now() + 3_000, move |c| c.crash(lead, dark));
+    fn draw_index(&self, limit: usize) -> usize {
+        self.simulation.lock().rng.below(limit as u64) as usize
+    }
+
+    /// The primary, head and tail that the first live node knows of, and a drawn node.
+    fn draw_targets(&self) -> Targets {
+        let observer = self.live_nodes.iter().find_map(|node| node.lock().unwrap().clone());
+        let assigned = observer.as_ref().and_then(|node| node.proxy.registry.primary("g1"));
+        let primary = assigned.and_then(|primary| primary.server);
+        let view = observer.map(|node| node.store_client.view()).unwrap_or_default();
+        Targets {
+            primary: primary.and_then(|name| self.server_process(&name)).unwrap_or(self.servers[0].pid),
+            head: self.keeper_process(view.head()),
+            tail: self.keeper_process(view.tail()),
+            node: self.nodes[self.draw_index(self.nodes.len())],
+        }
+    }
+
+    fn keeper_process(&self, name: Option<&Name>) -> ProcessId {
+        let known = self.keeper_registry.process_by_name.lock().unwrap();
+        name.and_then(|name| known.get(name).copied()).unwrap_or(self.keepers[0])
+    }
+
+    /// The node that promotes next crashes, or is suspended, in one phase of the promotion.
+    fn trap_promotion(&self, seed: u64) {
+        let phase = seed as usize / 2 % PROMOTION_PHASES.len();
+        let mut state = self.simulation.lock();
+        let pause = state.rng.chance(500).then_some(TRAP_TIME);
+        state.trap = Some(Trap { trace_point: PROMOTION_PHASES[phase].to_owned(), pause });
+    }
+
+    /// None: a replica is replaced, then the primary crashes.
+    fn choose_final_fault(&self, seed: u64, targets: &Targets) -> Option<FinalFault> {
+        let Targets { primary, head, tail, node } = *targets;
+        Some(match seed % 10 {
+            0 => FinalFault::of("the primary", &[primary]),
+            1 => FinalFault::of("a node", &[node]),
+            2 => FinalFault::of("the head", &[head]),
+            3 => FinalFault::of("the tail", &[tail]),
+            4 => {
+                let keeper = self.keepers[self.draw_index(self.keepers.len())];
+                FinalFault::of("a machine with a node and a keeper", &[node, keeper])
+            }
+            5 => FinalFault::of("the primary and the tail", &[primary, tail]),
+            6 => FinalFault::of("the primary and a node", &[primary, node]),
+            7 => {
+                let mut replicas = self.servers.iter().map(|server| server.pid).filter(|pid| *pid != primary);
+                FinalFault { what: "a replica", processes: replicas.next().into_iter().collect() }
+            }
+            9 => return None,
+            _ => {
+                let zones = self.expendable_zones();
+                let zone = zones[self.draw_index(zones.len())];
+                FinalFault { what: "a zone", processes: self.processes_of_zone(zone) }
+            }
+        })
+    }
+
+    /// A replica drains and another comes under a new name and address; then the primary crashes.
+    fn replace_replica_then_crash_primary(self: &Arc<Self>, primary: ProcessId, power_loss: bool) -> String {
+        let replica = (0..self.shape.replicas).find(|index| self.servers[*index].pid != primary).unwrap_or(0);
+        self.set_draining(replica, true);
+        self.simulation.restart(self.spares[0].pid);
+        let stop_at = self.simulation.now() + REPLACEMENT_DRAIN;
+        self.simulation.lock().trap_sprung_at = stop_at + PRIMARY_CRASH_DELAY;
+        let replica_process = self.servers[replica].pid;
+        self.simulation.schedule_action(stop_at, move |simulation| {
+            simulation.crash(replica_process, false);
+            let crash_at = simulation.now() + PRIMARY_CRASH_DELAY;
+            simulation.schedule_action(crash_at, move |simulation| simulation.crash(primary, power_loss));
         });
-        "a replica replaced under another name, then the lead".into()
+        "a replica replaced under another name, then the primary".into()
+    }
+
+    /// Zones with less than half of the keepers: without the others no majority could repair the chain.
+    fn expendable_zones(&self) -> Vec<usize> {
+        let zones = self.shape.zones;
+        let keepers = |zone: usize| (0..self.keepers.len()).filter(|index| index % zones == zone).count();
+        (0..zones).filter(|zone| keepers(*zone) * 2 < self.keepers.len()).collect()
     }
-    /// All machines of a district: its nodes, a server of each group, and the keepers that stand there. Where half
-    /// of the keepers or more stand in one district, its loss is not ridden out: no majority could mend the chain.
-    fn processes_of_zone(&self, d: usize) -> Vec<ProcessId> {
-        let n = self.shape.zones;
-        let here = |(i, p): (usize, &ProcessId)| (i % n == d).then_some(*p);
-        let keepers = self.keepers.iter().enumerate().filter_map(here);
-        let nodes = self.nodes.iter().enumerate().filter_map(here);
-        let copies = self.shape.replicas;
-        let server =
-            |(i, s): (usize, &super::setup::Server)| ((i / copies + i % copies) % n == d).then_some(s.pid);
-        let servers = self.servers.iter().enumerate().filter_map(server);
-        keepers.chain(nodes).chain(servers).collect()
+
+    /// All machines of a zone: its nodes, a server of each group, and its keepers.
+    fn processes_of_zone(&self, zone: usize) -> Vec<ProcessId> {
+        let (zones, replicas) = (self.shape.zones, self.shape.replicas);
+        let mut processes = Vec::new();
+        for all in [&self.keepers, &self.nodes] {
+            let here = all.iter().enumerate().filter(|(index, _)| index % zones == zone);
+            processes.extend(here.map(|(_, pid)| *pid));
+        }
+        for (index, server) in self.servers.iter().enumerate() {
+            if (index / replicas + index % replicas) % zones == zone {
+                processes.push(server.pid);
+            }
+        }
+        processes
     }
 }
--- a/crates/simulator/src/fleet/keeper.rs
+++ b/crates/simulator/src/fleet/keeper.rs
@@ -1,193 +1,319 @@
-//! A keeper in the simulator: the real [`Keeper`] with a disk that is what was synced (§5.7).
+//! A keeper in the simulator: the real [`Keeper`] over a disk that holds exactly what was synced.
 use super::network::Message;
-use super::simulation::{ProcessId, Simulation};
-use quincehatch_core::{Millis, Name};
-use quincehatch_runtime::{now, seam};
+use super::simulation::{ProcessId, Simulation, StartProcess};
+use quincehatch_core::{ChangeNumber, Millis, Name, Version};
+use quincehatch_runtime::now;
+use quincehatch_runtime::seam::{self, BoxFuture};
 use quincehatch_store::keeper::{Input, Output, Record, RecoveredState};
 use quincehatch_store::patch::PackedText;
-use quincehatch_store::{FeedSnapshot, Keeper, KeeperRequest, KeeperResponse, Reply, Request};
+use quincehatch_store::{
+    FeedSnapshot, Keeper, KeeperRequest, KeeperResponse, PeerMessage, Reply, Request, View, Voter,
+};
 use quincehatch_wire::{Identity, Received};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::sync::oneshot;
 
+/// Time between two ticks of a keeper.
+const TICK: Duration = Duration::from_millis(20);
+/// Steps out of [`CRASH_SCALE`] in which a keeper crashes while crashes are enabled: in the first half of them before
+/// its records are synced, in the second after it and before anything is sent.
+const CRASHES: u64 = 4;
+const CRASH_SCALE: u64 = 100_000;
+/// Violations that are kept at most.
+const MAX_REPORTED: usize = 20;
+/// Local time between two status lines of a verbose run.
+const STATUS_INTERVAL: Millis = 1_000;
+/// Lease that the deliberate bug of a stale tail hands out.
+const STALE_TAIL_LEASE: Millis = 4_000;
+
+/// What a keeper's disk holds; it outlives the keeper's process.
 pub type Disk = Arc<Mutex<RecoveredState>>;
 
-struct KeeperProcess {
-    keeper: Keeper,
-    disk: Disk,
-    pending_replies: BTreeMap<u64, oneshot::Sender<Reply>>,
-    next_token: u64,
-    last_logged: Millis,
+/// What a keeper of a simulated group is started with.
+#[derive(Clone)]
+pub struct KeeperSetup {
+    /// Its name in the chain.
+    pub name: Name,
+    /// Where it listens.
+    pub addr: String,
+    /// Its disk.
+    pub disk: Disk,
+    /// The group it belongs to.
+    pub registry: Arc<KeeperRegistry>,
 }
 
-/// What all keepers of a run committed, so that one that serves with less is seen (§1 N10).
+/// All keepers of a run: where they are, and what they committed.
 #[derive(Default)]
-pub struct CommitWatch {
-    committed: u64,
-    pub breaches: Vec<String>,
-}
-
-/// Where keepers are found: name to process.
 pub struct KeeperRegistry {
+    /// The process of each keeper.
     pub process_by_name: Mutex<BTreeMap<Name, ProcessId>>,
+    /// Watches over what they serve.
     pub commit_watch: Mutex<CommitWatch>,
 }
 
-pub fn start_keeper(
-    core: &Arc<Simulation>,
-    pid: ProcessId,
-    name: &Name,
-    addr: &str,
-    disk: &Disk,
-    all: &Arc<KeeperRegistry>,
-) {
-    let k = Keeper::new(name.clone(), now(), disk.lock().unwrap().clone());
-    let (waits, token, told) = (BTreeMap::new(), 0, 0);
-    let p = Arc::new(Mutex::new(KeeperProcess {
-        keeper: k,
-        disk: disk.clone(),
-        pending_replies: waits,
-        next_token: token,
-        last_logged: told,
-    }));
-    let step = {
-        let (core, all) = (core.clone(), all.clone());
-        move |p: &Arc<Mutex<KeeperProcess>>, i: Input| step_keeper(&core, pid, &all, p, i)
-    };
-    let (q, s, a) = (p.clone(), step.clone(), all.clone());
-    let on_peer = move |from: ProcessId, m| {
-        let name = a.process_by_name.lock().unwrap().iter().find(|x| *x.1 == from).map(|x| x.0.clone());
-        if let Some(from) = name {
-            s(&q, Input::Peer { from, message: m });
+/// What any keeper of a run committed, so that one that serves with less is seen (check N10).
+#[derive(Default)]
+pub struct CommitWatch {
+    committed: ChangeNumber,
+    /// What keepers were seen to do wrong.
+    pub violations: Vec<String>,
+}
+
+/// How far a keeper is.
+struct Progress {
+    serving: bool,
+    last_change: ChangeNumber,
+    committed: ChangeNumber,
+    name: Name,
+    view: Version,
+}
+
+impl CommitWatch {
+    fn observe(&mut self, now: Millis, progress: &Progress) {
+        let Progress { name, view, last_change, .. } = progress;
+        let behind = progress.serving && *last_change < self.committed;
+        if behind && self.violations.len() < MAX_REPORTED {
+            let committed = self.committed;
+            self.violations.push(format!(
+                "N10 at {now} {name} serves view {view} at {last_change} while {committed} was committed"
+            ));
         }
+        self.committed = self.committed.max(progress.committed);
+    }
+}
+
+/// The keepers of a run, and their processes in the order of the chain.
+pub struct KeeperGroup {
+    /// Processes of the keepers.
+    pub processes: Vec<ProcessId>,
+    /// What they share.
+    pub registry: Arc<KeeperRegistry>,
+}
+
+impl KeeperGroup {
+    /// Starts a keeper for each voter, all in the first view.
+    pub fn start(simulation: &Arc<Simulation>, voters: Vec<Voter>) -> KeeperGroup {
+        let members = voters.iter().map(|voter| voter.name.clone()).collect();
+        let view = View { version: 1, members, voters: voters.clone() };
+        let registry = Arc::<KeeperRegistry>::default();
+        let mut processes = Vec::new();
+        for voter in voters {
+            let found = RecoveredState { view: view.clone(), ..Default::default() };
+            let setup = KeeperSetup {
+                name: voter.name.clone(),
+                addr: voter.addr.to_string(),
+                disk: Arc::new(Mutex::new(found)),
+                registry: registry.clone(),
+            };
+            let start: StartProcess = Arc::new(move |simulation, pid| start_keeper(simulation, pid, &setup));
+            let pid = simulation.add_process(&voter.name, start, false);
+            registry.process_by_name.lock().unwrap().insert(voter.name, pid);
+            processes.push(pid);
+        }
+        KeeperGroup { processes, registry }
+    }
+}
+
+/// A keeper that runs, with what its process holds.
+struct RunningKeeper {
+    keeper: Keeper,
+    pending_replies: BTreeMap<u64, oneshot::Sender<Reply>>,
+    next_token: u64,
+    last_logged: Millis,
+}
+
+/// A keeper's process, shared by its listeners and its ticks.
+#[derive(Clone)]
+struct KeeperProcess {
+    simulation: Arc<Simulation>,
+    pid: ProcessId,
+    setup: KeeperSetup,
+    identity: Identity,
+    running: Arc<Mutex<RunningKeeper>>,
+}
+
+/// Starts a keeper from what its disk holds.
+pub fn start_keeper(simulation: &Arc<Simulation>, pid: ProcessId, setup: &KeeperSetup) {
+    let found = setup.disk.lock().unwrap().clone();
+    let running = RunningKeeper {
+        keeper: Keeper::new(setup.name.clone(), now(), found),
+        pending_replies: BTreeMap::new(),
+        next_token: 0,
+        last_logged: 0,
     };
-    core.lock().network.peer_handlers.insert(pid, Arc::new(on_peer));
-    let (q, s, c, me) = (p.clone(), step.clone(), core.clone(), Identity::new(name));
-    core.listen_frames(
-        addr,
+    let process = KeeperProcess {
+        simulation: simulation.clone(),
         pid,
-        Arc::new(move |bytes| {
-            let (call, ask) = match quincehatch_wire::receive::<KeeperRequest>(&me, &bytes) {
-                Ok(Received::Request { call, request: KeeperRequest::Node { request } }) => (call, request),
-                Ok(Received::Rejected(frame)) => return Box::pin(async { Some(frame) }),
-                _ => return Box::pin(async { None }),
-            };
-            let (tx, rx) = oneshot::channel();
-            // The bug: a tail hands its store out without asking whether it may.
-            let stale = matches!(ask, Request::Feed { .. })
-                && c.has_bug("stale-tail")
-                && q.lock().unwrap().keeper.is_tail();
-            if stale {
-                let store = &q.lock().unwrap().keeper.store;
-                let text = PackedText::pack(store.configuration().map_or("", |k| &k.text));
-                let told = Box::new(FeedSnapshot::from_store(store, text));
-                let _ = tx.send(Reply::Snapshot { snapshot: told, lease_ms: 4_000 });
-            } else {
-                let mut x = q.lock().unwrap();
-                x.next_token += 1;
-                let token = x.next_token;
-                x.pending_replies.insert(token, tx);
-                drop(x);
-                s(&q, Input::Request { token, request: ask });
-            }
-            let me = me.clone();
-            Box::pin(async move {
-                let answer = KeeperResponse::Reply { reply: rx.await.ok()? };
-                quincehatch_wire::encode_answer_frame::<KeeperRequest>(&me, call, &answer).ok()
-            })
-        }),
-    );
+        setup: setup.clone(),
+        identity: Identity::new(&setup.name),
+        running: Arc::new(Mutex::new(running)),
+    };
+    let receiver = process.clone();
+    let on_peer = move |from: ProcessId, message: PeerMessage| receiver.receive_from_peer(from, message);
+    simulation.lock().network.peer_handlers.insert(pid, Arc::new(on_peer));
+    let receiver = process.clone();
+    let on_frame = move |bytes: Vec<u8>| receiver.answer_frame(&bytes);
+    simulation.listen_frames(&setup.addr, pid, Arc::new(on_frame));
     seam::spawn(async move {
         loop {
-            seam::sleep(Duration::from_millis(20)).await;
-            step(&p, Input::Tick);
+            seam::sleep(TICK).await;
+            process.step(Input::Tick);
         }
     });
 }
 
-fn persist(disk: &Disk, r: &Record, forgets: bool) {
-    let mut d = disk.lock().unwrap();
-    match r {
-        Record::Acceptor { acceptor } => d.acceptor = acceptor.clone(),
-        Record::View { view } => d.view = view.clone(),
-        Record::Served { version } => d.served_version = *version,
-        Record::CatchingUp { catching_up } => d.catching_up = *catching_up,
-        Record::Snapshot { store } => {
-            d.store = store.as_ref().clone();
-            d.log.clear();
+impl KeeperProcess {
+    fn receive_from_peer(&self, from: ProcessId, message: PeerMessage) {
+        let registered = self.setup.registry.process_by_name.lock().unwrap();
+        let sender = registered.iter().find(|(_, pid)| **pid == from).map(|(name, _)| name.clone());
+        drop(registered);
+        if let Some(from) = sender {
+            self.step(Input::Peer { from, message });
         }
-        // The bug: entries are called synced and are not.
-        Record::Entry { .. } if forgets => {}
-        Record::Entry { entry } => {
-            d.store.apply(&entry.unpack().expect("an entry that was packed here"));
-            d.log.push_back(entry.clone());
+    }
+
+    fn answer_frame(&self, bytes: &[u8]) -> BoxFuture<'static, Option<Vec<u8>>> {
+        let (call, request) = match quincehatch_wire::receive::<KeeperRequest>(&self.identity, bytes) {
+            Ok(Received::Request { call, request: KeeperRequest::Node { request } }) => (call, request),
+            Ok(Received::Rejected(frame)) => return Box::pin(async { Some(frame) }),
+            _ => return Box::pin(async { None }),
+        };
+        let waiting = self.submit(request);
+        let identity = self.identity.clone();
+        Box::pin(async move {
+            let answer = KeeperResponse::Reply { reply: waiting.await.ok()? };
+            quincehatch_wire::encode_answer_frame::<KeeperRequest>(&identity, call, &answer).ok()
+        })
+    }
+
+    /// Hands a client's request to the keeper.
+    fn submit(&self, request: Request) -> oneshot::Receiver<Reply> {
+        let (tx, rx) = oneshot::channel();
+        let mut running = self.running.lock().unwrap();
+        // The deliberate bug: a tail hands its store out without asking whether it may.
+        let stale_tail = matches!(request, Request::Feed { .. })
+            && self.simulation.has_bug("stale-tail")
+            && running.keeper.is_tail();
+        if stale_tail {
+            let store = &running.keeper.store;
+            let text = PackedText::pack(store.configuration().map_or("", |kept| &kept.text));
+            let snapshot = Box::new(FeedSnapshot::from_store(store, text));
+            let _ = tx.send(Reply::Snapshot { snapshot, lease_ms: STALE_TAIL_LEASE });
+            return rx;
         }
+        running.next_token += 1;
+        let token = running.next_token;
+        running.pending_replies.insert(token, tx);
+        drop(running);
+        self.step(Input::Request { token, request });
+        rx
     }
-}
 
-fn step_keeper(
-    core: &Arc<Simulation>,
-    pid: ProcessId,
-    all: &KeeperRegistry,
-    p: &Arc<Mutex<KeeperProcess>>,
-    i: Input,
-) {
-    let mut x = p.lock().unwrap();
-    let outs = x.keeper.step(now(), i);
-    // A crash in the midst: all of the step is lost, or it is synced and nothing of it is sent.
-    let (fate, faulty) = {
-        let mut m = core.lock();
-        (m.rng.below(100_000), m.crashes_enabled)
-    };
-    let doomed = faulty && fate < 4;
-    if !doomed || fate >= 2 {
-        for o in &outs {
-            if let Output::Persist(r) = o {
-                persist(&x.disk, r, core.has_bug("unsynced"));
-            }
+    /// One step: what it persists is synced before anything of it is sent.
+    fn step(&self, input: Input) {
+        let mut running = self.running.lock().unwrap();
+        let outputs = running.keeper.step(now(), input);
+        let (draw, crashes_enabled) = {
+            let mut state = self.simulation.lock();
+            (state.rng.below(CRASH_SCALE), state.crashes_enabled)
+        };
+        let crashes = crashes_enabled && draw < CRASHES;
+        let crashes_before_sync = crashes && draw < CRASHES / 2;
+        if !crashes_before_sync {
+            self.sync(&outputs);
+        }
+        if crashes {
+            drop(running);
+            return self.simulation.crash_and_restart(self.pid);
+        }
+        let replies = self.send_outputs(&mut running, outputs);
+        self.log_status(&mut running);
+        let progress = running.progress();
+        drop(running);
+        self.setup.registry.commit_watch.lock().unwrap().observe(self.simulation.now(), &progress);
+        for (waiting, reply) in replies {
+            let _ = waiting.send(reply);
         }
     }
-    if doomed {
-        drop(x);
-        return core.crash_and_restart(pid);
+
+    fn sync(&self, outputs: &[Output]) {
+        let loses_entries = self.simulation.has_bug("unsynced");
+        for output in outputs {
+            if let Output::Persist(record) = output {
+                persist(&self.setup.disk, record, loses_entries);
+            }
+        }
     }
-    let mut replies = Vec::new();
-    for o in outs {
-        match o {
-            Output::Send(to, m) => {
-                let to = all.process_by_name.lock().unwrap().get(&to).copied();
-                if let Some(to) = to {
-                    core.lock().send(pid, to, Message::Peer(m));
+
+    /// Sends messages to peers; replies are returned, to be sent once nothing is locked.
+    fn send_outputs(
+        &self,
+        running: &mut RunningKeeper,
+        outputs: Vec<Output>,
+    ) -> Vec<(oneshot::Sender<Reply>, Reply)> {
+        let mut replies = Vec::new();
+        for output in outputs {
+            match output {
+                Output::Send(to, message) => {
+                    let to = self.setup.registry.process_by_name.lock().unwrap().get(&to).copied();
+                    if let Some(to) = to {
+                        self.simulation.lock().send(self.pid, to, Message::Peer(message));
+                    }
+                }
+                Output::Reply(token, reply) => {
+                    replies.extend(running.pending_replies.remove(&token).map(|waiting| (waiting, reply)));
                 }
+                Output::Log(line) => self.simulation.log(&format!("{}: {line}", running.keeper.name)),
+                Output::Persist(_) => {}
             }
-            Output::Reply(t, rep) => replies.extend(x.pending_replies.remove(&t).map(|tx| (tx, rep))),
-            Output::Log(s) => core.log(&format!("{}: {s}", x.keeper.name)),
-            Output::Persist(_) => {}
         }
+        replies
     }
-    if core.verbose && x.last_logged + 1_000 < now() {
-        x.last_logged = now();
-        let s = x.keeper.status();
-        core.log(&format!(
-            "{} n {} committed {} in force {} {}",
-            s.name, s.last_change, s.committed, s.in_force, s.reason
+
+    fn log_status(&self, running: &mut RunningKeeper) {
+        if !self.simulation.verbose || running.last_logged + STATUS_INTERVAL >= now() {
+            return;
+        }
+        running.last_logged = now();
+        let status = running.keeper.status();
+        self.simulation.log(&format!(
+            "{} at change {}, committed {}, in force {} {}",
+            status.name, status.last_change, status.committed, status.in_force, status.reason
         ));
     }
-    let (serving, n, committed) = (x.keeper.is_serving(), x.keeper.store.last_change, x.keeper.committed);
-    let (name, view) = (x.keeper.name.clone(), x.keeper.view.version);
-    drop(x);
-    let mut w = all.commit_watch.lock().unwrap();
-    if serving && n < w.committed && w.breaches.len() < 20 {
-        let s = format!(
-            "N10 at {} {name} serves view {view} at {n} while {} was committed",
-            core.now(),
-            w.committed
-        );
-        w.breaches.push(s);
+}
+
+impl RunningKeeper {
+    fn progress(&self) -> Progress {
+        let keeper = &self.keeper;
+        Progress {
+            serving: keeper.is_serving(),
+            last_change: keeper.store.last_change,
+            committed: keeper.committed,
+            name: keeper.name.clone(),
+            view: keeper.view.version,
+        }
+    }
+}
+
+/// Makes a record durable; a deliberate bug loses the entries.
+fn persist(disk: &Disk, record: &Record, loses_entries: bool) {
+    let mut disk = disk.lock().unwrap();
+    match record {
+        Record::Acceptor { acceptor } => disk.acceptor = acceptor.clone(),
+        Record::View { view } => disk.view = view.clone(),
+        Record::Served { version } => disk.served_version = *version,
+        Record::CatchingUp { catching_up } => disk.catching_up = *catching_up,
+        Record::Snapshot { store } => {
+            disk.store = store.as_ref().clone();
+            disk.log.clear();
+        }
+        Record::Entry { .. } if loses_entries => {}
+        Record::Entry { entry } => {
+            disk.store.apply(&entry.unpack().expect("an entry that was packed here"));
+            disk.log.push_back(entry.clone());
+        }
     }
-    w.committed = w.committed.max(committed);
-    drop(w);
-    replies.into_iter().for_each(|(tx, rep)| drop(tx.send(rep)));
 }
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -1,17 +1,15 @@
-//! The seeded simulator (§9.1): virtual time, one thread, and the very code that the daemons, the stand-ins and the
-//! callers run. A seed replays exactly.
+//! Simulated fleets: the very code that the daemons, the stand-in servers and the callers run, in virtual time.
 mod delivery;
 mod executor;
 pub mod faults;
-mod promotion_faults;
-pub mod simulation;
-
 mod final_faults;
 pub mod keeper;
 pub mod network;
 mod process_control;
 mod process_world;
+mod promotion_faults;
 pub mod run;
 pub mod setup;
+pub mod simulation;
 
 pub use run::{Report, SimOptions, run_seed};
--- a/crates/simulator/src/fleet/network.rs
+++ b/crates/simulator/src/fleet/network.rs
@@ -1,5 +1,7 @@
-//! Links and frames between simulated processes (§9.1). A link is a stream: what is lost on it is sent again, a cut
-//! delays it, and after four seconds without an acknowledgement the kernel gives it up (§4.4).
+//! Connections and frames between simulated processes.
+//!
+//! A connection is a stream: what is lost on it is sent again, a partition delays it, and after
+//! [`TCP_USER_TIMEOUT`] without an acknowledgement the kernel gives it up.
 use super::simulation::{Event, ProcessId, Simulation, SimulationState};
 use quincehatch_core::Millis;
 use quincehatch_runtime::seam::{BoxFuture, OnDisconnect};
@@ -11,153 +13,223 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use tokio::sync::oneshot;
 
+/// The kernel gives a stream up that was not acknowledged for so long.
+pub const TCP_USER_TIMEOUT: Millis = 4_000;
+/// A lost or undeliverable segment is sent again after so long.
+pub const RETRANSMIT_AFTER: Millis = 250;
+/// The sender of a frame has given up by then.
+pub(super) const FRAME_TIMEOUT: Millis = 1_000;
+/// The second copy of a duplicated message arrives this much later.
+const DUPLICATE_DELAY: Millis = 3;
+
+/// A request on an HTTP connection.
 pub struct HttpRequest {
+    /// Id of the connection.
     pub connection: u64,
+    /// Path of the call.
     pub path: String,
+    /// Body; null where there is none.
     pub body: Value,
+    /// The caller's bearer token.
     pub token: Option<String>,
 }
 
-/// Answers a call; nothing resets the link.
-pub type HttpHandler = Arc<dyn Fn(HttpRequest) -> BoxFuture<'static, Option<(u16, Value)>> + Send + Sync>;
+/// Status and body of an HTTP reply.
+pub type HttpReply = (u16, Value);
+/// Answers a request; no reply resets the connection.
+pub type HttpHandler = Arc<dyn Fn(HttpRequest) -> BoxFuture<'static, Option<HttpReply>> + Send + Sync>;
+/// Learns that the client closed a connection.
 pub type CloseHandler = Arc<dyn Fn(u64) + Send + Sync>;
+/// Answers a frame; no reply refuses it.
 pub type FrameHandler = Arc<dyn Fn(Vec<u8>) -> BoxFuture<'static, Option<Vec<u8>>> + Send + Sync>;
+/// Takes a message of another keeper.
 pub type PeerHandler = Arc<dyn Fn(ProcessId, PeerMessage) + Send + Sync>;
 
+/// What one process sends another.
 pub enum Message {
+    /// Opens a connection.
     Syn(u64),
+    /// Accepts a connection, or refuses it.
     SynAck(u64, bool),
+    /// A request on a connection.
     Request(HttpRequest),
-    HttpReply(u64, (u16, Value)),
-    /// The link's end, told to its asker or to its answerer.
+    /// The reply to the request on a connection.
+    HttpReply(u64, HttpReply),
+    /// The server's end of a connection is gone.
     Reset(u64),
+    /// The client's end of a connection is closed.
     Closed(u64),
+    /// A frame that wants a reply.
     Frame {
-        rid: u64,
+        /// Pairs the frame with its reply.
+        request_id: u64,
+        /// Listener that it goes to.
         addr: String,
+        /// Content.
         bytes: Vec<u8>,
     },
+    /// The reply to a frame; none if it was refused.
     FrameReply {
-        rid: u64,
-        got: Option<Vec<u8>>,
+        /// The frame it belongs to.
+        request_id: u64,
+        /// Content.
+        reply: Option<Vec<u8>>,
     },
+    /// A datagram between keepers, which may be lost or come twice.
     Peer(PeerMessage),
 }
 
+/// A message on its way.
+pub struct Envelope {
+    /// Sender.
+    pub from: ProcessId,
+    /// Receiver.
+    pub to: ProcessId,
+    /// When it was first sent.
+    pub sent_at: Millis,
+    /// Content.
+    pub message: Message,
+}
+
+/// A connection with its two ends.
 pub(super) struct Connection {
     pub(super) client: ProcessId,
     pub(super) server: ProcessId,
     pub(super) addr: String,
     pub(super) client_open: bool,
     pub(super) server_open: bool,
+    /// Shared with the client's handle.
     pub(super) closed: Arc<AtomicBool>,
     pub(super) on_break: Option<OnDisconnect>,
     pub(super) connect_reply: Option<oneshot::Sender<Result<()>>>,
-    pub(super) http_reply: Option<oneshot::Sender<Result<(u16, Value)>>>,
+    pub(super) http_reply: Option<oneshot::Sender<Result<HttpReply>>>,
+}
+
+/// What answers requests at an address.
+#[derive(Clone)]
+pub(super) struct HttpListener {
+    pub(super) on_request: HttpHandler,
+    pub(super) on_close: CloseHandler,
 }
 
+/// Listeners, connections, and frames that wait for their reply.
 #[derive(Default)]
 pub struct Network {
     pub(super) next_id: u64,
     pub(super) connections: BTreeMap<u64, Connection>,
     pub(super) pending_frames: BTreeMap<u64, oneshot::Sender<Result<Vec<u8>>>>,
+    /// Which process listens at an address.
     pub addresses: BTreeMap<String, ProcessId>,
-    pub(super) http_listeners: BTreeMap<String, (HttpHandler, CloseHandler)>,
+    pub(super) http_listeners: BTreeMap<String, HttpListener>,
     pub(super) frame_listeners: BTreeMap<String, FrameHandler>,
+    /// What takes keepers' messages, by process.
     pub peer_handlers: BTreeMap<ProcessId, PeerHandler>,
 }
 
 impl Network {
+    /// Empties the network; what it held.
     pub fn take(&mut self) -> Network {
         std::mem::take(self)
     }
-}
 
-/// The kernel gives a stream up that was not acknowledged for so long.
-pub(super) const USER_TIMEOUT: Millis = 4_000;
-pub(super) const RETRANSMIT_AFTER: Millis = 250;
-/// A frame's caller has given up by then.
-pub(super) const FRAME_TIMEOUT: Millis = 1_000;
+    fn connections_where(&self, wanted: impl Fn(&Connection) -> bool) -> Vec<u64> {
+        let matching = self.connections.iter().filter(|(_, connection)| wanted(connection));
+        matching.map(|(id, _)| *id).collect()
+    }
+}
 
 impl SimulationState {
-    pub fn send(&mut self, from: ProcessId, to: ProcessId, n: Message) {
+    /// Sends a message: it arrives after a random delay, later with each loss. Lost datagrams are not sent again.
+    pub fn send(&mut self, from: ProcessId, to: ProcessId, message: Message) {
         self.messages_sent += 1;
-        let lossy = matches!(n, Message::Peer(_));
-        let mut d = self.delay_range.0 + self.rng.below(self.delay_range.1 - self.delay_range.0 + 1);
+        let is_datagram = matches!(message, Message::Peer(_));
+        let (least, most) = self.delay_range;
+        let mut delay = least + self.rng.below(most - least + 1);
         while self.rng.chance(self.loss_per_mille) {
-            if lossy {
+            if is_datagram {
                 return;
             }
-            d += RETRANSMIT_AFTER;
+            delay += RETRANSMIT_AFTER;
         }
-        if let Message::Peer(m) = &n
+        let sent_at = self.now;
+        if let Message::Peer(datagram) = &message
             && self.rng.chance(self.duplicate_per_mille)
         {
-            let (again, sent) = (Message::Peer(m.clone()), self.now);
-            self.schedule(self.now + d + 3, Event::Message { from, to, sent, n: again });
+            let copy = Envelope { from, to, sent_at, message: Message::Peer(datagram.clone()) };
+            self.schedule(sent_at + delay + DUPLICATE_DELAY, Event::Message(copy));
         }
-        self.schedule(self.now + d, Event::Message { from, to, sent: self.now, n });
+        self.schedule(sent_at + delay, Event::Message(Envelope { from, to, sent_at, message }));
     }
-    /// Every link of a process that died is told so to its other end, unless the machine went dark.
-    pub fn drop_connections(&mut self, pid: ProcessId, dark: bool) {
-        let of: Vec<u64> = self
-            .network
-            .connections
-            .iter()
-            .filter(|(_, l)| l.client == pid || l.server == pid)
-            .map(|(i, _)| *i)
-            .collect();
-        for id in of {
-            let Some(l) = self.network.connections.get_mut(&id) else { continue };
-            let (a, b) = (l.client, l.server);
-            let told = if b == pid { std::mem::replace(&mut l.server_open, false) } else { l.server_open };
-            if a == pid {
-                l.client_open = false;
-                l.closed.store(true, Ordering::SeqCst);
-                let gone = (l.connect_reply.take(), l.http_reply.take(), l.on_break.take());
-                self.deferred_drops.push(Box::new(gone));
-            }
-            if !dark && told && a != b {
-                let n = if b == pid { Message::Reset(id) } else { Message::Closed(id) };
-                self.send(pid, if b == pid { a } else { b }, n);
-            }
+
+    /// Ends all connections of a process that crashed; their other ends learn it unless the machine lost power.
+    pub fn drop_connections(&mut self, pid: ProcessId, powered_off: bool) {
+        let ids =
+            self.network.connections_where(|connection| connection.client == pid || connection.server == pid);
+        for id in ids {
+            self.drop_connection(pid, id, powered_off);
+        }
+    }
+
+    fn drop_connection(&mut self, pid: ProcessId, id: u64, powered_off: bool) {
+        let Some(connection) = self.network.connections.get_mut(&id) else { return };
+        let (client, server) = (connection.client, connection.server);
+        let is_server = server == pid;
+        let was_open = connection.server_open;
+        if is_server {
+            connection.server_open = false;
+        }
+        if client == pid {
+            connection.client_open = false;
+            connection.closed.store(true, Ordering::SeqCst);
+            let callbacks =
+                (connection.connect_reply.take(), connection.http_reply.take(), connection.on_break.take());
+            self.deferred_drops.push(Box::new(callbacks));
+        }
+        if powered_off || !was_open || client == server {
+            return;
+        }
+        if is_server {
+            self.send(pid, client, Message::Reset(id));
+        } else {
+            self.send(pid, server, Message::Closed(id));
         }
     }
-    /// A server resets all links it answers.
+
+    /// A server resets all connections that it serves.
     pub fn reset_connections(&mut self, pid: ProcessId) {
-        let of: Vec<u64> = self
-            .network
-            .connections
-            .iter()
-            .filter(|(_, l)| l.server == pid && l.server_open)
-            .map(|(i, _)| *i)
-            .collect();
-        of.into_iter().for_each(|id| self.reset_connection(id));
+        let ids =
+            self.network.connections_where(|connection| connection.server == pid && connection.server_open);
+        ids.into_iter().for_each(|id| self.reset_connection(id));
     }
+
     pub(super) fn reset_connection(&mut self, id: u64) {
-        let Some(l) = self.network.connections.get_mut(&id) else { return };
-        l.server_open = false;
-        let (a, b) = (l.client, l.server);
-        self.send(b, a, Message::Reset(id));
+        let Some(connection) = self.network.connections.get_mut(&id) else { return };
+        connection.server_open = false;
+        let (client, server) = (connection.client, connection.server);
+        self.send(server, client, Message::Reset(id));
     }
 }
 
 impl Simulation {
-    pub fn listen_http(&self, addr: &str, pid: ProcessId, f: HttpHandler, closed: CloseHandler) {
-        let mut m = self.lock();
-        m.network.addresses.insert(addr.to_owned(), pid);
-        m.network.http_listeners.insert(addr.to_owned(), (f, closed));
+    /// Lets a process answer HTTP requests at an address.
+    pub fn listen_http(&self, addr: &str, pid: ProcessId, on_request: HttpHandler, on_close: CloseHandler) {
+        let mut state = self.lock();
+        state.network.addresses.insert(addr.to_owned(), pid);
+        state.network.http_listeners.insert(addr.to_owned(), HttpListener { on_request, on_close });
     }
-    pub fn listen_frames(&self, addr: &str, pid: ProcessId, f: FrameHandler) {
-        let mut m = self.lock();
-        m.network.addresses.insert(addr.to_owned(), pid);
-        m.network.frame_listeners.insert(addr.to_owned(), f);
+
+    /// Lets a process answer frames at an address.
+    pub fn listen_frames(&self, addr: &str, pid: ProcessId, on_frame: FrameHandler) {
+        let mut state = self.lock();
+        state.network.addresses.insert(addr.to_owned(), pid);
+        state.network.frame_listeners.insert(addr.to_owned(), on_frame);
     }
-    /// Puts something between an address and what answers frames there.
-    pub fn wrap_frame_handler(&self, addr: &str, f: impl FnOnce(FrameHandler) -> FrameHandler) {
-        let mut m = self.lock();
-        if let Some(had) = m.network.frame_listeners.remove(addr) {
-            m.network.frame_listeners.insert(addr.to_owned(), f(had));
+
+    /// Puts a handler between an address and what answers frames there.
+    pub fn wrap_frame_handler(&self, addr: &str, wrap: impl FnOnce(FrameHandler) -> FrameHandler) {
+        let mut state = self.lock();
+        if let Some(inner) = state.network.frame_listeners.remove(addr) {
+            state.network.frame_listeners.insert(addr.to_owned(), wrap(inner));
         }
     }
 }
--- a/crates/simulator/src/fleet/process_control.rs
+++ b/crates/simulator/src/fleet/process_control.rs
@@ -1,76 +1,123 @@
-//! Cutting, pausing, killing and starting simulated processes (§9.1).
-use super::simulation::{Event, ProcessId, Simulation};
+//! Partitions, suspends, crashes and restarts simulated processes.
+use super::simulation::{Event, HEALTHY_DELAY, MAX_CLOCK_OFFSET, ProcessId, Simulation, SimulationState};
 use quincehatch_core::Millis;
 use std::sync::Arc;
 
+/// A process that crashed at a trace point is restarted after so long.
+const TRAP_DOWNTIME: Millis = 4_000;
+/// A process that crashed within a step is down for at least so long, and for less than so much more.
+const MIN_DOWNTIME: Millis = 300;
+const DOWNTIME_SPREAD: Millis = 3_000;
+/// Delay of a message one way while the network loses packets, least and most.
+const DEGRADED_DELAY: (Millis, Millis) = (1, 80);
+
+impl SimulationState {
+    /// The network loses and delays packets from now on.
+    pub fn degrade_network(&mut self, loss_per_mille: u64) {
+        self.loss_per_mille = loss_per_mille;
+        self.delay_range = DEGRADED_DELAY;
+    }
+
+    /// The network is healthy again.
+    pub fn restore_network(&mut self) {
+        self.loss_per_mille = 0;
+        self.delay_range = HEALTHY_DELAY;
+    }
+
+    /// Ends all faults of the network, and those that wait for a process.
+    pub fn clear_faults(&mut self) {
+        self.crashes_enabled = false;
+        self.restore_network();
+        self.partitions.clear();
+        self.trap = None;
+    }
+}
+
 impl Simulation {
-    pub fn partition(&self, p: ProcessId, q: ProcessId, both: bool) {
-        let mut m = self.lock();
-        m.partitions.insert((p, q));
-        if both {
-            m.partitions.insert((q, p));
+    /// Cuts the way from one process to another, or both ways.
+    pub fn partition(&self, from: ProcessId, to: ProcessId, both_ways: bool) {
+        let mut state = self.lock();
+        state.partitions.insert((from, to));
+        if both_ways {
+            state.partitions.insert((to, from));
         }
     }
-    pub fn heal_partition(&self, p: ProcessId, q: ProcessId) {
-        let mut m = self.lock();
-        m.partitions.remove(&(p, q));
-        m.partitions.remove(&(q, p));
+
+    /// Opens both ways between two processes.
+    pub fn heal_partition(&self, from: ProcessId, to: ProcessId) {
+        let mut state = self.lock();
+        state.partitions.remove(&(from, to));
+        state.partitions.remove(&(to, from));
     }
-    /// Stands still for so long; with 0 goes on at once.
-    pub fn suspend(&self, p: ProcessId, ms: Millis) {
-        let mut m = self.lock();
-        let until = m.now + ms;
-        m.processes[p].paused_until = if ms == 0 { 0 } else { m.processes[p].paused_until.max(until) };
-        m.schedule(until, Event::Resume(p));
+
+    /// Suspends a process for so long; 0 ends its suspension at once.
+    pub fn suspend(&self, pid: ProcessId, time: Millis) {
+        let mut state = self.lock();
+        let until = state.now + time;
+        let process = &mut state.processes[pid];
+        process.paused_until = if time == 0 { 0 } else { process.paused_until.max(until) };
+        state.schedule(until, Event::Resume(pid));
     }
-    pub fn crash(&self, p: ProcessId, dark: bool) {
-        let mut m = self.lock();
-        if !m.processes[p].up {
+
+    /// Crashes a process; with `power_loss` its machine goes off, so that the other ends of its connections learn
+    /// nothing.
+    pub fn crash(&self, pid: ProcessId, power_loss: bool) {
+        let mut state = self.lock();
+        if !state.processes[pid].up {
             return;
         }
-        m.processes[p].up = false;
-        m.processes[p].powered_off = dark;
-        self.kill_tasks(&mut m, p);
-        m.drop_connections(p, dark);
+        state.processes[pid].up = false;
+        state.processes[pid].powered_off = power_loss;
+        state.kill_tasks(pid);
+        state.drop_connections(pid, power_loss);
     }
-    pub fn restart(self: &Arc<Self>, p: ProcessId) {
+
+    /// Starts a process again if it is down.
+    pub fn restart(self: &Arc<Self>, pid: ProcessId) {
         let start = {
-            let mut m = self.lock();
-            if m.processes[p].up {
+            let mut state = self.lock();
+            if state.processes[pid].up {
                 return;
             }
-            // A monotonic clock begins anew with its machine.
-            let base = m.rng.below(1_000_000);
-            let h = &mut m.processes[p];
-            (h.up, h.powered_off, h.paused_until, h.clock_offset) = (true, false, 0, base);
-            h.incarnation += 1;
-            h.start.clone()
+            // A monotonic clock starts anew with its machine.
+            let clock_offset = state.rng.below(MAX_CLOCK_OFFSET);
+            let process = &mut state.processes[pid];
+            process.up = true;
+            process.powered_off = false;
+            process.paused_until = 0;
+            process.clock_offset = clock_offset;
+            process.incarnation += 1;
+            process.start.clone()
         };
-        self.run_in(p, || start(self, p));
+        self.run_in(pid, || start(self, pid));
     }
-    /// A process came to a point of its work: a snare there makes it stand still, or die and come back.
-    pub fn reach_trace_point(self: &Arc<Self>, p: ProcessId, what: &str) {
-        let mut m = self.lock();
-        let Some(s) = m.trap.take_if(|s| what.contains(&s.trace_point)) else { return };
-        let at = m.now;
-        m.trap_sprung_at = at;
-        drop(m);
-        self.log(&format!("snare {s:?}"));
-        self.schedule_action(at, move |c| match s.pause {
-            Some(ms) => c.suspend(p, ms),
+
+    /// Springs the trap if it is set for this trace point: the process is suspended, or crashes and is restarted.
+    pub fn reach_trace_point(self: &Arc<Self>, pid: ProcessId, what: &str) {
+        let mut state = self.lock();
+        let Some(trap) = state.trap.take_if(|trap| what.contains(&trap.trace_point)) else { return };
+        let now = state.now;
+        state.trap_sprung_at = now;
+        drop(state);
+        self.log(&format!("{trap:?}"));
+        // Not at once: the process is in the middle of a poll.
+        self.schedule_action(now, move |simulation| match trap.pause {
+            Some(pause) => simulation.suspend(pid, pause),
             None => {
-                c.crash(p, false);
-                c.schedule_action(c.now() + 4_000, move |c| c.restart(p));
+                simulation.crash(pid, false);
+                let restart_at = simulation.now() + TRAP_DOWNTIME;
+                simulation.schedule_action(restart_at, move |simulation| simulation.restart(pid));
             }
         });
     }
-    /// A process dies within its own step; it is back a little later.
-    pub fn crash_and_restart(self: &Arc<Self>, p: ProcessId) {
-        self.crash(p, false);
-        let at = {
-            let mut m = self.lock();
-            m.now + 300 + m.rng.below(3_000)
+
+    /// Crashes a process within its own step; it is restarted a little later.
+    pub fn crash_and_restart(self: &Arc<Self>, pid: ProcessId) {
+        self.crash(pid, false);
+        let restart_at = {
+            let mut state = self.lock();
+            state.now + MIN_DOWNTIME + state.rng.below(DOWNTIME_SPREAD)
         };
-        self.schedule_action(at, move |c| c.restart(p));
+        self.schedule_action(restart_at, move |simulation| simulation.restart(pid));
     }
 }
--- a/crates/simulator/src/fleet/process_world.rs
+++ b/crates/simulator/src/fleet/process_world.rs
@@ -1,5 +1,5 @@
-//! What a simulated process has in place of tokio and the kernel (§5.8, §9.1).
-use super::network::{Connection, HttpRequest, Message};
+//! What a simulated process has in place of the async runtime and the kernel: clock, tasks, connections.
+use super::network::{Connection, HttpReply, HttpRequest, Message};
 use super::simulation::{ProcessId, Simulation};
 use quincehatch_core::{Millis, hash64};
 use quincehatch_runtime::seam::{BoxFuture, OnDisconnect, VirtualConnection, World};
@@ -10,142 +10,167 @@
 use std::task::Waker;
 use tokio::sync::oneshot;
 
-/// A process's view of the world: its clock, its tasks, its links.
+/// Wall-clock time at the start of a simulation.
+const WALL_CLOCK_START: u64 = 1_000_000;
+
+/// The world of one incarnation of a process.
 pub struct ProcessWorld {
-    pub core: Arc<Simulation>,
+    /// The simulation it belongs to.
+    pub simulation: Arc<Simulation>,
+    /// The process.
     pub pid: ProcessId,
+    /// Its incarnation.
     pub incarnation: u64,
 }
 
-struct SimulatedPipe {
-    core: Arc<Simulation>,
+/// The client's handle of a simulated connection.
+struct ClientConnection {
+    simulation: Arc<Simulation>,
     id: u64,
     client: ProcessId,
     server: ProcessId,
     closed: Arc<AtomicBool>,
 }
 
-impl VirtualConnection for SimulatedPipe {
-    fn request(
-        &self,
-        path: String,
-        body: Value,
-        token: Option<String>,
-    ) -> BoxFuture<'_, Result<(u16, Value)>> {
+impl VirtualConnection for ClientConnection {
+    fn request(&self, path: String, body: Value, token: Option<String>) -> BoxFuture<'_, Result<HttpReply>> {
         let (tx, rx) = oneshot::channel();
-        let gone = || Error::from(ErrorKind::ConnectionReset);
-        {
-            let mut m = self.core.lock();
-            if let Some(l) = m.network.connections.get_mut(&self.id).filter(|l| l.client_open) {
-                l.http_reply = Some(tx);
-                m.send(
-                    self.client,
-                    self.server,
-                    Message::Request(HttpRequest { connection: self.id, path, body, token }),
-                );
-            }
+        let mut state = self.simulation.lock();
+        let connection = state.network.connections.get_mut(&self.id);
+        if let Some(connection) = connection.filter(|connection| connection.client_open) {
+            connection.http_reply = Some(tx);
+            let request = HttpRequest { connection: self.id, path, body, token };
+            state.send(self.client, self.server, Message::Request(request));
         }
-        Box::pin(async move { rx.await.unwrap_or_else(|_| Err(gone())) })
+        drop(state);
+        Box::pin(async move { rx.await.unwrap_or_else(|_| Err(connection_reset())) })
     }
+
     fn is_closed(&self) -> bool {
         self.closed.load(Ordering::SeqCst)
     }
+
     fn close(&self) {
-        let mut m = self.core.lock();
-        let Some(l) = m.network.connections.get_mut(&self.id) else { return };
-        if std::mem::replace(&mut l.client_open, false) {
-            let gone = (l.connect_reply.take(), l.http_reply.take(), l.on_break.take());
-            m.deferred_drops.push(Box::new(gone));
-            m.send(self.client, self.server, Message::Closed(self.id));
+        let mut state = self.simulation.lock();
+        let Some(connection) = state.network.connections.get_mut(&self.id) else { return };
+        if std::mem::replace(&mut connection.client_open, false) {
+            let callbacks =
+                (connection.connect_reply.take(), connection.http_reply.take(), connection.on_break.take());
+            state.deferred_drops.push(Box::new(callbacks));
+            state.send(self.client, self.server, Message::Closed(self.id));
         }
     }
 }
 
-/// Closes a link whose opening was given up.
-struct CloseUnlessOpened(Option<Arc<SimulatedPipe>>);
+/// Closes a connection whose opening was given up.
+struct CloseUnlessOpened(Option<Arc<ClientConnection>>);
+
 impl Drop for CloseUnlessOpened {
     fn drop(&mut self) {
-        if let Some(p) = self.0.take() {
-            p.close();
+        if let Some(connection) = self.0.take() {
+            connection.close();
         }
     }
 }
 
+fn connection_reset() -> Error {
+    ErrorKind::ConnectionReset.into()
+}
+
+impl ProcessWorld {
+    /// Registers a connection and sends its first message; none if nobody ever listened at the address.
+    fn start_connecting(
+        &self,
+        addr: &str,
+        on_break: OnDisconnect,
+        connect_reply: oneshot::Sender<Result<()>>,
+    ) -> Option<ClientConnection> {
+        let mut state = self.simulation.lock();
+        let server = state.network.addresses.get(addr).copied()?;
+        state.network.next_id += 1;
+        let id = state.network.next_id;
+        let closed = Arc::new(AtomicBool::new(false));
+        let connection = Connection {
+            client: self.pid,
+            server,
+            addr: addr.to_owned(),
+            client_open: true,
+            server_open: false,
+            closed: closed.clone(),
+            on_break: Some(on_break),
+            connect_reply: Some(connect_reply),
+            http_reply: None,
+        };
+        state.network.connections.insert(id, connection);
+        state.send(self.pid, server, Message::Syn(id));
+        drop(state);
+        Some(ClientConnection { simulation: self.simulation.clone(), id, client: self.pid, server, closed })
+    }
+}
+
 impl World for ProcessWorld {
     fn now(&self) -> Millis {
-        self.core.lock().local_time(self.pid)
+        self.simulation.lock().local_time(self.pid)
     }
+
     fn wall_clock_ms(&self) -> u64 {
-        self.core.lock().now + 1_000_000
+        self.simulation.now() + WALL_CLOCK_START
     }
+
     fn incarnation(&self) -> u64 {
         hash64(&[&self.pid.to_le_bytes(), &self.incarnation.to_le_bytes()])
     }
-    fn wake_at(&self, at: Millis, w: Waker) -> u64 {
-        self.core.wake_at(self.pid, at, w)
+
+    fn wake_at(&self, at: Millis, waker: Waker) -> u64 {
+        self.simulation.wake_at(self.pid, at, waker)
     }
+
     fn cancel_timer(&self, timer: u64) {
-        self.core.cancel(timer);
+        self.simulation.cancel_timer(timer);
     }
-    fn spawn(&self, f: BoxFuture<'static, ()>) {
-        self.core.spawn(self.pid, self.incarnation, f);
+
+    fn spawn(&self, future: BoxFuture<'static, ()>) {
+        self.simulation.spawn(self.pid, self.incarnation, future);
     }
+
     fn connect(
         &self,
         addr: &str,
         on_break: OnDisconnect,
     ) -> BoxFuture<'static, Result<Arc<dyn VirtualConnection>>> {
         let (tx, rx) = oneshot::channel();
-        let mut m = self.core.lock();
-        let Some(b) = m.network.addresses.get(addr).copied() else {
+        let Some(connection) = self.start_connecting(addr, on_break, tx) else {
             return Box::pin(async { Err(ErrorKind::ConnectionRefused.into()) });
         };
-        m.network.next_id += 1;
-        let (id, a, closed) = (m.network.next_id, self.pid, Arc::new(AtomicBool::new(false)));
-        let (addr, on_break, opening) = (addr.to_owned(), Some(on_break), Some(tx));
-        let l = Connection {
-            client: a,
-            server: b,
-            addr,
-            client_open: true,
-            server_open: false,
-            closed: closed.clone(),
-            on_break,
-            connect_reply: opening,
-            http_reply: None,
-        };
-        m.network.connections.insert(id, l);
-        m.send(a, b, Message::Syn(id));
-        drop(m);
-        let pipe = Arc::new(SimulatedPipe { core: self.core.clone(), id, client: a, server: b, closed });
+        let connection = Arc::new(connection);
         Box::pin(async move {
-            let mut guard = CloseUnlessOpened(Some(pipe));
-            rx.await.unwrap_or_else(|_| Err(ErrorKind::ConnectionReset.into()))?;
-            guard
-                .0
-                .take()
-                .map(|p| p as Arc<dyn VirtualConnection>)
-                .ok_or_else(|| ErrorKind::ConnectionReset.into())
+            let mut guard = CloseUnlessOpened(Some(connection));
+            rx.await.unwrap_or_else(|_| Err(connection_reset()))?;
+            let opened = guard.0.take().ok_or_else(connection_reset)?;
+            Ok(opened as Arc<dyn VirtualConnection>)
         })
     }
+
     fn exchange_frame(&self, addr: &str, bytes: Vec<u8>) -> BoxFuture<'static, Result<Vec<u8>>> {
         let (tx, rx) = oneshot::channel();
-        let mut m = self.core.lock();
-        let Some(b) = m.network.addresses.get(addr).copied() else {
+        let mut state = self.simulation.lock();
+        let Some(server) = state.network.addresses.get(addr).copied() else {
             return Box::pin(async { Err(ErrorKind::ConnectionRefused.into()) });
         };
-        m.network.next_id += 1;
-        let rid = m.network.next_id;
-        m.network.pending_frames.insert(rid, tx);
-        m.send(self.pid, b, Message::Frame { rid, addr: addr.to_owned(), bytes });
-        Box::pin(async move { rx.await.unwrap_or_else(|_| Err(ErrorKind::ConnectionReset.into())) })
+        state.network.next_id += 1;
+        let request_id = state.network.next_id;
+        state.network.pending_frames.insert(request_id, tx);
+        state.send(self.pid, server, Message::Frame { request_id, addr: addr.to_owned(), bytes });
+        Box::pin(async move { rx.await.unwrap_or_else(|_| Err(connection_reset())) })
     }
+
     fn injected_bug(&self, bug: &str) -> bool {
-        self.core.has_bug(bug)
+        self.simulation.has_bug(bug)
     }
+
     fn trace_point(&self, what: &str) {
-        let name = self.core.lock().processes[self.pid].name.clone();
-        self.core.log(&format!("{name}: {what}"));
-        self.core.reach_trace_point(self.pid, what);
+        let name = self.simulation.lock().processes[self.pid].name.clone();
+        self.simulation.log(&format!("{name}: {what}"));
+        self.simulation.reach_trace_point(self.pid, what);
     }
 }
--- a/crates/simulator/src/fleet/promotion_faults.rs
+++ b/crates/simulator/src/fleet/promotion_faults.rs
@@ -1,43 +1,52 @@
-//! Faults that lie close to changes of hands (§9.1): spares that arrive and fall, whoever promotes stopped midway, and
-//! leads lost one after the other.
-use super::faults::{self, Fault};
+//! Faults close to promotions: spares that arrive and fall, promoting nodes that are stopped midway, and primaries that
+//! are lost one after the other.
+use super::faults::{self, FAULT_TIME_SPREAD, Fault, MIN_FAULT_TIME};
 use super::setup::SimulatedFleet;
 use super::simulation::{ProcessId, Trap};
+use quincehatch_core::Millis;
 
-/// Phases in which whoever promotes is stopped.
+/// Trace points of a promotion at which the promoting node is stopped.
 const PROMOTION_PHASES: [&str; 6] =
     ["is closing", "is fencing", "chose", "is listing", "is promoting", "is naming"];
+/// A trapped node is suspended this much longer than other faults last.
+const EXTRA_TRAP_TIME: Millis = 2_000;
 
-/// Draws one fault; every fourth is one of any kind.
-pub fn draw_promotion_fault(l: &SimulatedFleet) -> Fault {
-    let below = |n: usize| l.core.lock().rng.below(n as u64) as usize;
-    let (kind, g, ms) = (below(100), below(l.shape.groups), 200 + below(6_500) as u64);
-    let lead = l.assigned_primary(g);
-    let server = g * l.shape.replicas + below(l.shape.replicas);
+/// Draws one fault; every fourth is one of any kind. The order of draws is part of what a seed means.
+pub fn draw_promotion_fault(fleet: &SimulatedFleet) -> Fault {
+    let below = |limit: usize| fleet.simulation.lock().rng.below(limit as u64) as usize;
+    let kind = below(100);
+    let group = below(fleet.shape.groups);
+    let time = MIN_FAULT_TIME + below(FAULT_TIME_SPREAD as usize) as Millis;
+    let primary = fleet.assigned_primary(group);
+    let drawn_server = group * fleet.shape.replicas + below(fleet.shape.replicas);
     match kind {
-        0..15 => Fault::Drain(l.servers.iter().position(|s| s.pid == lead).unwrap_or(server), ms),
-        15..28 => Fault::Drain(server, ms),
+        0..15 => {
+            let server = fleet.servers.iter().position(|server| server.pid == primary);
+            Fault::Drain { server: server.unwrap_or(drawn_server), time }
+        }
+        15..28 => Fault::Drain { server: drawn_server, time },
         28..50 => {
-            let point = PROMOTION_PHASES[below(PROMOTION_PHASES.len())].to_owned();
-            Fault::Trap(Trap { trace_point: point, pause: (below(2) == 0).then_some(2_000 + ms) })
+            let trace_point = PROMOTION_PHASES[below(PROMOTION_PHASES.len())].to_owned();
+            let pause = (below(2) == 0).then_some(EXTRA_TRAP_TIME + time);
+            Fault::Trap(Trap { trace_point, pause })
         }
-        50..56 => Fault::Crash(lead, ms),
-        56..62 => Fault::PowerOff(lead, ms),
-        62..68 => Fault::Pause(lead, ms),
-        68..75 => Fault::Crash(l.spares[g].pid, ms),
-        _ => faults::draw_fault(l),
+        50..56 => Fault::Crash(primary, time),
+        56..62 => Fault::PowerOff(primary, time),
+        62..68 => Fault::Pause(primary, time),
+        68..75 => Fault::Crash(fleet.spares[group].pid, time),
+        _ => faults::draw_fault(fleet),
     }
 }
 
 impl SimulatedFleet {
-    /// The server that some node holds to lead the group; the first where none does.
-    fn assigned_primary(&self, g: usize) -> ProcessId {
-        let group = format!("g{}", g + 1);
-        let known = self.live_nodes.iter().filter_map(|f| f.lock().unwrap().clone());
-        let name = known.filter_map(|f| f.proxy.registry.primary(&group)).max_by_key(|l| l.fence);
-        let name = name.and_then(|l| l.server);
-        let mut all = self.servers.iter().chain(&self.spares);
-        let at = all.find(|s| name.as_deref() == Some(s.address.name.as_str()));
-        at.map_or(self.servers[g * self.shape.replicas].pid, |s| s.pid)
+    /// The newest primary of the group that any node knows of; the group's first server where none does.
+    fn assigned_primary(&self, group: usize) -> ProcessId {
+        let group_name = format!("g{}", group + 1);
+        let nodes = self.live_nodes.iter().filter_map(|node| node.lock().unwrap().clone());
+        let known = nodes.filter_map(|node| node.proxy.registry.primary(&group_name));
+        let newest = known.max_by_key(|primary| primary.fence);
+        let name = newest.and_then(|primary| primary.server);
+        let found = name.and_then(|name| self.server_process(&name));
+        found.unwrap_or(self.servers[group * self.shape.replicas].pid)
     }
 }
--- a/crates/simulator/src/fleet/run.rs
+++ b/crates/simulator/src/fleet/run.rs
@@ -1,4 +1,5 @@
-//! One seed from start to end (§9.1).
+//! One seed of a simulated fleet from start to end: a quiet start, a time of faults, healing, and the checks.
+use super::final_faults::inject_final_fault;
 use super::setup::{SimulatedFleet, build_fleet};
 use super::{faults, promotion_faults};
 use quincehatch_core::Millis;
@@ -6,7 +7,7 @@
 use quincehatch_testbed::caller::{Caller, LoadEnvironment};
 use quincehatch_testbed::configuration_pushes::push_round;
 use quincehatch_testbed::fleet::Shape;
-use quincehatch_testbed::history::{CallEnd, Facts, check_history, longest_gaps_after};
+use quincehatch_testbed::history::{CallEnd, Facts, History, check_history, longest_gaps_after};
 use quincehatch_testbed::run_facts::{collect_facts, resolve_open_attempts};
 use quincehatch_testbed::scenario::operator_call;
 use serde_json::json;
@@ -17,52 +18,90 @@
 /// What a run came to.
 #[derive(Debug, Default)]
 pub struct Report {
+    /// Seed of the run.
     pub seed: u64,
+    /// Every violation, as a line that names its check.
     pub violations: Vec<String>,
+    /// Orders that were acknowledged.
     pub committed: usize,
+    /// Orders that were sent.
     pub attempts: usize,
+    /// Lookups that were answered.
     pub reads: usize,
+    /// Configurations that were acknowledged.
     pub pushes: usize,
+    /// Promotions that a primary's log shows.
     pub promotions: usize,
+    /// Messages handed to the network.
     pub messages_sent: u64,
     /// Hash of all that happened: two runs of one seed have the same.
     pub trace: u64,
-    /// The longest time without a kept order after the last fault was over.
+    /// The longest time without an acknowledged order after the last fault was over.
     pub longest_outage_ms: Millis,
 }
 
 /// What is simulated.
 #[derive(Clone, Debug)]
 pub struct SimOptions {
+    /// Seed of the run.
     pub seed: u64,
+    /// Number of keepers.
     pub keepers: usize,
+    /// Number of nodes.
     pub nodes: usize,
+    /// Number of groups of servers.
     pub groups: usize,
-    /// One thing breaks down for good, and nothing is healed.
+    /// One thing fails for good, and nothing is healed.
     pub final_fault: bool,
-    /// Faults lie close to changes of hands.
+    /// Faults lie close to promotions.
     pub promotion_faults: bool,
+    /// A deliberate bug that is switched on.
     pub bug: Option<String>,
+    /// Prints what happens.
     pub verbose: bool,
 }
 
+/// Zones and replicas of a group in every run.
+const ZONES: usize = 3;
+const REPLICAS: usize = 3;
+/// Faults begin at this time, and no new one does once the period is over.
 const FAULTS_FROM: Millis = 9_000;
 const FAULT_PERIOD: Millis = 30_000;
+/// A final fault comes this much later than other faults begin.
+const FINAL_FAULT_DELAY: Millis = 2_000;
+/// Load goes on for so long after the last fault.
 const RECOVERY_PERIOD: Millis = 17_000;
+/// Callers of each group, and the mean pause between two calls of one.
 const CALLERS: usize = 8;
 const CALLER_PAUSE_MS: u64 = 200;
+const LOOKUP_DEADLINE_MS: u64 = 3_000;
+const ORDERS_PER_MILLE: u64 = 650;
+const MOVES_PER_MILLE: u64 = 30;
+/// Callers end what they are doing within this time.
+const LOAD_END: Millis = 6_000;
+/// The final state is collected within so many steps of [`COLLECTION_STEP`].
+const COLLECTION_STEPS: usize = 60;
+const COLLECTION_STEP: Millis = 1_000;
+/// Deadline of the first push, and the pause before it is sent again.
+const PUSH_DEADLINE_MS: u64 = 5_000;
+const PUSH_RETRY: Duration = Duration::from_millis(200);
+/// Callers start this long after the first configuration is acknowledged.
+const CALLERS_DELAY: Duration = Duration::from_secs(2);
+/// Marks of pushes: numbers of a seed begin at a multiple of the first, those of a round lie apart by the second.
+const MARKS_PER_SEED: u64 = 1_000;
+const MARKS_PER_ROUND: u64 = 10;
 
-fn load_environment(l: &SimulatedFleet) -> Arc<LoadEnvironment> {
+fn load_environment(fleet: &SimulatedFleet) -> Arc<LoadEnvironment> {
     Arc::new(LoadEnvironment {
         history: Default::default(),
-        platform: l.platform.clone(),
-        groups: l.shape.groups,
-        zones: l.shape.zones,
+        platform: fleet.platform.clone(),
+        groups: fleet.shape.groups,
+        zones: fleet.shape.zones,
         zone_affinity: false,
         pause_ms: CALLER_PAUSE_MS,
-        lookup_ms: 3_000,
-        orders_per_mille: 650,
-        moves_per_mille: 30,
+        lookup_ms: LOOKUP_DEADLINE_MS,
+        orders_per_mille: ORDERS_PER_MILLE,
+        moves_per_mille: MOVES_PER_MILLE,
         stop: AtomicBool::new(false),
         sent_statements: Default::default(),
         calls: Default::default(),
@@ -70,133 +109,158 @@
     })
 }
 
-/// The first blueprint, the callers, and operators who push now and then.
-fn start_load(l: &SimulatedFleet, w: &Arc<LoadEnvironment>, seed: u64) {
-    let (desks, text, w) = (l.operator_addresses.clone(), l.configuration.clone(), w.clone());
-    seam::spawn(async move {
-        let body = json!({"text": text, "key": "first", "base": 0, "by": "sim"});
-        while !matches!(operator_call(&desks[0], "push", &body, 5_000).await, Some((200, _))) {
-            seam::sleep(Duration::from_millis(200)).await;
-        }
-        seam::sleep(Duration::from_secs(2)).await;
-        for id in 0..CALLERS * w.groups {
-            seam::spawn(Caller::new(w.clone(), id, seed).run_until(u64::MAX, CALLER_PAUSE_MS));
-        }
-        let mut mark = seed * 1_000;
-        while !w.stop.load(Ordering::SeqCst) {
-            let gap = fastrand::u64(1_000..5_000);
-            seam::sleep(Duration::from_millis(gap)).await;
-            mark += 10;
-            push_round(&desks, &text, &w, mark).await;
-        }
-    });
+/// Pushes the first configuration, then starts the callers, and operators who push now and then.
+async fn run_load(operators: Vec<String>, configuration: String, env: Arc<LoadEnvironment>, seed: u64) {
+    let body = json!({"text": configuration, "key": "first", "base": 0, "by": "sim"});
+    while !matches!(operator_call(&operators[0], "push", &body, PUSH_DEADLINE_MS).await, Some((200, _))) {
+        seam::sleep(PUSH_RETRY).await;
+    }
+    seam::sleep(CALLERS_DELAY).await;
+    for id in 0..CALLERS * env.groups {
+        seam::spawn(Caller::new(env.clone(), id, seed).run_until(u64::MAX, CALLER_PAUSE_MS));
+    }
+    let mut mark = seed * MARKS_PER_SEED;
+    while !env.stop.load(Ordering::SeqCst) {
+        let gap = fastrand::u64(1_000..5_000);
+        seam::sleep(Duration::from_millis(gap)).await;
+        mark += MARKS_PER_ROUND;
+        push_round(&operators, &configuration, &env, mark).await;
+    }
+}
+
+/// The fault after which service must be back within its bound.
+struct LastFault {
+    at: Millis,
+    description: String,
+}
+
+/// What is known once the load is over.
+struct FinalState {
+    facts: Facts,
+    fault: LastFault,
+    /// When the load was told to stop.
+    end: Millis,
 }
 
-/// Runs one seed: a quiet start, a time of faults, healing, and the checks.
-pub fn run_seed(s: &SimOptions) -> Report {
+/// Runs one seed.
+pub fn run_seed(options: &SimOptions) -> Report {
     let shape = Shape {
         name: "sim".into(),
-        zones: 3,
-        nodes: s.nodes,
-        keepers: s.keepers,
-        groups: s.groups,
-        replicas: 3,
+        zones: ZONES,
+        nodes: options.nodes,
+        keepers: options.keepers,
+        groups: options.groups,
+        replicas: REPLICAS,
         port: 0,
     };
-    let l = Arc::new(build_fleet(s.seed, shape, s.bug.as_deref(), s.verbose));
-    let w = load_environment(&l);
-    l.core.run_in(l.callers, || start_load(&l, &w, s.seed));
-    let (healed, what) = if s.final_fault {
-        l.core.run_until(FAULTS_FROM + 2_000);
-        (l.core.now(), super::final_faults::inject_final_fault(&l, s.seed))
-    } else {
-        faults::schedule_faults(
-            &l,
-            FAULTS_FROM,
-            FAULT_PERIOD,
-            if s.promotion_faults { promotion_faults::draw_promotion_fault } else { faults::draw_fault },
-        );
-        l.core.run_until(FAULTS_FROM + FAULT_PERIOD);
-        l.heal_all();
-        (l.core.now(), "all is healed".to_owned())
+    let fleet = Arc::new(build_fleet(options.seed, shape, options.bug.as_deref(), options.verbose));
+    let env = load_environment(&fleet);
+    let load =
+        run_load(fleet.operator_addresses.clone(), fleet.configuration.clone(), env.clone(), options.seed);
+    fleet.simulation.run_in(fleet.callers, || seam::spawn(load));
+    let fault = run_faults(&fleet, options);
+    fleet.simulation.run_until(fault.at + RECOVERY_PERIOD);
+    // What was stopped at a trace point meanwhile is a fault of its own.
+    let fault = LastFault { at: fault.at.max(fleet.simulation.lock().trap_sprung_at), ..fault };
+    fleet.simulation.run_until(fault.at + RECOVERY_PERIOD);
+    env.stop.store(true, Ordering::SeqCst);
+    let end = fleet.simulation.now();
+    fleet.simulation.run_until(end + LOAD_END);
+    let report = match collect_final_state(&fleet, &env, options.seed) {
+        Ok(facts) => report(options, &fleet, &env, FinalState { facts, fault, end }),
+        Err(reason) => Report { seed: options.seed, violations: vec![reason], ..Default::default() },
+    };
+    fleet.shut_down();
+    report
+}
+
+fn run_faults(fleet: &Arc<SimulatedFleet>, options: &SimOptions) -> LastFault {
+    let simulation = &fleet.simulation;
+    if options.final_fault {
+        simulation.run_until(FAULTS_FROM + FINAL_FAULT_DELAY);
+        let at = simulation.now();
+        return LastFault { at, description: inject_final_fault(fleet, options.seed) };
+    }
+    let draw =
+        if options.promotion_faults { promotion_faults::draw_promotion_fault } else { faults::draw_fault };
+    faults::schedule_faults(fleet, FAULTS_FROM, FAULT_PERIOD, draw);
+    simulation.run_until(FAULTS_FROM + FAULT_PERIOD);
+    fleet.heal_all();
+    LastFault { at: simulation.now(), description: "all is healed".to_owned() }
+}
+
+/// Resolves the attempts that are still open, and asks the servers what they hold.
+fn collect_final_state(
+    fleet: &SimulatedFleet,
+    env: &Arc<LoadEnvironment>,
+    seed: u64,
+) -> Result<Facts, String> {
+    let collected: Arc<Mutex<Option<Result<Facts, String>>>> = Arc::default();
+    let (slot, env, operators) = (collected.clone(), env.clone(), fleet.operator_addresses.clone());
+    let servers: Vec<_> =
+        fleet.servers.iter().chain(&fleet.spares).map(|server| server.address.clone()).collect();
+    let collect = async move {
+        resolve_open_attempts(&env, seed).await;
+        let facts = collect_facts(&operators, &servers).await;
+        *slot.lock().unwrap() = Some(facts);
     };
-    l.core.run_until(healed + RECOVERY_PERIOD);
-    // What broke down on top of it, a little later, is a breakdown of its own.
-    let healed = healed.max(l.core.lock().trap_sprung_at);
-    l.core.run_until(healed + RECOVERY_PERIOD);
-    w.stop.store(true, Ordering::SeqCst);
-    let end = l.core.now();
-    l.core.run_until(end + 6_000);
-    let got: Arc<Mutex<Option<Result<Facts, String>>>> = Arc::default();
-    let (g, v, desks) = (got.clone(), w.clone(), l.operator_addresses.clone());
-    let servers: Vec<_> = l.servers.iter().chain(&l.spares).map(|s| s.address.clone()).collect();
-    let seed = s.seed;
-    l.core.run_in(l.callers, || {
-        seam::spawn(async move {
-            resolve_open_attempts(&v, seed).await;
-            let f = collect_facts(&desks, &servers).await;
-            *g.lock().unwrap() = Some(f);
-        })
-    });
-    for _ in 0..60 {
-        l.core.run_until(l.core.now() + 1_000);
-        if got.lock().unwrap().is_some() {
+    fleet.simulation.run_in(fleet.callers, || seam::spawn(collect));
+    for _ in 0..COLLECTION_STEPS {
+        fleet.simulation.run_until(fleet.simulation.now() + COLLECTION_STEP);
+        if collected.lock().unwrap().is_some() {
             break;
         }
     }
-    let facts = got.lock().unwrap().take().unwrap_or_else(|| Err("the end never came".into()));
-    let r = report(s, &l, &w, facts, (healed, format!("final: {what}")), end);
-    l.shut_down();
-    r
+    let facts = collected.lock().unwrap().take();
+    facts.unwrap_or_else(|| Err("the final state could not be collected".into()))
 }
 
 fn report(
-    s: &SimOptions,
-    l: &SimulatedFleet,
-    w: &LoadEnvironment,
-    got: Result<Facts, String>,
-    fault: (Millis, String),
-    end: Millis,
+    options: &SimOptions,
+    fleet: &SimulatedFleet,
+    env: &LoadEnvironment,
+    final_state: FinalState,
 ) -> Report {
-    let mut h = w.history.lock().unwrap();
-    let healed = fault.0;
-    h.push_attempts.iter_mut().for_each(|t| t.majority_up = s.final_fault || t.asked >= healed);
-    h.immediate_effect = true;
-    let h = h;
-    let sent = w.sent_statements.lock().unwrap().clone();
-    let journals = l
-        .servers
-        .iter()
-        .chain(&l.spares)
-        .map(|s| (s.address.name.clone(), s.disk.journal.entries_so_far()))
-        .collect();
-    if let Err(e) = &got {
-        return Report { seed: s.seed, violations: vec![e.clone()], ..Default::default() };
+    let FinalState { facts, fault, end } = final_state;
+    let mut history = env.history.lock().unwrap();
+    for push in &mut history.push_attempts {
+        push.majority_up = options.final_fault || push.asked >= fault.at;
     }
-    let mut breaches = Vec::new();
-    let f = Facts { journals, ..got.unwrap_or_default() };
-    breaches.extend(check_history(&h, &f, &sent, &[fault], end));
-    breaches.extend(l.keeper_registry.commit_watch.lock().unwrap().breaches.iter().cloned());
-    let kept = h.attempts.values().filter(|t| t.ends.iter().any(|e| e.0 == CallEnd::Committed)).count();
-    if kept == 0 || h.reads.is_empty() || h.pushes.is_empty() {
-        breaches.push("the run proves nothing: no order, read or push came through".into());
+    history.immediate_effect = true;
+    let sent = env.sent_statements.lock().unwrap().clone();
+    let all_servers = fleet.servers.iter().chain(&fleet.spares);
+    let journal =
+        |server: &super::setup::Server| (server.address.name.clone(), server.disk.journal.entries_so_far());
+    let facts = Facts { journals: all_servers.map(journal).collect(), ..facts };
+    let faults = [(fault.at, format!("final: {}", fault.description))];
+    let mut violations = check_history(&history, &facts, &sent, &faults, end);
+    violations.extend(fleet.keeper_registry.commit_watch.lock().unwrap().violations.iter().cloned());
+    let committed = count_committed(&history);
+    if committed == 0 || history.reads.is_empty() || history.pushes.is_empty() {
+        violations.push("the run proves nothing: no order, read or push came through".into());
     }
-    let m = l.core.lock();
+    let state = fleet.simulation.lock();
     Report {
-        seed: s.seed,
-        committed: kept,
-        attempts: h.attempts.len(),
-        reads: h.reads.len(),
-        pushes: h.pushes.len(),
-        promotions: f.logs.values().flat_map(|v| v.first()).map(|(_, log)| count_promotions(log)).sum(),
-        messages_sent: m.messages_sent,
-        trace: m.trace,
-        longest_outage_ms: longest_gaps_after(&h, healed).into_values().max().unwrap_or(Millis::MAX),
-        violations: breaches,
+        seed: options.seed,
+        violations,
+        committed,
+        attempts: history.attempts.len(),
+        reads: history.reads.len(),
+        pushes: history.pushes.len(),
+        promotions: count_promotions(&facts),
+        messages_sent: state.messages_sent,
+        trace: state.trace,
+        longest_outage_ms: longest_gaps_after(&history, fault.at).into_values().max().unwrap_or(Millis::MAX),
     }
 }
 
-/// How often hands changed: each new lead's first record says so.
-fn count_promotions(log: &[String]) -> usize {
-    log.iter().filter(|r| r.ends_with(" start")).count()
+fn count_committed(history: &History) -> usize {
+    let is_committed = |ends: &[(CallEnd, u64, u64)]| ends.iter().any(|end| end.0 == CallEnd::Committed);
+    history.attempts.values().filter(|attempt| is_committed(&attempt.ends)).count()
+}
+
+/// Each new primary begins its log with a record that says so.
+fn count_promotions(facts: &Facts) -> usize {
+    let primaries = facts.logs.values().filter_map(|logs| logs.first());
+    primaries.map(|(_, log)| log.iter().filter(|record| record.ends_with(" start")).count()).sum()
 }
--- a/crates/simulator/src/fleet/setup.rs
+++ b/crates/simulator/src/fleet/setup.rs
@@ -1,240 +1,312 @@
-//! The processes of a simulated fleet (§9.1): nodes, servers, platform and callers are the very code that runs on a
-//! real one; what stands here only gives them addresses.
-use super::keeper::{self, Disk, KeeperRegistry};
-use super::network::HttpHandler;
+//! Builds a simulated fleet: keepers, nodes, stand-in servers, the platform and the callers' process.
+//!
+//! All of them are the very code that runs on a real fleet; this module only gives them addresses.
+use super::keeper::{KeeperGroup, KeeperRegistry};
+use super::network::{HttpHandler, HttpReply, HttpRequest};
 use super::simulation::{ProcessId, Simulation, StartProcess};
+use crate::addresses;
 use bytes::Bytes;
 use quincehatch_config::settings::NodeSettings;
-use quincehatch_core::Name;
 use quincehatch_node::{ClusterNode, gossip, operator_api};
-use quincehatch_proxy::listener::HttpRequest;
-use quincehatch_runtime::seam;
-use quincehatch_store::keeper::RecoveredState;
-use quincehatch_store::{View, Voter};
-use quincehatch_testbed::fleet::{ServerAddress, Shape, TOKEN, configuration_for};
+use quincehatch_proxy::listener;
+use quincehatch_runtime::seam::{self, BoxFuture};
+use quincehatch_store::Voter;
+use quincehatch_testbed::fleet::{ServerAddress, Shape, TOKEN, configuration_for, parse_labels};
 use quincehatch_testbed::platform::{Platform, poll_readiness};
-use quincehatch_testbed::stand_in::{self, StandIn, calls, replication};
+use quincehatch_testbed::stand_in::{MemoryDisk, StandIn, StandInOptions, calls, replication};
 use quincehatch_testbed::statement::ConnectionState;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
-/// A server's process, and the stand-in that lives in it at the time.
+/// Nodes that every node knows from its settings.
+const SEED_NODES: usize = 3;
+/// HTTP status of a stand-in's rejection.
+const CONFLICT: u16 = 409;
+const OK: u16 = 200;
+
+/// A server's process, and the stand-in that runs in it.
 #[derive(Clone)]
 pub struct Server {
+    /// Its process.
     pub pid: ProcessId,
+    /// Its name, group and address.
     pub address: ServerAddress,
+    /// The stand-in of its newest incarnation.
     pub stand_in: Arc<Mutex<Option<Arc<StandIn>>>>,
-    pub disk: Arc<stand_in::MemoryDisk>,
+    /// Its disk.
+    pub disk: Arc<MemoryDisk>,
+}
+
+impl Server {
+    /// The stand-in of the newest incarnation.
+    pub fn running(&self) -> Option<Arc<StandIn>> {
+        self.stand_in.lock().unwrap().clone()
+    }
 }
 
+/// A node of the newest incarnation of its process.
+pub type LiveNode = Arc<Mutex<Option<Arc<ClusterNode>>>>;
+
+/// A fleet in a simulation.
 pub struct SimulatedFleet {
-    pub core: Arc<Simulation>,
+    /// The simulation it runs in.
+    pub simulation: Arc<Simulation>,
+    /// Its size.
     pub shape: Shape,
+    /// Processes of the keepers.
     pub keepers: Vec<ProcessId>,
+    /// What the keepers share.
     pub keeper_registry: Arc<KeeperRegistry>,
+    /// Processes of the nodes.
     pub nodes: Vec<ProcessId>,
-    pub live_nodes: Vec<Arc<Mutex<Option<Arc<ClusterNode>>>>>,
+    /// What runs in them.
+    pub live_nodes: Vec<LiveNode>,
+    /// Servers, group by group.
     pub servers: Vec<Server>,
     /// One a group, under a name of its own; not running at first.
     pub spares: Vec<Server>,
+    /// Where the nodes take calls of operators.
     pub operator_addresses: Vec<String>,
+    /// Where the platform listens.
     pub platform: String,
-    /// Those with a lower number are the fleet and its servers.
+    /// The platform's process; processes with a lower id are the fleet and its servers.
     pub platform_process: ProcessId,
+    /// The process of all callers.
     pub callers: ProcessId,
+    /// The first configuration.
     pub configuration: String,
 }
 
-fn address(kind: u64, i: usize) -> String {
-    format!("127.0.0.{kind}:{}", 1_000 + i)
-}
-fn zone_name(i: usize, of: usize) -> String {
-    format!("d{}", i % of + 1)
+fn zone_name(index: usize, zones: usize) -> String {
+    format!("d{}", index % zones + 1)
 }
 
-fn node_settings(shape: &Shape, i: usize) -> NodeSettings {
+fn node_settings(shape: &Shape, index: usize) -> NodeSettings {
     NodeSettings {
-        name: format!("n{}", i + 1),
-        zone: zone_name(i, shape.zones),
-        client_listener: address(2, i),
-        operator_listener: address(3, i),
-        gossip_listener: address(4, i),
-        seeds: (0..shape.nodes.min(3)).map(|i| address(4, i)).collect(),
-        keepers: (0..shape.keepers).map(|i| address(1, i)).collect(),
-        platform: address(6, 0),
+        name: format!("n{}", index + 1),
+        zone: zone_name(index, shape.zones),
+        client_listener: addresses::client_listener(index),
+        operator_listener: addresses::operator_listener(index),
+        gossip_listener: addresses::gossip_listener(index),
+        seeds: (0..shape.nodes.min(SEED_NODES)).map(addresses::gossip_listener).collect(),
+        keepers: (0..shape.keepers).map(addresses::keeper).collect(),
+        platform: addresses::platform(),
         token: TOKEN.into(),
         log: "off".into(),
         threads: 1,
     }
 }
 
-fn http_request(v: super::network::HttpRequest) -> HttpRequest {
-    let method = if v.path == "/ready" { "GET" } else { "POST" }.to_owned();
-    let body = if v.body.is_null() { Bytes::new() } else { Bytes::from(v.body.to_string()) };
-    HttpRequest { method, path: v.path, token: v.token, body }
+/// The request as a node's listener reads it off the wire.
+fn listener_request(request: HttpRequest) -> listener::HttpRequest {
+    let method = if request.path == "/ready" { "GET" } else { "POST" }.to_owned();
+    let body = if request.body.is_null() { Bytes::new() } else { Bytes::from(request.body.to_string()) };
+    listener::HttpRequest { method, path: request.path, token: request.token, body }
 }
 
-fn start_node(core: &Arc<Simulation>, pid: ProcessId, set: &NodeSettings) -> Arc<ClusterNode> {
-    let f = ClusterNode::new(set);
-    let n = f.proxy.clone();
-    let door: HttpHandler = Arc::new(move |v| {
-        let n = n.clone();
-        Box::pin(async move { Some(operator_api::origin(&n, http_request(v)).await) })
+fn start_node(simulation: &Arc<Simulation>, pid: ProcessId, settings: &NodeSettings) -> Arc<ClusterNode> {
+    let node = ClusterNode::new(settings);
+    let proxy = node.proxy.clone();
+    let on_client_request: HttpHandler = Arc::new(move |request| {
+        let proxy = proxy.clone();
+        Box::pin(async move { Some(operator_api::origin(&proxy, listener_request(request)).await) })
     });
-    core.listen_http(&set.client_listener, pid, door, Arc::new(|_| ()));
-    let g = f.clone();
-    let at_desk: HttpHandler = Arc::new(move |v| {
-        let f = g.clone();
-        Box::pin(async move { Some(operator_api::answer(&f, http_request(v)).await) })
+    simulation.listen_http(&settings.client_listener, pid, on_client_request, Arc::new(|_| ()));
+    let shared = node.clone();
+    let on_operator_request: HttpHandler = Arc::new(move |request| {
+        let node = shared.clone();
+        Box::pin(async move { Some(operator_api::answer(&node, listener_request(request)).await) })
     });
-    core.listen_http(&set.operator_listener, pid, at_desk, Arc::new(|_| ()));
-    let g = f.clone();
-    core.listen_frames(
-        &set.gossip_listener,
-        pid,
-        Arc::new(move |b| {
-            let got = gossip::respond_without_probing(&g, &b);
-            Box::pin(async move { got })
-        }),
-    );
-    f.start();
-    f
-}
-
-fn start_server(core: &Arc<Simulation>, pid: ProcessId, args: stand_in::StandInOptions) -> Arc<StandIn> {
-    let at = args.addr.clone();
-    let s = StandIn::open(args).expect("a disk in memory opens");
-    let links: Arc<Mutex<BTreeMap<u64, Arc<tokio::sync::Mutex<ConnectionState>>>>> = Arc::default();
-    let (t, of) = (s.clone(), links.clone());
-    let http: HttpHandler = Arc::new(move |v| {
-        let ctx = of.lock().unwrap().entry(v.connection).or_default().clone();
-        let s = t.clone();
-        Box::pin(async move {
-            s.faults.wait_while(&s.faults.dark).await;
-            let got = calls::answer_call(&s, &ctx, &v.path, v.body).await.ok()?;
-            s.faults.wait_while(&s.faults.dark).await;
-            Some((if got.get("error").is_some() { 409 } else { 200 }, got))
-        })
+    simulation.listen_http(&settings.operator_listener, pid, on_operator_request, Arc::new(|_| ()));
+    let shared = node.clone();
+    let on_gossip = move |bytes: Vec<u8>| {
+        let reply = gossip::respond_without_probing(&shared, &bytes);
+        Box::pin(async move { reply }) as BoxFuture<'_, _>
+    };
+    simulation.listen_frames(&settings.gossip_listener, pid, Arc::new(on_gossip));
+    node.start();
+    node
+}
+
+/// Open connections of a server; the end of one drops its state, and with it its open transaction.
+#[derive(Default)]
+struct ServerConnections(Mutex<BTreeMap<u64, Arc<tokio::sync::Mutex<ConnectionState>>>>);
+
+impl ServerConnections {
+    fn get(&self, id: u64) -> Arc<tokio::sync::Mutex<ConnectionState>> {
+        self.0.lock().unwrap().entry(id).or_default().clone()
+    }
+
+    fn close(&self, id: u64) {
+        self.0.lock().unwrap().remove(&id);
+    }
+}
+
+async fn answer_server_request(
+    stand_in: Arc<StandIn>,
+    connection: Arc<tokio::sync::Mutex<ConnectionState>>,
+    request: HttpRequest,
+) -> Option<HttpReply> {
+    stand_in.faults.wait_while(&stand_in.faults.dark).await;
+    let reply = calls::answer_call(&stand_in, &connection, &request.path, request.body).await.ok()?;
+    stand_in.faults.wait_while(&stand_in.faults.dark).await;
+    let status = if reply.get("error").is_some() { CONFLICT } else { OK };
+    Some((status, reply))
+}
+
+fn start_server(simulation: &Arc<Simulation>, pid: ProcessId, options: StandInOptions) -> Arc<StandIn> {
+    let addr = options.addr.clone();
+    let stand_in = StandIn::open(options).expect("a disk in memory opens");
+    let connections = Arc::new(ServerConnections::default());
+    let (shared, open) = (stand_in.clone(), connections.clone());
+    let on_request: HttpHandler = Arc::new(move |request| {
+        let connection = open.get(request.connection);
+        Box::pin(answer_server_request(shared.clone(), connection, request))
     });
-    // A link's end drops its context, and with it its open transaction.
-    let closed = Arc::new(move |id| drop(links.lock().unwrap().remove(&id)));
-    core.listen_http(&at, pid, http, closed);
-    seam::spawn(replication::follow_primary(s.clone()));
-    seam::spawn(replication::send_heartbeats(s.clone()));
-    s
+    simulation.listen_http(&addr, pid, on_request, Arc::new(move |id| connections.close(id)));
+    seam::spawn(replication::follow_primary(stand_in.clone()));
+    seam::spawn(replication::send_heartbeats(stand_in.clone()));
+    stand_in
 }
 
-pub fn build_fleet(seed: u64, shape: Shape, bug: Option<&str>, tell: bool) -> SimulatedFleet {
-    fastrand::seed(seed);
-    let core = Simulation::new(seed, bug, tell);
-    let names: Vec<Name> = (0..shape.keepers).map(|i| format!("k{}", i + 1).into()).collect();
-    let machines =
-        names.iter().enumerate().map(|(i, n)| Voter { name: n.clone(), addr: address(1, i).into() });
-    let view = View { version: 1, members: names.clone(), voters: machines.collect() };
-    let all = Arc::new(KeeperRegistry { process_by_name: Mutex::default(), commit_watch: Mutex::default() });
-    let keepers: Vec<ProcessId> = names
-        .iter()
-        .enumerate()
-        .map(|(i, n)| {
-            let disk: Disk =
-                Arc::new(Mutex::new(RecoveredState { view: view.clone(), ..Default::default() }));
-            let (n2, all2) = (n.clone(), all.clone());
-            let start: StartProcess =
-                Arc::new(move |c, pid| keeper::start_keeper(c, pid, &n2, &address(1, i), &disk, &all2));
-            let pid = core.add_process(n, start, false);
-            all.process_by_name.lock().unwrap().insert(n.clone(), pid);
-            pid
-        })
-        .collect();
-    let mut fleets = Vec::new();
-    let nodes: Vec<ProcessId> = (0..shape.nodes)
-        .map(|i| {
-            let set = node_settings(&shape, i);
-            let live: Arc<Mutex<Option<Arc<ClusterNode>>>> = Arc::default();
-            fleets.push(live.clone());
-            let name = set.name.clone();
-            let start: StartProcess = Arc::new(move |c, pid| {
-                let f = start_node(c, pid, &set);
-                *live.lock().unwrap() = Some(f);
-            });
-            core.add_process(&name, start, false)
-        })
-        .collect();
-    let desks: Vec<String> = (0..shape.nodes).map(|i| address(3, i)).collect();
-    let (mut servers, mut spares) = (Vec::new(), Vec::new());
-    for g in 0..shape.groups {
-        // The last is a spare, which is not there at first.
-        let addrs: Vec<String> =
-            (0..=shape.replicas).map(|i| address(5, g * (shape.replicas + 1) + i)).collect();
-        for (i, a) in addrs.iter().enumerate() {
-            let (name, group) = (format!("g{}s{}", g + 1, i + 1), format!("g{}", g + 1));
-            let d = zone_name(g + i, shape.zones);
-            let labels =
-                [format!("group={group}"), format!("district={d}"), format!("copies={}", shape.replicas)];
-            let disk: Arc<stand_in::MemoryDisk> = Arc::default();
-            let args = stand_in::StandInOptions {
-                name: name.clone(),
-                addr: a.clone(),
-                labels: quincehatch_testbed::fleet::parse_labels(&labels),
-                peers: addrs.iter().filter(|x| *x != a).cloned().collect(),
-                operator_addresses: desks.clone(),
-                memory_disk: Some(disk.clone()),
-                ..Default::default()
-            };
-            let live: Arc<Mutex<Option<Arc<StandIn>>>> = Arc::default();
-            let l = live.clone();
-            let start: StartProcess = Arc::new(move |c, pid| {
-                let s = start_server(c, pid, args.clone());
-                *l.lock().unwrap() = Some(s);
-            });
-            let pid = core.add_process(&name, start, false);
-            let s =
-                Server { pid, address: ServerAddress { name, group, addr: a.clone() }, stand_in: live, disk };
-            if i < shape.replicas {
-                servers.push(s);
-            } else {
-                core.crash(pid, false);
-                spares.push(s);
-            }
-        }
+fn start_keepers(simulation: &Arc<Simulation>, count: usize) -> KeeperGroup {
+    let voter = |index: usize| Voter {
+        name: format!("k{}", index + 1).into(),
+        addr: addresses::keeper(index).into(),
+    };
+    KeeperGroup::start(simulation, (0..count).map(voter).collect())
+}
+
+fn add_node(simulation: &Arc<Simulation>, settings: NodeSettings) -> (ProcessId, LiveNode) {
+    let live = LiveNode::default();
+    let (slot, name) = (live.clone(), settings.name.clone());
+    let start: StartProcess = Arc::new(move |simulation, pid| {
+        let node = start_node(simulation, pid, &settings);
+        *slot.lock().unwrap() = Some(node);
+    });
+    (simulation.add_process(&name, start, false), live)
+}
+
+fn add_server(
+    simulation: &Arc<Simulation>,
+    address: ServerAddress,
+    zone: &str,
+    peers: Vec<String>,
+    shape: &Shape,
+) -> Server {
+    let labels = [
+        format!("group={}", address.group),
+        format!("district={zone}"),
+        format!("copies={}", shape.replicas),
+    ];
+    let disk = Arc::<MemoryDisk>::default();
+    let options = StandInOptions {
+        name: address.name.clone(),
+        addr: address.addr.clone(),
+        labels: parse_labels(&labels),
+        peers,
+        operator_addresses: (0..shape.nodes).map(addresses::operator_listener).collect(),
+        memory_disk: Some(disk.clone()),
+        ..Default::default()
+    };
+    let stand_in: Arc<Mutex<Option<Arc<StandIn>>>> = Arc::default();
+    let slot = stand_in.clone();
+    let start: StartProcess = Arc::new(move |simulation, pid| {
+        let started = start_server(simulation, pid, options.clone());
+        *slot.lock().unwrap() = Some(started);
+    });
+    let pid = simulation.add_process(&address.name, start, false);
+    Server { pid, address, stand_in, disk }
+}
+
+/// The servers of a group; the last is its spare, which is not running at first.
+fn add_group(simulation: &Arc<Simulation>, group: usize, shape: &Shape) -> Vec<Server> {
+    let first_index = group * (shape.replicas + 1);
+    let addrs: Vec<String> =
+        (0..=shape.replicas).map(|index| addresses::server(first_index + index)).collect();
+    let mut servers = Vec::new();
+    for (index, addr) in addrs.iter().enumerate() {
+        let address = ServerAddress {
+            name: format!("g{}s{}", group + 1, index + 1),
+            group: format!("g{}", group + 1),
+            addr: addr.clone(),
+        };
+        let peers = addrs.iter().filter(|peer| *peer != addr).cloned().collect();
+        let zone = zone_name(group + index, shape.zones);
+        servers.push(add_server(simulation, address, &zone, peers, shape));
     }
-    let platform = address(6, 0);
-    let doors = (0..shape.nodes).map(|i| (zone_name(i, shape.zones), address(2, i))).collect();
-    let (p, at) = (Platform::new(doors), platform.clone());
-    let start: StartProcess = Arc::new(move |c, pid| {
-        let q = p.clone();
-        let http: HttpHandler = Arc::new(move |v| {
-            let p = q.clone();
-            Box::pin(async move { Some(p.call(&v.path, &v.body).await) })
+    if let Some(spare) = servers.last() {
+        simulation.crash(spare.pid, false);
+    }
+    servers
+}
+
+fn add_platform(simulation: &Arc<Simulation>, shape: &Shape) -> ProcessId {
+    let node = |index: usize| (zone_name(index, shape.zones), addresses::client_listener(index));
+    let platform = Platform::new((0..shape.nodes).map(node).collect());
+    let start: StartProcess = Arc::new(move |simulation, pid| {
+        let shared = platform.clone();
+        let on_request: HttpHandler = Arc::new(move |request| {
+            let platform = shared.clone();
+            Box::pin(async move { Some(platform.call(&request.path, &request.body).await) })
         });
-        c.listen_http(&at, pid, http, Arc::new(|_| ()));
-        seam::spawn(poll_readiness(p.clone()));
+        simulation.listen_http(&addresses::platform(), pid, on_request, Arc::new(|_| ()));
+        seam::spawn(poll_readiness(platform.clone()));
     });
-    let platform_pid = core.add_process("platform", start, true);
-    let callers = core.add_process("callers", Arc::new(|_, _| ()), true);
-    let blueprint = configuration_for(&shape);
+    simulation.add_process("platform", start, true)
+}
+
+/// Builds a fleet and starts its processes, in an order that is part of what a seed means.
+pub fn build_fleet(seed: u64, shape: Shape, bug: Option<&str>, verbose: bool) -> SimulatedFleet {
+    fastrand::seed(seed);
+    let simulation = Simulation::new(seed, bug, verbose);
+    let keepers = start_keepers(&simulation, shape.keepers);
+    let (mut nodes, mut live_nodes) = (Vec::new(), Vec::new());
+    for index in 0..shape.nodes {
+        let (pid, live) = add_node(&simulation, node_settings(&shape, index));
+        nodes.push(pid);
+        live_nodes.push(live);
+    }
+    let (mut servers, mut spares) = (Vec::new(), Vec::new());
+    for group in 0..shape.groups {
+        let mut members = add_group(&simulation, group, &shape);
+        spares.extend(members.pop());
+        servers.extend(members);
+    }
+    let platform_process = add_platform(&simulation, &shape);
+    let callers = simulation.add_process("callers", Arc::new(|_, _| ()), true);
     SimulatedFleet {
-        core,
-        shape,
-        keepers,
-        keeper_registry: all,
+        simulation,
+        keepers: keepers.processes,
+        keeper_registry: keepers.registry,
         nodes,
-        live_nodes: fleets,
+        live_nodes,
         servers,
         spares,
-        operator_addresses: desks,
-        platform,
-        platform_process: platform_pid,
+        operator_addresses: (0..shape.nodes).map(addresses::operator_listener).collect(),
+        platform: addresses::platform(),
+        platform_process,
         callers,
-        configuration: blueprint,
+        configuration: configuration_for(&shape),
+        shape,
     }
 }
 
 impl SimulatedFleet {
-    /// Lets go of what the processes hold, so that nothing of the run stays behind.
+    /// The process of a server or spare.
+    pub fn server_process(&self, name: &str) -> Option<ProcessId> {
+        let mut all = self.servers.iter().chain(&self.spares);
+        all.find(|server| server.address.name == name).map(|server| server.pid)
+    }
+
+    /// Releases what the processes hold, so that nothing of the run stays behind.
     pub fn shut_down(&self) {
-        self.core.shut_down();
-        self.live_nodes.iter().for_each(|f| drop(f.lock().unwrap().take()));
-        self.servers.iter().chain(&self.spares).for_each(|s| drop(s.stand_in.lock().unwrap().take()));
+        self.simulation.shut_down();
+        for node in &self.live_nodes {
+            drop(node.lock().unwrap().take());
+        }
+        for server in self.servers.iter().chain(&self.spares) {
+            drop(server.stand_in.lock().unwrap().take());
+        }
     }
 }
--- a/crates/simulator/src/fleet/simulation.rs
+++ b/crates/simulator/src/fleet/simulation.rs
@@ -1,5 +1,9 @@
-//! Virtual time, processes and their tasks (§9.1): one thread, everything in the order of one queue.
-use super::network::{Message, Network};
+//! State of a simulation: virtual time, processes, their tasks, and one queue of events.
+//!
+//! Everything runs on one thread, in the order of the queue; all randomness comes from one generator. A seed therefore
+//! replays exactly.
+use super::network::{Envelope, Network};
+use super::process_world::ProcessWorld;
 use quincehatch_core::Millis;
 use quincehatch_runtime::rng::Rng;
 use quincehatch_runtime::seam::{self, BoxFuture, World};
@@ -7,105 +11,131 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::task::Waker;
 
+/// Index of a process in the order of its addition.
 pub type ProcessId = usize;
+
+/// Something that is done to the simulation at a time.
 pub type Action = Box<dyn FnOnce(&Arc<Simulation>) + Send>;
 
-/// What is to happen at a time.
+/// How a process is started; kept, so that it can be restarted.
+pub type StartProcess = Arc<dyn Fn(&Arc<Simulation>, ProcessId) + Send + Sync>;
+
+/// Local milliseconds that a steady clock counts in [`CLOCK_RATE_UNIT`] true ones.
+pub const STEADY_CLOCK_RATE: u64 = CLOCK_RATE_UNIT;
+/// Unit of clock rates.
+pub const CLOCK_RATE_UNIT: u64 = 100_000;
+/// A drifting clock runs at most this much slower or faster than true time, in parts of [`CLOCK_RATE_UNIT`].
+const MAX_CLOCK_DRIFT: u64 = 900;
+/// A drifting clock shows less than this when its process first starts.
+pub(super) const MAX_CLOCK_OFFSET: Millis = 1_000_000;
+/// Delay of a message one way while the network is healthy, least and most.
+pub const HEALTHY_DELAY: (Millis, Millis) = (1, 12);
+/// Share of peer messages that arrive twice.
+const DUPLICATES_PER_MILLE: u64 = 5;
+
+/// What happens at a time.
 pub enum Event {
+    /// A timer of a task runs out.
     Wake(Waker),
+    /// The suspension of a process may be over.
     Resume(ProcessId),
-    /// Something on its way between two processes, and when it was sent.
-    Message {
-        from: ProcessId,
-        to: ProcessId,
-        sent: Millis,
-        n: Message,
-    },
+    /// A message arrives at its destination.
+    Message(Envelope),
+    /// An action of the run itself.
     Run(Action),
 }
 
-/// How a process is started; kept, so that it can be started again.
-pub type StartProcess = Arc<dyn Fn(&Arc<Simulation>, ProcessId) + Send + Sync>;
-
+/// A simulated process.
 pub struct Process {
+    /// Its name in the log.
     pub name: String,
+    /// False while it is crashed.
     pub up: bool,
-    /// The whole machine is off: nobody is there even to decline.
+    /// The whole machine is off, so that not even a refusal comes back.
     pub powered_off: bool,
+    /// Rises with each start.
     pub incarnation: u64,
+    /// It runs no task before that time.
     pub paused_until: Millis,
-    /// Local milliseconds in 100 000 of the true time's, and where the local clock began.
+    /// Local milliseconds in [`CLOCK_RATE_UNIT`] true ones.
     pub clock_rate: u64,
+    /// What the local clock showed at true time 0.
     pub clock_offset: Millis,
+    /// How it is started again.
     pub start: StartProcess,
     pub(super) suspended_tasks: Vec<u64>,
 }
 
+/// A task of a process.
 pub(super) struct Task {
     pub(super) process: ProcessId,
     pub(super) incarnation: u64,
+    /// Absent while the task is polled.
     pub(super) future: Option<BoxFuture<'static, ()>>,
     pub(super) queued: bool,
 }
 
+/// All that changes during a simulation.
 pub struct SimulationState {
+    /// True time since the start.
     pub now: Millis,
     pub(super) next_sequence: u64,
+    /// Events by time and, within a time, in the order of their scheduling.
     pub(super) events: BTreeMap<(Millis, u64), Event>,
+    /// When each timer runs out, by the sequence number of its event.
     pub(super) timers: BTreeMap<u64, Millis>,
     pub(super) tasks: BTreeMap<u64, Task>,
     pub(super) ready_tasks: VecDeque<u64>,
+    /// Futures to be dropped within their process.
     pub(super) dead_tasks: Vec<(ProcessId, BoxFuture<'static, ()>)>,
-    /// What may do something when it is dropped, and so must not be while the lock is held.
+    /// Values whose drop may call back into the simulation, and so must not happen under its lock.
     pub deferred_drops: Vec<Box<dyn std::any::Any + Send>>,
+    /// All processes by id.
     pub processes: Vec<Process>,
+    /// The only source of randomness.
     pub rng: Rng,
+    /// Pairs of sender and receiver between which nothing arrives.
     pub partitions: BTreeSet<(ProcessId, ProcessId)>,
+    /// Share of transmissions that are lost.
     pub loss_per_mille: u64,
-    pub duplicate_per_mille: u64,
+    pub(super) duplicate_per_mille: u64,
+    /// Delay of a message one way, least and most.
     pub delay_range: (Millis, Millis),
+    /// Listeners and connections.
     pub network: Network,
+    /// Messages handed to the network so far.
     pub messages_sent: u64,
+    /// Hash of all that happened: two runs of one seed have the same.
     pub trace: u64,
-    /// Keepers may die in the midst of a step.
+    /// Keepers may crash in the middle of a step.
     pub crashes_enabled: bool,
-    /// Whoever comes to such a point next stands still for so long, or dies.
+    /// Set for the next process that reaches a trace point.
     pub trap: Option<Trap>,
+    /// When the last trap was sprung.
     pub trap_sprung_at: Millis,
 }
 
-/// A trap for a process at a point of its work.
+/// Stops the next process that reaches a trace point.
 #[derive(Clone, Debug)]
 pub struct Trap {
+    /// Part of the trace point's text.
     pub trace_point: String,
+    /// How long the process is suspended; none: it crashes and is restarted later.
     pub pause: Option<Millis>,
 }
 
+/// A simulation, shared by all its parts.
 pub struct Simulation {
     state: Mutex<SimulationState>,
-    pub bug: Option<String>,
+    /// Name of the deliberate bug that is switched on.
+    bug: Option<String>,
+    /// Prints what happens.
     pub verbose: bool,
 }
 
 impl SimulationState {
-    pub fn schedule(&mut self, when: Millis, e: Event) -> u64 {
-        self.next_sequence += 1;
-        self.events.insert((when.max(self.now), self.next_sequence), e);
-        self.next_sequence
-    }
-    pub fn local_time(&self, p: ProcessId) -> Millis {
-        let h = &self.processes[p];
-        h.clock_offset + self.now * h.clock_rate / 100_000
-    }
-    pub(super) fn extend_trace(&mut self, a: u64, b: u64) {
-        let x = self.trace ^ a.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ b.rotate_left(32);
-        self.trace = (x ^ (x >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) ^ self.now;
-    }
-}
-
-impl Simulation {
-    pub fn new(seed: u64, bug: Option<&str>, tell: bool) -> Arc<Simulation> {
-        let m = Mutex::new(SimulationState {
+    fn new(seed: u64) -> SimulationState {
+        SimulationState {
             now: 0,
             next_sequence: 0,
             events: BTreeMap::new(),
@@ -118,65 +148,111 @@
             rng: Rng::new(seed),
             partitions: BTreeSet::new(),
             loss_per_mille: 0,
-            duplicate_per_mille: 5,
-            delay_range: (1, 12),
+            duplicate_per_mille: DUPLICATES_PER_MILLE,
+            delay_range: HEALTHY_DELAY,
             network: Network::default(),
             messages_sent: 0,
             trace: seed,
             crashes_enabled: false,
             trap: None,
             trap_sprung_at: 0,
-        });
-        Arc::new(Simulation { state: m, bug: bug.map(str::to_owned), verbose: tell })
+        }
+    }
+
+    /// Schedules an event, not before now; its sequence number.
+    pub fn schedule(&mut self, when: Millis, event: Event) -> u64 {
+        self.next_sequence += 1;
+        self.events.insert((when.max(self.now), self.next_sequence), event);
+        self.next_sequence
+    }
+
+    /// What the clock of a process shows.
+    pub fn local_time(&self, pid: ProcessId) -> Millis {
+        let process = &self.processes[pid];
+        process.clock_offset + self.now * process.clock_rate / CLOCK_RATE_UNIT
+    }
+
+    /// True while the process is up and not suspended.
+    pub fn is_running(&self, pid: ProcessId) -> bool {
+        self.processes[pid].up && self.processes[pid].paused_until <= self.now
+    }
+
+    /// Mixes a step into the trace (multipliers and shift of SplitMix64).
+    pub(super) fn extend_trace(&mut self, task: u64, process: u64) {
+        let mixed = self.trace ^ task.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ process.rotate_left(32);
+        self.trace = (mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) ^ self.now;
+    }
+}
+
+impl Simulation {
+    /// A simulation without processes.
+    pub fn new(seed: u64, bug: Option<&str>, verbose: bool) -> Arc<Simulation> {
+        let state = Mutex::new(SimulationState::new(seed));
+        Arc::new(Simulation { state, bug: bug.map(str::to_owned), verbose })
     }
+
+    /// The state; must not be held while code of a process runs.
     pub fn lock(&self) -> MutexGuard<'_, SimulationState> {
         self.state.lock().unwrap()
     }
+
+    /// True time.
     pub fn now(&self) -> Millis {
         self.lock().now
     }
-    pub fn log(&self, s: &str) {
+
+    /// Prints a line of a verbose run.
+    pub fn log(&self, line: &str) {
         if self.verbose {
-            println!("{:>6} {s}", self.now());
+            println!("{:>6} {line}", self.now());
         }
     }
-    pub fn has_bug(&self, b: &str) -> bool {
-        self.bug.as_deref() == Some(b)
+
+    /// True if this deliberate bug is switched on.
+    pub fn has_bug(&self, bug: &str) -> bool {
+        self.bug.as_deref() == Some(bug)
     }
-    pub fn schedule_action(&self, when: Millis, f: impl FnOnce(&Arc<Simulation>) + Send + 'static) {
-        self.lock().schedule(when, Event::Run(Box::new(f)));
+
+    /// Does something at a time.
+    pub fn schedule_action(&self, when: Millis, action: impl FnOnce(&Arc<Simulation>) + Send + 'static) {
+        self.lock().schedule(when, Event::Run(Box::new(action)));
     }
 
-    /// A process, which is started at once.
+    /// Adds a process and starts it at once; its clock drifts unless it is steady.
     pub fn add_process(self: &Arc<Self>, name: &str, start: StartProcess, steady: bool) -> ProcessId {
         let pid = {
-            let mut m = self.lock();
-            let (rate, base) = match steady {
-                true => (100_000, 0),
-                false => (100_000 - 900 + m.rng.below(1_801), m.rng.below(1_000_000)),
+            let mut state = self.lock();
+            let (clock_rate, clock_offset) = if steady {
+                (STEADY_CLOCK_RATE, 0)
+            } else {
+                let rate = STEADY_CLOCK_RATE - MAX_CLOCK_DRIFT + state.rng.below(2 * MAX_CLOCK_DRIFT + 1);
+                (rate, state.rng.below(MAX_CLOCK_OFFSET))
             };
-            let (name, up, dark, life, paused_until, parked) = (name.to_owned(), true, false, 1, 0, vec![]);
-            m.processes.push(Process {
-                name,
-                up,
-                powered_off: dark,
-                incarnation: life,
-                paused_until,
-                clock_rate: rate,
-                clock_offset: base,
+            state.processes.push(Process {
+                name: name.to_owned(),
+                up: true,
+                powered_off: false,
+                incarnation: 1,
+                paused_until: 0,
+                clock_rate,
+                clock_offset,
                 start: start.clone(),
-                suspended_tasks: parked,
+                suspended_tasks: Vec::new(),
             });
-            m.processes.len() - 1
+            state.processes.len() - 1
         };
         self.run_in(pid, || start(self, pid));
         pid
     }
+
+    /// The world as the present incarnation of a process sees it.
     pub fn world(self: &Arc<Self>, pid: ProcessId) -> Arc<dyn World> {
-        let life = self.lock().processes[pid].incarnation;
-        Arc::new(super::process_world::ProcessWorld { core: self.clone(), pid, incarnation: life })
+        let incarnation = self.lock().processes[pid].incarnation;
+        Arc::new(ProcessWorld { simulation: self.clone(), pid, incarnation })
     }
-    pub fn run_in<T>(self: &Arc<Self>, pid: ProcessId, f: impl FnOnce() -> T) -> T {
-        seam::with_world(self.world(pid), f)
+
+    /// Runs code as if the process did.
+    pub fn run_in<T>(self: &Arc<Self>, pid: ProcessId, code: impl FnOnce() -> T) -> T {
+        seam::with_world(self.world(pid), code)
     }
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,4 +1,9 @@
-//! Deterministic simulation: whole fleets, the control plane alone, and fleets on direct connections, in virtual time.
+//! Deterministic simulation in virtual time: whole fleets, the control plane alone, and fleets on direct connections.
+//!
+//! Each simulation draws everything from one seed, so that a seed replays exactly.
+#![warn(missing_docs, clippy::too_many_lines, clippy::too_many_arguments)]
+#![warn(clippy::many_single_char_names, clippy::min_ident_chars)]
+pub mod addresses;
 pub mod control;
 pub mod direct;
 pub mod fleet;
--- a/crates/simulator/tests/held/fleet.rs
+++ b/crates/simulator/tests/held/fleet.rs
@@ -4,10 +4,10 @@
 use quincehatch_core::{Name, PrimaryAssignment, Role, ServerRecord};
 use quincehatch_node::{ClusterNode, gossip};
 use quincehatch_runtime::seam;
-use quincehatch_simulator::fleet::keeper::{self, Disk, KeeperRegistry};
+use quincehatch_simulator::addresses;
+use quincehatch_simulator::fleet::keeper::KeeperGroup;
 use quincehatch_simulator::fleet::simulation::{ProcessId, Simulation};
-use quincehatch_store::keeper::RecoveredState;
-use quincehatch_store::{Command, View, Voter};
+use quincehatch_store::{Command, Voter};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
@@ -21,23 +21,10 @@
 const PLAN: &str = "[[placements]]\nname = \"p\"\nselect = { group = [\"g\"] }\n[[rules]]\nname = \"o\"\n\
     class = \"order\"\nplacement = \"p\"\n[[groups]]\nname = \"g\"\nsync_replicas = 1\n";
 
-fn at(kind: u64, i: usize) -> String {
-    format!("127.0.0.{kind}:{}", 1_000 + i)
-}
-
-fn keepers(core: &Arc<Simulation>, n: usize) {
-    let names: Vec<Name> = (0..n).map(|i| format!("k{i}").into()).collect();
-    let machines = names.iter().enumerate().map(|(i, n)| Voter { name: n.clone(), addr: at(1, i).into() });
-    let view = View { version: 1, members: names.clone(), voters: machines.collect() };
-    let all = Arc::new(KeeperRegistry { process_by_name: Mutex::default(), commit_watch: Mutex::default() });
-    for (i, n) in names.into_iter().enumerate() {
-        let disk: Disk = Arc::new(Mutex::new(RecoveredState { view: view.clone(), ..Default::default() }));
-        let (name, of) = (n.clone(), all.clone());
-        let start =
-            move |c: &Arc<Simulation>, pid| keeper::start_keeper(c, pid, &name, &at(1, i), &disk, &of);
-        let pid = core.add_process(&n, Arc::new(start), false);
-        all.process_by_name.lock().unwrap().insert(n, pid);
-    }
+fn start_keepers(simulation: &Arc<Simulation>, count: usize) {
+    let voter =
+        |index: usize| Voter { name: format!("k{index}").into(), addr: addresses::keeper(index).into() };
+    KeeperGroup::start(simulation, (0..count).map(voter).collect());
 }
 
 impl World {
@@ -45,18 +32,18 @@
     pub fn new(seed: u64, nodes: usize, group: Group) -> World {
         fastrand::seed(seed);
         let core = Simulation::new(seed, None, false);
-        keepers(&core, 3);
+        start_keepers(&core, 3);
         let (mut fleets, mut pids) = (Vec::new(), Vec::new());
         for i in 0..nodes {
             let set = NodeSettings {
                 name: format!("n{i}"),
                 zone: format!("d{i}"),
-                client_listener: at(2, i),
-                operator_listener: at(3, i),
-                gossip_listener: at(4, i),
-                seeds: vec![at(4, 0), at(4, 1)],
-                keepers: (0..3).map(|i| at(1, i)).collect(),
-                platform: at(6, 0),
+                client_listener: addresses::client_listener(i),
+                operator_listener: addresses::operator_listener(i),
+                gossip_listener: addresses::gossip_listener(i),
+                seeds: (0..2).map(addresses::gossip_listener).collect(),
+                keepers: (0..3).map(addresses::keeper).collect(),
+                platform: addresses::platform(),
                 token: "t".into(),
                 log: "off".into(),
                 threads: 1,
@@ -112,7 +99,7 @@
     }
     pub fn stand(&self, n: &Name, i: usize, leaving: bool, seq: u64) {
         let role = if i == 0 { Role::Primary } else { Role::Replica };
-        let addr: Name = at(5, i).into();
+        let addr: Name = addresses::server(i).into();
         let (group, district) = ("g".into(), "d0".into());
         let at = ServerRecord {
             server: n.clone(),
