--- a/crates/testbed/src/caller_operations.rs
+++ b/crates/testbed/src/caller_operations.rs
@@ -1,188 +1,233 @@
-//! What a caller does (§9.2): orders in one step or several, asks after them, looks its orders up.
-use crate::caller::{Caller, ORDER_MS};
+//! What a caller does: orders in one step or several, the resolution of open ones, and lookups of its orders.
+use crate::caller::{Caller, ORDER_MS, Reply, Session, call_end};
 use crate::history::{CallEnd, ReadRecord};
-use quincehatch_runtime::now;
-use quincehatch_runtime::seam;
+use quincehatch_core::{ErrorCode, Millis};
+use quincehatch_runtime::{now, seam};
 use serde_json::{Value, json};
+use std::collections::BTreeSet;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
+/// Drawn numbers below this make an order of several steps, out of [`ORDER_KINDS`].
+const STEPPED_ORDERS: u64 = 3;
+const ORDER_KINDS: u64 = 10;
+/// Shares of attempts that are sent again: of those not applied, and of one-step orders that are committed.
+const RESENT_NOT_APPLIED_PER_MILLE: u64 = 500;
+const RESENT_COMMITTED_PER_MILLE: u64 = 30;
+/// An order in doubt is asked after so often, with this pause.
+const RESOLUTIONS: usize = 60;
+const RESOLUTION_PAUSE: Duration = Duration::from_millis(200);
+/// Pauses between the steps of an order are below this, in milliseconds.
+const STEP_PAUSE_SPREAD: u64 = 40;
+/// Shares of lookups that go to the primary, and that are sent on a session.
+const PRIMARY_READS_PER_MILLE: u64 = 250;
+const SESSION_READS_PER_MILLE: u64 = 300;
+
+/// A statement, and the rows that the session's state promises.
+struct SessionStatement {
+    text: String,
+    params: Value,
+    promised_rows: Option<Value>,
+}
+
 impl Caller {
-    /// One order, in one step or several; in doubt it is asked after until it is known.
+    /// One order, in one step or several; in doubt it is asked after until its outcome is known.
     pub async fn place_order(&mut self) {
         self.order_count += 1;
         let key = format!("{}-{}", self.caller_mark(), self.order_count);
-        let steps = self.rng.below(10);
+        let kind = self.rng.below(ORDER_KINDS);
         let began = now();
-        let mut end = if steps < 3 {
-            self.order_in_steps(&key, 1 + steps).await
-        } else {
-            self.order_in_one_step(&key).await
-        };
+        let mut end = self.send_order(&key, kind).await;
         self.record_served("order", began, end == CallEnd::Committed, 0);
-        // Nothing kept: now and then the same try is sent again; kept: it is sent twice.
-        if (end == CallEnd::NotApplied && self.rng.chance(500))
-            || (end == CallEnd::Committed && steps >= 3 && self.rng.chance(30))
-        {
-            end = self.resend_order(&key, steps).await;
+        let is_single = kind >= STEPPED_ORDERS;
+        let resend = (end == CallEnd::NotApplied && self.rng.chance(RESENT_NOT_APPLIED_PER_MILLE))
+            || (end == CallEnd::Committed && is_single && self.rng.chance(RESENT_COMMITTED_PER_MILLE));
+        if resend {
+            end = self.send_order(&key, kind).await;
         }
-        for _ in 0..60 {
-            if !matches!(end, CallEnd::Unknown | CallEnd::NoReply) || self.env.stop.load(Ordering::Relaxed) {
+        for _ in 0..RESOLUTIONS {
+            let in_doubt = matches!(end, CallEnd::Unknown | CallEnd::NoReply);
+            if !in_doubt || self.env.stop.load(Ordering::Relaxed) {
                 break;
             }
-            seam::sleep(Duration::from_millis(200)).await;
+            seam::sleep(RESOLUTION_PAUSE).await;
             end = self.resolve_outcome(&key).await;
         }
     }
 
+    /// Sends an order. An attempt that is repeated brings the same content.
+    async fn send_order(&mut self, key: &str, kind: u64) -> CallEnd {
+        if kind < STEPPED_ORDERS {
+            self.order_in_steps(key, 1 + kind).await
+        } else {
+            self.order_in_one_step(key).await
+        }
+    }
+
+    /// Asks what became of an attempt, and seals it if it is not committed.
     pub async fn resolve_outcome(&mut self, key: &str) -> CallEnd {
         let body = json!({"try": key, "labels": self.labels(), "seal": true, "deadline_ms": ORDER_MS});
         let asked = now();
-        let got = self.call("/v1/outcome", body, ORDER_MS).await;
-        self.record_reply(key, asked, &got)
+        let reply = self.call("/v1/outcome", body, ORDER_MS).await;
+        self.record_reply(key, asked, reply.as_ref())
     }
 
     async fn order_in_one_step(&mut self, key: &str) -> CallEnd {
         let text = format!("append {} $1", self.list());
-        // The same try brings the same content whenever it is sent.
         let mark = format!("{}#try{}", self.caller_mark(), self.order_count);
         let body = json!({"try": key, "text": text, "params": [key, mark], "labels": self.labels(),
             "deadline_ms": ORDER_MS});
         let asked = now();
-        let got = self.call("/v1/order", body, ORDER_MS).await;
-        self.record_reply(key, asked, &got)
-    }
-    /// Only a one-step order can be repeated as one: another content under the same try is declined.
-    async fn resend_order(&mut self, key: &str, steps: u64) -> CallEnd {
-        if steps < 3 { self.order_in_steps(key, 1 + steps).await } else { self.order_in_one_step(key).await }
+        let reply = self.call("/v1/order", body, ORDER_MS).await;
+        self.record_reply(key, asked, reply.as_ref())
     }
 
     async fn order_in_steps(&mut self, key: &str, steps: u64) -> CallEnd {
-        let Some((id, e)) = self.session().await else { return self.record_reply(key, now(), &never_sent()) };
-        let begin = json!({"session": id, "version": e, "labels": self.labels(), "deadline_ms": ORDER_MS});
-        let got = self.call("/v1/begin", begin, ORDER_MS).await;
-        if Self::end_of_reply(&got) != CallEnd::Committed {
-            self.drop_lost_session(&got);
-            return self.record_reply(key, now(), &never_sent());
+        let Some(session) = self.session().await else { return self.record_never_sent(key) };
+        let Session { id, version } = &session;
+        let begin =
+            json!({"session": id, "version": version, "labels": self.labels(), "deadline_ms": ORDER_MS});
+        let reply = self.call("/v1/begin", begin, ORDER_MS).await;
+        if call_end(reply.as_ref()) != CallEnd::Committed {
+            self.drop_lost_session(reply.as_ref());
+            return self.record_never_sent(key);
         }
-        for i in 0..=steps {
-            let mark = self.next_mark();
-            // Its settings and prepared texts hold within a transaction too.
-            let (text, params, want) = match i {
-                0 => (format!("append {} $1", self.list()), json!([key, mark]), None),
-                _ if i < steps => ("add total 1".into(), json!([mark]), None),
-                _ => match self.rng.below(3) {
-                    0 => ("show tag".into(), json!([mark]), Some(json!([[self.caller_mark()]]))),
-                    1 => ("exec mine".into(), json!([key, mark]), Some(json!([[self.caller_mark(), key]]))),
-                    _ => break,
-                },
-            };
-            let run =
-                json!({"session": id, "version": e, "text": text, "params": params, "deadline_ms": ORDER_MS});
-            let got = self.call("/v1/run", run, ORDER_MS).await;
-            self.check_session_state(&text, want.as_ref(), &got);
-            if Self::end_of_reply(&got) != CallEnd::Committed {
-                self.drop_lost_session(&got);
-                return self.record_reply(key, now(), &never_sent());
+        for step in 0..=steps {
+            let Some(statement) = self.draw_step(key, step, steps) else { break };
+            let SessionStatement { text, params, promised_rows } = statement;
+            let run = json!({"session": id, "version": version, "text": text, "params": params,
+                "deadline_ms": ORDER_MS});
+            let reply = self.call("/v1/run", run, ORDER_MS).await;
+            self.check_session_state(&text, promised_rows.as_ref(), reply.as_ref());
+            if call_end(reply.as_ref()) != CallEnd::Committed {
+                self.drop_lost_session(reply.as_ref());
+                return self.record_never_sent(key);
             }
-            let pause = self.rng.below(40);
+            let pause = self.rng.below(STEP_PAUSE_SPREAD);
             seam::sleep(Duration::from_millis(pause)).await;
         }
         let asked = now();
-        let commit = json!({"session": id, "version": e, "try": key, "deadline_ms": ORDER_MS});
-        let got = self.call("/v1/commit", commit, ORDER_MS).await;
-        self.drop_lost_session(&got);
-        self.record_reply(key, asked, &got)
+        let commit = json!({"session": id, "version": version, "try": key, "deadline_ms": ORDER_MS});
+        let reply = self.call("/v1/commit", commit, ORDER_MS).await;
+        self.drop_lost_session(reply.as_ref());
+        self.record_reply(key, asked, reply.as_ref())
+    }
+
+    /// A step of an order; the last one may use the session's state, which holds within a transaction too.
+    fn draw_step(&mut self, key: &str, step: u64, steps: u64) -> Option<SessionStatement> {
+        let mark = self.next_mark();
+        if step == 0 {
+            let text = format!("append {} $1", self.list());
+            return Some(SessionStatement { text, params: json!([key, mark]), promised_rows: None });
+        }
+        if step < steps {
+            let text = "add total 1".into();
+            return Some(SessionStatement { text, params: json!([mark]), promised_rows: None });
+        }
+        match self.rng.below(3) {
+            0 => Some(self.show_tag(mark)),
+            1 => Some(self.execute_prepared(json!(key), mark)),
+            _ => None,
+        }
+    }
+
+    fn show_tag(&self, mark: String) -> SessionStatement {
+        let promised_rows = Some(json!([[self.caller_mark()]]));
+        SessionStatement { text: "show tag".into(), params: json!([mark]), promised_rows }
+    }
+
+    fn execute_prepared(&self, argument: Value, mark: String) -> SessionStatement {
+        let promised_rows = Some(json!([[self.caller_mark(), argument]]));
+        SessionStatement { text: "exec mine".into(), params: json!([argument, mark]), promised_rows }
+    }
+
+    /// Records an attempt whose commit was never sent.
+    fn record_never_sent(&self, key: &str) -> CallEnd {
+        let reply = Reply { status: 0, body: json!({"end": "nothing"}) };
+        self.record_reply(key, now(), Some(&reply))
     }
 
     /// A session that is gone, or whose state is not known after a lost answer, is opened anew.
-    fn drop_lost_session(&mut self, got: &Option<(u16, Value)>) {
-        let code = got.as_ref().and_then(|(_, v)| v["error"]["code"].as_u64());
-        if got.is_none() || matches!(code, Some(1201 | 1202 | 1205)) {
+    fn drop_lost_session(&mut self, reply: Option<&Reply>) {
+        let lost = [ErrorCode::SessionUnknown, ErrorCode::SessionLost, ErrorCode::InTransaction];
+        if reply.is_none_or(|reply| reply.has_code(&lost)) {
             self.session = None;
         }
     }
 
-    /// What a session was promised it finds, wherever it runs: other rows, or a server that knows nothing of the
-    /// prepared text, are a breach.
-    fn check_session_state(&self, text: &str, want: Option<&Value>, got: &Option<(u16, Value)>) {
-        let (Some(want), Some((_, v))) = (want, got) else { return };
-        let other = v["end"] == "kept" && v["rows"] != *want;
-        let unknown = v["error"]["code"] == 1402;
-        if other || unknown {
-            let (by, on) = (&v["where"]["node"], &v["where"]["server"]);
-            let me = self.caller_mark();
-            let s =
-                format!("N7 {me} lost what it was promised: '{text}' on {on} by {by} came to {}", v["rows"]);
-            self.env.history.lock().unwrap().violations.push(s);
+    /// A session finds its state wherever it runs: other rows, or a server that does not know the prepared statement,
+    /// are a violation.
+    fn check_session_state(&self, text: &str, promised_rows: Option<&Value>, reply: Option<&Reply>) {
+        let (Some(promised), Some(reply)) = (promised_rows, reply) else { return };
+        let answer = &reply.body;
+        let has_other_rows = answer["end"] == "kept" && answer["rows"] != *promised;
+        if has_other_rows || reply.has_code(&[ErrorCode::ServerRejected]) {
+            let (node, server) = (&answer["where"]["node"], &answer["where"]["server"]);
+            let (caller, rows) = (self.caller_mark(), &answer["rows"]);
+            let violation =
+                format!("N7 {caller} lost its session state: '{text}' on {server} by {node} came to {rows}");
+            self.env.history.lock().unwrap().violations.push(violation);
         }
     }
 
-    /// A lookup of this caller's orders, by a replica or at the order's side.
+    /// A lookup of this caller's orders, by a replica or at the primary.
     pub async fn look_up(&mut self) {
-        let order_side = self.rng.chance(250);
-        let session = if self.rng.chance(300) { self.session().await } else { None };
-        let ms = if order_side { ORDER_MS } else { self.env.lookup_ms };
-        let mark = self.next_mark();
-        let mut body = json!({"text": format!("get {}", self.list()), "params": [mark],
-            "labels": self.labels(), "deadline_ms": ms, "order_side": order_side});
-        let mut want = None;
-        if let Some((id, e)) = &session {
+        let order_side = self.rng.chance(PRIMARY_READS_PER_MILLE);
+        let session = if self.rng.chance(SESSION_READS_PER_MILLE) { self.session().await } else { None };
+        let deadline = if order_side { ORDER_MS } else { self.env.lookup_ms };
+        let statement = self.draw_lookup(session.is_some());
+        let mut body = json!({"text": statement.text, "params": statement.params,
+            "labels": self.labels(), "deadline_ms": deadline, "order_side": order_side});
+        if let Some(Session { id, version }) = &session {
             body["session"] = json!(id);
-            body["version"] = json!(e);
-            let (text, params, rows) = match self.rng.below(10) {
-                0..3 => ("show tag", json!([mark]), json!([[self.caller_mark()]])),
-                3..6 => (
-                    "exec mine",
-                    json!([self.order_count, mark]),
-                    json!([[self.caller_mark(), self.order_count]]),
-                ),
-                _ => ("", Value::Null, Value::Null),
-            };
-            if !text.is_empty() {
-                (body["text"], body["params"], want) = (json!(text), params, Some(rows));
-            }
+            body["version"] = json!(version);
         }
-        let text = body["text"].as_str().unwrap_or_default().to_owned();
         let asked = now();
-        let got = self.call("/v1/lookup", body, ms).await;
-        let kept = Self::end_of_reply(&got) == CallEnd::Committed;
-        self.check_session_state(&text, want.as_ref(), &got);
-        self.drop_lost_session(&got);
-        if !order_side {
-            let code = got.as_ref().and_then(|(_, v)| v["error"]["code"].as_u64());
-            // A session whose every owner died is lost and said so: that is no word on the service.
-            if !matches!(code, Some(1201 | 1202)) {
-                self.record_served("lookup", asked, kept, code.unwrap_or(0));
-            }
+        let reply = self.call("/v1/lookup", body, deadline).await;
+        let succeeded = call_end(reply.as_ref()) == CallEnd::Committed;
+        self.check_session_state(&statement.text, statement.promised_rows.as_ref(), reply.as_ref());
+        self.drop_lost_session(reply.as_ref());
+        // A session whose every owner died is lost, and said to be so: that tells nothing of the service.
+        let session_lost = [ErrorCode::SessionUnknown, ErrorCode::SessionLost];
+        let tells_of_service = !reply.as_ref().is_some_and(|reply| reply.has_code(&session_lost));
+        if !order_side && tells_of_service {
+            let code = reply.as_ref().and_then(Reply::code).unwrap_or(0);
+            self.record_served("lookup", asked, succeeded, code);
         }
-        let Some((_, v)) = got.filter(|_| kept && want.is_none()) else { return };
-        let mut h = self.env.history.lock().unwrap();
-        let (server, node) = (
-            v["where"]["server"].as_str().unwrap_or_default(),
-            v["where"]["node"].as_str().unwrap_or_default(),
-        );
-        let seen = v["rows"][0][0]
-            .as_array()
-            .into_iter()
-            .flatten()
-            .filter_map(|k| k.as_str().map(str::to_owned))
-            .collect();
-        let (group, list) = (self.group(), self.list());
-        h.reads.push(ReadRecord {
-            group,
-            list,
+        if let Some(reply) = reply.filter(|_| succeeded && statement.promised_rows.is_none()) {
+            self.record_read(order_side, asked, &reply.body);
+        }
+    }
+
+    /// A read of the caller's list; on a session often one of the session's state instead.
+    fn draw_lookup(&mut self, on_session: bool) -> SessionStatement {
+        let mark = self.next_mark();
+        let kind = if on_session { self.rng.below(10) } else { u64::MAX };
+        match kind {
+            0..3 => self.show_tag(mark),
+            3..6 => self.execute_prepared(json!(self.order_count), mark),
+            _ => SessionStatement {
+                text: format!("get {}", self.list()),
+                params: json!([mark]),
+                promised_rows: None,
+            },
+        }
+    }
+
+    fn record_read(&self, order_side: bool, asked: Millis, answer: &Value) {
+        let place = |key: &str| answer["where"][key].as_str().unwrap_or_default().to_owned();
+        let orders = answer["rows"][0][0].as_array().into_iter().flatten().filter_map(Value::as_str);
+        let seen: BTreeSet<String> = orders.map(str::to_owned).collect();
+        let read = ReadRecord {
+            group: self.group(),
+            list: self.list(),
             order_side,
             asked,
             answered: now(),
             seen,
-            server: server.into(),
-            node: node.into(),
-        });
+            server: place("server"),
+            node: place("node"),
+        };
+        self.env.history.lock().unwrap().reads.push(read);
     }
 }
-
-/// A try whose commit was never sent.
-fn never_sent() -> Option<(u16, Value)> {
-    Some((0, json!({"end": "nothing"})))
-}
--- a/crates/testbed/src/database.rs
+++ b/crates/testbed/src/database.rs
@@ -1,102 +1,143 @@
-//! A stand-in's data: a log under fences, kept on two of three, tries and seals in it (§3). Sans-IO; the
-//! simulator runs this same code.
+//! The data of a stand-in: a log under fences, committed on two of three servers, with idempotency keys and seals in it.
+//!
+//! It does no I/O: what must be durable is handed out as records.
 use quincehatch_core::{FencingToken, Name, Position, Role};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
+/// One write of a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Write {
+    /// Sets a value.
     Put(String, Value),
+    /// Appends to a list.
     Append(String, Value),
+    /// Adds to a number.
     Add(String, i64),
 }
 
+/// What a record of the log is.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RecordKind {
     /// A primary's first record under its fence.
     Start,
+    /// A transaction.
     Commit {
+        /// Its idempotency key.
         key: Name,
+        /// Digest of its content.
         sum: Name,
+        /// Its writes.
         writes: Vec<Write>,
+        /// Rows of its answer.
         rows: Value,
     },
+    /// An idempotency key that is not to be committed any more.
     Seal {
+        /// The key.
         key: Name,
     },
 }
 
+/// A record of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogRecord {
+    /// Where in the log it is, and under which fence it was written.
     #[serde(rename = "pos")]
     pub position: Position,
+    /// What it is.
     pub kind: RecordKind,
 }
 
-/// What a try came to on this server.
+/// What an idempotency key came to on this server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyOutcome {
+    /// It is committed.
     Committed {
+        /// Digest of its content.
         sum: Name,
+        /// Rows of its answer.
         rows: Value,
     },
+    /// It is sealed and never will be committed.
     Sealed,
-    /// In the log, not yet on a second server.
+    /// It is in the log, in this record, and not yet on a second server.
     Pending(u64),
+    /// It is not in the log.
     NotCommitted,
 }
 
-/// What must be on disk before the call is answered.
+/// What must be durable before a call is answered. The names are those of the log files.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DiskRecord {
+    /// A record was appended.
     #[serde(rename = "Rec")]
     Append(LogRecord),
+    /// The log was truncated to so many records.
     #[serde(rename = "Cut")]
     Truncate(u64),
+    /// The fence and the role under it.
     Fence(FencingToken, Role),
+    /// Servers that count towards commits.
     #[serde(rename = "Counts")]
     Voters(Vec<Name>),
 }
 
+/// A server's log and what its committed part comes to.
 #[derive(Clone, Debug, Default)]
 pub struct Database {
+    /// The server's name.
     pub name: Name,
+    /// Its role.
     pub role: Role,
+    /// The highest fence it has accepted.
     pub fence: FencingToken,
+    /// All records, committed or not.
     pub log: Vec<LogRecord>,
-    /// Records on two servers, and so visible.
+    /// Number of records that are on two servers, and so visible.
     pub commit: u64,
+    /// Values of the committed part.
     pub values: BTreeMap<String, Value>,
     outcomes: BTreeMap<Name, KeyOutcome>,
+    /// How many records of a primary's log each replica holds.
     pub(crate) replicated_to: BTreeMap<Name, u64>,
+    /// Servers that count towards commits; none named: all do.
     pub(crate) voters: Vec<Name>,
+    /// Records that are not durable yet.
     pub unwritten: Vec<DiskRecord>,
-    /// A primary's log when it took the lead or came back: reads wait until that much is visible (§3.2).
+    /// A primary answers reads once so many records are visible: those it had when it was promoted or came back.
     readable_at: u64,
 }
 
-/// A replica's wish, and what its primary gives.
+/// What a replica asks its primary for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PullRequest {
+    /// The replica.
     pub server: Name,
+    /// Its fence.
     pub fence: FencingToken,
+    /// The end of its log.
     pub have: Position,
 }
 
+/// What a primary gives.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PullResponse {
+    /// The primary's fence.
     pub fence: FencingToken,
-    /// The end that was asked with: what comes goes on from there.
+    /// The end that was asked with: the records go on from there.
     pub have: Position,
+    /// Number of records that are committed.
     pub commit: u64,
+    /// Records after the replica's end.
     pub recs: Vec<LogRecord>,
-    /// The replica's log differs: each fence of the primary's log with its last number.
+    /// Given if the replica's log differs: the last record under each fence of the primary's log.
     pub fences: Option<Vec<Position>>,
 }
 
 impl LogRecord {
-    /// The record in a word, without what it holds.
+    /// The record in a few words, without its content.
     pub fn summary(&self) -> String {
         let what = match &self.kind {
             RecordKind::Start => "start".into(),
@@ -105,135 +146,174 @@
         };
         format!("{}.{} {what}", self.position.fence, self.position.number)
     }
+
+    /// The idempotency key that it commits or seals.
+    fn key(&self) -> Option<&Name> {
+        match &self.kind {
+            RecordKind::Commit { key, .. } | RecordKind::Seal { key } => Some(key),
+            RecordKind::Start => None,
+        }
+    }
 }
 
 impl Database {
-    pub fn new(name: &str) -> Self {
-        Self { name: name.into(), ..Default::default() }
-    }
-    /// What is left after a crash: everything that was written as a line.
-    pub fn replay(name: &str, lines: impl Iterator<Item = DiskRecord>) -> Self {
-        let mut d = Self::new(name);
-        for l in lines {
-            match l {
-                DiskRecord::Append(r) => d.log.push(r),
-                DiskRecord::Truncate(n) => d.log.truncate(n as usize),
-                DiskRecord::Fence(f, r) => (d.fence, d.role) = (f, r),
-                DiskRecord::Voters(c) => d.voters = c,
+    /// An empty replica.
+    pub fn new(name: &str) -> Database {
+        Database { name: name.into(), ..Database::default() }
+    }
+
+    /// What is left after a crash: everything that was durable.
+    pub fn replay(name: &str, records: impl Iterator<Item = DiskRecord>) -> Database {
+        let mut db = Database::new(name);
+        for record in records {
+            match record {
+                DiskRecord::Append(record) => db.log.push(record),
+                DiskRecord::Truncate(length) => db.log.truncate(length as usize),
+                DiskRecord::Fence(fence, role) => (db.fence, db.role) = (fence, role),
+                DiskRecord::Voters(voters) => db.voters = voters,
             }
         }
-        d.readable_at = d.log.len() as u64;
-        d
+        db.readable_at = db.log.len() as u64;
+        db
     }
+
+    /// The end of the log.
     pub fn log_end(&self) -> Position {
-        self.log.last().map_or(Position::default(), |r| r.position)
+        self.log.last().map_or(Position::default(), |record| record.position)
     }
+
     /// The last visible position.
     pub fn commit_position(&self) -> Position {
-        let at = self.commit.checked_sub(1).and_then(|i| self.log.get(i as usize));
-        at.map_or(Position::default(), |r| r.position)
+        let last = self.commit.checked_sub(1).and_then(|last| self.log.get(last as usize));
+        last.map_or(Position::default(), |record| record.position)
     }
+
     fn append(&mut self, kind: RecordKind) -> u64 {
-        let n = self.log.len() as u64 + 1;
-        let r = LogRecord { position: Position { fence: self.fence, number: n }, kind };
-        self.unwritten.push(DiskRecord::Append(r.clone()));
-        self.log.push(r);
-        n
-    }
-    /// From now on lower fences are declined; a primary under one leads no more.
-    pub fn set_fence(&mut self, f: FencingToken) -> bool {
-        if f > self.fence {
-            self.fence = f;
+        let number = self.log.len() as u64 + 1;
+        let record = LogRecord { position: Position { fence: self.fence, number }, kind };
+        self.unwritten.push(DiskRecord::Append(record.clone()));
+        self.log.push(record);
+        number
+    }
+
+    /// Rejects lower fences from now on, and leads no more under one; false if the fence is itself too low.
+    pub fn set_fence(&mut self, fence: FencingToken) -> bool {
+        if fence > self.fence {
+            self.fence = fence;
             self.role = Role::Replica;
             self.replicated_to.clear();
-            self.unwritten.push(DiskRecord::Fence(f, self.role));
+            self.unwritten.push(DiskRecord::Fence(fence, self.role));
         }
-        f >= self.fence
+        fence >= self.fence
     }
-    /// Leads from now on; only these others count towards its commits, or any if none are named.
-    pub fn promote(&mut self, f: FencingToken, counts: Vec<Name>) -> bool {
-        if f < self.fence {
+
+    /// Becomes primary; only these other servers count towards its commits, or any if none are named.
+    pub fn promote(&mut self, fence: FencingToken, voters: Vec<Name>) -> bool {
+        if fence < self.fence {
             return false;
         }
-        if self.role == Role::Primary && self.fence == f {
+        if self.is_primary_under(fence) {
             return true;
         }
-        self.fence = f;
+        self.fence = fence;
         self.role = Role::Primary;
         self.replicated_to.clear();
-        self.unwritten.push(DiskRecord::Fence(f, self.role));
-        self.unwritten.push(DiskRecord::Voters(counts.clone()));
-        self.voters = counts;
+        self.unwritten.push(DiskRecord::Fence(fence, self.role));
+        self.unwritten.push(DiskRecord::Voters(voters.clone()));
+        self.voters = voters;
         self.readable_at = self.append(RecordKind::Start);
         true
     }
-    /// May this primary answer reads? Before, it could miss what its forerunner acknowledged.
+
+    /// True if reads miss nothing: a new primary could miss what its predecessor acknowledged.
     pub fn is_readable(&self) -> bool {
         self.role == Role::Replica || self.commit >= self.readable_at
     }
+
     /// Makes a primary look as if part of its log were not visible: a test's way to one that is starting.
     #[doc(hidden)]
-    pub fn set_unreadable_for_test(&mut self, on: bool) {
-        self.readable_at = if on { u64::MAX } else { 0 };
+    pub fn set_unreadable_for_test(&mut self, unreadable: bool) {
+        self.readable_at = if unreadable { u64::MAX } else { 0 };
     }
-    pub fn is_primary_under(&self, f: FencingToken) -> bool {
-        self.role == Role::Primary && self.fence == f
+
+    /// True while it is primary under this very fence.
+    pub fn is_primary_under(&self, fence: FencingToken) -> bool {
+        self.role == Role::Primary && self.fence == fence
     }
 
+    /// What became of an idempotency key.
     pub fn outcome(&self, key: &str) -> KeyOutcome {
-        self.outcomes.get(key).cloned().unwrap_or_else(|| {
-            let at = self.log[self.commit as usize..].iter().find(|r| match &r.kind {
-                RecordKind::Commit { key: k, .. } | RecordKind::Seal { key: k } => k == key,
-                RecordKind::Start => false,
-            });
-            at.map_or(KeyOutcome::NotCommitted, |r| KeyOutcome::Pending(r.position.number))
-        })
-    }
-    /// Appends a commit; whoever calls waits until `commit` has reached the number.
+        if let Some(outcome) = self.outcomes.get(key) {
+            return outcome.clone();
+        }
+        let uncommitted = &self.log[self.commit as usize..];
+        let pending = uncommitted.iter().find(|record| record.key().is_some_and(|own| own == key));
+        pending.map_or(KeyOutcome::NotCommitted, |record| KeyOutcome::Pending(record.position.number))
+    }
+
+    /// Appends a commit unless its key is known; what became of the key.
+    pub fn commit_once(&mut self, key: &str, sum: &str, writes: Vec<Write>, rows: Value) -> KeyOutcome {
+        match self.outcome(key) {
+            KeyOutcome::NotCommitted => KeyOutcome::Pending(self.add_commit(key, sum, writes, rows)),
+            known => known,
+        }
+    }
+
+    /// Appends a commit; whoever calls waits until `commit` has reached its number.
     pub fn add_commit(&mut self, key: &str, sum: &str, writes: Vec<Write>, rows: Value) -> u64 {
         self.append(RecordKind::Commit { key: key.into(), sum: sum.into(), writes, rows })
     }
+
+    /// Appends a seal; whoever calls waits until `commit` has reached its number.
     pub fn add_seal(&mut self, key: &str) -> u64 {
         self.append(RecordKind::Seal { key: key.into() })
     }
-    /// True while the record at `n` is the one this primary wrote under `f`.
-    pub fn wrote_under(&self, n: u64, f: FencingToken) -> bool {
-        self.log.get(n as usize - 1).is_some_and(|r| r.position.fence == f)
+
+    /// True while the record of that number is the one this primary wrote under the fence.
+    pub fn wrote_under(&self, number: u64, fence: FencingToken) -> bool {
+        self.log.get(number as usize - 1).is_some_and(|record| record.position.fence == fence)
     }
 
-    pub(crate) fn commit_up_to(&mut self, n: u64) {
-        while self.commit < n {
+    /// Commits all records up to that number.
+    pub(crate) fn commit_up_to(&mut self, number: u64) {
+        while self.commit < number {
             let kind = self.log[self.commit as usize].kind.clone();
             self.commit += 1;
-            match kind {
-                RecordKind::Start => {}
-                RecordKind::Seal { key } => {
-                    self.outcomes.entry(key).or_insert(KeyOutcome::Sealed);
-                }
-                RecordKind::Commit { key, sum, writes, rows } => {
-                    writes.into_iter().for_each(|w| apply_write(&mut self.values, w));
-                    self.outcomes.insert(key, KeyOutcome::Committed { sum, rows });
+            self.apply(kind);
+        }
+    }
+
+    fn apply(&mut self, kind: RecordKind) {
+        match kind {
+            RecordKind::Start => {}
+            RecordKind::Seal { key } => {
+                self.outcomes.entry(key).or_insert(KeyOutcome::Sealed);
+            }
+            RecordKind::Commit { key, sum, writes, rows } => {
+                for write in writes {
+                    apply_write(&mut self.values, write);
                 }
+                self.outcomes.insert(key, KeyOutcome::Committed { sum, rows });
             }
         }
     }
 }
 
 /// Does one write to a table of values.
-pub fn apply_write(kv: &mut BTreeMap<String, Value>, w: Write) {
-    match w {
-        Write::Put(k, v) => {
-            kv.insert(k, v);
+pub fn apply_write(values: &mut BTreeMap<String, Value>, write: Write) {
+    match write {
+        Write::Put(key, value) => {
+            values.insert(key, value);
         }
-        Write::Append(k, v) => {
-            let e = kv.entry(k).or_insert_with(|| Value::Array(vec![]));
-            if let Some(a) = e.as_array_mut() {
-                a.push(v);
+        Write::Append(key, value) => {
+            let entry = values.entry(key).or_insert_with(|| Value::Array(vec![]));
+            if let Some(list) = entry.as_array_mut() {
+                list.push(value);
             }
         }
-        Write::Add(k, d) => {
-            let e = kv.entry(k).or_insert(Value::from(0));
-            *e = Value::from(e.as_i64().unwrap_or(0) + d);
+        Write::Add(key, amount) => {
+            let entry = values.entry(key).or_insert(Value::from(0));
+            *entry = Value::from(entry.as_i64().unwrap_or(0) + amount);
         }
     }
 }
--- a/crates/testbed/src/replication.rs
+++ b/crates/testbed/src/replication.rs
@@ -1,129 +1,92 @@
-//! Replication of a stand-in's log (§3.2): what a primary gives and a replica takes.
+//! Replication of a stand-in's log: what a primary gives, and what a replica does with it.
 use crate::database::{Database, DiskRecord, LogRecord, PullRequest, PullResponse};
 use quincehatch_core::{Position, Role};
 
 impl Database {
-    /// A replica asks for more; what it holds is matched and counts towards commits (§3.2).
-    pub fn serve_pull(&mut self, p: &PullRequest, most: usize) -> Option<PullResponse> {
-        if self.role != Role::Primary || p.fence > self.fence {
+    /// A replica asks for more; what it holds counts towards commits. None if this server is not its primary.
+    pub fn serve_pull(&mut self, request: &PullRequest, most: usize) -> Option<PullResponse> {
+        if self.role != Role::Primary || request.fence > self.fence {
             return None;
         }
-        let have = p.have.number;
-        let same = have == 0 || self.log.get(have as usize - 1).is_some_and(|r| r.position == p.have);
-        if !same {
-            let mut fences: Vec<Position> = Vec::new();
-            for r in &self.log {
-                match fences.last_mut() {
-                    Some(l) if l.fence == r.position.fence => *l = r.position,
-                    _ => fences.push(r.position),
-                }
+        let held = request.have.number as usize;
+        let response =
+            PullResponse { fence: self.fence, have: request.have, commit: 0, recs: Vec::new(), fences: None };
+        let last_held = held.checked_sub(1).map(|last| self.log.get(last));
+        let agrees = last_held.is_none_or(|last| last.is_some_and(|record| record.position == request.have));
+        if !agrees {
+            return Some(PullResponse { fences: Some(self.last_of_each_fence()), ..response });
+        }
+        self.note_replicated(request);
+        let recs = self.log[held..].iter().take(most).cloned().collect();
+        Some(PullResponse { commit: self.commit, recs, ..response })
+    }
+
+    /// The last position under each fence of the log.
+    fn last_of_each_fence(&self) -> Vec<Position> {
+        let mut fences: Vec<Position> = Vec::new();
+        for record in &self.log {
+            match fences.last_mut() {
+                Some(last) if last.fence == record.position.fence => *last = record.position,
+                _ => fences.push(record.position),
             }
-            return Some(PullResponse {
-                fence: self.fence,
-                have: p.have,
-                commit: 0,
-                recs: vec![],
-                fences: Some(fences),
-            });
         }
-        // Only a replica that already declines lower fences may count.
-        if p.fence == self.fence && (self.voters.is_empty() || self.voters.contains(&p.server)) {
-            let m = self.replicated_to.entry(p.server.clone()).or_default();
-            *m = (*m).max(have);
-            self.advance_commit();
+        fences
+    }
+
+    /// Counts what a replica holds, if it rejects lower fences already and counts at all.
+    fn note_replicated(&mut self, request: &PullRequest) {
+        let is_voter = self.voters.is_empty() || self.voters.contains(&request.server);
+        if request.fence != self.fence || !is_voter {
+            return;
         }
-        let recs = self.log[have as usize..].iter().take(most).cloned().collect();
-        Some(PullResponse { fence: self.fence, have: p.have, commit: self.commit, recs, fences: None })
+        let held = self.replicated_to.entry(request.server.clone()).or_default();
+        *held = request.have.number.max(*held);
+        self.advance_commit();
     }
+
     fn advance_commit(&mut self) {
-        let on_two = self.replicated_to.values().copied().max().unwrap_or(0);
+        let on_two_servers = self.replicated_to.values().copied().max().unwrap_or(0);
+        let Some(last) = on_two_servers.checked_sub(1) else { return };
         // A record of an older fence is only safe under one of this fence.
-        let own =
-            on_two > 0 && self.log.get(on_two as usize - 1).is_some_and(|r| r.position.fence == self.fence);
-        if own {
-            self.commit_up_to(on_two);
+        if self.log.get(last as usize).is_some_and(|record| record.position.fence == self.fence) {
+            self.commit_up_to(on_two_servers);
         }
     }
-    /// A replica takes what its primary gave.
-    pub fn apply_pull(&mut self, p: PullResponse) -> bool {
-        if p.fence < self.fence || (self.role == Role::Primary && p.fence == self.fence) {
+
+    /// A replica takes what its primary gave; false if that does not go on from its log.
+    pub fn apply_pull(&mut self, response: PullResponse) -> bool {
+        if response.fence < self.fence || self.is_primary_under(response.fence) {
             return false;
         }
-        // A reply that was long under way: this server may have led since, and its log goes on in another way.
-        if p.have != self.log_end() {
+        // A response that was long under way: this server may have been primary since, with records of its own.
+        if response.have != self.log_end() {
             return false;
         }
-        self.set_fence(p.fence);
-        if let Some(fences) = p.fences {
-            let agree = |r: &LogRecord| {
-                fences.iter().any(|l| l.fence == r.position.fence && r.position.number <= l.number)
-            };
-            let keep = self.log.iter().take_while(|r| agree(r)).count();
-            // Never below what is visible: that is on two servers and so in the primary's log too.
-            let keep = keep.max(self.commit as usize);
-            self.log.truncate(keep);
-            self.unwritten.push(DiskRecord::Truncate(keep as u64));
+        self.set_fence(response.fence);
+        if let Some(fences) = response.fences {
+            self.truncate_to(&fences);
             return true;
         }
-        for r in p.recs {
-            if r.position.number == self.log.len() as u64 + 1 {
-                self.unwritten.push(DiskRecord::Append(r.clone()));
-                self.log.push(r);
+        for record in response.recs {
+            if record.position.number == self.log.len() as u64 + 1 {
+                self.unwritten.push(DiskRecord::Append(record.clone()));
+                self.log.push(record);
             }
         }
-        self.commit_up_to(p.commit.min(self.log.len() as u64));
+        self.commit_up_to(response.commit.min(self.log.len() as u64));
         true
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::database::{KeyOutcome, Write};
-    use serde_json::Value;
-
-    fn sync(p: &mut Database, r: &mut Database) {
-        for _ in 0..8 {
-            let ask = PullRequest { server: r.name.clone(), fence: r.fence, have: r.log_end() };
-            let Some(got) = p.serve_pull(&ask, 100) else { return };
-            r.apply_pull(got);
-        }
-    }
-
-    #[test]
-    fn a_primary_that_comes_back_answers_no_read_before_all_is_visible() {
-        let (mut a, mut b) = (Database::new("a"), Database::new("b"));
-        a.promote(1, vec![]);
-        sync(&mut a, &mut b);
-        a.add_commit("t1", "x", vec![Write::Add("x".into(), 1)], Value::Null);
-        sync(&mut a, &mut b);
-        assert!(a.is_readable());
-        let mut a = Database::replay("a", std::mem::take(&mut a.unwritten).into_iter());
-        assert!(!a.is_readable() && a.values.is_empty());
-        sync(&mut a, &mut b);
-        assert!(a.is_readable());
-        assert_eq!(a.values.get("x"), Some(&Value::from(1)));
-    }
 
-    #[test]
-    fn a_commit_counts_only_on_two_and_an_old_primary_is_cut_back() {
-        let (mut a, mut b, mut c) = (Database::new("a"), Database::new("b"), Database::new("c"));
-        assert!(a.promote(1, vec![]));
-        sync(&mut a, &mut b);
-        let n = a.add_commit("t1", "x", vec![Write::Add("x".into(), 1)], Value::Null);
-        assert!(a.commit < n);
-        sync(&mut a, &mut b);
-        assert_eq!(a.commit, n);
-        a.add_commit("lost", "x", vec![Write::Add("x".into(), 5)], Value::Null);
-        // b and c are fenced; b is ahead and is promoted. The old primary's lone record must go.
-        assert!(b.set_fence(2) && c.set_fence(2));
-        assert!(a.serve_pull(&PullRequest { server: "b".into(), fence: 2, have: b.log_end() }, 9).is_none());
-        assert!(b.promote(2, vec![]));
-        sync(&mut b, &mut c);
-        sync(&mut b, &mut a);
-        assert_eq!(a.values.get("x"), Some(&Value::from(1)));
-        assert_eq!(a.log, b.log);
-        assert_eq!(a.outcome("lost"), KeyOutcome::NotCommitted);
-        assert_matches::assert_matches!(c.outcome("t1"), KeyOutcome::Committed { sum, .. } if sum == "x");
+    /// Drops what the primary's log does not begin with.
+    fn truncate_to(&mut self, fences: &[Position]) {
+        let agrees = |record: &&LogRecord| {
+            let own = record.position;
+            fences.iter().any(|last| last.fence == own.fence && own.number <= last.number)
+        };
+        let common = self.log.iter().take_while(agrees).count();
+        // Never below what is visible: that is on two servers and so in the primary's log too.
+        let length = common.max(self.commit as usize);
+        self.log.truncate(length);
+        self.unwritten.push(DiskRecord::Truncate(length as u64));
     }
 }
--- a/crates/testbed/src/run_facts.rs
+++ b/crates/testbed/src/run_facts.rs
@@ -1,74 +1,105 @@
-//! After a run on a real fleet: tries in doubt are settled, and the servers tell what they hold (§9.4).
+//! After a run: open attempts are resolved, and the servers tell what they hold.
 use crate::caller::{Caller, LoadEnvironment};
 use crate::fleet::{FleetPlan, ServerAddress};
-use crate::history::Facts;
+use crate::history::{AttemptRecord, CallEnd, Facts};
 use crate::scenario::{fleet_status, lab_call};
-use crate::stand_in::journal;
+use crate::stand_in::journal::{JournalEntry, read_journal};
 use quincehatch_runtime::seam;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Every try in doubt is asked after until it is settled, so that the check can be strict.
-pub async fn resolve_open_attempts(w: &Arc<LoadEnvironment>, seed: u64) {
-    let doubt: Vec<(String, usize)> = {
-        let h = w.history.lock().unwrap();
-        let last = |t: &crate::history::AttemptRecord| {
-            t.ends.last().is_some_and(|e| e.0 != crate::history::CallEnd::Committed)
-        };
-        let open = h.attempts.values().filter(|t| last(t) && !t.sealed);
-        let id = |k: &str| k[1..].split('-').next().and_then(|n| n.parse().ok()).unwrap_or(0);
-        open.map(|t| (t.key.clone(), id(&t.key))).collect()
+/// An open attempt is asked after so often, with this pause.
+const RESOLUTIONS: usize = 40;
+const RESOLUTION_PAUSE: Duration = Duration::from_millis(200);
+
+/// The number of the caller whose attempt has this key (`c<number>-<order>`).
+fn caller_of(key: &str) -> usize {
+    key[1..].split('-').next().and_then(|number| number.parse().ok()).unwrap_or(0)
+}
+
+fn is_open(attempt: &AttemptRecord) -> bool {
+    let last = attempt.ends.last();
+    !attempt.sealed && last.is_some_and(|(end, _, _)| *end != CallEnd::Committed)
+}
+
+/// Asks after every open attempt until its outcome is known, so that the check can be strict.
+pub async fn resolve_open_attempts(env: &Arc<LoadEnvironment>, seed: u64) {
+    let open: Vec<String> = {
+        let history = env.history.lock().unwrap();
+        let open = history.attempts.values().filter(|attempt| is_open(attempt));
+        open.map(|attempt| attempt.key.clone()).collect()
     };
-    for (key, id) in doubt {
-        let mut c = Caller::new(w.clone(), id, seed);
-        for _ in 0..40 {
-            let end = c.resolve_outcome(&key).await;
-            let sealed = w.history.lock().unwrap().attempts.get(&key).is_some_and(|t| t.sealed);
-            if end == crate::history::CallEnd::Committed || sealed {
+    for key in open {
+        let mut caller = Caller::new(env.clone(), caller_of(&key), seed);
+        for _ in 0..RESOLUTIONS {
+            let end = caller.resolve_outcome(&key).await;
+            let sealed = env.history.lock().unwrap().attempts.get(&key).is_some_and(|known| known.sealed);
+            if end == CallEnd::Committed || sealed {
                 break;
             }
-            seam::sleep(Duration::from_millis(200)).await;
+            seam::sleep(RESOLUTION_PAUSE).await;
         }
     }
 }
 
-/// What the servers hold, as the named lead tells it, how far the others agree, and what each of them did.
-pub async fn collect_facts(desks: &[String], servers: &[ServerAddress]) -> Result<Facts, String> {
-    let mut f = Facts::default();
-    let leads = fleet_status(desks).await["leads"].clone();
-    for g in servers.iter().map(|s| s.group.clone()).collect::<BTreeSet<_>>() {
-        let named = leads.as_array().into_iter().flatten().find(|l| l["group"] == g.as_str());
-        let lead =
-            named.and_then(|l| l["server"].as_str()).ok_or_else(|| format!("{g} has no lead at the end"))?;
-        let mut of: Vec<&str> =
-            servers.iter().filter(|s| s.group == g && s.name != lead).map(|s| s.name.as_str()).collect();
-        of.insert(0, lead);
-        for s in of {
-            let got = lab_call(servers, s, "/lab/facts", &json!({})).await;
-            let Some(v) = got.filter(|v| v["kv"].is_object()) else {
-                // A server that is down tells nothing; the lead must.
-                if s == lead {
-                    return Err(format!("the lead {lead} of {g} cannot be read at the end"));
-                }
-                continue;
-            };
-            let texts = |v: &Value| -> Vec<String> {
-                v.as_array().into_iter().flatten().filter_map(|x| x.as_str().map(str::to_owned)).collect()
-            };
-            f.logs.entry(g.clone()).or_default().push((s.to_owned(), texts(&v["log"])));
-            let kv = v["kv"].as_object().filter(|_| s == lead);
-            for (k, v) in kv.into_iter().flatten().filter(|(k, _)| k.starts_with("orders/")) {
-                f.lists.insert((g.clone(), k.clone()), texts(v));
+fn texts(list: &Value) -> Vec<String> {
+    list.as_array().into_iter().flatten().filter_map(Value::as_str).map(str::to_owned).collect()
+}
+
+/// The server that the fleet's status names as the primary of a group.
+fn primary_of(status: &Value, group: &str) -> Option<String> {
+    let primaries = status["leads"].as_array()?;
+    let primary = primaries.iter().find(|primary| primary["group"] == group)?;
+    primary["server"].as_str().map(str::to_owned)
+}
+
+/// What the servers hold: the primary's lists, and the logs of all that answer.
+pub async fn collect_facts(operators: &[String], servers: &[ServerAddress]) -> Result<Facts, String> {
+    let mut facts = Facts::default();
+    let status = fleet_status(operators).await;
+    let groups: BTreeSet<&str> = servers.iter().map(|server| server.group.as_str()).collect();
+    for group in groups {
+        let primary =
+            primary_of(&status, group).ok_or_else(|| format!("{group} has no primary at the end"))?;
+        collect_group(&mut facts, servers, group, &primary).await?;
+    }
+    Ok(facts)
+}
+
+async fn collect_group(
+    facts: &mut Facts,
+    servers: &[ServerAddress],
+    group: &str,
+    primary: &str,
+) -> Result<(), String> {
+    let members = servers.iter().filter(|server| server.group == group);
+    let others = members.map(|server| server.name.as_str()).filter(|name| *name != primary);
+    for name in std::iter::once(primary).chain(others) {
+        let answer = lab_call(servers, name, "/lab/facts", &json!({})).await;
+        let Some(held) = answer.filter(|held| held["kv"].is_object()) else {
+            // A server that is down tells nothing; the primary must.
+            if name == primary {
+                return Err(format!("the primary {primary} of {group} cannot be read at the end"));
             }
+            continue;
+        };
+        facts.logs.entry(group.to_owned()).or_default().push((name.to_owned(), texts(&held["log"])));
+        let values = held["kv"].as_object().filter(|_| name == primary);
+        for (key, value) in values.into_iter().flatten().filter(|(key, _)| key.starts_with("orders/")) {
+            facts.lists.insert((group.to_owned(), key.clone()), texts(value));
         }
     }
-    Ok(f)
+    Ok(())
 }
 
 /// What each stand-in of a fleet did, from the files beside its data.
-pub fn read_journals(p: &FleetPlan) -> BTreeMap<String, Vec<journal::JournalEntry>> {
-    let path = |s: &ServerAddress| p.dir.join("servers").join(format!("{}.journal", s.name));
-    p.servers.iter().map(|s| (s.name.clone(), journal::read_journal(&path(s)))).collect()
+pub fn read_journals(plan: &FleetPlan) -> BTreeMap<String, Vec<JournalEntry>> {
+    let folder = plan.dir.join("servers");
+    let journal = |server: &ServerAddress| {
+        let path = folder.join(format!("{}.journal", server.name));
+        (server.name.clone(), read_journal(&path))
+    };
+    plan.servers.iter().map(journal).collect()
 }
--- a/crates/testbed/src/stand_in/calls.rs
+++ b/crates/testbed/src/stand_in/calls.rs
@@ -1,10 +1,10 @@
-//! The calls of the server contract, as a stand-in answers them (docs/server.md).
+//! The calls of the server contract (docs/server.md), as a stand-in answers them.
 use super::commits::{commit_order, query_outcome};
 use super::http_server::ConnectionReset;
 use super::journal::{JournalEntry, request_id};
-use super::{StandIn, replication};
-use crate::statement::{self, ConnectionState, OpenTransaction};
-use quincehatch_core::FencingToken;
+use super::{StandIn, lab_calls, replication};
+use crate::statement::{self, ConnectionState, OpenTransaction, StatementResult};
+use quincehatch_core::{FencingToken, Name};
 use quincehatch_runtime::seam;
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -12,190 +12,227 @@
 use std::time::Duration;
 use tokio::sync::{Mutex, Notify};
 
+/// Number of the next transaction of this process; the boot number is put before it.
 static NEXT_TRANSACTION: AtomicU64 = AtomicU64::new(1);
+const BOOT_NUMBER_SHIFT: u32 = 20;
+/// How late a muted rollback is answered.
+const MUTED_ROLLBACK_DELAY: Duration = Duration::from_secs(2);
 
-pub(super) fn u64_field(b: &Value, k: &str) -> u64 {
-    b.get(k).and_then(Value::as_u64).unwrap_or(0)
+/// A number of a request; 0 where there is none.
+pub(super) fn u64_field(body: &Value, key: &str) -> u64 {
+    body.get(key).and_then(Value::as_u64).unwrap_or(0)
 }
-pub(super) fn str_field<'a>(b: &'a Value, k: &str) -> &'a str {
-    b.get(k).and_then(Value::as_str).unwrap_or_default()
+
+/// A text of a request; empty where there is none.
+pub(super) fn str_field<'body>(body: &'body Value, key: &str) -> &'body str {
+    body.get(key).and_then(Value::as_str).unwrap_or_default()
 }
 
-/// Answers a call; each success of a link's own call is journalled with what it was for.
+/// Answers a call; each success of a connection's own call goes into the journal, with what it was for.
 pub async fn answer_call(
-    s: &StandIn,
-    ctx: &Mutex<ConnectionState>,
+    server: &StandIn,
+    connection: &Mutex<ConnectionState>,
     path: &str,
-    b: Value,
+    body: Value,
 ) -> Result<Value, ConnectionReset> {
-    let id = request_id(&b);
-    let v = dispatch(s, ctx, path, b).await?;
-    if matches!(path, "/v1/begin" | "/v1/run" | "/v1/commit" | "/v1/rollback" | "/v1/outcome")
-        && let (Some(stamp), Some(rows)) = (v.get("stamp"), v.get("rows"))
-    {
-        s.journal.record(JournalEntry::Said { id, stamp: stamp.clone(), rows: rows.clone() });
-    }
-    Ok(v)
+    let id = request_id(&body);
+    let reply = dispatch(server, connection, path, body).await?;
+    let is_journalled =
+        matches!(path, "/v1/begin" | "/v1/run" | "/v1/commit" | "/v1/rollback" | "/v1/outcome");
+    if is_journalled && let (Some(stamp), Some(rows)) = (reply.get("stamp"), reply.get("rows")) {
+        server.journal.record(JournalEntry::Said { id, stamp: stamp.clone(), rows: rows.clone() });
+    }
+    Ok(reply)
 }
 
 async fn dispatch(
-    s: &StandIn,
-    ctx: &Mutex<ConnectionState>,
+    server: &StandIn,
+    connection: &Mutex<ConnectionState>,
     path: &str,
-    b: Value,
+    body: Value,
 ) -> Result<Value, ConnectionReset> {
     match path {
-        "/v1/status" => {
-            let beat = s.heartbeat();
-            Ok(json!({"stamp": s.stamp(), "rows": [], "beat": beat}))
-        }
-        "/v1/pull" => match serde_json::from_value(b) {
-            Ok(p) => Ok(replication::serve_pull(s, p).await),
-            Err(e) => Ok(s.failure("malformed", e)),
+        "/v1/status" => Ok(heartbeat_reply(server)),
+        "/v1/pull" => match serde_json::from_value(body) {
+            Ok(request) => Ok(replication::serve_pull(server, request).await),
+            Err(error) => Ok(server.failure("malformed", error)),
         },
-        "/v1/cancel" => {
-            let running = s.running_statements.lock().unwrap().get(str_field(&b, "link")).cloned();
-            running.into_iter().for_each(|r| r.notify_one());
-            Ok(s.success(json!([])))
-        }
+        "/v1/cancel" => Ok(cancel(server, &body)),
         "/v1/fence" => {
-            let ok = s.with_db(|d| d.set_fence(u64_field(&b, "fence")));
-            let beat = s.heartbeat();
-            Ok(if ok {
-                json!({"stamp": s.stamp(), "rows": [], "beat": beat})
-            } else {
-                s.failure("fence-low", "")
-            })
-        }
-        "/v1/promote" => {
-            let counts =
-                b["counts"].as_array().into_iter().flatten().filter_map(|n| n.as_str().map(Into::into));
-            let counts: Vec<quincehatch_core::Name> = counts.collect();
-            let ok = s.with_db(|d| d.promote(u64_field(&b, "fence"), counts));
-            Ok(if ok { s.success(json!([])) } else { s.failure("fence-low", "") })
+            let accepted = server.with_db(|db| db.set_fence(u64_field(&body, "fence")));
+            Ok(if accepted { heartbeat_reply(server) } else { server.failure("fence-low", "") })
         }
-        "/v1/outcome" => query_outcome(s, &b).await,
-        p if p.starts_with("/lab/") => Ok(super::lab_calls::answer_lab_call(s, p, b)),
-        _ => connection_call(s, &mut *ctx.lock().await, path, b).await,
+        "/v1/promote" => Ok(promote(server, &body)),
+        "/v1/outcome" => query_outcome(server, &body).await,
+        path if path.starts_with("/lab/") => Ok(lab_calls::answer_lab_call(server, path, body)),
+        _ => connection_call(server, &mut *connection.lock().await, path, &body).await,
+    }
+}
+
+fn heartbeat_reply(server: &StandIn) -> Value {
+    let heartbeat = server.heartbeat();
+    json!({"stamp": server.stamp(), "rows": [], "beat": heartbeat})
+}
+
+/// Cancels the long statement of a connection.
+fn cancel(server: &StandIn, body: &Value) -> Value {
+    let running = server.running_statements.lock().unwrap().get(str_field(body, "link")).cloned();
+    if let Some(running) = running {
+        running.notify_one();
     }
+    server.success(json!([]))
+}
+
+fn promote(server: &StandIn, body: &Value) -> Value {
+    let voters = body["counts"].as_array().into_iter().flatten().filter_map(Value::as_str);
+    let voters: Vec<Name> = voters.map(Name::from).collect();
+    let accepted = server.with_db(|db| db.promote(u64_field(body, "fence"), voters));
+    if accepted { server.success(json!([])) } else { server.failure("fence-low", "") }
 }
 
-pub(super) fn check_primary(s: &StandIn, f: FencingToken) -> Result<(), Value> {
-    let (leads, own) = s.with_db(|d| (d.is_primary_under(f), d.fence));
-    match (leads, f < own) {
-        (true, _) => Ok(()),
-        (_, true) => Err(s.failure("fence-low", format_args!("{f} is under {own}"))),
-        _ => Err(s.failure("not-primary", "this server does not lead under that fence")),
+/// The reply to whoever calls under a fence that this server is not primary under.
+pub(super) fn check_primary(server: &StandIn, fence: FencingToken) -> Result<(), Value> {
+    let (is_primary, own) = server.with_db(|db| (db.is_primary_under(fence), db.fence));
+    if is_primary {
+        Ok(())
+    } else if fence < own {
+        Err(server.failure("fence-low", format_args!("{fence} is under {own}")))
+    } else {
+        Err(server.failure("not-primary", "this server is not primary under that fence"))
     }
 }
 
 async fn connection_call(
-    s: &StandIn,
-    c: &mut ConnectionState,
+    server: &StandIn,
+    connection: &mut ConnectionState,
     path: &str,
-    b: Value,
+    body: &Value,
 ) -> Result<Value, ConnectionReset> {
     match path {
-        "/v1/begin" => {
-            s.check_drain_limit();
-            if let Err(v) = check_primary(s, u64_field(&b, "fence")) {
-                return Ok(v);
-            }
-            let id = NEXT_TRANSACTION.fetch_add(1, Ordering::Relaxed) + (s.boot() << 20);
-            c.transaction = Some(OpenTransaction { id, ..Default::default() });
-            Ok(s.success(json!([["begun", id]])))
-        }
-        "/v1/run" => run_call(s, c, &b).await,
-        "/v1/set" => {
-            s.journal.record(JournalEntry::Wore {
-                link: str_field(&b, "link").into(),
-                text: str_field(&b, "text").into(),
-            });
-            Ok(statement::set_setting(c, str_field(&b, "text"))
-                .map_or_else(|e| s.failure("statement", e), |()| s.success(json!([]))))
-        }
-        "/v1/prepare" => {
-            let text = format!("{}={}", str_field(&b, "name"), str_field(&b, "text"));
-            s.journal.record(JournalEntry::Wore { link: str_field(&b, "link").into(), text });
-            c.prepared.insert(str_field(&b, "name").into(), str_field(&b, "text").into());
-            Ok(s.success(json!([])))
-        }
+        "/v1/begin" => Ok(begin(server, connection, body)),
+        "/v1/run" => run_call(server, connection, body).await,
+        "/v1/set" => Ok(set(server, connection, body)),
+        "/v1/prepare" => Ok(prepare(server, connection, body)),
         "/v1/reset" => {
-            *c = ConnectionState::default();
-            Ok(s.success(json!([])))
+            *connection = ConnectionState::default();
+            Ok(server.success(json!([])))
         }
-        "/v1/commit" => {
-            let Some(t) = c.transaction.take() else {
-                return Ok(s.failure("statement", "no transaction is open"));
-            };
-            commit_order(s, &b, t.writes, t.last_rows).await
-        }
-        "/v1/rollback" => {
-            let id = c.transaction.take().map(|t| t.id);
-            if s.faults.take_one(&s.faults.lose_answers) {
-                return Err(ConnectionReset);
-            }
-            if s.faults.take_one(&s.faults.mute) {
-                seam::sleep(Duration::from_secs(2)).await;
-            }
-            if s.faults.take_one(&s.faults.forge) {
-                return Ok(json!({"rows": [["rolled back"]]}));
-            }
-            Ok(s.success(json!([["rolled back", id]])))
-        }
-        _ => Ok(s.failure("no-such-call", path)),
+        "/v1/commit" => match connection.transaction.take() {
+            Some(open) => commit_order(server, body, open.writes, open.last_rows).await,
+            None => Ok(server.failure("statement", "no transaction is open")),
+        },
+        "/v1/rollback" => rollback(server, connection).await,
+        _ => Ok(server.failure("no-such-call", path)),
+    }
+}
+
+fn begin(server: &StandIn, connection: &mut ConnectionState, body: &Value) -> Value {
+    server.check_drain_limit();
+    if let Err(reply) = check_primary(server, u64_field(body, "fence")) {
+        return reply;
+    }
+    let id = NEXT_TRANSACTION.fetch_add(1, Ordering::Relaxed) + (server.boot() << BOOT_NUMBER_SHIFT);
+    connection.transaction = Some(OpenTransaction { id, ..Default::default() });
+    server.success(json!([["begun", id]]))
+}
+
+fn set(server: &StandIn, connection: &mut ConnectionState, body: &Value) -> Value {
+    let text = str_field(body, "text");
+    server.journal.record(JournalEntry::Wore { link: str_field(body, "link").into(), text: text.into() });
+    match statement::set_setting(connection, text) {
+        Ok(()) => server.success(json!([])),
+        Err(reason) => server.failure("statement", reason),
+    }
+}
+
+fn prepare(server: &StandIn, connection: &mut ConnectionState, body: &Value) -> Value {
+    let (name, text) = (str_field(body, "name"), str_field(body, "text"));
+    let entry = JournalEntry::Wore { link: str_field(body, "link").into(), text: format!("{name}={text}") };
+    server.journal.record(entry);
+    connection.prepared.insert(name.into(), text.into());
+    server.success(json!([]))
+}
+
+async fn rollback(server: &StandIn, connection: &mut ConnectionState) -> Result<Value, ConnectionReset> {
+    let id = connection.transaction.take().map(|open| open.id);
+    let faults = &server.faults;
+    if faults.take_one(&faults.lose_answers) {
+        return Err(ConnectionReset);
     }
+    if faults.take_one(&faults.mute) {
+        seam::sleep(MUTED_ROLLBACK_DELAY).await;
+    }
+    if faults.take_one(&faults.forge) {
+        return Ok(json!({"rows": [["rolled back"]]}));
+    }
+    Ok(server.success(json!([["rolled back", id]])))
 }
 
-async fn run_call(s: &StandIn, c: &mut ConnectionState, b: &Value) -> Result<Value, ConnectionReset> {
-    let order = b.get("try").is_some();
-    if c.transaction.is_none() {
-        s.check_drain_limit();
+/// Runs a statement: an order of one step where it brings an idempotency key, else a read or a transaction's step.
+async fn run_call(
+    server: &StandIn,
+    connection: &mut ConnectionState,
+    body: &Value,
+) -> Result<Value, ConnectionReset> {
+    let is_order = body.get("try").is_some();
+    if connection.transaction.is_none() {
+        server.check_drain_limit();
     }
-    if order && let Err(v) = check_primary(s, u64_field(b, "fence")) {
-        return Ok(v);
+    if is_order && let Err(reply) = check_primary(server, u64_field(body, "fence")) {
+        return Ok(reply);
     }
-    if !order && !s.with_db(|d| d.is_readable()) {
-        s.rejected_reads.fetch_add(1, Ordering::SeqCst);
-        return Ok(s.failure("starting", "not all that was kept is visible yet"));
+    if !is_order && !server.with_db(|db| db.is_readable()) {
+        server.rejected_reads.fetch_add(1, Ordering::SeqCst);
+        return Ok(server.failure("starting", "not all that was committed is visible yet"));
     }
-    s.faults.storage_delay().await;
-    let (text, params) = (str_field(b, "text"), b.get("params").cloned().unwrap_or(Value::Null));
-    s.journal.record(JournalEntry::Ran {
-        link: str_field(b, "link").into(),
-        txn: c.transaction.as_ref().map_or(0, |t| t.id),
+    server.faults.storage_delay().await;
+    let ran = match execute(server, connection, body).await {
+        Ok(ran) => ran,
+        Err(reason) => return Ok(server.failure("statement", reason)),
+    };
+    if is_order {
+        return commit_order(server, body, ran.writes, ran.rows).await;
+    }
+    if let Some(open) = connection.transaction.as_mut() {
+        open.writes.extend(ran.writes);
+        open.last_rows = ran.rows.clone();
+    } else if !ran.writes.is_empty() {
+        return Ok(server.failure("statement", "a write needs a transaction or an idempotency key"));
+    }
+    if server.faults.take_one(&server.faults.forge) {
+        return Ok(json!({"rows": ran.rows}));
+    }
+    Ok(server.success(ran.rows))
+}
+
+/// Executes a statement against the visible data; a long one until it is over or cancelled.
+async fn execute(
+    server: &StandIn,
+    connection: &ConnectionState,
+    body: &Value,
+) -> Result<StatementResult, String> {
+    let link = Name::from(str_field(body, "link"));
+    let text = str_field(body, "text");
+    let params = body.get("params").cloned().unwrap_or(Value::Null);
+    server.journal.record(JournalEntry::Ran {
+        link: link.clone(),
+        txn: connection.transaction.as_ref().map_or(0, |open| open.id),
         text: text.into(),
         params: params.clone(),
     });
-    let got = {
-        let db = s.db.lock().unwrap();
-        statement::run_statement(c, &db.values, text, &params)
-    };
-    let ran = match got {
-        Ok(r) => r,
-        Err(e) => return Ok(s.failure("statement", e)),
+    let ran = {
+        let db = server.db.lock().unwrap();
+        statement::run_statement(connection, &db.values, text, &params)?
     };
     if ran.sleep_ms > 0 {
-        let (link, stop) = (quincehatch_core::Name::from(str_field(b, "link")), Arc::new(Notify::new()));
-        s.running_statements.lock().unwrap().insert(link.clone(), stop.clone());
-        let over =
-            seam::select_first(seam::sleep(Duration::from_millis(ran.sleep_ms)), stop.notified()).await;
-        s.running_statements.lock().unwrap().remove(&link);
-        if over.is_err() {
-            return Ok(s.failure("statement", "it was cancelled"));
+        let cancelled = Arc::new(Notify::new());
+        server.running_statements.lock().unwrap().insert(link.clone(), cancelled.clone());
+        let sleep = seam::sleep(Duration::from_millis(ran.sleep_ms));
+        let end = seam::select_first(sleep, cancelled.notified()).await;
+        server.running_statements.lock().unwrap().remove(&link);
+        if end.is_err() {
+            return Err("it was cancelled".into());
         }
     }
-    if order {
-        return commit_order(s, b, ran.writes, ran.rows).await;
-    }
-    if let Some(t) = c.transaction.as_mut() {
-        t.writes.extend(ran.writes);
-        t.last_rows = ran.rows.clone();
-    } else if !ran.writes.is_empty() {
-        return Ok(s.failure("statement", "a write needs a transaction or a try"));
-    }
-    if s.faults.take_one(&s.faults.forge) {
-        return Ok(json!({"rows": ran.rows}));
-    }
-    Ok(s.success(ran.rows))
+    Ok(ran)
 }
--- a/crates/testbed/src/stand_in/commits.rs
+++ b/crates/testbed/src/stand_in/commits.rs
@@ -1,100 +1,101 @@
-//! Commits, tries and seals of a stand-in (docs/server.md).
+//! Commits, idempotency keys and seals of a stand-in (docs/server.md).
 use super::StandIn;
 use super::calls::{check_primary, str_field, u64_field};
 use super::http_server::ConnectionReset;
-use crate::database::KeyOutcome;
-use quincehatch_core::FencingToken;
+use crate::database::{KeyOutcome, Write};
+use quincehatch_core::{FencingToken, Millis};
 use quincehatch_runtime::{now, seam};
 use serde_json::{Value, json};
 use std::time::Duration;
 
 /// Longest a commit waits for a second server before the caller is told that it is in doubt.
-const COMMIT_TIMEOUT: Duration = Duration::from_secs(8);
+const COMMIT_TIMEOUT: Millis = 8_000;
+/// How often a waiting commit looks at the log without being notified.
+const COMMIT_POLL: Duration = Duration::from_millis(100);
 
-/// Keeps an order under its try key, once, and answers when two servers hold it.
+/// Commits an order under its idempotency key, once, and answers when two servers hold it.
 pub(super) async fn commit_order(
-    s: &StandIn,
-    b: &Value,
-    writes: Vec<crate::database::Write>,
+    server: &StandIn,
+    body: &Value,
+    writes: Vec<Write>,
     rows: Value,
 ) -> Result<Value, ConnectionReset> {
-    let (key, sum, f) = (str_field(b, "try"), str_field(b, "sum"), u64_field(b, "fence"));
-    s.faults.storage_delay().await;
-    if let Err(v) = check_primary(s, f) {
-        return Ok(v);
+    let (key, sum, fence) = (str_field(body, "try"), str_field(body, "sum"), u64_field(body, "fence"));
+    server.faults.storage_delay().await;
+    if let Err(reply) = check_primary(server, fence) {
+        return Ok(reply);
     }
-    let n = match s.with_db(|d| match d.outcome(key) {
-        KeyOutcome::NotCommitted => Ok(d.add_commit(key, sum, writes, rows)),
-        o => Err(o),
-    }) {
-        Ok(n) | Err(KeyOutcome::Pending(n)) => n,
-        Err(o) => return Ok(outcome_reply(s, sum, o)),
+    let number = match server.with_db(|db| db.commit_once(key, sum, writes, rows)) {
+        KeyOutcome::Pending(number) => number,
+        outcome => return Ok(outcome_reply(server, sum, outcome)),
     };
-    // The lab's own bug: a server that acknowledges what it alone holds.
+    // The deliberate bug: a server acknowledges what it alone holds.
     if seam::injected_bug("early-ack") {
-        s.with_db(|d| d.commit = d.commit.max(n));
-        return Ok(s.success(json!([["ok"]])));
+        server.with_db(|db| db.commit = db.commit.max(number));
+        return Ok(server.success(json!([["ok"]])));
     }
-    let sure = wait_until_replicated(s, n, f).await;
-    if s.faults.take_one(&s.faults.lose_answers) {
+    let replicated = wait_until_replicated(server, number, fence).await;
+    if server.faults.take_one(&server.faults.lose_answers) {
         return Err(ConnectionReset);
     }
-    if !sure {
-        return Ok(s.failure("in-doubt", "the order is not on a second server"));
+    if !replicated {
+        return Ok(server.failure("in-doubt", "the order is not on a second server"));
     }
-    Ok(outcome_reply(s, sum, s.with_db(|d| d.outcome(key))))
+    Ok(outcome_reply(server, sum, server.with_db(|db| db.outcome(key))))
 }
 
-fn outcome_reply(s: &StandIn, sum: &str, o: KeyOutcome) -> Value {
-    match o {
-        KeyOutcome::Committed { sum: had, .. } if had != sum => {
-            s.failure("try-reused", "the try was kept with other content")
+fn outcome_reply(server: &StandIn, sum: &str, outcome: KeyOutcome) -> Value {
+    match outcome {
+        KeyOutcome::Committed { sum: committed, .. } if committed != sum => {
+            server.failure("try-reused", "the idempotency key was committed with other content")
         }
-        KeyOutcome::Committed { rows, .. } => s.success(rows),
-        KeyOutcome::Sealed => s.failure("try-sealed", "the try was sealed"),
-        KeyOutcome::Pending(_) | KeyOutcome::NotCommitted => s.failure("in-doubt", "not known yet"),
+        KeyOutcome::Committed { rows, .. } => server.success(rows),
+        KeyOutcome::Sealed => server.failure("try-sealed", "the idempotency key was sealed"),
+        KeyOutcome::Pending(_) | KeyOutcome::NotCommitted => server.failure("in-doubt", "not known yet"),
     }
 }
 
-/// Waits until record `n`, written under `f`, is on a second server.
-async fn wait_until_replicated(s: &StandIn, n: u64, f: FencingToken) -> bool {
-    let until = now() + COMMIT_TIMEOUT.as_millis() as u64;
+/// Waits until the record of that number, written under the fence, is on a second server.
+async fn wait_until_replicated(server: &StandIn, number: u64, fence: FencingToken) -> bool {
+    let deadline = now() + COMMIT_TIMEOUT;
     loop {
-        let moved = s.log_changed.notified();
-        let (done, still) = s.with_db(|d| (d.commit >= n, d.is_primary_under(f) && d.wrote_under(n, f)));
-        if done && still {
-            return true;
+        let changed = server.log_changed.notified();
+        let (is_committed, is_own) = server
+            .with_db(|db| (db.commit >= number, db.is_primary_under(fence) && db.wrote_under(number, fence)));
+        if !is_own || now() >= deadline {
+            return is_own && is_committed;
         }
-        if !still || now() >= until {
-            return false;
+        if is_committed {
+            return true;
         }
-        let _ = seam::timeout(Duration::from_millis(100), moved).await;
+        let _ = seam::timeout(COMMIT_POLL, changed).await;
     }
 }
 
-pub(super) async fn query_outcome(s: &StandIn, b: &Value) -> Result<Value, ConnectionReset> {
-    let (key, f) = (str_field(b, "try"), u64_field(b, "fence"));
-    let seal = b.get("seal").and_then(Value::as_bool).unwrap_or(false);
-    if let Err(v) = check_primary(s, f) {
-        return Ok(v);
+/// What became of an idempotency key; with `seal`, one that is not committed never will be.
+pub(super) async fn query_outcome(server: &StandIn, body: &Value) -> Result<Value, ConnectionReset> {
+    let (key, fence) = (str_field(body, "try"), u64_field(body, "fence"));
+    let seals = body.get("seal").and_then(Value::as_bool).unwrap_or(false);
+    if let Err(reply) = check_primary(server, fence) {
+        return Ok(reply);
     }
-    s.faults.storage_delay().await;
-    let mut o = s.with_db(|d| d.outcome(key));
-    if o == KeyOutcome::NotCommitted && seal {
-        let n = s.with_db(|d| if d.is_primary_under(f) { Some(d.add_seal(key)) } else { None });
-        if let Some(n) = n {
-            wait_until_replicated(s, n, f).await;
+    server.faults.storage_delay().await;
+    let mut outcome = server.with_db(|db| db.outcome(key));
+    if outcome == KeyOutcome::NotCommitted && seals {
+        let number = server.with_db(|db| db.is_primary_under(fence).then(|| db.add_seal(key)));
+        if let Some(number) = number {
+            wait_until_replicated(server, number, fence).await;
         }
-        o = s.with_db(|d| d.outcome(key));
+        outcome = server.with_db(|db| db.outcome(key));
     }
-    let (word, rows) = match o {
+    let (word, rows) = match outcome {
         KeyOutcome::Committed { rows, .. } => ("kept", rows),
         KeyOutcome::Sealed => ("sealed", json!([])),
         KeyOutcome::Pending(_) => ("running", json!([])),
         KeyOutcome::NotCommitted => ("not-kept", json!([])),
     };
-    if let Err(v) = check_primary(s, f) {
-        return Ok(v);
+    if let Err(reply) = check_primary(server, fence) {
+        return Ok(reply);
     }
-    Ok(json!({"stamp": s.stamp(), "rows": rows, "outcome": word}))
+    Ok(json!({"stamp": server.stamp(), "rows": rows, "outcome": word}))
 }
--- a/crates/testbed/src/stand_in/faults.rs
+++ b/crates/testbed/src/stand_in/faults.rs
@@ -1,4 +1,4 @@
-//! What can be made to go wrong inside a stand-in (§9.2).
+//! What can be made to go wrong inside a stand-in and in the relay before it.
 use quincehatch_runtime::seam;
 use serde::{Deserialize, Serialize};
 use std::sync::Mutex;
@@ -6,19 +6,22 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// The wish as JSON: every field that is given is set.
+/// How often a waiting call looks at its fault without being notified.
+const FAULT_POLL: Duration = Duration::from_millis(200);
+
+/// A change of faults, as the body of `/lab/fault`: every field that is given is set.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FaultSettings {
-    /// Storage stalls: statements hang, STATUS and the socket look well.
+    /// Storage stalls: statements hang, while STATUS and the socket look well.
     pub stall: Option<bool>,
     /// Every statement takes this much longer.
     pub slow_ms: Option<u64>,
-    /// So many commits are done and then not answered: the link is reset.
+    /// So many commits are done and then not answered: the connection is reset.
     pub lose_answers: Option<u64>,
-    /// Nothing is read or answered on any link, new ones included.
+    /// Nothing is read or answered on any connection, new ones included.
     pub dark: Option<bool>,
-    /// Every link is reset once.
+    /// Every connection is reset once.
     pub reset: Option<bool>,
     /// Replication is not followed.
     pub deaf: Option<bool>,
@@ -28,82 +31,115 @@
     pub hole: Option<bool>,
     /// The relay loses so many of a thousand chunks.
     pub drop_pm: Option<u64>,
-    /// The relay holds each chunk so long.
+    /// The relay delays each chunk so long.
     pub delay_ms: Option<u64>,
-    /// The relay resets every link once.
+    /// The relay resets every connection once.
     pub cut: Option<bool>,
-    /// So many rollbacks are answered only after two seconds.
+    /// So many rollbacks are answered late.
     pub mute: Option<u64>,
-    /// A success without stamp or rows, so many times (checker's own test).
+    /// So many successes lack their stamp or rows: a test of the checks themselves.
     pub forge: Option<u64>,
 }
 
+/// The faults of a stand-in as they are now.
 #[derive(Default)]
 pub struct Faults {
+    /// Storage stalls.
     pub stall: AtomicBool,
+    /// Nothing is read or answered.
     pub dark: AtomicBool,
+    /// Replication is not followed.
     pub deaf: AtomicBool,
+    /// Every statement takes this much longer.
     pub slow_ms: AtomicU64,
+    /// Replication lags this much.
     pub lag_ms: AtomicU64,
+    /// Commits whose answer is still to be lost.
     pub lose_answers: AtomicU64,
+    /// Successes still to be answered without stamp or rows.
     pub forge: AtomicU64,
+    /// Rollbacks still to be answered late.
     pub mute: AtomicU64,
+    /// Rises when the server resets its connections.
     pub reset_count: AtomicU64,
+    /// The relay swallows everything.
     pub hole: AtomicBool,
+    /// Lost chunks in a thousand, in the relay.
     pub drop_pm: AtomicU64,
+    /// Delay of each chunk, in the relay.
     pub delay_ms: AtomicU64,
+    /// Rises when the relay resets its connections.
     pub cut_count: AtomicU64,
+    /// Notified when any fault changed.
     pub changed: Notify,
     lock: Mutex<()>,
 }
 
+fn set_flag(flag: &AtomicBool, value: Option<bool>) {
+    if let Some(value) = value {
+        flag.store(value, Ordering::SeqCst);
+    }
+}
+
+fn set_number(number: &AtomicU64, value: Option<u64>) {
+    if let Some(value) = value {
+        number.store(value, Ordering::SeqCst);
+    }
+}
+
+fn count_up(count: &AtomicU64, asked: Option<bool>) {
+    if asked == Some(true) {
+        count.fetch_add(1, Ordering::SeqCst);
+    }
+}
+
 impl Faults {
-    pub fn apply(&self, w: &FaultSettings) {
-        let _g = self.lock.lock().unwrap();
-        let flag = |f: &AtomicBool, v: Option<bool>| v.into_iter().for_each(|v| f.store(v, Ordering::SeqCst));
-        let num = |f: &AtomicU64, v: Option<u64>| v.into_iter().for_each(|v| f.store(v, Ordering::SeqCst));
-        flag(&self.stall, w.stall);
-        flag(&self.dark, w.dark);
-        flag(&self.deaf, w.deaf);
-        num(&self.slow_ms, w.slow_ms);
-        num(&self.lag_ms, w.lag_ms);
-        num(&self.lose_answers, w.lose_answers);
-        num(&self.forge, w.forge);
-        num(&self.mute, w.mute);
-        flag(&self.hole, w.hole);
-        num(&self.drop_pm, w.drop_pm);
-        num(&self.delay_ms, w.delay_ms);
-        if w.cut == Some(true) {
-            self.cut_count.fetch_add(1, Ordering::SeqCst);
-        }
-        if w.reset == Some(true) {
-            self.reset_count.fetch_add(1, Ordering::SeqCst);
-        }
+    /// Changes what the settings name.
+    pub fn apply(&self, settings: &FaultSettings) {
+        let _guard = self.lock.lock().unwrap();
+        set_flag(&self.stall, settings.stall);
+        set_flag(&self.dark, settings.dark);
+        set_flag(&self.deaf, settings.deaf);
+        set_flag(&self.hole, settings.hole);
+        set_number(&self.slow_ms, settings.slow_ms);
+        set_number(&self.lag_ms, settings.lag_ms);
+        set_number(&self.lose_answers, settings.lose_answers);
+        set_number(&self.forge, settings.forge);
+        set_number(&self.mute, settings.mute);
+        set_number(&self.drop_pm, settings.drop_pm);
+        set_number(&self.delay_ms, settings.delay_ms);
+        count_up(&self.cut_count, settings.cut);
+        count_up(&self.reset_count, settings.reset);
         self.changed.notify_waiters();
     }
-    /// Takes one of a counted fault.
-    pub fn take_one(&self, f: &AtomicU64) -> bool {
-        f.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1)).is_ok()
+
+    /// Takes one of a counted fault; false if none is left.
+    pub fn take_one(&self, count: &AtomicU64) -> bool {
+        count.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| left.checked_sub(1)).is_ok()
     }
-    pub fn is_set(&self, f: &AtomicBool) -> bool {
-        f.load(Ordering::SeqCst)
+
+    /// True while the fault is on.
+    pub fn is_set(&self, flag: &AtomicBool) -> bool {
+        flag.load(Ordering::SeqCst)
     }
-    /// Waits while the flag is up.
-    pub async fn wait_while(&self, f: &AtomicBool) {
+
+    /// Waits while the fault is on.
+    pub async fn wait_while(&self, flag: &AtomicBool) {
         loop {
-            let n = self.changed.notified();
-            if !self.is_set(f) {
+            let changed = self.changed.notified();
+            if !self.is_set(flag) {
                 return;
             }
-            let _ = seam::timeout(Duration::from_millis(200), n).await;
+            let _ = seam::timeout(FAULT_POLL, changed).await;
         }
     }
-    /// Before a statement touches storage.
+
+    /// What a statement waits before it touches storage.
     pub async fn storage_delay(&self) {
         self.wait_while(&self.stall).await;
-        let ms = self.slow_ms.load(Ordering::SeqCst);
-        if ms > 0 {
-            seam::sleep(Duration::from_millis(ms)).await;
+        let slow_ms = self.slow_ms.load(Ordering::SeqCst);
+        if slow_ms > 0 {
+            seam::sleep(Duration::from_millis(slow_ms)).await;
         }
     }
 }
--- a/crates/testbed/src/stand_in/http_server.rs
+++ b/crates/testbed/src/stand_in/http_server.rs
@@ -1,79 +1,89 @@
-//! The stand-in's HTTP side: one connection is one link with its own context (§3.1).
+//! The HTTP side of a stand-in: one TCP connection is one connection with its own state.
 use super::{StandIn, calls};
 use crate::statement::ConnectionState;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::service::service_fn;
-use hyper::{Request, Response};
+use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use serde_json::Value;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
+use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::Mutex;
 
-/// A call that must not be answered: the link is reset instead.
+/// Largest body of a request, in bytes.
+const MAX_BODY: usize = 4 << 20;
+
+/// A call that must not be answered: its connection is reset instead.
 #[derive(Debug)]
 pub struct ConnectionReset;
+
 impl std::fmt::Display for ConnectionReset {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("cut")
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        formatter.write_str("connection reset")
     }
 }
+
 impl std::error::Error for ConnectionReset {}
 
-pub async fn accept_connections(s: Arc<StandIn>, lst: TcpListener) -> std::io::Result<()> {
+/// Accepts connections until the process ends.
+pub async fn accept_connections(server: Arc<StandIn>, listener: TcpListener) -> std::io::Result<()> {
     loop {
-        let Ok((sock, _)) = lst.accept().await else { continue };
-        tokio::spawn(serve_connection(s.clone(), sock));
+        let Ok((stream, _)) = listener.accept().await else { continue };
+        tokio::spawn(serve_connection(server.clone(), stream));
     }
 }
 
-async fn serve_connection(s: Arc<StandIn>, sock: TcpStream) {
-    let _ = sock.set_nodelay(true);
-    // Closing without lingering sends a reset: what a rebooting server does to its links.
-    let _ = socket2::SockRef::from(&sock).set_linger(Some(std::time::Duration::ZERO));
-    s.faults.wait_while(&s.faults.dark).await;
-    s.connections.fetch_add(1, Ordering::SeqCst);
-    let ctx = Arc::new(tokio::sync::Mutex::new(ConnectionState::default()));
-    let born = s.faults.reset_count.load(Ordering::SeqCst);
-    let s2 = s.clone();
-    let svc = service_fn(move |req| serve_request(s2.clone(), ctx.clone(), req));
-    let conn = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(sock), svc);
-    tokio::pin!(conn);
+async fn serve_connection(server: Arc<StandIn>, stream: TcpStream) {
+    let _ = stream.set_nodelay(true);
+    // Closing without lingering sends a reset, as a rebooting server does.
+    let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
+    server.faults.wait_while(&server.faults.dark).await;
+    server.connections.fetch_add(1, Ordering::SeqCst);
+    let state = Arc::new(Mutex::new(ConnectionState::default()));
+    let resets_before = server.faults.reset_count.load(Ordering::SeqCst);
+    let shared = server.clone();
+    let service = service_fn(move |request| serve_request(shared.clone(), state.clone(), request));
+    let served = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+    tokio::pin!(served);
     loop {
-        let changed = s.faults.changed.notified();
+        let changed = server.faults.changed.notified();
         tokio::select! {
-            _ = &mut conn => break,
-            () = changed => if s.faults.reset_count.load(Ordering::SeqCst) != born { break },
+            _ = &mut served => break,
+            () = changed => if server.faults.reset_count.load(Ordering::SeqCst) != resets_before { break },
         }
     }
-    s.connections.fetch_sub(1, Ordering::SeqCst);
+    server.connections.fetch_sub(1, Ordering::SeqCst);
 }
 
 async fn serve_request(
-    s: Arc<StandIn>,
-    ctx: Arc<tokio::sync::Mutex<ConnectionState>>,
-    req: Request<Incoming>,
+    server: Arc<StandIn>,
+    state: Arc<Mutex<ConnectionState>>,
+    request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, ConnectionReset> {
-    let path = req.uri().path().to_owned();
-    let lab = path.starts_with("/lab/");
-    if !lab {
-        s.faults.wait_while(&s.faults.dark).await;
+    let path = request.uri().path().to_owned();
+    // Calls of the test bench go through whatever is wrong.
+    let is_lab_call = path.starts_with("/lab/");
+    if !is_lab_call {
+        server.faults.wait_while(&server.faults.dark).await;
     }
-    let body =
-        Limited::new(req.into_body(), 4 << 20).collect().await.map_err(|_| ConnectionReset)?.to_bytes();
-    let body: Value = if body.is_empty() {
+    let limited = Limited::new(request.into_body(), MAX_BODY);
+    let bytes = limited.collect().await.map_err(|_| ConnectionReset)?.to_bytes();
+    let body = if bytes.is_empty() {
         Value::Null
     } else {
-        serde_json::from_slice(&body).map_err(|_| ConnectionReset)?
+        serde_json::from_slice(&bytes).map_err(|_| ConnectionReset)?
     };
-    let v = calls::answer_call(&s, &ctx, &path, body).await?;
-    if !lab {
-        s.faults.wait_while(&s.faults.dark).await;
+    let reply = calls::answer_call(&server, &state, &path, body).await?;
+    if !is_lab_call {
+        server.faults.wait_while(&server.faults.dark).await;
+    }
+    let mut response = Response::new(Full::new(Bytes::from(reply.to_string())));
+    if reply.get("error").is_some() {
+        *response.status_mut() = StatusCode::CONFLICT;
     }
-    let st = if v.get("error").is_some() { 409 } else { 200 };
-    let mut r = Response::new(Full::new(Bytes::from(v.to_string())));
-    *r.status_mut() = hyper::StatusCode::from_u16(st).map_err(|_| ConnectionReset)?;
-    Ok(r)
+    Ok(response)
 }
--- a/crates/testbed/src/stand_in/lab_calls.rs
+++ b/crates/testbed/src/stand_in/lab_calls.rs
@@ -1,27 +1,29 @@
-//! The lab's own calls to a stand-in: faults, leaving, and what it holds (§9.2).
+//! The test bench's own calls to a stand-in: faults, draining, and what it holds.
 use super::StandIn;
+use crate::database::LogRecord;
 use quincehatch_core::ServerState;
 use quincehatch_runtime::now;
 use serde_json::{Value, json};
 
-pub fn answer_lab_call(s: &StandIn, path: &str, b: Value) -> Value {
+/// Answers a call under `/lab/`.
+pub fn answer_lab_call(server: &StandIn, path: &str, body: Value) -> Value {
     match path {
         "/lab/fault" => {
-            if let Ok(w) = serde_json::from_value(b) {
-                s.faults.apply(&w);
+            if let Ok(settings) = serde_json::from_value(body) {
+                server.faults.apply(&settings);
             }
             json!({})
         }
         "/lab/leave" => {
-            let st = if b.get("back").is_some() { ServerState::Up } else { ServerState::Draining };
-            *s.state.lock().unwrap() = (st, now());
+            let state = if body.get("back").is_some() { ServerState::Up } else { ServerState::Draining };
+            *server.state.lock().unwrap() = (state, now());
             json!({})
         }
         "/lab/facts" => {
-            let d = s.db.lock().unwrap();
-            let log: Vec<String> =
-                d.log.iter().take(d.commit as usize).map(crate::database::LogRecord::summary).collect();
-            json!({"kv": d.values, "log": log, "role": d.role, "fence": d.fence})
+            let db = server.db.lock().unwrap();
+            let committed = db.log.iter().take(db.commit as usize);
+            let log: Vec<String> = committed.map(LogRecord::summary).collect();
+            json!({"kv": db.values, "log": log, "role": db.role, "fence": db.fence})
         }
         _ => json!({"error": {"code": "no-such-call", "text": ""}}),
     }
--- a/crates/testbed/src/stand_in/mod.rs
+++ b/crates/testbed/src/stand_in/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in database server over HTTP (§3): it keeps data, replicates, beats, and can be made to fail.
+//! A stand-in database server over HTTP: it keeps data, replicates, sends heartbeats, and can be made to fail.
 pub mod calls;
 mod commits;
 pub mod faults;
@@ -6,184 +6,180 @@
 pub mod journal;
 mod lab_calls;
 pub mod replication;
+mod storage;
 
-use crate::database::{Database, DiskRecord};
+use crate::database::Database;
 use faults::Faults;
 use journal::{Journal, JournalEntry};
-use quincehatch_core::{Labels, Position, Role, ServerHeartbeat, ServerState, Stamp};
-use quincehatch_runtime::now;
-use quincehatch_runtime::seam;
+use quincehatch_core::{Labels, Millis, Name, Position, Role, ServerHeartbeat, ServerState, Stamp};
+use quincehatch_runtime::{now, seam};
 use serde_json::{Value, json};
-use std::io::Write as _;
+use std::collections::BTreeMap;
+use std::fmt::Display;
+use std::io;
+use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
+pub use storage::MemoryDisk;
+use storage::Storage;
+use tokio::sync::Notify;
+
+/// New work that comes so long after the server began to drain is a violation (check N9).
+const DRAIN_LIMIT: Millis = 7_000;
+/// Bits of the boot number that go into the numbers of transactions.
+const BOOT_NUMBER_MASK: u64 = 0xffff_ffff;
 
 /// What a stand-in is started with.
 #[derive(Clone, Debug, Default)]
 pub struct StandInOptions {
+    /// Its name.
     pub name: String,
+    /// Where it listens.
     pub addr: String,
+    /// Labels that its heartbeats carry.
     pub labels: Labels,
+    /// Addresses of the other servers of its group.
     pub peers: Vec<String>,
-    /// Desks of nodes to beat to.
+    /// Operator listeners of the nodes that it sends heartbeats to.
     pub operator_addresses: Vec<String>,
-    pub data_dir: Option<std::path::PathBuf>,
-    /// In place of a folder: a disk of the simulator's.
+    /// Folder of its log and journal.
+    pub data_dir: Option<PathBuf>,
+    /// In place of a folder: a disk of the simulator.
     pub memory_disk: Option<Arc<MemoryDisk>>,
-    /// Where a relay stands before this server: the address told to nodes.
+    /// The address that nodes are told, where a relay stands before the server.
     pub advertised_addr: Option<String>,
 }
 
-/// A disk that outlives the server's process.
-#[derive(Default)]
-pub struct MemoryDisk {
-    records: Mutex<Vec<DiskRecord>>,
-    pub journal: Arc<Journal>,
-}
-
-impl std::fmt::Debug for MemoryDisk {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("disk")
-    }
-}
-
+/// A running stand-in.
 pub struct StandIn {
-    pub args: StandInOptions,
+    /// What it was started with.
+    pub options: StandInOptions,
+    /// Its data.
     pub db: Mutex<Database>,
-    pub log_changed: tokio::sync::Notify,
+    /// Notified when the log or its commit position changed.
+    pub log_changed: Notify,
+    /// What goes wrong in it.
     pub faults: Arc<Faults>,
-    pub state: Mutex<(ServerState, u64)>,
+    /// The state it announces, and since when.
+    pub state: Mutex<(ServerState, Millis)>,
+    /// What it did.
     pub journal: Arc<Journal>,
+    /// Reads it rejected because it was starting.
     pub rejected_reads: AtomicU64,
-    /// Long statements that run, by link, so that they can be cancelled.
-    pub running_statements:
-        Mutex<std::collections::BTreeMap<quincehatch_core::Name, Arc<tokio::sync::Notify>>>,
+    /// Long statements in execution by connection, so that they can be cancelled.
+    pub running_statements: Mutex<BTreeMap<Name, Arc<Notify>>>,
+    /// Open connections.
     pub connections: AtomicU64,
     boot_number: u64,
     heartbeat_sequence: AtomicU64,
-    file: Mutex<Option<std::fs::File>>,
+    storage: Storage,
 }
 
 impl StandIn {
-    pub fn open(args: StandInOptions) -> std::io::Result<Arc<StandIn>> {
-        let mut db = Database::new(&args.name);
-        let (mut file, mut journal) = (None, Arc::<Journal>::default());
-        // The boot number rises with each start: from the wall clock, as only this server's own order matters.
-        let boot = seam::wall_clock_ms();
-        if let Some(dir) = &args.data_dir {
-            std::fs::create_dir_all(dir)?;
-            let path = dir.join(format!("{}.log", args.name));
-            let old = std::fs::read_to_string(&path).unwrap_or_default();
-            let lines = old.lines().filter_map(|l| serde_json::from_str::<DiskRecord>(l).ok());
-            db = Database::replay(&args.name, lines);
-            journal = Arc::new(Journal::open(&dir.join(format!("{}.journal", args.name)))?);
-            file = Some(std::fs::OpenOptions::new().append(true).create(true).open(path)?);
-        }
-        if let Some(d) = &args.memory_disk {
-            db = Database::replay(&args.name, d.records.lock().unwrap().iter().cloned());
-            journal = d.journal.clone();
-        }
+    /// Opens its data; what an earlier process wrote is replayed.
+    pub fn open(options: StandInOptions) -> io::Result<Arc<StandIn>> {
+        let storage = Storage::open(&options)?;
+        let db = Database::replay(&options.name, storage.recorded.iter().cloned());
         Ok(Arc::new(StandIn {
-            args,
+            options,
             db: Mutex::new(db),
-            log_changed: tokio::sync::Notify::new(),
+            log_changed: Notify::new(),
             faults: Arc::default(),
             state: Mutex::new((ServerState::Up, 0)),
-            journal,
+            journal: storage.journal.clone(),
             rejected_reads: AtomicU64::new(0),
             running_statements: Mutex::default(),
             connections: AtomicU64::new(0),
-            boot_number: boot,
+            // It rises with each start: the wall clock does, and only this server's own order matters.
+            boot_number: seam::wall_clock_ms(),
             heartbeat_sequence: AtomicU64::new(1),
-            file: Mutex::new(file),
+            storage,
         }))
     }
 
-    /// Works on the data; what must last is written before this returns.
-    pub fn with_db<T>(&self, f: impl FnOnce(&mut Database) -> T) -> T {
+    /// Works on the data; what must be durable is written before this returns.
+    pub fn with_db<T>(&self, work: impl FnOnce(&mut Database) -> T) -> T {
         let mut db = self.db.lock().unwrap();
         let commit = db.commit;
-        let t = f(&mut db);
-        let lines = std::mem::take(&mut db.unwritten);
-        if let Some(d) = &self.args.memory_disk {
-            d.records.lock().unwrap().extend(lines.iter().cloned());
-        }
-        if !lines.is_empty()
-            && let Some(file) = self.file.lock().unwrap().as_mut()
-        {
-            let mut buf = Vec::new();
-            for l in &lines {
-                let _ = serde_json::to_writer(&mut buf, l);
-                buf.push(b'\n');
-            }
-            if file.write_all(&buf).is_err() {
-                log::error!(target: "stand", "the log file did not take a write");
-                std::process::exit(1);
-            }
-        }
-        if db.commit != commit || !lines.is_empty() {
+        let result = work(&mut db);
+        let records = std::mem::take(&mut db.unwritten);
+        self.storage.write(&records);
+        if db.commit != commit || !records.is_empty() {
             self.log_changed.notify_waiters();
         }
-        t
+        result
     }
+
+    /// The stamp of a reply.
     pub fn stamp(&self) -> Stamp {
         let db = self.db.lock().unwrap();
         Stamp { server: db.name.clone(), fence: db.fence, position: db.commit_position(), role: db.role }
     }
+
+    /// The next heartbeat.
     pub fn heartbeat(&self) -> ServerHeartbeat {
-        let (role, fence, position, log_end, whole) = {
-            let db = self.db.lock().unwrap();
-            (db.role, db.fence, db.commit_position(), db.log_end(), db.is_readable())
-        };
-        let state = self.state.lock().unwrap().0;
-        let shown = self.args.advertised_addr.as_ref().unwrap_or(&self.args.addr);
+        let announced = self.state.lock().unwrap().0;
+        let addr = self.options.advertised_addr.as_ref().unwrap_or(&self.options.addr);
+        let db = self.db.lock().unwrap();
+        let is_starting = announced == ServerState::Up && !db.is_readable();
         ServerHeartbeat {
-            server: self.args.name.as_str().into(),
+            server: self.options.name.as_str().into(),
             boot: self.boot_number,
             seq: self.heartbeat_sequence.fetch_add(1, Ordering::Relaxed),
-            addr: shown.as_str().into(),
-            labels: self.args.labels.clone(),
-            role,
-            state: if state == ServerState::Up && !whole { ServerState::Starting } else { state },
-            fence,
-            position,
-            log_end,
+            addr: addr.as_str().into(),
+            labels: self.options.labels.clone(),
+            role: db.role,
+            state: if is_starting { ServerState::Starting } else { announced },
+            fence: db.fence,
+            position: db.commit_position(),
+            log_end: db.log_end(),
         }
     }
+
+    /// A reply that tells a success.
     pub fn success(&self, rows: Value) -> Value {
         json!({"stamp": self.stamp(), "rows": rows})
     }
-    pub fn failure(&self, code: &str, text: impl std::fmt::Display) -> Value {
+
+    /// A reply that tells an error of the server contract.
+    pub fn failure(&self, code: &str, text: impl Display) -> Value {
         json!({"stamp": self.stamp(), "error": {"code": code, "text": text.to_string()}})
     }
-    /// Rises with every start, so that no two lives give a transaction the same number.
+
+    /// Rises with each start, so that no two incarnations number transactions alike.
     pub fn boot(&self) -> u64 {
-        self.boot_number & 0xffff_ffff
+        self.boot_number & BOOT_NUMBER_MASK
     }
+
+    /// True while it is primary, under whatever fence.
     pub fn is_primary(&self) -> bool {
         self.db.lock().unwrap().role == Role::Primary
     }
+
+    /// The end of its log.
     pub fn log_end(&self) -> Position {
         self.db.lock().unwrap().log_end()
     }
-    /// New work is counted once the server has been leaving for over 7 s (§1 N9).
+
+    /// Notes new work that comes though the server has drained for too long.
     pub fn check_drain_limit(&self) {
-        let (s, at) = *self.state.lock().unwrap();
-        if s == ServerState::Draining && now() > at + 7_000 {
+        let (state, since) = *self.state.lock().unwrap();
+        if state == ServerState::Draining && now() > since + DRAIN_LIMIT {
             self.journal.record(JournalEntry::Late);
         }
     }
 }
 
 /// Serves until the process ends.
-pub async fn serve(args: StandInOptions) -> std::io::Result<()> {
-    let lst = tokio::net::TcpListener::bind(&args.addr).await?;
-    let s = StandIn::open(args)?;
-    log::info!(target: "stand", "server {} listens on {}", s.args.name, s.args.addr);
-    if let Some(at) = &s.args.advertised_addr {
-        crate::relay::start_relay(at, s.args.addr.clone(), s.faults.clone()).await?;
+pub async fn serve(options: StandInOptions) -> io::Result<()> {
+    let listener = tokio::net::TcpListener::bind(&options.addr).await?;
+    let server = StandIn::open(options)?;
+    let StandInOptions { name, addr, advertised_addr, .. } = &server.options;
+    log::info!(target: "stand_in", "server {name} listens on {addr}");
+    if let Some(relay_addr) = advertised_addr {
+        crate::relay::start_relay(relay_addr, addr.clone(), server.faults.clone()).await?;
     }
-    seam::spawn(replication::follow_primary(s.clone()));
-    seam::spawn(replication::send_heartbeats(s.clone()));
-    http_server::accept_connections(s, lst).await
+    seam::spawn(replication::follow_primary(server.clone()));
+    seam::spawn(replication::send_heartbeats(server.clone()));
+    http_server::accept_connections(server.clone(), listener).await
 }
--- a/crates/testbed/src/stand_in/replication.rs
+++ b/crates/testbed/src/stand_in/replication.rs
@@ -1,4 +1,4 @@
-//! Replication and beats of a stand-in (§3.2, §3.3).
+//! Replication and heartbeats of a stand-in.
 use super::StandIn;
 use crate::database::{PullRequest, PullResponse};
 use quincehatch_runtime::seam;
@@ -8,80 +8,106 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Follows whichever peer leads; one link is kept while it answers.
-pub async fn follow_primary(s: Arc<StandIn>) {
-    let mut at = 0;
-    let mut wire: Option<HttpConnection> = None;
+/// How often a server that does not follow looks whether it should.
+const IDLE_INTERVAL: Duration = Duration::from_millis(20);
+/// A pull is given up after so long.
+const PULL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Pause before the next peer is asked.
+const PULL_RETRY: Duration = Duration::from_millis(30);
+/// A pull without news waits so long for some.
+const NEWS_WAIT: Duration = Duration::from_millis(100);
+/// Records that one pull brings at most.
+const PULL_SIZE: usize = 512;
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Nodes that each heartbeat goes to.
+const HEARTBEAT_NODES: usize = 2;
+
+/// Follows whichever peer is primary; one connection is kept while it answers.
+pub async fn follow_primary(server: Arc<StandIn>) {
+    let peers = &server.options.peers;
+    let mut peer_index = 0;
+    let mut connection: Option<HttpConnection> = None;
     loop {
-        if s.is_primary()
-            || s.args.peers.is_empty()
-            || s.faults.is_set(&s.faults.deaf)
-            || s.faults.is_set(&s.faults.dark)
-        {
-            wire = None;
-            seam::sleep(Duration::from_millis(20)).await;
+        let faults = &server.faults;
+        let follows = !server.is_primary()
+            && !peers.is_empty()
+            && !faults.is_set(&faults.deaf)
+            && !faults.is_set(&faults.dark);
+        if !follows {
+            connection = None;
+            seam::sleep(IDLE_INTERVAL).await;
             continue;
         }
-        let lag = s.faults.lag_ms.load(Ordering::SeqCst);
+        let lag = faults.lag_ms.load(Ordering::SeqCst);
         if lag > 0 {
             seam::sleep(Duration::from_millis(lag)).await;
         }
-        let peer = s.args.peers[at % s.args.peers.len()].clone();
-        let got = seam::timeout(Duration::from_millis(1_500), pull_from(&s, &peer, &mut wire)).await;
-        let took = got.ok().flatten().is_some_and(|p| s.with_db(|d| d.apply_pull(p)));
-        if !took {
-            wire = None;
-            at += 1;
-            seam::sleep(Duration::from_millis(30)).await;
+        let peer = &peers[peer_index % peers.len()];
+        let response = seam::timeout(PULL_TIMEOUT, pull_from(&server, peer, &mut connection)).await;
+        let applied =
+            response.ok().flatten().is_some_and(|response| server.with_db(|db| db.apply_pull(response)));
+        if !applied {
+            connection = None;
+            peer_index += 1;
+            seam::sleep(PULL_RETRY).await;
         }
     }
 }
 
-async fn pull_from(s: &StandIn, peer: &str, wire: &mut Option<HttpConnection>) -> Option<PullResponse> {
-    let p = s.with_db(|d| PullRequest { server: d.name.clone(), fence: d.fence, have: d.log_end() });
-    let body = json!(p);
-    if wire.is_none() {
-        *wire = HttpConnection::open(peer, None).await.ok();
+async fn pull_from(
+    server: &StandIn,
+    peer: &str,
+    connection: &mut Option<HttpConnection>,
+) -> Option<PullResponse> {
+    let request =
+        server.with_db(|db| PullRequest { server: db.name.clone(), fence: db.fence, have: db.log_end() });
+    let body = json!(request);
+    if connection.is_none() {
+        *connection = HttpConnection::open(peer, None).await.ok();
     }
-    let c = Call { method: "POST", path: "/v1/pull", body: &body, token: None };
-    let (_, v) = wire.as_mut()?.ask(&c).await.ok()?;
-    serde_json::from_value(v).ok()
+    let call = Call { method: "POST", path: "/v1/pull", body: &body, token: None };
+    let (_, reply) = connection.as_mut()?.ask(&call).await.ok()?;
+    serde_json::from_value(reply).ok()
 }
 
 /// Answers a replica: at once when there is news, else after a short wait.
-pub async fn serve_pull(s: &StandIn, p: PullRequest) -> Value {
+pub async fn serve_pull(server: &StandIn, request: PullRequest) -> Value {
+    let not_primary = || server.failure("not-primary", "this server is not primary");
     for _ in 0..2 {
-        let moved = s.log_changed.notified();
-        tokio::pin!(moved);
-        moved.as_mut().enable();
-        let had = s.db.lock().unwrap().commit;
-        let got = s.with_db(|d| d.serve_pull(&p, 512).map(|g| (g, d.commit)));
-        match got {
-            None => return s.failure("not-primary", "this server does not lead"),
-            Some((g, c)) if !g.recs.is_empty() || g.fences.is_some() || c > had => return json!(g),
-            Some(_) => {}
+        let changed = server.log_changed.notified();
+        tokio::pin!(changed);
+        changed.as_mut().enable();
+        let commit_before = server.db.lock().unwrap().commit;
+        let (response, commit) = server.with_db(|db| (db.serve_pull(&request, PULL_SIZE), db.commit));
+        let Some(response) = response else { return not_primary() };
+        if !response.recs.is_empty() || response.fences.is_some() || commit > commit_before {
+            return json!(response);
         }
-        let _ = seam::timeout(Duration::from_millis(100), moved).await;
+        let _ = seam::timeout(NEWS_WAIT, changed).await;
+    }
+    match server.with_db(|db| db.serve_pull(&request, PULL_SIZE)) {
+        Some(response) => json!(response),
+        None => not_primary(),
     }
-    s.with_db(|d| d.serve_pull(&p, 512))
-        .map_or_else(|| s.failure("not-primary", "this server does not lead"), |g| json!(g))
 }
 
-/// Beats to two nodes at a time.
-pub async fn send_heartbeats(s: Arc<StandIn>) {
-    let mut at = 0;
-    while !s.args.operator_addresses.is_empty() {
-        if !s.faults.is_set(&s.faults.dark) {
-            let beat = json!(s.heartbeat());
-            for i in 0..2.min(s.args.operator_addresses.len()) {
-                let desk = s.args.operator_addresses[(at + i) % s.args.operator_addresses.len()].clone();
-                let beat = beat.clone();
+/// Sends heartbeats, each to some of the nodes in turn.
+pub async fn send_heartbeats(server: Arc<StandIn>) {
+    let nodes = &server.options.operator_addresses;
+    let mut first = 0;
+    while !nodes.is_empty() {
+        if !server.faults.is_set(&server.faults.dark) {
+            let heartbeat = json!(server.heartbeat());
+            for offset in 0..HEARTBEAT_NODES.min(nodes.len()) {
+                let node = nodes[(first + offset) % nodes.len()].clone();
+                let heartbeat = heartbeat.clone();
                 seam::spawn(async move {
-                    let _ = post_once(&desk, "/beat", &beat, Duration::from_millis(800)).await;
+                    let _ = post_once(&node, "/beat", &heartbeat, HEARTBEAT_TIMEOUT).await;
                 });
             }
-            at += 1;
+            first += 1;
         }
-        seam::sleep(Duration::from_millis(500)).await;
+        seam::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
--- a/crates/testbed/src/statement.rs
+++ b/crates/testbed/src/statement.rs
@@ -1,100 +1,139 @@
-//! The stand-ins' little statement language: put, append, add, get, len, echo, sleep, show, exec (§3.5).
+//! The small statement language of the stand-ins: put, append, add, get, len, has, echo, show, sleep, exec.
 use crate::database::{Write, apply_write};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// One link's context.
+/// State of one connection.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionState {
+    /// Settings by name.
     pub settings: BTreeMap<String, String>,
+    /// Prepared statements by name.
     pub prepared: BTreeMap<String, String>,
+    /// The open transaction.
     pub transaction: Option<OpenTransaction>,
 }
 
+/// A transaction that is open on a connection.
 #[derive(Clone, Debug, Default)]
 pub struct OpenTransaction {
+    /// Its number.
     pub id: u64,
+    /// Its writes so far.
     pub writes: Vec<Write>,
+    /// Rows of its last statement, which its commit answers.
     pub last_rows: Value,
 }
 
 /// What running a statement asks of its caller.
 #[derive(Debug, PartialEq)]
 pub struct StatementResult {
+    /// Rows of the answer.
     pub rows: Value,
+    /// Writes to be done.
     pub writes: Vec<Write>,
+    /// How long the statement takes.
     pub sleep_ms: u64,
 }
 
-fn argument(word: &str, params: &Value) -> Result<Value, String> {
-    match word.strip_prefix('$').and_then(|n| n.parse::<usize>().ok()) {
-        Some(n) => params.get(n.wrapping_sub(1)).cloned().ok_or_else(|| format!("there is no parameter {n}")),
-        None => Ok(word.parse::<i64>().map_or_else(|_| Value::from(word), Value::from)),
+impl StatementResult {
+    fn read(rows: Value) -> StatementResult {
+        StatementResult { rows, writes: Vec::new(), sleep_ms: 0 }
+    }
+
+    fn write(write: Write) -> StatementResult {
+        StatementResult { rows: json!([["ok"]]), writes: vec![write], sleep_ms: 0 }
     }
 }
 
-fn as_text(v: &Value) -> String {
-    v.as_str().map_or_else(|| v.to_string(), str::to_owned)
+/// A statement taken apart, with its parameters.
+struct Words<'text> {
+    words: Vec<&'text str>,
+    params: &'text Value,
+}
+
+impl Words<'_> {
+    /// The word at a place: a parameter (`$1`), a number, or a text.
+    fn argument(&self, place: usize) -> Result<Value, String> {
+        let word = self.words.get(place).ok_or("a word is missing")?;
+        match word.strip_prefix('$').and_then(|number| number.parse::<usize>().ok()) {
+            Some(number) => {
+                let param = self.params.get(number.wrapping_sub(1));
+                param.cloned().ok_or_else(|| format!("there is no parameter {number}"))
+            }
+            None => Ok(word.parse::<i64>().map_or_else(|_| Value::from(*word), Value::from)),
+        }
+    }
+
+    /// The word at a place as the name of a value.
+    fn key(&self, place: usize) -> Result<String, String> {
+        let value = self.argument(place)?;
+        Ok(value.as_str().map_or_else(|| value.to_string(), str::to_owned))
+    }
 }
 
 /// Sets `name=value`.
-pub fn set_setting(c: &mut ConnectionState, t: &str) -> Result<(), String> {
-    let (k, v) = t.split_once('=').ok_or("a setting is name=value")?;
-    c.settings.insert(k.trim().into(), v.trim().into());
+pub fn set_setting(connection: &mut ConnectionState, text: &str) -> Result<(), String> {
+    let (name, value) = text.split_once('=').ok_or("a setting is name=value")?;
+    connection.settings.insert(name.trim().into(), value.trim().into());
     Ok(())
 }
 
-/// Runs one statement against `kv` as seen through the link's open transaction.
+/// A value as the connection's open transaction sees it.
+fn visible_value(connection: &ConnectionState, values: &BTreeMap<String, Value>, key: &str) -> Value {
+    let mut visible: BTreeMap<String, Value> = BTreeMap::new();
+    visible.extend(values.get(key).map(|value| (key.to_owned(), value.clone())));
+    for write in connection.transaction.iter().flat_map(|open| &open.writes) {
+        let (Write::Put(written, _) | Write::Append(written, _) | Write::Add(written, _)) = write;
+        if written == key {
+            apply_write(&mut visible, write.clone());
+        }
+    }
+    visible.remove(key).unwrap_or(Value::Null)
+}
+
+/// Runs one statement against the values as the connection's open transaction sees them.
 pub fn run_statement(
-    c: &ConnectionState,
-    kv: &BTreeMap<String, Value>,
-    t: &str,
+    connection: &ConnectionState,
+    values: &BTreeMap<String, Value>,
+    text: &str,
     params: &Value,
 ) -> Result<StatementResult, String> {
-    let words: Vec<&str> = t.split_whitespace().collect();
-    let ran = |rows, writes| Ok(StatementResult { rows, writes, sleep_ms: 0 });
-    let a = |i: usize| words.get(i).map_or(Err("a word is missing".into()), |w| argument(w, params));
-    let key = |i: usize| a(i).map(|v| as_text(&v));
-    let mine = || c.transaction.iter().flat_map(|t| t.writes.iter().cloned());
-    let seen = |k: &str| {
-        let mut one: BTreeMap<String, Value> =
-            kv.get(k).map(|v| (k.to_owned(), v.clone())).into_iter().collect();
-        for w in mine()
-            .filter(|w| matches!(w, Write::Put(x, _) | Write::Append(x, _) | Write::Add(x, _) if x == k))
-        {
-            apply_write(&mut one, w);
+    let statement = Words { words: text.split_whitespace().collect(), params };
+    let visible = |key: &str| visible_value(connection, values, key);
+    match statement.words.first().copied() {
+        Some("put") => Ok(StatementResult::write(Write::Put(statement.key(1)?, statement.argument(2)?))),
+        Some("append") => {
+            Ok(StatementResult::write(Write::Append(statement.key(1)?, statement.argument(2)?)))
         }
-        one.remove(k).unwrap_or(Value::Null)
-    };
-    match words.first().copied() {
-        Some("put") => ran(json!([["ok"]]), vec![Write::Put(key(1)?, a(2)?)]),
-        Some("append") => ran(json!([["ok"]]), vec![Write::Append(key(1)?, a(2)?)]),
         Some("add") => {
-            let d = a(2)?.as_i64().ok_or("add takes a number")?;
-            ran(json!([["ok"]]), vec![Write::Add(key(1)?, d)])
+            let amount = statement.argument(2)?.as_i64().ok_or("add takes a number")?;
+            Ok(StatementResult::write(Write::Add(statement.key(1)?, amount)))
         }
-        Some("get") => ran(json!([[seen(&key(1)?)]]), vec![]),
-        Some("len") => ran(json!([[seen(&key(1)?).as_array().map_or(0, Vec::len)]]), vec![]),
-        Some("has") => {
-            let (k, v) = (key(1)?, a(2)?);
-            ran(json!([[seen(&k).as_array().is_some_and(|l| l.contains(&v))]]), vec![])
+        Some("get") => Ok(StatementResult::read(json!([[visible(&statement.key(1)?)]]))),
+        Some("len") => {
+            let length = visible(&statement.key(1)?).as_array().map_or(0, Vec::len);
+            Ok(StatementResult::read(json!([[length]])))
         }
-        Some("echo") => ran(json!([[a(1)?, a(2)?]]), vec![]),
-        Some("show") => {
-            let k = key(1)?;
-            ran(json!([[c.settings.get(&k)]]), vec![])
+        Some("has") => {
+            let (list, value) = (visible(&statement.key(1)?), statement.argument(2)?);
+            let found = list.as_array().is_some_and(|list| list.contains(&value));
+            Ok(StatementResult::read(json!([[found]])))
         }
+        Some("echo") => Ok(StatementResult::read(json!([[statement.argument(1)?, statement.argument(2)?]]))),
+        Some("show") => Ok(StatementResult::read(json!([[connection.settings.get(&statement.key(1)?)]]))),
         Some("sleep") => {
-            let ms = a(1)?.as_u64().ok_or("sleep takes milliseconds")?;
-            Ok(StatementResult { rows: json!([["slept"]]), writes: vec![], sleep_ms: ms })
+            let sleep_ms = statement.argument(1)?.as_u64().ok_or("sleep takes milliseconds")?;
+            Ok(StatementResult { sleep_ms, ..StatementResult::read(json!([["slept"]])) })
         }
         Some("exec") => {
-            let name = words.get(1).copied().unwrap_or_default();
-            let body = c.prepared.get(name).ok_or_else(|| format!("nothing is prepared as {name}"))?;
+            let name = statement.words.get(1).copied().unwrap_or_default();
+            let prepared = connection.prepared.get(name);
+            let body = prepared.ok_or_else(|| format!("nothing is prepared as {name}"))?;
             if body.starts_with("exec") {
                 return Err("a prepared statement may not exec".into());
             }
-            run_statement(c, kv, body, params)
+            run_statement(connection, values, body, params)
         }
         _ => Err("no such statement".into()),
     }
