--- a/crates/simulator/src/direct/client_connection.rs
+++ b/crates/simulator/src/direct/client_connection.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use quincehatch_core::{ErrorCode, Millis, Outcome};
 use quincehatch_proxy::direct::{
-    DirectProxy, DirectSession, SessionCommand, SessionRequest, StatementResponse, command::StatementError,
+    DirectProxy, DirectSession, SessionCommand, SessionRequest, StatementError, StatementResponse,
 };
 use quincehatch_proxy::ports::{RejectReason, TransactionState};
 use quincehatch_runtime::seam;
--- a/crates/testbed/src/caller.rs
+++ b/crates/testbed/src/caller.rs
@@ -7,7 +7,7 @@
 use quincehatch_core::{ErrorCode, Millis};
 use quincehatch_runtime::rng::Rng;
 use quincehatch_runtime::{now, seam};
-use quincehatch_wire::http::{Call, HttpConnection, post_once};
+use quincehatch_wire::http::{HttpConnection, JsonRequest, post_once};
 use serde_json::{Value, json};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -184,10 +184,10 @@
         self.record_sent(path, &body);
         self.env.calls.fetch_add(1, Ordering::Relaxed);
         let asked = now();
-        let call = Call { method: "POST", path, body: &body, token: None };
+        let call = JsonRequest { method: "POST", path, body: &body, token: None };
         let connection = self.connection.as_mut()?;
         let wait = Duration::from_millis(deadline + EXTRA_WAIT);
-        let Ok(Ok((status, answer))) = seam::timeout(wait, connection.ask(&call)).await else {
+        let Ok(Ok((status, answer))) = seam::timeout(wait, connection.call(&call)).await else {
             self.connection = None;
             return None;
         };
--- a/crates/testbed/src/stand_in/replication.rs
+++ b/crates/testbed/src/stand_in/replication.rs
@@ -2,7 +2,7 @@
 use super::StandIn;
 use crate::database::{PullRequest, PullResponse};
 use quincehatch_runtime::seam;
-use quincehatch_wire::http::{Call, HttpConnection, post_once};
+use quincehatch_wire::http::{HttpConnection, JsonRequest, post_once};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -66,8 +66,8 @@
     if connection.is_none() {
         *connection = HttpConnection::open(peer, None).await.ok();
     }
-    let call = Call { method: "POST", path: "/v1/pull", body: &body, token: None };
-    let (_, reply) = connection.as_mut()?.ask(&call).await.ok()?;
+    let call = JsonRequest { method: "POST", path: "/v1/pull", body: &body, token: None };
+    let (_, reply) = connection.as_mut()?.call(&call).await.ok()?;
     serde_json::from_value(reply).ok()
 }
 
