--- a/crates/capacity/src/frame_counts/kinds.rs
+++ b/crates/capacity/src/frame_counts/kinds.rs
@@ -1,7 +1,7 @@
 //! Kinds of frames, and their counts.
 use quincehatch_gossip::{GossipMessage, NodeQuery, NodeRequest};
-use quincehatch_simulator::fleet::core::Simulation;
-use quincehatch_simulator::fleet::net::FrameHandler;
+use quincehatch_simulator::fleet::network::FrameHandler;
+use quincehatch_simulator::fleet::simulation::Simulation;
 use quincehatch_store::{KeeperRequest, Request};
 use quincehatch_wire::{Call, Incoming, LENGTH_BYTES, RequestHeader};
 use std::collections::BTreeMap;
