--- a/crates/capacity/src/frame_counts/fleet.rs
+++ b/crates/capacity/src/frame_counts/fleet.rs
@@ -4,7 +4,7 @@
 use crate::samples::node_settings;
 use crate::stub_servers::StubServers;
 use quincehatch_core::Name;
-use quincehatch_node::{ClusterNode, gossip};
+use quincehatch_node::{Node, gossip};
 use quincehatch_runtime::seam::BoxFuture;
 use quincehatch_simulator::fleet::keeper::{self, Disk, KeeperRegistry, KeeperSetup};
 use quincehatch_simulator::fleet::simulation::{ProcessId, Simulation};
@@ -41,7 +41,7 @@
 /// A node and the process it runs in.
 pub(super) struct SimulatedNode {
     pub(super) process: ProcessId,
-    pub(super) node: Arc<ClusterNode>,
+    pub(super) node: Arc<Node>,
 }
 
 /// Starts the keepers.
@@ -79,10 +79,10 @@
     let seeds = (0..SEEDS).map(node_address).collect();
     let settings = node_settings(index, node_address(index), seeds, keepers);
     let name = settings.name.clone();
-    let started: Arc<Mutex<Option<Arc<ClusterNode>>>> = Arc::default();
+    let started: Arc<Mutex<Option<Arc<Node>>>> = Arc::default();
     let (started_node, servers, counts) = (started.clone(), servers.clone(), counts.clone());
     let start = move |simulation: &Arc<Simulation>, process| {
-        let node = ClusterNode::with_ports(&settings, Some(servers.ports()));
+        let node = Node::with_ports(&settings, Some(servers.ports()));
         listen(simulation, process, &settings.gossip_listener, node.clone());
         count_frames(simulation, &settings.gossip_listener, node_request_kind, &counts);
         node.start();
@@ -93,7 +93,7 @@
     SimulatedNode { process, node: node.expect("the process has started") }
 }
 
-fn listen(simulation: &Arc<Simulation>, process: ProcessId, addr: &str, node: Arc<ClusterNode>) {
+fn listen(simulation: &Arc<Simulation>, process: ProcessId, addr: &str, node: Arc<Node>) {
     let respond = move |frame: Vec<u8>| {
         let node = node.clone();
         Box::pin(async move { gossip::respond_to_frame(&node, &frame).await }) as BoxFuture<'_, _>
--- a/crates/capacity/src/frame_counts/mod.rs
+++ b/crates/capacity/src/frame_counts/mod.rs
@@ -9,7 +9,7 @@
 use crate::stub_servers::StubServers;
 use fleet::{Address, SimulatedNode};
 use kinds::SharedFrameCounts;
-use quincehatch_node::ClusterNode;
+use quincehatch_node::Node;
 use quincehatch_runtime::seam;
 use quincehatch_simulator::fleet::simulation::Simulation;
 use quincehatch_store::Command;
@@ -90,7 +90,7 @@
 }
 
 /// What failed shows as a cluster that is not in service, or as a push that takes too long.
-async fn write(node: &ClusterNode, key: &str, command: Command) {
+async fn write(node: &Node, key: &str, command: Command) {
     let _ = node.store_client.write(key, command, WRITE_TIMEOUT).await;
 }
 
@@ -105,7 +105,7 @@
     Some(())
 }
 
-fn is_ready(node: &ClusterNode, nodes: usize, groups: usize) -> bool {
+fn is_ready(node: &Node, nodes: usize, groups: usize) -> bool {
     let primaries = node.feed_state.lock().unwrap().primaries.len();
     primaries >= groups && node.gossip.live_nodes().len() * 100 >= nodes * KNOWN_NODES_PERCENT
 }
--- a/crates/capacity/src/hollow_fleet/nodes.rs
+++ b/crates/capacity/src/hollow_fleet/nodes.rs
@@ -3,7 +3,7 @@
 use crate::cpu::current_thread;
 use crate::samples::node_settings;
 use crate::stub_servers::StubServers;
-use quincehatch_node::{ClusterNode, gossip};
+use quincehatch_node::{Node, gossip};
 use quincehatch_runtime::seam;
 use std::io;
 use std::path::PathBuf;
@@ -17,7 +17,7 @@
 /// The nodes, and their thread's folder in `/proc`.
 pub(super) struct NodeThread {
     pub(super) thread: PathBuf,
-    nodes: Arc<Mutex<Vec<Arc<ClusterNode>>>>,
+    nodes: Arc<Mutex<Vec<Arc<Node>>>>,
 }
 
 /// What one node is known to have heard.
@@ -33,7 +33,7 @@
     /// What each node knows at this moment.
     pub(super) fn views(&self) -> Vec<NodeView> {
         let nodes = self.nodes.lock().unwrap();
-        let view = |node: &Arc<ClusterNode>| NodeView {
+        let view = |node: &Arc<Node>| NodeView {
             primaries: node.feed_state.lock().unwrap().primaries.len(),
             live: node.gossip.live_nodes().len(),
         };
@@ -83,9 +83,9 @@
 }
 
 impl Starter {
-    fn start_one(&self, index: usize, address: Bound) -> Arc<ClusterNode> {
+    fn start_one(&self, index: usize, address: Bound) -> Arc<Node> {
         let settings = node_settings(index, address.addr, self.seeds.clone(), self.keepers.clone());
-        let node = ClusterNode::with_ports(&settings, Some(self.servers.ports()));
+        let node = Node::with_ports(&settings, Some(self.servers.ports()));
         if let Ok(listener) = TcpListener::from_std(address.listener) {
             seam::spawn(gossip::serve(node.clone(), listener));
         }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -29,6 +29,4 @@
 mod tasks;
 
 pub use node::Node;
-#[doc(hidden)]
-pub use node::Node as ClusterNode;
 pub use sessions::open_transactions;
--- a/crates/simulator/src/direct/setup.rs
+++ b/crates/simulator/src/direct/setup.rs
@@ -7,7 +7,7 @@
 use crate::fleet::simulation::{ProcessId, Simulation, StartProcess};
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::Role;
-use quincehatch_node::{ClusterNode, gossip};
+use quincehatch_node::{Node, gossip};
 use quincehatch_proxy::direct::DirectProxy;
 use quincehatch_runtime::seam::{self, BoxFuture};
 use quincehatch_store::Voter;
@@ -32,7 +32,7 @@
 /// What runs in one incarnation of a node's process.
 pub struct RunningNode {
     /// The node.
-    pub node: Arc<ClusterNode>,
+    pub node: Arc<Node>,
     /// Its sessions on direct connections.
     pub direct_proxy: Arc<DirectProxy>,
 }
@@ -102,7 +102,7 @@
     settings: &NodeSettings,
     group: &Arc<ServerGroup>,
 ) -> Arc<RunningNode> {
-    let node = ClusterNode::with_ports(settings, Some(server_ports::server_ports(group, pid)));
+    let node = Node::with_ports(settings, Some(server_ports::server_ports(group, pid)));
     let direct_proxy = DirectProxy::new(node.proxy.clone(), server_ports::server_connector(group, pid));
     let shared = node.clone();
     let on_gossip = move |bytes: Vec<u8>| {
--- a/crates/simulator/src/fleet/setup.rs
+++ b/crates/simulator/src/fleet/setup.rs
@@ -7,7 +7,7 @@
 use crate::addresses;
 use bytes::Bytes;
 use quincehatch_config::settings::NodeSettings;
-use quincehatch_node::{ClusterNode, client_api, gossip, operator};
+use quincehatch_node::{Node, client_api, gossip, operator};
 use quincehatch_proxy::listener;
 use quincehatch_runtime::seam::{self, BoxFuture};
 use quincehatch_store::Voter;
@@ -45,7 +45,7 @@
 }
 
 /// A node of the newest incarnation of its process.
-pub type LiveNode = Arc<Mutex<Option<Arc<ClusterNode>>>>;
+pub type LiveNode = Arc<Mutex<Option<Arc<Node>>>>;
 
 /// A fleet in a simulation.
 pub struct SimulatedFleet {
@@ -104,8 +104,8 @@
     listener::HttpRequest { method, path: request.path, token: request.token, body }
 }
 
-fn start_node(simulation: &Arc<Simulation>, pid: ProcessId, settings: &NodeSettings) -> Arc<ClusterNode> {
-    let node = ClusterNode::new(settings);
+fn start_node(simulation: &Arc<Simulation>, pid: ProcessId, settings: &NodeSettings) -> Arc<Node> {
+    let node = Node::new(settings);
     let proxy = node.proxy.clone();
     let on_client_request: HttpHandler = Arc::new(move |request| {
         let proxy = proxy.clone();
--- a/crates/simulator/tests/held/fleet.rs
+++ b/crates/simulator/tests/held/fleet.rs
@@ -2,7 +2,7 @@
 use crate::group::Group;
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::{Name, PrimaryAssignment, Role, ServerRecord};
-use quincehatch_node::{ClusterNode, gossip};
+use quincehatch_node::{Node, gossip};
 use quincehatch_runtime::seam;
 use quincehatch_simulator::addresses;
 use quincehatch_simulator::fleet::keeper::KeeperGroup;
@@ -14,7 +14,7 @@
 pub struct World {
     pub core: Arc<Simulation>,
     pub group: Group,
-    pub fleets: Vec<Arc<ClusterNode>>,
+    pub fleets: Vec<Arc<Node>>,
     pub pids: Vec<ProcessId>,
 }
 
@@ -48,10 +48,10 @@
                 log: "off".into(),
                 threads: 1,
             };
-            let live: Arc<Mutex<Option<Arc<ClusterNode>>>> = Arc::default();
+            let live: Arc<Mutex<Option<Arc<Node>>>> = Arc::default();
             let (l, name, g) = (live.clone(), set.name.clone(), group.clone());
             let start = move |c: &Arc<Simulation>, pid| {
-                let f = ClusterNode::with_ports(&set, Some(g.ports(&set.name)));
+                let f = Node::with_ports(&set, Some(g.ports(&set.name)));
                 let to = f.clone();
                 let on_frame = move |b: Vec<u8>| {
                     let f = to.clone();
