--- a/crates/capacity/src/frame_counts/fleet.rs
+++ b/crates/capacity/src/frame_counts/fleet.rs
@@ -4,7 +4,7 @@
 use crate::samples::node_settings;
 use crate::stub_servers::StubServers;
 use quincehatch_core::Name;
-use quincehatch_node::{Node, gossip};
+use quincehatch_node::{Node, peer_service};
 use quincehatch_runtime::seam::BoxFuture;
 use quincehatch_simulator::fleet::keeper::{self, Disk, KeeperRegistry, KeeperSetup};
 use quincehatch_simulator::fleet::simulation::{ProcessId, Simulation};
@@ -96,7 +96,7 @@
 fn listen(simulation: &Arc<Simulation>, process: ProcessId, addr: &str, node: Arc<Node>) {
     let respond = move |frame: Vec<u8>| {
         let node = node.clone();
-        Box::pin(async move { gossip::respond_to_frame(&node, &frame).await }) as BoxFuture<'_, _>
+        Box::pin(async move { peer_service::respond_to_frame(&node, &frame).await }) as BoxFuture<'_, _>
     };
     simulation.listen_frames(addr, process, Arc::new(respond));
 }
--- a/crates/capacity/src/hollow_fleet/nodes.rs
+++ b/crates/capacity/src/hollow_fleet/nodes.rs
@@ -3,7 +3,7 @@
 use crate::cpu::current_thread;
 use crate::samples::node_settings;
 use crate::stub_servers::StubServers;
-use quincehatch_node::{Node, gossip};
+use quincehatch_node::{Node, peer_service};
 use quincehatch_runtime::seam;
 use std::io;
 use std::path::PathBuf;
@@ -87,7 +87,7 @@
         let settings = node_settings(index, address.addr, self.seeds.clone(), self.keepers.clone());
         let node = Node::with_ports(&settings, Some(self.servers.ports()));
         if let Ok(listener) = TcpListener::from_std(address.listener) {
-            seam::spawn(gossip::serve(node.clone(), listener));
+            seam::spawn(peer_service::serve(node.clone(), listener));
         }
         node.start();
         node
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,7 @@
 //! A node put together: the proxy that serves clients, and what keeps it informed and its groups available.
 //!
 //! The modules share one [`Node`]:
-//! - [`gossip`]: membership among nodes, server heartbeats, questions between nodes;
+//! - [`gossip`] and [`peer_service`]: membership among nodes, server heartbeats, questions between nodes;
 //! - [`store_client`] and [`feed`]: writes to the replicated store, and the change feed with the node's lease;
 //! - [`sessions`]: replicas of client sessions on other nodes;
 //! - [`promotion`]: the singleton duty that watches a group's primary and promotes another;
@@ -23,6 +23,7 @@
 pub mod gossip;
 mod node;
 pub mod operator;
+pub mod peer_service;
 pub mod promotion;
 pub mod sessions;
 pub mod store_client;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -12,7 +12,7 @@
 use arguments::Invocation;
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::{Error, ErrorCode};
-use quincehatch_node::{Node, client_api, feed, gossip, open_transactions, operator};
+use quincehatch_node::{Node, client_api, feed, open_transactions, operator, peer_service};
 use quincehatch_proxy::listener::{JsonHandler, ListenerHandle, listen};
 use quincehatch_runtime::now;
 use std::process::exit;
@@ -75,7 +75,7 @@
         "node {} in {} listens on {}",
         settings.name, settings.zone, settings.client_listener
     );
-    runtime.spawn(gossip::serve(node.clone(), gossip_listener));
+    runtime.spawn(peer_service::serve(node.clone(), gossip_listener));
     node.start();
     settings_watch::wait_for_stop(settings, &log).await;
     shut_down(&node).await;
--- a/crates/node/src/operator/heartbeat.rs
+++ b/crates/node/src/operator/heartbeat.rs
@@ -1,5 +1,5 @@
 //! Heartbeats of database servers.
-use crate::{Node, gossip};
+use crate::{Node, peer_service};
 use bytes::Bytes;
 use quincehatch_core::{Error, ErrorCode, ServerHeartbeat};
 use serde_json::{Value, json};
@@ -15,7 +15,7 @@
     let heartbeat: ServerHeartbeat =
         serde_json::from_slice(body).map_err(|error| ErrorCode::Malformed.with_detail(error))?;
     validate(&heartbeat)?;
-    let is_new = gossip::record_heartbeat(node, heartbeat);
+    let is_new = peer_service::record_heartbeat(node, heartbeat);
     Ok(json!({"news": is_new}))
 }
 
--- a/crates/node/src/gossip/service.rs
+++ b/crates/node/src/peer_service.rs
@@ -1,8 +1,10 @@
-//! The gossip service of a node: protocol ticks, and requests of other nodes.
-use super::queries::answer_query;
+//! What a node does for its peers: gossip ticks, and answers to the requests of other nodes.
+mod queries;
+
 use crate::node::Node;
 use crate::promotion::direct::probe_unless_recent;
 use crate::sessions;
+use queries::answer_query;
 use quincehatch_core::ServerHeartbeat;
 use quincehatch_gossip::{GossipAction, NodeQuery, NodeRequest, NodeResponse};
 use quincehatch_runtime::{now, seam};
--- a/crates/node/src/tasks.rs
+++ b/crates/node/src/tasks.rs
@@ -1,6 +1,6 @@
 //! The tasks that a running node consists of.
 use crate::node::Node;
-use crate::{enrollment_cleanup, feed, gossip, promotion, sessions};
+use crate::{enrollment_cleanup, feed, peer_service, promotion, sessions};
 use quincehatch_proxy::probe;
 use quincehatch_runtime::seam;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 impl Node {
     /// Starts all tasks of the node. They run until the process ends.
     pub fn start(self: &Arc<Self>) {
-        seam::spawn(gossip::run_membership(self.clone()));
+        seam::spawn(peer_service::run_membership(self.clone()));
         seam::spawn(feed::follow(self.clone()));
         seam::spawn(enrollment_cleanup::run(self.clone()));
         if self.has_direct_servers() {
--- a/crates/simulator/src/direct/setup.rs
+++ b/crates/simulator/src/direct/setup.rs
@@ -7,7 +7,7 @@
 use crate::fleet::simulation::{ProcessId, Simulation, StartProcess};
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::Role;
-use quincehatch_node::{Node, gossip};
+use quincehatch_node::{Node, peer_service};
 use quincehatch_proxy::direct::DirectProxy;
 use quincehatch_runtime::seam::{self, BoxFuture};
 use quincehatch_store::Voter;
@@ -107,7 +107,7 @@
     let shared = node.clone();
     let on_gossip = move |bytes: Vec<u8>| {
         let node = shared.clone();
-        Box::pin(async move { gossip::respond_to_frame(&node, &bytes).await }) as BoxFuture<'_, _>
+        Box::pin(async move { peer_service::respond_to_frame(&node, &bytes).await }) as BoxFuture<'_, _>
     };
     simulation.listen_frames(&settings.gossip_listener, pid, Arc::new(on_gossip));
     node.start();
--- a/crates/simulator/src/fleet/setup.rs
+++ b/crates/simulator/src/fleet/setup.rs
@@ -7,7 +7,7 @@
 use crate::addresses;
 use bytes::Bytes;
 use quincehatch_config::settings::NodeSettings;
-use quincehatch_node::{Node, client_api, gossip, operator};
+use quincehatch_node::{Node, client_api, operator, peer_service};
 use quincehatch_proxy::listener;
 use quincehatch_runtime::seam::{self, BoxFuture};
 use quincehatch_store::Voter;
@@ -120,7 +120,7 @@
     simulation.listen_http(&settings.operator_listener, pid, on_operator_request, Arc::new(|_| ()));
     let shared = node.clone();
     let on_gossip = move |bytes: Vec<u8>| {
-        let reply = gossip::respond_without_probing(&shared, &bytes);
+        let reply = peer_service::respond_without_probing(&shared, &bytes);
         Box::pin(async move { reply }) as BoxFuture<'_, _>
     };
     simulation.listen_frames(&settings.gossip_listener, pid, Arc::new(on_gossip));
--- a/crates/simulator/tests/held/fleet.rs
+++ b/crates/simulator/tests/held/fleet.rs
@@ -2,7 +2,7 @@
 use crate::group::Group;
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::{Name, PrimaryAssignment, Role, ServerRecord};
-use quincehatch_node::{Node, gossip};
+use quincehatch_node::{Node, peer_service};
 use quincehatch_runtime::seam;
 use quincehatch_simulator::addresses;
 use quincehatch_simulator::fleet::keeper::KeeperGroup;
@@ -55,7 +55,8 @@
                 let to = f.clone();
                 let on_frame = move |b: Vec<u8>| {
                     let f = to.clone();
-                    Box::pin(async move { gossip::respond_to_frame(&f, &b).await }) as seam::BoxFuture<'_, _>
+                    Box::pin(async move { peer_service::respond_to_frame(&f, &b).await })
+                        as seam::BoxFuture<'_, _>
                 };
                 c.listen_frames(&set.gossip_listener, pid, Arc::new(on_frame));
                 f.start();
