--- a/crates/testbed/src/run_facts.rs
+++ b/crates/testbed/src/run_facts.rs
@@ -50,7 +50,7 @@
 
 /// The server that the fleet's status names as the primary of a group.
 fn primary_of(status: &Value, group: &str) -> Option<String> {
-    let primaries = status["leads"].as_array()?;
+    let primaries = status["primaries"].as_array()?;
     let primary = primaries.iter().find(|primary| primary["group"] == group)?;
     primary["server"].as_str().map(str::to_owned)
 }
