--- a/crates/gossip/src/membership/dissemination.rs
+++ b/crates/gossip/src/membership/dissemination.rs
@@ -42,9 +42,9 @@
         self.send(to, GossipMessage::Ping { seq: NO_PROBE });
     }
 
-    /// Tells one dead member, chosen at random, that it is held dead.
+    /// Tells one dead member, chosen at random, that it is considered dead.
     ///
-    /// Two nodes that hold each other dead have no other reason to contact each other once a partition is over. One
+    /// Two nodes that consider each other dead have no other reason to contact each other once a partition is over. One
     /// that is back refutes the record; one that left is not contacted.
     pub(super) fn ping_dead_member(&mut self) {
         let dead: Vec<MemberRecord> = self
--- a/crates/gossip/tests/membership.rs
+++ b/crates/gossip/tests/membership.rs
@@ -99,10 +99,10 @@
     actions.into_iter().filter_map(delivery).collect()
 }
 
-/// All records of its death were sent while it was suspended, so it never refutes them, and whoever holds it dead takes
+/// All records of its death were sent while it was suspended, so it never refutes them, and whoever considers it dead takes
 /// its own record for an old one. Seed 154 of the simulator: two nodes watched one group.
 #[test]
-fn a_node_that_was_held_dead_is_told_and_is_live_everywhere_when_it_comes_back() {
+fn a_node_that_was_considered_dead_is_live_everywhere_when_it_comes_back() {
     for nodes in [3, 5, 7] {
         let mut network = Network::new(nodes);
         network.run(5_000);
@@ -119,7 +119,7 @@
 
 /// Neither half has a reason of its own to contact the other.
 #[test]
-fn halves_that_hold_each_other_dead_are_one_cluster_soon_after_the_partition() {
+fn halves_that_consider_each_other_dead_are_one_cluster_soon_after_the_partition() {
     let mut network = Network::new(6);
     network.run(5_000);
     network.partition(&["n0", "n1", "n2"], &["n3", "n4", "n5"]);
--- a/crates/proxy/src/direct/proxy.rs
+++ b/crates/proxy/src/direct/proxy.rs
@@ -1,6 +1,7 @@
 //! What all direct sessions of a proxy share.
 use super::route::ResolvedRoute;
 use crate::Proxy;
+use crate::pool::limits::keepalive_settings;
 use crate::ports::ServerConnector;
 use bytes::Bytes;
 use quincehatch_core::{Millis, Name};
@@ -110,11 +111,7 @@
 
     /// The keep-alive settings of connections to servers.
     pub fn keepalive_settings(&self) -> KeepaliveSettings {
-        let settings = self.proxy.health_settings();
-        KeepaliveSettings {
-            idle: Duration::from_millis(settings.keepalive_idle_ms),
-            user_timeout: Duration::from_millis(settings.user_timeout_ms),
-        }
+        keepalive_settings(&self.proxy.health_settings())
     }
 
     /// This proxy's name of a prepared statement: the same statement has one name, whatever clients call it, so that
--- a/crates/wire/tests/wire/layout.rs
+++ b/crates/wire/tests/wire/layout.rs
@@ -1,16 +1,16 @@
 //! Bytes before each message: they are priced, and the capacity page reckons with them.
-use crate::Ask;
+use crate::TestRequest;
 use quincehatch_wire::{
     ANSWER_HEADER_BYTES, AnswerHeader, FrameKind, Identity, REQUEST_HEADER_BYTES, RequestHeader, encode,
 };
 
 #[test]
 fn headers_are_as_long_as_said() {
-    let message = borsh::to_vec(&Ask::Read(1)).unwrap().len();
+    let message = borsh::to_vec(&TestRequest::Read(1)).unwrap().len();
     let header = RequestHeader { call: 1, sender: 2, receiver: 3 };
-    let request = encode(FrameKind::Request, &header, &Ask::Read(1)).unwrap();
+    let request = encode(FrameKind::Request, &header, &TestRequest::Read(1)).unwrap();
     assert_eq!(request.len(), REQUEST_HEADER_BYTES + message);
     let header = AnswerHeader { call: 1, responder: Identity::with_incarnation("a", 1).id() };
-    let answer = encode(FrameKind::Answer, &header, &Ask::Read(1)).unwrap();
+    let answer = encode(FrameKind::Answer, &header, &TestRequest::Read(1)).unwrap();
     assert_eq!(answer.len(), ANSWER_HEADER_BYTES + message);
 }
--- a/crates/wire/tests/wire/main.rs
+++ b/crates/wire/tests/wire/main.rs
@@ -1,4 +1,4 @@
-//! Calls between processes (§2.6): an answer reaches only its call, and what may not be repeated arrives once.
+//! Calls between processes: an answer reaches only its call, and what may not be repeated arrives once.
 mod keepalive;
 mod layout;
 mod model;
@@ -8,29 +8,29 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use quincehatch_wire::{Call, IdempotencyKey, RetrySafety};
 
-/// One request of each kind; the answer to each is its own number.
+/// One request of each retry safety; the answer to each is its own number.
 #[derive(Clone, Copy, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
-pub enum Ask {
+pub enum TestRequest {
     Read(u32),
     Write(u32),
     Once(u32),
 }
 
-impl Ask {
+impl TestRequest {
     pub fn number(self) -> u32 {
         match self {
-            Ask::Read(number) | Ask::Write(number) | Ask::Once(number) => number,
+            TestRequest::Read(number) | TestRequest::Write(number) | TestRequest::Once(number) => number,
         }
     }
 }
 
-impl Call for Ask {
+impl Call for TestRequest {
     type Answer = u32;
     fn retry_safety(&self) -> RetrySafety {
         match self {
-            Ask::Read(_) => RetrySafety::ReadOnly,
-            Ask::Write(_) => RetrySafety::Idempotent(IdempotencyKey::Write),
-            Ask::Once(_) => RetrySafety::Never,
+            TestRequest::Read(_) => RetrySafety::ReadOnly,
+            TestRequest::Write(_) => RetrySafety::Idempotent(IdempotencyKey::Write),
+            TestRequest::Once(_) => RetrySafety::Never,
         }
     }
 }
--- a/crates/wire/tests/wire/network.rs
+++ b/crates/wire/tests/wire/network.rs
@@ -1,5 +1,5 @@
 //! A network of the model: connections whose requests are answered only as the explorer chooses.
-use crate::Ask;
+use crate::TestRequest;
 use quincehatch_wire::{
     AnswerHeader, Connector, FrameKind, Identity, Incoming, LENGTH_BYTES, RequestHeader, encode, respond,
 };
@@ -22,7 +22,7 @@
     AnswerPrevious,
     /// It is run and answered twice.
     AnswerTwice,
-    /// Another answers: on a connection that was answered before, another incarnation of the same name.
+    /// Another process answers: on a connection that was answered before, another incarnation of the same name.
     AnswerFromOther,
     /// Another incarnation of the process is there; connections break.
     Restart,
@@ -44,23 +44,31 @@
 }
 
 #[derive(Default)]
-struct Line {
+struct ModelConnection {
     /// From the caller, not yet taken.
     sent: Vec<u8>,
     /// For the caller.
-    back: VecDeque<u8>,
+    reply: VecDeque<u8>,
     answered: bool,
     broken: bool,
     closed: bool,
 }
 
-/// All connections, and who listens.
+/// A request that a process ran.
+#[derive(Debug)]
+pub struct Ran {
+    /// The name of the process.
+    pub process: String,
+    pub request: TestRequest,
+}
+
+/// All connections, and the process that listens.
 pub struct State {
-    lines: Vec<Line>,
-    listens: Identity,
+    connections: Vec<ModelConnection>,
+    listener: Identity,
     incarnation: u64,
-    /// What was run, and by the process of which name.
-    pub ran: Vec<(String, Ask)>,
+    /// What was run.
+    pub ran: Vec<Ran>,
 }
 
 #[derive(Clone)]
@@ -68,76 +76,81 @@
 
 pub struct Stream {
     network: Network,
-    line: usize,
+    connection: usize,
 }
 
 impl Network {
     pub fn new() -> Network {
-        let listens = Identity::with_incarnation("a", 1);
-        let state = State { lines: Vec::new(), listens, incarnation: 1, ran: Vec::new() };
+        let listener = Identity::with_incarnation("a", 1);
+        let state = State { connections: Vec::new(), listener, incarnation: 1, ran: Vec::new() };
         Network(Arc::new(Mutex::new(state)))
     }
     /// Connections on which a request waits.
     pub fn waiting(&self) -> Vec<usize> {
         let state = self.0.lock().unwrap();
-        let waits = |line: &Line| !line.sent.is_empty() && !line.broken && !line.closed;
-        (0..state.lines.len()).filter(|i| waits(&state.lines[*i])).collect()
+        let waits = |connection: &ModelConnection| {
+            !connection.sent.is_empty() && !connection.broken && !connection.closed
+        };
+        (0..state.connections.len()).filter(|i| waits(&state.connections[*i])).collect()
     }
-    pub fn apply(&self, line: usize, event: Event) {
+    pub fn apply(&self, connection: usize, event: Event) {
         let mut state = self.0.lock().unwrap();
         match event {
-            Event::Restart | Event::Replace => state.start_anew(event == Event::Replace),
-            Event::LoseRequest => state.lines[line].broken = true,
-            _ => state.serve(line, event),
+            Event::Restart | Event::Replace => state.replace_process(event),
+            Event::LoseRequest => state.connections[connection].broken = true,
+            _ => state.serve(connection, event),
         }
     }
 }
 
 impl State {
-    fn start_anew(&mut self, other: bool) {
+    /// The process is replaced by another incarnation, or by another process.
+    fn replace_process(&mut self, event: Event) {
         self.incarnation += 1;
-        let name = if other { "b" } else { self.listens.name().as_str() };
-        self.listens = Identity::with_incarnation(name, self.incarnation);
-        self.lines.iter_mut().for_each(|line| line.broken = true);
+        let name = if event == Event::Replace { "b" } else { self.listener.name().as_str() };
+        self.listener = Identity::with_incarnation(name, self.incarnation);
+        self.connections.iter_mut().for_each(|connection| connection.broken = true);
     }
 
-    fn serve(&mut self, line: usize, event: Event) {
-        let bytes = std::mem::take(&mut self.lines[line].sent);
+    fn serve(&mut self, connection: usize, event: Event) {
+        let bytes = std::mem::take(&mut self.connections[connection].sent);
         let frame = &bytes[LENGTH_BYTES..];
-        let (ran, me) = (&mut self.ran, &self.listens);
-        let run = |ask: Ask| {
-            ran.push((me.name().to_string(), ask));
-            std::future::ready(ask.number())
+        let (ran, identity) = (&mut self.ran, &self.listener);
+        let run = |request: TestRequest| {
+            ran.push(Ran { process: identity.name().to_string(), request });
+            std::future::ready(request.number())
         };
-        let back = now(respond(me, frame, run_once(run))).unwrap();
+        let reply = now(respond(identity, frame, run_once(run))).unwrap();
         let (header, _) = Incoming::parse(frame).unwrap().header::<RequestHeader>().unwrap();
         let other =
             |call, responder| encode(FrameKind::Answer, &AnswerHeader { call, responder }, &999u32).unwrap();
         let answers = match event {
-            Event::Answer => vec![back],
-            Event::AnswerTwice => vec![back.clone(), back],
-            Event::AnswerPrevious => vec![other(header.call.wrapping_sub(1), me.id())],
+            Event::Answer => vec![reply],
+            Event::AnswerTwice => vec![reply.clone(), reply],
+            Event::AnswerPrevious => vec![other(header.call.wrapping_sub(1), identity.id())],
             Event::AnswerFromOther => {
-                let name = if self.lines[line].answered { me.name().as_str() } else { "b" };
+                let name = if self.connections[connection].answered { identity.name().as_str() } else { "b" };
                 vec![other(header.call, Identity::with_incarnation(name, 77).id())]
             }
             _ => vec![],
         };
-        let to = &mut self.lines[line];
+        let to = &mut self.connections[connection];
         to.broken = answers.is_empty();
         to.answered = true;
         for answer in answers {
             let length = (answer.len() as u32).to_le_bytes();
-            to.back.extend(&length[..LENGTH_BYTES]);
-            to.back.extend(answer);
+            to.reply.extend(&length[..LENGTH_BYTES]);
+            to.reply.extend(answer);
         }
     }
 }
 
 /// `respond` takes what may be called often; here it is called once.
-fn run_once<F: FnMut(Ask) -> std::future::Ready<u32>>(run: F) -> impl Fn(Ask) -> std::future::Ready<u32> {
+fn run_once<F: FnMut(TestRequest) -> std::future::Ready<u32>>(
+    run: F,
+) -> impl Fn(TestRequest) -> std::future::Ready<u32> {
     let run = std::cell::RefCell::new(run);
-    move |ask| (run.borrow_mut())(ask)
+    move |request| (run.borrow_mut())(request)
 }
 
 /// The result of a future that does not wait.
@@ -152,23 +165,23 @@
     type Stream = Stream;
     async fn connect(&self, _: &str) -> io::Result<Stream> {
         let mut state = self.0.lock().unwrap();
-        state.lines.push(Line::default());
-        Ok(Stream { network: self.clone(), line: state.lines.len() - 1 })
+        state.connections.push(ModelConnection::default());
+        Ok(Stream { network: self.clone(), connection: state.connections.len() - 1 })
     }
 }
 
 impl AsyncRead for Stream {
     fn poll_read(self: Pin<&mut Self>, _: &mut Context<'_>, into: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let line = &mut self.network.0.lock().unwrap().lines[self.line];
-        if line.back.is_empty() {
-            return if line.broken {
+        let connection = &mut self.network.0.lock().unwrap().connections[self.connection];
+        if connection.reply.is_empty() {
+            return if connection.broken {
                 Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()))
             } else {
                 Poll::Pending
             };
         }
-        let count = into.remaining().min(line.back.len());
-        let bytes: Vec<u8> = line.back.drain(..count).collect();
+        let count = into.remaining().min(connection.reply.len());
+        let bytes: Vec<u8> = connection.reply.drain(..count).collect();
         into.put_slice(&bytes);
         Poll::Ready(Ok(()))
     }
@@ -177,7 +190,7 @@
 impl AsyncWrite for Stream {
     /// A broken connection takes bytes all the same, as a kernel does before the reset has come.
     fn poll_write(self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        self.network.0.lock().unwrap().lines[self.line].sent.extend_from_slice(bytes);
+        self.network.0.lock().unwrap().connections[self.connection].sent.extend_from_slice(bytes);
         Poll::Ready(Ok(bytes.len()))
     }
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -190,6 +203,6 @@
 
 impl Drop for Stream {
     fn drop(&mut self) {
-        self.network.0.lock().unwrap().lines[self.line].closed = true;
+        self.network.0.lock().unwrap().connections[self.connection].closed = true;
     }
 }
