--- /dev/null
+++ b/crates/node/src/promotion/direct/tending.rs
@@ -0,0 +1,95 @@
+//! Looks after one direct group whose duty this node owns.
+use super::super::attempt::old_primary;
+use super::super::evidence::{confirm_need, observe_group, observe_primary};
+use super::super::group_state::GroupState;
+use super::bound_refresh::refresh_acknowledged_bound;
+use super::holders::known_servers;
+use super::initial_primary::assign_first;
+use super::launch::begin_promotion;
+use super::polling::poll_servers;
+use super::repair::repair_stale_servers;
+use crate::node::Node;
+use quincehatch_core::{Millis, Name, PrimaryAssignment, Role};
+use quincehatch_failover::direct::{CUT_OFF_AFTER, primary_failed, promotion_need};
+use quincehatch_failover::observation::{GroupObservation, PromotionNeed, STUCK_AFTER};
+use quincehatch_proxy::registry::ServerEntry;
+use quincehatch_runtime::now;
+use std::sync::Arc;
+
+/// A primary that no replica receives from is replaced no oftener than this.
+const CUT_OFF_PAUSE: Millis = 15_000;
+
+/// Polls the group's servers, and begins a promotion if the group needs one.
+pub(crate) async fn tend_group(node: &Arc<Node>, group: &Name, state: &mut GroupState) {
+    let servers = known_servers(node, group);
+    if servers.is_empty() {
+        return;
+    }
+    poll_servers(node, &servers, state);
+    repair_stale_servers(node, &servers, state);
+    if now() < state.pause_until {
+        return;
+    }
+    if state.primary.is_none() {
+        let other_began = state.other_promotion_for().is_some_and(|elapsed| elapsed < STUCK_AFTER);
+        if !other_began {
+            assign_first(node, group, &servers, state);
+        }
+        return;
+    }
+    let observation = observe(node, group, &servers, state);
+    refresh_acknowledged_bound(node, group, &servers, state, &observation);
+    let has_successor = has_successor(&servers, observation.primary.as_ref());
+    let mut need = promotion_need(&observation, has_successor);
+    if need == PromotionNeed::Nothing && has_successor && is_cut_off(state) {
+        state.direct.cut_off_handled_at = now();
+        let line = format!("no replica in {group} receives what its primary has");
+        node.promotion_state.record_event(line);
+        need = PromotionNeed::Now { planned: false };
+    }
+    let need = confirm_need(node, &observation, need, primary_failed(&observation)).await;
+    let PromotionNeed::Now { planned } = need else { return };
+    begin_promotion(node, group, &servers, state, planned);
+}
+
+fn observe(
+    node: &Node,
+    group: &Name,
+    servers: &[Arc<ServerEntry>],
+    state: &mut GroupState,
+) -> GroupObservation {
+    let mut observation = observe_group(node, group, state, servers);
+    // A promotion that this node itself left unfinished is no one else's to finish.
+    let left_by_this_node = state.primary.as_ref().is_some_and(|assignment| {
+        assignment.server.is_none() && assignment.assigned_by == node.gossip.local_name
+    });
+    if left_by_this_node {
+        observation.primary_unchanged_for = observation.primary_unchanged_for.max(STUCK_AFTER);
+    }
+    let primary = state.primary_server().and_then(|name| node.proxy.registry.server(&name));
+    let Some(primary) = primary else { return observation };
+    observe_primary(node, group, &primary, &mut observation);
+    let sample = node.promotion_state.server_statuses.latest_since(&primary.name, state.primary_since);
+    let denies = sample.is_some_and(|sample| sample.status.role != Role::Primary);
+    state.not_primary_since = if denies { state.not_primary_since.or(Some(now())) } else { None };
+    observation.not_primary_for = state.not_primary_since.map(|since| now().saturating_sub(since));
+    observation
+}
+
+/// Whether a server that stays and answers could take over.
+fn has_successor(servers: &[Arc<ServerEntry>], primary: Option<&PrimaryAssignment>) -> bool {
+    let old_primary = old_primary(primary);
+    let answers = |server: &ServerEntry| {
+        server.status.lock().unwrap().failing_since.is_none() && server.answered_recently()
+    };
+    servers
+        .iter()
+        .any(|server| Some(&server.name) != old_primary.as_ref() && !server.is_draining() && answers(server))
+}
+
+/// Whether the primary's log reaches no replica any more, and that was not acted on lately.
+fn is_cut_off(state: &GroupState) -> bool {
+    let handled_at = state.direct.cut_off_handled_at;
+    let handled_lately = handled_at != 0 && now() < handled_at + CUT_OFF_PAUSE;
+    state.direct.replicas_behind_for >= CUT_OFF_AFTER && !handled_lately
+}
--- a/crates/simulator/src/fleet/procs.rs
+++ b/crates/simulator/src/fleet/procs.rs
@@ -9,7 +9,7 @@
 use quincehatch_node::{ClusterNode, client_api, gossip, operator};
 use quincehatch_proxy::listener::HttpRequest;
 use quincehatch_runtime::seam;
-use quincehatch_store::keeper::RecoveredState;
+use quincehatch_store::record::RecoveredState;
 use quincehatch_store::{View, Voter};
 use quincehatch_testbed::fleet::{ServerAddress, Shape, TOKEN, configuration_for};
 use quincehatch_testbed::platform::{Platform, poll_readiness};
--- a/crates/store/src/keeper/step.rs
+++ b/crates/store/src/keeper/step.rs
@@ -1,4 +1,5 @@
 //! One step of a keeper: dispatch of its inputs.
+use super::snapshot_transfer::TransferPurpose;
 use super::{Input, Keeper, Output};
 use crate::messages::PeerMessage;
 use crate::timing::PEER_TIMEOUT;
@@ -32,7 +33,7 @@
     }
 
     /// Sends a message; one to the keeper itself, which votes like any other, is handled at once.
-    pub(crate) fn send(&mut self, to: &Name, message: PeerMessage) {
+    pub(super) fn send(&mut self, to: &Name, message: PeerMessage) {
         if *to == self.name {
             let own_name = self.name.clone();
             self.handle_peer_message(&own_name, message);
@@ -69,12 +70,13 @@
             message @ (PeerMessage::AppendEntries { .. }
             | PeerMessage::RequestEntries { .. }
             | PeerMessage::Acknowledge { .. }) => self.handle_replication(from, message),
-            PeerMessage::FetchSnapshot { version, progress } => self.handle_fetch(from, version, progress),
+            PeerMessage::FetchSnapshot { version: _, progress } => self.handle_fetch(from, progress),
             PeerMessage::HandOverLeases { version, leases, unknown_leases_ms } => {
                 self.handle_lease_handover(from, version, &leases, unknown_leases_ms);
             }
             PeerMessage::Snapshot { version, part, joining, dismissed_leases, unknown_leases_ms } => {
-                if self.accept_snapshot_part(from, version, part, joining) {
+                let purpose = TransferPurpose::from_joining(joining);
+                if self.accept_snapshot_part(from, version, part, purpose) {
                     self.take_over_dismissals(dismissed_leases, unknown_leases_ms);
                 }
             }
