--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -6,7 +6,7 @@
 //! 2. [`staleness`], [`health`] (but for its probe), the states of [`session`]s, [`pool`];
 //! 3. [`routing`]: the registry of servers, and which server a read goes to; then [`health::probe`];
 //! 4. sessions with their open transactions, [`client_api`] and [`services`];
-//! 5. the request paths: [`attempt`], [`read`], [`write`], [`primary_read`], [`transaction`], [`session_filter`];
+//! 5. the request paths: [`attempt`], [`read`], [`mod@write`], [`primary_read`], [`transaction`], [`session_filter`];
 //! 6. [`pipeline`], and [`proxy`] on top. [`direct`] is the path of sessions that live on their own connections.
 #![warn(
     missing_docs,
--- a/crates/proxy/tests/direct_calls.rs
+++ b/crates/proxy/tests/direct_calls.rs
@@ -10,7 +10,7 @@
 use quincehatch_proxy::direct::{DirectSession, SessionCommand, StatementError, StatementResponse};
 use quincehatch_proxy::ports::{RejectReason, TransactionState};
 use std::cell::Cell;
-use virtual_time::Virtual;
+use virtual_time::VirtualWorld;
 
 /// What becomes of one call; one without a reply may be waited for or cancelled.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -91,7 +91,7 @@
 }
 
 struct Run<'a> {
-    world: &'a Virtual,
+    world: &'a VirtualWorld,
     fixture: &'a Fixture,
     fates: &'a [Fate],
 }
@@ -165,7 +165,7 @@
 }
 
 fn play(fates: &[Fate], first: &[SessionCommand], second: &[SessionCommand]) {
-    let world = Virtual::default();
+    let world = VirtualWorld::default();
     let fixture = world.enter(Fixture::new);
     fates.iter().for_each(|fate| fixture.inject("s1", fate.fault()));
     let run = Run { world: &world, fixture: &fixture, fates };
@@ -203,7 +203,7 @@
 /// The next statement must not run by itself.
 #[test]
 fn nothing_runs_outside_the_transaction_when_one_of_its_steps_was_cancelled() {
-    let world = Virtual::default();
+    let world = VirtualWorld::default();
     let fixture = world.enter(Fixture::new);
     fixture.inject("s1", Fault::NoReply);
     let mut session = world.run(fixture.session("orders"), || false).unwrap();
--- a/crates/proxy/tests/virtual_time/mod.rs
+++ b/crates/proxy/tests/virtual_time/mod.rs
@@ -12,16 +12,19 @@
 
 #[derive(Default)]
 struct State {
+    /// Time since `START`.
     now: Millis,
-    next: u64,
+    last_timer: u64,
+    /// When each timer is due.
     timers: BTreeMap<u64, Millis>,
     tasks: Vec<BoxFuture<'static, ()>>,
 }
 
+/// The world; its clones share one clock.
 #[derive(Clone, Default)]
-pub struct Virtual(Arc<Mutex<State>>);
+pub struct VirtualWorld(Arc<Mutex<State>>);
 
-impl World for Virtual {
+impl World for VirtualWorld {
     fn now(&self) -> Millis {
         self.0.lock().unwrap().now + START
     }
@@ -34,8 +37,8 @@
     /// Nothing is woken: all is polled whenever the clock has moved.
     fn wake_at(&self, at: Millis, _: Waker) -> u64 {
         let mut state = self.0.lock().unwrap();
-        state.next += 1;
-        let timer = state.next;
+        state.last_timer += 1;
+        let timer = state.last_timer;
         state.timers.insert(timer, at);
         timer
     }
@@ -61,10 +64,12 @@
     fn trace_point(&self, _: &str) {}
 }
 
-impl Virtual {
+impl VirtualWorld {
+    /// Calls `work` within this world.
     pub fn enter<T>(&self, work: impl FnOnce() -> T) -> T {
         with_world(Arc::new(self.clone()), work)
     }
+
     /// Runs the future to its end, or drops it once it waits and `cancel` says so.
     pub fn run<T>(&self, future: impl Future<Output = T>, cancel: impl Fn() -> bool) -> Option<T> {
         self.enter(|| {
@@ -81,6 +86,7 @@
             }
         })
     }
+
     fn poll_tasks(&self) {
         let tasks = std::mem::take(&mut self.0.lock().unwrap().tasks);
         for mut task in tasks {
@@ -89,7 +95,8 @@
             }
         }
     }
-    /// Moves the clock to the next timer.
+
+    /// Moves the clock to the next timer; false if there is none.
     fn advance(&self) -> bool {
         let mut state = self.0.lock().unwrap();
         let Some((&timer, &at)) = state.timers.iter().min_by_key(|(_, at)| **at) else { return false };
