--- a/crates/node/src/gossip/queries.rs
+++ b/crates/node/src/gossip/queries.rs
@@ -1,7 +1,7 @@
 //! Answers to questions of other nodes.
 use crate::node::Node;
+use crate::operator;
 use crate::promotion::evidence::observe_server;
-use crate::report;
 use quincehatch_core::Name;
 use quincehatch_gossip::session_replicas::OwnerPair;
 use quincehatch_gossip::{NodeQuery, NodeReply, SessionVersion};
@@ -31,7 +31,7 @@
             incarnation: node.promotion_state.incarnation.0,
         },
         NodeQuery::Report { what, key } => {
-            NodeReply::Report { json: report::of(node, &what, &key).to_string() }
+            NodeReply::Report { json: operator::local_report(node, &what, &key).to_string() }
         }
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -5,7 +5,8 @@
 //! - [`store_client`] and [`feed`]: writes to the replicated store, and the change feed with the node's lease;
 //! - [`sessions`]: replicas of client sessions on other nodes;
 //! - [`promotion`]: the singleton duty that watches a group's primary and promotes another;
-//! - [`enrollment_cleanup`]: the singleton duty that dismisses nodes that are gone.
+//! - [`enrollment_cleanup`]: the singleton duty that dismisses nodes that are gone;
+//! - [`client_api`] and [`operator`]: what the two HTTP listeners answer.
 //!
 //! All of it runs over the runtime seam, so the simulator runs the same code in virtual time.
 #![warn(
@@ -16,17 +17,13 @@
     clippy::min_ident_chars
 )]
 
+pub mod client_api;
 pub mod enrollment_cleanup;
 pub mod feed;
 pub mod gossip;
 mod node;
-#[allow(missing_docs, clippy::too_many_lines, clippy::many_single_char_names, clippy::min_ident_chars)]
-pub mod operator_api;
-#[allow(missing_docs, clippy::too_many_lines, clippy::many_single_char_names, clippy::min_ident_chars)]
-pub mod ops;
+pub mod operator;
 pub mod promotion;
-#[allow(missing_docs, clippy::too_many_lines, clippy::many_single_char_names, clippy::min_ident_chars)]
-pub mod report;
 pub mod sessions;
 pub mod store_client;
 mod tasks;
