--- a/crates/capacity/src/frame_counts/fleet.rs
+++ b/crates/capacity/src/frame_counts/fleet.rs
@@ -6,8 +6,8 @@
 use quincehatch_core::Name;
 use quincehatch_node::{ClusterNode, gossip};
 use quincehatch_runtime::seam::BoxFuture;
-use quincehatch_simulator::fleet::core::{ProcessId, Simulation};
-use quincehatch_simulator::fleet::keeper::{self, Disk, KeeperRegistry};
+use quincehatch_simulator::fleet::keeper::{self, Disk, KeeperRegistry, KeeperSetup};
+use quincehatch_simulator::fleet::simulation::{ProcessId, Simulation};
 use quincehatch_store::record::RecoveredState;
 use quincehatch_store::{View, Voter};
 use std::fmt;
@@ -52,16 +52,16 @@
         .map(|(index, name)| Voter { name: name.clone(), addr: keeper_address(index).to_string().into() })
         .collect();
     let view = View { version: 1, members: names.clone(), voters };
-    let registry =
-        Arc::new(KeeperRegistry { process_by_name: Mutex::default(), commit_watch: Mutex::default() });
+    let registry = Arc::<KeeperRegistry>::default();
     for (index, name) in names.into_iter().enumerate() {
         let recovered = RecoveredState { view: view.clone(), ..Default::default() };
         let disk: Disk = Arc::new(Mutex::new(recovered));
-        let (keeper_name, keepers, counts) = (name.clone(), registry.clone(), counts.clone());
+        let addr = keeper_address(index).to_string();
+        let setup = KeeperSetup { name: name.clone(), addr, disk, registry: registry.clone() };
+        let counts = counts.clone();
         let start = move |simulation: &Arc<Simulation>, process| {
-            let addr = keeper_address(index).to_string();
-            keeper::start_keeper(simulation, process, &keeper_name, &addr, &disk, &keepers);
-            count_frames(simulation, &addr, keeper_request_kind, &counts);
+            keeper::start_keeper(simulation, process, &setup);
+            count_frames(simulation, &setup.addr, keeper_request_kind, &counts);
         };
         let process = simulation.add_process(&name, Arc::new(start), true);
         registry.process_by_name.lock().unwrap().insert(name, process);
