--- a/crates/capacity/src/frame_counts/mod.rs
+++ b/crates/capacity/src/frame_counts/mod.rs
@@ -11,7 +11,7 @@
 use kinds::SharedFrameCounts;
 use quincehatch_node::ClusterNode;
 use quincehatch_runtime::seam;
-use quincehatch_simulator::fleet::core::Simulation;
+use quincehatch_simulator::fleet::simulation::Simulation;
 use quincehatch_store::Command;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -12,7 +12,7 @@
 use arguments::Invocation;
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::{Error, ErrorCode};
-use quincehatch_node::{ClusterNode, client_api, feed, gossip, open_transactions, operator};
+use quincehatch_node::{Node, client_api, feed, gossip, open_transactions, operator};
 use quincehatch_proxy::listener::{JsonHandler, ListenerHandle, listen};
 use quincehatch_runtime::now;
 use std::process::exit;
@@ -67,7 +67,7 @@
     let log = quincehatch_runtime::logging::start(&settings.log)
         .map_err(|error| ErrorCode::InvalidSettings.with_detail(error))?;
     let gossip_listener = bind(&settings.gossip_listener).await?;
-    let node = ClusterNode::new(settings);
+    let node = Node::new(settings);
     let client_listener = open_client_listener(&node, settings, runtime)?;
     let operator_listener = open_operator_listener(&node, settings, runtime)?;
     log::info!(
@@ -93,7 +93,7 @@
 }
 
 fn open_client_listener(
-    node: &Arc<ClusterNode>,
+    node: &Arc<Node>,
     settings: &NodeSettings,
     runtime: &Handle,
 ) -> Result<ListenerHandle, Error> {
@@ -106,7 +106,7 @@
 }
 
 fn open_operator_listener(
-    node: &Arc<ClusterNode>,
+    node: &Arc<Node>,
     settings: &NodeSettings,
     runtime: &Handle,
 ) -> Result<ListenerHandle, Error> {
@@ -120,7 +120,7 @@
 
 /// Ends the node's work: it is not ready any more, requests and transactions in flight get their time, then it leaves
 /// the cluster.
-async fn shut_down(node: &Arc<ClusterNode>) {
+async fn shut_down(node: &Arc<Node>) {
     log::info!(target: "node", "stopping: no new requests are taken");
     node.proxy.registry.stopping.store(true, Ordering::SeqCst);
     tokio::time::sleep(NOT_READY_NOTICE).await;
@@ -132,6 +132,6 @@
     node.gossip.announce_leave().await;
 }
 
-fn has_work(node: &ClusterNode) -> bool {
+fn has_work(node: &Node) -> bool {
     node.proxy.requests_in_flight.load(Ordering::SeqCst) > 0 || open_transactions(&node.proxy) > 0
 }
--- a/crates/node/src/operator/heartbeat.rs
+++ b/crates/node/src/operator/heartbeat.rs
@@ -1,5 +1,5 @@
 //! Heartbeats of database servers.
-use crate::{ClusterNode, gossip};
+use crate::{Node, gossip};
 use bytes::Bytes;
 use quincehatch_core::{Error, ErrorCode, ServerHeartbeat};
 use serde_json::{Value, json};
@@ -11,7 +11,7 @@
 const MAX_LABELS: usize = 32;
 
 /// Records a heartbeat. The reply tells the server whether it was new here.
-pub fn handle(node: &Arc<ClusterNode>, body: &Bytes) -> Result<Value, Error> {
+pub fn handle(node: &Arc<Node>, body: &Bytes) -> Result<Value, Error> {
     let heartbeat: ServerHeartbeat =
         serde_json::from_slice(body).map_err(|error| ErrorCode::Malformed.with_detail(error))?;
     validate(&heartbeat)?;
--- /dev/null
+++ b/crates/simulator/src/direct/replication.rs
@@ -0,0 +1,197 @@
+//! Commits at a simulated primary, their replication, and the calls that change a server's role.
+use super::call_execution::Commit;
+use super::delivery::{Delivery, deliver};
+use super::server::{LogEntry, PendingCommit, ReplySender, Server};
+use super::server_group::{GroupState, ServerGroup};
+use crate::fleet::simulation::{ProcessId, Simulation};
+use bytes::Bytes;
+use quincehatch_core::{Millis, Position, Role};
+use quincehatch_proxy::ports::{RejectReason, ServerCall, ServerReply, ServerStatus};
+use std::sync::Arc;
+
+/// How often a primary sends its replicas what they lack.
+const REPLICATION_INTERVAL: Millis = 60;
+/// A replica's reads see what it received after this time and its lag.
+const APPLY_TIME: Millis = 2;
+
+/// Entries on their way from a primary to one replica.
+struct Append {
+    primary: usize,
+    /// The primary's term.
+    term: u64,
+    replica: usize,
+    /// Entries of the log before these.
+    after: usize,
+    entries: Vec<Arc<LogEntry>>,
+}
+
+impl ServerGroup {
+    /// Appends a commit to the primary's log; it is answered once a replica has received it.
+    pub fn append_commit(
+        self: &Arc<Self>,
+        simulation: &Arc<Simulation>,
+        server: usize,
+        commit: Commit,
+        connection: u64,
+        reply_to: ReplySender,
+    ) {
+        let now = simulation.now();
+        self.with(|state| {
+            let primary = &mut state.servers[server];
+            let number = primary.log.len() as u64 + 1;
+            let position = Position { fence: primary.term, number };
+            let entry = Arc::new(LogEntry { position, writes: commit.writes });
+            primary.log.push(entry.clone());
+            state.ledger.record_commit(now, commit.id, &entry);
+            let mut reply = ServerReply { log_end: Some(position), ..ServerReply::default() };
+            state.add_stamp(commit.id, server, &mut reply);
+            let pending = PendingCommit { entry, connection, reply, reply_to };
+            state.servers[server].pending_commits.push(pending);
+        });
+        self.send_missing_entries(simulation, server);
+    }
+
+    /// Sends each replica what it lacks.
+    fn send_missing_entries(self: &Arc<Self>, simulation: &Arc<Simulation>, primary: usize) {
+        let (appends, pid) = self.with(|state| (state.missing_entries(primary), state.servers[primary].pid));
+        for append in appends {
+            self.send_append(simulation, pid, append);
+        }
+    }
+
+    fn send_append(self: &Arc<Self>, simulation: &Arc<Simulation>, primary: ProcessId, append: Append) {
+        let replica = self.with(|state| state.servers[append.replica].pid);
+        let group = self.clone();
+        deliver(simulation, primary, replica, move |simulation, delivery| {
+            if delivery != Delivery::Arrived {
+                return;
+            }
+            let now = simulation.now();
+            let primary_index = append.primary;
+            let Some(end) = group.with(|state| state.append_entries(now, &append)) else { return };
+            deliver(simulation, replica, primary, move |simulation, delivery| {
+                if delivery == Delivery::Arrived {
+                    group.complete_commits(simulation, primary_index, &end);
+                }
+            });
+        });
+    }
+
+    /// A replica has received the log up to an entry: commits that waited for it are answered.
+    fn complete_commits(self: &Arc<Self>, simulation: &Arc<Simulation>, primary: usize, end: &Arc<LogEntry>) {
+        let completed = self.with(|state| state.servers[primary].take_commits_until(end));
+        for commit in completed {
+            self.send_reply(simulation, commit.connection, commit.reply, commit.reply_to);
+        }
+    }
+
+    /// Primaries send what replicas lack, again and again, all the run long.
+    pub fn replicate_periodically(self: &Arc<Self>, simulation: &Arc<Simulation>) {
+        let primaries: Vec<(usize, ProcessId)> = self.with(|state| {
+            let servers = state.servers.iter().enumerate();
+            let primaries = servers.filter(|(_, server)| server.role == Role::Primary);
+            primaries.map(|(index, server)| (index, server.pid)).collect()
+        });
+        for (index, pid) in primaries {
+            if simulation.lock().is_running(pid) {
+                self.send_missing_entries(simulation, index);
+            }
+        }
+        let group = self.clone();
+        let next = simulation.now() + REPLICATION_INTERVAL;
+        simulation.schedule_action(next, move |simulation| group.replicate_periodically(simulation));
+    }
+
+    /// Answers commits that no replica will receive any more: whether they stand is not told.
+    pub fn fail_commits(self: &Arc<Self>, simulation: &Arc<Simulation>, pending: Vec<PendingCommit>) {
+        for commit in pending {
+            let rejection = Some((RejectReason::TimedOut, Bytes::new()));
+            let reply = ServerReply { rejection, ..ServerReply::default() };
+            self.send_reply(simulation, commit.connection, reply, commit.reply_to);
+        }
+    }
+}
+
+impl Server {
+    /// Takes the pending commits up to an entry, if that is in the log.
+    fn take_commits_until(&mut self, end: &Arc<LogEntry>) -> Vec<PendingCommit> {
+        if !self.holds(end, self.log.len()) {
+            return Vec::new();
+        }
+        let pending = std::mem::take(&mut self.pending_commits);
+        let is_complete = |commit: &PendingCommit| commit.entry.position <= end.position;
+        let (completed, waiting) = pending.into_iter().partition(is_complete);
+        self.pending_commits = waiting;
+        completed
+    }
+}
+
+impl GroupState {
+    /// For each replica that lacks entries of a primary's log, those entries.
+    fn missing_entries(&self, primary: usize) -> Vec<Append> {
+        let log = &self.servers[primary].log;
+        let term = self.servers[primary].term;
+        let mut appends = Vec::new();
+        for (replica, server) in self.servers.iter().enumerate() {
+            let after = server.common_prefix(log);
+            if replica != primary && server.role == Role::Replica && after < log.len() {
+                appends.push(Append { primary, term, replica, after, entries: log[after..].to_vec() });
+            }
+        }
+        appends
+    }
+
+    /// A replica takes entries of a primary; the newest that it has by then, none if it does not take them.
+    fn append_entries(&mut self, now: Millis, append: &Append) -> Option<Arc<LogEntry>> {
+        // What a primary sent before another was promoted comes too late.
+        let superseded = self.primary().is_some_and(|primary| self.servers[primary].term > append.term);
+        let replica = &mut self.servers[append.replica];
+        let takes_entries = replica.role == Role::Replica
+            && replica.suspended_term == 0
+            && !replica.replication_stopped
+            && append.term >= replica.term
+            && replica.log.len() >= append.after;
+        if superseded || !takes_entries {
+            return None;
+        }
+        let held = &replica.log[append.after..];
+        if !held.iter().zip(&append.entries).all(|(held, sent)| Arc::ptr_eq(held, sent)) {
+            return None;
+        }
+        let held = held.len();
+        replica.term = append.term;
+        replica.log.extend(append.entries.iter().skip(held).cloned());
+        let visible_at = now + APPLY_TIME + replica.replication_lag;
+        replica.pending_visibility.push_back((visible_at, replica.log.len()));
+        append.entries.last().cloned()
+    }
+
+    /// STATUS and the calls that change how a server stands; its status after it.
+    pub fn apply_control_call(
+        &mut self,
+        now: Millis,
+        server: usize,
+        call: &ServerCall,
+        connections: u64,
+    ) -> ServerStatus {
+        let server = &mut self.servers[server];
+        match call {
+            ServerCall::Suspend { term }
+                if server.role == Role::Replica && *term > server.term.max(server.suspended_term) =>
+            {
+                server.suspended_term = *term;
+            }
+            ServerCall::Resume => server.suspended_term = 0,
+            ServerCall::Demote { term } if server.role == Role::Primary && *term > server.term => {
+                server.role = Role::Replica;
+                server.term = *term;
+            }
+            _ => {}
+        }
+        let (status, name) = (server.status(connections), server.name.clone());
+        if !matches!(call, ServerCall::Status) {
+            self.ledger.event_log.push(format!("{now} {name} {call:?}: {status:?}"));
+        }
+        status
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/direct/server_ports.rs
@@ -0,0 +1,187 @@
+//! The servers and the promoter, as a simulated node reaches them.
+use super::connection::{Connection, OpenedConnection};
+use super::delivery::{Delivery, deliver};
+use super::server::MAX_CONNECTIONS;
+use super::server_group::{GroupState, ServerGroup};
+use crate::fleet::simulation::ProcessId;
+use bytes::Bytes;
+use quincehatch_core::{FencingToken, Millis, Name};
+use quincehatch_proxy::ports::{
+    OpenResult, Promoter, PromotionOutcome, RejectReason, ServerCall, ServerConnection, ServerConnector,
+    ServerPorts, ServerReply,
+};
+use quincehatch_runtime::seam::{self, BoxFuture};
+use quincehatch_wire::http::KeepaliveSettings;
+use std::io;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
+use tokio::sync::oneshot;
+
+/// A node waits so long for the promoter's answer.
+const PROMOTE_TIMEOUT: Duration = Duration::from_millis(900);
+
+/// The group as one node reaches it.
+struct NodeView {
+    group: Arc<ServerGroup>,
+    node: ProcessId,
+}
+
+/// Servers and promoter as a node reaches them.
+pub fn server_ports(group: &Arc<ServerGroup>, node: ProcessId) -> ServerPorts {
+    let view = || NodeView { group: group.clone(), node };
+    ServerPorts { servers: Arc::new(view()), promoter: Arc::new(view()) }
+}
+
+/// Servers as a node reaches them.
+pub fn server_connector(group: &Arc<ServerGroup>, node: ProcessId) -> Arc<dyn ServerConnector> {
+    Arc::new(NodeView { group: group.clone(), node })
+}
+
+/// A node's end of a connection.
+struct NodeConnection {
+    group: Arc<ServerGroup>,
+    id: u64,
+    broken: Arc<AtomicBool>,
+}
+
+impl Drop for NodeConnection {
+    fn drop(&mut self) {
+        self.group.close(self.id);
+    }
+}
+
+fn connection_reset() -> io::Error {
+    io::ErrorKind::ConnectionReset.into()
+}
+
+impl ServerConnection for NodeConnection {
+    fn call<'call>(&'call mut self, call: &'call ServerCall) -> BoxFuture<'call, io::Result<ServerReply>> {
+        let (tx, rx) = oneshot::channel();
+        self.group.send_request(self.id, call.clone(), tx);
+        Box::pin(async move {
+            let result = rx.await.unwrap_or_else(|_| Err(connection_reset()));
+            if result.is_err() {
+                self.broken.store(true, Ordering::SeqCst);
+            }
+            result
+        })
+    }
+
+    fn broken(&mut self) -> Option<io::Error> {
+        self.broken.load(Ordering::SeqCst).then(connection_reset)
+    }
+}
+
+/// What a server says to a new connection.
+type Opened = io::Result<Result<OpenedConnection, RejectReason>>;
+
+impl NodeView {
+    /// Asks a server for a connection; its answer goes to `tx`, and no connection is left if nobody waits for it.
+    fn request_connection(&self, addr: &str, server: Name, tx: oneshot::Sender<Opened>) {
+        let Some(simulation) = self.group.simulation() else { return };
+        let Some(index) = self.group.with(|state| state.server_at(addr)) else { return };
+        let (group, node) = (self.group.clone(), self.node);
+        let pid = group.with(|state| state.servers[index].pid);
+        deliver(&simulation, node, pid, move |simulation, delivery| {
+            let opened = match delivery {
+                Delivery::Arrived => {
+                    let now = simulation.now();
+                    Ok(group.with(|state| state.open_connection(now, node, index, &server)))
+                }
+                Delivery::Refused => Err(io::ErrorKind::ConnectionRefused.into()),
+                Delivery::TimedOut => {
+                    let _ = tx.send(Err(io::ErrorKind::TimedOut.into()));
+                    return;
+                }
+            };
+            deliver(simulation, pid, node, move |_, _| {
+                if let Err(Ok(Ok(abandoned))) = tx.send(opened) {
+                    group.close(abandoned.id);
+                }
+            });
+        });
+    }
+}
+
+impl ServerConnector for NodeView {
+    fn connect(
+        &self,
+        addr: Name,
+        _group: Name,
+        server: Name,
+        _keepalive: KeepaliveSettings,
+    ) -> BoxFuture<'static, io::Result<OpenResult>> {
+        let (tx, rx) = oneshot::channel::<Opened>();
+        self.request_connection(&addr, server, tx);
+        let group = self.group.clone();
+        Box::pin(async move {
+            let opened = rx.await.unwrap_or_else(|_| Err(connection_reset()))?;
+            Ok(match opened {
+                Ok(OpenedConnection { id, broken, log_end }) => {
+                    let connection: Box<dyn ServerConnection> =
+                        Box::new(NodeConnection { group, id, broken });
+                    Ok((connection, Some(log_end)))
+                }
+                Err(reason) => Err((reason, Bytes::new())),
+            })
+        })
+    }
+}
+
+impl GroupState {
+    fn server_at(&self, addr: &str) -> Option<usize> {
+        self.servers.iter().position(|server| server.addr == addr)
+    }
+
+    /// Opens a connection at a server that still has the expected name, and room.
+    fn open_connection(
+        &mut self,
+        now: Millis,
+        node: ProcessId,
+        index: usize,
+        name: &Name,
+    ) -> Result<OpenedConnection, RejectReason> {
+        if self.servers[index].name != *name {
+            return Err(RejectReason::WrongServer);
+        }
+        if self.connections_of_server(index).len() >= MAX_CONNECTIONS {
+            return Err(RejectReason::TooManyConnections);
+        }
+        let log_end = self.servers[index].visible_end(now);
+        self.last_connection_id += 1;
+        let id = self.last_connection_id;
+        let connection = Connection::new(node, index);
+        let broken = connection.broken.clone();
+        self.connections.insert(id, connection);
+        Ok(OpenedConnection { id, broken, log_end })
+    }
+}
+
+impl Promoter for NodeView {
+    fn promote(
+        &self,
+        _group: Name,
+        server: Name,
+        _addr: Name,
+        fence: FencingToken,
+    ) -> BoxFuture<'static, PromotionOutcome> {
+        let (tx, rx) = oneshot::channel();
+        if let Some(simulation) = self.group.simulation() {
+            let (group, node) = (self.group.clone(), self.node);
+            let promoter = group.with(|state| state.promoter);
+            deliver(&simulation, node, promoter, move |simulation, delivery| {
+                if delivery == Delivery::Arrived {
+                    let outcome = group.accept_promotion(simulation, &server, fence);
+                    deliver(simulation, promoter, node, move |_, _| {
+                        let _ = tx.send(outcome);
+                    });
+                }
+            });
+        }
+        Box::pin(async move {
+            let answer = seam::timeout(PROMOTE_TIMEOUT, rx).await;
+            answer.ok().and_then(Result::ok).unwrap_or(PromotionOutcome::InDoubt)
+        })
+    }
+}
