--- a/crates/proxy/tests/direct_calls.rs
+++ b/crates/proxy/tests/direct_calls.rs
@@ -1,6 +1,6 @@
 //! Every way in which up to two of a session's calls to its server can fail or be cancelled: a write runs once, what the
 //! client is told is true, and no connection is used while a reply is pending on it.
-#[allow(dead_code)]
+#[allow(dead_code, reason = "each test file uses a part of the fake servers")]
 mod fake_servers;
 mod virtual_time;
 
--- a/crates/proxy/tests/direct_connections.rs
+++ b/crates/proxy/tests/direct_connections.rs
@@ -1,5 +1,5 @@
 //! How many connections a proxy has to a server that many proxies share.
-#[allow(dead_code)]
+#[allow(dead_code, reason = "each test file uses a part of the fake servers")]
 mod fake_servers;
 
 use fake_servers::{Fault, Fixture, execute, read, write};
--- a/crates/proxy/tests/direct_sessions.rs
+++ b/crates/proxy/tests/direct_sessions.rs
@@ -1,6 +1,6 @@
 //! Statements outside a transaction, before servers whose replies get lost, whose connections break, and whose primary
 //! changes.
-#[allow(dead_code)]
+#[allow(dead_code, reason = "each test file uses a part of the fake servers")]
 mod fake_servers;
 
 use assert_matches::assert_matches;
--- a/crates/proxy/tests/direct_transactions.rs
+++ b/crates/proxy/tests/direct_transactions.rs
@@ -1,5 +1,5 @@
 //! Transactions, settings and prepared statements of a session.
-#[allow(dead_code)]
+#[allow(dead_code, reason = "each test file uses a part of the fake servers")]
 mod fake_servers;
 
 use assert_matches::assert_matches;
