--- a/crates/proxy/src/direct/connection_setup.rs
+++ b/crates/proxy/src/direct/connection_setup.rs
@@ -62,7 +62,7 @@
         let prepare = ServerCall::Prepare {
             name: statement.name.clone(),
             write: statement.write,
-            shape: statement.template.clone(),
+            template: statement.template.clone(),
         };
         self.call_expecting_success(context, &prepare, within).await?;
         self.prepared.insert(statement.name.clone());
--- a/crates/proxy/src/direct/statement.rs
+++ b/crates/proxy/src/direct/statement.rs
@@ -36,7 +36,7 @@
         match &self.body {
             StatementBody::Text(text) => ServerCall::Run { id, text: text.clone(), floor },
             StatementBody::Prepared { prepared, arguments } => {
-                ServerCall::Execute { id, name: prepared.name.clone(), rest: arguments.clone(), floor }
+                ServerCall::Execute { id, name: prepared.name.clone(), arguments: arguments.clone(), floor }
             }
         }
     }
--- a/crates/proxy/src/ports.rs
+++ b/crates/proxy/src/ports.rs
@@ -32,8 +32,8 @@
         id: Bytes,
         /// This side's name of the prepared statement.
         name: Name,
-        /// What the client gave behind the name.
-        rest: Bytes,
+        /// The arguments, as the client gave them.
+        arguments: Bytes,
         /// Only on reads: the server rejects the call if its log lacks this position.
         floor: Option<Position>,
     },
@@ -58,7 +58,7 @@
         /// It writes.
         write: bool,
         /// Its text.
-        shape: Bytes,
+        template: Bytes,
     },
     /// Drops settings and prepared statements.
     Reset,
--- a/crates/proxy/tests/fake_servers/connection.rs
+++ b/crates/proxy/tests/fake_servers/connection.rs
@@ -101,8 +101,8 @@
             ServerCall::Set { name, value } => {
                 self.settings.insert(name.clone(), value.clone());
             }
-            ServerCall::Prepare { name, shape, .. } => {
-                self.prepared.insert(name.clone(), text(shape));
+            ServerCall::Prepare { name, template, .. } => {
+                self.prepared.insert(name.clone(), text(template));
             }
             ServerCall::Reset => {
                 self.settings.clear();
@@ -115,9 +115,9 @@
                     floor.map_or_else(String::new, |floor| format!("@{}.{} ", floor.fence, floor.number));
                 return self.run(format!("{floor}{statement}"), kind).await;
             }
-            ServerCall::Execute { name, rest, .. } => {
+            ServerCall::Execute { name, arguments, .. } => {
                 let template = self.prepared.get(name).cloned().unwrap();
-                return self.run(format!("{template} {}", text(rest)), CallKind::Read).await;
+                return self.run(format!("{template} {}", text(arguments)), CallKind::Read).await;
             }
             ServerCall::Commit { .. } => return self.run("COMMIT".into(), CallKind::Commit).await,
             _ => {}
--- a/crates/simulator/src/direct/call_execution.rs
+++ b/crates/simulator/src/direct/call_execution.rs
@@ -65,9 +65,13 @@
             ServerCall::Run { id, text, .. } => {
                 Some(StatementCall { id: statement_id(id), text: text.clone(), prepared: None })
             }
-            ServerCall::Execute { id, name, rest, .. } => {
+            ServerCall::Execute { id, name, arguments, .. } => {
                 let prepared = self.prepared.get(name)?.clone();
-                Some(StatementCall { id: statement_id(id), text: rest.clone(), prepared: Some(prepared) })
+                Some(StatementCall {
+                    id: statement_id(id),
+                    text: arguments.clone(),
+                    prepared: Some(prepared),
+                })
             }
             _ => None,
         }
@@ -115,8 +119,8 @@
                 connection.values.insert(name.clone(), value.clone());
                 connection.succeed()
             }
-            ServerCall::Prepare { name, write, shape } => {
-                let prepared = PreparedStatement { write: *write, template: shape.clone() };
+            ServerCall::Prepare { name, write, template } => {
+                let prepared = PreparedStatement { write: *write, template: template.clone() };
                 connection.prepared.insert(name.clone(), prepared);
                 connection.succeed()
             }
