--- a/crates/capacity/src/stub_servers.rs
+++ b/crates/capacity/src/stub_servers.rs
@@ -2,8 +2,8 @@
 use bytes::Bytes;
 use quincehatch_core::{FencingToken, Name, Position, Role};
 use quincehatch_proxy::ports::{
-    OpenResult, Promoter, PromotionOutcome, ServerCall, ServerConnection, ServerConnector, ServerPorts,
-    ServerReply, ServerStatus,
+    OpenResult, OpenedConnection, Promoter, PromotionOutcome, ServerCall, ServerConnection, ServerConnector,
+    ServerPorts, ServerReply, ServerStatus,
 };
 use quincehatch_runtime::seam::BoxFuture;
 use quincehatch_wire::http::KeepaliveSettings;
@@ -51,7 +51,7 @@
         let role = if server.ends_with(PRIMARY_SUFFIX) { Role::Primary } else { Role::Replica };
         let connection: Box<dyn ServerConnection> =
             Box::new(StubConnection { calls: self.calls.clone(), role });
-        Box::pin(async move { Ok(Ok((connection, None))) })
+        Box::pin(async move { Ok(Ok(OpenedConnection { connection, log_end: None })) })
     }
 }
 
--- a/crates/node/src/promotion/direct/server_calls.rs
+++ b/crates/node/src/promotion/direct/server_calls.rs
@@ -63,15 +63,17 @@
     let ports = node.ports.clone().ok_or_else(|| io::Error::from(io::ErrorKind::Unsupported))?;
     let keepalive = KeepaliveSettings::default();
     match ports.servers.connect(addr.clone(), group, server.clone(), keepalive).await? {
-        Ok((mut connection, _)) => {
-            let reply = connection.call(call).await?;
-            statuses.keep_connection(server, addr, connection);
+        Ok(mut opened) => {
+            let reply = opened.connection.call(call).await?;
+            statuses.keep_connection(server, addr, opened.connection);
             Ok(reply)
         }
         // Another server is there now, so this one is not.
-        Err((RejectReason::WrongServer, _)) => Err(io::ErrorKind::ConnectionRefused.into()),
+        Err(rejection) if rejection.reason == RejectReason::WrongServer => {
+            Err(io::ErrorKind::ConnectionRefused.into())
+        }
         // It runs, and says no more.
-        Err((reason, text)) => Ok(ServerReply { rejection: Some((reason, text)), ..Default::default() }),
+        Err(rejection) => Ok(ServerReply { rejection: Some(rejection), ..Default::default() }),
     }
 }
 
--- a/crates/proxy/src/direct/check_out.rs
+++ b/crates/proxy/src/direct/check_out.rs
@@ -107,11 +107,11 @@
     let settings = direct.keepalive_settings();
     let opening = direct.servers.connect(server.addr(), server.group(), server.name.clone(), settings);
     match seam::timeout(Duration::from_millis(OPEN_TIMEOUT), opening).await {
-        Ok(Ok(Ok((connection, _)))) => {
+        Ok(Ok(Ok(opened))) => {
             server.note_answer(asked_at);
-            Ok(Connection::new(connection))
+            Ok(Connection::new(opened.connection))
         }
-        Ok(Ok(Err((reason, _)))) => Err(note_rejection(direct, server, asked_at, reason)),
+        Ok(Ok(Err(rejection))) => Err(note_rejection(direct, server, asked_at, rejection.reason)),
         Ok(Err(error)) => {
             note_open_error(direct, server, asked_at, &error);
             Err(CheckoutError::Broke)
--- a/crates/proxy/src/direct/replies.rs
+++ b/crates/proxy/src/direct/replies.rs
@@ -34,7 +34,7 @@
 
 /// Why the server rejected the call, if it did.
 pub(super) fn reject_reason(reply: &ServerReply) -> Option<RejectReason> {
-    reply.rejection.as_ref().map(|rejection| rejection.0)
+    reply.rejection.as_ref().map(|rejection| rejection.reason)
 }
 
 /// Keeps what the primary's reply shows of its log for reads to come; only while it is the primary, as seen here.
--- a/crates/proxy/src/direct/response.rs
+++ b/crates/proxy/src/direct/response.rs
@@ -32,7 +32,7 @@
     /// The response that passes a server's reply on.
     pub fn from_reply(reply: ServerReply, transaction_state: TransactionState) -> StatementResponse {
         let result = match (reply.rejection, reply.stamp) {
-            (Some((reason, text)), _) => Err(StatementError::Server(reason, text)),
+            (Some(rejection), _) => Err(StatementError::Server(rejection.reason, rejection.text)),
             (None, Some(stamp)) => Ok(Some(stamp)),
             // A success is the server's to report: without its stamp there is none.
             (None, None) => {
--- a/crates/proxy/src/direct/statement.rs
+++ b/crates/proxy/src/direct/statement.rs
@@ -2,6 +2,7 @@
 use super::DirectProxy;
 use super::connection::{Connection, ConnectionError, SessionSettings};
 use super::monitored_call::CallContext;
+use super::replies::reject_reason;
 use super::route::ResolvedRoute;
 use super::session_setup::PreparedStatement;
 use crate::ports::{RejectReason, ServerCall, ServerReply};
@@ -98,7 +99,7 @@
         let call = execution.statement.to_call(execution.floor);
         match self.call(context, &call, execution.time_left()).await {
             Ok(reply) => {
-                if matches!(reply.rejection, Some((RejectReason::Unprepared, _))) {
+                if reject_reason(&reply) == Some(RejectReason::Unprepared) {
                     self.prepared.clear();
                 }
                 StatementAttempt::Replied(reply)
--- a/crates/proxy/src/ports.rs
+++ b/crates/proxy/src/ports.rs
@@ -101,6 +101,22 @@
     Other,
 }
 
+/// A server's rejection.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Rejection {
+    /// Why.
+    pub reason: RejectReason,
+    /// The server's text, passed on as it came.
+    pub text: Bytes,
+}
+
+impl Rejection {
+    /// A rejection without a text.
+    pub fn without_text(reason: RejectReason) -> Rejection {
+        Rejection { reason, text: Bytes::new() }
+    }
+}
+
 /// State of a connection's transaction after a reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TransactionState {
@@ -139,8 +155,8 @@
     pub rows: Vec<Bytes>,
     /// The server's own stamp, on success; none on what it answers without running anything.
     pub stamp: Option<Bytes>,
-    /// Why it was rejected, and the server's text.
-    pub rejection: Option<(RejectReason, Bytes)>,
+    /// Why it was rejected.
+    pub rejection: Option<Rejection>,
     /// State of the connection's transaction.
     pub transaction_state: TransactionState,
     /// The end of the server's log, as it said behind the reply.
@@ -157,8 +173,16 @@
     fn broken(&mut self) -> Option<io::Error>;
 }
 
-/// How a new connection began: with the end of the server's log, or with its rejection.
-pub type OpenResult = Result<(Box<dyn ServerConnection>, Option<Position>), (RejectReason, Bytes)>;
+/// A connection that was opened.
+pub struct OpenedConnection {
+    /// The connection.
+    pub connection: Box<dyn ServerConnection>,
+    /// The end of the server's log, if it said so.
+    pub log_end: Option<Position>,
+}
+
+/// How opening a connection ended: the server may reject it.
+pub type OpenResult = Result<OpenedConnection, Rejection>;
 
 /// Opens connections to servers.
 pub trait ServerConnector: Send + Sync {
--- a/crates/proxy/tests/fake_servers/connection.rs
+++ b/crates/proxy/tests/fake_servers/connection.rs
@@ -2,7 +2,7 @@
 use super::{FakeGroup, Fault};
 use bytes::Bytes;
 use quincehatch_core::{Name, Position};
-use quincehatch_proxy::ports::{ServerCall, ServerConnection, ServerReply, TransactionState};
+use quincehatch_proxy::ports::{Rejection, ServerCall, ServerConnection, ServerReply, TransactionState};
 use quincehatch_runtime::seam::BoxFuture;
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -63,7 +63,7 @@
         }
         match fault {
             Fault::Reject(reason) => {
-                Ok(ServerReply { rejection: Some((reason, Bytes::new())), ..self.reply() })
+                Ok(ServerReply { rejection: Some(Rejection::without_text(reason)), ..self.reply() })
             }
             Fault::DisconnectBefore | Fault::DisconnectAfter => {
                 self.broken = true;
--- a/crates/proxy/tests/fake_servers/mod.rs
+++ b/crates/proxy/tests/fake_servers/mod.rs
@@ -9,10 +9,11 @@
 #[allow(unused_imports, reason = "not each test file checks responses")]
 pub use responses::{assert_stamped, error, proxy_error};
 
-use bytes::Bytes;
 use connection::FakeConnection;
 use quincehatch_core::Name;
-use quincehatch_proxy::ports::{OpenResult, RejectReason, ServerConnection, ServerConnector};
+use quincehatch_proxy::ports::{
+    OpenResult, OpenedConnection, RejectReason, Rejection, ServerConnection, ServerConnector,
+};
 use quincehatch_runtime::seam::BoxFuture;
 use quincehatch_wire::http::KeepaliveSettings;
 use std::collections::{BTreeMap, VecDeque};
@@ -82,10 +83,10 @@
                 full
             });
             if full {
-                return Ok(Err((RejectReason::TooManyConnections, Bytes::new())));
+                return Ok(Err(Rejection::without_text(RejectReason::TooManyConnections)));
             }
             let connection: Box<dyn ServerConnection> = Box::new(FakeConnection::new(group, server));
-            Ok(Ok((connection, None)))
+            Ok(Ok(OpenedConnection { connection, log_end: None }))
         })
     }
 }
--- a/crates/simulator/src/direct/call_execution.rs
+++ b/crates/simulator/src/direct/call_execution.rs
@@ -3,7 +3,7 @@
 use super::server_group::GroupState;
 use bytes::Bytes;
 use quincehatch_core::{Millis, Position, Role};
-use quincehatch_proxy::ports::{RejectReason, ServerCall, ServerReply};
+use quincehatch_proxy::ports::{RejectReason, Rejection, ServerCall, ServerReply};
 
 /// Writes that a server is to commit.
 pub struct Commit {
@@ -48,7 +48,7 @@
         if let Some(transaction) = self.transaction.as_mut().filter(|_| was_executed) {
             transaction.failed = true;
         }
-        self.reply(ServerReply { rejection: Some((reason, Bytes::new())), ..ServerReply::default() })
+        self.reply(ServerReply { rejection: Some(Rejection::without_text(reason)), ..ServerReply::default() })
     }
 
     fn succeed(&self) -> CallResult {
--- a/crates/simulator/src/direct/replication.rs
+++ b/crates/simulator/src/direct/replication.rs
@@ -4,9 +4,8 @@
 use super::server::{LogEntry, PendingCommit, ReplySender, Server};
 use super::server_group::{GroupState, ServerGroup};
 use crate::fleet::simulation::{ProcessId, Simulation};
-use bytes::Bytes;
 use quincehatch_core::{Millis, Position, Role};
-use quincehatch_proxy::ports::{RejectReason, ServerCall, ServerReply, ServerStatus};
+use quincehatch_proxy::ports::{RejectReason, Rejection, ServerCall, ServerReply, ServerStatus};
 use std::sync::Arc;
 
 /// How often a primary sends its replicas what they lack.
@@ -105,7 +104,7 @@
     /// Answers commits that no replica will receive any more: whether they stand is not told.
     pub fn fail_commits(self: &Arc<Self>, simulation: &Arc<Simulation>, pending: Vec<PendingCommit>) {
         for commit in pending {
-            let rejection = Some((RejectReason::TimedOut, Bytes::new()));
+            let rejection = Some(Rejection::without_text(RejectReason::TimedOut));
             let reply = ServerReply { rejection, ..ServerReply::default() };
             self.send_reply(simulation, commit.connection, reply, commit.reply_to);
         }
--- a/crates/simulator/src/direct/request_execution.rs
+++ b/crates/simulator/src/direct/request_execution.rs
@@ -5,9 +5,8 @@
 use super::server::{ReplySender, SLOTS};
 use super::server_group::{GroupState, ServerGroup};
 use crate::fleet::simulation::{ProcessId, Simulation};
-use bytes::Bytes;
 use quincehatch_core::Millis;
-use quincehatch_proxy::ports::{RejectReason, ServerCall, ServerReply};
+use quincehatch_proxy::ports::{RejectReason, Rejection, ServerCall, ServerReply};
 use std::io;
 use std::sync::Arc;
 
@@ -232,7 +231,7 @@
         connection.requests_in_flight -= 1;
         let transaction_state = connection.transaction_state();
         let log_end = Some(self.servers[connection.server].visible_end(now));
-        let rejection = Some((RejectReason::Busy, Bytes::new()));
+        let rejection = Some(Rejection::without_text(RejectReason::Busy));
         Some(ServerReply { rejection, transaction_state, log_end, ..ServerReply::default() })
     }
 
--- a/crates/simulator/src/direct/server_ports.rs
+++ b/crates/simulator/src/direct/server_ports.rs
@@ -4,11 +4,10 @@
 use super::server::MAX_CONNECTIONS;
 use super::server_group::{GroupState, ServerGroup};
 use crate::fleet::simulation::ProcessId;
-use bytes::Bytes;
 use quincehatch_core::{FencingToken, Millis, Name};
 use quincehatch_proxy::ports::{
-    OpenResult, Promoter, PromotionOutcome, RejectReason, ServerCall, ServerConnection, ServerConnector,
-    ServerPorts, ServerReply,
+    self, OpenResult, Promoter, PromotionOutcome, RejectReason, Rejection, ServerCall, ServerConnection,
+    ServerConnector, ServerPorts, ServerReply,
 };
 use quincehatch_runtime::seam::{self, BoxFuture};
 use quincehatch_wire::http::KeepaliveSettings;
@@ -119,11 +118,10 @@
             let opened = rx.await.unwrap_or_else(|_| Err(connection_reset()))?;
             Ok(match opened {
                 Ok(OpenedConnection { id, broken, log_end }) => {
-                    let connection: Box<dyn ServerConnection> =
-                        Box::new(NodeConnection { group, id, broken });
-                    Ok((connection, Some(log_end)))
+                    let connection = Box::new(NodeConnection { group, id, broken });
+                    Ok(ports::OpenedConnection { connection, log_end: Some(log_end) })
                 }
-                Err(reason) => Err((reason, Bytes::new())),
+                Err(reason) => Err(Rejection::without_text(reason)),
             })
         })
     }
--- a/crates/simulator/tests/held/group.rs
+++ b/crates/simulator/tests/held/group.rs
@@ -1,8 +1,8 @@
 //! A group of servers behind held links, and who promotes them, as the ports show them (§3.6).
 use quincehatch_core::{FencingToken, Name, Position, Role};
 use quincehatch_proxy::ports::{
-    OpenResult, Promoter, PromotionOutcome, ServerCall, ServerConnection, ServerConnector, ServerPorts,
-    ServerReply, ServerStatus,
+    OpenResult, OpenedConnection, Promoter, PromotionOutcome, ServerCall, ServerConnection, ServerConnector,
+    ServerPorts, ServerReply, ServerStatus,
 };
 use quincehatch_runtime::seam::{self, BoxFuture};
 use quincehatch_wire::http::KeepaliveSettings;
@@ -156,7 +156,8 @@
             if !group.with(|s| s.reached(&node, &server)) {
                 return std::future::pending().await;
             }
-            Ok(Ok((Box::new(Link { group, node, server }) as Box<dyn ServerConnection>, None)))
+            let connection = Box::new(Link { group, node, server });
+            Ok(Ok(OpenedConnection { connection, log_end: None }))
         })
     }
 }
