--- a/crates/store/src/keeper.rs
+++ b/crates/store/src/keeper.rs
@@ -9,6 +9,7 @@
 mod lease_handover;
 mod membership;
 mod proposals;
+mod recent_changes;
 mod replication;
 mod requests;
 mod snapshot_transfer;
@@ -20,8 +21,8 @@
 
 use crate::compression::PackedText;
 use crate::disk_usage::DiskUsage;
+use crate::dismissed_leases::DismissedLeases;
 use crate::entry_log::EntryLog;
-use crate::feed::Change;
 use crate::node_leases::NodeLeases;
 use crate::record::RecoveredState;
 use crate::register::{Acceptor, Proposer};
@@ -32,8 +33,9 @@
 use membership::{Discovery, Leaving};
 use quincehatch_core::{ChangeNumber, Millis, Name, Version, hash64};
 use quincehatch_runtime::seam;
+use recent_changes::RecentChanges;
 use requests::{CommitTimes, PendingPoll, PendingWrite};
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 use view_lease::ViewLease;
 
 pub use event::{Input, Output};
@@ -77,8 +79,7 @@
     disk_usage: DiskUsage,
 
     // Requests and the feed.
-    /// Recent changes as nodes get them, since this process began or took a whole store.
-    recent_changes: VecDeque<Change>,
+    recent_changes: RecentChanges,
     /// The configuration of that version, packed once for all snapshots that carry it.
     packed_configuration: Option<(Version, PackedText)>,
     commit_times: CommitTimes,
@@ -108,10 +109,7 @@
     node_leases: Option<NodeLeases>,
     /// The leases granted as the tail of the view before, to be handed to the present tail.
     previous_node_leases: Option<NodeLeases>,
-    /// Until when each recently dismissed node may hold a lease.
-    dismissed_leases: BTreeMap<Name, Millis>,
-    /// Until then there may be further ones: what was dismissed before this process began is not known.
-    unknown_leases_until: Millis,
+    dismissed_leases: DismissedLeases,
 
     // Membership.
     discovery: Option<Discovery>,
@@ -150,7 +148,7 @@
             incoming_snapshot: IncomingSnapshot::default(),
             last_fetch_at: 0,
             disk_usage: DiskUsage::default(),
-            recent_changes: VecDeque::new(),
+            recent_changes: RecentChanges::default(),
             packed_configuration: None,
             commit_times: CommitTimes::default(),
             pending_writes: Vec::new(),
@@ -168,8 +166,7 @@
             served_version: recovered.served_version,
             node_leases: None,
             previous_node_leases: None,
-            dismissed_leases: BTreeMap::new(),
-            unknown_leases_until,
+            dismissed_leases: DismissedLeases::new(unknown_leases_until),
             discovery: None,
             invitation: None,
             leaving: None,
--- a/crates/store/src/keeper/lease_handover.rs
+++ b/crates/store/src/keeper/lease_handover.rs
@@ -1,6 +1,6 @@
 //! Node leases that pass from the tail of one view to the tail of the next.
 use super::Keeper;
-use crate::messages::{DismissedLease, LeaseStatus, PeerMessage};
+use crate::messages::{LeaseStatus, PeerMessage};
 use crate::node_leases::NodeLeases;
 use quincehatch_core::{Millis, Name, Version};
 
@@ -40,20 +40,10 @@
         }
     }
 
-    /// Takes over what the sender of a snapshot knows of dismissed nodes.
-    pub(super) fn take_over_dismissals(&mut self, dismissed: Vec<DismissedLease>, unknown_leases_ms: Millis) {
-        self.unknown_leases_until = self.now + unknown_leases_ms;
-        self.dismissed_leases.clear();
-        for lease in dismissed {
-            self.dismissed_leases.insert(lease.node, self.now + lease.remaining_ms);
-        }
-    }
-
     /// The leases granted as the tail of the present view.
     pub(super) fn node_leases(&mut self) -> &mut NodeLeases {
         let enrolled = self.store.nodes.keys();
-        let (dismissed, unknown_until) = (&self.dismissed_leases, self.unknown_leases_until);
-        self.node_leases
-            .get_or_insert_with(|| NodeLeases::begin(self.now, enrolled, dismissed, unknown_until))
+        let dismissed = &self.dismissed_leases;
+        self.node_leases.get_or_insert_with(|| NodeLeases::begin(self.now, enrolled, dismissed))
     }
 }
--- a/crates/store/src/keeper/replication.rs
+++ b/crates/store/src/keeper/replication.rs
@@ -3,12 +3,11 @@
 use super::{Keeper, Output};
 use crate::command::{Answer, Command, Entry};
 use crate::entry_log::PackedEntry;
-use crate::feed::AppliedEntry;
+use crate::feed::{AppliedEntry, Change};
 use crate::limits::TRANSFER_MAX_BYTES;
 use crate::messages::PeerMessage;
 use crate::record::Record;
 use crate::snapshot::SnapshotProgress;
-use crate::timing::{NODE_LEASE, with_clock_drift};
 use quincehatch_core::{ChangeNumber, Name};
 
 impl Keeper {
@@ -39,7 +38,7 @@
     pub(super) fn append_entry(&mut self, entry: &Entry, packed: PackedEntry) -> Option<Answer> {
         let AppliedEntry { answer, event } = self.store.apply_with_event(entry)?;
         self.note_dismissal(&entry.command);
-        self.record_change(entry.number, event);
+        self.recent_changes.push(Change { number: entry.number, event });
         self.outputs.push(Output::Persist(Record::Entry { entry: packed.clone() }));
         self.log.push_back(packed);
         Some(answer)
@@ -51,9 +50,7 @@
         if self.store.nodes.contains_key(node) {
             return;
         }
-        let now = self.now;
-        self.dismissed_leases.retain(|_, until| *until > now);
-        self.dismissed_leases.insert(node.clone(), now + with_clock_drift(NODE_LEASE));
+        self.dismissed_leases.note(node, self.now);
     }
 
     /// Sends the entries after `previous_change` to the successor.
--- a/crates/store/src/keeper/snapshot_transfer.rs
+++ b/crates/store/src/keeper/snapshot_transfer.rs
@@ -1,11 +1,11 @@
 //! How a keeper brings its store up to date from another: it requests log entries, and where the log does not reach back
 //! a snapshot in parts.
 use super::{Keeper, Output};
-use crate::messages::{DismissedLease, PeerMessage};
+use crate::messages::PeerMessage;
 use crate::record::Record;
 use crate::snapshot::{OutgoingSnapshot, SnapshotPart, SnapshotProgress};
 use crate::store::Store;
-use quincehatch_core::{Millis, Name, Version};
+use quincehatch_core::{Name, Version};
 
 /// Why a snapshot is transferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,18 +42,12 @@
         progress: SnapshotProgress,
     ) -> PeerMessage {
         let part = self.usable_snapshot().part_after(progress);
-        let now = self.now;
-        let remaining = |until: Millis| until.saturating_sub(now);
-        let mut dismissed_leases = Vec::new();
-        for (node, until) in &self.dismissed_leases {
-            dismissed_leases.push(DismissedLease { node: node.clone(), remaining_ms: remaining(*until) });
-        }
         PeerMessage::Snapshot {
             version: self.view.version,
             part,
             joining: purpose == TransferPurpose::Join,
-            dismissed_leases,
-            unknown_leases_ms: remaining(self.unknown_leases_until),
+            dismissed_leases: self.dismissed_leases.remaining(self.now),
+            unknown_leases_ms: self.dismissed_leases.unknown_leases_ms(self.now),
         }
     }
 
--- a/crates/store/src/keeper/step.rs
+++ b/crates/store/src/keeper/step.rs
@@ -77,7 +77,7 @@
             PeerMessage::Snapshot { version, part, joining, dismissed_leases, unknown_leases_ms } => {
                 let purpose = TransferPurpose::from_joining(joining);
                 if self.accept_snapshot_part(from, version, part, purpose) {
-                    self.take_over_dismissals(dismissed_leases, unknown_leases_ms);
+                    self.dismissed_leases.take_over(self.now, dismissed_leases, unknown_leases_ms);
                 }
             }
             PeerMessage::Discover { at } => self.handle_discover(from, at),
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod command;
 pub mod compression;
 pub mod disk_usage;
+pub mod dismissed_leases;
 pub mod driver;
 pub mod entry_log;
 pub mod feed;
--- a/crates/store/src/node_leases.rs
+++ b/crates/store/src/node_leases.rs
@@ -2,6 +2,7 @@
 //!
 //! A node acts on its copy of the state only while it holds a lease. A write is therefore in force everywhere once every
 //! node with a lease has applied it.
+use crate::dismissed_leases::DismissedLeases;
 use crate::messages::LeaseStatus;
 use crate::timing::{NODE_LEASE, with_clock_drift};
 use quincehatch_core::{ChangeNumber, Millis, Name};
@@ -39,22 +40,20 @@
     ///
     /// It does not know which leases its predecessors granted, but to whom they may have: to enrolled nodes and to those
     /// dismissed recently. Each of these may hold a lease until it polls here or the term has passed.
-    /// `unknown_leases_until` covers nodes that were dismissed before anyone here took note.
     pub fn begin<'names>(
         now: Millis,
         enrolled: impl Iterator<Item = &'names Name>,
-        dismissed_leases: &BTreeMap<Name, Millis>,
-        unknown_leases_until: Millis,
+        dismissed: &DismissedLeases,
     ) -> Self {
         let mut leases = BTreeMap::new();
-        for (node, until) in dismissed_leases {
+        for (node, until) in dismissed.known() {
             leases.insert(node.clone(), NodeLease::possible(*until));
         }
         let full_term = now + with_clock_drift(NODE_LEASE);
         for node in enrolled {
             leases.insert(node.clone(), NodeLease::possible(full_term));
         }
-        Self { leases, unknown_until: unknown_leases_until }
+        Self { leases, unknown_until: dismissed.unknown_until() }
     }
 
     /// Grants or renews a lease to a node that has applied all changes up to `applied`. Returns the term for the node,
