--- a/crates/simulator/src/direct/server.rs
+++ b/crates/simulator/src/direct/server.rs
@@ -1,160 +1,162 @@
-//! What a simulated server does with a question on a held link.
-use super::site::{Link, State, Txn};
-use bytes::Bytes;
-use quincehatch_core::{Millis, Position, Role};
-use quincehatch_proxy::ports::{RejectReason, ServerCall, ServerReply, TransactionState};
+//! A simulated database server: its role, its log, and what of the log its reads see.
+use crate::fleet::simulation::ProcessId;
+use quincehatch_core::{Millis, Name, Position, Role};
+use quincehatch_proxy::ports::{ServerReply, ServerStatus};
+use std::collections::VecDeque;
+use std::io;
+use std::sync::Arc;
+use tokio::sync::oneshot;
 
-/// What an executed question comes to.
-pub enum Done {
-    Said(ServerReply),
-    /// A commit under this id of these writes, answered once a replica has it.
-    Commit(u64, Vec<u64>),
+/// Requests that a server executes at a time.
+pub const SLOTS: usize = 5;
+/// Connections that a server takes.
+pub const MAX_CONNECTIONS: usize = 24;
+/// Position before the first commit.
+const EMPTY_LOG: Position = Position { fence: 1, number: 0 };
+
+/// Where the reply to a call goes.
+pub type ReplySender = oneshot::Sender<io::Result<ServerReply>>;
+
+/// A commit in a server's log.
+#[derive(Debug, PartialEq)]
+pub struct LogEntry {
+    /// Where in the log it is.
+    pub position: Position,
+    /// Ids of the writes in it.
+    pub writes: Vec<u64>,
 }
 
-impl Link {
-    pub fn stage(&self) -> TransactionState {
-        match &self.txn {
-            None => TransactionState::Idle,
-            Some(t) if t.broken => TransactionState::Failed,
-            Some(_) => TransactionState::Open,
-        }
+/// A commit whose reply waits for a replica to receive it.
+pub struct PendingCommit {
+    /// The commit.
+    pub entry: Arc<LogEntry>,
+    /// The connection that it came on.
+    pub connection: u64,
+    /// What is replied.
+    pub reply: ServerReply,
+    /// Where the reply goes.
+    pub reply_to: ReplySender,
+}
+
+/// What the chain holds of a server.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Registration {
+    /// Its name.
+    pub name: Name,
+    /// Its role.
+    pub role: Role,
+    /// It announced that it drains.
+    pub draining: bool,
+}
+
+/// A server of the group.
+#[derive(Default)]
+pub struct Server {
+    /// Its name; a successor at the same address has another.
+    pub name: Name,
+    /// Its process.
+    pub pid: ProcessId,
+    /// Its address.
+    pub addr: Name,
+    /// Its role.
+    pub role: Role,
+    /// The newest term it has heard of.
+    pub term: u64,
+    /// The term up to which it is suspended; none: 0.
+    pub suspended_term: u64,
+    /// All commits it has received.
+    pub log: Vec<Arc<LogEntry>>,
+    /// Entries of the log that reads see.
+    pub visible: usize,
+    /// When reads see how many entries.
+    pub pending_visibility: VecDeque<(Millis, usize)>,
+    /// Requests in execution.
+    pub slots_in_use: usize,
+    /// It rejects all requests as busy before that time.
+    pub busy_until: Millis,
+    /// Commits that wait for a replica.
+    pub pending_commits: Vec<PendingCommit>,
+    /// It receives nothing of its primary.
+    pub replication_stopped: bool,
+    /// How much later its reads see what it received.
+    pub replication_lag: Millis,
+    /// How much longer each request takes.
+    pub extra_latency: Millis,
+    /// So many replies to come are lost.
+    pub replies_to_lose: u32,
+    /// It drains.
+    pub draining: bool,
+    /// When the chain acknowledged that it drains.
+    pub drain_acknowledged_at: Option<Millis>,
+    /// Rises with each registration.
+    pub registration_sequence: u64,
+    /// Its last acknowledged registration.
+    pub registered_as: Option<Registration>,
+}
+
+impl Server {
+    /// The end of its log.
+    pub fn log_end(&self) -> Position {
+        self.log.last().map_or(EMPTY_LOG, |entry| entry.position)
     }
-    fn no(&mut self, no: RejectReason) -> Done {
-        if let Some(t) =
-            self.txn.as_mut().filter(|_| !matches!(no, RejectReason::Busy | RejectReason::Unprepared))
-        {
-            t.broken = true;
+
+    /// How many entries reads see by now.
+    pub fn visible_entries(&mut self, now: Millis) -> usize {
+        while let Some((_, count)) = self.pending_visibility.front().copied().filter(|(at, _)| *at <= now) {
+            self.pending_visibility.pop_front();
+            self.visible = self.visible.max(count.min(self.log.len()));
+        }
+        if self.role == Role::Primary {
+            self.visible = self.log.len();
         }
-        Done::Said(ServerReply {
-            rejection: Some((no, Bytes::new())),
-            transaction_state: self.stage(),
-            ..ServerReply::default()
-        })
+        self.visible
     }
-    fn done(&self) -> Done {
-        Done::Said(ServerReply { transaction_state: self.stage(), ..ServerReply::default() })
+
+    /// The end of what reads see by now.
+    pub fn visible_end(&mut self, now: Millis) -> Position {
+        let visible = self.visible_entries(now);
+        visible.checked_sub(1).map_or(EMPTY_LOG, |last| self.log[last].position)
     }
-}
 
-pub fn number(id: &Bytes) -> u64 {
-    std::str::from_utf8(id).ok().and_then(|s| s.parse().ok()).unwrap_or(0)
-}
+    /// True if the entry is among the first `within` of the log.
+    pub fn holds(&self, entry: &Arc<LogEntry>, within: usize) -> bool {
+        let number = entry.position.number as usize;
+        number <= within && self.log.get(number - 1).is_some_and(|held| Arc::ptr_eq(held, entry))
+    }
+
+    /// How many entries its log and another begin with alike.
+    pub fn common_prefix(&self, log: &[Arc<LogEntry>]) -> usize {
+        self.log.iter().zip(log).take_while(|(own, other)| Arc::ptr_eq(own, other)).count()
+    }
 
-impl State {
-    pub fn run(&mut self, now: Millis, l: &mut Link, call: &ServerCall, fails: bool) -> Done {
-        let s = &mut self.servers[l.server];
-        let (sees, end) = (s.sees(now), s.visible_end(now));
-        let behind = |f: &Option<Position>| f.is_some_and(|p| end < p);
-        match call {
-            ServerCall::Begin { read, floor } => {
-                if behind(floor) {
-                    return l.no(RejectReason::Behind);
-                }
-                if !read && s.role != Role::Primary {
-                    return l.no(RejectReason::NotPrimary);
-                }
-                let (of, writes) = (None, Vec::new());
-                l.txn = Some(Txn { read: *read, term: s.term, of, writes, sees, broken: false });
-                l.done()
-            }
-            ServerCall::Run { id, floor, .. } | ServerCall::Execute { id, floor, .. } => {
-                let id = number(id);
-                if behind(floor) {
-                    return l.no(RejectReason::Behind);
-                }
-                let shape = match call {
-                    ServerCall::Execute { name, .. } if !l.prepared.contains_key(name) => {
-                        return l.no(RejectReason::Unprepared);
-                    }
-                    ServerCall::Execute { name, .. } => l.prepared.get(name).cloned(),
-                    _ => None,
-                };
-                let s = &self.servers[l.server];
-                let lost = |t: &Txn| t.broken || (!t.read && (s.role != Role::Primary || s.term != t.term));
-                if l.txn.as_ref().is_some_and(lost) {
-                    return l.no(RejectReason::NotPrimary);
-                }
-                let sees = l.txn.as_ref().filter(|t| t.read).map_or(sees, |t| t.sees);
-                self.book.check_execution(now, id, l, s, sees);
-                let Some(a) = self.book.asked.get(&id) else { return l.no(RejectReason::Other) };
-                let text = match call {
-                    ServerCall::Run { text, .. } => text.clone(),
-                    ServerCall::Execute { rest, .. } => rest.clone(),
-                    _ => Bytes::new(),
-                };
-                if (&a.text, &a.shape) != (&text, &shape) {
-                    let why = format!("{id} ran as {text:?} {shape:?} instead of {:?} {:?}", a.text, a.shape);
-                    self.book.record_violation(format!("UNASKED at {now}: {why}"));
-                    return l.no(RejectReason::Other);
-                }
-                if fails {
-                    return l.no(RejectReason::Failed);
-                }
-                let (write, of) = (a.write, a.txn.map(|t| t.0));
-                if let Some(t) = l.txn.as_mut() {
-                    t.of = of;
-                    t.writes.extend(write.then_some(id));
-                } else if write {
-                    return match s.role {
-                        Role::Primary => Done::Commit(id, vec![id]),
-                        Role::Replica => l.no(RejectReason::NotPrimary),
-                    };
-                }
-                let rows = vec![Bytes::from(format!("row {id}"))];
-                Done::Said(ServerReply { rows, transaction_state: l.stage(), ..ServerReply::default() })
-            }
-            ServerCall::Commit { id } => {
-                let id = number(id);
-                let s = &self.servers[l.server];
-                let Some(t) = l.txn.take() else { return l.no(RejectReason::Other) };
-                if t.broken {
-                    return l.no(RejectReason::Other);
-                }
-                if !self
-                    .book
-                    .asked
-                    .get(&id)
-                    .is_some_and(|a| a.commit && (t.of.is_none() || a.txn.map(|x| x.0) == t.of))
-                {
-                    self.book
-                        .record_violation(format!("UNASKED at {now}: {id} commits {:?} on {}", t.of, s.name));
-                }
-                let lost = s.role != Role::Primary || s.term != t.term;
-                match (t.writes.is_empty(), lost) {
-                    (true, _) => l.done(),
-                    (false, true) => l.no(RejectReason::NotPrimary),
-                    (false, false) => Done::Commit(id, t.writes),
-                }
-            }
-            ServerCall::Rollback => {
-                l.txn = None;
-                l.done()
-            }
-            ServerCall::Set { name, value } => {
-                l.values.insert(name.clone(), value.clone());
-                l.done()
-            }
-            ServerCall::Prepare { name, write, shape } => {
-                l.prepared.insert(name.clone(), (*write, shape.clone()));
-                l.done()
-            }
-            ServerCall::Reset => {
-                l.values.clear();
-                l.prepared.clear();
-                l.done()
-            }
-            ServerCall::Status
-            | ServerCall::Suspend { .. }
-            | ServerCall::Resume
-            | ServerCall::Demote { .. } => {
-                let links = self.links.values().filter(|x| x.server == l.server).count() as u64;
-                let look = self.told(now, l.server, call, links);
-                Done::Said(ServerReply {
-                    status: Some(look),
-                    transaction_state: l.stage(),
-                    ..ServerReply::default()
-                })
-            }
+    /// Drops what a primary's log does not begin with; true if there was anything.
+    pub fn truncate_to(&mut self, log: &[Arc<LogEntry>]) -> bool {
+        let common = self.common_prefix(log);
+        let truncated = self.log.len() > common;
+        self.log.truncate(common);
+        self.visible = self.visible.min(common);
+        self.pending_visibility.clear();
+        if self.visible < common {
+            self.pending_visibility.push_back((0, common));
         }
+        truncated
+    }
+
+    /// What it tells of itself.
+    pub fn status(&self, connections: u64) -> ServerStatus {
+        ServerStatus {
+            role: self.role,
+            term: self.term,
+            received: self.log_end(),
+            suspended_term: self.suspended_term,
+            lag_ms: self.replication_lag,
+            busy_slots: self.slots_in_use as u64,
+            connections,
+        }
+    }
+
+    /// What the chain should hold of it.
+    pub fn registration(&self) -> Registration {
+        Registration { name: self.name.clone(), role: self.role, draining: self.draining }
     }
 }
--- /dev/null
+++ b/crates/testbed/src/caller_operations.rs
@@ -0,0 +1,233 @@
+//! What a caller does: orders in one step or several, the resolution of open ones, and lookups of its orders.
+use crate::caller::{Caller, ORDER_MS, Reply, Session, call_end};
+use crate::history::{CallEnd, ReadRecord};
+use quincehatch_core::{ErrorCode, Millis};
+use quincehatch_runtime::{now, seam};
+use serde_json::{Value, json};
+use std::collections::BTreeSet;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+
+/// Drawn numbers below this make an order of several steps, out of [`ORDER_KINDS`].
+const STEPPED_ORDERS: u64 = 3;
+const ORDER_KINDS: u64 = 10;
+/// Shares of attempts that are sent again: of those not applied, and of one-step orders that are committed.
+const RESENT_NOT_APPLIED_PER_MILLE: u64 = 500;
+const RESENT_COMMITTED_PER_MILLE: u64 = 30;
+/// An order in doubt is asked after so often, with this pause.
+const RESOLUTIONS: usize = 60;
+const RESOLUTION_PAUSE: Duration = Duration::from_millis(200);
+/// Pauses between the steps of an order are below this, in milliseconds.
+const STEP_PAUSE_SPREAD: u64 = 40;
+/// Shares of lookups that go to the primary, and that are sent on a session.
+const PRIMARY_READS_PER_MILLE: u64 = 250;
+const SESSION_READS_PER_MILLE: u64 = 300;
+
+/// A statement, and the rows that the session's state promises.
+struct SessionStatement {
+    text: String,
+    params: Value,
+    promised_rows: Option<Value>,
+}
+
+impl Caller {
+    /// One order, in one step or several; in doubt it is asked after until its outcome is known.
+    pub async fn place_order(&mut self) {
+        self.order_count += 1;
+        let key = format!("{}-{}", self.caller_mark(), self.order_count);
+        let kind = self.rng.below(ORDER_KINDS);
+        let began = now();
+        let mut end = self.send_order(&key, kind).await;
+        self.record_served("order", began, end == CallEnd::Committed, 0);
+        let is_single = kind >= STEPPED_ORDERS;
+        let resend = (end == CallEnd::NotApplied && self.rng.chance(RESENT_NOT_APPLIED_PER_MILLE))
+            || (end == CallEnd::Committed && is_single && self.rng.chance(RESENT_COMMITTED_PER_MILLE));
+        if resend {
+            end = self.send_order(&key, kind).await;
+        }
+        for _ in 0..RESOLUTIONS {
+            let in_doubt = matches!(end, CallEnd::Unknown | CallEnd::NoReply);
+            if !in_doubt || self.env.stop.load(Ordering::Relaxed) {
+                break;
+            }
+            seam::sleep(RESOLUTION_PAUSE).await;
+            end = self.resolve_outcome(&key).await;
+        }
+    }
+
+    /// Sends an order. An attempt that is repeated brings the same content.
+    async fn send_order(&mut self, key: &str, kind: u64) -> CallEnd {
+        if kind < STEPPED_ORDERS {
+            self.order_in_steps(key, 1 + kind).await
+        } else {
+            self.order_in_one_step(key).await
+        }
+    }
+
+    /// Asks what became of an attempt, and seals it if it is not committed.
+    pub async fn resolve_outcome(&mut self, key: &str) -> CallEnd {
+        let body = json!({"try": key, "labels": self.labels(), "seal": true, "deadline_ms": ORDER_MS});
+        let asked = now();
+        let reply = self.call("/v1/outcome", body, ORDER_MS).await;
+        self.record_reply(key, asked, reply.as_ref())
+    }
+
+    async fn order_in_one_step(&mut self, key: &str) -> CallEnd {
+        let text = format!("append {} $1", self.list());
+        let mark = format!("{}#try{}", self.caller_mark(), self.order_count);
+        let body = json!({"try": key, "text": text, "params": [key, mark], "labels": self.labels(),
+            "deadline_ms": ORDER_MS});
+        let asked = now();
+        let reply = self.call("/v1/order", body, ORDER_MS).await;
+        self.record_reply(key, asked, reply.as_ref())
+    }
+
+    async fn order_in_steps(&mut self, key: &str, steps: u64) -> CallEnd {
+        let Some(session) = self.session().await else { return self.record_never_sent(key) };
+        let Session { id, version } = &session;
+        let begin =
+            json!({"session": id, "version": version, "labels": self.labels(), "deadline_ms": ORDER_MS});
+        let reply = self.call("/v1/begin", begin, ORDER_MS).await;
+        if call_end(reply.as_ref()) != CallEnd::Committed {
+            self.drop_lost_session(reply.as_ref());
+            return self.record_never_sent(key);
+        }
+        for step in 0..=steps {
+            let Some(statement) = self.draw_step(key, step, steps) else { break };
+            let SessionStatement { text, params, promised_rows } = statement;
+            let run = json!({"session": id, "version": version, "text": text, "params": params,
+                "deadline_ms": ORDER_MS});
+            let reply = self.call("/v1/run", run, ORDER_MS).await;
+            self.check_session_state(&text, promised_rows.as_ref(), reply.as_ref());
+            if call_end(reply.as_ref()) != CallEnd::Committed {
+                self.drop_lost_session(reply.as_ref());
+                return self.record_never_sent(key);
+            }
+            let pause = self.rng.below(STEP_PAUSE_SPREAD);
+            seam::sleep(Duration::from_millis(pause)).await;
+        }
+        let asked = now();
+        let commit = json!({"session": id, "version": version, "try": key, "deadline_ms": ORDER_MS});
+        let reply = self.call("/v1/commit", commit, ORDER_MS).await;
+        self.drop_lost_session(reply.as_ref());
+        self.record_reply(key, asked, reply.as_ref())
+    }
+
+    /// A step of an order; the last one may use the session's state, which holds within a transaction too.
+    fn draw_step(&mut self, key: &str, step: u64, steps: u64) -> Option<SessionStatement> {
+        let mark = self.next_mark();
+        if step == 0 {
+            let text = format!("append {} $1", self.list());
+            return Some(SessionStatement { text, params: json!([key, mark]), promised_rows: None });
+        }
+        if step < steps {
+            let text = "add total 1".into();
+            return Some(SessionStatement { text, params: json!([mark]), promised_rows: None });
+        }
+        match self.rng.below(3) {
+            0 => Some(self.show_tag(mark)),
+            1 => Some(self.execute_prepared(json!(key), mark)),
+            _ => None,
+        }
+    }
+
+    fn show_tag(&self, mark: String) -> SessionStatement {
+        let promised_rows = Some(json!([[self.caller_mark()]]));
+        SessionStatement { text: "show tag".into(), params: json!([mark]), promised_rows }
+    }
+
+    fn execute_prepared(&self, argument: Value, mark: String) -> SessionStatement {
+        let promised_rows = Some(json!([[self.caller_mark(), argument]]));
+        SessionStatement { text: "exec mine".into(), params: json!([argument, mark]), promised_rows }
+    }
+
+    /// Records an attempt whose commit was never sent.
+    fn record_never_sent(&self, key: &str) -> CallEnd {
+        let reply = Reply { status: 0, body: json!({"end": "nothing"}) };
+        self.record_reply(key, now(), Some(&reply))
+    }
+
+    /// A session that is gone, or whose state is not known after a lost answer, is opened anew.
+    fn drop_lost_session(&mut self, reply: Option<&Reply>) {
+        let lost = [ErrorCode::SessionUnknown, ErrorCode::SessionLost, ErrorCode::InTransaction];
+        if reply.is_none_or(|reply| reply.has_code(&lost)) {
+            self.session = None;
+        }
+    }
+
+    /// A session finds its state wherever it runs: other rows, or a server that does not know the prepared statement,
+    /// are a violation.
+    fn check_session_state(&self, text: &str, promised_rows: Option<&Value>, reply: Option<&Reply>) {
+        let (Some(promised), Some(reply)) = (promised_rows, reply) else { return };
+        let answer = &reply.body;
+        let has_other_rows = answer["end"] == "kept" && answer["rows"] != *promised;
+        if has_other_rows || reply.has_code(&[ErrorCode::ServerRejected]) {
+            let (node, server) = (&answer["where"]["node"], &answer["where"]["server"]);
+            let (caller, rows) = (self.caller_mark(), &answer["rows"]);
+            let violation =
+                format!("N7 {caller} lost its session state: '{text}' on {server} by {node} came to {rows}");
+            self.env.history.lock().unwrap().violations.push(violation);
+        }
+    }
+
+    /// A lookup of this caller's orders, by a replica or at the primary.
+    pub async fn look_up(&mut self) {
+        let order_side = self.rng.chance(PRIMARY_READS_PER_MILLE);
+        let session = if self.rng.chance(SESSION_READS_PER_MILLE) { self.session().await } else { None };
+        let deadline = if order_side { ORDER_MS } else { self.env.lookup_ms };
+        let statement = self.draw_lookup(session.is_some());
+        let mut body = json!({"text": statement.text, "params": statement.params,
+            "labels": self.labels(), "deadline_ms": deadline, "order_side": order_side});
+        if let Some(Session { id, version }) = &session {
+            body["session"] = json!(id);
+            body["version"] = json!(version);
+        }
+        let asked = now();
+        let reply = self.call("/v1/lookup", body, deadline).await;
+        let succeeded = call_end(reply.as_ref()) == CallEnd::Committed;
+        self.check_session_state(&statement.text, statement.promised_rows.as_ref(), reply.as_ref());
+        self.drop_lost_session(reply.as_ref());
+        // A session whose every owner died is lost, and said to be so: that tells nothing of the service.
+        let session_lost = [ErrorCode::SessionUnknown, ErrorCode::SessionLost];
+        let tells_of_service = !reply.as_ref().is_some_and(|reply| reply.has_code(&session_lost));
+        if !order_side && tells_of_service {
+            let code = reply.as_ref().and_then(Reply::code).unwrap_or(0);
+            self.record_served("lookup", asked, succeeded, code);
+        }
+        if let Some(reply) = reply.filter(|_| succeeded && statement.promised_rows.is_none()) {
+            self.record_read(order_side, asked, &reply.body);
+        }
+    }
+
+    /// A read of the caller's list; on a session often one of the session's state instead.
+    fn draw_lookup(&mut self, on_session: bool) -> SessionStatement {
+        let mark = self.next_mark();
+        let kind = if on_session { self.rng.below(10) } else { u64::MAX };
+        match kind {
+            0..3 => self.show_tag(mark),
+            3..6 => self.execute_prepared(json!(self.order_count), mark),
+            _ => SessionStatement {
+                text: format!("get {}", self.list()),
+                params: json!([mark]),
+                promised_rows: None,
+            },
+        }
+    }
+
+    fn record_read(&self, order_side: bool, asked: Millis, answer: &Value) {
+        let place = |key: &str| answer["where"][key].as_str().unwrap_or_default().to_owned();
+        let orders = answer["rows"][0][0].as_array().into_iter().flatten().filter_map(Value::as_str);
+        let seen: BTreeSet<String> = orders.map(str::to_owned).collect();
+        let read = ReadRecord {
+            group: self.group(),
+            list: self.list(),
+            order_side,
+            asked,
+            answered: now(),
+            seen,
+            server: place("server"),
+            node: place("node"),
+        };
+        self.env.history.lock().unwrap().reads.push(read);
+    }
+}
