--- a/crates/store/src/keeper.rs
+++ b/crates/store/src/keeper.rs
@@ -1,5 +1,5 @@
-//! A keeper: one replica of the store. It is a voter of the view register and, while it is a member of the view, a link
-//! of the replication chain, perhaps its head or its tail.
+//! A keeper: one replica of the store. It is a voter of the view register and, while it is in the view, a
+//! member of the replication chain, perhaps its head or its tail.
 //!
 //! [`Keeper::step`] is the whole protocol without input or output: it takes one [`Input`] and returns [`Output`]s. The
 //! caller makes records durable, sends messages and tells the time.
@@ -19,7 +19,6 @@
 mod view_lease;
 mod view_repair;
 
-use crate::compression::PackedText;
 use crate::disk_usage::DiskUsage;
 use crate::dismissed_leases::DismissedLeases;
 use crate::entry_log::EntryLog;
@@ -30,6 +29,7 @@
 use crate::store::Store;
 use crate::timing::{NODE_LEASE, VIEW_LEASE, with_clock_drift};
 use crate::view::View;
+use feed_updates::PackedConfiguration;
 use membership::{Discovery, Leaving};
 use quincehatch_core::{ChangeNumber, Millis, Name, Version, hash64};
 use quincehatch_runtime::seam;
@@ -80,8 +80,8 @@
 
     // Requests and the feed.
     recent_changes: RecentChanges,
-    /// The configuration of that version, packed once for all snapshots that carry it.
-    packed_configuration: Option<(Version, PackedText)>,
+    /// The configuration in force, packed once for all snapshots that carry it.
+    packed_configuration: Option<PackedConfiguration>,
     commit_times: CommitTimes,
     pending_writes: Vec<PendingWrite>,
     pending_polls: Vec<PendingPoll>,
--- a/crates/store/src/keeper/feed_updates.rs
+++ b/crates/store/src/keeper/feed_updates.rs
@@ -3,7 +3,14 @@
 use crate::compression::PackedText;
 use crate::feed::{Change, FeedSnapshot};
 use crate::messages::Reply;
-use quincehatch_core::{ChangeNumber, Millis};
+use quincehatch_core::{ChangeNumber, Millis, Version};
+
+/// A configuration, packed for snapshots.
+#[derive(Clone, Debug)]
+pub(super) struct PackedConfiguration {
+    version: Version,
+    json: PackedText,
+}
 
 impl Keeper {
     /// The changes that follow `last_change`, or a snapshot if they are not all remembered.
@@ -30,13 +37,11 @@
     /// The packed configuration in force. It is packed once a version, however many nodes ask for it.
     fn packed_configuration_json(&mut self) -> PackedText {
         let version = self.store.configuration_version();
-        if let Some((packed_version, packed)) = &self.packed_configuration
-            && *packed_version == version
-        {
-            return packed.clone();
+        if let Some(packed) = self.packed_configuration.as_ref().filter(|packed| packed.version == version) {
+            return packed.json.clone();
         }
-        let packed = PackedText::pack(self.store.configuration_json());
-        self.packed_configuration = Some((version, packed.clone()));
-        packed
+        let json = PackedText::pack(self.store.configuration_json());
+        self.packed_configuration = Some(PackedConfiguration { version, json: json.clone() });
+        json
     }
 }
