--- a/crates/lab/src/bench/ejection.rs
+++ b/crates/lab/src/bench/ejection.rs
@@ -17,7 +17,8 @@
 const STATE_POLL: Duration = Duration::from_millis(5);
 /// A fault that is not found by then counts as this long, in milliseconds.
 const EJECTION_TIMEOUT_MS: u64 = 40_000;
-const EJECTED: &str = "ejected";
+/// The word of the operator API for an ejected server.
+const EJECTED: &str = "set-aside";
 const PER_MILLE: u64 = 1_000;
 
 /// A fault and the load it comes into.
