--- a/crates/simulator/src/control/checks.rs
+++ b/crates/simulator/src/control/checks.rs
@@ -7,6 +7,7 @@
 /// Breaches of one check that are reported at most.
 const MAX_REPORTED: usize = 5;
 
+/// Every violation, as a line that begins with its check's number.
 pub fn check_history(history: &History, parameters: &Parameters) -> Vec<String> {
     let found = [
         check_acknowledged_is_durable(history),
--- a/crates/simulator/src/control/cluster.rs
+++ b/crates/simulator/src/control/cluster.rs
@@ -135,7 +135,12 @@
     /// Addresses of the machines that are there, up or not.
     pub fn addresses(&self) -> Vec<Name> {
         let state = self.state.lock().unwrap();
-        state.machines.iter().filter(|m| m.present).map(|m| m.address.clone()).collect()
+        state
+            .machines
+            .iter()
+            .filter(|machine| machine.present)
+            .map(|machine| machine.address.clone())
+            .collect()
     }
 
     /// Indices of the machines that are there.
--- a/crates/simulator/src/control/fault_effects.rs
+++ b/crates/simulator/src/control/fault_effects.rs
@@ -63,7 +63,7 @@
     let address = cluster.fresh_address();
     cluster.add_machine(slot, address);
     let at = cluster.core.now() + cluster.parameters.seed_lag;
-    schedule_at(cluster, at, |c| replace_absent_seeds(c));
+    schedule_at(cluster, at, |cluster| replace_absent_seeds(cluster));
 }
 
 /// Seeds that are no machine's address any more give way to machines that are there.
@@ -95,8 +95,8 @@
     }
     record_disturbance(&cluster);
     let process = cluster.state.lock().unwrap().machines[machine].process.clone();
-    let up = cluster.core.lock().processes[cluster.pid(machine)].up;
-    if let Some(process) = process.filter(|_| up) {
+    let is_up = cluster.core.lock().processes[cluster.pid(machine)].is_up;
+    if let Some(process) = process.filter(|_| is_up) {
         let within = cluster.parameters.leave_timeout;
         cluster.core.run_in(cluster.pid(machine), || machine::request_leave(&process, within));
     }
@@ -115,7 +115,7 @@
         let core = cluster.core.clone();
         return core.schedule_action(now + RETRY, move |_| end_once_left(cluster, machine, latest));
     }
-    schedule_at(&cluster, now + LINGER_AFTER_LEAVE, move |c| remove_machine(c, machine));
+    schedule_at(&cluster, now + LINGER_AFTER_LEAVE, move |cluster| remove_machine(cluster, machine));
 }
 
 pub fn isolate(cluster: &Arc<Cluster>, machine: usize, all: bool, one_way: bool, until: Millis) {
@@ -127,9 +127,9 @@
     }
     others.retain(|other| *other != pid);
     others.iter().for_each(|other| cluster.core.partition(pid, *other, !one_way));
-    schedule_at(cluster, until, move |c| {
-        others.iter().for_each(|other| c.core.heal_partition(pid, *other));
-        mark_recovered(c, machine);
+    schedule_at(cluster, until, move |cluster| {
+        others.iter().for_each(|other| cluster.core.heal_partition(pid, *other));
+        mark_recovered(cluster, machine);
     });
 }
 
@@ -145,9 +145,9 @@
     let pairs = left.iter().flat_map(|a| right.iter().map(|b| (cluster.pid(*a), cluster.pid(*b))));
     let pairs: Vec<(ProcessId, ProcessId)> = pairs.collect();
     pairs.iter().for_each(|(a, b)| cluster.core.partition(*a, *b, true));
-    schedule_at(cluster, now + time, move |c| {
-        pairs.iter().for_each(|(a, b)| c.core.heal_partition(*a, *b));
-        left.iter().chain(&right).for_each(|machine| mark_recovered(c, *machine));
+    schedule_at(cluster, now + time, move |cluster| {
+        pairs.iter().for_each(|(a, b)| cluster.core.heal_partition(*a, *b));
+        left.iter().chain(&right).for_each(|machine| mark_recovered(cluster, *machine));
     });
 }
 
@@ -159,15 +159,15 @@
     };
     cluster.core.lock().network.addresses.remove(old.as_str());
     let at = cluster.core.now() + cluster.parameters.seed_lag;
-    schedule_at(cluster, at, |c| replace_absent_seeds(c));
+    schedule_at(cluster, at, |cluster| replace_absent_seeds(cluster));
 }
 
 pub fn slow_disk(cluster: &Arc<Cluster>, machine: usize, sync: Millis, until: Millis) {
     let disk = cluster.disk(machine);
     let usual = std::mem::replace(&mut disk.lock().unwrap().sync_ms, sync);
-    schedule_at(cluster, until, move |c| {
+    schedule_at(cluster, until, move |cluster| {
         disk.lock().unwrap().sync_ms = usual;
-        mark_recovered(c, machine);
+        mark_recovered(cluster, machine);
     });
 }
 
@@ -183,8 +183,8 @@
         present.filter_map(|machine| Some((machine.pid, machine.process.clone()?))).collect::<Vec<_>>()
     };
     for (pid, process) in processes {
-        let up = cluster.core.lock().processes[pid].up;
-        if up {
+        let is_up = cluster.core.lock().processes[pid].is_up;
+        if is_up {
             cluster.core.run_in(pid, || machine::update_seeds(&process, seeds.clone()));
         }
     }
@@ -198,6 +198,6 @@
     for machine in cluster.present() {
         cluster.budget.lock().unwrap().mark_lost(cluster.slot(machine));
         kill_machine(cluster, machine, power);
-        schedule_at(cluster, now + down, move |c| restart_machine(c, machine));
+        schedule_at(cluster, now + down, move |cluster| restart_machine(cluster, machine));
     }
 }
--- a/crates/simulator/src/control/inject.rs
+++ b/crates/simulator/src/control/inject.rs
@@ -42,14 +42,15 @@
 
 fn is_allowed(cluster: &Cluster, fault: Fault, machine: usize, now: Millis) -> bool {
     let slot = cluster.slot(machine);
-    let up = cluster.core.lock().processes[cluster.pid(machine)].up;
+    let is_up = cluster.core.lock().processes[cluster.pid(machine)].is_up;
     let budget = cluster.budget.lock().unwrap();
     match fault.cost() {
         FaultCost::None => true,
-        FaultCost::Planned => up && cluster.state.lock().unwrap().machines[machine].present,
+        FaultCost::Planned => is_up && cluster.state.lock().unwrap().machines[machine].present,
         FaultCost::All => budget.none_lost(now),
         FaultCost::Machine => {
-            up && cluster.state.lock().unwrap().machines[machine].present
+            is_up
+                && cluster.state.lock().unwrap().machines[machine].present
                 && !budget.is_lost_now(slot)
                 && budget.allows(slot, now, cluster.parameters.shape.tolerated)
         }
@@ -63,69 +64,79 @@
         cluster.budget.lock().unwrap().mark_lost(cluster.slot(machine));
     }
     match fault {
-        Fault::Replace => {
-            remove_machine(cluster, machine);
-            let start = now + cluster.parameters.successor_delay;
-            schedule_at(cluster, start, move |c| {
-                add_successor(c, c.slot(machine));
-                mark_recovered(c, machine);
-            });
-        }
-        Fault::PlannedReplace { after: wait } => {
+        Fault::Replace => replace(cluster, machine),
+        Fault::PlannedReplace { after } => {
             add_successor(cluster, cluster.fresh_slot());
-            schedule_at(cluster, now + wait, move |c| stop_when_allowed(c.clone(), machine, now));
+            let act = move |cluster: &Arc<Cluster>| stop_when_allowed(cluster.clone(), machine, now);
+            schedule_at(cluster, now + after, act);
         }
         Fault::WipeDisk { down } => {
-            kill_machine(cluster, machine, false);
+            kill_for(cluster, machine, false, down);
             let address = cluster.state.lock().unwrap().machines[machine].address.clone();
             *cluster.disk(machine).lock().unwrap() = cluster.empty_disk(&address);
-            schedule_at(cluster, now + down, move |c| restart_machine(c, machine));
         }
         Fault::Isolate { all, one_way, time } => isolate(cluster, machine, all, one_way, now + time),
         Fault::Split { time } => split_core(cluster, time),
         Fault::Suspend { time } => {
             record_disturbance(cluster);
             cluster.core.suspend(cluster.pid(machine), time);
-            schedule_at(cluster, now + time, move |c| mark_recovered(c, machine));
-        }
-        Fault::Kill { down } => {
-            kill_machine(cluster, machine, false);
-            schedule_at(cluster, now + down, move |c| restart_machine(c, machine));
-        }
-        Fault::PowerLoss { down } => {
-            kill_machine(cluster, machine, true);
-            schedule_at(cluster, now + down, move |c| restart_machine(c, machine));
+            recover_after(cluster, machine, time);
         }
+        Fault::Kill { down } => kill_for(cluster, machine, false, down),
+        Fault::PowerLoss { down } => kill_for(cluster, machine, true, down),
         Fault::ChangeAddress { down } => {
             kill_machine(cluster, machine, false);
             move_to_new_address(cluster, machine);
-            schedule_at(cluster, now + down, move |c| restart_machine(c, machine));
-        }
-        Fault::SlowSteps { step, time } => {
-            cluster.budget.lock().unwrap().record_disturbance(now, now + time);
-            cluster.state.lock().unwrap().machines[machine].step_delay = step;
-            schedule_at(cluster, now + time, move |c| {
-                c.state.lock().unwrap().machines[machine].step_delay = 0;
-                mark_recovered(c, machine);
-            });
+            schedule_at(cluster, now + down, move |cluster| restart_machine(cluster, machine));
         }
+        Fault::SlowSteps { step, time } => slow_steps(cluster, machine, step, time),
         Fault::SlowDisk { sync, time } => slow_disk(cluster, machine, sync, now + time),
         Fault::StalledDisk { time } => {
             cluster.disk(machine).lock().unwrap().stalled_until = now + time;
-            schedule_at(cluster, now + time, move |c| mark_recovered(c, machine));
+            recover_after(cluster, machine, time);
         }
         Fault::FullDisk { time } => {
             cluster.disk(machine).lock().unwrap().full_until = now + time;
-            schedule_at(cluster, now + time, move |c| mark_recovered(c, machine));
-        }
-        Fault::LoseReplies { time } => {
-            cluster.state.lock().unwrap().replies_lost_until = now + time;
+            recover_after(cluster, machine, time);
         }
+        Fault::LoseReplies { time } => cluster.state.lock().unwrap().replies_lost_until = now + time,
         Fault::ChangeSeeds => change_seeds(cluster),
         Fault::KillAll { power, down } => kill_all_machines(cluster, power, down),
     }
 }
 
+/// The machine goes for good; an empty one comes at another address.
+fn replace(cluster: &Arc<Cluster>, machine: usize) {
+    remove_machine(cluster, machine);
+    let start = cluster.core.now() + cluster.parameters.successor_delay;
+    schedule_at(cluster, start, move |cluster| {
+        add_successor(cluster, cluster.slot(machine));
+        mark_recovered(cluster, machine);
+    });
+}
+
+/// Kills a machine and restarts it later.
+fn kill_for(cluster: &Arc<Cluster>, machine: usize, power_loss: bool, down: Millis) {
+    kill_machine(cluster, machine, power_loss);
+    let restart_at = cluster.core.now() + down;
+    schedule_at(cluster, restart_at, move |cluster| restart_machine(cluster, machine));
+}
+
+/// The machine's fault is over at the end of that time.
+fn recover_after(cluster: &Arc<Cluster>, machine: usize, time: Millis) {
+    schedule_at(cluster, cluster.core.now() + time, move |cluster| mark_recovered(cluster, machine));
+}
+
+fn slow_steps(cluster: &Arc<Cluster>, machine: usize, step: Millis, time: Millis) {
+    let now = cluster.core.now();
+    cluster.budget.lock().unwrap().record_disturbance(now, now + time);
+    cluster.state.lock().unwrap().machines[machine].step_delay = step;
+    schedule_at(cluster, now + time, move |cluster| {
+        cluster.state.lock().unwrap().machines[machine].step_delay = 0;
+        mark_recovered(cluster, machine);
+    });
+}
+
 /// Ends what is under way, so that all machines run and are connected.
 pub fn heal_all(cluster: &Arc<Cluster>) {
     let core: &Arc<Simulation> = &cluster.core;
--- a/crates/simulator/src/control/keeper_requests.rs
+++ b/crates/simulator/src/control/keeper_requests.rs
@@ -12,22 +12,22 @@
 use tokio::sync::oneshot;
 
 /// Answers frames at the machine's address.
-pub fn listen(cluster: &Arc<Cluster>, process: &Process, address: &Name, pid: ProcessId, me: Identity) {
+pub fn listen(cluster: &Arc<Cluster>, process: &Process, address: &Name, pid: ProcessId, identity: Identity) {
     let process = process.clone();
     let on_frame = move |bytes: Vec<u8>| {
-        let received = quincehatch_wire::receive::<KeeperRequest>(&me, &bytes);
+        let received = quincehatch_wire::receive::<KeeperRequest>(&identity, &bytes);
         let (call, waiting) = match received {
             Ok(Received::Request { call, request }) => (call, submit(&process, request)),
             Ok(Received::Rejected(frame)) => return Box::pin(async { Some(frame) }) as BoxFuture<'static, _>,
             Err(_) => return Box::pin(async { None }) as BoxFuture<'static, _>,
         };
-        let me = me.clone();
+        let identity = identity.clone();
         Box::pin(async move {
             let answer = match waiting {
                 None => KeeperResponse::Delivered,
                 Some(reply) => KeeperResponse::Reply { reply: reply.await.ok()? },
             };
-            quincehatch_wire::encode_answer_frame::<KeeperRequest>(&me, call, &answer).ok()
+            quincehatch_wire::encode_answer_frame::<KeeperRequest>(&identity, call, &answer).ok()
         }) as BoxFuture<'static, Option<Vec<u8>>>
     };
     cluster.core.listen_frames(address, pid, Arc::new(on_frame));
@@ -38,7 +38,7 @@
     match request {
         KeeperRequest::Peer { from, message } => {
             if !process.lock().unwrap().stalled {
-                enqueue(process, Input::Peer { from, message: message });
+                enqueue(process, Input::Peer { from, message });
             }
             None
         }
--- a/crates/simulator/src/control/machine.rs
+++ b/crates/simulator/src/control/machine.rs
@@ -61,12 +61,12 @@
         (machine.address.clone(), machine.disk.clone(), state.seeds.clone())
     };
     let host = recover(cluster, &address, &disk, &seeds);
-    let me = Identity::new(host.name());
+    let identity = Identity::new(host.name());
     let process = Arc::new(Mutex::new(KeeperProcess {
         cluster: cluster.clone(),
         index,
         host,
-        caller: Caller::new(me.clone()),
+        caller: Caller::new(identity.clone()),
         disk,
         inbox: VecDeque::new(),
         busy: false,
@@ -75,7 +75,7 @@
         next_token: 0,
     }));
     cluster.state.lock().unwrap().machines[index].process = Some(process.clone());
-    keeper_requests::listen(cluster, &process, &address, pid, me);
+    keeper_requests::listen(cluster, &process, &address, pid, identity);
     configuration_api::listen(cluster, pid, &address, &seeds);
     seam::spawn(async move {
         loop {
@@ -218,16 +218,16 @@
         }
     }
 
-    fn send(&self, to: Name, m: PeerMessage) {
+    fn send(&self, to: Name, message: PeerMessage) {
         let Some(address) = self.host.keeper().and_then(|keeper| keeper.addr(&to)) else { return };
         let (caller, from) = (self.caller.clone(), self.host.name().clone());
         seam::spawn(async move {
             // Seeds are known by their address alone; everything else is for the keeper of that very name.
-            let destination = match m {
+            let destination = match message {
                 PeerMessage::Discover { .. } => Destination::address(&address),
                 _ => Destination::process(&to, &address),
             };
-            let request = KeeperRequest::Peer { from, message: m };
+            let request = KeeperRequest::Peer { from, message };
             // The protocol sends again what is not taken.
             drop(caller.call(destination, &request, SEND_TIMEOUT).await);
         });
--- a/crates/simulator/src/control/parameters.rs
+++ b/crates/simulator/src/control/parameters.rs
@@ -4,11 +4,15 @@
 /// How many machines with a disk there are, how many of them vote, and how many may be lost at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shape {
+    /// Machines that vote.
     pub voters: usize,
+    /// Machines with a disk.
     pub machines: usize,
+    /// Machines that may be lost at once.
     pub tolerated: usize,
 }
 
+/// Shapes that seeds choose among in turn.
 pub const SHAPES: [Shape; 3] = [
     Shape { voters: 3, machines: 3, tolerated: 1 },
     Shape { voters: 3, machines: 4, tolerated: 1 },
@@ -23,6 +27,7 @@
 }
 
 impl Allowed {
+    /// Everything is allowed.
     pub const ALL: Allowed = Allowed { moved_machines: true };
 
     /// Reads a list such as `moved-machines`; `all` stands for every one.
@@ -39,8 +44,10 @@
     }
 }
 
+/// The figures of a run.
 #[derive(Clone, Debug)]
 pub struct Parameters {
+    /// How many machines there are.
     pub shape: Shape,
     /// A machine that is stopped in order has so long to leave the chain, as the platform's has.
     pub leave_timeout: Millis,
@@ -56,16 +63,21 @@
     pub seed_lag: Millis,
     /// A removed machine's successor starts so long after it.
     pub successor_delay: Millis,
+    /// Faults that are drawn though the product is known not to withstand them.
     pub allowed: Allowed,
-    /// Faults begin at this time, and no new one does after that.
+    /// Faults begin at this time.
     pub faults_from: Millis,
+    /// No new fault comes after that.
     pub faults_until: Millis,
     /// Mean time between two faults.
     pub mean_fault_gap: Millis,
     /// Time for healing before the last read.
     pub healing_time: Millis,
+    /// Number of operators.
     pub operators: usize,
+    /// Number of readers.
     pub readers: usize,
+    /// Number of nodes.
     pub nodes: usize,
     /// Orders one operator may have under way at once.
     pub submissions_in_flight: usize,
--- a/crates/simulator/src/control/run.rs
+++ b/crates/simulator/src/control/run.rs
@@ -12,7 +12,9 @@
 /// What is simulated.
 #[derive(Clone, Debug)]
 pub struct ControlSimOptions {
+    /// Seed of the run.
     pub seed: u64,
+    /// Faults that are drawn though the product is known not to withstand them.
     pub allowed: Allowed,
     /// A deliberate bug of the product or of the simulated process.
     pub bug: Option<String>,
@@ -23,15 +25,23 @@
 /// What a run came to.
 #[derive(Debug, Default)]
 pub struct ControlReport {
+    /// Seed of the run.
     pub seed: u64,
+    /// Every violation, as a line that names its check.
     pub violations: Vec<String>,
+    /// Documents that operators sent.
     pub submissions: usize,
+    /// Documents that were acknowledged.
     pub acknowledged: usize,
+    /// Reads that were answered.
     pub reads: usize,
+    /// Polls of nodes under a lease.
     pub applied: usize,
-    /// Entries that the chain committed, and views that it agreed on.
+    /// Entries that the chain committed.
     pub committed: u64,
+    /// The highest version of a view.
     pub views: u64,
+    /// Time in which the core was settled.
     pub settled_ms: Millis,
     /// Hash of all that happened: two runs of one seed have the same.
     pub trace: u64,
@@ -41,10 +51,12 @@
 const SUBMISSIONS_FROM: Millis = 3_000;
 /// The time for reading back after everything has healed.
 const READ_BACK_TIMEOUT: Millis = 10_000;
+/// How often the reading back is looked at.
 const READ_BACK_STEP: Millis = 100;
 /// Network delay one way, in milliseconds.
 const NETWORK_DELAY: (Millis, Millis) = (1, 4);
 
+/// Runs one seed.
 pub fn run_seed(sim: &ControlSimOptions) -> ControlReport {
     let parameters = Parameters::for_seed(sim.seed, sim.allowed);
     let core = Simulation::new(sim.seed, sim.bug.as_deref(), sim.verbose);
@@ -73,7 +85,7 @@
     if cluster.chance(500) {
         return;
     }
-    let acknowledged = |c: &Cluster| c.history.lock().unwrap().acknowledged.len();
+    let acknowledged = |cluster: &Cluster| cluster.history.lock().unwrap().acknowledged.len();
     let (had, limit) = (acknowledged(cluster), core.now() + quiet);
     while acknowledged(cluster) == had && core.now() < limit {
         core.run_until(core.now() + 1);
@@ -141,6 +153,6 @@
 fn proves_nothing(history: &History) -> bool {
     let read = |document: Option<Document>| document.is_some();
     history.acknowledged.is_empty()
-        || !history.reads.iter().any(|r| read(r.document))
-        || !history.applied.iter().any(|a| read(a.document))
+        || !history.reads.iter().any(|seen| read(seen.document))
+        || !history.applied.iter().any(|seen| read(seen.document))
 }
--- a/crates/simulator/src/direct/call_execution.rs
+++ b/crates/simulator/src/direct/call_execution.rs
@@ -1,5 +1,6 @@
 //! What a simulated server does with one call on a direct connection.
 use super::connection::{Connection, OpenTransaction, PreparedStatement};
+use super::ledger::Execution;
 use super::server_group::GroupState;
 use bytes::Bytes;
 use quincehatch_core::{Millis, Position, Role};
@@ -28,16 +29,21 @@
     prepared: Option<PreparedStatement>,
 }
 
-/// What the server's reads show when a call is executed.
+/// The circumstances in which a call is executed.
 #[derive(Clone, Copy)]
-struct Visibility {
-    entries: usize,
-    end: Position,
+struct CallContext {
+    now: Millis,
+    /// A statement fails in the server.
+    fails: bool,
+    /// How many entries the server's reads see.
+    visible: usize,
+    /// The end of what they see.
+    visible_end: Position,
 }
 
-impl Visibility {
+impl CallContext {
     fn is_behind(&self, floor: Option<Position>) -> bool {
-        floor.is_some_and(|floor| self.end < floor)
+        floor.is_some_and(|floor| self.visible_end < floor)
     }
 }
 
@@ -89,22 +95,23 @@
         fails: bool,
     ) -> CallResult {
         let server = &mut self.servers[connection.server];
-        let visibility = Visibility { entries: server.visible_entries(now), end: server.visible_end(now) };
+        let visible = server.visible_entries(now);
+        let context = CallContext { now, fails, visible, visible_end: server.visible_end(now) };
         match call {
             ServerCall::Begin { read, floor } => {
-                if visibility.is_behind(*floor) {
+                if context.is_behind(*floor) {
                     return connection.reject(RejectReason::Behind);
                 }
-                self.begin(connection, *read, visibility)
+                self.begin(connection, *read, context)
             }
             ServerCall::Run { floor, .. } | ServerCall::Execute { floor, .. } => {
-                if visibility.is_behind(*floor) {
+                if context.is_behind(*floor) {
                     return connection.reject(RejectReason::Behind);
                 }
                 let Some(statement) = connection.statement_call(call) else {
                     return connection.reject(RejectReason::Unprepared);
                 };
-                self.execute_statement(now, connection, &statement, visibility, fails)
+                self.execute_statement(connection, &statement, context)
             }
             ServerCall::Commit { id } => self.commit(now, connection, statement_id(id)),
             ServerCall::Rollback => {
@@ -136,7 +143,7 @@
         }
     }
 
-    fn begin(&mut self, connection: &mut Connection, read_only: bool, visibility: Visibility) -> CallResult {
+    fn begin(&mut self, connection: &mut Connection, read_only: bool, context: CallContext) -> CallResult {
         let server = &self.servers[connection.server];
         if !read_only && server.role != Role::Primary {
             return connection.reject(RejectReason::NotPrimary);
@@ -146,7 +153,7 @@
             term: server.term,
             client_transaction: None,
             writes: Vec::new(),
-            visible: visibility.entries,
+            visible: context.visible,
             failed: false,
         });
         connection.succeed()
@@ -154,20 +161,19 @@
 
     fn execute_statement(
         &mut self,
-        now: Millis,
         connection: &mut Connection,
         statement: &StatementCall,
-        visibility: Visibility,
-        fails: bool,
+        context: CallContext,
     ) -> CallResult {
+        let now = context.now;
         let id = statement.id;
         if self.has_lost_transaction(connection) {
             return connection.reject(RejectReason::NotPrimary);
         }
         let read_transaction = connection.transaction.as_ref().filter(|open| open.read_only);
-        let visible = read_transaction.map_or(visibility.entries, |open| open.visible);
+        let visible = read_transaction.map_or(context.visible, |open| open.visible);
         let server = &self.servers[connection.server];
-        self.ledger.check_execution(now, id, connection, server, visible);
+        self.ledger.check_execution(&Execution { now, id, connection, server, visible });
         let Some(sent) = self.ledger.sent.get(&id) else { return connection.reject(RejectReason::Other) };
         if sent.text != statement.text || sent.prepared != statement.prepared {
             let (ran, prepared) = (&statement.text, &statement.prepared);
@@ -178,7 +184,7 @@
             self.ledger.record_violation(violation);
             return connection.reject(RejectReason::Other);
         }
-        if fails {
+        if context.fails {
             return connection.reject(RejectReason::Failed);
         }
         if let Some(open) = connection.transaction.as_mut() {
--- a/crates/simulator/src/direct/client_connection.rs
+++ b/crates/simulator/src/direct/client_connection.rs
@@ -140,7 +140,7 @@
     node: &SimulatedNode,
     at_primary: bool,
 ) -> Option<ClientConnection> {
-    let is_up = || fleet.simulation.lock().processes[node.pid].up;
+    let is_up = || fleet.simulation.lock().processes[node.pid].is_up;
     let was_up = is_up();
     let running = node.running().filter(|_| was_up)?;
     let (calls, receiver) = mpsc::unbounded_channel();
@@ -215,7 +215,7 @@
             SessionCommand::Prepare { name: name.clone(), write, template: template.clone() }
         };
         let response = self.request(id, command).await;
-        if !response.is_some_and(|response| response.result.is_ok()) {
+        if response.is_none_or(|response| response.result.is_err()) {
             self.closed = true;
         } else if sets {
             self.settings.insert(name, value);
--- a/crates/simulator/src/direct/delivery.rs
+++ b/crates/simulator/src/direct/delivery.rs
@@ -18,12 +18,14 @@
     TimedOut,
 }
 
+type OnEnd = Box<dyn FnOnce(&Arc<Simulation>, Delivery) + Send>;
+
 /// A message that is not delivered yet.
 struct Attempt {
     from: ProcessId,
     to: ProcessId,
     sent_at: Millis,
-    on_end: Box<dyn FnOnce(&Arc<Simulation>, Delivery) + Send>,
+    on_end: OnEnd,
 }
 
 /// Sends a message, and tells at its end how that went.
@@ -52,17 +54,18 @@
         let state = simulation.lock();
         let now = state.now;
         let Some(receiver) = state.processes.get(self.to) else { return };
-        let (up, powered_off, paused_until) = (receiver.up, receiver.powered_off, receiver.paused_until);
-        let unreachable = state.partitions.contains(&(self.from, self.to)) || (!up && powered_off);
+        let (is_up, powered_off, paused_until) =
+            (receiver.is_up, receiver.powered_off, receiver.paused_until);
+        let unreachable = state.partitions.contains(&(self.from, self.to)) || (!is_up && powered_off);
         drop(state);
         if unreachable && now < self.sent_at + TCP_USER_TIMEOUT {
             simulation.schedule_action(now + RETRANSMIT_AFTER, move |simulation| self.arrive(simulation));
         } else if unreachable {
             (self.on_end)(simulation, Delivery::TimedOut);
-        } else if up && paused_until > now {
+        } else if is_up && paused_until > now {
             simulation.schedule_action(paused_until, move |simulation| self.arrive(simulation));
         } else {
-            (self.on_end)(simulation, if up { Delivery::Arrived } else { Delivery::Refused });
+            (self.on_end)(simulation, if is_up { Delivery::Arrived } else { Delivery::Refused });
         }
     }
 }
--- a/crates/simulator/src/direct/ledger.rs
+++ b/crates/simulator/src/direct/ledger.rs
@@ -58,6 +58,20 @@
     pub at: Millis,
 }
 
+/// A statement that is about to be executed.
+pub struct Execution<'state> {
+    /// Now.
+    pub now: Millis,
+    /// Id of the statement.
+    pub id: u64,
+    /// The connection it came on.
+    pub connection: &'state Connection,
+    /// The server that executes it.
+    pub server: &'state Server,
+    /// Entries of the server's log that it sees.
+    pub visible: usize,
+}
+
 /// What is known of a run's statements.
 #[derive(Default)]
 pub struct Ledger {
@@ -139,34 +153,22 @@
         count.checked_sub(1).map(|last| &self.highest_acknowledged[last].entry)
     }
 
-    /// Checks a statement that is about to be executed on a server that shows `visible` entries of its log.
-    pub fn check_execution(
-        &mut self,
-        now: Millis,
-        id: u64,
-        connection: &Connection,
-        server: &Server,
-        visible: usize,
-    ) {
+    /// Checks a statement that is about to be executed.
+    pub fn check_execution(&mut self, execution: &Execution<'_>) {
+        let Execution { now, id, server, .. } = *execution;
         let Some(sent) = self.sent.get(&id).cloned() else {
             return self.record_violation(format!("UNASKED at {now}: {id} on {}", server.name));
         };
-        self.check_session(now, id, connection, server, &sent);
+        self.check_session(execution, &sent);
         if !sent.write && !sent.commit {
             self.reads += 1;
-            self.check_freshness(now, id, &sent, server, visible);
+            self.check_freshness(execution, &sent);
         }
     }
 
     /// The connection wears the client's session and is in the client's transaction.
-    fn check_session(
-        &mut self,
-        now: Millis,
-        id: u64,
-        connection: &Connection,
-        server: &Server,
-        sent: &SentStatement,
-    ) {
+    fn check_session(&mut self, execution: &Execution<'_>, sent: &SentStatement) {
+        let Execution { now, id, connection, server, .. } = *execution;
         let name = &server.name;
         if connection.values != sent.values {
             let (worn, wanted) = (&connection.values, &sent.values);
@@ -189,14 +191,8 @@
     }
 
     /// A read misses nothing that was acknowledged before it; at a replica, nothing older than the bound.
-    fn check_freshness(
-        &mut self,
-        now: Millis,
-        id: u64,
-        sent: &SentStatement,
-        server: &Server,
-        visible: usize,
-    ) {
+    fn check_freshness(&mut self, execution: &Execution<'_>, sent: &SentStatement) {
+        let Execution { now, id, server, visible, .. } = *execution;
         let needed_from =
             if sent.at_primary { sent.sent_at } else { sent.sent_at.saturating_sub(STALENESS_BOUND) };
         let needed = self.highest_acknowledged_before(needed_from);
--- a/crates/simulator/src/direct/operator.rs
+++ b/crates/simulator/src/direct/operator.rs
@@ -197,7 +197,7 @@
         let now = fleet.simulation.now();
         let acknowledged = fleet.group.with(|state| state.ledger.config_versions.clone());
         // A keeper that crashed in the middle of a step disturbs all keepers.
-        let keeper_down = fleet.keepers.iter().any(|pid| !fleet.simulation.lock().processes[*pid].up);
+        let keeper_down = fleet.keepers.iter().any(|pid| !fleet.simulation.lock().processes[*pid].is_up);
         if keeper_down {
             fleet.group.with(|state| state.mark_keepers_disturbed(now));
         }
--- a/crates/simulator/src/direct/process_control.rs
+++ b/crates/simulator/src/direct/process_control.rs
@@ -15,7 +15,7 @@
     /// Crashes a server that is up.
     pub fn crash_server(self: &Arc<Self>, server: usize, power_loss: bool) {
         let pid = self.group.with(|state| state.servers[server].pid);
-        if !self.simulation.lock().processes[pid].up {
+        if !self.simulation.lock().processes[pid].is_up {
             return;
         }
         self.simulation.crash(pid, power_loss);
@@ -29,7 +29,7 @@
     /// Starts a server that is down.
     pub fn start_server(self: &Arc<Self>, server: usize) {
         let pid = self.group.with(|state| state.servers[server].pid);
-        if self.simulation.lock().processes[pid].up {
+        if self.simulation.lock().processes[pid].is_up {
             return;
         }
         self.simulation.restart(pid);
--- a/crates/simulator/src/direct/promotion.rs
+++ b/crates/simulator/src/direct/promotion.rs
@@ -21,7 +21,7 @@
         fence: FencingToken,
     ) -> PromotionOutcome {
         let now = simulation.now();
-        let is_up = |pid: usize| simulation.lock().processes[pid].up;
+        let is_up = |pid: usize| simulation.lock().processes[pid].is_up;
         let target = self.with(|state| state.promotion_target(now, name, fence));
         let target = target.filter(|server| is_up(self.with(|state| state.servers[*server].pid)));
         let Some(server) = target else { return PromotionOutcome::Rejected };
@@ -56,7 +56,7 @@
     /// A promotion takes effect, unless its server was replaced, stopped or promoted meanwhile.
     fn take_promotion(&mut self, simulation: &Simulation, server: usize, name: &str) -> Vec<PendingCommit> {
         let target = &self.servers[server];
-        let still_wanted = target.name == name && simulation.lock().processes[target.pid].up;
+        let still_wanted = target.name == name && simulation.lock().processes[target.pid].is_up;
         if !still_wanted || self.primary() == Some(server) {
             return Vec::new();
         }
@@ -84,8 +84,8 @@
             }
             server.role = Role::Replica;
             // One that is down learns of it when it starts.
-            let up = simulation.lock().processes[server.pid].up;
-            if up && server.truncate_to(&log) {
+            let is_up = simulation.lock().processes[server.pid].is_up;
+            if is_up && server.truncate_to(&log) {
                 server.busy_until = now + TRUNCATION_TIME;
                 let end = server.log.len();
                 let is_lost = |commit: &PendingCommit| commit.entry.position.number as usize > end;
--- a/crates/simulator/src/direct/replication.rs
+++ b/crates/simulator/src/direct/replication.rs
@@ -1,7 +1,7 @@
 //! Commits at a simulated primary, their replication, and the calls that change a server's role.
 use super::call_execution::Commit;
 use super::delivery::{Delivery, deliver};
-use super::server::{LogEntry, PendingCommit, ReplySender, Server};
+use super::server::{LogEntry, PendingCommit, ReplyTarget, Server};
 use super::server_group::{GroupState, ServerGroup};
 use crate::fleet::simulation::{ProcessId, Simulation};
 use bytes::Bytes;
@@ -32,8 +32,7 @@
         simulation: &Arc<Simulation>,
         server: usize,
         commit: Commit,
-        connection: u64,
-        reply_to: ReplySender,
+        target: ReplyTarget,
     ) {
         let now = simulation.now();
         self.with(|state| {
@@ -45,7 +44,7 @@
             state.ledger.record_commit(now, commit.id, &entry);
             let mut reply = ServerReply { log_end: Some(position), ..ServerReply::default() };
             state.add_stamp(commit.id, server, &mut reply);
-            let pending = PendingCommit { entry, connection, reply, reply_to };
+            let pending = PendingCommit { entry, reply, target };
             state.servers[server].pending_commits.push(pending);
         });
         self.send_missing_entries(simulation, server);
@@ -81,7 +80,7 @@
     fn complete_commits(self: &Arc<Self>, simulation: &Arc<Simulation>, primary: usize, end: &Arc<LogEntry>) {
         let completed = self.with(|state| state.servers[primary].take_commits_until(end));
         for commit in completed {
-            self.send_reply(simulation, commit.connection, commit.reply, commit.reply_to);
+            self.send_reply(simulation, commit.reply, commit.target);
         }
     }
 
@@ -107,7 +106,7 @@
         for commit in pending {
             let rejection = Some((RejectReason::TimedOut, Bytes::new()));
             let reply = ServerReply { rejection, ..ServerReply::default() };
-            self.send_reply(simulation, commit.connection, reply, commit.reply_to);
+            self.send_reply(simulation, reply, commit.target);
         }
     }
 }
--- a/crates/simulator/src/direct/request_execution.rs
+++ b/crates/simulator/src/direct/request_execution.rs
@@ -2,7 +2,7 @@
 use super::call_execution::{CallResult, statement_id};
 use super::delivery::{Delivery, deliver};
 use super::ledger::StampedAnswer;
-use super::server::{ReplySender, SLOTS};
+use super::server::{ReplySender, ReplyTarget, SLOTS};
 use super::server_group::{GroupState, ServerGroup};
 use crate::fleet::simulation::{ProcessId, Simulation};
 use bytes::Bytes;
@@ -112,7 +112,7 @@
             Admission::Busy => {
                 let reply = self.with(|state| state.busy_reply(now, connection));
                 if let Some(reply) = reply {
-                    self.send_reply(simulation, connection, reply, reply_to);
+                    self.send_reply(simulation, reply, ReplyTarget { connection, reply_to });
                 }
             }
             Admission::Admitted { extra_latency } => {
@@ -139,7 +139,7 @@
         let (alive, powered_off, paused_until) = {
             let state = simulation.lock();
             let process = &state.processes[pid];
-            let alive = process.up && process.incarnation == execution.incarnation;
+            let alive = process.is_up && process.incarnation == execution.incarnation;
             (alive, process.powered_off, process.paused_until)
         };
         if !alive && powered_off {
@@ -158,9 +158,11 @@
         let result = self.with(|state| state.finish_execution(now, &execution, fails));
         let Execution { connection, reply_to, server, .. } = execution;
         match result {
-            Some(CallResult::Reply(reply)) => self.send_reply(simulation, connection, reply, reply_to),
+            Some(CallResult::Reply(reply)) => {
+                self.send_reply(simulation, reply, ReplyTarget { connection, reply_to })
+            }
             Some(CallResult::Commit(commit)) => {
-                self.append_commit(simulation, server, commit, connection, reply_to);
+                self.append_commit(simulation, server, commit, ReplyTarget { connection, reply_to });
             }
             None => drop(reply_to),
         }
@@ -170,10 +172,10 @@
     pub fn send_reply(
         self: &Arc<Self>,
         simulation: &Arc<Simulation>,
-        connection: u64,
         reply: ServerReply,
-        reply_to: ReplySender,
+        target: ReplyTarget,
     ) {
+        let ReplyTarget { connection, reply_to } = target;
         let resets = simulation.lock().rng.chance(RESETS_PER_MILLE);
         match self.with(|state| state.reply_fate(connection, resets)) {
             ReplyFate::Dropped => drop(reply_to),
--- a/crates/simulator/src/direct/server.rs
+++ b/crates/simulator/src/direct/server.rs
@@ -17,6 +17,14 @@
 /// Where the reply to a call goes.
 pub type ReplySender = oneshot::Sender<io::Result<ServerReply>>;
 
+/// Where the reply to a request goes, and on which connection.
+pub struct ReplyTarget {
+    /// The connection that the request came on.
+    pub connection: u64,
+    /// Where the reply goes.
+    pub reply_to: ReplySender,
+}
+
 /// A commit in a server's log.
 #[derive(Debug, PartialEq)]
 pub struct LogEntry {
@@ -30,12 +38,10 @@
 pub struct PendingCommit {
     /// The commit.
     pub entry: Arc<LogEntry>,
-    /// The connection that it came on.
-    pub connection: u64,
     /// What is replied.
     pub reply: ServerReply,
-    /// Where the reply goes.
-    pub reply_to: ReplySender,
+    /// Where it goes.
+    pub target: ReplyTarget,
 }
 
 /// What the chain holds of a server.
--- a/crates/simulator/src/fleet/delivery.rs
+++ b/crates/simulator/src/fleet/delivery.rs
@@ -35,10 +35,10 @@
     fn arrival(&self, from: ProcessId, to: ProcessId) -> Arrival {
         let state = self.lock();
         let receiver = &state.processes[to];
-        let without_power = !receiver.up && receiver.powered_off;
+        let without_power = !receiver.is_up && receiver.powered_off;
         if state.partitions.contains(&(from, to)) || without_power {
             Arrival::Unreachable
-        } else if receiver.up && receiver.paused_until > state.now {
+        } else if receiver.is_up && receiver.paused_until > state.now {
             Arrival::Suspended(receiver.paused_until)
         } else {
             Arrival::Taken
@@ -80,7 +80,7 @@
     }
 
     fn is_up(&self, pid: ProcessId) -> bool {
-        self.lock().processes[pid].up
+        self.lock().processes[pid].is_up
     }
 
     fn deliver_to_peer(self: &Arc<Self>, from: ProcessId, to: ProcessId, message: PeerMessage) {
@@ -95,10 +95,10 @@
 
     fn accept_connection(&self, from: ProcessId, to: ProcessId, id: u64) {
         let mut state = self.lock();
-        let up = state.processes[to].up;
+        let is_up = state.processes[to].is_up;
         let network = &mut state.network;
         let addr = network.connections.get(&id).map(|connection| &connection.addr);
-        let accepted = up && addr.is_some_and(|addr| network.http_listeners.contains_key(addr));
+        let accepted = is_up && addr.is_some_and(|addr| network.http_listeners.contains_key(addr));
         if let Some(connection) = network.connections.get_mut(&id) {
             connection.server_open = accepted;
         }
@@ -120,9 +120,9 @@
     fn serve_request(self: &Arc<Self>, from: ProcessId, to: ProcessId, request: HttpRequest) {
         let id = request.connection;
         let mut state = self.lock();
-        let up = state.processes[to].up;
+        let is_up = state.processes[to].is_up;
         let Some(connection) = state.network.connections.get(&id) else { return };
-        let open = up && connection.server_open;
+        let open = is_up && connection.server_open;
         let listener = state.network.http_listeners.get(&connection.addr).filter(|_| open).cloned();
         let Some(listener) = listener else { return state.send(to, from, Message::Reset(id)) };
         drop(state);
@@ -153,9 +153,9 @@
 
     fn close_at_server(self: &Arc<Self>, server: ProcessId, id: u64) {
         let mut state = self.lock();
-        let up = state.processes[server].up;
+        let is_up = state.processes[server].is_up;
         let Some(connection) = state.network.connections.remove(&id) else { return };
-        let listener = state.network.http_listeners.get(&connection.addr).filter(|_| up).cloned();
+        let listener = state.network.http_listeners.get(&connection.addr).filter(|_| is_up).cloned();
         drop(state);
         if let Some(listener) = listener {
             self.run_in(server, || (listener.on_close)(id));
@@ -170,8 +170,8 @@
         bytes: Vec<u8>,
     ) {
         let mut state = self.lock();
-        let up = state.processes[to].up;
-        let handler = state.network.frame_listeners.get(addr).filter(|_| up).cloned();
+        let is_up = state.processes[to].is_up;
+        let handler = state.network.frame_listeners.get(addr).filter(|_| is_up).cloned();
         let Some(handler) = handler else {
             return state.send(to, from, Message::FrameReply { request_id, reply: None });
         };
@@ -195,7 +195,7 @@
     fn break_connection(self: &Arc<Self>, id: u64, kind: ErrorKind) {
         let mut state = self.lock();
         let Some(connection) = state.network.connections.remove(&id) else { return };
-        let server_up = state.processes[connection.server].up;
+        let server_up = state.processes[connection.server].is_up;
         let listener = state.network.http_listeners.get(&connection.addr).filter(|_| server_up).cloned();
         drop(state);
         connection.closed.store(true, Ordering::SeqCst);
--- a/crates/simulator/src/fleet/executor.rs
+++ b/crates/simulator/src/fleet/executor.rs
@@ -16,7 +16,7 @@
     /// Adds a task to an incarnation of a process; one that is over drops it.
     pub fn spawn(self: &Arc<Self>, pid: ProcessId, incarnation: u64, future: BoxFuture<'static, ()>) {
         let mut state = self.lock();
-        if !state.processes[pid].up || state.processes[pid].incarnation != incarnation {
+        if !state.processes[pid].is_up || state.processes[pid].incarnation != incarnation {
             state.dead_tasks.push((pid, future));
             return;
         }
@@ -114,7 +114,7 @@
             let mut state = self.lock();
             for pid in 0..state.processes.len() {
                 state.kill_tasks(pid);
-                state.processes[pid].up = false;
+                state.processes[pid].is_up = false;
             }
             (std::mem::take(&mut state.events), state.network.take())
         };
--- a/crates/simulator/src/fleet/faults.rs
+++ b/crates/simulator/src/fleet/faults.rs
@@ -133,8 +133,8 @@
         }
         56..62 => Fault::Isolate { pid, one_way: rng.chance(400), time },
         62..68 => Fault::PacketLoss { per_mille: MIN_LOSS_PER_MILLE + rng.below(LOSS_SPREAD), time },
-        68..78 => switched(server, time, |settings, on| settings.stall = Some(on)),
-        78..82 => switched(server, time, |settings, on| settings.deaf = Some(on)),
+        68..78 => switched(server, time, |settings, enabled| settings.stall = Some(enabled)),
+        78..82 => switched(server, time, |settings, enabled| settings.deaf = Some(enabled)),
         82..85 => sized(server, time, SLOW_MS, |settings, size| settings.slow_ms = Some(size)),
         85..88 => sized(server, time, LAG_MS, |settings, size| settings.lag_ms = Some(size)),
         88..92 => sized(server, time, LOST_REPLIES, |settings, size| settings.lose_answers = Some(size)),
@@ -256,8 +256,8 @@
             self.simulation.lock().reset_connections(server.pid);
         }
         let running = server.running();
-        let up = self.simulation.lock().processes[server.pid].up;
-        if let Some(stand_in) = running.filter(|_| up) {
+        let is_up = self.simulation.lock().processes[server.pid].is_up;
+        if let Some(stand_in) = running.filter(|_| is_up) {
             self.simulation.run_in(server.pid, || stand_in.faults.apply(settings));
         }
     }
--- a/crates/simulator/src/fleet/process_control.rs
+++ b/crates/simulator/src/fleet/process_control.rs
@@ -63,10 +63,10 @@
     /// nothing.
     pub fn crash(&self, pid: ProcessId, power_loss: bool) {
         let mut state = self.lock();
-        if !state.processes[pid].up {
+        if !state.processes[pid].is_up {
             return;
         }
-        state.processes[pid].up = false;
+        state.processes[pid].is_up = false;
         state.processes[pid].powered_off = power_loss;
         state.kill_tasks(pid);
         state.drop_connections(pid, power_loss);
@@ -76,13 +76,13 @@
     pub fn restart(self: &Arc<Self>, pid: ProcessId) {
         let start = {
             let mut state = self.lock();
-            if state.processes[pid].up {
+            if state.processes[pid].is_up {
                 return;
             }
             // A monotonic clock starts anew with its machine.
             let clock_offset = state.rng.below(MAX_CLOCK_OFFSET);
             let process = &mut state.processes[pid];
-            process.up = true;
+            process.is_up = true;
             process.powered_off = false;
             process.paused_until = 0;
             process.clock_offset = clock_offset;
--- a/crates/simulator/src/fleet/setup.rs
+++ b/crates/simulator/src/fleet/setup.rs
@@ -22,7 +22,7 @@
 const SEED_NODES: usize = 3;
 /// HTTP status of a stand-in's rejection.
 const CONFLICT: u16 = 409;
-const OK: u16 = 200;
+const SUCCESS: u16 = 200;
 
 /// A server's process, and the stand-in that runs in it.
 #[derive(Clone)]
@@ -150,7 +150,7 @@
     stand_in.faults.wait_while(&stand_in.faults.dark).await;
     let reply = calls::answer_call(&stand_in, &connection, &request.path, request.body).await.ok()?;
     stand_in.faults.wait_while(&stand_in.faults.dark).await;
-    let status = if reply.get("error").is_some() { CONFLICT } else { OK };
+    let status = if reply.get("error").is_some() { CONFLICT } else { SUCCESS };
     Some((status, reply))
 }
 
--- a/crates/simulator/src/fleet/simulation.rs
+++ b/crates/simulator/src/fleet/simulation.rs
@@ -50,7 +50,7 @@
     /// Its name in the log.
     pub name: String,
     /// False while it is crashed.
-    pub up: bool,
+    pub is_up: bool,
     /// The whole machine is off, so that not even a refusal comes back.
     pub powered_off: bool,
     /// Rises with each start.
@@ -174,7 +174,7 @@
 
     /// True while the process is up and not suspended.
     pub fn is_running(&self, pid: ProcessId) -> bool {
-        self.processes[pid].up && self.processes[pid].paused_until <= self.now
+        self.processes[pid].is_up && self.processes[pid].paused_until <= self.now
     }
 
     /// Mixes a step into the trace (multipliers and shift of SplitMix64).
@@ -230,7 +230,7 @@
             };
             state.processes.push(Process {
                 name: name.to_owned(),
-                up: true,
+                is_up: true,
                 powered_off: false,
                 incarnation: 1,
                 paused_until: 0,
--- a/crates/testbed/src/caller.rs
+++ b/crates/testbed/src/caller.rs
@@ -88,6 +88,14 @@
     }
 }
 
+/// A call that was sent.
+struct SentCall<'call> {
+    path: &'call str,
+    body: &'call Value,
+    asked: Millis,
+    deadline: Millis,
+}
+
 /// A session that the nodes keep for a caller.
 #[derive(Clone, Debug)]
 pub(crate) struct Session {
@@ -192,7 +200,7 @@
             return None;
         };
         let reply = Reply { status, body: answer };
-        self.record_answer(path, &body, asked, deadline, &reply);
+        self.record_answer(&SentCall { path, body: &body, asked, deadline }, &reply);
         // A node that stops or is not ready: the platform knows another.
         let elsewhere = [ErrorCode::Stopping, ErrorCode::NoLease, ErrorCode::NotReady];
         if reply.has_code(&elsewhere) {
@@ -202,7 +210,8 @@
     }
 
     /// Records what an answer tells of the node, and of the server it comes from.
-    fn record_answer(&self, path: &str, body: &Value, asked: Millis, deadline: Millis, reply: &Reply) {
+    fn record_answer(&self, call: &SentCall<'_>, reply: &Reply) {
+        let SentCall { path, body, asked, deadline } = *call;
         let answer = &reply.body;
         let mut history = self.env.history.lock().unwrap();
         if now() > asked + deadline + LATE_AFTER {
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,210 +1,302 @@
-//! Lays out and runs a whole fleet on this machine's loopback (§9.1).
+//! The plan of a whole fleet on this machine's loopback: its processes, their arguments and settings files.
 use quincehatch_core::Labels;
+use std::io;
 use std::path::{Path, PathBuf};
 
-/// How big a fleet is.
+/// The operator token of every fleet.
+pub const TOKEN: &str = "lab-token";
+/// Nodes that every node knows from its settings.
+const SEED_NODES: usize = 3;
+/// Servers of a group.
+const REPLICAS: usize = 3;
+/// Largest number of nodes that can be asked for.
+const MAX_NODES: usize = 64;
+/// Deadline of lookups in milliseconds, and the longer one of the shape `lensbridge`.
+const LOOKUP_MS: u64 = 3_000;
+const LONG_LOOKUP_MS: u64 = 5_000;
+
+/// How large a fleet is.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shape {
+    /// Its name.
     pub name: String,
+    /// Number of zones.
     pub zones: usize,
+    /// Number of nodes.
     pub nodes: usize,
+    /// Number of keepers.
     pub keepers: usize,
+    /// Number of groups of servers.
     pub groups: usize,
+    /// Servers of each group.
     pub replicas: usize,
+    /// Addresses are given out from the port after this one.
     pub port: u16,
 }
 
 impl Shape {
+    /// The shape of that name; `nodes:N` has N nodes.
     pub fn named(name: &str, port: u16) -> Option<Shape> {
-        let (districts, nodes, keepers, groups) = match name {
+        let (zones, nodes, keepers, groups) = match name {
             "thin" => (1, 1, 1, 1),
             "small" => (2, 3, 3, 1),
             "scripwell" => (4, 7, 4, 3),
             "lensbridge" => (3, 6, 3, 3),
-            n => match n.strip_prefix("nodes:").and_then(|n| n.parse().ok()) {
-                Some(n @ 1..=64) => (3, n, 3, 1),
-                _ => return None,
-            },
+            other => {
+                let nodes = other.strip_prefix("nodes:")?.parse().ok()?;
+                let is_allowed = (1..=MAX_NODES).contains(&nodes);
+                is_allowed.then_some((3, nodes, 3, 1))?
+            }
         };
-        Some(Shape { name: name.into(), zones: districts, nodes, keepers, groups, replicas: 3, port })
+        Some(Shape { name: name.into(), zones, nodes, keepers, groups, replicas: REPLICAS, port })
+    }
+
+    /// Deadline of a lookup.
+    pub fn lookup_ms(&self) -> u64 {
+        if self.name == "lensbridge" { LONG_LOOKUP_MS } else { LOOKUP_MS }
     }
 }
 
 /// One process of the fleet.
 #[derive(Clone, Debug)]
 pub struct ProcessSpec {
+    /// Its name.
     pub name: String,
+    /// Its program.
     pub executable: String,
+    /// Arguments of its first start.
     pub args: Vec<String>,
+    /// Arguments of every later start.
     pub restart_args: Vec<String>,
 }
 
+impl ProcessSpec {
+    /// A process that is always started with the same arguments.
+    fn new(name: &str, executable: &str, args: Vec<String>) -> ProcessSpec {
+        let restart_args = args.clone();
+        ProcessSpec { name: name.into(), executable: executable.into(), args, restart_args }
+    }
+}
+
+/// Where a node is called.
 #[derive(Clone, Debug)]
 pub struct NodeAddress {
+    /// Its name.
     pub name: String,
+    /// Its zone.
     pub zone: String,
+    /// Where clients call.
     pub client_listener: String,
+    /// Where operators call.
     pub operator_listener: String,
 }
 
+/// Where a server is called.
 #[derive(Clone, Debug)]
 pub struct ServerAddress {
+    /// Its name.
     pub name: String,
+    /// Its group.
     pub group: String,
+    /// Its address.
     pub addr: String,
 }
 
-/// A fleet's plan: every process with its arguments, and where to call.
+/// Every process of a fleet with its arguments, and where to call.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
+    /// Folder of settings, logs and data.
     pub dir: PathBuf,
+    /// Its size.
     pub shape: Shape,
+    /// The processes, in the order of their start.
     pub processes: Vec<ProcessSpec>,
+    /// The nodes.
     pub nodes: Vec<NodeAddress>,
+    /// Names and addresses of the keepers.
     pub keepers: Vec<(String, String)>,
+    /// The servers.
     pub servers: Vec<ServerAddress>,
+    /// Where the platform is called.
     pub platform: String,
+    /// File of the first configuration.
     pub configuration: PathBuf,
 }
 
 impl FleetPlan {
+    /// Where operators call.
     pub fn operator_addresses(&self) -> Vec<String> {
-        self.nodes.iter().map(|n| n.operator_listener.clone()).collect()
+        self.nodes.iter().map(|node| node.operator_listener.clone()).collect()
     }
 }
 
-pub const TOKEN: &str = "lab-token";
+/// Gives out loopback addresses.
+struct Ports(u16);
+
+impl Ports {
+    fn next(&mut self) -> String {
+        self.0 += 1;
+        format!("127.0.0.1:{}", self.0)
+    }
+}
 
-fn zone_name(i: usize) -> String {
-    format!("d{}", i + 1)
+fn zone_name(index: usize) -> String {
+    format!("d{}", index + 1)
 }
 
-/// Writes settings and a blueprint into `dir` and tells what to start.
-pub fn write_plan(dir: &Path, shape: &Shape) -> std::io::Result<FleetPlan> {
-    std::fs::create_dir_all(dir)?;
-    let mut port = shape.port;
-    let mut next = || {
-        port += 1;
-        format!("127.0.0.1:{port}")
-    };
-    let platform = next();
-    let keepers: Vec<(String, String)> =
-        (0..shape.keepers).map(|i| (format!("k{}", i + 1), next())).collect();
-    let klist: Vec<String> = keepers.iter().map(|(n, a)| format!("\"{n}={a}\"")).collect();
-    let kaddrs: Vec<String> = keepers.iter().map(|(_, a)| format!("\"{a}\"")).collect();
-    let nodes: Vec<(NodeAddress, String)> = (0..shape.nodes)
-        .map(|i| {
-            let (name, district) = (format!("n{}", i + 1), zone_name(i % shape.zones));
-            (NodeAddress { name, zone: district, client_listener: next(), operator_listener: next() }, next())
-        })
-        .collect();
-    let mut procs = Vec::new();
-    for (n, a) in &keepers {
-        let file = dir.join(format!("{n}.toml"));
-        let data = dir.join(format!("{n}.data"));
-        let text =
-            format!("name = \"{n}\"\naddr = \"{a}\"\nkeepers = [{}]\ndata = {data:?}\n", klist.join(", "));
-        std::fs::write(&file, text)?;
-        let again = vec!["--settings".into(), file.display().to_string()];
-        let mut args = again.clone();
-        args.push("--init".into());
-        procs.push(ProcessSpec {
-            name: n.clone(),
-            executable: "quincehatch-keeper".into(),
-            args,
-            restart_args: again,
-        });
+/// A TOML list of texts.
+fn quoted_list<Text: AsRef<str>>(texts: impl IntoIterator<Item = Text>) -> String {
+    let quoted: Vec<String> = texts.into_iter().map(|text| format!("\"{}\"", text.as_ref())).collect();
+    quoted.join(", ")
+}
+
+fn write_settings(dir: &Path, name: &str, text: &str) -> io::Result<Vec<String>> {
+    let file = dir.join(format!("{name}.toml"));
+    std::fs::write(&file, text)?;
+    Ok(vec!["--settings".into(), file.display().to_string()])
+}
+
+fn plan_keepers(dir: &Path, keepers: &[(String, String)]) -> io::Result<Vec<ProcessSpec>> {
+    let all = quoted_list(keepers.iter().map(|(name, addr)| format!("{name}={addr}")));
+    let mut processes = Vec::new();
+    for (name, addr) in keepers {
+        let data = dir.join(format!("{name}.data"));
+        let text = format!("name = \"{name}\"\naddr = \"{addr}\"\nkeepers = [{all}]\ndata = {data:?}\n");
+        let mut process = ProcessSpec::new(name, "quincehatch-keeper", write_settings(dir, name, &text)?);
+        process.args.push("--init".into());
+        processes.push(process);
     }
-    let seeds: Vec<String> = nodes.iter().take(3).map(|(_, m)| format!("\"{m}\"")).collect();
-    for (n, mesh) in &nodes {
-        let file = dir.join(format!("{}.toml", n.name));
+    Ok(processes)
+}
+
+/// A node with its gossip listener.
+struct PlannedNode {
+    address: NodeAddress,
+    gossip_listener: String,
+}
+
+fn plan_nodes(
+    dir: &Path,
+    nodes: &[PlannedNode],
+    keepers: &[(String, String)],
+    platform: &str,
+) -> io::Result<Vec<ProcessSpec>> {
+    let seeds = quoted_list(nodes.iter().take(SEED_NODES).map(|node| &node.gossip_listener));
+    let keepers = quoted_list(keepers.iter().map(|(_, addr)| addr));
+    let mut processes = Vec::new();
+    for PlannedNode { address, gossip_listener } in nodes {
+        let NodeAddress { name, zone, client_listener, operator_listener } = address;
         let text = format!(
-            "name = \"{}\"\ndistrict = \"{}\"\ndoor = \"{}\"\ndesk = \"{}\"\nmesh = \"{mesh}\"\nseeds = [{}]\n\
-             keepers = [{}]\nplatform = \"{platform}\"\ntoken = \"{TOKEN}\"\n",
-            n.name,
-            n.zone,
-            n.client_listener,
-            n.operator_listener,
-            seeds.join(", "),
-            kaddrs.join(", ")
+            "name = \"{name}\"\ndistrict = \"{zone}\"\ndoor = \"{client_listener}\"\n\
+             desk = \"{operator_listener}\"\nmesh = \"{gossip_listener}\"\nseeds = [{seeds}]\n\
+             keepers = [{keepers}]\nplatform = \"{platform}\"\ntoken = \"{TOKEN}\"\n"
         );
-        std::fs::write(&file, text)?;
-        let args = vec!["--settings".to_owned(), file.display().to_string()];
-        procs.push(ProcessSpec {
-            name: n.name.clone(),
-            executable: "quincehatch-node".into(),
-            restart_args: args.clone(),
-            args,
-        });
+        let args = write_settings(dir, name, &text)?;
+        processes.push(ProcessSpec::new(name, "quincehatch-node", args));
     }
-    let desks: Vec<String> = nodes.iter().map(|(n, _)| n.operator_listener.clone()).collect();
-    let mut servers = Vec::new();
-    for g in 0..shape.groups {
-        let group = format!("g{}", g + 1);
-        let addrs: Vec<String> = (0..shape.replicas).map(|_| next()).collect();
-        for (i, addr) in addrs.iter().enumerate() {
-            let name = format!("{group}s{}", i + 1);
-            let peers: Vec<String> = addrs.iter().filter(|a| *a != addr).cloned().collect();
-            let d = zone_name((g + i) % shape.zones);
-            let mut args = vec!["stand".into(), "--name".into(), name.clone(), "--addr".into(), addr.clone()];
-            for l in [format!("group={group}"), format!("district={d}"), format!("copies={}", shape.replicas)]
-            {
-                args.extend(["--label".into(), l]);
-            }
-            peers.iter().for_each(|p| args.extend(["--peer".into(), p.clone()]));
-            desks.iter().for_each(|p| args.extend(["--desk".into(), p.clone()]));
-            args.extend(["--data".into(), dir.join("servers").display().to_string()]);
-            args.extend(["--relay".into(), next()]);
-            procs.push(ProcessSpec {
-                name: name.clone(),
-                executable: "quincehatch-lab".into(),
-                restart_args: args.clone(),
-                args,
-            });
-            servers.push(ServerAddress { name, group: group.clone(), addr: addr.clone() });
+    Ok(processes)
+}
+
+/// Arguments of a stand-in server, without its relay.
+fn server_args(dir: &Path, server: &ServerAddress, zone: &str, shape: &Shape) -> Vec<String> {
+    let mut args = vec!["stand".to_owned()];
+    let mut add = |flag: &str, value: String| args.extend([flag.to_owned(), value]);
+    add("--name", server.name.clone());
+    add("--addr", server.addr.clone());
+    add("--label", format!("group={}", server.group));
+    add("--label", format!("district={zone}"));
+    add("--label", format!("copies={}", shape.replicas));
+    add("--data", dir.join("servers").display().to_string());
+    args
+}
+
+/// Adds the servers of a group, each behind a relay.
+fn plan_group(plan: &mut FleetPlan, group: usize, ports: &mut Ports) {
+    let group_name = format!("g{}", group + 1);
+    let addrs: Vec<String> = (0..plan.shape.replicas).map(|_| ports.next()).collect();
+    for (index, addr) in addrs.iter().enumerate() {
+        let name = format!("{group_name}s{}", index + 1);
+        let server = ServerAddress { name, group: group_name.clone(), addr: addr.clone() };
+        let zone = zone_name((group + index) % plan.shape.zones);
+        let mut args = server_args(&plan.dir, &server, &zone, &plan.shape);
+        for peer in addrs.iter().filter(|peer| *peer != addr) {
+            args.extend(["--peer".into(), peer.clone()]);
         }
+        for operator_listener in plan.operator_addresses() {
+            args.extend(["--desk".into(), operator_listener]);
+        }
+        args.extend(["--relay".into(), ports.next()]);
+        plan.processes.push(ProcessSpec::new(&server.name, "quincehatch-lab", args));
+        plan.servers.push(server);
+    }
+}
+
+fn plan_platform(addr: &str, nodes: &[NodeAddress]) -> ProcessSpec {
+    let mut args = vec!["platform".into(), "--addr".into(), addr.to_owned()];
+    for node in nodes {
+        args.extend(["--door".into(), format!("{}={}", node.zone, node.client_listener)]);
     }
-    let mut args = vec!["platform".into(), "--addr".into(), platform.clone()];
-    nodes
-        .iter()
-        .for_each(|(n, _)| args.extend(["--door".into(), format!("{}={}", n.zone, n.client_listener)]));
-    procs.push(ProcessSpec {
-        name: "platform".into(),
-        executable: "quincehatch-lab".into(),
-        restart_args: args.clone(),
-        args,
-    });
-    let blueprint = dir.join("blueprint.toml");
-    std::fs::write(&blueprint, configuration_for(shape))?;
-    Ok(FleetPlan {
+    ProcessSpec::new("platform", "quincehatch-lab", args)
+}
+
+/// Writes settings files and the first configuration into `dir`; what to start, and where to call.
+pub fn write_plan(dir: &Path, shape: &Shape) -> io::Result<FleetPlan> {
+    std::fs::create_dir_all(dir)?;
+    let mut ports = Ports(shape.port);
+    let platform = ports.next();
+    let keepers: Vec<(String, String)> =
+        (0..shape.keepers).map(|index| (format!("k{}", index + 1), ports.next())).collect();
+    let node = |index: usize| {
+        let address = NodeAddress {
+            name: format!("n{}", index + 1),
+            zone: zone_name(index % shape.zones),
+            client_listener: ports.next(),
+            operator_listener: ports.next(),
+        };
+        PlannedNode { address, gossip_listener: ports.next() }
+    };
+    let nodes: Vec<PlannedNode> = (0..shape.nodes).map(node).collect();
+    let mut processes = plan_keepers(dir, &keepers)?;
+    processes.extend(plan_nodes(dir, &nodes, &keepers, &platform)?);
+    let configuration = dir.join("configuration.toml");
+    std::fs::write(&configuration, configuration_for(shape))?;
+    let mut plan = FleetPlan {
         dir: dir.into(),
         shape: shape.clone(),
-        processes: procs,
-        nodes: nodes.into_iter().map(|(n, _)| n).collect(),
+        processes,
+        nodes: nodes.into_iter().map(|node| node.address).collect(),
         keepers,
-        servers,
+        servers: Vec::new(),
         platform,
-        configuration: blueprint,
-    })
+        configuration,
+    };
+    for group in 0..shape.groups {
+        plan_group(&mut plan, group, &mut ports);
+    }
+    plan.processes.push(plan_platform(&plan.platform, &plan.nodes));
+    Ok(plan)
 }
 
-/// One placement a group; orders and lookups choose by the visit's `db` label.
+/// One placement for each group; orders and lookups choose by the request's `db` label.
 pub fn configuration_for(shape: &Shape) -> String {
-    let look = if shape.name == "lensbridge" { 5_000 } else { 3_000 };
-    let mut t = String::new();
-    for g in 1..=shape.groups {
-        t += &format!("[[placements]]\nname = \"p{g}\"\nselect = {{ group = [\"g{g}\"] }}\n\n");
+    let lookup_ms = shape.lookup_ms();
+    let mut text = String::new();
+    for group in 1..=shape.groups {
+        text += &format!("[[placements]]\nname = \"p{group}\"\nselect = {{ group = [\"g{group}\"] }}\n\n");
     }
-    for g in 1..=shape.groups {
-        t += &format!(
-            "[[rules]]\nname = \"order-g{g}\"\nclass = \"order\"\nwhen = {{ db = [\"g{g}\"] }}\nplacement = \"p{g}\"\n\
-             timeout_ms = 1000\n\n[[rules]]\nname = \"lookup-g{g}\"\nclass = \"lookup\"\nwhen = {{ db = [\"g{g}\"] }}\n\
-             placement = \"p{g}\"\ntimeout_ms = {look}\n\n"
+    for group in 1..=shape.groups {
+        text += &format!(
+            "[[rules]]\nname = \"order-g{group}\"\nclass = \"order\"\nwhen = {{ db = [\"g{group}\"] }}\n\
+             placement = \"p{group}\"\ntimeout_ms = 1000\n\n\
+             [[rules]]\nname = \"lookup-g{group}\"\nclass = \"lookup\"\nwhen = {{ db = [\"g{group}\"] }}\n\
+             placement = \"p{group}\"\ntimeout_ms = {lookup_ms}\n\n"
         );
     }
-    t
+    text
 }
 
+/// Labels from `name=value` pairs; others are left out.
 pub fn parse_labels(pairs: &[String]) -> Labels {
-    pairs.iter().filter_map(|p| p.split_once('=')).map(|(k, v)| (k.into(), v.into())).collect()
+    let pairs = pairs.iter().filter_map(|pair| pair.split_once('='));
+    pairs.map(|(name, value)| (name.into(), value.into())).collect()
 }
--- a/crates/testbed/src/history/answers.rs
+++ b/crates/testbed/src/history/answers.rs
@@ -1,79 +1,86 @@
-//! What servers ran and answered, against what callers sent and got (§1 N4, N7, N8, N9).
+//! What servers ran and answered, against what callers sent and got (N4, N7, N8, N9).
 use super::{Facts, History, SentStatements};
 use crate::stand_in::journal::JournalEntry;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A success is some server's own answer to that very call, stamp and rows to the byte.
-pub(super) fn check_answers(h: &History, f: &Facts, bad: &mut Vec<String>) {
-    let word = |id: &str, stamp: &Value, rows: &Value| format!("{id} {stamp} {rows}");
-    let mut said: BTreeSet<String> = BTreeSet::new();
-    for e in f.journals.values().flatten() {
-        if let JournalEntry::Said { id, stamp, rows } = e {
-            said.insert(word(id, stamp, rows));
+/// A success is some server's own answer to that very call, stamp and rows to the byte (N4).
+pub(super) fn check_answers(history: &History, facts: &Facts, violations: &mut Vec<String>) {
+    let fingerprint = |id: &str, stamp: &Value, rows: &Value| format!("{id} {stamp} {rows}");
+    let mut given: BTreeSet<String> = BTreeSet::new();
+    for entry in facts.journals.values().flatten() {
+        if let JournalEntry::Said { id, stamp, rows } = entry {
+            given.insert(fingerprint(id, stamp, rows));
         }
     }
-    for a in &h.answers {
-        if a.stamp.is_null() || a.rows.is_null() {
-            bad.push(format!("N4 {} of {:?} was answered kept without stamp or rows", a.path, a.id));
-        } else if !said.contains(&word(&a.id, &a.stamp, &a.rows)) {
-            let by = &a.stamp["server"];
-            bad.push(format!("N4 {} of {:?} was answered kept in words that {by} never said", a.path, a.id));
+    for answer in &history.answers {
+        let (path, id) = (&answer.path, &answer.id);
+        if answer.stamp.is_null() || answer.rows.is_null() {
+            violations.push(format!("N4 {path} of {id:?} was answered as a success without stamp or rows"));
+        } else if !given.contains(&fingerprint(id, &answer.stamp, &answer.rows)) {
+            let server = &answer.stamp["server"];
+            violations
+                .push(format!("N4 {path} of {id:?} was answered with a success that {server} never gave"));
         }
     }
 }
 
 /// The mark of who sent a statement: the last of its parameters.
 fn caller_mark(params: &Value) -> &str {
-    params.as_array().and_then(|p| p.last()).and_then(Value::as_str).unwrap_or_default()
+    params.as_array().and_then(|params| params.last()).and_then(Value::as_str).unwrap_or_default()
 }
 
-pub(super) fn check_statements(f: &Facts, sent: &SentStatements, bad: &mut Vec<String>) {
-    let mut ran: BTreeMap<&str, usize> = BTreeMap::new();
-    for (server, entries) in &f.journals {
-        let mut of: BTreeMap<u64, &str> = BTreeMap::new();
-        for e in entries {
-            match e {
+/// Transactions hold one caller's statements (N7), and servers run what callers sent, as often as they sent it (N8).
+pub(super) fn check_statements(facts: &Facts, sent: &SentStatements, violations: &mut Vec<String>) {
+    let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
+    for (server, entries) in &facts.journals {
+        let mut caller_by_transaction: BTreeMap<u64, &str> = BTreeMap::new();
+        for entry in entries {
+            match entry {
                 JournalEntry::Ran { txn, text, params, .. } => {
-                    let m = caller_mark(params);
-                    let own = sent.marks.get(m).is_some_and(|s| s.text == *text && s.params == *params);
-                    if !own {
-                        bad.push(format!(
-                            "N8 {server} ran a statement that no caller sent so ({} bytes)",
-                            text.len()
+                    let mark = caller_mark(params);
+                    *runs.entry(mark).or_default() += 1;
+                    let known = sent.marks.get(mark);
+                    if !known.is_some_and(|known| known.text == *text && known.params == *params) {
+                        let length = text.len();
+                        violations.push(format!(
+                            "N8 {server} ran a statement that no caller sent so ({length} bytes)"
                         ));
                     }
-                    *ran.entry(m).or_default() += 1;
                     if *txn > 0 {
-                        let who = m.split('#').next().unwrap_or_default();
-                        let first = *of.entry(*txn).or_insert(who);
-                        if first != who {
-                            bad.push(format!(
-                                "N7 on {server} a statement of {who} ran inside a transaction of {first}"
+                        let caller = mark.split('#').next().unwrap_or_default();
+                        let first = *caller_by_transaction.entry(*txn).or_insert(caller);
+                        if first != caller {
+                            violations.push(format!(
+                                "N7 on {server} a statement of {caller} ran inside a transaction of {first}"
                             ));
                         }
                     }
                 }
                 JournalEntry::Wore { text, .. } if !sent.session_state.contains(text) => {
-                    bad.push(format!("N8 {server} was given a context that no caller sent"));
+                    violations.push(format!("N8 {server} was given a session state that no caller sent"));
                 }
                 _ => {}
             }
         }
     }
-    for (m, n) in ran {
-        let over = sent.marks.get(m).filter(|s| !s.retryable && n > s.times);
-        if let Some(s) = over {
-            bad.push(format!("N8 the statement {m} was sent {} times and ran {n} times", s.times));
+    for (mark, count) in runs {
+        let known = sent.marks.get(mark).filter(|known| !known.retryable && count > known.times);
+        if let Some(known) = known {
+            let times = known.times;
+            violations.push(format!("N8 the statement {mark} was sent {times} times and ran {count} times"));
         }
     }
 }
 
-pub(super) fn check_drain(f: &Facts, bad: &mut Vec<String>) {
-    for (server, entries) in &f.journals {
-        let n = entries.iter().filter(|e| **e == JournalEntry::Late).count();
-        if n > 0 {
-            bad.push(format!("N9 {n} pieces of new work reached {server} over 7 s after it said it leaves"));
+/// No new work reaches a server that has drained for long (N9).
+pub(super) fn check_drain(facts: &Facts, violations: &mut Vec<String>) {
+    for (server, entries) in &facts.journals {
+        let late = entries.iter().filter(|entry| **entry == JournalEntry::Late).count();
+        if late > 0 {
+            violations.push(format!(
+                "N9 {late} pieces of new work reached {server} over 7 s after it began to drain"
+            ));
         }
     }
 }
--- a/crates/testbed/src/history/mod.rs
+++ b/crates/testbed/src/history/mod.rs
@@ -1,10 +1,11 @@
-//! What callers saw, and the checks of it against the BRIEF's must-nevers (§1, §9.4).
+//! What callers saw, and the checks of it against what must never happen (N1 to N12 of docs/design.md).
 mod answers;
 mod orders;
 mod pushes;
 mod recovery;
 
 use crate::stand_in::journal::JournalEntry;
+use quincehatch_core::Millis;
 pub use recovery::{MAX_GAP, MIN_SUCCESS_PERCENT, Window};
 use serde::Serialize;
 use serde_json::Value;
@@ -14,180 +15,229 @@
 /// How a call ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum CallEnd {
+    /// A server committed it, or answered it.
     Committed,
     /// The nodes took it on; no server was asked.
     Accepted,
+    /// It is not applied.
     NotApplied,
+    /// Whether it is applied is not known.
     Unknown,
-    /// No answer at all: the node or the way to it broke.
+    /// No answer came: the node, or the way to it, broke.
     NoReply,
 }
 
-/// One try of an order, every time it was sent or asked after.
+/// One attempt of an order, every time it was sent or asked after.
 #[derive(Clone, Debug, Serialize)]
 pub struct AttemptRecord {
+    /// Group that it was sent to.
     pub group: String,
+    /// List that it appends to.
     pub list: String,
+    /// Its idempotency key.
     pub key: String,
-    /// Every end told, with the time of asking and of the answer.
-    pub ends: Vec<(CallEnd, u64, u64)>,
-    /// The last word was a seal: it can never be kept.
+    /// Every end that was told, with the time of asking and of the answer.
+    pub ends: Vec<(CallEnd, Millis, Millis)>,
+    /// It was told to be sealed: it can never be committed.
     pub sealed: bool,
 }
 
-/// A lookup of a list: who must be in it, and what came.
+/// A lookup of a list.
 #[derive(Clone, Debug, Serialize)]
 pub struct ReadRecord {
+    /// Group of the list.
     pub group: String,
+    /// The list.
     pub list: String,
+    /// It was to be read at the primary, where nothing may be missed.
     pub order_side: bool,
-    pub asked: u64,
+    /// When it was sent.
+    pub asked: Millis,
     /// When the answer came: the node passed it on a moment before.
-    pub answered: u64,
+    pub answered: Millis,
+    /// Orders in the list.
     pub seen: BTreeSet<String>,
+    /// Server that answered.
     pub server: String,
+    /// Node that passed the answer on.
     pub node: String,
 }
 
-/// A success as its caller got it, and what it had asked.
+/// A success as its caller got it.
 #[derive(Clone, Debug, Serialize)]
 pub struct AnswerRecord {
+    /// Path of the call.
     pub path: String,
-    /// The try, or the mark among the parameters; nothing for `begin` and `rollback`.
+    /// The idempotency key, or the mark among the parameters; empty for `begin` and `rollback`.
     pub id: String,
+    /// The server's stamp.
     pub stamp: Value,
+    /// The rows.
     pub rows: Value,
 }
 
 /// What a caller sent under one mark, and how often.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct SentStatement {
+    /// Text of the statement.
     pub text: String,
+    /// Its parameters.
     pub params: Value,
+    /// How often it was sent.
     pub times: usize,
-    /// A lookup may be carried to several servers.
+    /// A lookup may be retried on several servers.
     pub retryable: bool,
 }
 
-/// One order or lookup as a caller had it: asked, over, and whether it was answered well.
+/// One order or lookup as a caller had it.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ServedCall {
-    pub asked: u64,
-    pub ended: u64,
+    /// When it was sent.
+    pub asked: Millis,
+    /// When it was over.
+    pub ended: Millis,
+    /// It succeeded.
     pub succeeded: bool,
-    /// The result code it ended with; 0 if it went well or had no answer.
+    /// The result it ended with; 0 if it succeeded or had no answer.
     pub code: u64,
 }
 
 /// A push that was acknowledged.
 #[derive(Clone, Debug, Serialize)]
 pub struct AcknowledgedPush {
+    /// The version that it became.
     pub version: u64,
-    pub acked: u64,
+    /// When its operator learned it.
+    pub acked: Millis,
 }
 
-/// What a push was told.
+/// How a push ended for its operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum PushEnd {
+    /// It became this version.
     Version(u64),
+    /// It was rejected with this result.
     Rejected(u64),
-    /// No answer, or none that came in time.
+    /// No answer came, or none in time.
     NoReply,
 }
 
 /// A push under its key, every time it was sent.
 #[derive(Clone, Debug, Serialize)]
 pub struct PushAttempt {
+    /// Its key.
     pub key: String,
+    /// The version it builds on.
     pub base: u64,
     /// Pushes of one race build on one version at one time.
     pub race: Option<u64>,
+    /// The configuration is valid.
     pub valid: bool,
-    /// A majority of the disk machines was up and could be reached all along.
+    /// A majority of the voters was up and could be reached all along.
     pub majority_up: bool,
-    pub asked: u64,
-    pub ends: Vec<(PushEnd, u64)>,
+    /// When it was first sent.
+    pub asked: Millis,
+    /// Every end, with its time.
+    pub ends: Vec<(PushEnd, Millis)>,
 }
 
-/// The version a visit ran under.
+/// The version that a request ran under.
 #[derive(Clone, Debug, Serialize)]
 pub struct VersionRecord {
+    /// The node.
     pub node: String,
-    pub asked: u64,
-    pub answered: u64,
+    /// When the request was sent.
+    pub asked: Millis,
+    /// When the answer came.
+    pub answered: Millis,
+    /// The version.
     pub version: u64,
 }
 
+/// Everything that callers and operators of a run saw.
 #[derive(Debug, Default, Serialize)]
 pub struct History {
+    /// Attempts of orders by key.
     pub attempts: BTreeMap<String, AttemptRecord>,
+    /// Lookups that were answered.
     pub reads: Vec<ReadRecord>,
+    /// Pushes that were acknowledged.
     pub pushes: Vec<AcknowledgedPush>,
+    /// All pushes.
     pub push_attempts: Vec<PushAttempt>,
+    /// Versions that requests ran under.
     pub versions: Vec<VersionRecord>,
+    /// Successes.
     pub answers: Vec<AnswerRecord>,
-    /// Breaches seen as they happened: a lost setting, a push taken twice.
+    /// Violations seen as they happened: lost session state, a process that did not stop.
     pub violations: Vec<String>,
-    /// Orders and lookups by group.
+    /// Orders and lookups, by group and kind.
     pub served: BTreeMap<(String, &'static str), Vec<ServedCall>>,
+    /// Answers that came later than their deadline allows.
     pub late_replies: u64,
-    /// In the simulator an acknowledged blueprint is held to be in force at once, as the design claims (§5.6).
+    /// An acknowledged configuration is held to be in force at once, as in the simulator.
     pub immediate_effect: bool,
 }
 
 /// What the servers hold and did, once all is quiet again.
 #[derive(Clone, Debug, Default)]
 pub struct Facts {
-    /// Lists by group and name, in the order kept, as the named lead holds them.
+    /// Lists by group and name, in the order committed, as the primary holds them.
     pub lists: BTreeMap<(String, String), Vec<String>>,
-    /// Visible logs by group: the lead's first, then the other servers' by name.
+    /// Visible logs by group: the primary's first, then the other servers' by name.
     pub logs: BTreeMap<String, Vec<(String, Vec<String>)>>,
     /// What each server did.
     pub journals: BTreeMap<String, Vec<JournalEntry>>,
 }
 
+/// A history that callers share.
 pub type SharedHistory = Mutex<History>;
 
-/// Bounds of the BRIEF, in milliseconds.
-pub const MAX_STALENESS: u64 = 1_500;
-pub const MAX_APPLY_DELAY: u64 = 3_000;
-pub const MAX_RECOVERY: u64 = 12_000;
-/// A valid push is answered for good within this, while a majority of the disk machines is up: a node's lease
-/// that has to run out, a chain that has to be mended, and one call that was lost (§5.6).
-pub const MAX_PUSH_TIME: u64 = 12_000;
-/// What may pass between a node's passing an answer on and its caller's noting it.
-pub const OBSERVATION_SLACK: u64 = 250;
-
-/// All that callers sent: statements by mark, and texts promised to sessions.
+/// A lookup may miss what was acknowledged no longer ago than that (N6).
+pub const MAX_STALENESS: Millis = 1_500;
+/// An acknowledged configuration is in force everywhere after so long (N10).
+pub const MAX_APPLY_DELAY: Millis = 3_000;
+/// Service is back so long after a final fault (N12).
+pub const MAX_RECOVERY: Millis = 12_000;
+/// A valid push has its final answer within this time while a majority of the voters is up (N11): a node's lease has to
+/// run out, the chain has to be repaired, and one call may be lost.
+pub const MAX_PUSH_TIME: Millis = 12_000;
+/// What may pass between a node's passing an answer on and its caller's recording it.
+pub const OBSERVATION_SLACK: Millis = 250;
+
+/// All that callers sent.
 #[derive(Clone, Debug, Default)]
 pub struct SentStatements {
+    /// Statements by mark.
     pub marks: BTreeMap<String, SentStatement>,
+    /// Settings and prepared statements of sessions.
     pub session_state: BTreeSet<String>,
 }
 
-/// Every breach, as a line that names the must-never (§1).
+/// Every violation, as a line that begins with the number of its check.
 pub fn check_history(
-    h: &History,
-    f: &Facts,
+    history: &History,
+    facts: &Facts,
     sent: &SentStatements,
-    faults: &[(u64, String)],
-    end: u64,
+    faults: &[(Millis, String)],
+    end: Millis,
 ) -> Vec<String> {
-    let mut bad = h.violations.clone();
-    orders::check_orders(h, f, &mut bad);
-    orders::check_logs(f, &mut bad);
-    orders::check_reads(h, &mut bad);
-    answers::check_answers(h, f, &mut bad);
-    answers::check_statements(f, sent, &mut bad);
-    answers::check_drain(f, &mut bad);
-    orders::check_versions(h, &mut bad);
-    pushes::check_pushes(h, &mut bad);
-    recovery::check_recovery(h, faults, end, &mut bad);
-    bad
+    let mut violations = history.violations.clone();
+    orders::check_orders(history, facts, &mut violations);
+    orders::check_logs(facts, &mut violations);
+    orders::check_reads(history, &mut violations);
+    answers::check_answers(history, facts, &mut violations);
+    answers::check_statements(facts, sent, &mut violations);
+    answers::check_drain(facts, &mut violations);
+    orders::check_versions(history, &mut violations);
+    pushes::check_pushes(history, &mut violations);
+    recovery::check_recovery(history, faults, end, &mut violations);
+    violations
 }
 
-/// The longest time without a kept order in a group after `at`.
-pub fn longest_gaps_after(h: &History, at: u64) -> BTreeMap<String, u64> {
-    let orders = h.served.iter().filter(|(k, _)| k.1 == "order");
-    orders.map(|(k, v)| (k.0.clone(), recovery::longest_gap(v, at, None))).collect()
+/// The longest time without an acknowledged order after `at`, by group.
+pub fn longest_gaps_after(history: &History, at: Millis) -> BTreeMap<String, Millis> {
+    let orders = history.served.iter().filter(|((_, kind), _)| *kind == "order");
+    let gap = |calls: &[ServedCall]| recovery::longest_gap(calls, at, None);
+    orders.map(|((group, _), calls)| (group.clone(), gap(calls))).collect()
 }
--- a/crates/testbed/src/history/orders.rs
+++ b/crates/testbed/src/history/orders.rs
@@ -1,94 +1,128 @@
-//! Orders, reads and blueprints against what callers were told (§1 N1, N2, N3, N5, N6, N10).
-use super::{CallEnd, Facts, History, MAX_APPLY_DELAY, MAX_STALENESS, OBSERVATION_SLACK, VersionRecord};
+//! Orders, reads and configurations against what callers were told (N1, N2, N3, N5, N6, N10).
+use super::{
+    CallEnd, Facts, History, MAX_APPLY_DELAY, MAX_STALENESS, OBSERVATION_SLACK, ReadRecord, VersionRecord,
+};
+use quincehatch_core::Millis;
 use std::collections::BTreeMap;
 
-pub(super) fn check_orders(h: &History, f: &Facts, bad: &mut Vec<String>) {
-    let mut count: BTreeMap<&str, usize> = BTreeMap::new();
-    f.lists.values().flatten().for_each(|k| *count.entry(k.as_str()).or_default() += 1);
-    for (k, n) in count.iter().filter(|(_, n)| **n > 1) {
-        bad.push(format!("N1 the order {k} took effect {n} times"));
+/// An order takes effect once (N1); if it was acknowledged (N2); and not against what was told (N3).
+pub(super) fn check_orders(history: &History, facts: &Facts, violations: &mut Vec<String>) {
+    let mut effects: BTreeMap<&str, usize> = BTreeMap::new();
+    for key in facts.lists.values().flatten() {
+        *effects.entry(key.as_str()).or_default() += 1;
     }
-    for t in h.attempts.values() {
-        let n = count.get(t.key.as_str()).copied().unwrap_or(0);
-        let kept = t.ends.iter().any(|e| e.0 == CallEnd::Committed);
-        if kept && n == 0 {
-            bad.push(format!("N2 the acknowledged order {} vanished", t.key));
+    for (key, count) in effects.iter().filter(|(_, count)| **count > 1) {
+        violations.push(format!("N1 the order {key} took effect {count} times"));
+    }
+    for attempt in history.attempts.values() {
+        let (key, ends) = (&attempt.key, &attempt.ends);
+        let has_effect = effects.contains_key(key.as_str());
+        let is_acknowledged = ends.iter().any(|(end, _, _)| *end == CallEnd::Committed);
+        if is_acknowledged && !has_effect {
+            violations.push(format!("N2 the acknowledged order {key} vanished"));
         }
-        let doubt = t.ends.iter().any(|e| matches!(e.0, CallEnd::Unknown | CallEnd::NoReply));
-        if n > 0 && !kept && !doubt {
-            bad.push(format!(
-                "N3 the order {} was kept though every answer said nothing was: {:?}",
-                t.key, t.ends
-            ));
+        let in_doubt = ends.iter().any(|(end, _, _)| matches!(end, CallEnd::Unknown | CallEnd::NoReply));
+        if has_effect && !is_acknowledged && !in_doubt {
+            violations
+                .push(format!("N3 the order {key} took effect though every answer denied it: {ends:?}"));
         }
-        if n > 0 && t.sealed {
-            bad.push(format!("N3 the sealed order {} was kept", t.key));
+        if has_effect && attempt.sealed {
+            violations.push(format!("N3 the sealed order {key} took effect"));
         }
     }
 }
 
-/// Every server's visible log is the lead's, as far as it goes.
-pub(super) fn check_logs(f: &Facts, bad: &mut Vec<String>) {
-    for (g, all) in &f.logs {
-        let Some((lead, log)) = all.first() else { continue };
-        for (s, other) in &all[1..] {
-            let at = other.iter().zip(log).position(|(a, b)| a != b);
-            let at = at.or_else(|| (other.len() > log.len()).then_some(log.len()));
-            if let Some(i) = at {
-                bad.push(format!("N2 in {g} server {s} and the lead {lead} differ from record {} on", i + 1));
+/// Every server's visible log is the primary's, as far as it goes (N2).
+pub(super) fn check_logs(facts: &Facts, violations: &mut Vec<String>) {
+    for (group, logs) in &facts.logs {
+        let Some(((primary, log), others)) = logs.split_first() else { continue };
+        for (server, other) in others {
+            let common = other.iter().zip(log).take_while(|(own, primarys)| own == primarys).count();
+            if common < other.len() {
+                let record = common + 1;
+                violations.push(format!(
+                    "N2 in {group} server {server} and the primary {primary} differ from record {record} on"
+                ));
             }
         }
     }
 }
 
-pub(super) fn check_reads(h: &History, bad: &mut Vec<String>) {
-    // For each list: keys with the time at which they were first acknowledged.
-    let mut acked: BTreeMap<(&str, &str), Vec<(u64, &str)>> = BTreeMap::new();
-    for t in h.attempts.values() {
-        if let Some(at) = t.ends.iter().filter(|e| e.0 == CallEnd::Committed).map(|e| e.2).min() {
-            acked.entry((&t.group, &t.list)).or_default().push((at, &t.key));
+/// An order of a list, and when it was first acknowledged.
+struct AcknowledgedOrder<'history> {
+    at: Millis,
+    key: &'history str,
+}
+
+type OrdersByList<'history> = BTreeMap<(&'history str, &'history str), Vec<AcknowledgedOrder<'history>>>;
+
+fn acknowledged_orders(history: &History) -> OrdersByList<'_> {
+    let mut orders = OrdersByList::new();
+    for attempt in history.attempts.values() {
+        let acknowledged = attempt.ends.iter().filter(|(end, _, _)| *end == CallEnd::Committed);
+        if let Some(at) = acknowledged.map(|(_, _, answered)| *answered).min() {
+            let list = orders.entry((&attempt.group, &attempt.list)).or_default();
+            list.push(AcknowledgedOrder { at, key: &attempt.key });
         }
     }
-    for r in &h.reads {
-        // A lookup may be so far behind when the node passes it on, however long it took before.
-        let before =
-            if r.order_side { r.asked } else { r.answered.saturating_sub(MAX_STALENESS + OBSERVATION_SLACK) };
-        let word = if r.order_side { "N5 an order-side read" } else { "N6 a lookup" };
-        let known = acked.get(&(r.group.as_str(), r.list.as_str()));
-        let missed = known.into_iter().flatten().find(|(at, k)| *at < before && !r.seen.contains(*k));
-        if let Some((at, k)) = missed {
-            bad.push(format!(
-                "{word} asked at {} and answered at {} on {} by {} missed {k}, acknowledged at {at}",
-                r.asked, r.answered, r.server, r.node
-            ));
-        }
+    orders
+}
+
+/// A read at the primary misses nothing that was acknowledged before it (N5), a lookup nothing older than its bound (N6).
+pub(super) fn check_reads(history: &History, violations: &mut Vec<String>) {
+    let orders = acknowledged_orders(history);
+    for read in &history.reads {
+        let Some(orders) = orders.get(&(read.group.as_str(), read.list.as_str())) else { continue };
+        let needed_before = needed_before(read);
+        let is_missing =
+            |order: &&AcknowledgedOrder| order.at < needed_before && !read.seen.contains(order.key);
+        let Some(missing) = orders.iter().find(is_missing) else { continue };
+        let kind = if read.order_side { "N5 a read at the primary" } else { "N6 a lookup" };
+        let ReadRecord { asked, answered, server, node, .. } = read;
+        violations.push(format!(
+            "{kind} asked at {asked} and answered at {answered} on {server} by {node} missed {}, acknowledged at {}",
+            missing.key, missing.at
+        ));
     }
 }
 
-pub(super) fn check_versions(h: &History, bad: &mut Vec<String>) {
-    let within = if h.immediate_effect { 0 } else { MAX_APPLY_DELAY };
-    for p in &h.pushes {
-        let late = h.versions.iter().find(|e| e.asked > p.acked + within && e.version < p.version);
-        if let Some(e) = late {
-            bad.push(format!(
-                "N10 version {} was acknowledged at {} but node {} ran a visit under {} at {}",
-                p.version, p.acked, e.node, e.version, e.asked
+/// A lookup may be stale by its bound when the node passes it on, however long it took before.
+fn needed_before(read: &ReadRecord) -> Millis {
+    if read.order_side { read.asked } else { read.answered.saturating_sub(MAX_STALENESS + OBSERVATION_SLACK) }
+}
+
+/// Nodes run requests under acknowledged versions in time, and never under an older version than before (N10).
+pub(super) fn check_versions(history: &History, violations: &mut Vec<String>) {
+    let apply_delay = if history.immediate_effect { 0 } else { MAX_APPLY_DELAY };
+    for push in &history.pushes {
+        let is_late =
+            |run: &&VersionRecord| run.asked > push.acked + apply_delay && run.version < push.version;
+        if let Some(late) = history.versions.iter().find(is_late) {
+            violations.push(format!(
+                "N10 version {} was acknowledged at {} but node {} ran a request under {} at {}",
+                push.version, push.acked, late.node, late.version, late.asked
             ));
         }
     }
-    let mut by: BTreeMap<&str, Vec<&VersionRecord>> = BTreeMap::new();
-    h.versions.iter().for_each(|e| by.entry(&e.node).or_default().push(e));
-    for (node, mut rows) in by {
-        rows.sort_by_key(|e| e.answered);
-        let mut top = (0, 0);
-        for r in rows {
-            // Only a visit that began after another's answer can show a slip.
-            if r.asked > top.1 && r.version < top.0 {
-                bad.push(format!("N10 node {node} slipped from version {} back to {}", top.0, r.version));
-            }
-            if r.version > top.0 {
-                top = (r.version, r.answered);
-            }
+    let mut by_node: BTreeMap<&str, Vec<&VersionRecord>> = BTreeMap::new();
+    for run in &history.versions {
+        by_node.entry(&run.node).or_default().push(run);
+    }
+    for (node, mut runs) in by_node {
+        runs.sort_by_key(|run| run.answered);
+        check_versions_rise(node, &runs, violations);
+    }
+}
+
+fn check_versions_rise(node: &str, runs: &[&VersionRecord], violations: &mut Vec<String>) {
+    let (mut highest, mut highest_answered) = (0, 0);
+    for run in runs {
+        // Only a request that began after another's answer can show a step back.
+        if run.asked > highest_answered && run.version < highest {
+            violations.push(format!("N10 node {node} went from version {highest} back to {}", run.version));
+        }
+        if run.version > highest {
+            (highest, highest_answered) = (run.version, run.answered);
         }
     }
 }
--- a/crates/testbed/src/history/pushes.rs
+++ b/crates/testbed/src/history/pushes.rs
@@ -1,56 +1,92 @@
-//! Pushes against what their operators were told (§1 N11).
+//! Pushes against what their operators were told (N11).
 use super::{History, MAX_PUSH_TIME, PushAttempt, PushEnd};
-use quincehatch_core::ErrorCode;
+use quincehatch_core::{ErrorCode, Millis};
 use std::collections::{BTreeMap, BTreeSet};
 
-pub(super) fn check_pushes(h: &History, bad: &mut Vec<String>) {
-    let invalid = PushEnd::Rejected(ErrorCode::ConfigurationInvalid.number().into());
-    let stale = PushEnd::Rejected(ErrorCode::ConfigurationStale.number().into());
-    let mut won: BTreeMap<&str, BTreeSet<u64>> = BTreeMap::new();
-    let mut races: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
-    for t in &h.push_attempts {
-        for (end, at) in &t.ends {
-            match end {
-                PushEnd::Version(e) => drop(won.entry(&t.key).or_default().insert(*e)),
-                e if *e == invalid && t.valid => {
-                    bad.push(format!("N11 the valid push {} was declined as invalid at {at}", t.key));
-                }
-                _ => {}
+/// Versions that pushes became, by key.
+type VersionsByKey<'history> = BTreeMap<&'history str, BTreeSet<u64>>;
+
+fn rejected_with(code: ErrorCode) -> PushEnd {
+    PushEnd::Rejected(code.number().into())
+}
+
+impl PushAttempt {
+    fn last_end(&self) -> PushEnd {
+        self.ends.last().map_or(PushEnd::NoReply, |(end, _)| *end)
+    }
+
+    fn duration(&self) -> Millis {
+        let ended = self.ends.last().map_or(Millis::MAX, |(_, at)| *at);
+        ended.saturating_sub(self.asked)
+    }
+
+    fn is_unanswered(&self) -> bool {
+        self.ends.iter().all(|(end, _)| *end == PushEnd::NoReply)
+    }
+}
+
+/// Valid pushes are answered in time, invalid ones rejected, a push taken once, and a race won by one at most.
+pub(super) fn check_pushes(history: &History, violations: &mut Vec<String>) {
+    let mut versions = VersionsByKey::new();
+    for push in &history.push_attempts {
+        for (end, _) in &push.ends {
+            if let PushEnd::Version(version) = end {
+                versions.entry(&push.key).or_default().insert(*version);
             }
         }
-        let last = t.ends.last().map_or(PushEnd::NoReply, |e| e.0);
-        if !t.valid && last != invalid && (t.majority_up || last != PushEnd::NoReply) {
-            bad.push(format!("N11 the broken push {} came to {last:?}", t.key));
-        }
-        let over = t.ends.last().map_or(u64::MAX, |e| e.1).saturating_sub(t.asked);
-        let told = matches!(last, PushEnd::Version(_)) || last == stale;
-        if t.valid && t.majority_up && (!told || over > MAX_PUSH_TIME) {
-            bad.push(format!("N11 the valid push {} came to {last:?} after {over} ms", t.key));
-        }
-        if let Some(r) = t.race {
-            races.entry(r).or_default().insert(&t.key);
-        }
+        check_push(push, violations);
+    }
+    for (key, versions) in versions.iter().filter(|(_, versions)| versions.len() > 1) {
+        violations.push(format!("N11 the push {key}, sent twice, was taken as {versions:?}"));
     }
-    for (key, versions) in won.iter().filter(|(_, e)| e.len() > 1) {
-        bad.push(format!("N11 the push {key}, sent twice, was taken as {versions:?}"));
-    }
-    for (r, keys) in races {
-        let winners = keys.iter().filter(|k| won.contains_key(**k)).count();
-        let bound = h.push_attempts.iter().filter(|t| t.race == Some(r)).all(|t| t.majority_up);
-        let base = h.push_attempts.iter().find(|t| t.race == Some(r)).map_or(0, |t| t.base);
-        // Nobody may win only if another's version came between.
-        let beaten = h.pushes.iter().any(|p| p.version == base + 1) || lost_to_unanswered_push(h, base, r);
-        if winners > 1 || (winners == 0 && bound && !beaten) {
-            bad.push(format!("N11 of {} pushes at once on version {base}, {winners} won", keys.len()));
+    let races: BTreeSet<u64> = history.push_attempts.iter().filter_map(|push| push.race).collect();
+    for race in races {
+        check_race(history, race, &versions, violations);
+    }
+}
+
+fn check_push(push: &PushAttempt, violations: &mut Vec<String>) {
+    let invalid = rejected_with(ErrorCode::ConfigurationInvalid);
+    let stale = rejected_with(ErrorCode::ConfigurationStale);
+    let (key, last) = (&push.key, push.last_end());
+    if !push.valid {
+        if last != invalid && (push.majority_up || last != PushEnd::NoReply) {
+            violations.push(format!("N11 the invalid push {key} came to {last:?}"));
         }
+        return;
+    }
+    for (_, at) in push.ends.iter().filter(|(end, _)| *end == invalid) {
+        violations.push(format!("N11 the valid push {key} was rejected as invalid at {at}"));
+    }
+    let duration = push.duration();
+    let is_answered = matches!(last, PushEnd::Version(_)) || last == stale;
+    if push.majority_up && (!is_answered || duration > MAX_PUSH_TIME) {
+        violations.push(format!("N11 the valid push {key} came to {last:?} after {duration} ms"));
+    }
+}
+
+/// One push of a race wins, or none if another push's version came before all of them.
+fn check_race(history: &History, race: u64, versions: &VersionsByKey<'_>, violations: &mut Vec<String>) {
+    let runners: Vec<&PushAttempt> =
+        history.push_attempts.iter().filter(|push| push.race == Some(race)).collect();
+    let keys: BTreeSet<&str> = runners.iter().map(|push| push.key.as_str()).collect();
+    let winners = keys.iter().filter(|key| versions.contains_key(**key)).count();
+    let majority_up = runners.iter().all(|push| push.majority_up);
+    let base = runners.first().map_or(0, |push| push.base);
+    let other_took_it = history.pushes.iter().any(|push| push.version == base + 1)
+        || lost_to_unanswered_push(history, base, race);
+    if winners > 1 || (winners == 0 && majority_up && !other_took_it) {
+        let count = keys.len();
+        violations.push(format!("N11 of {count} pushes at once on version {base}, {winners} won"));
     }
 }
 
-/// A push outside the race that was never answered took the version after `base`: a later push builds on it, and nobody
-/// was told that it is his.
-fn lost_to_unanswered_push(h: &History, base: u64, race: u64) -> bool {
-    let unanswered = |t: &PushAttempt| t.ends.iter().all(|(end, _)| *end == PushEnd::NoReply);
-    let rival = |t: &&PushAttempt| t.race != Some(race) && t.base == base && t.valid && unanswered(t);
-    let built_upon = h.push_attempts.iter().any(|t| t.base == base + 1);
-    built_upon && h.push_attempts.iter().any(|t| rival(&t))
+/// A push outside the race that was never answered took the version after `base`: a later push builds on that, and its
+/// operator never learned it.
+fn lost_to_unanswered_push(history: &History, base: u64, race: u64) -> bool {
+    let is_rival = |push: &PushAttempt| {
+        push.race != Some(race) && push.base == base && push.valid && push.is_unanswered()
+    };
+    let built_upon = history.push_attempts.iter().any(|push| push.base == base + 1);
+    built_upon && history.push_attempts.iter().any(is_rival)
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,4 +1,6 @@
-//! The lab (§9): stand-ins, fault relay, fleet runner, load, history checker, simulator.
+//! The test bench: stand-in servers, a fault relay, a fleet runner, callers, scripts of faults, and the history checker.
+#![warn(missing_docs, clippy::too_many_lines, clippy::too_many_arguments)]
+#![warn(clippy::many_single_char_names, clippy::min_ident_chars)]
 pub mod caller;
 mod caller_operations;
 pub mod configuration_pushes;
@@ -11,6 +13,7 @@
 pub mod run_facts;
 pub mod running;
 pub mod scenario;
+mod scenario_steps;
 mod scenarios;
 pub mod script;
 pub mod stand_in;
--- a/crates/testbed/src/platform.rs
+++ b/crates/testbed/src/platform.rs
@@ -1,11 +1,12 @@
-//! The platform's stand-in (§3.4): hands origins to ready nodes of their district, and takes promotions from
-//! one node at a time under a rising fence.
+//! The platform's stand-in: it hands clients to ready nodes of their zone, and takes promotions of one node at a time
+//! under a rising fence.
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::service::service_fn;
-use hyper::{Request, Response};
+use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
+use quincehatch_core::FencingToken;
 use quincehatch_runtime::seam;
 use quincehatch_wire::http::{JsonRequest, call_once, post_once};
 use serde_json::{Value, json};
@@ -15,108 +16,149 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
+/// How often nodes are asked whether they are ready, and how long they have to answer.
+const READINESS_INTERVAL: Duration = Duration::from_millis(250);
+const READINESS_TIMEOUT: Duration = Duration::from_millis(400);
+/// A server has so long to take a promotion.
+const PROMOTE_TIMEOUT: Duration = Duration::from_millis(700);
+/// Largest body of a request, in bytes.
+const MAX_BODY: usize = 1 << 20;
+
+/// A node as the platform knows it.
+struct PlatformNode {
+    zone: String,
+    client_listener: String,
+    is_ready: bool,
+}
+
+/// A promotion that the platform took.
+#[derive(Clone, Debug, Default, PartialEq)]
+struct TakenPromotion {
+    fence: FencingToken,
+    node: String,
+    server: String,
+}
+
 #[derive(Default)]
-struct State {
-    /// Nodes by district: door and whether it said it is ready.
-    nodes: Vec<(String, String, bool)>,
-    /// A group's newest fence, the node that used it and the server it named.
-    fences: BTreeMap<String, (u64, String, String)>,
+struct PlatformState {
+    nodes: Vec<PlatformNode>,
+    /// The newest promotion of each group.
+    promotions: BTreeMap<String, TakenPromotion>,
 }
 
 /// The platform's state, and what it does when it is called.
 #[derive(Default)]
-pub struct Platform(Mutex<State>);
+pub struct Platform(Mutex<PlatformState>);
 
 impl Platform {
+    /// A platform over nodes, given by zone and client listener.
     pub fn new(nodes: Vec<(String, String)>) -> Arc<Platform> {
-        let nodes = nodes.into_iter().map(|(d, a)| (d, a, false)).collect();
-        Arc::new(Platform(Mutex::new(State { nodes, ..Default::default() })))
+        let node = |(zone, client_listener)| PlatformNode { zone, client_listener, is_ready: false };
+        let nodes = nodes.into_iter().map(node).collect();
+        Arc::new(Platform(Mutex::new(PlatformState { nodes, ..Default::default() })))
     }
-    pub async fn call(&self, path: &str, b: &Value) -> (u16, Value) {
+
+    /// Answers a call with a status and a body.
+    pub async fn call(&self, path: &str, body: &Value) -> (u16, Value) {
         match path {
-            "/v1/promote" => promote(&self.0, b).await,
-            "/v1/place" => place_client(&self.0, b["district"].as_str().unwrap_or_default()),
+            "/v1/promote" => self.promote(body).await,
+            "/v1/place" => self.place_client(body["district"].as_str().unwrap_or_default()),
             _ => (404, json!({"error": "no such call"})),
         }
     }
+
+    /// A ready node of the zone; another zone's if it has none.
+    fn place_client(&self, zone: &str) -> (u16, Value) {
+        let state = self.0.lock().unwrap();
+        let ready: Vec<&PlatformNode> = state.nodes.iter().filter(|node| node.is_ready).collect();
+        let near: Vec<&PlatformNode> = ready.iter().copied().filter(|node| node.zone == zone).collect();
+        let candidates = if near.is_empty() { &ready } else { &near };
+        let drawn = fastrand::usize(..candidates.len().max(1));
+        match candidates.get(drawn) {
+            Some(node) => (200, json!({"door": node.client_listener, "district": node.zone})),
+            None => (503, json!({"error": "no node is ready"})),
+        }
+    }
+
+    /// Notes a promotion; false if a higher fence, or another promotion under this one, was taken before.
+    fn take_promotion(&self, group: String, promotion: TakenPromotion) -> bool {
+        let mut state = self.0.lock().unwrap();
+        let newest = state.promotions.get(&group).cloned().unwrap_or_default();
+        let is_new = promotion.fence > newest.fence || promotion == newest;
+        if is_new {
+            state.promotions.insert(group, promotion);
+        }
+        is_new
+    }
+
+    async fn promote(&self, body: &Value) -> (u16, Value) {
+        let text = |key: &str| body[key].as_str().unwrap_or_default().to_owned();
+        let fence = body["fence"].as_u64().unwrap_or(0);
+        let promotion = TakenPromotion { fence, node: text("node"), server: text("server") };
+        if !self.take_promotion(text("group"), promotion) {
+            return (409, json!({"error": "a higher fence, or another server under this one, was promoted"}));
+        }
+        let order = json!({"fence": fence, "counts": body["counts"]});
+        match post_once(&text("addr"), "/v1/promote", &order, PROMOTE_TIMEOUT).await {
+            Ok((200, _)) => (200, json!({"promoted": true})),
+            Ok((_, answer)) => (502, answer),
+            Err(error) => (504, json!({"error": error.to_string()})),
+        }
+    }
+
+    fn set_ready(&self, client_listener: &str, is_ready: bool) {
+        let mut state = self.0.lock().unwrap();
+        for node in state.nodes.iter_mut().filter(|node| node.client_listener == client_listener) {
+            node.is_ready = is_ready;
+        }
+    }
 }
 
+/// Serves until the process ends; nodes are given by zone and client listener.
 pub async fn serve(addr: &str, nodes: Vec<(String, String)>) -> std::io::Result<()> {
-    let lst = TcpListener::bind(addr).await?;
-    let st = Platform::new(nodes);
-    seam::spawn(poll_readiness(st.clone()));
+    let listener = TcpListener::bind(addr).await?;
+    let platform = Platform::new(nodes);
+    seam::spawn(poll_readiness(platform.clone()));
     loop {
-        let Ok((sock, _)) = lst.accept().await else { continue };
-        let st = st.clone();
+        let Ok((stream, _)) = listener.accept().await else { continue };
+        let platform = platform.clone();
         seam::spawn(async move {
-            let svc = service_fn(move |r| answer(st.clone(), r));
-            let _ =
-                hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(sock), svc).await;
+            let service = service_fn(move |request| answer(platform.clone(), request));
+            let connection = hyper::server::conn::http1::Builder::new();
+            let _ = connection.serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
-/// Asks every node whether it is ready, for ever.
-pub async fn poll_readiness(st: Arc<Platform>) {
+/// Asks every node whether it is ready, again and again.
+pub async fn poll_readiness(platform: Arc<Platform>) {
     loop {
-        let doors: Vec<String> = st.0.lock().unwrap().nodes.iter().map(|n| n.1.clone()).collect();
-        for d in doors {
-            let st = st.clone();
+        let listeners: Vec<String> = {
+            let state = platform.0.lock().unwrap();
+            state.nodes.iter().map(|node| node.client_listener.clone()).collect()
+        };
+        for listener in listeners {
+            let platform = platform.clone();
             seam::spawn(async move {
-                let c = JsonRequest { method: "GET", path: "/ready", body: &Value::Null, token: None };
-                let ok = call_once(&d, &c, Duration::from_millis(400)).await.is_ok_and(|(s, _)| s == 200);
-                st.0.lock().unwrap().nodes.iter_mut().filter(|n| n.1 == d).for_each(|n| n.2 = ok);
+                let request = JsonRequest { method: "GET", path: "/ready", body: &Value::Null, token: None };
+                let answer = call_once(&listener, &request, READINESS_TIMEOUT).await;
+                platform.set_ready(&listener, answer.is_ok_and(|(status, _)| status == 200));
             });
         }
-        seam::sleep(Duration::from_millis(250)).await;
+        seam::sleep(READINESS_INTERVAL).await;
     }
 }
 
-async fn answer(st: Arc<Platform>, r: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
-    let path = r.uri().path().to_owned();
-    let body = Limited::new(r.into_body(), 1 << 20).collect().await.map(|b| b.to_bytes()).unwrap_or_default();
-    let (code, v) = st.call(&path, &serde_json::from_slice(&body).unwrap_or(Value::Null)).await;
-    let mut rep = Response::new(Full::new(Bytes::from(v.to_string())));
-    *rep.status_mut() = hyper::StatusCode::from_u16(code).unwrap_or_default();
-    Ok(rep)
-}
-
-/// A ready node of the district; another's if it has none.
-fn place_client(st: &Mutex<State>, district: &str) -> (u16, Value) {
-    let st = st.lock().unwrap();
-    let ready: Vec<_> = st.nodes.iter().filter(|n| n.2).collect();
-    let near: Vec<_> = ready.iter().filter(|n| n.0 == district).collect();
-    let pick = if near.is_empty() {
-        ready.get(fastrand::usize(..ready.len().max(1))).copied()
-    } else {
-        near.get(fastrand::usize(..near.len())).map(|n| **n)
-    };
-    pick.map_or((503, json!({"error": "no node is ready"})), |n| (200, json!({"door": n.1, "district": n.0})))
-}
-
-async fn promote(st: &Mutex<State>, b: &Value) -> (u16, Value) {
-    let t = |k: &str| b[k].as_str().unwrap_or_default().to_owned();
-    let (group, server, addr, node, fence) =
-        (t("group"), t("server"), t("addr"), t("node"), b["fence"].as_u64().unwrap_or(0));
-    {
-        let mut st = st.lock().unwrap();
-        let now = st.fences.get(&group).cloned().unwrap_or_default();
-        let same = now == (fence, node.clone(), server.clone());
-        if fence < now.0 || (fence == now.0 && !same) {
-            return (409, json!({"error": "a higher fence, or another server under this one, was promoted"}));
-        }
-        st.fences.insert(group, (fence, node, server));
-    }
-    match post_once(
-        &addr,
-        "/v1/promote",
-        &json!({"fence": fence, "counts": b["counts"]}),
-        Duration::from_millis(700),
-    )
-    .await
-    {
-        Ok((200, _)) => (200, json!({"promoted": true})),
-        Ok((_, v)) => (502, v),
-        Err(e) => (504, json!({"error": e.to_string()})),
-    }
+async fn answer(
+    platform: Arc<Platform>,
+    request: Request<Incoming>,
+) -> Result<Response<Full<Bytes>>, Infallible> {
+    let path = request.uri().path().to_owned();
+    let body = Limited::new(request.into_body(), MAX_BODY).collect().await;
+    let body = body.map(|collected| collected.to_bytes()).unwrap_or_default();
+    let body = serde_json::from_slice(&body).unwrap_or(Value::Null);
+    let (status, answer) = platform.call(&path, &body).await;
+    let mut response = Response::new(Full::new(Bytes::from(answer.to_string())));
+    *response.status_mut() = StatusCode::from_u16(status).unwrap_or_default();
+    Ok(response)
 }
--- a/crates/testbed/src/running.rs
+++ b/crates/testbed/src/running.rs
@@ -1,81 +1,97 @@
-//! A fleet's running processes (§9.1): started, signalled and ended by id.
+//! The running processes of a fleet: started, signalled and ended by process id.
 use crate::fleet::FleetPlan;
 use std::collections::BTreeMap;
+use std::fs::OpenOptions;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
+use std::thread;
+use std::time::{Duration, Instant};
 
-/// Running processes, ended by id when dropped.
+/// How often a stopping process is looked at.
+const STOP_POLL: Duration = Duration::from_millis(20);
+
+/// Running processes; they are killed when it is dropped.
 pub struct RunningFleet {
+    /// What was planned.
     pub plan: FleetPlan,
+    /// Processes by name.
     pub children: BTreeMap<String, Child>,
     binaries: PathBuf,
 }
 
 impl RunningFleet {
-    pub fn start(plan: FleetPlan) -> std::io::Result<RunningFleet> {
-        let bin = std::env::current_exe()?.parent().map(Path::to_path_buf).unwrap_or_default();
-        let mut r = RunningFleet { plan, children: BTreeMap::new(), binaries: bin };
-        for p in r.plan.processes.clone() {
-            r.spawn(&p.name, false)?;
+    /// Starts all processes of a plan; the programs lie beside this one.
+    pub fn start(plan: FleetPlan) -> io::Result<RunningFleet> {
+        let own_path = std::env::current_exe()?;
+        let binaries = own_path.parent().map(Path::to_path_buf).unwrap_or_default();
+        let mut fleet = RunningFleet { plan, children: BTreeMap::new(), binaries };
+        for process in fleet.plan.processes.clone() {
+            fleet.spawn(&process.name, false)?;
         }
-        Ok(r)
+        Ok(fleet)
     }
-    /// Starts one process, with what it needs when it is not its first time.
-    pub fn spawn(&mut self, name: &str, again: bool) -> std::io::Result<()> {
-        let p = self.plan.processes.iter().find(|p| p.name == name).cloned();
-        let p = p.ok_or_else(|| std::io::Error::other(format!("no process is called {name}")))?;
-        let log = std::fs::OpenOptions::new()
-            .create(true)
-            .append(true)
-            .open(self.plan.dir.join(format!("{name}.log")))?;
-        let kid = Command::new(self.binaries.join(&p.executable))
-            .args(if again { &p.restart_args } else { &p.args })
+
+    /// Starts one process; `restart`: it ran before.
+    pub fn spawn(&mut self, name: &str, restart: bool) -> io::Result<()> {
+        let process = self.plan.processes.iter().find(|process| process.name == name);
+        let process = process.ok_or_else(|| io::Error::other(format!("no process is called {name}")))?;
+        let log_path = self.plan.dir.join(format!("{name}.log"));
+        let log = OpenOptions::new().create(true).append(true).open(log_path)?;
+        let child = Command::new(self.binaries.join(&process.executable))
+            .args(if restart { &process.restart_args } else { &process.args })
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()?;
-        self.children.insert(name.into(), kid);
+        self.children.insert(name.into(), child);
         Ok(())
     }
+
+    /// The id of a running process.
     pub fn pid(&self, name: &str) -> Option<u32> {
         self.children.get(name).map(Child::id)
     }
-    /// Sends a signal by name to one process this runner started.
-    pub fn signal(&self, name: &str, sig: &str) {
+
+    /// Sends a signal, given by its name, to a process that this runner started.
+    pub fn signal(&self, name: &str, signal: &str) {
         if let Some(pid) = self.pid(name) {
-            let _ = Command::new("kill").args([&format!("-{sig}"), &pid.to_string()]).status();
+            let _ = Command::new("kill").args([&format!("-{signal}"), &pid.to_string()]).status();
         }
     }
+
+    /// Kills a process.
     pub fn kill(&mut self, name: &str) {
-        if let Some(mut k) = self.children.remove(name) {
-            let _ = k.kill();
-            let _ = k.wait();
+        if let Some(mut child) = self.children.remove(name) {
+            let _ = child.kill();
+            let _ = child.wait();
         }
     }
-    /// Asks a process to stop and waits a bounded time for it. True when it ended in order.
-    pub fn stop(&mut self, name: &str, within: std::time::Duration) -> bool {
+
+    /// Asks a process to stop and waits a bounded time for it; true if it ended in order.
+    pub fn stop(&mut self, name: &str, within: Duration) -> bool {
         self.signal(name, "TERM");
-        let Some(mut k) = self.children.remove(name) else { return false };
-        let until = std::time::Instant::now() + within;
-        while std::time::Instant::now() < until {
-            if let Ok(Some(st)) = k.try_wait() {
-                return st.success();
+        let Some(mut child) = self.children.remove(name) else { return false };
+        let deadline = Instant::now() + within;
+        while Instant::now() < deadline {
+            if let Ok(Some(status)) = child.try_wait() {
+                return status.success();
             }
-            std::thread::sleep(std::time::Duration::from_millis(20));
+            thread::sleep(STOP_POLL);
         }
-        let _ = k.kill();
-        let _ = k.wait();
+        let _ = child.kill();
+        let _ = child.wait();
         false
     }
 }
 
 impl Drop for RunningFleet {
     fn drop(&mut self) {
-        for k in self.children.values_mut() {
-            let _ = k.kill();
+        for child in self.children.values_mut() {
+            let _ = child.kill();
         }
-        for k in self.children.values_mut() {
-            let _ = k.wait();
+        for child in self.children.values_mut() {
+            let _ = child.wait();
         }
     }
 }
--- a/crates/testbed/tests/history.rs
+++ b/crates/testbed/tests/history.rs
@@ -191,7 +191,7 @@
     breach("N11 the valid", |r| end(r, 0, PushEnd::NoReply));
     breach("N11 the valid", |r| r.0.push_attempts[0].ends[0].1 = 400 + MAX_PUSH_TIME + 1);
     breach("N11 the valid", |r| end(r, 1, PushEnd::Rejected(1601)));
-    breach("N11 the broken", |r| end(r, 2, PushEnd::Version(9)));
+    breach("N11 the invalid", |r| end(r, 2, PushEnd::Version(9)));
     breach("N11 the push", |r| r.0.push_attempts[0].ends.push((PushEnd::Version(3), 600)));
     fine(|r| end(r, 0, PushEnd::Version(2)));
 }
