--- a/crates/simulator/src/direct/client.rs
+++ b/crates/simulator/src/direct/client.rs
@@ -1,8 +1,9 @@
 //! Clients: operations one after the other on a session, and a whole operation again, under new ids, where the first
 //! attempt is certainly not applied.
-use super::client_connection::{AttemptEnd, ClientConnection, StatementRun, open_connection};
+use super::attempt::AttemptEnd;
+use super::client_connection::{ClientConnection, StatementRun, open_connection};
 use super::connection::ClientTransaction;
-use super::ledger::SentStatement;
+use super::sent_statement::SentStatement;
 use super::setup::DirectFleet;
 use quincehatch_core::Millis;
 use quincehatch_proxy::direct::SessionCommand;
--- a/crates/simulator/src/direct/client_connection.rs
+++ b/crates/simulator/src/direct/client_connection.rs
@@ -1,12 +1,12 @@
 //! A client's connection to a node, and what it sends and learns on it.
+use super::attempt::{AttemptEnd, guarantees_not_applied};
 use super::connection::{ClientTransaction, PreparedStatement};
-use super::ledger::SentStatement;
+use super::sent_statement::SentStatement;
+use super::session_task::{SessionCall, serve_session};
 use super::setup::{DirectFleet, SimulatedNode};
 use bytes::Bytes;
-use quincehatch_core::{ErrorCode, Millis, Outcome};
-use quincehatch_proxy::direct::{
-    DirectProxy, DirectSession, SessionCommand, SessionRequest, StatementError, StatementResponse,
-};
+use quincehatch_core::Millis;
+use quincehatch_proxy::direct::{SessionCommand, SessionRequest, StatementError, StatementResponse};
 use quincehatch_proxy::ports::{RejectReason, TransactionState};
 use quincehatch_runtime::seam;
 use std::collections::BTreeMap;
@@ -14,8 +14,6 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// A node aborts a transaction that is idle for so long.
-pub const TRANSACTION_IDLE_MS: Millis = 3_000;
 /// A client gives its session up when no answer comes for so long.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(3);
 /// A client gives a connection up that is not opened within this time.
@@ -30,76 +28,6 @@
 /// Tables that statements name.
 const TABLES: u64 = 7;
 
-/// A request on its way to the session's task at its node.
-struct SessionCall {
-    request: SessionRequest,
-    reply_to: oneshot::Sender<StatementResponse>,
-}
-
-/// Runs a session at its node, as the node's listener does.
-async fn serve_session(
-    proxy: Arc<DirectProxy>,
-    database: &'static str,
-    mut calls: mpsc::UnboundedReceiver<SessionCall>,
-    opened: oneshot::Sender<bool>,
-) {
-    let session = DirectSession::open(&proxy, database).await.ok();
-    let _ = opened.send(session.is_some());
-    let Some(mut session) = session else { return };
-    loop {
-        let call = if session.holds_connection() {
-            let idle = Duration::from_millis(TRANSACTION_IDLE_MS);
-            let Ok(call) = seam::timeout(idle, calls.recv()).await else {
-                session.abort_transaction();
-                continue;
-            };
-            call
-        } else {
-            calls.recv().await
-        };
-        let Some(SessionCall { request, reply_to }) = call else { return };
-        let response = session.execute(request).await;
-        let _ = reply_to.send(response);
-    }
-}
-
-/// How an attempt of an operation ended for its client.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum AttemptEnd {
-    /// It succeeded.
-    Succeeded,
-    /// It is not applied, or only reads and failed, or was abandoned before its commit: it is tried again.
-    Retry,
-    /// It failed, or whether it is applied is unknown.
-    Failed,
-}
-
-/// True if the error guarantees that nothing of the attempt is applied.
-pub fn guarantees_not_applied(error: &StatementError) -> bool {
-    match error {
-        StatementError::Server(reason, _) => matches!(
-            reason,
-            RejectReason::Busy
-                | RejectReason::Behind
-                | RejectReason::NotPrimary
-                | RejectReason::WrongServer
-                | RejectReason::TooManyConnections
-        ),
-        StatementError::Proxy(error) => {
-            let is_final = [
-                ErrorCode::DeadlinePassed,
-                ErrorCode::NoRoute,
-                ErrorCode::Malformed,
-                ErrorCode::TooLarge,
-                ErrorCode::ServerRejected,
-            ]
-            .iter()
-            .any(|code| error.has_code(*code));
-            error.outcome == Outcome::NotApplied && !is_final
-        }
-    }
-}
-
 /// A statement that was sent, and what came of it.
 pub struct StatementRun {
     /// Its id.
--- a/crates/simulator/src/direct/ledger.rs
+++ b/crates/simulator/src/direct/ledger.rs
@@ -1,7 +1,8 @@
 //! What clients sent and learned, and what servers executed: violations are found call by call, or at the end.
 //!
 //! Each violation is a line that begins with the name of its check: TWICE, REFUSED, LOST, UNASKED, PINNED, STALE, MIXED.
-use super::connection::{ClientTransaction, Connection, PreparedStatement};
+use super::connection::Connection;
+use super::sent_statement::{SentStatement, StampedAnswer};
 use super::server::{LogEntry, Server};
 use bytes::Bytes;
 use quincehatch_core::Millis;
@@ -13,36 +14,6 @@
 /// Violations that are kept at most.
 const MAX_REPORTED: usize = 20;
 
-/// One statement as its client sent it.
-#[derive(Clone, Debug, Default)]
-pub struct SentStatement {
-    /// Its text, or the arguments of a prepared statement.
-    pub text: Bytes,
-    /// The prepared statement that its name stands for.
-    pub prepared: Option<PreparedStatement>,
-    /// The session's settings.
-    pub values: BTreeMap<Bytes, Bytes>,
-    /// The transaction it belongs to.
-    pub transaction: Option<ClientTransaction>,
-    /// It writes.
-    pub write: bool,
-    /// It is a COMMIT.
-    pub commit: bool,
-    /// It goes to the primary, where a read may miss nothing.
-    pub at_primary: bool,
-    /// When it, or its transaction, was sent.
-    pub sent_at: Millis,
-}
-
-/// A success that a server stamped.
-#[derive(Debug)]
-pub struct StampedAnswer {
-    /// Id of the statement.
-    pub statement: u64,
-    /// Rows of the answer.
-    pub rows: Vec<Bytes>,
-}
-
 /// A commit whose client learned of it.
 struct Acknowledgement {
     at: Millis,
--- a/crates/simulator/src/direct/operator.rs
+++ b/crates/simulator/src/direct/operator.rs
@@ -1,15 +1,14 @@
-//! What reaches the chain from outside: registrations of servers, and versions of the configuration; and the check of
-//! what nodes have in force of these.
-use super::client_connection::TRANSACTION_IDLE_MS;
+//! What reaches the chain from outside: registrations of servers, and versions of the configuration.
 use super::ledger::AcknowledgedVersion;
 use super::server::{MAX_CONNECTIONS, Registration, SLOTS};
 use super::server_group::GroupState;
-use super::setup::{DirectFleet, GROUP, RunningNode, SERVERS, SimulatedNode};
+use super::session_task::TRANSACTION_IDLE_MS;
+use super::setup::{DirectFleet, GROUP, SERVERS};
+use super::version_check::check_config_versions;
 use quincehatch_core::{Millis, Name, Role, ServerRecord};
 use quincehatch_node::store_client::StoreClient;
 use quincehatch_runtime::seam;
 use quincehatch_store::Command;
-use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -17,13 +16,6 @@
 /// A write to the chain is given up after so long.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(900);
 const WRITE_RETRY: Duration = Duration::from_millis(200);
-/// An undisturbed node has a configuration in force so long after its acknowledgement.
-const CONFIG_APPLY_TIME: Millis = 3_000;
-/// How often nodes are asked what they have in force.
-const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Nodes are asked for so many of the newest acknowledged versions, and for numbers so far above them.
-const VERSIONS_CHECKED: usize = 6;
-const NUMBERS_AHEAD: u64 = 4;
 /// A server waits so long for the acknowledgement of its drain, and looks for it so often.
 const DRAIN_PATIENCE: Millis = 10_000;
 const DRAIN_POLL: Duration = Duration::from_millis(50);
@@ -182,74 +174,6 @@
     fleet.start_server(index);
 }
 
-/// The version that an incarnation of a node had in force.
-#[derive(Clone, Copy)]
-struct ObservedVersion {
-    incarnation: u64,
-    number: u64,
-}
-
-/// Checks which version each node has in force: never an older one than before, and acknowledged ones in time.
-async fn check_config_versions(fleet: Arc<DirectFleet>) {
-    let mut observed: BTreeMap<usize, ObservedVersion> = BTreeMap::new();
-    loop {
-        seam::sleep(CHECK_INTERVAL).await;
-        let now = fleet.simulation.now();
-        let acknowledged = fleet.group.with(|state| state.ledger.config_versions.clone());
-        // A keeper that crashed in the middle of a step disturbs all keepers.
-        let keeper_down = fleet.keepers.iter().any(|pid| !fleet.simulation.lock().processes[*pid].is_up);
-        if keeper_down {
-            fleet.group.with(|state| state.mark_keepers_disturbed(now));
-        }
-        for node in &fleet.nodes {
-            check_node_version(&fleet, node, &acknowledged, &mut observed);
-        }
-    }
-}
-
-fn check_node_version(
-    fleet: &DirectFleet,
-    node: &SimulatedNode,
-    acknowledged: &[AcknowledgedVersion],
-    observed: &mut BTreeMap<usize, ObservedVersion>,
-) {
-    let now = fleet.simulation.now();
-    let (is_running, incarnation) = {
-        let state = fleet.simulation.lock();
-        (state.is_running(node.pid), state.processes[node.pid].incarnation)
-    };
-    if !is_running {
-        fleet.group.with(|state| state.mark_disturbed(node.pid, now));
-        return;
-    }
-    let Some(running) = node.running() else { return };
-    let number = fleet.simulation.run_in(node.pid, || version_in_force(&running, acknowledged));
-    let previous = observed.insert(node.pid, ObservedVersion { incarnation, number });
-    let previous = previous.filter(|before| before.incarnation == incarnation);
-    let before = previous.map_or(0, |before| before.number);
-    let overdue = acknowledged.iter().filter(|version| now > version.at + CONFIG_APPLY_TIME);
-    let due = overdue.map(|version| version.number).max().unwrap_or(0);
-    let name = &node.name;
-    fleet.group.with(|state| {
-        if number < before {
-            let violation = format!("CONFIG at {now}: {name} has {number} in force after {before}");
-            state.ledger.record_violation(violation);
-        } else if number < due && state.is_undisturbed(node.pid, now) {
-            let violation =
-                format!("CONFIG at {now}: {name} has {number} in force and {due} was acknowledged before");
-            state.ledger.record_violation(violation);
-        }
-    });
-}
-
-/// The highest version that the node has a route of.
-fn version_in_force(running: &RunningNode, acknowledged: &[AcknowledgedVersion]) -> u64 {
-    let newest = acknowledged.last().map_or(1, |version| version.number) + NUMBERS_AHEAD;
-    let oldest = acknowledged.iter().rev().nth(VERSIONS_CHECKED).map_or(1, |version| version.number);
-    let has = |number: &u64| running.direct_proxy.resolve_route(&format!("v{number}")).is_some();
-    (oldest..=newest).rev().find(has).unwrap_or(0)
-}
-
 /// Starts all of it, in the clients' process.
 pub fn start(fleet: &Arc<DirectFleet>, stop: &Arc<AtomicBool>) {
     for index in 0..SERVERS {
--- a/crates/simulator/src/direct/request_execution.rs
+++ b/crates/simulator/src/direct/request_execution.rs
@@ -1,10 +1,10 @@
 //! How a request on a direct connection reaches a simulated server, takes a slot there, and is answered.
 use super::call_execution::{CallResult, statement_id};
 use super::delivery::{Delivery, deliver};
-use super::ledger::StampedAnswer;
+use super::replies::UNRESPONSIVE_TIMEOUT;
 use super::server::{ReplySender, ReplyTarget, SLOTS};
 use super::server_group::{GroupState, ServerGroup};
-use crate::fleet::simulation::{ProcessId, Simulation};
+use crate::fleet::simulation::Simulation;
 use bytes::Bytes;
 use quincehatch_core::Millis;
 use quincehatch_proxy::ports::{RejectReason, ServerCall, ServerReply};
@@ -13,16 +13,11 @@
 
 /// New work that is sent so long after a server's drain was acknowledged is a violation.
 const DRAIN_LIMIT: Millis = 7_000;
-/// A node gives a request up that an unresponsive server does not answer for so long.
-const UNRESPONSIVE_TIMEOUT: Millis = 4_000;
 /// Least time of a request that takes a slot, and how much longer it may take.
 const MIN_EXECUTION_TIME: Millis = 2;
 const EXECUTION_TIME_SPREAD: Millis = 7;
 /// Share of statements that fail in the server.
 const FAILURES_PER_MILLE: u64 = 3;
-/// Share of lost replies whose connection is reset; the others are never answered.
-const RESETS_PER_MILLE: u64 = 500;
-
 /// A request on its way.
 struct Request {
     connection: u64,
@@ -51,18 +46,6 @@
     takes_slot: bool,
 }
 
-/// What becomes of a reply that leaves a server.
-enum ReplyFate {
-    Sent {
-        node: ProcessId,
-        server: ProcessId,
-    },
-    /// It is lost, and the connection seems well.
-    Swallowed,
-    /// Its connection is gone.
-    Dropped,
-}
-
 /// True if the call takes one of the server's slots.
 fn takes_slot(call: &ServerCall) -> bool {
     !matches!(
@@ -167,31 +150,6 @@
             None => drop(reply_to),
         }
     }
-
-    /// A reply leaves a server, unless it is lost, with or without its connection.
-    pub fn send_reply(
-        self: &Arc<Self>,
-        simulation: &Arc<Simulation>,
-        reply: ServerReply,
-        target: ReplyTarget,
-    ) {
-        let ReplyTarget { connection, reply_to } = target;
-        let resets = simulation.lock().rng.chance(RESETS_PER_MILLE);
-        match self.with(|state| state.reply_fate(connection, resets)) {
-            ReplyFate::Dropped => drop(reply_to),
-            ReplyFate::Swallowed => {
-                let give_up_at = simulation.now() + UNRESPONSIVE_TIMEOUT;
-                simulation.schedule_action(give_up_at, move |_| drop(reply_to));
-            }
-            ReplyFate::Sent { node, server } => {
-                deliver(simulation, server, node, move |_, delivery| {
-                    if delivery == Delivery::Arrived {
-                        let _ = reply_to.send(Ok(reply));
-                    }
-                });
-            }
-        }
-    }
 }
 
 impl GroupState {
@@ -259,21 +217,6 @@
         Some(result)
     }
 
-    fn reply_fate(&mut self, id: u64, resets: bool) -> ReplyFate {
-        let Some(connection) = self.connections.get(&id) else { return ReplyFate::Dropped };
-        let node = connection.node;
-        let server = &mut self.servers[connection.server];
-        if server.replies_to_lose == 0 {
-            return ReplyFate::Sent { node, server: server.pid };
-        }
-        server.replies_to_lose -= 1;
-        if resets {
-            self.break_connection(id);
-            return ReplyFate::Dropped;
-        }
-        ReplyFate::Swallowed
-    }
-
     /// The node's end is closed; requests in execution keep the connection until they are done.
     fn close_at_server(&mut self, id: u64) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
@@ -283,12 +226,4 @@
             connection.closed = true;
         }
     }
-
-    /// Stamps a success, so that it can be told from any other.
-    pub fn add_stamp(&mut self, statement: u64, server: usize, reply: &mut ServerReply) {
-        if reply.rejection.is_none() {
-            let answer = StampedAnswer { statement, rows: reply.rows.clone() };
-            reply.stamp = Some(self.ledger.stamp(&self.servers[server].name, answer));
-        }
-    }
 }
--- /dev/null
+++ b/crates/simulator/src/direct/version_check.rs
@@ -0,0 +1,84 @@
+//! The check of which configuration nodes have in force.
+use super::ledger::AcknowledgedVersion;
+use super::setup::{DirectFleet, RunningNode, SimulatedNode};
+use quincehatch_core::Millis;
+use quincehatch_runtime::seam;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// An undisturbed node has a configuration in force so long after its acknowledgement.
+const CONFIG_APPLY_TIME: Millis = 3_000;
+/// How often nodes are asked what they have in force.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Nodes are asked for so many of the newest acknowledged versions, and for numbers so far above them.
+const VERSIONS_CHECKED: usize = 6;
+const NUMBERS_AHEAD: u64 = 4;
+
+/// The version that an incarnation of a node had in force.
+#[derive(Clone, Copy)]
+struct ObservedVersion {
+    incarnation: u64,
+    number: u64,
+}
+
+/// Checks which version each node has in force: never an older one than before, and acknowledged ones in time.
+pub async fn check_config_versions(fleet: Arc<DirectFleet>) {
+    let mut observed: BTreeMap<usize, ObservedVersion> = BTreeMap::new();
+    loop {
+        seam::sleep(CHECK_INTERVAL).await;
+        let now = fleet.simulation.now();
+        let acknowledged = fleet.group.with(|state| state.ledger.config_versions.clone());
+        // A keeper that crashed in the middle of a step disturbs all keepers.
+        let keeper_down = fleet.keepers.iter().any(|pid| !fleet.simulation.lock().processes[*pid].is_up);
+        if keeper_down {
+            fleet.group.with(|state| state.mark_keepers_disturbed(now));
+        }
+        for node in &fleet.nodes {
+            check_node_version(&fleet, node, &acknowledged, &mut observed);
+        }
+    }
+}
+
+fn check_node_version(
+    fleet: &DirectFleet,
+    node: &SimulatedNode,
+    acknowledged: &[AcknowledgedVersion],
+    observed: &mut BTreeMap<usize, ObservedVersion>,
+) {
+    let now = fleet.simulation.now();
+    let (is_running, incarnation) = {
+        let state = fleet.simulation.lock();
+        (state.is_running(node.pid), state.processes[node.pid].incarnation)
+    };
+    if !is_running {
+        fleet.group.with(|state| state.mark_disturbed(node.pid, now));
+        return;
+    }
+    let Some(running) = node.running() else { return };
+    let number = fleet.simulation.run_in(node.pid, || version_in_force(&running, acknowledged));
+    let previous = observed.insert(node.pid, ObservedVersion { incarnation, number });
+    let previous = previous.filter(|before| before.incarnation == incarnation);
+    let before = previous.map_or(0, |before| before.number);
+    let overdue = acknowledged.iter().filter(|version| now > version.at + CONFIG_APPLY_TIME);
+    let due = overdue.map(|version| version.number).max().unwrap_or(0);
+    let name = &node.name;
+    fleet.group.with(|state| {
+        if number < before {
+            let violation = format!("CONFIG at {now}: {name} has {number} in force after {before}");
+            state.ledger.record_violation(violation);
+        } else if number < due && state.is_undisturbed(node.pid, now) {
+            let violation =
+                format!("CONFIG at {now}: {name} has {number} in force and {due} was acknowledged before");
+            state.ledger.record_violation(violation);
+        }
+    });
+}
+
+/// The highest version that the node has a route of.
+fn version_in_force(running: &RunningNode, acknowledged: &[AcknowledgedVersion]) -> u64 {
+    let newest = acknowledged.last().map_or(1, |version| version.number) + NUMBERS_AHEAD;
+    let oldest = acknowledged.iter().rev().nth(VERSIONS_CHECKED).map_or(1, |version| version.number);
+    let has = |number: &u64| running.direct_proxy.resolve_route(&format!("v{number}")).is_some();
+    (oldest..=newest).rev().find(has).unwrap_or(0)
+}
--- a/crates/simulator/src/fleet/keeper.rs
+++ b/crates/simulator/src/fleet/keeper.rs
@@ -1,14 +1,16 @@
 //! A keeper in the simulator: the real [`Keeper`] over a disk that holds exactly what was synced.
+pub use super::keeper_disk::Disk;
+use super::keeper_disk::persist;
+use super::keeper_registry::Progress;
+pub use super::keeper_registry::{CommitWatch, KeeperRegistry};
 use super::network::Message;
-use super::simulation::{ProcessId, Simulation, StartProcess};
-use quincehatch_core::{ChangeNumber, Millis, Name, Version};
+use super::simulation::{ProcessId, Simulation};
+use quincehatch_core::{Millis, Name};
 use quincehatch_runtime::now;
 use quincehatch_runtime::seam::{self, BoxFuture};
-use quincehatch_store::keeper::{Input, Output, Record, RecoveredState};
+use quincehatch_store::keeper::{Input, Output};
 use quincehatch_store::patch::PackedText;
-use quincehatch_store::{
-    FeedSnapshot, Keeper, KeeperRequest, KeeperResponse, PeerMessage, Reply, Request, View, Voter,
-};
+use quincehatch_store::{FeedSnapshot, Keeper, KeeperRequest, KeeperResponse, PeerMessage, Reply, Request};
 use quincehatch_wire::{Identity, Received};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -21,16 +23,11 @@
 /// its records are synced, in the second after it and before anything is sent.
 const CRASHES: u64 = 4;
 const CRASH_SCALE: u64 = 100_000;
-/// Violations that are kept at most.
-const MAX_REPORTED: usize = 20;
 /// Local time between two status lines of a verbose run.
 const STATUS_INTERVAL: Millis = 1_000;
 /// Lease that the deliberate bug of a stale tail hands out.
 const STALE_TAIL_LEASE: Millis = 4_000;
 
-/// What a keeper's disk holds; it outlives the keeper's process.
-pub type Disk = Arc<Mutex<RecoveredState>>;
-
 /// What a keeper of a simulated group is started with.
 #[derive(Clone)]
 pub struct KeeperSetup {
@@ -44,78 +41,6 @@
     pub registry: Arc<KeeperRegistry>,
 }
 
-/// All keepers of a run: where they are, and what they committed.
-#[derive(Default)]
-pub struct KeeperRegistry {
-    /// The process of each keeper.
-    pub process_by_name: Mutex<BTreeMap<Name, ProcessId>>,
-    /// Watches over what they serve.
-    pub commit_watch: Mutex<CommitWatch>,
-}
-
-/// What any keeper of a run committed, so that one that serves with less is seen (check N10).
-#[derive(Default)]
-pub struct CommitWatch {
-    committed: ChangeNumber,
-    /// What keepers were seen to do wrong.
-    pub violations: Vec<String>,
-}
-
-/// How far a keeper is.
-struct Progress {
-    serving: bool,
-    last_change: ChangeNumber,
-    committed: ChangeNumber,
-    name: Name,
-    view: Version,
-}
-
-impl CommitWatch {
-    fn observe(&mut self, now: Millis, progress: &Progress) {
-        let Progress { name, view, last_change, .. } = progress;
-        let behind = progress.serving && *last_change < self.committed;
-        if behind && self.violations.len() < MAX_REPORTED {
-            let committed = self.committed;
-            self.violations.push(format!(
-                "N10 at {now} {name} serves view {view} at {last_change} while {committed} was committed"
-            ));
-        }
-        self.committed = self.committed.max(progress.committed);
-    }
-}
-
-/// The keepers of a run, and their processes in the order of the chain.
-pub struct KeeperGroup {
-    /// Processes of the keepers.
-    pub processes: Vec<ProcessId>,
-    /// What they share.
-    pub registry: Arc<KeeperRegistry>,
-}
-
-impl KeeperGroup {
-    /// Starts a keeper for each voter, all in the first view.
-    pub fn start(simulation: &Arc<Simulation>, voters: Vec<Voter>) -> KeeperGroup {
-        let members = voters.iter().map(|voter| voter.name.clone()).collect();
-        let view = View { version: 1, members, voters: voters.clone() };
-        let registry = Arc::<KeeperRegistry>::default();
-        let mut processes = Vec::new();
-        for voter in voters {
-            let found = RecoveredState { view: view.clone(), ..Default::default() };
-            let setup = KeeperSetup {
-                name: voter.name.clone(),
-                addr: voter.addr.to_string(),
-                disk: Arc::new(Mutex::new(found)),
-                registry: registry.clone(),
-            };
-            let start: StartProcess = Arc::new(move |simulation, pid| start_keeper(simulation, pid, &setup));
-            let pid = simulation.add_process(&voter.name, start, false);
-            registry.process_by_name.lock().unwrap().insert(voter.name, pid);
-            processes.push(pid);
-        }
-        KeeperGroup { processes, registry }
-    }
-}
-
 /// A keeper that runs, with what its process holds.
 struct RunningKeeper {
     keeper: Keeper,
@@ -297,23 +222,3 @@
         }
     }
 }
-
-/// Makes a record durable; a deliberate bug loses the entries.
-fn persist(disk: &Disk, record: &Record, loses_entries: bool) {
-    let mut disk = disk.lock().unwrap();
-    match record {
-        Record::Acceptor { acceptor } => disk.acceptor = acceptor.clone(),
-        Record::View { view } => disk.view = view.clone(),
-        Record::Served { version } => disk.served_version = *version,
-        Record::CatchingUp { catching_up } => disk.catching_up = *catching_up,
-        Record::Snapshot { store } => {
-            disk.store = store.as_ref().clone();
-            disk.log.clear();
-        }
-        Record::Entry { .. } if loses_entries => {}
-        Record::Entry { entry } => {
-            disk.store.apply(&entry.unpack().expect("an entry that was packed here"));
-            disk.log.push_back(entry.clone());
-        }
-    }
-}
--- a/crates/simulator/src/fleet/run.rs
+++ b/crates/simulator/src/fleet/run.rs
@@ -1,19 +1,16 @@
 //! One seed of a simulated fleet from start to end: a quiet start, a time of faults, healing, and the checks.
 use super::final_faults::inject_final_fault;
+use super::load::{load_environment, run_load};
 use super::setup::{SimulatedFleet, build_fleet};
 use super::{faults, promotion_faults};
 use quincehatch_core::Millis;
 use quincehatch_runtime::seam;
-use quincehatch_testbed::caller::{Caller, LoadEnvironment};
-use quincehatch_testbed::configuration_pushes::push_round;
 use quincehatch_testbed::fleet::Shape;
 use quincehatch_testbed::history::{CallEnd, Facts, History, check_history, longest_gaps_after};
+use quincehatch_testbed::load_environment::LoadEnvironment;
 use quincehatch_testbed::run_facts::{collect_facts, resolve_open_attempts};
-use quincehatch_testbed::scenario::operator_call;
-use serde_json::json;
-use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
-use std::time::Duration;
 
 /// What a run came to.
 #[derive(Debug, Default)]
@@ -71,63 +68,11 @@
 const FINAL_FAULT_DELAY: Millis = 2_000;
 /// Load goes on for so long after the last fault.
 const RECOVERY_PERIOD: Millis = 17_000;
-/// Callers of each group, and the mean pause between two calls of one.
-const CALLERS: usize = 8;
-const CALLER_PAUSE_MS: u64 = 200;
-const LOOKUP_DEADLINE_MS: u64 = 3_000;
-const ORDERS_PER_MILLE: u64 = 650;
-const MOVES_PER_MILLE: u64 = 30;
 /// Callers end what they are doing within this time.
 const LOAD_END: Millis = 6_000;
 /// The final state is collected within so many steps of [`COLLECTION_STEP`].
 const COLLECTION_STEPS: usize = 60;
 const COLLECTION_STEP: Millis = 1_000;
-/// Deadline of the first push, and the pause before it is sent again.
-const PUSH_DEADLINE_MS: u64 = 5_000;
-const PUSH_RETRY: Duration = Duration::from_millis(200);
-/// Callers start this long after the first configuration is acknowledged.
-const CALLERS_DELAY: Duration = Duration::from_secs(2);
-/// Marks of pushes: numbers of a seed begin at a multiple of the first, those of a round lie apart by the second.
-const MARKS_PER_SEED: u64 = 1_000;
-const MARKS_PER_ROUND: u64 = 10;
-
-fn load_environment(fleet: &SimulatedFleet) -> Arc<LoadEnvironment> {
-    Arc::new(LoadEnvironment {
-        history: Default::default(),
-        platform: fleet.platform.clone(),
-        groups: fleet.shape.groups,
-        zones: fleet.shape.zones,
-        zone_affinity: false,
-        pause_ms: CALLER_PAUSE_MS,
-        lookup_ms: LOOKUP_DEADLINE_MS,
-        orders_per_mille: ORDERS_PER_MILLE,
-        moves_per_mille: MOVES_PER_MILLE,
-        stop: AtomicBool::new(false),
-        sent_statements: Default::default(),
-        calls: Default::default(),
-        extra_callers: Default::default(),
-    })
-}
-
-/// Pushes the first configuration, then starts the callers, and operators who push now and then.
-async fn run_load(operators: Vec<String>, configuration: String, env: Arc<LoadEnvironment>, seed: u64) {
-    let body = json!({"text": configuration, "key": "first", "base": 0, "by": "sim"});
-    while !matches!(operator_call(&operators[0], "push", &body, PUSH_DEADLINE_MS).await, Some((200, _))) {
-        seam::sleep(PUSH_RETRY).await;
-    }
-    seam::sleep(CALLERS_DELAY).await;
-    for id in 0..CALLERS * env.groups {
-        seam::spawn(Caller::new(env.clone(), id, seed).run_until(u64::MAX, CALLER_PAUSE_MS));
-    }
-    let mut mark = seed * MARKS_PER_SEED;
-    while !env.stop.load(Ordering::SeqCst) {
-        let gap = fastrand::u64(1_000..5_000);
-        seam::sleep(Duration::from_millis(gap)).await;
-        mark += MARKS_PER_ROUND;
-        push_round(&operators, &configuration, &env, mark).await;
-    }
-}
-
 /// The fault after which service must be back within its bound.
 struct LastFault {
     at: Millis,
--- a/crates/simulator/src/fleet/simulation.rs
+++ b/crates/simulator/src/fleet/simulation.rs
@@ -4,6 +4,7 @@
 //! replays exactly.
 use super::network::{Envelope, Network};
 use super::process_world::ProcessWorld;
+pub use super::trap::Trap;
 use quincehatch_core::Millis;
 use quincehatch_runtime::rng::Rng;
 use quincehatch_runtime::seam::{self, BoxFuture, World};
@@ -115,15 +116,6 @@
     pub trap_sprung_at: Millis,
 }
 
-/// Stops the next process that reaches a trace point.
-#[derive(Clone, Debug)]
-pub struct Trap {
-    /// Part of the trace point's text.
-    pub trace_point: String,
-    /// How long the process is suspended; none: it crashes and is restarted later.
-    pub pause: Option<Millis>,
-}
-
 /// A simulation, shared by all its parts.
 pub struct Simulation {
     state: Mutex<SimulationState>,
--- a/crates/simulator/tests/held/fleet.rs
+++ b/crates/simulator/tests/held/fleet.rs
@@ -5,7 +5,7 @@
 use quincehatch_node::{ClusterNode, gossip};
 use quincehatch_runtime::seam;
 use quincehatch_simulator::addresses;
-use quincehatch_simulator::fleet::keeper::KeeperGroup;
+use quincehatch_simulator::fleet::keeper_group::KeeperGroup;
 use quincehatch_simulator::fleet::simulation::{ProcessId, Simulation};
 use quincehatch_store::{Command, Voter};
 use std::sync::{Arc, Mutex};
--- a/crates/testbed/src/caller.rs
+++ b/crates/testbed/src/caller.rs
@@ -1,16 +1,15 @@
 //! Callers: sessions that send orders, resolve open ones, look up, and record what they were told.
-use crate::history::{
-    AnswerRecord, AttemptRecord, CallEnd, SentStatement, SentStatements, ServedCall, SharedHistory,
-    VersionRecord,
-};
-use crate::stand_in::journal::request_id;
+use crate::caller_records::SentCall;
+use crate::history::CallEnd;
+use crate::load_environment::LoadEnvironment;
+use crate::reply::{Reply, call_end};
 use quincehatch_core::{ErrorCode, Millis};
 use quincehatch_runtime::rng::Rng;
 use quincehatch_runtime::{now, seam};
 use quincehatch_wire::http::{HttpConnection, JsonRequest, post_once};
 use serde_json::{Value, json};
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
 use std::time::Duration;
 
 /// Deadline of an order.
@@ -19,83 +18,10 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// A caller waits this much longer than its call's deadline.
 const EXTRA_WAIT: Millis = 500;
-/// An answer that comes this much later than its call's deadline is late.
-const LATE_AFTER: Millis = 200;
 /// A caller's number is put into its random seed from this bit on.
 const CALLER_SEED_SHIFT: u32 = 20;
 const HTTP_OK: u16 = 200;
 
-/// What all callers of a run share.
-pub struct LoadEnvironment {
-    /// What callers were told.
-    pub history: SharedHistory,
-    /// Where the platform listens.
-    pub platform: String,
-    /// Number of groups.
-    pub groups: usize,
-    /// Number of zones.
-    pub zones: usize,
-    /// Callers of a group all begin in one zone.
-    pub zone_affinity: bool,
-    /// Mean time between two calls of one caller.
-    pub pause_ms: Millis,
-    /// Deadline of a lookup.
-    pub lookup_ms: Millis,
-    /// Orders in a thousand calls; the others are lookups.
-    pub orders_per_mille: u64,
-    /// Moves to another zone in a thousand calls.
-    pub moves_per_mille: u64,
-    /// Callers end once it is set.
-    pub stop: AtomicBool,
-    /// What callers sent.
-    pub sent_statements: Mutex<SentStatements>,
-    /// Calls so far.
-    pub calls: AtomicU64,
-    /// Callers that came beside the first ones.
-    pub extra_callers: AtomicU64,
-}
-
-/// Status and body of a reply.
-#[derive(Clone, Debug)]
-pub struct Reply {
-    /// HTTP status.
-    pub status: u16,
-    /// Body.
-    pub body: Value,
-}
-
-impl Reply {
-    /// The number of the result; none for a success.
-    pub fn code(&self) -> Option<u64> {
-        self.body["error"]["code"].as_u64()
-    }
-
-    /// True if it tells one of these results.
-    pub fn has_code(&self, codes: &[ErrorCode]) -> bool {
-        let code = self.code();
-        codes.iter().any(|wanted| code == Some(wanted.number().into()))
-    }
-}
-
-/// How a call ended, by its reply.
-pub fn call_end(reply: Option<&Reply>) -> CallEnd {
-    match reply.map(|reply| reply.body["end"].as_str().unwrap_or_default()) {
-        Some("kept") => CallEnd::Committed,
-        Some("promised") => CallEnd::Accepted,
-        Some("nothing") => CallEnd::NotApplied,
-        Some(_) => CallEnd::Unknown,
-        None => CallEnd::NoReply,
-    }
-}
-
-/// A call that was sent.
-struct SentCall<'call> {
-    path: &'call str,
-    body: &'call Value,
-    asked: Millis,
-    deadline: Millis,
-}
-
 /// A session that the nodes keep for a caller.
 #[derive(Clone, Debug)]
 pub(crate) struct Session {
@@ -209,82 +135,12 @@
         Some(reply)
     }
 
-    /// Records what an answer tells of the node, and of the server it comes from.
-    fn record_answer(&self, call: &SentCall<'_>, reply: &Reply) {
-        let SentCall { path, body, asked, deadline } = *call;
-        let answer = &reply.body;
-        let mut history = self.env.history.lock().unwrap();
-        if now() > asked + deadline + LATE_AFTER {
-            history.late_replies += 1;
-        }
-        // A request that no route was found for ran under no version: its node may hold no lease and no configuration.
-        let was_routed = answer["where"]["placement"].as_str().is_some_and(|placement| !placement.is_empty());
-        let (version, node) = (answer["where"]["version"].as_u64(), answer["where"]["node"].as_str());
-        if let (true, Some(version), Some(node)) = (was_routed, version, node) {
-            history.versions.push(VersionRecord { node: node.into(), asked, answered: now(), version });
-        }
-        if answer["end"] == "kept" {
-            let (stamp, rows) = (answer["stamp"].clone(), answer["rows"].clone());
-            history.answers.push(AnswerRecord { path: path.into(), id: request_id(body), stamp, rows });
-        }
-    }
-
-    /// Records what is sent, so that a server's journal can be compared with it.
-    fn record_sent(&self, path: &str, body: &Value) {
-        let Some(text) = body["text"].as_str() else { return };
-        let mut sent = self.env.sent_statements.lock().unwrap();
-        match path {
-            "/v1/set" => {
-                sent.session_state.insert(text.to_owned());
-            }
-            "/v1/prepare" => {
-                let name = body["name"].as_str().unwrap_or_default();
-                sent.session_state.insert(format!("{name}={text}"));
-            }
-            _ => {
-                let mark = body["params"].as_array().and_then(|params| params.last()).and_then(Value::as_str);
-                let mark = mark.unwrap_or_default().to_owned();
-                let statement = sent.marks.entry(mark).or_insert_with(|| SentStatement {
-                    text: text.to_owned(),
-                    params: body["params"].clone(),
-                    times: 0,
-                    retryable: path == "/v1/lookup" && body["order_side"] != true,
-                });
-                statement.times += 1;
-            }
-        }
-    }
-
     /// A mark that no other statement of this caller bears.
     pub(crate) fn next_mark(&mut self) -> String {
         self.mark_count += 1;
         format!("{}#{}", self.caller_mark(), self.mark_count)
     }
 
-    /// Records an order or lookup that is over.
-    pub(crate) fn record_served(&self, kind: &'static str, asked: Millis, succeeded: bool, code: u64) {
-        let call = ServedCall { asked, ended: now(), succeeded, code };
-        let mut history = self.env.history.lock().unwrap();
-        history.served.entry((self.group(), kind)).or_default().push(call);
-    }
-
-    /// Records what was told of an order's attempt.
-    pub(crate) fn record_reply(&self, key: &str, asked: Millis, reply: Option<&Reply>) -> CallEnd {
-        let end = call_end(reply);
-        let is_sealed = reply.is_some_and(|reply| reply.has_code(&[ErrorCode::Sealed]));
-        let mut history = self.env.history.lock().unwrap();
-        let attempt = history.attempts.entry(key.to_owned()).or_insert_with(|| AttemptRecord {
-            group: self.group(),
-            list: self.list(),
-            key: key.to_owned(),
-            ends: Vec::new(),
-            sealed: false,
-        });
-        attempt.ends.push((end, asked, now()));
-        attempt.sealed |= is_sealed;
-        end
-    }
-
     /// The session, opened with a setting and a prepared statement if there is none.
     pub(crate) async fn session(&mut self) -> Option<Session> {
         if self.session.is_none() {
--- a/crates/testbed/src/caller_operations.rs
+++ b/crates/testbed/src/caller_operations.rs
@@ -1,6 +1,7 @@
 //! What a caller does: orders in one step or several, the resolution of open ones, and lookups of its orders.
-use crate::caller::{Caller, ORDER_MS, Reply, Session, call_end};
+use crate::caller::{Caller, ORDER_MS, Session};
 use crate::history::{CallEnd, ReadRecord};
+use crate::reply::{Reply, call_end};
 use quincehatch_core::{ErrorCode, Millis};
 use quincehatch_runtime::{now, seam};
 use serde_json::{Value, json};
--- a/crates/testbed/src/configuration_pushes.rs
+++ b/crates/testbed/src/configuration_pushes.rs
@@ -1,7 +1,7 @@
 //! Operators of a run: they push two configurations at once, an invalid one, one twice, and one alone.
-use crate::caller::LoadEnvironment;
+use crate::fleet_calls::{fleet_status, operator_call};
 use crate::history::{AcknowledgedPush, MAX_PUSH_TIME, PushAttempt, PushEnd};
-use crate::scenario::{fleet_status, operator_call};
+use crate::load_environment::LoadEnvironment;
 use crate::script::{invalid_configuration, with_mark};
 use quincehatch_core::{ErrorCode, Millis};
 use quincehatch_runtime::{now, seam};
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,4 +1,6 @@
 //! The plan of a whole fleet on this machine's loopback: its processes, their arguments and settings files.
+pub use crate::first_configuration::configuration_for;
+pub use crate::shape::Shape;
 use quincehatch_core::Labels;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -7,56 +9,6 @@
 pub const TOKEN: &str = "lab-token";
 /// Nodes that every node knows from its settings.
 const SEED_NODES: usize = 3;
-/// Servers of a group.
-const REPLICAS: usize = 3;
-/// Largest number of nodes that can be asked for.
-const MAX_NODES: usize = 64;
-/// Deadline of lookups in milliseconds, and the longer one of the shape `lensbridge`.
-const LOOKUP_MS: u64 = 3_000;
-const LONG_LOOKUP_MS: u64 = 5_000;
-
-/// How large a fleet is.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Shape {
-    /// Its name.
-    pub name: String,
-    /// Number of zones.
-    pub zones: usize,
-    /// Number of nodes.
-    pub nodes: usize,
-    /// Number of keepers.
-    pub keepers: usize,
-    /// Number of groups of servers.
-    pub groups: usize,
-    /// Servers of each group.
-    pub replicas: usize,
-    /// Addresses are given out from the port after this one.
-    pub port: u16,
-}
-
-impl Shape {
-    /// The shape of that name; `nodes:N` has N nodes.
-    pub fn named(name: &str, port: u16) -> Option<Shape> {
-        let (zones, nodes, keepers, groups) = match name {
-            "thin" => (1, 1, 1, 1),
-            "small" => (2, 3, 3, 1),
-            "scripwell" => (4, 7, 4, 3),
-            "lensbridge" => (3, 6, 3, 3),
-            other => {
-                let nodes = other.strip_prefix("nodes:")?.parse().ok()?;
-                let is_allowed = (1..=MAX_NODES).contains(&nodes);
-                is_allowed.then_some((3, nodes, 3, 1))?
-            }
-        };
-        Some(Shape { name: name.into(), zones, nodes, keepers, groups, replicas: REPLICAS, port })
-    }
-
-    /// Deadline of a lookup.
-    pub fn lookup_ms(&self) -> u64 {
-        if self.name == "lensbridge" { LONG_LOOKUP_MS } else { LOOKUP_MS }
-    }
-}
-
 /// One process of the fleet.
 #[derive(Clone, Debug)]
 pub struct ProcessSpec {
@@ -277,24 +229,6 @@
     Ok(plan)
 }
 
-/// One placement for each group; orders and lookups choose by the request's `db` label.
-pub fn configuration_for(shape: &Shape) -> String {
-    let lookup_ms = shape.lookup_ms();
-    let mut text = String::new();
-    for group in 1..=shape.groups {
-        text += &format!("[[placements]]\nname = \"p{group}\"\nselect = {{ group = [\"g{group}\"] }}\n\n");
-    }
-    for group in 1..=shape.groups {
-        text += &format!(
-            "[[rules]]\nname = \"order-g{group}\"\nclass = \"order\"\nwhen = {{ db = [\"g{group}\"] }}\n\
-             placement = \"p{group}\"\ntimeout_ms = 1000\n\n\
-             [[rules]]\nname = \"lookup-g{group}\"\nclass = \"lookup\"\nwhen = {{ db = [\"g{group}\"] }}\n\
-             placement = \"p{group}\"\ntimeout_ms = {lookup_ms}\n\n"
-        );
-    }
-    text
-}
-
 /// Labels from `name=value` pairs; others are left out.
 pub fn parse_labels(pairs: &[String]) -> Labels {
     let pairs = pairs.iter().filter_map(|pair| pair.split_once('='));
--- a/crates/testbed/src/run_facts.rs
+++ b/crates/testbed/src/run_facts.rs
@@ -1,8 +1,9 @@
 //! After a run: open attempts are resolved, and the servers tell what they hold.
-use crate::caller::{Caller, LoadEnvironment};
+use crate::caller::Caller;
 use crate::fleet::{FleetPlan, ServerAddress};
+use crate::fleet_calls::{fleet_status, lab_call, primary_of};
 use crate::history::{AttemptRecord, CallEnd, Facts};
-use crate::scenario::{fleet_status, lab_call};
+use crate::load_environment::LoadEnvironment;
 use crate::stand_in::journal::{JournalEntry, read_journal};
 use quincehatch_runtime::seam;
 use serde_json::{Value, json};
@@ -48,13 +49,6 @@
     list.as_array().into_iter().flatten().filter_map(Value::as_str).map(str::to_owned).collect()
 }
 
-/// The server that the fleet's status names as the primary of a group.
-fn primary_of(status: &Value, group: &str) -> Option<String> {
-    let primaries = status["leads"].as_array()?;
-    let primary = primaries.iter().find(|primary| primary["group"] == group)?;
-    primary["server"].as_str().map(str::to_owned)
-}
-
 /// What the servers hold: the primary's lists, and the logs of all that answer.
 pub async fn collect_facts(operators: &[String], servers: &[ServerAddress]) -> Result<Facts, String> {
     let mut facts = Facts::default();
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,23 +1,24 @@
 //! Runs callers and a script of faults against a real fleet, then checks what callers saw and servers hold.
-use crate::caller::{Caller, LoadEnvironment};
+use crate::caller::Caller;
 use crate::configuration_pushes::push_round;
-use crate::fleet::{FleetPlan, ServerAddress, TOKEN};
-use crate::history::{CallEnd, Facts, History, check_history, longest_gaps_after};
+use crate::fleet::FleetPlan;
+use crate::fleet_calls::primary_of;
+pub use crate::fleet_calls::{fleet_status, lab_call, operator_call};
+use crate::history::Facts;
+use crate::load_environment::LoadEnvironment;
 use crate::run_facts::{collect_facts, read_journals, resolve_open_attempts};
 use crate::running::RunningFleet;
+use crate::scenario_report::{RunTimes, report};
+pub use crate::scenario_report::{ScenarioOptions, ScenarioReport};
 use crate::script::{Action, Step, Target};
 use quincehatch_core::Millis;
 use quincehatch_runtime::{now, seam};
-use quincehatch_wire::http::{JsonRequest, call_once, post_once};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Deadline of a status call, and of a call of the test bench.
-const STATUS_DEADLINE: Millis = 1_500;
-const LAB_DEADLINE: Duration = Duration::from_secs(5);
 /// A process that is stopped in order has so long.
 const STOP_TIMEOUT: Duration = Duration::from_secs(12);
 /// A caller ends its last call within this time.
@@ -30,71 +31,6 @@
 const ORDERS_PER_MILLE: u64 = 690;
 const MOVES_PER_MILLE: u64 = 20;
 
-/// How a run is to be done.
-#[derive(Clone, Debug)]
-pub struct ScenarioOptions {
-    /// Name of the scenario.
-    pub scenario: String,
-    /// How long callers call.
-    pub seconds: u64,
-    /// Number of callers.
-    pub callers: usize,
-    /// Mean pause between two calls of one caller.
-    pub pause_ms: Millis,
-    /// Seed of the callers.
-    pub seed: u64,
-    /// Leave out the bounds that only a quiet machine can be held to (N12).
-    pub untimed: bool,
-}
-
-/// What a run came to.
-#[derive(Debug, Default)]
-pub struct ScenarioReport {
-    /// Every violation, as a line that names its check.
-    pub violations: Vec<String>,
-    /// The figures of the run in one line.
-    pub summary: String,
-    /// The longest time without an acknowledged order after the first fault, by group.
-    pub gaps: BTreeMap<String, Millis>,
-    /// Orders that were acknowledged.
-    pub committed: usize,
-    /// Orders that were sent.
-    pub attempts: usize,
-    /// Lookups that succeeded, and that failed.
-    pub lookups: (u64, u64),
-}
-
-/// A call of an operator; status and body of the answer, none if none came.
-pub async fn operator_call(addr: &str, what: &str, body: &Value, deadline: Millis) -> Option<(u16, Value)> {
-    let path = format!("/op/{what}");
-    let request = JsonRequest { method: "POST", path: &path, body, token: Some(TOKEN) };
-    call_once(addr, &request, Duration::from_millis(deadline)).await.ok()
-}
-
-/// The fleet's status, from whichever node answers.
-pub async fn fleet_status(operators: &[String]) -> Value {
-    for addr in operators {
-        if let Some((200, status)) = operator_call(addr, "status", &json!({}), STATUS_DEADLINE).await {
-            return status;
-        }
-    }
-    Value::Null
-}
-
-/// A call of the test bench to a server; the body of the answer.
-pub async fn lab_call(servers: &[ServerAddress], server: &str, path: &str, body: &Value) -> Option<Value> {
-    let addr = servers.iter().find(|known| known.name == server)?.addr.clone();
-    let (_, answer) = post_once(&addr, path, body, LAB_DEADLINE).await.ok()?;
-    Some(answer)
-}
-
-/// The primary that a fleet's status names for a group.
-fn primary_of(status: &Value, group: &str) -> Option<String> {
-    let primaries = status["leads"].as_array()?;
-    let primary = primaries.iter().find(|primary| primary["group"] == group)?;
-    primary["server"].as_str().map(str::to_owned)
-}
-
 /// A run under way.
 struct ScenarioRun<'fleet> {
     fleet: &'fleet mut RunningFleet,
@@ -238,56 +174,3 @@
     let facts = facts.map(|facts| Facts { journals: read_journals(&fleet.plan), ..facts });
     report(options, &env, facts, RunTimes { began, faults, end })
 }
-
-/// When a run began, when its faults came, and when its load ended.
-struct RunTimes {
-    began: Millis,
-    faults: Vec<(Millis, String)>,
-    end: Millis,
-}
-
-fn count_attempts(history: &History, wanted: CallEnd) -> usize {
-    let has_end = |ends: &[(CallEnd, u64, u64)]| ends.iter().any(|(end, _, _)| *end == wanted);
-    history.attempts.values().filter(|attempt| has_end(&attempt.ends)).count()
-}
-
-fn count_lookups(history: &History, succeeded: bool) -> u64 {
-    let lookups = history.served.iter().filter(|((_, kind), _)| *kind == "lookup");
-    let calls = lookups.flat_map(|(_, calls)| calls);
-    calls.filter(|call| call.succeeded == succeeded).count() as u64
-}
-
-fn report(
-    options: &ScenarioOptions,
-    env: &LoadEnvironment,
-    collected: Result<Facts, String>,
-    times: RunTimes,
-) -> ScenarioReport {
-    let history = env.history.lock().unwrap();
-    let sent = env.sent_statements.lock().unwrap().clone();
-    let first_fault = times.faults.first().map_or(times.began, |(at, _)| *at);
-    let gaps = longest_gaps_after(&history, first_fault);
-    let committed = count_attempts(&history, CallEnd::Committed);
-    let lookups = (count_lookups(&history, true), count_lookups(&history, false));
-    let summary = format!(
-        "{}: {} tries, {} kept, {} told nothing, {} unknown, {} lost, {} lookups, {} failed, {} late, longest gap {:?} ms",
-        options.scenario,
-        history.attempts.len(),
-        committed,
-        count_attempts(&history, CallEnd::NotApplied),
-        count_attempts(&history, CallEnd::Unknown),
-        count_attempts(&history, CallEnd::NoReply),
-        lookups.0,
-        lookups.1,
-        history.late_replies,
-        gaps
-    );
-    let timed_faults: &[(Millis, String)] = if options.untimed { &[] } else { &times.faults };
-    let facts = collected.as_ref().map_or_else(|_| Facts::default(), Clone::clone);
-    let mut violations = check_history(&history, &facts, &sent, timed_faults, times.end);
-    violations.extend(collected.err());
-    if facts.lists.is_empty() || committed == 0 {
-        violations.push("nothing was committed at all: the run proves nothing".into());
-    }
-    ScenarioReport { violations, summary, gaps, committed, attempts: history.attempts.len(), lookups }
-}
