--- a/crates/simulator/src/fleet/keeper_disk.rs
+++ b/crates/simulator/src/fleet/keeper_disk.rs
@@ -1,5 +1,5 @@
 //! A keeper's disk in the simulator: it holds exactly what was synced.
-use quincehatch_store::keeper::{Record, RecoveredState};
+use quincehatch_store::record::{Record, RecoveredState};
 use std::sync::{Arc, Mutex};
 
 /// What a keeper's disk holds; it outlives the keeper's process.
--- a/crates/simulator/src/fleet/keeper_group.rs
+++ b/crates/simulator/src/fleet/keeper_group.rs
@@ -2,7 +2,7 @@
 use super::keeper::{KeeperSetup, start_keeper};
 use super::keeper_registry::KeeperRegistry;
 use super::simulation::{ProcessId, Simulation, StartProcess};
-use quincehatch_store::keeper::RecoveredState;
+use quincehatch_store::record::RecoveredState;
 use quincehatch_store::{View, Voter};
 use std::sync::{Arc, Mutex};
 
--- a/crates/simulator/src/fleet/setup.rs
+++ b/crates/simulator/src/fleet/setup.rs
@@ -10,7 +10,7 @@
 use crate::addresses;
 use bytes::Bytes;
 use quincehatch_config::settings::NodeSettings;
-use quincehatch_node::{ClusterNode, gossip, operator_api};
+use quincehatch_node::{ClusterNode, client_api, gossip, operator};
 use quincehatch_proxy::listener;
 use quincehatch_runtime::seam::{self, BoxFuture};
 use quincehatch_store::Voter;
@@ -81,13 +81,13 @@
     let proxy = node.proxy.clone();
     let on_client_request: HttpHandler = Arc::new(move |request| {
         let proxy = proxy.clone();
-        Box::pin(async move { Some(operator_api::origin(&proxy, listener_request(request)).await) })
+        Box::pin(async move { Some(client_api::answer(&proxy, listener_request(request)).await) })
     });
     simulation.listen_http(&settings.client_listener, pid, on_client_request, Arc::new(|_| ()));
     let shared = node.clone();
     let on_operator_request: HttpHandler = Arc::new(move |request| {
         let node = shared.clone();
-        Box::pin(async move { Some(operator_api::answer(&node, listener_request(request)).await) })
+        Box::pin(async move { Some(operator::answer(&node, listener_request(request)).await) })
     });
     simulation.listen_http(&settings.operator_listener, pid, on_operator_request, Arc::new(|_| ()));
     let shared = node.clone();
--- a/crates/store/src/keeper/replication.rs
+++ b/crates/store/src/keeper/replication.rs
@@ -1,7 +1,9 @@
 //! Replication along the chain: entries go from the head to the tail, acknowledgements from the tail to the head.
+use super::snapshot_transfer::TransferPurpose;
 use super::{Keeper, Output};
 use crate::command::{Answer, Command, Entry};
 use crate::entry_log::PackedEntry;
+use crate::feed::AppliedEntry;
 use crate::limits::TRANSFER_MAX_BYTES;
 use crate::messages::PeerMessage;
 use crate::record::Record;
@@ -35,7 +37,7 @@
 
     /// Applies an entry if it is the next one, and returns the answer to its command.
     pub(super) fn append_entry(&mut self, entry: &Entry, packed: PackedEntry) -> Option<Answer> {
-        let (answer, event) = self.store.apply_with_event(entry)?;
+        let AppliedEntry { answer, event } = self.store.apply_with_event(entry)?;
         self.note_dismissal(&entry.command);
         self.record_change(entry.number, event);
         self.outputs.push(Output::Persist(Record::Entry { entry: packed.clone() }));
@@ -55,7 +57,7 @@
     }
 
     /// Sends the entries after `previous_change` to the successor.
-    pub(crate) fn forward_entries(&mut self, previous_change: ChangeNumber) {
+    pub(super) fn forward_entries(&mut self, previous_change: ChangeNumber) {
         let Some(successor) = self.successor().cloned() else { return };
         if let Some(entries) = self.entries_after(previous_change) {
             let message = self.append_message(previous_change, entries);
@@ -81,7 +83,7 @@
     }
 
     /// Records durably whether this keeper may lack committed entries.
-    pub(crate) fn set_catching_up(&mut self, catching_up: bool) {
+    pub(super) fn set_catching_up(&mut self, catching_up: bool) {
         if self.catching_up != catching_up {
             self.catching_up = catching_up;
             self.outputs.push(Output::Persist(Record::CatchingUp { catching_up }));
@@ -124,7 +126,7 @@
     ) {
         let message = match self.entries_after(last_change) {
             Some(entries) => self.append_message(last_change, entries),
-            None => self.snapshot_message(false, progress),
+            None => self.snapshot_message(TransferPurpose::CatchUp, progress),
         };
         self.send(successor, message);
         self.hand_over_leases();
--- a/crates/testbed/src/fleet_calls.rs
+++ b/crates/testbed/src/fleet_calls.rs
@@ -35,7 +35,7 @@
 
 /// The primary that a fleet's status names for a group.
 pub fn primary_of(status: &Value, group: &str) -> Option<String> {
-    let primaries = status["leads"].as_array()?;
+    let primaries = status["primaries"].as_array()?;
     let primary = primaries.iter().find(|primary| primary["group"] == group)?;
     primary["server"].as_str().map(str::to_owned)
 }
