--- a/crates/simulator/src/direct/request_execution.rs
+++ b/crates/simulator/src/direct/request_execution.rs
@@ -1,10 +1,10 @@
 //! How a request on a direct connection reaches a simulated server, takes a slot there, and is answered.
 use super::call_execution::{CallResult, statement_id};
 use super::delivery::{Delivery, deliver};
-use super::ledger::StampedAnswer;
-use super::server::{ReplySender, SLOTS};
+use super::replies::UNRESPONSIVE_TIMEOUT;
+use super::server::{ReplySender, ReplyTarget, SLOTS};
 use super::server_group::{GroupState, ServerGroup};
-use crate::fleet::simulation::{ProcessId, Simulation};
+use crate::fleet::simulation::Simulation;
 use quincehatch_core::Millis;
 use quincehatch_proxy::ports::{RejectReason, Rejection, ServerCall, ServerReply};
 use std::io;
@@ -12,16 +12,11 @@
 
 /// New work that is sent so long after a server's drain was acknowledged is a violation.
 const DRAIN_LIMIT: Millis = 7_000;
-/// A node gives a request up that an unresponsive server does not answer for so long.
-const UNRESPONSIVE_TIMEOUT: Millis = 4_000;
 /// Least time of a request that takes a slot, and how much longer it may take.
 const MIN_EXECUTION_TIME: Millis = 2;
 const EXECUTION_TIME_SPREAD: Millis = 7;
 /// Share of statements that fail in the server.
 const FAILURES_PER_MILLE: u64 = 3;
-/// Share of lost replies whose connection is reset; the others are never answered.
-const RESETS_PER_MILLE: u64 = 500;
-
 /// A request on its way.
 struct Request {
     connection: u64,
@@ -50,18 +45,6 @@
     takes_slot: bool,
 }
 
-/// What becomes of a reply that leaves a server.
-enum ReplyFate {
-    Sent {
-        node: ProcessId,
-        server: ProcessId,
-    },
-    /// It is lost, and the connection seems well.
-    Swallowed,
-    /// Its connection is gone.
-    Dropped,
-}
-
 /// True if the call takes one of the server's slots.
 fn takes_slot(call: &ServerCall) -> bool {
     !matches!(
@@ -111,7 +94,7 @@
             Admission::Busy => {
                 let reply = self.with(|state| state.busy_reply(now, connection));
                 if let Some(reply) = reply {
-                    self.send_reply(simulation, connection, reply, reply_to);
+                    self.send_reply(simulation, reply, ReplyTarget { connection, reply_to });
                 }
             }
             Admission::Admitted { extra_latency } => {
@@ -138,7 +121,7 @@
         let (alive, powered_off, paused_until) = {
             let state = simulation.lock();
             let process = &state.processes[pid];
-            let alive = process.up && process.incarnation == execution.incarnation;
+            let alive = process.is_up && process.incarnation == execution.incarnation;
             (alive, process.powered_off, process.paused_until)
         };
         if !alive && powered_off {
@@ -157,38 +140,15 @@
         let result = self.with(|state| state.finish_execution(now, &execution, fails));
         let Execution { connection, reply_to, server, .. } = execution;
         match result {
-            Some(CallResult::Reply(reply)) => self.send_reply(simulation, connection, reply, reply_to),
+            Some(CallResult::Reply(reply)) => {
+                self.send_reply(simulation, reply, ReplyTarget { connection, reply_to })
+            }
             Some(CallResult::Commit(commit)) => {
-                self.append_commit(simulation, server, commit, connection, reply_to);
+                self.append_commit(simulation, server, commit, ReplyTarget { connection, reply_to });
             }
             None => drop(reply_to),
         }
     }
-
-    /// A reply leaves a server, unless it is lost, with or without its connection.
-    pub fn send_reply(
-        self: &Arc<Self>,
-        simulation: &Arc<Simulation>,
-        connection: u64,
-        reply: ServerReply,
-        reply_to: ReplySender,
-    ) {
-        let resets = simulation.lock().rng.chance(RESETS_PER_MILLE);
-        match self.with(|state| state.reply_fate(connection, resets)) {
-            ReplyFate::Dropped => drop(reply_to),
-            ReplyFate::Swallowed => {
-                let give_up_at = simulation.now() + UNRESPONSIVE_TIMEOUT;
-                simulation.schedule_action(give_up_at, move |_| drop(reply_to));
-            }
-            ReplyFate::Sent { node, server } => {
-                deliver(simulation, server, node, move |_, delivery| {
-                    if delivery == Delivery::Arrived {
-                        let _ = reply_to.send(Ok(reply));
-                    }
-                });
-            }
-        }
-    }
 }
 
 impl GroupState {
@@ -256,21 +216,6 @@
         Some(result)
     }
 
-    fn reply_fate(&mut self, id: u64, resets: bool) -> ReplyFate {
-        let Some(connection) = self.connections.get(&id) else { return ReplyFate::Dropped };
-        let node = connection.node;
-        let server = &mut self.servers[connection.server];
-        if server.replies_to_lose == 0 {
-            return ReplyFate::Sent { node, server: server.pid };
-        }
-        server.replies_to_lose -= 1;
-        if resets {
-            self.break_connection(id);
-            return ReplyFate::Dropped;
-        }
-        ReplyFate::Swallowed
-    }
-
     /// The node's end is closed; requests in execution keep the connection until they are done.
     fn close_at_server(&mut self, id: u64) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
@@ -280,12 +225,4 @@
             connection.closed = true;
         }
     }
-
-    /// Stamps a success, so that it can be told from any other.
-    pub fn add_stamp(&mut self, statement: u64, server: usize, reply: &mut ServerReply) {
-        if reply.rejection.is_none() {
-            let answer = StampedAnswer { statement, rows: reply.rows.clone() };
-            reply.stamp = Some(self.ledger.stamp(&self.servers[server].name, answer));
-        }
-    }
 }
