--- a/crates/simulator/src/fleet/simulation.rs
+++ b/crates/simulator/src/fleet/simulation.rs
@@ -4,6 +4,7 @@
 //! replays exactly.
 use super::network::{Envelope, Network};
 use super::process_world::ProcessWorld;
+pub use super::trap::Trap;
 use quincehatch_core::Millis;
 use quincehatch_runtime::rng::Rng;
 use quincehatch_runtime::seam::{self, BoxFuture, World};
@@ -50,7 +51,7 @@
     /// Its name in the log.
     pub name: String,
     /// False while it is crashed.
-    pub up: bool,
+    pub is_up: bool,
     /// The whole machine is off, so that not even a refusal comes back.
     pub powered_off: bool,
     /// Rises with each start.
@@ -115,15 +116,6 @@
     pub trap_sprung_at: Millis,
 }
 
-/// Stops the next process that reaches a trace point.
-#[derive(Clone, Debug)]
-pub struct Trap {
-    /// Part of the trace point's text.
-    pub trace_point: String,
-    /// How long the process is suspended; none: it crashes and is restarted later.
-    pub pause: Option<Millis>,
-}
-
 /// A simulation, shared by all its parts.
 pub struct Simulation {
     state: Mutex<SimulationState>,
@@ -174,7 +166,7 @@
 
     /// True while the process is up and not suspended.
     pub fn is_running(&self, pid: ProcessId) -> bool {
-        self.processes[pid].up && self.processes[pid].paused_until <= self.now
+        self.processes[pid].is_up && self.processes[pid].paused_until <= self.now
     }
 
     /// Mixes a step into the trace (multipliers and shift of SplitMix64).
@@ -230,7 +222,7 @@
             };
             state.processes.push(Process {
                 name: name.to_owned(),
-                up: true,
+                is_up: true,
                 powered_off: false,
                 incarnation: 1,
                 paused_until: 0,
