--- a/crates/proxy/tests/fake_servers/connection.rs
+++ b/crates/proxy/tests/fake_servers/connection.rs
@@ -2,7 +2,7 @@
 use super::{FakeGroup, Fault};
 use bytes::Bytes;
 use quincehatch_core::{Name, Position};
-use quincehatch_proxy::ports::{ServerCall, ServerConnection, ServerReply, TransactionState};
+use quincehatch_proxy::ports::{Rejection, ServerCall, ServerConnection, ServerReply, TransactionState};
 use quincehatch_runtime::seam::BoxFuture;
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -63,7 +63,7 @@
         }
         match fault {
             Fault::Reject(reason) => {
-                Ok(ServerReply { rejection: Some((reason, Bytes::new())), ..self.reply() })
+                Ok(ServerReply { rejection: Some(Rejection::without_text(reason)), ..self.reply() })
             }
             Fault::DisconnectBefore | Fault::DisconnectAfter => {
                 self.broken = true;
@@ -101,8 +101,8 @@
             ServerCall::Set { name, value } => {
                 self.settings.insert(name.clone(), value.clone());
             }
-            ServerCall::Prepare { name, shape, .. } => {
-                self.prepared.insert(name.clone(), text(shape));
+            ServerCall::Prepare { name, template, .. } => {
+                self.prepared.insert(name.clone(), text(template));
             }
             ServerCall::Reset => {
                 self.settings.clear();
@@ -115,9 +115,9 @@
                     floor.map_or_else(String::new, |floor| format!("@{}.{} ", floor.fence, floor.number));
                 return self.run(format!("{floor}{statement}"), kind).await;
             }
-            ServerCall::Execute { name, rest, .. } => {
+            ServerCall::Execute { name, arguments, .. } => {
                 let template = self.prepared.get(name).cloned().unwrap();
-                return self.run(format!("{template} {}", text(rest)), CallKind::Read).await;
+                return self.run(format!("{template} {}", text(arguments)), CallKind::Read).await;
             }
             ServerCall::Commit { .. } => return self.run("COMMIT".into(), CallKind::Commit).await,
             _ => {}
--- a/crates/simulator/src/direct/call_execution.rs
+++ b/crates/simulator/src/direct/call_execution.rs
@@ -4,7 +4,7 @@
 use super::server_group::GroupState;
 use bytes::Bytes;
 use quincehatch_core::{Millis, Position, Role};
-use quincehatch_proxy::ports::{RejectReason, ServerCall, ServerReply};
+use quincehatch_proxy::ports::{RejectReason, Rejection, ServerCall, ServerReply};
 
 /// Writes that a server is to commit.
 pub struct Commit {
@@ -54,7 +54,7 @@
         if let Some(transaction) = self.transaction.as_mut().filter(|_| was_executed) {
             transaction.failed = true;
         }
-        self.reply(ServerReply { rejection: Some((reason, Bytes::new())), ..ServerReply::default() })
+        self.reply(ServerReply { rejection: Some(Rejection::without_text(reason)), ..ServerReply::default() })
     }
 
     fn succeed(&self) -> CallResult {
@@ -71,9 +71,13 @@
             ServerCall::Run { id, text, .. } => {
                 Some(StatementCall { id: statement_id(id), text: text.clone(), prepared: None })
             }
-            ServerCall::Execute { id, name, rest, .. } => {
+            ServerCall::Execute { id, name, arguments, .. } => {
                 let prepared = self.prepared.get(name)?.clone();
-                Some(StatementCall { id: statement_id(id), text: rest.clone(), prepared: Some(prepared) })
+                Some(StatementCall {
+                    id: statement_id(id),
+                    text: arguments.clone(),
+                    prepared: Some(prepared),
+                })
             }
             _ => None,
         }
@@ -122,8 +126,8 @@
                 connection.values.insert(name.clone(), value.clone());
                 connection.succeed()
             }
-            ServerCall::Prepare { name, write, shape } => {
-                let prepared = PreparedStatement { write: *write, template: shape.clone() };
+            ServerCall::Prepare { name, write, template } => {
+                let prepared = PreparedStatement { write: *write, template: template.clone() };
                 connection.prepared.insert(name.clone(), prepared);
                 connection.succeed()
             }
--- a/crates/simulator/src/direct/setup.rs
+++ b/crates/simulator/src/direct/setup.rs
@@ -8,7 +8,7 @@
 use crate::fleet::simulation::{ProcessId, Simulation, StartProcess};
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::Role;
-use quincehatch_node::{ClusterNode, gossip};
+use quincehatch_node::{Node, peer_service};
 use quincehatch_proxy::direct::DirectProxy;
 use quincehatch_runtime::seam::{self, BoxFuture};
 use quincehatch_store::Voter;
@@ -33,7 +33,7 @@
 /// What runs in one incarnation of a node's process.
 pub struct RunningNode {
     /// The node.
-    pub node: Arc<ClusterNode>,
+    pub node: Arc<Node>,
     /// Its sessions on direct connections.
     pub direct_proxy: Arc<DirectProxy>,
 }
@@ -103,12 +103,12 @@
     settings: &NodeSettings,
     group: &Arc<ServerGroup>,
 ) -> Arc<RunningNode> {
-    let node = ClusterNode::with_ports(settings, Some(server_ports::server_ports(group, pid)));
+    let node = Node::with_ports(settings, Some(server_ports::server_ports(group, pid)));
     let direct_proxy = DirectProxy::new(node.proxy.clone(), server_ports::server_connector(group, pid));
     let shared = node.clone();
     let on_gossip = move |bytes: Vec<u8>| {
         let node = shared.clone();
-        Box::pin(async move { gossip::respond_to_frame(&node, &bytes).await }) as BoxFuture<'_, _>
+        Box::pin(async move { peer_service::respond_to_frame(&node, &bytes).await }) as BoxFuture<'_, _>
     };
     simulation.listen_frames(&settings.gossip_listener, pid, Arc::new(on_gossip));
     node.start();
--- a/crates/simulator/src/fleet/setup.rs
+++ b/crates/simulator/src/fleet/setup.rs
@@ -10,7 +10,7 @@
 use crate::addresses;
 use bytes::Bytes;
 use quincehatch_config::settings::NodeSettings;
-use quincehatch_node::{ClusterNode, client_api, gossip, operator};
+use quincehatch_node::{Node, client_api, operator, peer_service};
 use quincehatch_proxy::listener;
 use quincehatch_runtime::seam::{self, BoxFuture};
 use quincehatch_store::Voter;
@@ -21,7 +21,7 @@
 /// Nodes that every node knows from its settings.
 const SEED_NODES: usize = 3;
 /// A node of the newest incarnation of its process.
-pub type LiveNode = Arc<Mutex<Option<Arc<ClusterNode>>>>;
+pub type LiveNode = Arc<Mutex<Option<Arc<Node>>>>;
 
 /// A fleet in a simulation.
 pub struct SimulatedFleet {
@@ -76,8 +76,8 @@
     listener::HttpRequest { method, path: request.path, token: request.token, body }
 }
 
-fn start_node(simulation: &Arc<Simulation>, pid: ProcessId, settings: &NodeSettings) -> Arc<ClusterNode> {
-    let node = ClusterNode::new(settings);
+fn start_node(simulation: &Arc<Simulation>, pid: ProcessId, settings: &NodeSettings) -> Arc<Node> {
+    let node = Node::new(settings);
     let proxy = node.proxy.clone();
     let on_client_request: HttpHandler = Arc::new(move |request| {
         let proxy = proxy.clone();
@@ -92,7 +92,7 @@
     simulation.listen_http(&settings.operator_listener, pid, on_operator_request, Arc::new(|_| ()));
     let shared = node.clone();
     let on_gossip = move |bytes: Vec<u8>| {
-        let reply = gossip::respond_without_probing(&shared, &bytes);
+        let reply = peer_service::respond_without_probing(&shared, &bytes);
         Box::pin(async move { reply }) as BoxFuture<'_, _>
     };
     simulation.listen_frames(&settings.gossip_listener, pid, Arc::new(on_gossip));
--- a/crates/store/src/keeper.rs
+++ b/crates/store/src/keeper.rs
@@ -1,5 +1,5 @@
-//! A keeper: one replica of the store. It is a voter of the view register and, while it is a member of the view, a link
-//! of the replication chain, perhaps its head or its tail.
+//! A keeper: one replica of the store. It is a voter of the view register and, while it is in the view, a
+//! member of the replication chain, perhaps its head or its tail.
 //!
 //! [`Keeper::step`] is the whole protocol without input or output: it takes one [`Input`] and returns [`Output`]s. The
 //! caller makes records durable, sends messages and tells the time.
@@ -9,6 +9,7 @@
 mod lease_handover;
 mod membership;
 mod proposals;
+mod recent_changes;
 mod replication;
 mod requests;
 mod snapshot_transfer;
@@ -18,10 +19,9 @@
 mod view_lease;
 mod view_repair;
 
-use crate::compression::PackedText;
 use crate::disk_usage::DiskUsage;
+use crate::dismissed_leases::DismissedLeases;
 use crate::entry_log::EntryLog;
-use crate::feed::Change;
 use crate::node_leases::NodeLeases;
 use crate::record::RecoveredState;
 use crate::register::{Acceptor, Proposer};
@@ -29,11 +29,13 @@
 use crate::store::Store;
 use crate::timing::{NODE_LEASE, VIEW_LEASE, with_clock_drift};
 use crate::view::View;
+use feed_updates::PackedConfiguration;
 use membership::{Discovery, Leaving};
 use quincehatch_core::{ChangeNumber, Millis, Name, Version, hash64};
 use quincehatch_runtime::seam;
+use recent_changes::RecentChanges;
 use requests::{CommitTimes, PendingPoll, PendingWrite};
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 use view_lease::ViewLease;
 
 pub use event::{Input, Output};
@@ -77,10 +79,9 @@
     disk_usage: DiskUsage,
 
     // Requests and the feed.
-    /// Recent changes as nodes get them, since this process began or took a whole store.
-    recent_changes: VecDeque<Change>,
-    /// The configuration of that version, packed once for all snapshots that carry it.
-    packed_configuration: Option<(Version, PackedText)>,
+    recent_changes: RecentChanges,
+    /// The configuration in force, packed once for all snapshots that carry it.
+    packed_configuration: Option<PackedConfiguration>,
     commit_times: CommitTimes,
     pending_writes: Vec<PendingWrite>,
     pending_polls: Vec<PendingPoll>,
@@ -108,10 +109,7 @@
     node_leases: Option<NodeLeases>,
     /// The leases granted as the tail of the view before, to be handed to the present tail.
     previous_node_leases: Option<NodeLeases>,
-    /// Until when each recently dismissed node may hold a lease.
-    dismissed_leases: BTreeMap<Name, Millis>,
-    /// Until then there may be further ones: what was dismissed before this process began is not known.
-    unknown_leases_until: Millis,
+    dismissed_leases: DismissedLeases,
 
     // Membership.
     discovery: Option<Discovery>,
@@ -150,7 +148,7 @@
             incoming_snapshot: IncomingSnapshot::default(),
             last_fetch_at: 0,
             disk_usage: DiskUsage::default(),
-            recent_changes: VecDeque::new(),
+            recent_changes: RecentChanges::default(),
             packed_configuration: None,
             commit_times: CommitTimes::default(),
             pending_writes: Vec::new(),
@@ -168,8 +166,7 @@
             served_version: recovered.served_version,
             node_leases: None,
             previous_node_leases: None,
-            dismissed_leases: BTreeMap::new(),
-            unknown_leases_until,
+            dismissed_leases: DismissedLeases::new(unknown_leases_until),
             discovery: None,
             invitation: None,
             leaving: None,
