--- a/crates/testbed/tests/choice/net.rs
+++ b/crates/testbed/tests/choice/net.rs
@@ -1,5 +1,9 @@
 //! A small world of one group: the chain's store, promotions' steps and servers' logs as they ship, and every act that
 //! the network and the processes may do next (§5.5).
+mod act;
+mod look;
+
+pub use act::{Act, Size};
 use quincehatch_core::{FencingToken, Name, Position, PrimaryAssignment, Role};
 use quincehatch_failover::promotion::{Phase, Promotion, PromotionAction, PromotionEvent, PromotionPlan};
 use quincehatch_runtime::seam;
@@ -9,36 +13,6 @@
 use serde_json::Value;
 use std::sync::Arc;
 
-/// How large a world is tried out.
-#[derive(Clone, Copy, Debug)]
-pub struct Size {
-    pub servers: usize,
-    pub promotions: usize,
-    pub orders: usize,
-    /// Lists a promotion may bring, as servers' letters.
-    pub lists: &'static [&'static str],
-    /// What a replica asks and what it gets may be long under way.
-    pub late: bool,
-}
-
-#[derive(Clone, Copy, Debug)]
-pub enum Act {
-    /// A promotion that brings this list takes a fence and closes the lead. Between the two nothing can happen that
-    /// matters, but that a higher fence is taken, and then it may as well not have begun.
-    Begin(usize),
-    /// A server is fenced. Whoever has heard enough chooses, and writes its list if it is new: what comes between can
-    /// only keep that from the chain, and then it may as well not have heard.
-    Fence(usize, usize),
-    Promote(usize),
-    Name(usize),
-    /// A replica asks a primary; the primary answers; the replica takes it.
-    Request(usize, usize),
-    Give(usize),
-    Take(usize),
-    Order(usize),
-    Settle,
-}
-
 #[derive(Clone)]
 struct At {
     p: Promotion,
@@ -257,5 +231,3 @@
         Some(n)
     }
 }
-
-mod look;
