--- a/crates/config/tests/validation.rs
+++ b/crates/config/tests/validation.rs
@@ -9,6 +9,9 @@
                      class=\"lookup\"\nplacement=\"west\"\nwhen={coast=[\"west\"]}\n[[zones]]\nname=\"d1\"\n\
                      labels={coast=\"west\"}\n[[zones]]\nname=\"d2\"\nlabels={coast=\"east\"}\n";
 
+/// The label of a zone, and its deprecated name, which servers and selectors may still use.
+const ZONE_KEYS: [&str; 2] = ["zone", "district"];
+
 fn assert_rejected(text: &str, expected: &str) {
     let error = Configuration::parse(text).expect_err("it was accepted");
     let matches = error.has_code(ErrorCode::ConfigurationInvalid) && error.text.contains(expected);
@@ -32,11 +35,13 @@
     let configuration = Configuration::parse(ZONED).unwrap();
     let placement = &configuration.placements[0];
     let includes = |own: &[(&str, &str)]| configuration.placement_includes(placement, &labels(own));
-    assert!(includes(&[("group", "g"), ("zone", "d1")]));
-    assert!(!includes(&[("group", "g"), ("zone", "d2")]));
-    assert!(includes(&[("group", "g"), ("zone", "d2"), ("coast", "west")]), "its own label wins");
-    assert!(configuration.route_for("lookup", &labels(&[("zone", "d1")])).is_some());
-    assert!(configuration.route_for("lookup", &labels(&[("zone", "d2")])).is_none());
+    for key in ZONE_KEYS {
+        assert!(includes(&[("group", "g"), (key, "d1")]), "{key}");
+        assert!(!includes(&[("group", "g"), (key, "d2")]), "{key}");
+        assert!(includes(&[("group", "g"), (key, "d2"), ("coast", "west")]), "{key}: its own label wins");
+        assert!(configuration.route_for("lookup", &labels(&[(key, "d1")])).is_some(), "{key}");
+        assert!(configuration.route_for("lookup", &labels(&[(key, "d2")])).is_none(), "{key}");
+    }
 }
 
 #[test]
@@ -46,10 +51,13 @@
         &ZONED.replace("coast=\"east\"", "group=\"east\""),
         "zones[1].labels.group: is a server's own",
     );
-    let with_zone = |zone: &str| ZONED.replace("select={", &format!("select={{zone=[\"{zone}\"],"));
-    assert_rejected(&with_zone("d9"), "placements[0].select.zone: \"d9\" is not among");
-    assert_rejected(&with_zone("d2"), "placements[0].select.coast: every zone");
-    assert_rejected(&ZONED.replace("when={", "when={zone=[\"d2\"],"), "routes[0].when.coast: every zone");
+    for key in ZONE_KEYS {
+        let with_zone = |zone: &str| ZONED.replace("select={", &format!("select={{{key}=[\"{zone}\"],"));
+        assert_rejected(&with_zone("d9"), &format!("placements[0].select.{key}: \"d9\" is not among"));
+        assert_rejected(&with_zone("d2"), "placements[0].select.coast: every zone");
+        let in_route = ZONED.replace("when={", &format!("when={{{key}=[\"d2\"],"));
+        assert_rejected(&in_route, "routes[0].when.coast: every zone");
+    }
     assert_rejected(&ZONED.replace("coast=\"east\"", "coast=\"10.0.0.1\""), "is an address");
 }
 
--- a/crates/gossip/tests/sessions.rs
+++ b/crates/gossip/tests/sessions.rs
@@ -143,7 +143,9 @@
                 Some(found) => {
                     if let Some(missing) = promised.iter().find(|setting| !found.settings.contains(setting)) {
                         let version = found.version;
-                        return Err(format!("step {step}: version {version} lacks the promised {missing}"));
+                        let error =
+                            format!("version {version} of {client_version} lacks the promised {missing}");
+                        return Err(format!("step {step}: {error}"));
                     }
                     tally.whole += 1;
                     // An update whose outcome was unknown and that is found belongs to the session now.
--- a/crates/lab/src/bench/operator.rs
+++ b/crates/lab/src/bench/operator.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 const STATUS_TIMEOUT_MS: u64 = 2_000;
-const SERVERS_TIMEOUT_MS: u64 = 1_000;
+const SERVERS_TIMEOUT_MS: u64 = 2_000;
 const FAULT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The name of the first group's primary, as the first node knows it.
--- a/crates/proxy/tests/fake_servers/mod.rs
+++ b/crates/proxy/tests/fake_servers/mod.rs
@@ -63,7 +63,7 @@
     /// Works on one server.
     pub fn with_server<T>(&self, name: &str, work: impl FnOnce(&mut FakeServer) -> T) -> T {
         let mut state = self.0.lock().unwrap();
-        work(state.servers.entry(name.into()).or_default())
+        work(state.servers.get_mut(name).expect("a server of the group"))
     }
 }
 
@@ -77,6 +77,7 @@
     ) -> BoxFuture<'static, io::Result<OpenResult>> {
         let group = self.clone();
         Box::pin(async move {
+            group.0.lock().unwrap().servers.entry(server.clone()).or_default();
             let full = group.with_server(&server, |server| {
                 let full = server.connections_to_reject > 0;
                 server.connections_to_reject -= usize::from(full);
--- a/crates/simulator/src/control/configuration_api.rs
+++ b/crates/simulator/src/control/configuration_api.rs
@@ -1,4 +1,4 @@
-//! The control door of a machine: what the platform's control calls come to, over the real chain client.
+//! The control API of a machine: what the platform's control calls come to, over the real store client.
 use super::cluster::Cluster;
 use super::history::Document;
 use crate::fleet::simulation::ProcessId;
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The door answers within this time, as its callers move on after a second.
+/// The API answers within this time, as its callers move on after a second.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
 messages! {
@@ -19,7 +19,7 @@
     pub enum DoorAnswer { Acknowledged, Refused, NoClearAnswer, Document { text: Option<String> } }
 }
 
-/// Where the door of the machine at `address` listens.
+/// Where the API of the machine at `address` listens.
 pub fn api_address(address: &Name) -> String {
     format!("door/{address}")
 }
--- a/crates/simulator/src/control/machine.rs
+++ b/crates/simulator/src/control/machine.rs
@@ -1,4 +1,4 @@
-//! The process of one machine: a real keeper run as the daemon runs it, and the control door before it. What a step
+//! The process of one machine: a real keeper run as the daemon runs it, and the control API before it. What a step
 //! persists is synced before anything of the same step leaves; inputs wait meanwhile.
 use super::call_kind::CallKind;
 use super::cluster::Cluster;
@@ -26,7 +26,7 @@
 const MAX_BATCH: usize = 65;
 /// Inputs that wait at most; more are dropped, as with the daemon's full channel.
 const INBOX_CAPACITY: usize = 1_024;
-/// A write that lasts longer is a stall, as for the daemon's driver: requests are declined until it ends.
+/// A write that lasts longer is a stall, as for the daemon's driver: requests are rejected until it ends.
 const STALL: Millis = 500;
 /// A peer that does not take a message in this time is given up.
 const SEND_TIMEOUT: Duration = Duration::from_millis(500);
@@ -135,7 +135,7 @@
     process_inbox(shared);
 }
 
-/// Waits as long as the disk takes; requests are declined once that is too long.
+/// Waits as long as the disk takes; requests are rejected once that is too long.
 async fn sync_to_disk(shared: Process, batch: Batch, cost: Millis) {
     let (disk, core) = {
         let process = shared.lock().unwrap();
@@ -158,8 +158,8 @@
     let mut process = shared.lock().unwrap();
     if !process.stalled {
         process.stalled = true;
-        let declined = process.host.reject_pending();
-        process.send_outputs(declined);
+        let rejected = process.host.reject_pending();
+        process.send_outputs(rejected);
     }
 }
 
--- a/crates/testbed/src/first_configuration.rs
+++ b/crates/testbed/src/first_configuration.rs
@@ -10,9 +10,9 @@
     }
     for group in 1..=shape.groups {
         text += &format!(
-            "[[rules]]\nname = \"order-g{group}\"\nclass = \"order\"\nwhen = {{ db = [\"g{group}\"] }}\n\
+            "[[routes]]\nname = \"order-g{group}\"\nclass = \"order\"\nwhen = {{ db = [\"g{group}\"] }}\n\
              placement = \"p{group}\"\ntimeout_ms = 1000\n\n\
-             [[rules]]\nname = \"lookup-g{group}\"\nclass = \"lookup\"\nwhen = {{ db = [\"g{group}\"] }}\n\
+             [[routes]]\nname = \"lookup-g{group}\"\nclass = \"lookup\"\nwhen = {{ db = [\"g{group}\"] }}\n\
              placement = \"p{group}\"\ntimeout_ms = {lookup_ms}\n\n"
         );
     }
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -113,7 +113,7 @@
     let mut processes = Vec::new();
     for (name, addr) in keepers {
         let data = dir.join(format!("{name}.data"));
-        let text = format!("name = \"{name}\"\naddr = \"{addr}\"\nkeepers = [{all}]\ndata = {data:?}\n");
+        let text = format!("name = \"{name}\"\naddr = \"{addr}\"\nkeepers = [{all}]\ndata_dir = {data:?}\n");
         let mut process = ProcessSpec::new(name, "quincehatch-keeper", write_settings(dir, name, &text)?);
         process.args.push("--init".into());
         processes.push(process);
@@ -139,8 +139,8 @@
     for PlannedNode { address, gossip_listener } in nodes {
         let NodeAddress { name, zone, client_listener, operator_listener } = address;
         let text = format!(
-            "name = \"{name}\"\ndistrict = \"{zone}\"\ndoor = \"{client_listener}\"\n\
-             desk = \"{operator_listener}\"\nmesh = \"{gossip_listener}\"\nseeds = [{seeds}]\n\
+            "name = \"{name}\"\nzone = \"{zone}\"\nclient_listener = \"{client_listener}\"\n\
+             operator_listener = \"{operator_listener}\"\ngossip_listener = \"{gossip_listener}\"\nseeds = [{seeds}]\n\
              keepers = [{keepers}]\nplatform = \"{platform}\"\ntoken = \"{TOKEN}\"\n"
         );
         let args = write_settings(dir, name, &text)?;
@@ -175,7 +175,7 @@
             args.extend(["--peer".into(), peer.clone()]);
         }
         for operator_listener in plan.operator_addresses() {
-            args.extend(["--desk".into(), operator_listener]);
+            args.extend(["--operator-listener".into(), operator_listener]);
         }
         args.extend(["--relay".into(), ports.next()]);
         plan.processes.push(ProcessSpec::new(&server.name, "quincehatch-lab", args));
@@ -186,7 +186,7 @@
 fn plan_platform(addr: &str, nodes: &[NodeAddress]) -> ProcessSpec {
     let mut args = vec!["platform".into(), "--addr".into(), addr.to_owned()];
     for node in nodes {
-        args.extend(["--door".into(), format!("{}={}", node.zone, node.client_listener)]);
+        args.extend(["--client-listener".into(), format!("{}={}", node.zone, node.client_listener)]);
     }
     ProcessSpec::new("platform", "quincehatch-lab", args)
 }
--- a/crates/testbed/src/script.rs
+++ b/crates/testbed/src/script.rs
@@ -86,12 +86,12 @@
 
 /// A configuration that differs from others by its mark.
 pub fn with_mark(text: &str, mark: u64) -> String {
-    format!("{text}\n[judges]\nlate_weight = {}\n", MIN_LATE_WEIGHT + mark % LATE_WEIGHTS)
+    format!("{text}\n[health]\nlate_weight = {}\n", MIN_LATE_WEIGHT + mark % LATE_WEIGHTS)
 }
 
 /// A configuration that must be rejected.
 pub fn invalid_configuration() -> String {
     let placement = json!({"name": "p", "select": {"host": ["10.0.0.1"]}});
-    let rule = json!({"name": "r", "class": "order", "placement": "nowhere"});
-    json!({"placements": [placement], "rules": [rule]}).to_string()
+    let route = json!({"name": "r", "class": "order", "placement": "nowhere"});
+    json!({"placements": [placement], "routes": [route]}).to_string()
 }
--- a/crates/testbed/tests/replication.rs
+++ b/crates/testbed/tests/replication.rs
@@ -6,9 +6,14 @@
     PullRequest { server: replica.name.clone(), fence: replica.fence, have: replica.log_end() }
 }
 
+/// Pulls within which a replica must have all of a short log.
+const MAX_PULLS: usize = 4;
+/// Records that a pull brings at the most.
+const RECORDS_PER_PULL: usize = 9;
+
 fn sync(primary: &mut Database, replica: &mut Database) {
-    for _ in 0..8 {
-        let Some(response) = primary.serve_pull(&request(replica), 100) else { return };
+    for _ in 0..MAX_PULLS {
+        let Some(response) = primary.serve_pull(&request(replica), RECORDS_PER_PULL) else { return };
         replica.apply_pull(response);
     }
 }
