--- a/crates/store/src/compression/packed_bytes.rs
+++ b/crates/store/src/compression/packed_bytes.rs
@@ -1,20 +1,20 @@
-//! Byte strings that are compressed when that is worth it.
+//! Byte strings that are compressed if that makes them shorter.
 use miniz_oxide::deflate::compress_to_vec;
 use miniz_oxide::inflate::decompress_to_vec_with_limit;
 use quincehatch_core::messages;
 
-/// Longest byte string that is unpacked (32 MiB). One that claims more is damaged or hostile.
+/// Maximum length of an unpacked byte string (32 MiB). Input that unpacks to more is damaged or hostile.
 const MAX_UNPACKED_BYTES: usize = 32 << 20;
-/// Shorter ones (below 1 KiB) stay as they are; compressing them costs more than it saves.
+/// Byte strings below this length (1 KiB) are not compressed, because that costs more than it saves.
 const MIN_COMPRESSED_INPUT_BYTES: usize = 1 << 10;
-/// Level of deflate: little processor time, and JSON still shrinks several times.
+/// Deflate level. It takes little processor time, and JSON still becomes several times shorter.
 const COMPRESSION_LEVEL: u8 = 3;
 
 messages! {
-    /// A byte string, compressed if that makes it shorter.
+    /// A byte string in its packed form.
     #[derive(Eq)]
     pub enum PackedBytes {
-        /// The bytes as they are.
+        /// The uncompressed bytes.
         Plain {
             /// The bytes.
             bytes: Vec<u8>
@@ -28,7 +28,7 @@
 }
 
 impl PackedBytes {
-    /// Packs a byte string.
+    /// Packs a byte string, and compresses it if that makes it shorter.
     pub fn pack(bytes: Vec<u8>) -> Self {
         if bytes.len() < MIN_COMPRESSED_INPUT_BYTES {
             return PackedBytes::Plain { bytes };
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The bytes that were packed; `None` if they are damaged or too long.
+    /// Returns the unpacked bytes; `None` if the packed form is damaged or the result would be too long.
     pub fn unpack(&self) -> Option<Vec<u8>> {
         match self {
             PackedBytes::Plain { bytes } => Some(bytes.clone()),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Length of the packed form, in bytes.
+    /// Returns the length of the packed form, in bytes.
     pub fn size(&self) -> usize {
         match self {
             PackedBytes::Plain { bytes } | PackedBytes::Deflated { bytes } => bytes.len(),
--- a/crates/store/src/compression/packed_text.rs
+++ b/crates/store/src/compression/packed_text.rs
@@ -1,11 +1,11 @@
-//! Texts that are always compressed, as configurations are on their way to nodes.
+//! Texts that are always compressed; configurations are sent to nodes in this form.
 use miniz_oxide::deflate::compress_to_vec;
 use miniz_oxide::inflate::decompress_to_vec_with_limit;
 use quincehatch_core::messages;
 
-/// Longest text that is unpacked (4 MiB). One that claims more is damaged or hostile.
+/// Maximum length of an unpacked text (4 MiB). Input that unpacks to more is damaged or hostile.
 pub(crate) const MAX_TEXT_BYTES: usize = 4 << 20;
-/// Level of deflate: a text is packed once and sent to many nodes, so its size matters more than the time.
+/// Deflate level. A text is packed once and sent to many nodes, so its size matters more than the time to pack it.
 const COMPRESSION_LEVEL: u8 = 6;
 
 messages! {
@@ -15,7 +15,7 @@
 }
 
 impl PackedText {
-    /// Packs a text; an empty one takes no bytes.
+    /// Packs a text. An empty text is packed to no bytes.
     pub fn pack(text: &str) -> PackedText {
         if text.is_empty() {
             return PackedText::default();
@@ -23,7 +23,7 @@
         PackedText { bytes: compress_to_vec(text.as_bytes(), COMPRESSION_LEVEL) }
     }
 
-    /// The text that was packed; `None` if it is damaged or too long.
+    /// Returns the unpacked text; `None` if the packed form is damaged or the result would be too long.
     pub fn unpack(&self) -> Option<String> {
         if self.bytes.is_empty() {
             return Some(String::new());
@@ -32,7 +32,7 @@
         String::from_utf8(bytes).ok()
     }
 
-    /// Length of the packed form, in bytes.
+    /// Returns the length of the packed form, in bytes.
     pub fn size(&self) -> usize {
         self.bytes.len()
     }
--- a/crates/store/src/disk_usage.rs
+++ b/crates/store/src/disk_usage.rs
@@ -1,20 +1,20 @@
-//! How much of its allowed size a data directory takes.
+//! The size of a data directory in relation to its allowed size.
 use quincehatch_core::messages;
 
 messages! {
-    /// Bytes that the data directory takes and may take.
+    /// Size and allowed size of a data directory, in bytes.
     #[derive(Copy, Eq, Default)]
     pub struct DiskUsage {
-        /// Bytes taken.
+        /// Bytes that the directory takes.
         pub used: u64,
-        /// Bytes allowed; 0 if there is no limit.
+        /// Bytes that the directory may take; 0 if there is no limit.
         pub allowed: u64
     }
 }
 
 impl DiskUsage {
-    /// Is the reserve in use? The last quarter of the allowed size is for votes, views and leases, so configurations,
-    /// which are large, are rejected by then.
+    /// Whether the reserve is in use. The last quarter of the allowed size is reserved for votes, views and leases,
+    /// which are small; configurations, which are large, are rejected while the reserve is in use.
     pub fn is_reserve_touched(self) -> bool {
         self.allowed > 0 && self.used > self.allowed / 4 * 3
     }
--- a/crates/store/src/driver.rs
+++ b/crates/store/src/driver.rs
@@ -18,20 +18,21 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::MissedTickBehavior;
 
-/// A keeper that has left the chain stays for this time, so that its last messages go out (milliseconds).
-const LINGER_AFTER_LEAVE: Millis = 100;
-/// Steps that share one sync of the disk.
-const STEPS_PER_SYNC: usize = 64;
-/// Time between two ticks of the keeper.
-const TICK: Duration = Duration::from_millis(20);
+/// Time in milliseconds for which a keeper that has left the chain continues to run, so that its last messages are
+/// sent.
+const SHUTDOWN_DELAY_AFTER_LEAVE: Millis = 100;
+/// Maximum number of queued messages that are handled before one sync of the disk.
+const MAX_MESSAGES_PER_SYNC: usize = 64;
+/// Interval between two ticks of the keeper.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Inputs from the process in which the keeper runs.
+/// Receives inputs from the process in which the keeper runs.
 pub type InputReceiver = mpsc::Receiver<Input>;
 
-/// Serves until the keeper has left the chain or `stop` changes.
+/// Runs a keeper until it has left the chain or `stop` changes.
 ///
 /// # Errors
-/// If the thread that writes to the disk ends. Errors of the disk itself only suspend the keeper.
+/// If the storage thread ends unexpectedly. Errors of the disk itself only suspend the keeper.
 pub async fn run_keeper<D: StableStorage>(
     host: KeeperHost,
     disk: D,
@@ -42,10 +43,10 @@
     run_keeper_with_inputs(host, disk, listener, stop, no_inputs).await
 }
 
-/// Serves as [`run_keeper`] does, and takes inputs from the process too.
+/// Runs a keeper as [`run_keeper`] does, and also processes inputs from the process.
 ///
 /// # Errors
-/// As with [`run_keeper`].
+/// The same as for [`run_keeper`].
 pub async fn run_keeper_with_inputs<D: StableStorage>(
     host: KeeperHost,
     disk: D,
@@ -57,7 +58,7 @@
     let (server, mut incoming) = serve_connections(listener, identity.clone());
     let mut driver = Driver::new(host, disk, identity);
     let mut left_at = None;
-    let mut tick = tokio::time::interval(TICK);
+    let mut tick = tokio::time::interval(TICK_INTERVAL);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let mut batch = Batch::default();
@@ -65,12 +66,12 @@
             _ = stop.changed() => break,
             _ = tick.tick() => driver.step(Input::Tick, &mut batch),
             Some(input) = inputs.recv() => driver.step(input, &mut batch),
-            Some(message) = incoming.recv() => driver.admit(message, &mut batch),
+            Some(message) = incoming.recv() => driver.handle_message(message, &mut batch),
         }
-        driver.admit_queued(&mut incoming, &mut batch);
+        driver.handle_queued_messages(&mut incoming, &mut batch);
         driver.commit(batch, &mut incoming).await?;
         driver.probe(&mut incoming).await?;
-        if driver.host.has_left() && now() >= *left_at.get_or_insert_with(now) + LINGER_AFTER_LEAVE {
+        if driver.host.has_left() && now() >= *left_at.get_or_insert_with(now) + SHUTDOWN_DELAY_AFTER_LEAVE {
             break;
         }
     }
@@ -80,11 +81,11 @@
 
 struct Driver<D> {
     host: KeeperHost,
-    /// `None` while a write is under way.
+    /// `None` while an operation runs on the storage thread.
     disk: Option<D>,
     peers: Peers,
-    /// Clients that wait for replies, by the token of their request.
-    waiting: HashMap<u64, oneshot::Sender<Reply>>,
+    /// Reply channels of the pending requests, by the token of the request.
+    pending_replies: HashMap<u64, oneshot::Sender<Reply>>,
     last_token: u64,
 }
 
@@ -92,39 +93,39 @@
     fn new(mut host: KeeperHost, disk: D, identity: Identity) -> Self {
         host.record_disk_usage(disk.usage());
         let peers = Peers::new(identity);
-        Self { host, disk: Some(disk), peers, waiting: HashMap::new(), last_token: 0 }
+        Self { host, disk: Some(disk), peers, pending_replies: HashMap::new(), last_token: 0 }
     }
 
     fn step(&mut self, input: Input, batch: &mut Batch) {
         self.host.step(now(), input, batch);
     }
 
-    fn admit(&mut self, message: Incoming, batch: &mut Batch) {
+    fn handle_message(&mut self, message: Incoming, batch: &mut Batch) {
         let input = match message {
             Incoming::Peer(input) => input,
             Incoming::Request(request, reply_to) => {
                 self.last_token += 1;
-                self.waiting.insert(self.last_token, reply_to);
+                self.pending_replies.insert(self.last_token, reply_to);
                 Input::Request { token: self.last_token, request }
             }
         };
         self.step(input, batch);
     }
 
-    /// Admits what has arrived meanwhile, so that one sync of the disk serves all of it.
-    fn admit_queued(&mut self, incoming: &mut IncomingQueue, batch: &mut Batch) {
-        for _ in 0..STEPS_PER_SYNC {
+    /// Handles the messages that are already queued, so that all of them share one sync of the disk.
+    fn handle_queued_messages(&mut self, incoming: &mut IncomingQueue, batch: &mut Batch) {
+        for _ in 0..MAX_MESSAGES_PER_SYNC {
             let Some(message) = incoming.try_recv() else { break };
-            self.admit(message, batch);
+            self.handle_message(message, batch);
         }
     }
 
-    /// Makes the batch durable, then sends what it produced.
+    /// Makes the records of the batch durable, then sends its outputs.
     async fn commit(&mut self, batch: Batch, incoming: &mut IncomingQueue) -> Result<(), Error> {
         let mut saved = Ok(());
         if !batch.records.is_empty() {
             let records = batch.records.clone();
-            saved = self.on_disk(incoming, move |disk| disk.save(&records)).await?;
+            saved = self.run_on_disk(incoming, move |disk| disk.save(&records)).await?;
             if saved.is_ok() {
                 saved = self.write_snapshot_if_due(incoming).await?;
             }
@@ -134,7 +135,8 @@
         Ok(())
     }
 
-    /// The inner result is that of the disk; the outer one fails if its thread has ended.
+    /// Writes a snapshot if one is due. The inner result is that of the disk; the outer result is an error if the
+    /// storage thread has ended.
     async fn write_snapshot_if_due(
         &mut self,
         incoming: &mut IncomingQueue,
@@ -144,15 +146,15 @@
         }
         let Some(keeper) = self.host.keeper() else { return Ok(Ok(())) };
         let store = keeper.store.clone();
-        self.on_disk(incoming, move |disk| disk.write_snapshot(&store)).await
+        self.run_on_disk(incoming, move |disk| disk.write_snapshot(&store)).await
     }
 
-    /// Tries to recover the disk of a suspended keeper when it is time to.
+    /// Tries to recover the disk of a suspended keeper if the next attempt is due.
     async fn probe(&mut self, incoming: &mut IncomingQueue) -> Result<(), Error> {
         if !self.host.is_probe_due(now()) {
             return Ok(());
         }
-        let recovered = self.on_disk(incoming, D::recover).await?;
+        let recovered = self.run_on_disk(incoming, D::recover).await?;
         let batch = self.host.complete_probe(now(), recovered);
         self.commit(batch, incoming).await
     }
@@ -160,7 +162,7 @@
     fn deliver(&mut self, outputs: Vec<Output>) {
         for output in outputs {
             match output {
-                // `Batch` has taken the records out.
+                // Records were separated from the other outputs by `Batch`.
                 Output::Persist(_) => {}
                 Output::Send(to, message) => {
                     if let Some(addr) = self.host.keeper().and_then(|keeper| keeper.addr(&to)) {
@@ -168,8 +170,8 @@
                     }
                 }
                 Output::Reply(token, reply) => {
-                    if let Some(waiting) = self.waiting.remove(&token) {
-                        let _ = waiting.send(reply);
+                    if let Some(reply_sender) = self.pending_replies.remove(&token) {
+                        let _ = reply_sender.send(reply);
                     }
                 }
                 Output::Log(line) => log::info!(target: "chain", "{line}"),
--- a/crates/store/src/driver/incoming/tests.rs
+++ b/crates/store/src/driver/incoming/tests.rs
@@ -1,5 +1,5 @@
-//! The order in which messages reach the keeper.
-use super::{Incoming, IncomingQueue, answer};
+//! Tests of the order in which queued messages are received.
+use super::{Incoming, IncomingQueue, handle_request};
 use crate::keeper::Input;
 use crate::messages::{KeeperRequest, PeerMessage, Request};
 use crate::view::View;
@@ -11,14 +11,14 @@
 }
 
 #[tokio::test]
-async fn a_message_of_another_keeper_overtakes_the_polls_of_nodes() {
+async fn messages_from_keepers_are_received_before_polls_that_were_queued_earlier() {
     let (senders, mut queue) = IncomingQueue::open();
     for _ in 0..10 {
-        tokio::spawn(answer(poll(), senders.clone()));
+        tokio::spawn(handle_request(poll(), senders.clone()));
     }
     tokio::task::yield_now().await;
     let message = PeerMessage::CurrentView { view: View::default() };
-    answer(KeeperRequest::Peer { from: "k".into(), message }, senders.clone()).await;
+    handle_request(KeeperRequest::Peer { from: "k".into(), message }, senders.clone()).await;
     let first = queue.recv().await;
     assert!(matches!(first, Some(Incoming::Peer(Input::Peer { .. }))));
     let polls = std::iter::from_fn(|| queue.try_recv()).count();
--- a/crates/store/src/driver/storage_thread.rs
+++ b/crates/store/src/driver/storage_thread.rs
@@ -1,21 +1,21 @@
-//! Work on the disk, on a thread of its own: a write may take long, and must not block the runtime.
+//! Runs disk operations on a separate thread: an operation may take long, and must not block the runtime.
 use crate::driver::Driver;
 use crate::driver::incoming::{Incoming, IncomingQueue};
 use crate::storage::stable_storage::StableStorage;
 use quincehatch_core::{Error, ErrorCode};
 use std::time::Duration;
 
-/// A write that takes longer is a stall: requests are rejected until it ends.
-const STALL: Duration = Duration::from_millis(500);
+/// If a disk operation takes longer than this, requests are rejected until it ends.
+const STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 fn thread_ended() -> Error {
-    ErrorCode::DiskFailed.with_detail("the writing thread has ended")
+    ErrorCode::DiskFailed.with_detail("the storage thread has ended")
 }
 
 impl<D: StableStorage> Driver<D> {
-    /// Does the work and waits for its result. If it stalls, requests are rejected meanwhile and messages of peers are
-    /// dropped, so that their senders do not count this keeper as up to date.
-    pub(super) async fn on_disk<T: Send + 'static>(
+    /// Runs `work` on the disk and waits for its result. While the disk stalls, requests are rejected and messages of
+    /// peers are dropped, so that the peers do not consider this keeper up to date.
+    pub(super) async fn run_on_disk<T: Send + 'static>(
         &mut self,
         incoming: &mut IncomingQueue,
         work: impl FnOnce(&mut D) -> T + Send + 'static,
@@ -25,15 +25,15 @@
             let result = work(&mut disk);
             (disk, result)
         });
-        let stall = tokio::time::sleep(STALL);
-        tokio::pin!(stall);
+        let stall_timer = tokio::time::sleep(STALL_TIMEOUT);
+        tokio::pin!(stall_timer);
         let mut is_stalled = false;
         let (disk, result) = loop {
             tokio::select! {
                 done = &mut task => break done.map_err(|_| thread_ended())?,
-                () = &mut stall, if !is_stalled => {
+                () = &mut stall_timer, if !is_stalled => {
                     is_stalled = true;
-                    self.begin_stall();
+                    self.handle_stall();
                 }
                 Some(message) = incoming.recv(), if is_stalled => self.reject(message),
             }
@@ -43,8 +43,12 @@
         Ok(result)
     }
 
-    fn begin_stall(&mut self) {
-        log::warn!(target: "chain", "the disk has not answered for {} ms", STALL.as_millis());
+    fn handle_stall(&mut self) {
+        log::warn!(
+            target: "chain",
+            "disk operation still running after {} ms; rejecting requests",
+            STALL_TIMEOUT.as_millis()
+        );
         let rejections = self.host.reject_pending();
         self.deliver(rejections);
     }
--- a/crates/store/src/feed.rs
+++ b/crates/store/src/feed.rs
@@ -1,5 +1,5 @@
-//! The change feed from the tail of the chain to the nodes. Of each log entry it contains only what nodes act on, and of
-//! a new configuration only what differs from the one before.
+//! The change feed from the tail of the chain to the nodes. For each log entry the feed contains only the changes that
+//! nodes act on, and for a new configuration only the difference from the previous one.
 
 mod entry_events;
 mod event;
--- a/crates/store/src/feed/entry_events.rs
+++ b/crates/store/src/feed/entry_events.rs
@@ -1,26 +1,27 @@
-//! What each log entry means for nodes. It stands here and not with the store, as the feed builds on the store.
+//! Derives the feed event of a log entry. This module extends [`Store`] from here because the feed depends on the
+//! store, and not the reverse.
 use crate::command::{Answer, Command, Entry};
 use crate::feed::{FeedEvent, Patch};
 use crate::store::{Store, promotion_duty_key};
 use quincehatch_core::{Name, PrimaryAssignment};
 use std::collections::BTreeMap;
 
-/// An entry that was applied.
+/// The result of applying a log entry.
 pub struct AppliedEntry {
-    /// The answer to whoever wrote it.
+    /// The answer to the client that sent the write.
     pub answer: Answer,
-    /// What it changed for nodes.
+    /// The change that nodes receive through the feed.
     pub event: FeedEvent,
 }
 
 impl Store {
-    /// Applies the entry that follows the last one, as [`Store::apply`] does, and reports what it changed for nodes.
+    /// Applies an entry as [`Store::apply`] does, and also returns the change that nodes receive.
     pub fn apply_with_event(&mut self, entry: &Entry) -> Option<AppliedEntry> {
-        // A patch needs the text before the entry; other commands leave it alone.
+        // A patch is computed from the text before the entry; only documents change that text.
         let old_json =
             if entry.command.is_document() { self.configuration_json().to_owned() } else { String::new() };
         let old_version = self.configuration_version();
-        let old_primaries = self.primaries_touched_by(&entry.command);
+        let old_primaries = self.primaries_affected_by(&entry.command);
         let answer = self.apply(entry)?;
         let event = if matches!(answer, Answer::Rejected(_)) {
             FeedEvent::Other
@@ -33,15 +34,15 @@
         Some(AppliedEntry { answer, event })
     }
 
-    /// The configuration in force, as JSON; empty before the first.
+    /// Returns the configuration in force, as JSON; empty before the first.
     pub(crate) fn configuration_json(&self) -> &str {
         self.configuration().map_or("", |entry| entry.text.as_str())
     }
 
-    /// What a command that was executed means for nodes, apart from configurations.
+    /// Returns the event of an executed command that does not contain a configuration.
     fn event_of(&self, command: &Command) -> FeedEvent {
         match command {
-            // A record that was not newer changed nothing.
+            // If the stored record differs, the command's record was not newer and changed nothing.
             Command::RegisterServer { at: record } if self.servers.get(&record.server) == Some(record) => {
                 FeedEvent::RegisterServer { record: record.clone() }
             }
@@ -58,13 +59,13 @@
         }
     }
 
-    /// The assignments that a change of servers may touch: those of the groups of a server that comes or goes, and of
-    /// the servers that lose their address to it.
-    fn primaries_touched_by(&self, command: &Command) -> BTreeMap<Name, PrimaryAssignment> {
+    /// Returns the assignments that a registration or removal of a server may change: those of the group of that
+    /// server, and of the groups of the servers whose address it takes over.
+    fn primaries_affected_by(&self, command: &Command) -> BTreeMap<Name, PrimaryAssignment> {
         let groups: Vec<&Name> = match command {
             Command::RegisterServer { at: record } => {
-                let at_its_address = self.servers.values().filter(|known| known.addr == record.addr);
-                at_its_address.map(|known| &known.group).chain([&record.group]).collect()
+                let same_address = self.servers.values().filter(|known| known.addr == record.addr);
+                same_address.map(|known| &known.group).chain([&record.group]).collect()
             }
             Command::DeregisterServer { server } => {
                 self.servers.get(server).map(|known| &known.group).into_iter().collect()
@@ -75,11 +76,12 @@
         primaries.map(|(group, primary)| (group.clone(), primary.clone())).collect()
     }
 
-    /// What a change of servers means where it changed assignments too; `before`: these as they were.
+    /// Extends the event of a registration or removal of a server by the assignments that differ from those in
+    /// `before`.
     fn with_changed_voters(&self, event: FeedEvent, before: BTreeMap<Name, PrimaryAssignment>) -> FeedEvent {
         let mut primaries = BTreeMap::new();
-        for (group, earlier) in before {
-            if let Some(primary) = self.primaries.get(&group).filter(|primary| **primary != earlier) {
+        for (group, previous) in before {
+            if let Some(primary) = self.primaries.get(&group).filter(|primary| **primary != previous) {
                 primaries.insert(group, primary.clone());
             }
         }
@@ -94,7 +96,8 @@
         }
     }
 
-    /// The assignment as it holds now: the store itself adds to its voter sets, and drops them.
+    /// Returns the event of an assignment. It contains the assignment as stored, because the store adds and drops voter
+    /// sets itself.
     fn primary_event(&self, group: &Name) -> FeedEvent {
         match self.primaries.get(group) {
             Some(primary) => FeedEvent::PrimaryAssigned { group: group.clone(), primary: primary.clone() },
--- a/crates/store/src/feed/event.rs
+++ b/crates/store/src/feed/event.rs
@@ -1,4 +1,4 @@
-//! What one log entry changed for nodes.
+//! The events of the change feed.
 use crate::feed::Patch;
 use quincehatch_core::{
     ChangeNumber, FencingToken, Name, PrimaryAssignment, ServerRecord, Version, messages,
@@ -6,21 +6,22 @@
 use std::collections::BTreeMap;
 
 messages! {
-    /// What one log entry changed for nodes. On the wire each variant is known by its place: new ones come last.
+    /// The change that one log entry makes for nodes. On the wire a variant is identified by its position, so new
+    /// variants are added at the end.
     #[derive(Eq)]
     pub enum FeedEvent {
-        /// Nothing that they act on.
+        /// The entry changed nothing that nodes act on.
         Other,
         /// A configuration came into force.
         Configuration {
-            /// Its version.
+            /// Version of the configuration.
             version: Version,
-            /// How its JSON differs from that of the version before.
+            /// The difference of its JSON from that of the previous version.
             patch: Patch
         },
         /// A server was registered, or its record changed.
         RegisterServer {
-            /// The record that holds now.
+            /// The current record.
             record: ServerRecord
         },
         /// A server was removed.
@@ -32,12 +33,12 @@
         PrimaryAssigned {
             /// The group.
             group: Name,
-            /// The assignment that holds now.
+            /// The current assignment.
             primary: PrimaryAssignment
         },
         /// A new fencing token was issued.
         FenceAdvanced {
-            /// The singleton role whose holder it fences.
+            /// The singleton role whose previous holder the token fences off.
             duty: Name,
             /// The token.
             fence: FencingToken
@@ -46,33 +47,33 @@
         NodeEnrollment {
             /// The node.
             node: Name,
-            /// The entry that enrolled its process; `None` once it is dismissed.
+            /// Number of the entry that enrolled the node's process; `None` if the node was dismissed.
             enrolled: Option<ChangeNumber>
         },
-        /// A server was registered or removed, and voters changed with it.
+        /// A server was registered or removed, and the voters of at least one group changed as a result.
         VotersChanged {
-            /// The server that was registered.
+            /// Record of the server that was registered.
             registered: Option<ServerRecord>,
             /// Name of the server that was removed.
             removed: Option<Name>,
-            /// The assignments that changed, as they hold now, by group.
+            /// The current assignments of the groups whose voters changed.
             primaries: BTreeMap<Name, PrimaryAssignment>
         }
     }
 
-    /// A log entry as nodes see it.
+    /// A log entry in the form in which nodes receive it.
     #[derive(Eq)]
     pub struct Change {
         /// Number of the entry.
         pub number: ChangeNumber,
-        /// What it changed.
+        /// The change that the entry made.
         pub event: FeedEvent
     }
 }
 
 impl Change {
-    /// Bytes that a change of the configuration takes in memory. Other changes count as 0: they are small, and bounded
-    /// by their number.
+    /// Returns the bytes of memory that a change of the configuration takes. Other changes count as 0: they are small,
+    /// and their number is limited.
     pub(crate) fn size(&self) -> usize {
         match &self.event {
             FeedEvent::Configuration { patch, .. } => patch.size(),
--- a/crates/store/src/feed/packed_snapshot.rs
+++ b/crates/store/src/feed/packed_snapshot.rs
@@ -1,15 +1,15 @@
-//! A snapshot as it is sent to nodes.
+//! The compressed form of a snapshot that is sent to nodes.
 use crate::compression::PackedBytes;
 use crate::feed::FeedSnapshot;
 use quincehatch_core::{ChangeNumber, Version, messages};
 
 messages! {
-    /// A [`FeedSnapshot`], packed once for many nodes.
+    /// A [`FeedSnapshot`] that is serialised and compressed once and sent to many nodes.
     #[derive(Eq)]
     pub struct PackedSnapshot {
-        /// Last change that it reflects.
+        /// Number of the last change that the snapshot reflects.
         pub last_change: ChangeNumber,
-        /// Version of the configuration in it.
+        /// Version of the configuration in the snapshot.
         pub configuration_version: Version,
         packed: PackedBytes
     }
@@ -25,12 +25,12 @@
         }
     }
 
-    /// The snapshot that was packed; `None` if it is damaged.
+    /// Returns the snapshot; `None` if the packed form is damaged.
     pub fn unpack(&self) -> Option<FeedSnapshot> {
         borsh::from_slice(&self.packed.unpack()?).ok()
     }
 
-    /// Bytes that it takes.
+    /// Returns the length of the packed form, in bytes.
     pub fn size(&self) -> usize {
         self.packed.size()
     }
--- a/crates/store/src/feed/patch.rs
+++ b/crates/store/src/feed/patch.rs
@@ -1,39 +1,39 @@
-//! Differences between two versions of a JSON text.
+//! Patches: the differences between two versions of a JSON text.
 use crate::compression::{MAX_TEXT_BYTES, PackedText};
 use quincehatch_core::messages;
 use std::collections::HashMap;
 
 messages! {
-    /// A piece of the new text.
+    /// A consecutive piece of the new text.
     #[derive(Eq)]
     pub enum PatchPiece {
-        /// Bytes of the old text.
+        /// Bytes that are copied from the old text.
         Copy {
             /// Offset of the first byte in the old text.
             from: u32,
             /// Number of bytes.
             len: u32
         },
-        /// The next bytes that only the new text has.
+        /// The next bytes of the inserted text, which the old text does not contain.
         Insert {
             /// Number of bytes.
             len: u32
         }
     }
 
-    /// How one text follows from another.
+    /// The steps that construct a new text from an old one.
     #[derive(Eq, Default)]
     pub struct Patch { pieces: Vec<PatchPiece>, inserted: PackedText }
 }
 
-/// A part of a text, and its offset there.
+/// A part of a text and the offset of the part.
 struct TextPart<'a> {
     offset: usize,
     text: &'a str,
 }
 
-/// Splits a text after each closing brace, which in a configuration ends a route, a placement or a group. No byte is
-/// left out.
+/// Splits a text after each closing brace, which in a configuration ends a route, a placement or a group. The parts
+/// together contain every byte of the text.
 fn split_after_braces(text: &str) -> impl Iterator<Item = TextPart<'_>> {
     let mut next_offset = 0;
     text.split_inclusive('}').map(move |part| {
@@ -43,10 +43,10 @@
     })
 }
 
-/// A patch while it is made.
+/// Builds a patch from the parts of the new text.
 struct PatchBuilder<'a> {
     old: &'a str,
-    /// First offset of each part of the old text.
+    /// The first offset of each part in the old text.
     known_parts: HashMap<&'a str, usize>,
     pieces: Vec<PatchPiece>,
     inserted: String,
@@ -69,11 +69,11 @@
         }
     }
 
-    /// Where the old text contains the part. A place that continues the last copy comes first: the same part may stand
-    /// elsewhere too, and one long copy takes fewer bytes than two.
+    /// Returns an offset at which the old text contains the part. The offset that continues the last copy is preferred,
+    /// because one long copy takes fewer bytes than two.
     fn offset_in_old(&self, part: &str) -> Option<usize> {
-        let end_of_copy = self.end_of_last_copy();
-        let continued = end_of_copy.filter(|end| self.is_in_old_at(*end, part));
+        let copy_end = self.end_of_last_copy();
+        let continued = copy_end.filter(|end| self.is_in_old_at(*end, part));
         continued.or_else(|| self.known_parts.get(part).copied())
     }
 
@@ -111,7 +111,7 @@
 }
 
 impl Patch {
-    /// The patch that turns `old` into `new`.
+    /// Returns the patch that turns `old` into `new`.
     pub fn between(old: &str, new: &str) -> Patch {
         let mut builder = PatchBuilder::new(old);
         for part in split_after_braces(new) {
@@ -120,12 +120,12 @@
         builder.finish()
     }
 
-    /// Bytes that the patch takes in memory.
+    /// Returns the bytes of memory that the patch takes.
     pub fn size(&self) -> usize {
         self.inserted.size() + self.pieces.len() * size_of::<PatchPiece>()
     }
 
-    /// The new text; `None` if this is no patch of `old` or the new text would be too long.
+    /// Returns the new text; `None` if the patch was not made for `old` or the new text would be too long.
     pub fn apply(&self, old: &str) -> Option<String> {
         let inserted = self.inserted.unpack()?;
         let mut new = String::new();
@@ -148,7 +148,7 @@
     }
 }
 
-/// `length` bytes of the text from `start`; `None` if they are not all there or would cut a character.
+/// Returns `length` bytes of the text from `start`; `None` if the range exceeds the text or splits a character.
 fn slice(text: &str, start: usize, length: usize) -> Option<&str> {
     text.get(start..start + length)
 }
--- a/crates/store/src/feed/state.rs
+++ b/crates/store/src/feed/state.rs
@@ -1,4 +1,4 @@
-//! All that a node knows of the replicated store, as it follows from the feed.
+//! The state of the replicated store that a node maintains from the feed.
 use crate::command::PrimaryState;
 use crate::compression::PackedText;
 use crate::feed::{Change, FeedEvent};
@@ -9,10 +9,10 @@
 use std::collections::BTreeMap;
 
 messages! {
-    /// All that nodes act on, for a node that lacks more changes than the tail remembers.
+    /// The state that nodes act on, sent to a node that lacks more changes than the tail retains.
     #[derive(Eq, Default)]
     pub struct FeedSnapshot {
-        /// Last change that it reflects.
+        /// Number of the last change that the snapshot reflects.
         pub last_change: ChangeNumber,
         /// Version of the configuration in force; 0 before the first.
         pub configuration_version: Version,
@@ -22,17 +22,17 @@
         pub primaries: BTreeMap<Name, PrimaryAssignment>,
         /// The servers, by name.
         pub servers: BTreeMap<Name, ServerRecord>,
-        /// Nodes that may hold a lease, and the entry that enrolled the process of each.
+        /// The nodes that may hold a lease, each with the number of the entry that enrolled its process.
         pub nodes: BTreeMap<Name, ChangeNumber>,
         /// The newest fencing token of each singleton role.
         pub fences: BTreeMap<Name, FencingToken>
     }
 }
 
-/// What a node knows of the replicated store.
+/// A node's copy of the parts of the replicated store that nodes act on.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FeedState {
-    /// Last change that it reflects.
+    /// Number of the last change that was applied.
     pub last_change: ChangeNumber,
     /// Version of the configuration in force; 0 before the first.
     pub configuration_version: Version,
@@ -42,15 +42,15 @@
     pub primaries: BTreeMap<Name, PrimaryAssignment>,
     /// The servers, by name.
     pub servers: BTreeMap<Name, ServerRecord>,
-    /// Nodes that may hold a lease, and the entry that enrolled the process of each.
+    /// The nodes that may hold a lease, each with the number of the entry that enrolled its process.
     pub nodes: BTreeMap<Name, ChangeNumber>,
     /// The newest fencing token of each singleton role.
     pub fences: BTreeMap<Name, FencingToken>,
 }
 
 impl FeedSnapshot {
-    /// What nodes act on of `store`. `configuration_json` is its packed configuration, which the caller packs once for
-    /// many nodes.
+    /// Returns the state of `store` that nodes act on. `configuration_json` is its configuration, which the caller
+    /// packs once for many nodes.
     pub fn from_store(store: &Store, configuration_json: PackedText) -> FeedSnapshot {
         let fences = store.fences.iter().map(|(duty, issued)| (duty.clone(), issued.fence)).collect();
         FeedSnapshot {
@@ -66,7 +66,7 @@
 }
 
 impl FeedState {
-    /// The state that a snapshot describes; `None` if its configuration is damaged.
+    /// Returns the state that a snapshot contains; `None` if its configuration is damaged.
     pub fn from_snapshot(snapshot: FeedSnapshot) -> Option<FeedState> {
         let configuration_json = snapshot.configuration_json.unpack()?;
         Some(FeedState {
@@ -80,8 +80,8 @@
         })
     }
 
-    /// Applies the change that follows the last one. `false`, and nothing is changed, if it is not the next one or is a
-    /// patch of another configuration: the node asks for a snapshot then.
+    /// Applies a change. Returns `false` and changes nothing if the change does not directly follow the last one or is
+    /// a patch of another configuration; the node then requests a snapshot.
     pub fn apply(&mut self, change: &Change) -> bool {
         if change.number != self.last_change + 1 {
             return false;
@@ -126,12 +126,12 @@
         true
     }
 
-    /// The newest fencing token of a singleton role; 0 if none was issued.
+    /// Returns the newest fencing token of a singleton role; 0 if none was issued.
     pub fn fence(&self, duty: &str) -> FencingToken {
         self.fences.get(duty).copied().unwrap_or_default()
     }
 
-    /// The primary of a group, and the token under which its next change has begun.
+    /// Returns the primary of a group, and the newest fencing token that was issued for changing it.
     pub fn primary_state(&self, group: &Name) -> PrimaryState {
         PrimaryState {
             fence: self.fence(&promotion_duty_key(group)),
--- a/crates/store/src/host.rs
+++ b/crates/store/src/host.rs
@@ -1,5 +1,5 @@
-//! A keeper together with the state of its disk: running, or suspended until the disk takes writes again. It does no I/O
-//! itself: the caller does the writes and reports their results.
+//! A keeper together with the state of its disk. The keeper is running, or suspended until the disk accepts writes
+//! again. This module does no I/O: the caller performs the writes and reports their results.
 
 mod batch;
 mod pending_requests;
@@ -18,10 +18,10 @@
 use quincehatch_core::{Error, ErrorCode, Millis, Name};
 use suspension::Suspension;
 
-/// Retry delay in replies of a suspended keeper, in milliseconds.
-const RETRY_SUSPENDED_AFTER: Millis = 1_000;
+/// Delay after which clients of a suspended keeper are to retry, in milliseconds.
+const SUSPENDED_RETRY_DELAY: Millis = 1_000;
 
-/// Makes a keeper of what its disk holds; the time is that of its start.
+/// Creates a keeper from the state on its disk and the time of its start.
 pub type KeeperFactory = Box<dyn Fn(RecoveredState, Millis) -> Keeper + Send>;
 
 enum HostState {
@@ -29,23 +29,23 @@
     Suspended(Suspension),
 }
 
-/// A keeper and the state of its disk.
+/// A keeper that is suspended while its disk fails.
 pub struct KeeperHost {
     name: Name,
     state: HostState,
     make_keeper: KeeperFactory,
     pending: PendingRequests,
-    /// The newest seeds, for a keeper that is made later.
+    /// The newest seeds, for the keeper that is created when the disk recovers.
     seeds: Option<Vec<Name>>,
-    /// The process is to stop, so the keeper leaves the chain.
+    /// Whether the keeper leaves the chain because the process is shutting down.
     is_leaving: bool,
     usage: DiskUsage,
-    /// A write is under way and takes too long.
+    /// Whether a disk operation is running that takes too long.
     is_stalled: bool,
 }
 
 impl KeeperHost {
-    /// Starts the keeper from what its disk holds.
+    /// Starts a keeper from the state on its disk.
     pub fn new(state: RecoveredState, now: Millis, make_keeper: KeeperFactory) -> Self {
         let keeper = make_keeper(state, now);
         Self {
@@ -60,12 +60,12 @@
         }
     }
 
-    /// Name of the keeper.
+    /// Returns the name of the keeper.
     pub fn name(&self) -> &Name {
         &self.name
     }
 
-    /// The keeper, unless it is suspended.
+    /// Returns the keeper, unless it is suspended.
     pub fn keeper(&self) -> Option<&Keeper> {
         match &self.state {
             HostState::Running(keeper) => Some(keeper),
@@ -73,7 +73,8 @@
         }
     }
 
-    /// May the process end? A suspended keeper is out of the chain already.
+    /// Whether the keeper has left the chain, so that the process may end. A suspended keeper takes no part in the
+    /// chain.
     pub fn has_left(&self) -> bool {
         match &self.state {
             HostState::Running(keeper) => keeper.has_left(),
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Records how much of its allowed size the disk takes.
+    /// Sets how much of the allowed size the disk takes.
     pub fn record_disk_usage(&mut self, usage: DiskUsage) {
         self.usage = usage;
         if let HostState::Running(keeper) = &mut self.state {
@@ -89,10 +90,10 @@
         }
     }
 
-    /// Processes one input; its records and outputs are added to the batch. A suspended keeper answers requests and
-    /// ignores its peers.
+    /// Processes one input and adds the resulting records and outputs to the batch. A suspended keeper rejects requests
+    /// and ignores its peers.
     pub fn step(&mut self, now: Millis, input: Input, batch: &mut Batch) {
-        self.note_input(&input);
+        self.record_input(&input);
         match &mut self.state {
             HostState::Running(keeper) => {
                 for output in keeper.step(now, input) {
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Remembers what outlives a suspension.
-    fn note_input(&mut self, input: &Input) {
+    /// Records the inputs that must outlast a suspension.
+    fn record_input(&mut self, input: &Input) {
         match input {
             Input::Seeds(seeds) => self.seeds = Some(seeds.clone()),
             Input::Leave { .. } => self.is_leaving = true,
@@ -118,19 +119,19 @@
         }
     }
 
-    /// The outputs that may leave, now that the batch's records were saved or the disk failed. A keeper whose disk
-    /// failed is suspended: it cannot know which of the records are durable.
+    /// Returns the outputs to send after the records of the batch were saved or the disk failed. If the disk failed,
+    /// the keeper is suspended, because it cannot know which of the records are durable.
     pub fn complete_save(&mut self, now: Millis, saved: Result<(), Error>, batch: Batch) -> Vec<Output> {
         self.is_stalled = false;
         let outputs = match saved {
             Ok(()) => self.check_replies(now, batch.outputs),
             Err(error) => self.suspend(now, error),
         };
-        outputs.into_iter().filter(|output| self.is_awaited(output)).collect()
+        outputs.into_iter().filter(|output| self.is_to_be_sent(output)).collect()
     }
 
-    /// A write takes too long: the replies that tell all waiting clients to retry, as the other keepers may go on without
-    /// this one.
+    /// Returns rejections of all pending requests, to be called when a disk operation stalls. Their clients are to
+    /// retry, because the other keepers may continue without this one.
     pub fn reject_pending(&mut self) -> Vec<Output> {
         self.is_stalled = true;
         let rejections = self.pending.rejections();
@@ -138,25 +139,26 @@
         rejections
     }
 
-    /// The reply to a request while the keeper is suspended or its disk stalls.
+    /// Returns the reply to a request while the keeper is suspended or its disk stalls.
     pub fn unavailable_reply(&self, request: &Request) -> Reply {
         match request {
             Request::Status => Reply::Status { status: self.status() },
             _ => {
                 let error = ErrorCode::ChainUnavailable
-                    .with_detail("the disk of this keeper takes no writes")
-                    .with_retry_after(RETRY_SUSPENDED_AFTER);
+                    .with_detail("the disk of this keeper does not accept writes")
+                    .with_retry_after(SUSPENDED_RETRY_DELAY);
                 Reply::Rejected { error }
             }
         }
     }
 
-    /// Is it time to try the disk of a suspended keeper again?
+    /// Whether the next attempt to recover the disk of a suspended keeper is due.
     pub fn is_probe_due(&self, now: Millis) -> bool {
         matches!(&self.state, HostState::Suspended(suspension) if suspension.is_probe_due(now))
     }
 
-    /// Takes the result of an attempt to recover the disk; the records and outputs of a keeper that resumes.
+    /// Processes the result of an attempt to recover the disk. If it succeeded, the keeper resumes, and its records and
+    /// outputs are returned.
     pub fn complete_probe(&mut self, now: Millis, probe: Result<RecoveredState, Error>) -> Batch {
         let HostState::Suspended(suspension) = &mut self.state else { return Batch::default() };
         match probe {
@@ -171,12 +173,12 @@
         }
     }
 
-    /// The status that operators see.
+    /// Returns the status for operators.
     pub fn status(&self) -> KeeperStatus {
         match &self.state {
             HostState::Running(keeper) if self.is_stalled => KeeperStatus {
                 serving: false,
-                reason: "suspended: the disk stalls in a write".into(),
+                reason: "suspended: a disk operation stalls".into(),
                 ..keeper.status()
             },
             HostState::Running(keeper) => keeper.status(),
@@ -184,7 +186,7 @@
         }
     }
 
-    /// Replaces replies that rest on a lease which ended while the disk was written.
+    /// Replaces replies that depend on a lease which expired during the write to the disk.
     fn check_replies(&mut self, now: Millis, outputs: Vec<Output>) -> Vec<Output> {
         let HostState::Running(keeper) = &mut self.state else { return outputs };
         keeper.advance_clock(now);
@@ -220,8 +222,8 @@
         batch
     }
 
-    /// Replies are sent once, and only to those that still wait.
-    fn is_awaited(&mut self, output: &Output) -> bool {
+    /// Whether the output is to be sent: each reply is sent at most once, and only while its request is pending.
+    fn is_to_be_sent(&mut self, output: &Output) -> bool {
         match output {
             Output::Reply(token, _) => self.pending.remove(*token),
             _ => true,
--- a/crates/store/src/host/batch.rs
+++ b/crates/store/src/host/batch.rs
@@ -1,12 +1,12 @@
-//! What some steps of a keeper produced.
+//! The combined results of several steps of a keeper.
 use crate::keeper::Output;
 use crate::record::Record;
 
-/// Records and outputs of some steps, which share one write to the disk. No output may leave before the records are
-/// durable.
+/// The records and outputs of several steps, which share one write to the disk. No output may be sent before the
+/// records are durable.
 #[derive(Debug, Default)]
 pub struct Batch {
-    /// What is to be saved.
+    /// The records to be saved.
     pub records: Vec<Record>,
     pub(super) outputs: Vec<Output>,
 }
--- a/crates/store/src/host/pending_requests.rs
+++ b/crates/store/src/host/pending_requests.rs
@@ -1,11 +1,11 @@
-//! Requests that have not been answered yet.
+//! Tracking of requests that have not been answered.
 use crate::keeper::Output;
 use crate::messages::Reply;
 use crate::timing::RETRY_PENDING_AFTER;
 use quincehatch_core::ErrorCode;
 use std::collections::BTreeSet;
 
-/// Tokens of the requests that have not been answered yet.
+/// The tokens of the requests that have not been answered.
 #[derive(Debug, Default)]
 pub(super) struct PendingRequests(BTreeSet<u64>);
 
@@ -14,7 +14,7 @@
         self.0.insert(token);
     }
 
-    /// Removes a request; `false` if it was answered already.
+    /// Removes a request; returns `false` if it was already answered.
     pub fn remove(&mut self, token: u64) -> bool {
         self.0.remove(&token)
     }
@@ -23,10 +23,11 @@
         self.0.clear();
     }
 
-    /// For each pending request a reply that says to retry. Whether a write took effect is unknown.
+    /// Returns for each pending request a rejection that lets the client retry. It is unknown whether a write took
+    /// effect.
     pub fn rejections(&self) -> Vec<Output> {
         let error = ErrorCode::ChainUnavailable
-            .with_detail("the disk has not taken the write")
+            .with_detail("the disk has not completed the write")
             .with_unknown_outcome()
             .with_retry_after(RETRY_PENDING_AFTER);
         let reject = |token: &u64| Output::Reply(*token, Reply::Rejected { error: error.clone() });
--- a/crates/store/src/host/suspension.rs
+++ b/crates/store/src/host/suspension.rs
@@ -1,19 +1,19 @@
-//! The time in which a keeper takes no part in the chain, as its disk takes no writes.
+//! Suspension of a keeper: it takes no part in the chain while its disk does not accept writes.
 use crate::disk_usage::DiskUsage;
 use crate::messages::KeeperStatus;
 use crate::view::View;
 use quincehatch_core::{Error, Millis, Name};
 
-/// Time between two attempts to recover the disk, in milliseconds.
+/// Interval between two attempts to recover the disk, in milliseconds.
 const PROBE_INTERVAL: Millis = 250;
 
-/// Why and since when a keeper takes no part in the chain.
+/// Cause and start time of a keeper's suspension.
 #[derive(Debug)]
 pub(super) struct Suspension {
     error: Error,
     since: Millis,
     next_probe_at: Millis,
-    /// The view that the keeper had.
+    /// The view that the keeper had before the suspension.
     view: View,
 }
 
@@ -30,7 +30,7 @@
         now >= self.next_probe_at
     }
 
-    /// The disk still fails, with this error.
+    /// Records that an attempt to recover the disk failed, and schedules the next attempt.
     pub fn probe_failed(&mut self, now: Millis, error: Error) {
         self.error = error;
         self.next_probe_at = now + PROBE_INTERVAL;
--- a/crates/store/src/messages/client.rs
+++ b/crates/store/src/messages/client.rs
@@ -1,4 +1,4 @@
-//! What nodes and operators ask of a keeper, and its replies.
+//! Requests of nodes and operators to a keeper, and its replies.
 use super::peer::PeerMessage;
 use super::status::KeeperStatus;
 use crate::command::{Answer, Command};
@@ -11,23 +11,23 @@
 messages! {
     /// Everything that a keeper receives over its listener.
     pub enum KeeperRequest {
-        /// From another keeper.
+        /// A message from another keeper.
         Peer {
             /// The sender's name.
             from: Name,
             /// The message.
             message: PeerMessage
         },
-        /// From a node or an operator.
+        /// A request from a node or an operator.
         Node {
             /// The request.
             request: Request
         }
     }
 
-    /// What a keeper answers on the same connection.
+    /// The response that a keeper sends on the same connection.
     pub enum KeeperResponse {
-        /// The peer's message was delivered; whatever answers it is a message of its own.
+        /// The peer's message was delivered. If the protocol answers it, the answer is a separate message.
         Delivered,
         /// The reply to a node's or an operator's request.
         Reply {
@@ -38,11 +38,11 @@
 
     /// A request of a node or an operator.
     pub enum Request {
-        /// A node's poll for changes, to the tail. It renews the node's lease.
+        /// A node polls the tail for changes. The poll renews the node's lease.
         Feed {
             /// The node's name.
             node: Name,
-            /// Where the node is reached by other nodes.
+            /// The address at which other nodes reach the node.
             addr: Name,
             /// The newest change that the node has applied.
             last_change: ChangeNumber,
@@ -51,51 +51,52 @@
             /// The number of the entry that enrolled the node's process.
             enrolled: ChangeNumber
         },
-        /// A write, to the head.
+        /// A write, which only the head accepts.
         Write {
-            /// The idempotency key. A write that is sent again with the same key takes effect once.
+            /// The idempotency key. A write that is retried with the same key takes effect only once.
             key: Name,
             /// The command to replicate.
             command: Command
         },
-        /// Adds or removes one voter.
+        /// Proposes a view in which one voter is added or removed.
         ChangeVoters {
-            /// The version of the view that is to be changed.
+            /// The version of the view that the change is based on.
             version: Version,
             /// The voters of the next view.
             voters: Vec<Voter>
         },
-        /// The whole store, as committed at the tail.
+        /// Reads the whole store, as committed at the tail.
         ReadStore,
-        /// The operator's document in force, as committed at the tail.
+        /// Reads the operator's document in force, as committed at the tail.
         ReadDocument,
-        /// The keeper's own status.
+        /// Reads the keeper's own status.
         Status,
-        /// The view that the keeper knows. A status has every node's lease, which many nodes do not need to ask for.
+        /// Reads the newest view that the keeper knows. The reply is smaller than a status, which contains the leases
+        /// of all nodes.
         CurrentView,
-        /// A node settles its tenants' operations with the tail.
+        /// A node reports the operations of its tenants to the tail and requests quota tokens for them.
         SettleQuota {
             /// The node's name.
             node: Name,
             /// The number of the entry that enrolled the node's process.
             enrolled: ChangeNumber,
-            /// What it says of each tenant of which there is something to say.
+            /// One claim for each tenant that has something to report or to request.
             claims: Vec<Claim>
         },
-        /// What the tail knows of tenants' operations.
+        /// Reads the tail's record of the tenants' quota usage.
         ReadQuota
     }
 
     /// The reply to a [`Request`].
     pub enum Reply {
-        /// The changes after the one that the node has applied.
+        /// The changes after the last one that the node has applied.
         Changes {
-            /// Consecutive changes; empty if there are none yet.
+            /// Consecutive changes; empty if there is nothing new.
             changes: Vec<Change>,
             /// The term of the node's lease, from the time when the node sent its poll.
             lease_ms: Millis
         },
-        /// The state that nodes act on, as keepers of earlier versions send it.
+        /// The state that nodes act on, in the uncompressed form that keepers of earlier versions send.
         Snapshot {
             /// The state.
             snapshot: Box<FeedSnapshot>,
@@ -121,9 +122,9 @@
         },
         /// The node's process is not enrolled, so it is granted no lease.
         NotEnrolled,
-        /// This keeper does not answer the request; the head or the tail of the view does.
+        /// This keeper does not serve the request; the client must send it to the head or the tail of the view.
         Redirect {
-            /// The view that this keeper knows.
+            /// The newest view that this keeper knows.
             view: View
         },
         /// The keeper's own status.
@@ -136,22 +137,22 @@
             /// Why.
             error: Error
         },
-        /// The state that nodes act on, if the tail's changes do not reach back far enough.
+        /// The state that nodes act on, sent if the tail no longer retains all changes that the node lacks.
         PackedSnapshot {
             /// The state.
             snapshot: PackedSnapshot,
-            /// The term of the node's lease, from the time when the node sent its poll; 0 if the snapshot lacks changes,
-            /// which the next poll brings.
+            /// The term of the node's lease, from the time when the node sent its poll; 0 if the snapshot lacks the
+            /// newest changes, which the node receives with its next poll.
             lease_ms: Millis
         },
-        /// What the tail grants a node.
+        /// The quota tokens that the tail grants a node.
         QuotaGranted {
-            /// What it grants, and what it says of tenants.
+            /// The grants, and the state of the tenants.
             settlement: Settlement
         },
-        /// What the tail knows of tenants' operations.
+        /// The tail's record of the tenants' quota usage.
         Quota {
-            /// Each tenant that has a limit.
+            /// The usage of each tenant that has a limit.
             tenants: Vec<TenantUsage>
         }
     }
--- a/crates/store/src/messages/idempotency.rs
+++ b/crates/store/src/messages/idempotency.rs
@@ -1,4 +1,4 @@
-//! Which calls to a keeper may be sent again, and by what a repeated one is recognized.
+//! Retry safety of calls to a keeper: which ones may be retried, and which key makes a retry idempotent.
 use super::{KeeperRequest, KeeperResponse, PeerMessage, Request};
 use quincehatch_wire::{Call, IdempotencyKey, RetrySafety};
 
@@ -19,27 +19,29 @@
 }
 
 impl PeerMessage {
-    /// All messages between keepers may be repeated: the protocol itself repeats whatever is lost.
+    /// Returns why the message may be retried. All messages between keepers may be: the protocol itself resends
+    /// whatever is lost.
     pub fn retry_safety(&self) -> RetrySafety {
         match self {
-            // A voter answers the same ballot alike, and a proposer counts voters, not answers.
+            // A voter gives the same answer to the same ballot, and a proposer counts voters, not answers.
             PeerMessage::Prepare { .. }
             | PeerMessage::Promise { .. }
             | PeerMessage::Accept { .. }
             | PeerMessage::Accepted { .. } => RetrySafety::Idempotent(IdempotencyKey::Ballot),
-            // A grant counts for the one heartbeat with its number, which no other process of the sender has used.
+            // A grant counts only for the heartbeat with its sequence number, which no other process of the sender
+            // uses.
             PeerMessage::Heartbeat { .. } | PeerMessage::GrantViewLease { .. } => {
                 RetrySafety::Idempotent(IdempotencyKey::Number)
             }
-            // Entries apply at their own number only, acknowledgements only rise, and the rest of a lease's term is
-            // counted from the arrival, so that a later copy does not claim less.
+            // An entry is applied only at its own number, acknowledged numbers only increase, and the remaining term of
+            // a lease is counted from the arrival of the message, so a delayed copy cannot shorten it.
             PeerMessage::AppendEntries { .. }
             | PeerMessage::Acknowledge { .. }
             | PeerMessage::HandOverLeases { .. }
             | PeerMessage::Snapshot { .. }
             | PeerMessage::Discover { .. }
             | PeerMessage::CurrentView { .. } => RetrySafety::Idempotent(IdempotencyKey::Number),
-            // The receiver proposes the view only while its base is the newest view known there.
+            // The receiver proposes the view only while `base` is the newest view that it knows.
             PeerMessage::Invite { .. } => RetrySafety::Idempotent(IdempotencyKey::Number),
             PeerMessage::RequestEntries { .. } | PeerMessage::FetchSnapshot { .. } => RetrySafety::ReadOnly,
         }
@@ -47,16 +49,17 @@
 }
 
 impl Request {
-    /// Which requests of nodes and operators may be repeated.
+    /// Returns whether the request may be retried.
     pub fn retry_safety(&self) -> RetrySafety {
         match self {
-            // It renews the lease of the same enrollment, and the node counts the term from before its first poll.
+            // A repeated poll renews the lease of the same enrollment, and the node counts the term from before it sent
+            // the poll for the first time.
             Request::Feed { .. } => RetrySafety::Idempotent(IdempotencyKey::Number),
             Request::Write { .. } => RetrySafety::Idempotent(IdempotencyKey::Write),
-            // Repeated after it took effect it would be rejected, because the view's version has changed: the sender
-            // would be told that it failed.
+            // A retry of a change that took effect would be rejected, because the version of the view has changed: the
+            // sender would receive an error for a change that succeeded.
             Request::ChangeVoters { .. } => RetrySafety::Never,
-            // A repeated settlement would be granted tokens twice, and the first ones would be lost.
+            // A retry would be granted tokens a second time, and the tokens of the first grant would be lost.
             Request::SettleQuota { .. } => RetrySafety::Never,
             Request::ReadStore
             | Request::ReadDocument
--- a/crates/store/src/messages/kinds.rs
+++ b/crates/store/src/messages/kinds.rs
@@ -1,8 +1,8 @@
-//! Names by which calls to keepers are counted.
+//! Names of the kinds of messages, by which calls to keepers are counted.
 use super::{PeerMessage, Request};
 
 impl PeerMessage {
-    /// The name of the variant.
+    /// Returns the name of the variant in snake case.
     pub fn kind(&self) -> &'static str {
         match self {
             PeerMessage::Prepare { .. } => "prepare",
@@ -25,7 +25,7 @@
 }
 
 impl Request {
-    /// The name of the variant.
+    /// Returns the name of the variant in snake case.
     pub fn kind(&self) -> &'static str {
         match self {
             Request::Feed { .. } => "feed",
--- a/crates/store/src/messages/peer.rs
+++ b/crates/store/src/messages/peer.rs
@@ -6,8 +6,8 @@
 use quincehatch_core::{ChangeNumber, Millis, Name, Version, messages};
 
 messages! {
-    /// A message from one keeper to another. None of them has an immediate reply, and any may be lost: the protocol
-    /// sends again.
+    /// A message from one keeper to another. No message has a reply on the same connection, and any message may be
+    /// lost: the protocol resends it.
     ///
     /// `version` is the version of the sender's view; receivers ignore replication messages from another view.
     pub enum PeerMessage {
@@ -47,23 +47,23 @@
             /// The highest ballot that the voter has promised.
             highest_promised: Ballot
         },
-        /// A heartbeat, sent to all voters. It asks each of them to renew the lease of the sender's view.
+        /// A heartbeat, sent to all voters. It requests that each of them renews the lease of the sender's view.
         Heartbeat {
             /// The sender's view.
             view: View,
             /// Increases with each heartbeat of the sender's process.
             sequence: u64,
-            /// The newest entry that the sender holds.
+            /// The number of the newest entry in the sender's log.
             last_change: ChangeNumber
         },
         /// Grants the view lease to the sender of a heartbeat.
         GrantViewLease {
             /// The view whose lease is renewed.
             version: Version,
-            /// The heartbeat that asked for it.
+            /// The sequence number of the heartbeat that requested the lease.
             sequence: u64
         },
-        /// Down the chain: entries, and how far the sender's log reaches.
+        /// Entries of the log, sent to the next member toward the tail.
         AppendEntries {
             /// The sender's view.
             version: Version,
@@ -71,41 +71,42 @@
             previous_change: ChangeNumber,
             /// Consecutive entries.
             entries: Vec<PackedEntry>,
-            /// The newest entry that the sender holds.
+            /// The number of the newest entry in the sender's log.
             last_change: ChangeNumber
         },
-        /// Up the chain: asks for the entries after `last_change`, or for the next part of a snapshot.
+        /// Requests the entries after `last_change`, or the next part of a snapshot, from the previous member toward
+        /// the head.
         RequestEntries {
             /// The sender's view.
             version: Version,
-            /// The newest entry that the sender holds.
+            /// The number of the newest entry in the sender's log.
             last_change: ChangeNumber,
-            /// What the sender holds of a snapshot.
+            /// How much of a snapshot the sender has received.
             progress: SnapshotProgress
         },
-        /// Up the chain, from the tail: what is committed, and what every node with a lease has applied.
+        /// The committed and the applied position, sent by the tail and forwarded member by member toward the head.
         Acknowledge {
             /// The sender's view.
             version: Version,
-            /// The newest committed entry.
+            /// The number of the newest committed entry.
             committed: ChangeNumber,
-            /// The newest entry that every node with a lease has applied.
+            /// The number of the newest entry that every node with a lease has applied.
             in_force: ChangeNumber
         },
-        /// From the tail of the view before to the present tail: the node leases that it granted.
+        /// The node leases that the tail of the previous view granted, sent by that tail to the current one.
         HandOverLeases {
             /// The sender's view.
             version: Version,
-            /// Every lease that the sender knows of.
+            /// All leases that the sender knows.
             leases: Vec<LeaseStatus>,
-            /// For how long there may be leases that the sender does not know of.
+            /// Time after which all leases that the sender does not know have expired.
             unknown_leases_ms: Millis
         },
-        /// From a keeper outside the chain to the tail: asks for the next part of the whole store.
+        /// Requests the next part of the whole store; sent by a keeper outside the chain to the tail.
         FetchSnapshot {
             /// The sender's view.
             version: Version,
-            /// What the sender holds of a snapshot.
+            /// How much of a snapshot the sender has received.
             progress: SnapshotProgress
         },
         /// A part of the whole store.
@@ -114,25 +115,25 @@
             version: Version,
             /// The part.
             part: SnapshotPart,
-            /// Whether the receiver takes the store to join the chain; otherwise it is a member whose predecessor's
-            /// log no longer reaches back to its own.
+            /// Whether the receiver fetches the store to join the chain. Otherwise it is a member that lacks entries
+            /// which the log of its predecessor no longer contains.
             joining: bool,
-            /// Nodes dismissed so recently that a lease of theirs may not have ended.
+            /// Nodes that were dismissed so recently that their leases may not have expired.
             dismissed_leases: Vec<DismissedLease>,
-            /// For how long there may be leases that the sender does not know of.
+            /// Time after which all leases that the sender does not know have expired.
             unknown_leases_ms: Millis
         },
-        /// From a keeper outside the view: it may become a voter.
+        /// Announces a keeper outside the view, which may become a voter.
         Discover {
-            /// Where the sender is reached.
+            /// The address of the sender.
             at: Name
         },
-        /// Tells a keeper outside the view what the view is.
+        /// Informs a keeper outside the view of the current view.
         CurrentView {
             /// The sender's view.
             view: View
         },
-        /// From a member to a keeper outside the view: fetch the store, then propose `view`.
+        /// Invites a keeper outside the view to fetch the store and then to propose `view`; sent by a member.
         Invite {
             /// The sender's view.
             base: View,
@@ -141,7 +142,7 @@
         }
     }
 
-    /// A view that a voter has accepted, and under which ballot.
+    /// A view that a voter has accepted, and the ballot of its proposal.
     #[derive(Eq)]
     pub struct AcceptedView {
         /// The ballot of the proposal.
@@ -150,11 +151,11 @@
         pub view: View
     }
 
-    /// A dismissed node whose lease may not have ended.
+    /// A dismissed node whose lease may not have expired.
     pub struct DismissedLease {
         /// The node's name.
         pub node: Name,
-        /// After this time its lease has ended.
+        /// Time after which the lease has expired.
         pub remaining_ms: Millis
     }
 }
--- a/crates/store/src/messages/status.rs
+++ b/crates/store/src/messages/status.rs
@@ -1,4 +1,4 @@
-//! What a keeper reports about itself.
+//! The status of a keeper, as operators and metrics read it.
 use crate::disk_usage::DiskUsage;
 use crate::view::View;
 use quincehatch_core::{ChangeNumber, Millis, Name, Version, messages};
@@ -9,45 +9,45 @@
     pub struct KeeperStatus {
         /// The keeper's name.
         pub name: Name,
-        /// The newest view that it knows.
+        /// The newest view that the keeper knows.
         pub view: View,
-        /// The newest entry that it holds.
+        /// The number of the newest entry in its log.
         pub last_change: ChangeNumber,
-        /// The newest entry that it knows to be committed.
+        /// The number of the newest entry that it knows to be committed.
         pub committed: ChangeNumber,
-        /// The newest entry that it knows to be applied by every node with a lease.
+        /// The number of the newest entry that, as far as it knows, every node with a lease has applied.
         pub in_force: ChangeNumber,
-        /// The version of the configuration that it holds.
+        /// The version of the configuration in its store.
         pub version: Version,
-        /// Whether it answers as the tail.
+        /// Whether the keeper serves as the tail.
         pub serving: bool,
-        /// Why it does or does not, for operators.
+        /// Why the keeper serves or does not serve, for operators.
         pub reason: String,
-        /// The node leases that it has granted.
+        /// The node leases that the keeper has granted.
         pub leases: Vec<LeaseStatus>,
         /// The size of its data directory.
         pub disk: DiskUsage,
         /// The size of its log in memory.
         pub log: LogSize,
-        /// Nodes' polls at this keeper.
+        /// Counts of the polls from nodes.
         pub polls: PollCounts
     }
 
-    /// Nodes' polls for changes at a keeper.
+    /// Counts of the polls for changes that nodes sent to a keeper.
     #[derive(Copy, Eq, Default)]
     pub struct PollCounts {
-        /// Polls that wait for a change.
+        /// Polls that are pending until there is a change.
         pub waiting: u64,
-        /// Polls answered since the process began.
+        /// Polls answered since the process started.
         pub answered: u64
     }
 
-    /// Entries kept in memory for members that lag behind.
+    /// Size of the log that is retained in memory for lagging members.
     #[derive(Copy, Eq, Default)]
     pub struct LogSize {
         /// Number of entries.
         pub entries: u64,
-        /// Bytes that they take.
+        /// Bytes of these entries.
         pub bytes: u64
     }
 
@@ -56,9 +56,9 @@
     pub struct LeaseStatus {
         /// The node's name.
         pub node: Name,
-        /// Where the node is reached by other nodes.
+        /// The address at which other nodes reach the node.
         pub addr: Name,
-        /// After this time the lease has ended.
+        /// Time after which the lease has expired.
         pub remaining_ms: Millis,
         /// The newest change that the node has applied.
         pub applied: ChangeNumber
--- a/crates/store/src/metrics.rs
+++ b/crates/store/src/metrics.rs
@@ -1,15 +1,15 @@
-//! The metrics of a keeper, read off its status (docs/operate.md has a table of them).
+//! The metrics of a keeper, derived from its status (docs/operate.md lists them).
 use crate::messages::{KeeperStatus, LeaseStatus, PollCounts};
 use quincehatch_metrics::Metric;
 
 const MS_PER_SECOND: f64 = 1_000.0;
 
-/// What a keeper's status says, as metrics.
+/// Returns the metrics of a keeper with this status.
 pub fn keeper_metrics(status: &KeeperStatus) -> Vec<Metric> {
-    let mut metrics = place_in_the_chain(status);
-    metrics.extend(progress(status));
-    metrics.extend(leases(&status.leases));
-    metrics.extend(polls(status.polls));
+    let mut metrics = chain_metrics(status);
+    metrics.extend(replication_metrics(status));
+    metrics.extend(lease_metrics(&status.leases));
+    metrics.extend(poll_metrics(status.polls));
     metrics.push(
         Metric::gauge("disk_bytes", "Size of the data folder")
             .with_label("what", "used", status.disk.used as f64)
@@ -20,10 +20,10 @@
     metrics
 }
 
-fn place_in_the_chain(status: &KeeperStatus) -> Vec<Metric> {
+fn chain_metrics(status: &KeeperStatus) -> Vec<Metric> {
     let view = &status.view;
     let position = view.members.iter().position(|member| *member == status.name);
-    // Counted from the head, which is 1; 0 outside.
+    // The position of the head is 1; 0 means outside the chain.
     let position = position.map_or(0, |index| index + 1);
     let flag = |condition: bool| f64::from(u8::from(condition));
     vec![
@@ -36,25 +36,25 @@
     ]
 }
 
-fn progress(status: &KeeperStatus) -> Vec<Metric> {
-    let change =
+fn replication_metrics(status: &KeeperStatus) -> Vec<Metric> {
+    let change_gauge =
         |name: &'static str, help: &'static str, number: u64| Metric::gauge(name, help).with(number as f64);
     vec![
-        change("change_held", "Newest entry that the keeper holds", status.last_change),
-        change("change_committed", "Newest entry that it knows to be committed", status.committed),
-        change("change_in_force", "Newest entry that every lease holder applied", status.in_force),
-        change("configuration_version", "Version of the configuration that it holds", status.version),
+        change_gauge("change_held", "Newest entry that the keeper holds", status.last_change),
+        change_gauge("change_committed", "Newest entry that it knows to be committed", status.committed),
+        change_gauge("change_in_force", "Newest entry that every lease holder applied", status.in_force),
+        change_gauge("configuration_version", "Version of the configuration that it holds", status.version),
     ]
 }
 
-fn polls(polls: PollCounts) -> Vec<Metric> {
+fn poll_metrics(polls: PollCounts) -> Vec<Metric> {
     vec![
         Metric::gauge("polls_waiting", "Polls of nodes that wait for a change").with(polls.waiting as f64),
         Metric::counter("polls_answered", "Polls of nodes that were answered").with(polls.answered as f64),
     ]
 }
 
-fn leases(leases: &[LeaseStatus]) -> Vec<Metric> {
+fn lease_metrics(leases: &[LeaseStatus]) -> Vec<Metric> {
     let shortest = leases.iter().map(|lease| lease.remaining_ms).min().unwrap_or_default();
     let oldest_applied = leases.iter().map(|lease| lease.applied).min().unwrap_or_default();
     vec![
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -1,4 +1,4 @@
-//! What a keeper makes durable, and what it finds on its disk when it starts.
+//! The records that a keeper makes durable, and the state that it recovers from them at its start.
 use crate::entry_log::{EntryLog, PackedEntry};
 use crate::register::Acceptor;
 use crate::store::Store;
@@ -6,34 +6,35 @@
 use quincehatch_core::{Version, messages};
 
 messages! {
-    /// A change of the durable state. It must be on disk before any output of the same step leaves the keeper.
+    /// A change of the durable state. It must be on disk before any output of the same step is sent.
     pub enum Record {
-        /// What the keeper has promised and accepted as a voter.
+        /// The keeper's promises and accepted views as a voter have changed.
         Acceptor {
             /// The new state.
             acceptor: Acceptor
         },
-        /// A newer view.
+        /// The keeper has adopted a newer view.
         View {
             /// The view.
             view: View
         },
-        /// The next entry of the log.
+        /// The next entry is appended to the log.
         Entry {
             /// The entry.
             entry: PackedEntry
         },
-        /// The whole store, in place of the present store and log.
+        /// The whole store is replaced, and the log is cleared.
         Snapshot {
             /// The store.
             store: Box<Store>
         },
-        /// The keeper has begun to serve as the tail of this view: the leases of all older tails had ended by then.
+        /// The keeper has started to serve as the tail of a view. The leases of all earlier tails had expired by then.
         Served {
             /// The view's version.
             version: Version
         },
-        /// The keeper was taken into the chain and does not hold yet what was committed meanwhile; or now it does.
+        /// The keeper has joined the chain and lacks entries that were committed meanwhile, or it has now received
+        /// them.
         CatchingUp {
             /// Whether it still lacks entries.
             catching_up: bool
@@ -44,16 +45,16 @@
 /// The durable state of a keeper.
 #[derive(Clone, Debug, Default)]
 pub struct RecoveredState {
-    /// What the keeper has promised and accepted as a voter.
+    /// The keeper's promises and accepted views as a voter.
     pub acceptor: Acceptor,
-    /// The newest view it knew.
+    /// The newest view that the keeper adopted.
     pub view: View,
-    /// The state that the entries add up to.
+    /// The store after all saved entries were applied.
     pub store: Store,
-    /// The newest entries.
+    /// The newest entries, which are retained for lagging members.
     pub log: EntryLog,
     /// The last view in which the keeper served as the tail.
     pub served_version: Version,
-    /// Whether it had been taken into the chain and lacked entries.
+    /// Whether the keeper had joined the chain and still lacked entries.
     pub catching_up: bool,
 }
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! Snapshots of the entire store on their way to a member that lacks more than the log contains: packed once, and sent in
-//! parts that are far below the longest frame.
+//! Transfer of a snapshot of the entire store to a member that lacks entries which the log no longer contains. The
+//! snapshot is packed once, and sent in parts that are far below the maximum frame length.
 
 mod incoming;
 mod outgoing;
@@ -10,10 +10,10 @@
 use quincehatch_core::{ChangeNumber, messages};
 
 messages! {
-    /// Which snapshot it is.
+    /// Identifies a packed snapshot.
     #[derive(Copy, Eq, Default)]
     pub struct SnapshotId {
-        /// Last change that the store reflects.
+        /// Number of the last entry that the snapshot reflects.
         pub change: ChangeNumber,
         /// Length of the packed form, in bytes.
         pub length: u64,
@@ -21,21 +21,21 @@
         pub hash: u64
     }
 
-    /// How much of a snapshot a receiver holds.
+    /// How much of a snapshot a receiver has received.
     #[derive(Copy, Eq, Default)]
     pub struct SnapshotProgress {
         /// The snapshot.
         pub id: SnapshotId,
-        /// The receiver holds the bytes before this offset.
+        /// Number of bytes received; the next part starts at this offset.
         pub offset: u64
     }
 
-    /// Some bytes of a snapshot.
+    /// Consecutive bytes of a packed snapshot.
     #[derive(Eq)]
     pub struct SnapshotPart {
         /// The snapshot.
         pub id: SnapshotId,
-        /// Offset of the first byte.
+        /// Offset of the first byte in the packed snapshot.
         pub offset: u64,
         /// The bytes.
         pub bytes: Vec<u8>
--- a/crates/store/src/snapshot/incoming.rs
+++ b/crates/store/src/snapshot/incoming.rs
@@ -4,10 +4,11 @@
 use crate::store::Store;
 use quincehatch_core::{Name, hash64};
 
-/// Longest packed snapshot that a member takes (32 MiB). A message that claims more is damaged or hostile.
+/// Maximum length of a packed snapshot that a member accepts (32 MiB). A message that claims more is damaged or
+/// hostile.
 const MAX_SNAPSHOT_BYTES: u64 = 32 << 20;
 
-/// The parts received so far of a snapshot that one member sends.
+/// The parts of a snapshot that were received so far from one member.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct IncomingSnapshot {
     from: Name,
@@ -16,7 +17,7 @@
 }
 
 impl IncomingSnapshot {
-    /// How much has arrived of the snapshot that `from` sends.
+    /// Returns how much of the snapshot from the member `from` was received.
     pub fn progress(&self, from: &Name) -> SnapshotProgress {
         if self.from != *from {
             return SnapshotProgress::default();
@@ -24,8 +25,8 @@
         SnapshotProgress { id: self.id, offset: self.bytes.len() as u64 }
     }
 
-    /// Adds a part if it is the next one; `false` if it is not. The first part of another snapshot, or from another
-    /// member, starts over.
+    /// Adds a part if it is the next one, and returns whether it was added. A part of another snapshot, or from another
+    /// member, discards the parts received before.
     pub fn accept_part(&mut self, from: &Name, part: SnapshotPart) -> bool {
         if part.id.length > MAX_SNAPSHOT_BYTES {
             return false;
@@ -40,7 +41,8 @@
         true
     }
 
-    /// The store, once all of it has arrived. A damaged snapshot is dropped, so it is requested from the start again.
+    /// Returns the store if all parts were received. A damaged snapshot is dropped, so that it is requested again from
+    /// its first part.
     pub fn finish(&mut self) -> Option<Store> {
         if (self.bytes.len() as u64) < self.id.length {
             return None;
--- a/crates/store/src/snapshot/outgoing.rs
+++ b/crates/store/src/snapshot/outgoing.rs
@@ -5,7 +5,7 @@
 use crate::store::Store;
 use quincehatch_core::{ChangeNumber, hash64};
 
-/// A packed snapshot from which parts are sent.
+/// A packed snapshot that is sent in parts.
 #[derive(Clone, Debug)]
 pub(crate) struct OutgoingSnapshot {
     id: SnapshotId,
@@ -22,12 +22,13 @@
         Self { id, bytes }
     }
 
-    /// Last change that the snapshot reflects.
+    /// Returns the number of the last entry that the snapshot reflects.
     pub fn change(&self) -> ChangeNumber {
         self.id.change
     }
 
-    /// The part that follows what the receiver holds; the first one if it holds nothing of this snapshot.
+    /// Returns the part that follows the bytes that the receiver has; the first part if the receiver has nothing of
+    /// this snapshot.
     pub fn part_after(&self, progress: SnapshotProgress) -> SnapshotPart {
         let is_continued = progress.id == self.id && progress.offset < self.id.length;
         let offset = if is_continued { progress.offset } else { 0 };
--- a/crates/store/src/storage.rs
+++ b/crates/store/src/storage.rs
@@ -1,4 +1,4 @@
-//! Stable storage of a keeper: the records that survive restarts, and the file that contains them.
+//! Stable storage of a keeper: the records that survive restarts, and the database file that contains them.
 
 mod checksum;
 pub mod disk;
--- a/crates/store/src/storage/disk.rs
+++ b/crates/store/src/storage/disk.rs
@@ -1,4 +1,4 @@
-//! The data directory of a keeper: one redb file, in which every value has a checksum of its own.
+//! The data directory of a keeper: a single redb file, in which every value has its own checksum.
 use crate::disk_usage::DiskUsage;
 use crate::record::{Record, RecoveredState};
 use crate::storage::disk_limits::DiskLimits;
@@ -12,40 +12,40 @@
 use redb::{Database, Durability, ReadableDatabase, WriteTransaction};
 use std::path::{Path, PathBuf};
 
-/// Memory for pages: 1 MiB. More would serve nothing, as the store is in memory anyhow.
+/// Size of redb's page cache (1 MiB). A larger cache has no benefit, because the whole store is in memory.
 const PAGE_CACHE_BYTES: usize = 1 << 20;
 const FILE_NAME: &str = "keeper.redb";
-/// Name of the file until it is complete.
+/// Name of the file while it is being created.
 const UNFINISHED_FILE_NAME: &str = "keeper.half";
 
 /// The open data directory of a keeper.
 pub struct Disk {
     file: PathBuf,
-    /// `None` after an error, until [`Disk::recover`].
+    /// `None` after a failed reopen, until [`Disk::recover`] succeeds.
     db: Option<Database>,
     limits: DiskLimits,
     rows: LogRows,
-    /// Length of the file when it was last compacted, in bytes.
+    /// Length of the file after its last compaction, in bytes.
     compacted_length: u64,
 }
 
-/// A data directory that was opened, and what it holds.
+/// An open data directory and the state that was read from it.
 pub struct OpenedDisk {
     /// Name of the keeper to which the directory belongs.
     pub owner: String,
-    /// The directory.
+    /// The open directory.
     pub disk: Disk,
-    /// What it holds.
+    /// The state that was read from the directory.
     pub state: RecoveredState,
 }
 
 impl Disk {
-    /// Opens the directory of keeper `name`, or creates it for a first start with `first_view`.
+    /// Opens the directory of the keeper `name`, or creates it if a `first_view` is given, which it then contains.
     ///
     /// # Errors
-    /// If the directory is empty and there is no `first_view`: a keeper that lost its disk must not vote as if it
-    /// remembered its earlier votes. Also if the directory holds data already and there is a `first_view`, if it belongs
-    /// to another keeper, is damaged, or cannot be read.
+    /// If the directory is empty and there is no `first_view`: a keeper that lost its disk must not vote, because it no
+    /// longer knows its earlier votes. Also if the directory already contains data and there is a `first_view`, or if
+    /// the directory belongs to another keeper, is damaged or cannot be read.
     pub fn open(dir: &Path, name: &str, first_view: Option<View>) -> Result<OpenedDisk, Error> {
         let file = dir.join(FILE_NAME);
         let is_new = !file.try_exists().map_err(disk_error)?;
@@ -62,10 +62,10 @@
         }
     }
 
-    /// Opens the directory if it contains the data of a keeper, whichever keeper that is.
+    /// Opens the directory if it contains the data of any keeper; returns `None` if it does not.
     ///
     /// # Errors
-    /// If the directory cannot be read or is damaged. One that cannot be read at this time is not an empty one.
+    /// If the directory cannot be read or is damaged. A directory that cannot be read is not reported as an empty one.
     pub fn open_existing(dir: &Path) -> Result<Option<OpenedDisk>, Error> {
         let file = dir.join(FILE_NAME);
         if !file.try_exists().map_err(disk_error)? {
@@ -74,8 +74,8 @@
         Self::open_file(&file).map(Some)
     }
 
-    /// Creates the directory of a new keeper. The file gets its name only once all of it is synced: what a crash left
-    /// unfinished is created again, as no other process knows of that keeper yet.
+    /// Creates the directory of a new keeper. The file is renamed to its final name only after all of it is synced. A
+    /// file that a crash left unfinished is created anew, because no other process knows the new keeper yet.
     ///
     /// # Errors
     /// If the disk fails.
@@ -97,7 +97,7 @@
         Self::open_file(&file)
     }
 
-    /// Sets the size that the directory may take.
+    /// Sets the allowed size of the directory, in bytes.
     pub fn with_size_limit(mut self, bytes: u64) -> Self {
         self.limits = DiskLimits::for_allowed_bytes(bytes);
         self
@@ -140,7 +140,7 @@
         Ok(Reopened { owner: loaded.owner, state: loaded.state })
     }
 
-    /// Runs one transaction, which is durable when this returns.
+    /// Runs `fill` in a write transaction, which is durable when this function returns.
     fn write(&mut self, fill: impl FnOnce(&WriteTransaction) -> Result<(), Error>) -> Result<(), Error> {
         let db = self.db.as_ref().ok_or_else(not_open)?;
         let mut tx = db.begin_write().map_err(disk_error)?;
@@ -149,14 +149,14 @@
         tx.commit().map_err(disk_error)
     }
 
-    /// Writes the store as the new snapshot, and drops entries beyond the limits.
+    /// Writes the store as the new snapshot, and drops the oldest entries beyond the limits.
     fn replace_snapshot(&mut self, store: &Store) -> Result<(), Error> {
-        let first_kept = self.rows.truncate(&self.limits).unwrap_or(store.last_change + 1);
-        self.write(|tx| records::write_snapshot(tx, store, first_kept))
+        let first_retained = self.rows.truncate(&self.limits).unwrap_or(store.last_change + 1);
+        self.write(|tx| records::write_snapshot(tx, store, first_retained))
     }
 
-    /// Returns the free part of the file to the file system. The file must have doubled since it was last compacted, as
-    /// compaction copies all of it.
+    /// Compacts the file to release its free space to the file system. Compaction copies the whole file, so it runs
+    /// only if the file has doubled since the last one.
     fn shrink_file(&mut self) -> Result<(), Error> {
         let length = self.usage().used;
         if length <= self.limits.compact_above_bytes || length < 2 * self.compacted_length {
@@ -169,7 +169,7 @@
     }
 }
 
-/// Contents of a file that was opened again.
+/// The owner and the state that were read when the file was reopened.
 struct Reopened {
     owner: String,
     state: RecoveredState,
@@ -179,7 +179,7 @@
     disk_error("the file is not open")
 }
 
-/// Makes the names in a directory durable.
+/// Syncs a directory, so that a renamed file has its new name after a crash.
 fn sync_directory(dir: &Path) -> std::io::Result<()> {
     std::fs::File::open(dir)?.sync_all()
 }
@@ -209,7 +209,8 @@
         self.shrink_file()
     }
 
-    /// What a failed sync left in the system's page cache may not be on the disk: all of it is written again.
+    /// Reopens the file and writes all of its records again: after a failed sync, data in the page cache of the
+    /// operating system may not be on the disk.
     fn recover(&mut self) -> Result<RecoveredState, Error> {
         let Reopened { state, .. } = self.reopen()?;
         let small_records = [
--- a/crates/store/src/storage/disk_limits.rs
+++ b/crates/store/src/storage/disk_limits.rs
@@ -1,30 +1,30 @@
-//! Sizes that keep a data directory well under its allowed size.
+//! Limits within a data directory that keep its size well below the allowed size.
 use crate::limits::LOG_MAX_BYTES;
 
-/// Allowed size of a data directory where the settings name none: 64 MiB.
+/// Default of the allowed size of a data directory (64 MiB).
 pub const DEFAULT_ALLOWED_BYTES: u64 = 64 << 20;
-/// The log takes at most this part of the allowed size.
+/// The log takes at most the allowed size divided by this number.
 const LOG_DIVISOR: u64 = 16;
-/// A snapshot is due after entries of this part of the log's size.
+/// A snapshot is due after entries of the log's maximum size divided by this number.
 const SNAPSHOT_DIVISOR: usize = 4;
-/// A file is compacted when it takes this part of the allowed size.
+/// The file is compacted only if it is longer than the allowed size divided by this number.
 const COMPACT_DIVISOR: u64 = 4;
 
-/// Sizes that keep the data directory well under its allowed size, in bytes.
+/// Limits that keep the size of the data directory well below the allowed size, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DiskLimits {
-    /// Size that the directory may take.
+    /// Allowed size of the directory.
     pub allowed_bytes: u64,
-    /// Size of the log that is retained for members that lag behind.
+    /// Maximum size of the log that is retained for lagging members.
     pub log_bytes: usize,
-    /// Size of the entries after which the next snapshot is due.
+    /// Total size of the entries after which the next snapshot is due.
     pub snapshot_bytes: usize,
-    /// A longer file is compacted.
+    /// Length of the file above which it may be compacted.
     pub compact_above_bytes: u64,
 }
 
 impl DiskLimits {
-    /// The limits of a directory that may take `allowed_bytes`.
+    /// Returns the limits of a directory with the allowed size `allowed_bytes`.
     pub fn for_allowed_bytes(allowed_bytes: u64) -> Self {
         let log_bytes = LOG_MAX_BYTES.min((allowed_bytes / LOG_DIVISOR) as usize);
         Self {
--- a/crates/store/src/storage/errors.rs
+++ b/crates/store/src/storage/errors.rs
@@ -1,25 +1,25 @@
-//! Errors of the data directory. A disk that fails may work again later, so the keeper tries again; a directory that is
-//! damaged or belongs to another keeper needs an operator.
+//! Errors of the data directory. A disk error may be temporary, so the keeper retries the operation; a directory that
+//! is damaged or belongs to another keeper requires an operator.
 use quincehatch_core::{Error, ErrorCode};
 use std::fmt::Display;
 use std::io;
 
-/// The disk failed; the same operation may succeed later.
+/// Returns the error of a failed disk operation, which may succeed later.
 pub(super) fn disk_error(cause: impl Display) -> Error {
     ErrorCode::DiskFailed.with_detail(cause)
 }
 
-/// The data directory is not one that this keeper can use, and will not become one by itself.
+/// Returns the error of a data directory that this keeper cannot use, which a retry does not change.
 pub(super) fn unusable(reason: impl Display) -> Error {
     ErrorCode::DataDirectoryUnusable.with_detail(reason)
 }
 
-/// A record whose checksum or content is wrong.
+/// Returns the error of a record with a wrong checksum or content.
 pub(super) fn damaged(record: &str) -> Error {
     unusable(format_args!("the record {record} is damaged"))
 }
 
-/// The error of a read of `place`: a file that cannot be read now may be read later, one that is damaged may not.
+/// Returns the error of a failed read of `place`. A retry may succeed unless the file is damaged.
 pub(super) fn read_error(place: &dyn Display, cause: impl Into<redb::Error>) -> Error {
     let cause = cause.into();
     let detail = format!("{place}: {cause}");
@@ -29,7 +29,7 @@
     }
 }
 
-/// The error of a read of a table.
+/// Returns the error of a failed read of a table.
 pub(super) fn table_read_error(cause: impl Into<redb::Error>) -> Error {
     read_error(&"a table", cause)
 }
--- a/crates/store/src/storage/log_rows.rs
+++ b/crates/store/src/storage/log_rows.rs
@@ -1,17 +1,18 @@
-//! Which log entries the file of a keeper holds, and when a snapshot is due.
+//! Accounting of the log entries in the file of a keeper, which decides when a snapshot is due and which entries to
+//! drop.
 use crate::limits::{LOG_MAX_ENTRIES, SNAPSHOT_INTERVAL_ENTRIES};
 use crate::storage::disk_limits::DiskLimits;
 use quincehatch_core::ChangeNumber;
 use std::collections::VecDeque;
 
-/// An entry that the file holds.
+/// Number and size of a log entry in the file.
 #[derive(Clone, Copy, Debug)]
 struct LogRow {
     number: ChangeNumber,
     bytes: usize,
 }
 
-/// The log entries that the file holds, oldest first.
+/// The log entries in the file, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct LogRows {
     rows: VecDeque<LogRow>,
@@ -21,7 +22,7 @@
 }
 
 impl LogRows {
-    /// Counts an entry. `is_in_snapshot`: the snapshot in the file reflects it already.
+    /// Adds an entry. `is_in_snapshot` says whether the snapshot in the file already reflects the entry.
     pub fn push(&mut self, number: ChangeNumber, bytes: usize, is_in_snapshot: bool) {
         self.rows.push_back(LogRow { number, bytes });
         self.bytes += bytes;
@@ -31,8 +32,8 @@
         }
     }
 
-    /// Notes a new snapshot and drops the oldest rows that the limits leave no room for; the number of the first row
-    /// that stays. The newest row always stays.
+    /// Resets the counts since the last snapshot and drops the oldest rows beyond the limits; the newest row is always
+    /// retained. Returns the number of the first retained row.
     pub fn truncate(&mut self, limits: &DiskLimits) -> Option<ChangeNumber> {
         self.entries_since_snapshot = 0;
         self.bytes_since_snapshot = 0;
@@ -48,7 +49,7 @@
         self.rows.len() > LOG_MAX_ENTRIES || is_too_large
     }
 
-    /// Have enough entries been written since the last snapshot, by number or by size, that the next one is due?
+    /// Whether the next snapshot is due: enough entries, by number or by size, were written since the last one.
     pub fn is_snapshot_due(&self, limits: &DiskLimits) -> bool {
         self.entries_since_snapshot >= SNAPSHOT_INTERVAL_ENTRIES
             || self.bytes_since_snapshot >= limits.snapshot_bytes
--- a/crates/store/src/storage/records.rs
+++ b/crates/store/src/storage/records.rs
@@ -1,4 +1,4 @@
-//! The records of a keeper in its redb file: how each is written and read back.
+//! Writing and reading of a keeper's records in its redb file.
 use crate::command::Entry;
 use crate::compression::PackedBytes;
 use crate::entry_log::{EntryLog, PackedEntry};
@@ -13,22 +13,22 @@
 
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
-/// Entries as earlier versions stored them, uncompressed; read once, never written.
-const OLD_LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
+/// Uncompressed entries of earlier versions. They are read at the start and never written.
+const LEGACY_LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 
-// Keys of the table META. They are on disk, so they never change.
+// Keys of the table META. They are stored on disk, so they must not change.
 const NAME: &str = "name";
 const ACCEPTOR: &str = "acceptor";
 const VIEW: &str = "view";
 const CATCHING_UP: &str = "newcomer";
 const SERVED: &str = "served";
 const SNAPSHOT: &str = "snapshot";
-/// The store as earlier versions stored it, uncompressed.
-const OLD_SNAPSHOT: &str = "whole";
+/// Key of the uncompressed snapshot of earlier versions.
+const LEGACY_SNAPSHOT: &str = "whole";
 
-/// Contents of a keeper's file.
+/// The contents of a keeper's file.
 pub(super) struct LoadedFile {
-    /// The keeper whose file it is.
+    /// Name of the keeper that owns the file.
     pub owner: String,
     pub state: RecoveredState,
     pub rows: LogRows,
@@ -38,20 +38,20 @@
     meta.insert(key, encode(value).as_slice()).map(drop).map_err(disk_error)
 }
 
-/// Writes whose file it is.
+/// Writes the name of the keeper that owns the file.
 pub(super) fn write_name(tx: &WriteTransaction, name: &str) -> Result<(), Error> {
     put(&mut tx.open_table(META).map_err(disk_error)?, NAME, &name.to_owned())
 }
 
-/// Writes the store as the new snapshot, and drops the entries before `first_kept`.
+/// Writes the store as the new snapshot, and drops the entries before `first_retained`.
 pub(super) fn write_snapshot(
     tx: &WriteTransaction,
     store: &Store,
-    first_kept: ChangeNumber,
+    first_retained: ChangeNumber,
 ) -> Result<(), Error> {
     put_snapshot(tx, store)?;
     let mut entries = tx.open_table(ENTRIES).map_err(disk_error)?;
-    entries.retain(|number, _| number >= first_kept).map_err(disk_error)
+    entries.retain(|number, _| number >= first_retained).map_err(disk_error)
 }
 
 /// Writes one record.
@@ -67,7 +67,7 @@
             entries.insert(entry.number, encode(&entry.bytes).as_slice()).map(drop).map_err(disk_error)
         }
         Record::Snapshot { store } => {
-            // redb opens a table once at a time.
+            // redb does not open a table twice at the same time.
             drop(meta);
             put_snapshot(tx, store)?;
             let mut entries = tx.open_table(ENTRIES).map_err(disk_error)?;
@@ -76,13 +76,13 @@
     }
 }
 
-/// Writes the snapshot, and removes the form in which earlier versions stored it.
+/// Writes the snapshot, and removes the snapshot and the log of earlier versions.
 fn put_snapshot(tx: &WriteTransaction, store: &Store) -> Result<(), Error> {
     let packed = PackedBytes::pack(borsh::to_vec(store).unwrap_or_default());
     let mut meta = tx.open_table(META).map_err(disk_error)?;
     put(&mut meta, SNAPSHOT, &packed)?;
-    meta.remove(OLD_SNAPSHOT).map_err(disk_error)?;
-    tx.delete_table(OLD_LOG).map(drop).map_err(disk_error)
+    meta.remove(LEGACY_SNAPSHOT).map_err(disk_error)?;
+    tx.delete_table(LEGACY_LOG).map(drop).map_err(disk_error)
 }
 
 /// Reads all contents of the file.
@@ -98,12 +98,12 @@
         served_version: meta.value_or_default(SERVED)?,
     };
     let mut loaded = LoadedFile { owner, state, rows: LogRows::default() };
-    load_old_log(tx, &mut loaded)?;
+    load_legacy_log(tx, &mut loaded)?;
     load_entries(tx, &mut loaded)?;
     Ok(loaded)
 }
 
-/// The table META of a file that is read.
+/// The table META, opened for reading.
 struct MetaTable(ReadOnlyTable<&'static str, &'static [u8]>);
 
 impl MetaTable {
@@ -122,17 +122,17 @@
 
 fn load_store(meta: &MetaTable) -> Result<Store, Error> {
     let Some(bytes) = meta.bytes(SNAPSHOT)? else {
-        return meta.value_or_default(OLD_SNAPSHOT);
+        return meta.value_or_default(LEGACY_SNAPSHOT);
     };
     let packed: PackedBytes = decode(SNAPSHOT, &bytes)?;
     let plain = packed.unpack().ok_or_else(|| damaged(SNAPSHOT))?;
     borsh::from_slice(&plain).map_err(|_| damaged(SNAPSHOT))
 }
 
-/// Reads the entries of an earlier version, if the file holds any.
-fn load_old_log(tx: &ReadTransaction, loaded: &mut LoadedFile) -> Result<(), Error> {
-    let Ok(old_log) = tx.open_table(OLD_LOG) else { return Ok(()) };
-    for row in old_log.iter().map_err(table_read_error)? {
+/// Reads the uncompressed entries of an earlier version, if the file contains any.
+fn load_legacy_log(tx: &ReadTransaction, loaded: &mut LoadedFile) -> Result<(), Error> {
+    let Ok(legacy_log) = tx.open_table(LEGACY_LOG) else { return Ok(()) };
+    for row in legacy_log.iter().map_err(table_read_error)? {
         let (number, bytes) = row.map_err(table_read_error)?;
         let entry: Entry = decode(&format!("log {}", number.value()), bytes.value())?;
         loaded.add_entry(PackedEntry::pack(&entry), &entry)?;
@@ -153,7 +153,7 @@
 }
 
 impl LoadedFile {
-    /// Adds an entry to the log, and applies it unless the snapshot reflects it already.
+    /// Adds an entry to the log, and applies it to the store unless the snapshot already reflects it.
     fn add_entry(&mut self, packed: PackedEntry, entry: &Entry) -> Result<(), Error> {
         let is_in_snapshot = entry.number <= self.state.store.last_change;
         if !is_in_snapshot && self.state.store.apply(entry).is_none() {
--- a/crates/store/src/storage/stable_storage.rs
+++ b/crates/store/src/storage/stable_storage.rs
@@ -1,35 +1,35 @@
-//! What a keeper needs of its disk.
+//! The interface of a keeper's stable storage.
 use crate::disk_usage::DiskUsage;
 use crate::record::{Record, RecoveredState};
 use crate::store::Store;
 use quincehatch_core::Error;
 
-/// Storage whose records survive restarts. [`Disk`](crate::storage::disk::Disk) is the one of regular service;
-/// tests have others, which fail on demand.
+/// Storage whose records survive restarts. [`Disk`](crate::storage::disk::Disk) is the implementation for production;
+/// tests use implementations that fail on demand.
 pub trait StableStorage: Send + 'static {
-    /// Makes the records durable, all or none.
+    /// Makes all of the records durable, or none of them.
     ///
     /// # Errors
-    /// If it is not known whether the records are durable. The storage is unusable then until
-    /// [`StableStorage::recover`] succeeds.
+    /// If it is unknown whether the records are durable. The storage is then unusable until [`StableStorage::recover`]
+    /// succeeds.
     fn save(&mut self, records: &[Record]) -> Result<(), Error>;
 
-    /// Has so much been saved since the last snapshot that the next one is due?
+    /// Whether so much was saved since the last snapshot that the next one is due.
     fn is_snapshot_due(&self) -> bool;
 
-    /// Replaces the snapshot by `store`, which reflects all that was saved, drops log entries before it as far as the
-    /// limits require, and returns free space to the file system.
+    /// Replaces the snapshot by `store`, which must reflect all saved entries, drops the oldest log entries beyond the
+    /// limits, and releases free space to the file system.
     ///
     /// # Errors
     /// As with [`StableStorage::save`].
     fn write_snapshot(&mut self, store: &Store) -> Result<(), Error>;
 
-    /// Opens the storage again after an error and makes durable what it finds there.
+    /// Reopens the storage after an error, makes the records that it contains durable, and returns their state.
     ///
     /// # Errors
-    /// If the storage still fails; the caller tries again later.
+    /// If the storage still fails; the caller retries later.
     fn recover(&mut self) -> Result<RecoveredState, Error>;
 
-    /// How much of its allowed size the storage takes.
+    /// Returns how much of the allowed size the storage takes.
     fn usage(&self) -> DiskUsage;
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,5 +1,5 @@
-//! The replicated state machine: what the entries of the log add up to. Keepers apply the same entries in the same order
-//! to the same store, so nothing here depends on clocks, on chance or on the machine.
+//! The replicated state machine. All keepers apply the same log entries in the same order, so every operation on the
+//! store is deterministic: it depends on no clock, no random number and no property of the machine.
 
 mod commands;
 mod departures;
@@ -22,18 +22,18 @@
 };
 use std::collections::{BTreeMap, VecDeque};
 
-/// Answers remembered so that a write sent twice is applied once.
+/// Number of answers that are retained, so that a retried write is applied only once.
 pub const MAX_ANSWERED_WRITES: usize = 1024;
 
 messages! {
-    /// The answer to a write that was applied.
+    /// A write that was applied, and its answer. The answer is returned again if the write is retried.
     #[derive(Eq)]
     pub struct AnsweredWrite {
         /// Idempotency key of the write.
         pub key: Name,
-        /// The entry that applied it.
+        /// Number of the entry that applied the write.
         pub number: ChangeNumber,
-        /// Digest of its command.
+        /// Digest of the command.
         pub digest: u64,
         /// The answer.
         pub answer: Answer
@@ -44,69 +44,70 @@
     pub struct IssuedFence {
         /// The token.
         pub fence: FencingToken,
-        /// Who acquired it.
+        /// Name of the node that acquired the token.
         pub holder: Name
     }
 
-    /// The store. Its borsh layout is on disk: new fields come last.
+    /// The replicated state. It is stored on disk in borsh, so new fields are added at the end.
     #[derive(Eq, Default)]
     pub struct Store {
-        /// Last change that it reflects.
+        /// Number of the last entry that was applied.
         pub last_change: ChangeNumber,
-        /// The newest configurations, oldest first; the last one is in force.
+        /// The retained configurations, oldest first; the last one is in force.
         pub history: VecDeque<HistoryEntry>,
         /// The newest fencing token of each singleton role.
         pub fences: BTreeMap<Name, IssuedFence>,
         /// The primary of each group.
         pub primaries: BTreeMap<Name, PrimaryAssignment>,
-        /// Writes that were answered, oldest first.
+        /// The most recent writes that were applied, oldest first.
         pub answers: VecDeque<AnsweredWrite>,
-        /// The operator's document in force, where one was adopted.
+        /// The operator's document in force; `None` before the first one is adopted.
         pub adopted: Option<AdoptedDocument>,
         /// The servers, by name.
         pub servers: BTreeMap<Name, ServerRecord>,
-        /// Nodes that may hold a lease, and the entry that enrolled the process of each.
+        /// The nodes that may hold a lease, each with the number of the entry that enrolled its process.
         pub nodes: BTreeMap<Name, ChangeNumber>,
-        /// Which document of the operator took which number.
+        /// The number under which each document of the operator was recorded.
         pub documents: DocumentRegister,
-        /// Servers of each group that are recorded no more, oldest first.
+        /// The servers that were removed from each group, oldest first.
         #[borsh(deserialize_with = "departures::read_departures")]
         pub departures: BTreeMap<Name, VecDeque<Departure>>
     }
 
-    /// A document of the operator.
+    /// A document that the operator submitted and that came into force.
     #[derive(Eq, Default)]
     pub struct AdoptedDocument {
-        /// Its number.
+        /// The document's number.
         pub number: u64,
-        /// Its text, byte for byte.
+        /// The document's text, byte for byte as submitted.
         pub source: String
     }
 }
 
-/// An answer that rests on what the store holds already.
+/// An answer that follows from entries that are already in the log, so that no new entry is needed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecordedAnswer {
-    /// The entry that must be committed before the answer may be given.
+    /// Number of the entry that must be committed before the answer is sent.
     pub entry: ChangeNumber,
     /// The answer.
     pub answer: Answer,
 }
 
 impl Command {
-    /// A digest that differs for commands of different content.
+    /// Returns a hash of the command's content, by which a retry is told from a reused idempotency key.
     pub fn digest(&self) -> u64 {
         hash64(&[&borsh::to_vec(self).unwrap_or_default()])
     }
 
-    /// Does the command contain an entire configuration?
+    /// Whether the command contains an entire configuration.
     pub fn is_document(&self) -> bool {
         matches!(self, Command::PushConfiguration { .. } | Command::AdoptDocument { .. })
     }
 }
 
 impl AnsweredWrite {
-    /// The answer to a write under the same key: the same one if it is a retry, a rejection if its content differs.
+    /// Returns the answer to another write under the same key: the recorded answer if its command has the same digest,
+    /// otherwise a rejection.
     pub fn answer_to(&self, digest: u64) -> Answer {
         if self.digest == digest {
             self.answer.clone()
@@ -117,32 +118,32 @@
 }
 
 impl Store {
-    /// Version of the configuration in force; 0 before the first.
+    /// Returns the version of the configuration in force; 0 before the first.
     pub fn configuration_version(&self) -> Version {
         self.history.back().map_or(0, |entry| entry.version)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn configuration(&self) -> Option<&HistoryEntry> {
         self.history.back()
     }
 
-    /// The configuration of that version, if it is still retained.
+    /// Returns the configuration with this version, if it is still retained.
     pub fn history_entry(&self, version: Version) -> Option<&HistoryEntry> {
         self.history.iter().find(|entry| entry.version == version)
     }
 
-    /// The write that was answered under that key, if it is still remembered.
+    /// Returns the write that was applied under this idempotency key, if it is still retained.
     pub fn answered_write(&self, key: &str) -> Option<&AnsweredWrite> {
         self.answers.iter().rev().find(|write| write.key == key)
     }
 
-    /// The newest fencing token of a singleton role; 0 if none was issued.
+    /// Returns the newest fencing token of a singleton role; 0 if none was issued.
     pub fn fence(&self, duty: &str) -> FencingToken {
         self.fences.get(duty).map_or(0, |issued| issued.fence)
     }
 
-    /// The primary of a group, and the token under which its next change has begun.
+    /// Returns the primary of a group, and the newest fencing token that was issued for changing it.
     pub fn primary_state(&self, group: &Name) -> PrimaryState {
         PrimaryState {
             fence: self.fence(&promotion_duty_key(group)),
@@ -150,24 +151,25 @@
         }
     }
 
-    /// Applies the entry that follows the last one; `None`, and nothing is changed, if it is not the next one.
+    /// Applies an entry and returns the answer to its write. Returns `None` and changes nothing if the entry does not
+    /// directly follow the last one.
     pub fn apply(&mut self, entry: &Entry) -> Option<Answer> {
         if entry.number != self.last_change + 1 {
             return None;
         }
         self.last_change = entry.number;
         let digest = entry.command.digest();
-        // A retry of a write that was answered changes nothing.
+        // A retry of a write that was already applied changes nothing.
         if let Some(answered) = self.answered_write(&entry.key) {
             return Some(answered.answer_to(digest));
         }
         let answer = self.execute(&entry.command);
         let (key, number) = (entry.key.clone(), entry.number);
-        self.remember(AnsweredWrite { key, number, digest, answer: answer.clone() });
+        self.record_answer(AnsweredWrite { key, number, digest, answer: answer.clone() });
         Some(answer)
     }
 
-    fn remember(&mut self, write: AnsweredWrite) {
+    fn record_answer(&mut self, write: AnsweredWrite) {
         self.answers.push_back(write);
         if self.answers.len() > MAX_ANSWERED_WRITES {
             self.answers.pop_front();
--- a/crates/store/src/store/commands.rs
+++ b/crates/store/src/store/commands.rs
@@ -1,17 +1,18 @@
-//! What each command does to the store.
+//! Execution of commands on the store.
 use crate::command::{Answer, Command};
 use crate::store::documents::{DocumentOutcome, TakenNumber, document_digest};
-use crate::store::servers::{changes_nothing, upsert_server};
+use crate::store::servers::{is_redundant, upsert_server};
 use crate::store::{AdoptedDocument, HistoryEntry, RecordedAnswer, Store, promotion_duty_key};
 use quincehatch_core::{ChangeNumber, ErrorCode, Name, ServerRecord, Version};
 
 impl Store {
-    /// The answer to a command that would change nothing, and so needs no entry.
+    /// Returns the answer to a command that would not change the store, and so needs no log entry; `None` if the
+    /// command would change it.
     pub fn no_op_answer(&self, command: &Command) -> Option<RecordedAnswer> {
-        let changes_nothing = match command {
+        let is_no_op = match command {
             Command::RegisterServer { at: record } => {
                 let known = self.servers.get(&record.server);
-                known.map_or_else(|| self.is_late(record), |known| changes_nothing(known, record))
+                known.map_or_else(|| self.precedes_departure(record), |known| is_redundant(known, record))
             }
             Command::DeregisterServer { server } => !self.servers.contains_key(server),
             Command::AdoptDocument { number, source, .. } => {
@@ -19,10 +20,10 @@
             }
             _ => false,
         };
-        changes_nothing.then_some(RecordedAnswer { entry: self.last_change, answer: Answer::Done })
+        is_no_op.then_some(RecordedAnswer { entry: self.last_change, answer: Answer::Done })
     }
 
-    /// The answer to a document that would not take its number.
+    /// Returns the answer to a document that would not be recorded under its number; `None` if it would be.
     fn known_document_answer(&self, number: u64, source: &str) -> Option<RecordedAnswer> {
         let outcome = self.documents.classify(number, document_digest(source));
         if outcome.takes_number() {
@@ -32,7 +33,7 @@
         Some(RecordedAnswer { entry, answer: outcome.answer(self.configuration_version()) })
     }
 
-    /// Executes a command; its answer.
+    /// Executes a command and returns its answer.
     pub(super) fn execute(&mut self, command: &Command) -> Answer {
         match command {
             Command::PushConfiguration { base, text, by } => self.push_configuration(*base, text, by),
@@ -52,7 +53,7 @@
             Command::AcquireFence { duty, by } => self.advance_fence(duty, by),
             Command::AcquireFenceIfUnchanged { group, by, expected } => {
                 if self.primary_state(group) != *expected {
-                    let detail = "the primary has changed since this was planned";
+                    let detail = "the primary has changed since this promotion was planned";
                     return Answer::Rejected(ErrorCode::StaleFence.with_detail(detail));
                 }
                 self.advance_fence(&promotion_duty_key(group), by)
@@ -62,11 +63,11 @@
         }
     }
 
-    /// Puts a configuration in force if it builds on the one in force now.
+    /// Puts a configuration in force if `base` is the version in force.
     fn push_configuration(&mut self, base: Version, text: &str, author: &Name) -> Answer {
         let in_force = self.configuration_version();
         if base != in_force {
-            let detail = format!("it builds on {base}, in force is {in_force}");
+            let detail = format!("it is based on version {base}, but version {in_force} is in force");
             return Answer::Rejected(ErrorCode::ConfigurationStale.with_detail(detail));
         }
         let version = in_force + 1;
@@ -74,7 +75,7 @@
         Answer::Version(version)
     }
 
-    /// Takes the document's number if it is free. The document comes into force if its number is the highest.
+    /// Records the document if its number is unused. The document comes into force if its number is the highest so far.
     fn adopt_document(&mut self, number: u64, text: &str, source: &str, author: &Name) -> Answer {
         let digest = document_digest(source);
         let outcome = self.documents.classify(number, digest);
@@ -89,19 +90,20 @@
         outcome.answer(self.configuration_version())
     }
 
-    /// Records a server, unless a newer heartbeat of it is recorded already or it left since.
+    /// Records a server, unless a newer heartbeat of it is already recorded or the server has left since this heartbeat
+    /// was sent.
     fn register_server(&mut self, record: &ServerRecord) -> Answer {
         let known = self.servers.get(&record.server);
-        let is_newer = known.map_or_else(|| !self.is_late(record), |known| known.seq < record.seq);
+        let is_newer = known.map_or_else(|| !self.precedes_departure(record), |known| known.seq < record.seq);
         if is_newer {
-            self.remember_pushed_out(record);
+            self.record_displaced_servers(record);
             upsert_server(&mut self.servers, record);
-            self.settle_succession(record);
+            self.record_successor(record);
         }
         Answer::Done
     }
 
-    /// Dismisses a node's process. A later process of that node, enrolled by another entry, stays enrolled.
+    /// Dismisses the process of a node that entry `enrolled` enrolled. A later process of the same node stays enrolled.
     fn dismiss_node(&mut self, node: &Name, enrolled: ChangeNumber) -> Answer {
         if self.nodes.get(node) == Some(&enrolled) {
             self.nodes.remove(node);
--- a/crates/store/src/store/documents.rs
+++ b/crates/store/src/store/documents.rs
@@ -1,60 +1,62 @@
-//! Which document of the operator took which number. A number belongs to the first document that is sent under it, so a
-//! document that is sent again is recognised, and one that reuses a number is rejected.
+//! The numbers of the operator's documents. A number belongs to the first document that is submitted under it, so a
+//! document that is submitted again is recognised, and a different document under the same number is rejected.
 use crate::command::Answer;
 use quincehatch_core::{ChangeNumber, ErrorCode, Version, hash64, messages};
 use std::collections::BTreeMap;
 
-/// Numbers whose document is remembered; of more, the lowest are forgotten first.
+/// Number of documents whose digests are retained. Beyond it, those with the lowest numbers are dropped.
 pub const MAX_REMEMBERED_DOCUMENTS: usize = 4_096;
 
 messages! {
-    /// A document that took a number.
+    /// The document to which a number belongs.
     #[derive(Copy, Eq)]
     pub struct TakenNumber {
-        /// Digest of its text.
+        /// Digest of the document's text.
         pub digest: u64,
-        /// The log entry that recorded it.
+        /// Number of the log entry that recorded the document.
         pub entry: ChangeNumber
     }
 
-    /// The numbers that were taken. It is part of the replicated store, so log, snapshots and catch-up include it.
+    /// The numbers that are in use. The register is part of the replicated store, so that log, snapshots and catch-up
+    /// include it.
     #[derive(Eq, Default)]
     pub struct DocumentRegister {
-        /// The document of each number.
+        /// The document to which each number belongs.
         pub taken: BTreeMap<u64, TakenNumber>,
-        /// The highest number that was forgotten: which document took that one or a lower one is unknown.
+        /// The highest number that was dropped. For this and all lower numbers without an entry, it is unknown which
+        /// document was recorded.
         pub forgotten: Option<u64>
     }
 }
 
-/// How an offered document relates to those before it.
+/// How a submitted document relates to those that are already recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DocumentOutcome {
-    /// Its number is above all that were taken: it comes into force.
+    /// Its number is above all recorded ones, so the document comes into force.
     Newest,
-    /// Its number is free and below the highest: it takes the number and changes nothing else.
+    /// Its number is unused and below the highest, so the document is recorded but does not come into force.
     Superseded,
-    /// The same document took the number.
+    /// The same document is already recorded under the number.
     Repeated {
-        /// The entry that recorded it.
+        /// Number of the entry that recorded the document.
         entry: ChangeNumber,
     },
-    /// Another document took the number.
+    /// Another document is recorded under the number.
     NumberTaken {
-        /// The entry that recorded the other document.
+        /// Number of the entry that recorded the other document.
         entry: ChangeNumber,
     },
-    /// It is no longer known which document took the number, if one did.
+    /// The number was dropped, so it is unknown whether a document was recorded under it, and which.
     NumberForgotten,
 }
 
-/// The digest by which a document is recognised.
+/// Returns the digest by which a document is recognised.
 pub fn document_digest(source: &str) -> u64 {
     hash64(&[source.as_bytes()])
 }
 
 impl DocumentRegister {
-    /// Decides on a document without changing anything.
+    /// Returns how a document relates to the recorded ones, without recording it.
     pub fn classify(&self, number: u64, digest: u64) -> DocumentOutcome {
         match self.taken.get(&number) {
             Some(taken) if taken.digest == digest => DocumentOutcome::Repeated { entry: taken.entry },
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Records that the document took the number.
+    /// Records a document under a number, and drops the lowest numbers beyond the limit.
     pub fn record(&mut self, number: u64, document: TakenNumber) {
         self.taken.insert(number, document);
         while self.taken.len() > MAX_REMEMBERED_DOCUMENTS {
@@ -86,12 +88,13 @@
 }
 
 impl DocumentOutcome {
-    /// Does the document take its number now? Any other outcome leaves the store as it is.
+    /// Whether the document is to be recorded under its number. With any other outcome the store does not change.
     pub fn takes_number(self) -> bool {
         matches!(self, DocumentOutcome::Newest | DocumentOutcome::Superseded)
     }
 
-    /// The entry that must be committed before the answer is given; `None` if the answer rests on no single entry.
+    /// Returns the number of the entry that must be committed before the answer is sent; `None` if the answer does not
+    /// depend on a single entry.
     pub fn entry(self) -> Option<ChangeNumber> {
         match self {
             DocumentOutcome::Repeated { entry } | DocumentOutcome::NumberTaken { entry } => Some(entry),
@@ -99,11 +102,11 @@
         }
     }
 
-    /// The answer to whoever offered the document; `version` is that of the configuration in force.
+    /// Returns the answer to the client that submitted the document. `version` is that of the configuration in force.
     pub fn answer(self, version: Version) -> Answer {
         match self {
             DocumentOutcome::NumberTaken { .. } => Answer::Rejected(ErrorCode::NumberTaken.without_detail()),
-            // The same document may have taken the number, so the outcome is unknown.
+            // The same document may have been recorded under the number, so the outcome is unknown.
             DocumentOutcome::NumberForgotten => {
                 Answer::Rejected(ErrorCode::NumberForgotten.without_detail().with_unknown_outcome())
             }
--- a/crates/store/src/store/history.rs
+++ b/crates/store/src/store/history.rs
@@ -3,28 +3,29 @@
 use quincehatch_core::{Name, Version, messages};
 use std::collections::VecDeque;
 
-/// Number of configurations that are retained.
+/// Maximum number of configurations that are retained.
 const MAX_HISTORY_VERSIONS: usize = 32;
-/// Their total size: 1 MiB. The entire store is sent in one frame, so it must stay small.
+/// Maximum total size of the retained configurations (1 MiB). The entire store is sent in one frame, so it must stay
+/// small.
 const MAX_HISTORY_BYTES: usize = 1 << 20;
-/// The newest configurations are retained whatever their size: the one in force, and the one to roll back to.
+/// Number of configurations that are retained whatever their size: the one in force, and the one to roll back to.
 const MIN_HISTORY_VERSIONS: usize = 2;
 
 messages! {
     /// A configuration that was in force, or still is.
     #[derive(Eq)]
     pub struct HistoryEntry {
-        /// Its version.
+        /// Version of the configuration.
         pub version: Version,
         /// The configuration, as JSON.
         pub text: String,
-        /// Who pushed it.
+        /// Name of the operator who pushed the configuration.
         pub author: Name
     }
 }
 
 impl Store {
-    /// Puts a configuration in force, and drops the oldest ones beyond the limits.
+    /// Puts a configuration in force, and drops the oldest configurations beyond the limits.
     pub(super) fn append_history(&mut self, entry: HistoryEntry) {
         self.history.push_back(entry);
         while exceeds_limits(&self.history) {
--- a/crates/store/src/store/primaries.rs
+++ b/crates/store/src/store/primaries.rs
@@ -1,10 +1,10 @@
-//! The primaries of groups, and the fencing tokens under which they are assigned.
+//! Assignment of primaries to groups, guarded by fencing tokens.
 use crate::command::Answer;
 use crate::store::{IssuedFence, Store};
 use quincehatch_core::{Error, ErrorCode, FencingToken, Name, PrimaryAssignment};
 use quincehatch_runtime::seam::injected_bug;
 
-/// Key of the singleton role that assigns a group's primary. It is part of the data on disk.
+/// Returns the key of the singleton role that assigns a group's primary. The key is part of the data on disk.
 pub fn promotion_duty_key(group: &str) -> Name {
     Name::from(format!("lead/{group}"))
 }
@@ -17,53 +17,57 @@
         Answer::Fence(fence)
     }
 
-    /// Assigns a primary, under the newest fencing token of the group's role alone.
+    /// Assigns a primary if the assignment has the newest fencing token of the group's role.
     pub(super) fn assign_primary(&mut self, group: &Name, primary: &PrimaryAssignment) -> Answer {
         if let Err(error) = self.check_assignment(group, primary) {
             return Answer::Rejected(error);
         }
-        let mut primary = with_earlier_voters(self.primaries.get(group), primary);
-        // A promotion was planned before its servers departed, perhaps.
-        self.rename_departed(group, &mut primary);
+        let mut primary = with_current_voter_sets(self.primaries.get(group), primary);
+        // Servers may have departed since the promotion was planned.
+        self.replace_departed_servers(group, &mut primary);
         self.primaries.insert(group.clone(), primary.clone());
         Answer::Primary(primary)
     }
 
-    /// An assignment is rejected if a newer token was issued or used, or if its own token has named another server: a
-    /// primary that was closed is never opened again under its token.
+    /// Rejects an assignment if a newer token was issued or used, or if another server was assigned under the same
+    /// token: a primary that was closed is never opened again under its token.
     fn check_assignment(&self, group: &Name, primary: &PrimaryAssignment) -> Result<(), Error> {
         let newest = self.fence(&promotion_duty_key(group));
         if primary.fence < newest {
-            let detail = format!("{} is under {newest}", primary.fence);
+            let detail = format!("fencing token {} is older than {newest}", primary.fence);
             return Err(ErrorCode::StaleFence.with_detail(detail));
         }
         let Some(current) = self.primaries.get(group) else { return Ok(()) };
         if current.fence > primary.fence {
             return Err(ErrorCode::StaleFence.without_detail());
         }
-        let has_named_a_server = current.fence == primary.fence && current.server.is_some();
-        if has_named_a_server && current.server != primary.server {
-            return Err(ErrorCode::StaleFence.with_detail("this fence has named another server"));
+        let has_assigned_server = current.fence == primary.fence && current.server.is_some();
+        if has_assigned_server && current.server != primary.server {
+            return Err(
+                ErrorCode::StaleFence.with_detail("another server was assigned under this fencing token")
+            );
         }
         Ok(())
     }
 
-    /// Drops the earlier voter sets of the primary that was assigned under the token: its entire log is on two servers
-    /// of the newest set.
+    /// Drops the previous voter sets of the primary that was assigned under `fence`. The caller has verified that the
+    /// entire log is on two servers of the newest set.
     pub(super) fn drop_previous_voters(&mut self, group: &Name, fence: FencingToken) -> Answer {
         match self.primaries.get_mut(group) {
             Some(primary) if primary.fence == fence && primary.server.is_some() => {
                 primary.previous_voters.clear();
                 Answer::Primary(primary.clone())
             }
-            _ => Answer::Rejected(ErrorCode::StaleFence.with_detail("no primary is assigned under it")),
+            _ => Answer::Rejected(
+                ErrorCode::StaleFence.with_detail("no primary is assigned under this fencing token"),
+            ),
         }
     }
 }
 
-/// The assignment with all voter sets that are valid beside its own. A writer can only add a set: an assignment without
-/// voters leaves the sets as they are.
-fn with_earlier_voters(
+/// Returns the assignment together with the voter sets of the current one, which stay valid. An assignment can only add
+/// a voter set; one without voters leaves the sets unchanged.
+fn with_current_voter_sets(
     current: Option<&PrimaryAssignment>,
     primary: &PrimaryAssignment,
 ) -> PrimaryAssignment {
