--- a/crates/store/src/host.rs
+++ b/crates/store/src/host.rs
@@ -201,7 +201,7 @@
         let HostState::Running(keeper) = &self.state else { return Vec::new() };
         let view = keeper.view.clone();
         let mut outputs = self.pending.rejections();
-        outputs.push(Output::Log(format!("suspended, the disk takes no writes: {error}")));
+        outputs.push(Output::Log(format!("suspended, the disk does not accept writes: {error}")));
         self.state = HostState::Suspended(Suspension::new(now, error, view));
         outputs
     }
@@ -211,7 +211,7 @@
         keeper.set_disk_usage(self.usage);
         let mut batch = Batch::default();
         batch.add(Output::Log(format!(
-            "the disk takes writes again after {} ms, change {}",
+            "resumed, the disk accepts writes again after {} ms, at change {}",
             now - since,
             keeper.store.last_change
         )));
--- a/crates/store/src/storage/disk.rs
+++ b/crates/store/src/storage/disk.rs
@@ -53,11 +53,11 @@
             (Some(view), true) => Self::create(dir, name, view),
             (None, false) => Self::open_file_of(&file, name),
             (None, true) => Err(unusable(format_args!(
-                "{} holds no data of a keeper; --init is for the first start of all, --join for a new machine",
+                "{} contains no keeper data; --init is only for a new chain, --join for a new machine",
                 dir.display()
             ))),
             (Some(_), false) => {
-                Err(unusable(format_args!("{} holds data already; start without --init", dir.display())))
+                Err(unusable(format_args!("{} already contains data; start without --init", dir.display())))
             }
         }
     }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -94,7 +94,7 @@
 }
 
 impl Command {
-    /// Returns a hash of the command's content, by which a retry is told from a reused idempotency key.
+    /// Returns a hash of the command's content, which distinguishes a retry from a reused idempotency key.
     pub fn digest(&self) -> u64 {
         hash64(&[&borsh::to_vec(self).unwrap_or_default()])
     }
--- a/crates/store/tests/additional_voters.rs
+++ b/crates/store/tests/additional_voters.rs
@@ -1,4 +1,4 @@
-//! A chain that is to tolerate the loss of two disks has more voters than the three seeds it starts with.
+//! A chain that must tolerate the loss of two disks gets more voters than the three seeds with which it starts.
 mod cluster;
 
 use assert_matches::assert_matches;
@@ -7,7 +7,7 @@
 use quincehatch_core::Name;
 use quincehatch_store::{Answer, Reply, View};
 
-/// Keepers outside the first view: the name and the address of each.
+/// Names and addresses of the keepers outside the first view.
 const SPARES: [(&str, &str); 5] =
     [("d:1#1", "d:1"), ("e:1#2", "e:1"), ("f:1#3", "f:1"), ("g:1#4", "g:1"), ("h:1#5", "h:1")];
 
@@ -27,7 +27,7 @@
     cluster.reply_to(number)
 }
 
-/// The machine restarts with an empty disk: as another keeper at the same address.
+/// Restarts a machine with an empty disk, as another keeper at the same address.
 fn wipe(cluster: &mut Cluster, name: &Name) {
     let addr = cluster.view("a:1").addr(name).cloned().unwrap();
     cluster.keepers.remove(name);
@@ -67,9 +67,9 @@
     for name in members.iter().filter(|member| *member != "a:1").take(2) {
         wipe(&mut cluster, name);
     }
-    // The others restart from their disks.
-    let others: Vec<Name> = cluster.keepers.keys().filter(|name| !name.contains("#w")).cloned().collect();
-    for name in others {
+    // The other keepers restart with their disks.
+    let remaining: Vec<Name> = cluster.keepers.keys().filter(|name| !name.contains("#w")).cloned().collect();
+    for name in remaining {
         let addr = cluster.addr(&name);
         cluster.keepers.remove(&name);
         cluster.start(&name, &addr, &SEEDS, View::default());
--- a/crates/store/tests/catch_up.rs
+++ b/crates/store/tests/catch_up.rs
@@ -1,4 +1,4 @@
-//! A member that lacks more than one message holds, or more than the log holds, catches up.
+//! Catch-up of members that lack more entries than one message or the whole log contains.
 mod cluster;
 mod samples;
 
@@ -10,10 +10,10 @@
 use std::time::Instant;
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
-/// Bytes allowed for the fields beside the entries or the bytes of a snapshot.
-const ENVELOPE: usize = 8 << 10;
+/// Bytes allowed for the fields of a message other than the entries or the snapshot part.
+const MAX_ENVELOPE_BYTES: usize = 8 << 10;
 
-/// A chain that serves, and whose member `behind` is out of the view.
+/// Returns a chain that serves and from whose view the stopped keeper `behind` was removed.
 fn chain_without(behind: &str) -> Cluster {
     let mut cluster = Cluster::new(&NAMES);
     cluster.run_for(3_000);
@@ -37,13 +37,13 @@
     Command::AcquireFence { duty: format!("duty/{}", number % 7).into(), by: "t".into() }
 }
 
-/// The longest message sent from now on until `name` holds the change, in bytes.
+/// Runs until `name` has the change, and returns the length of the longest message sent meanwhile, in bytes.
 fn longest_message_until(cluster: &mut Cluster, name: &str, change: ChangeNumber) -> usize {
-    cluster.sent_lengths.clear();
+    cluster.sent_frame_lengths.clear();
     for _ in 0..50 {
         cluster.run_for(200);
         if cluster.keepers[name].store.last_change >= change && cluster.keepers[name].view.is_member(name) {
-            return cluster.sent_lengths.iter().copied().max().unwrap_or_default();
+            return cluster.sent_frame_lengths.iter().copied().max().unwrap_or_default();
         }
     }
     panic!(
@@ -82,13 +82,13 @@
     }
     cluster.down.clear();
     let longest = longest_message_until(&mut cluster, "c", 2_000);
-    assert!(longest > TRANSFER_MAX_BYTES, "the snapshot took one part: {longest}");
-    assert!(longest <= TRANSFER_MAX_BYTES + ENVELOPE, "{longest}");
+    assert!(longest > TRANSFER_MAX_BYTES, "the snapshot was sent in one part: {longest}");
+    assert!(longest <= TRANSFER_MAX_BYTES + MAX_ENVELOPE_BYTES, "{longest}");
     cluster.run_for(1_000);
     assert_caught_up(&cluster, "c");
 }
 
-/// A chain whose head took `changes` while its messages to the others were lost.
+/// Returns a chain whose head has appended `changes` entries while its messages to the other members were lost.
 fn chain_behind_its_head(changes: u64) -> Cluster {
     let mut cluster = Cluster::new(&NAMES);
     cluster.run_for(3_000);
@@ -107,29 +107,29 @@
     cluster
 }
 
-/// Members within the view lack more entries than go into a message.
+/// Members of the view lack more entries than fit into one message.
 #[test]
 fn messages_stay_far_below_the_longest_frame_when_members_lack_many_entries() {
     let mut cluster = chain_behind_its_head(20);
     let longest = longest_message_until(&mut cluster, "c", 20);
-    assert!(longest <= TRANSFER_MAX_BYTES + ENVELOPE, "{longest}");
+    assert!(longest <= TRANSFER_MAX_BYTES + MAX_ENVELOPE_BYTES, "{longest}");
     for name in NAMES {
         assert_caught_up(&cluster, name);
     }
 }
 
-/// Members within the view lack more than the log holds.
+/// Members of the view lack more entries than the log contains.
 #[test]
 fn members_get_a_snapshot_in_parts_when_they_lack_more_than_the_log_holds() {
     let mut cluster = chain_behind_its_head(60);
     let longest = longest_message_until(&mut cluster, "c", 60);
-    assert!(longest <= TRANSFER_MAX_BYTES + ENVELOPE, "{longest}");
+    assert!(longest <= TRANSFER_MAX_BYTES + MAX_ENVELOPE_BYTES, "{longest}");
     for name in NAMES {
         assert_caught_up(&cluster, name);
     }
 }
 
-/// Messages are lost, some of the parts among them.
+/// Some parts of the snapshot are lost.
 #[test]
 fn a_snapshot_is_requested_again_when_parts_of_it_are_lost() {
     let mut cluster = chain_without("c");
@@ -138,9 +138,9 @@
         write(&mut cluster, number, command);
     }
     cluster.down.clear();
-    cluster.snapshot_parts_to_lose = 3;
+    cluster.remaining_snapshot_losses = 3;
     longest_message_until(&mut cluster, "c", 700);
-    assert_eq!(cluster.snapshot_parts_to_lose, 0);
+    assert_eq!(cluster.remaining_snapshot_losses, 0);
     cluster.run_for(1_000);
     assert_caught_up(&cluster, "c");
 }
@@ -156,12 +156,12 @@
             write(&mut cluster, number, adopt(number, document(number)));
         }
         cluster.down.clear();
-        let began = Instant::now();
+        let started_at = Instant::now();
         let longest = longest_message_until(&mut cluster, "c", changes);
-        let (took, sent) = (began.elapsed().as_millis(), &cluster.sent_lengths);
+        let (elapsed_ms, sent) = (started_at.elapsed().as_millis(), &cluster.sent_frame_lengths);
         let full: Vec<usize> = sent.iter().copied().filter(|length| *length > 1_000).collect();
         let (bytes, messages) = (full.iter().sum::<usize>(), full.len());
         let log = cluster.keepers["a"].status().log.bytes;
-        println!("| {changes} | {bytes} | {messages} | {longest} | {took} | {log} |");
+        println!("| {changes} | {bytes} | {messages} | {longest} | {elapsed_ms} | {log} |");
     }
 }
--- a/crates/store/tests/chain.rs
+++ b/crates/store/tests/chain.rs
@@ -1,4 +1,4 @@
-//! The chain and its view: idempotent writes, loss of a majority, changes of the voters by an operator.
+//! The chain and its view: idempotent writes, loss of a majority, and changes of the voters by an operator.
 mod cluster;
 
 use assert_matches::assert_matches;
@@ -39,7 +39,7 @@
     assert!(!cluster.keepers["k3"].is_serving());
 }
 
-/// A disk is lost: its voter is removed, and another is added under a new name (docs/operate.md).
+/// The operator removes a voter that lost its disk, and adds another under a new name (docs/operate.md).
 #[test]
 fn a_voter_is_removed_and_another_added_by_the_operator() {
     let mut cluster = Cluster::new(&["k1", "k2", "k3"]);
--- a/crates/store/tests/cluster/mod.rs
+++ b/crates/store/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! Keepers connected by a simulated network in virtual time, each reached at its address.
+//! Keepers that are connected by a simulated network and run in virtual time.
 #![allow(dead_code)]
 pub mod three_keepers;
 
@@ -9,21 +9,21 @@
 };
 use std::collections::{BTreeMap, VecDeque};
 
-/// A replacement must hold the whole store this long after its start.
-pub const CATCH_UP: Millis = 4_000;
-/// Virtual time when a network starts; 0 would be "never" to the keepers.
+/// Time after its start within which a replacement must have the whole store, in milliseconds.
+pub const CATCH_UP_TIME: Millis = 4_000;
+/// Virtual time at which a cluster starts. It is not 0, because keepers use 0 for events that have never happened.
 pub const START: Millis = 1_000;
-/// Time between two ticks of each keeper.
+/// Interval between two ticks of each keeper.
 const TICK: Millis = 20;
 
-/// A message on its way.
+/// A message that was sent and not yet delivered.
 pub struct InFlight {
     pub from: Name,
     pub to: Name,
     pub message: PeerMessage,
 }
 
-/// A reply that left a keeper.
+/// A reply that a keeper sent to a client.
 #[derive(Debug)]
 pub struct SentReply {
     pub token: u64,
@@ -34,23 +34,23 @@
 pub struct Cluster {
     pub now: Millis,
     pub keepers: BTreeMap<Name, Keeper>,
-    /// Which keeper runs at an address.
+    /// The keeper that runs at each address.
     pub running_at: BTreeMap<Name, Name>,
-    /// Keepers that do not run.
+    /// Keepers that are stopped.
     pub down: Vec<Name>,
     pub in_flight: VecDeque<InFlight>,
-    /// So many of the next parts of snapshots are lost.
-    pub snapshot_parts_to_lose: usize,
-    /// Lengths of the frames that were sent with entries or with parts of snapshots.
-    pub sent_lengths: Vec<usize>,
+    /// Number of snapshot parts that are still to be lost.
+    pub remaining_snapshot_losses: usize,
+    /// Lengths of the sent frames that contain entries or parts of snapshots.
+    pub sent_frame_lengths: Vec<usize>,
     pub replies: Vec<SentReply>,
-    /// What each keeper's disk holds.
+    /// The durable state of each keeper.
     pub disks: BTreeMap<Name, RecoveredState>,
     /// Keepers that receive no messages.
     pub unreachable: Vec<Name>,
-    /// Keepers that are partitioned from all others; clients still reach them.
+    /// Keepers that are partitioned from all other keepers; clients still reach them.
     pub partitioned: Vec<Name>,
-    /// Losses of disks at the same time that lose no data; one by default.
+    /// Number of disks that may be lost at the same time without a loss of data; 1 if `None`.
     pub tolerated_losses: Option<usize>,
 }
 
@@ -59,7 +59,7 @@
 }
 
 impl Cluster {
-    /// Keepers that start from a given view.
+    /// Starts these keepers, all with a first view that contains them.
     pub fn new(names: &[&str]) -> Self {
         let members = names.iter().map(|name| Name::from(*name)).collect();
         let voters = names.iter().map(|name| voter(name)).collect();
@@ -71,7 +71,7 @@
         cluster
     }
 
-    /// Adds a keeper with an empty disk but for the view.
+    /// Starts a new keeper whose disk contains only the view.
     pub fn add(&mut self, name: &str, view: View) {
         self.disks.insert(name.into(), RecoveredState { view, ..Default::default() });
         self.restart(name);
@@ -83,7 +83,8 @@
         self.insert(name, name, keeper);
     }
 
-    /// Starts a keeper that finds its place by itself: from its disk, if that holds anything, otherwise with `view`.
+    /// Starts a keeper that discovers the other keepers through the seeds. It starts from its disk if there is one,
+    /// otherwise with `view`.
     pub fn start(&mut self, name: &str, addr: &str, seeds: &[&str], view: View) {
         let empty = RecoveredState { view, ..Default::default() };
         let recovered = self.disks.entry(name.into()).or_insert(empty).clone();
@@ -91,7 +92,7 @@
         let settings = DiscoverySettings {
             at: addr.into(),
             seeds: seeds.iter().map(|seed| Name::from(*seed)).collect(),
-            replace_after: timing::replace_after(CATCH_UP),
+            replace_after: timing::replace_after(CATCH_UP_TIME),
             voter_count: 2 * tolerated_losses + 1,
         };
         let keeper = Keeper::new(name.into(), self.now, recovered)
@@ -105,14 +106,14 @@
         self.keepers.insert(name.into(), keeper);
     }
 
-    /// Hands one input to a keeper that is up, and carries out what comes of it.
+    /// Passes one input to a keeper, unless it is stopped, and processes its outputs.
     pub fn step(&mut self, name: &str, input: Input) {
         if self.down.iter().any(|down| down == name) {
             return;
         }
         let Some(keeper) = self.keepers.get_mut(name) else { return };
         let outputs = keeper.step(self.now, input);
-        // The addresses are looked up before any output is carried out, as the keeper's driver does.
+        // The addresses are looked up before any output is processed, as in the keeper's driver.
         let keeper = &self.keepers[name];
         let addressed: Vec<(Option<Name>, Output)> =
             outputs.into_iter().map(|output| (receiver_addr(keeper, &output), output)).collect();
@@ -128,13 +129,13 @@
 
     fn transmit(&mut self, from: &str, addr: Option<Name>, message: PeerMessage) {
         let is_part = matches!(message, PeerMessage::Snapshot { .. });
-        if self.snapshot_parts_to_lose > 0 && is_part {
-            self.snapshot_parts_to_lose -= 1;
+        if self.remaining_snapshot_losses > 0 && is_part {
+            self.remaining_snapshot_losses -= 1;
             return;
         }
         if is_part || matches!(message, PeerMessage::AppendEntries { .. }) {
             let frame = KeeperRequest::Peer { from: from.into(), message: message.clone() };
-            self.sent_lengths.push(borsh::to_vec(&frame).unwrap().len());
+            self.sent_frame_lengths.push(borsh::to_vec(&frame).unwrap().len());
         }
         if let Some(to) = addr.and_then(|addr| self.running_at.get(&addr).cloned()) {
             self.in_flight.push_back(InFlight { from: from.into(), to, message });
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances virtual time: ticks all keepers, and delivers the messages in flight after each tick.
     pub fn run_for(&mut self, time: Millis) {
         let end = self.now + time;
         while self.now < end {
@@ -182,7 +183,7 @@
         self.step(name, Input::Request { token, request });
     }
 
-    /// Enrolls a node's process; returns the number of the entry that did.
+    /// Enrolls a node's process and returns the number of the entry that enrolled it.
     pub fn enroll(&mut self, node: &str, token: u64) -> ChangeNumber {
         let head = self.head().unwrap();
         let command = Command::EnrollNode { node: node.into(), incarnation: token };
@@ -194,7 +195,7 @@
         }
     }
 
-    /// A node's poll at the tail.
+    /// Sends a node's poll to the tail.
     pub fn poll(&mut self, node: &str, token: u64, enrolled: ChangeNumber, last_change: ChangeNumber) {
         let tail = self.tail().unwrap();
         let request =
@@ -202,7 +203,7 @@
         self.request(&tail, token, request);
     }
 
-    /// The first reply to a request.
+    /// Returns the first reply to a request.
     pub fn reply_to(&self, token: u64) -> Option<Reply> {
         self.replies.iter().find(|sent| sent.token == token).map(|sent| sent.reply.clone())
     }
@@ -211,21 +212,21 @@
         &self.keepers[name].view
     }
 
-    /// The address at which a keeper runs.
+    /// Returns the address at which a keeper runs.
     pub fn addr(&self, name: &Name) -> Name {
         let mut addrs = self.running_at.iter();
         addrs.find(|(_, running)| *running == name).map(|(addr, _)| addr.clone()).unwrap()
     }
 
-    /// The keeper that serves as the tail.
+    /// Returns the keeper that serves as the tail, unless it is stopped or partitioned.
     pub fn tail(&self) -> Option<Name> {
-        let is_reached =
+        let is_reachable =
             |keeper: &&Keeper| !self.down.contains(&keeper.name) && !self.partitioned.contains(&keeper.name);
-        let mut reached = self.keepers.values().filter(is_reached);
-        reached.find(|keeper| keeper.can_commit()).map(|keeper| keeper.name.clone())
+        let mut reachable = self.keepers.values().filter(is_reachable);
+        reachable.find(|keeper| keeper.can_commit()).map(|keeper| keeper.name.clone())
     }
 
-    /// The head of the view that is served.
+    /// Returns the head of the view of the serving tail.
     pub fn head(&self) -> Option<Name> {
         let tail = self.tail()?;
         self.view(&tail).head().cloned()
--- a/crates/store/tests/departures.rs
+++ b/crates/store/tests/departures.rs
@@ -1,4 +1,4 @@
-//! Servers that left: who has their logs, and which of their heartbeats come late.
+//! Departed servers: the successors that have their logs, and heartbeats that arrive after the departure.
 use quincehatch_core::{Name, PrimaryAssignment, Role, ServerRecord};
 use quincehatch_store::feed::FeedEvent;
 use quincehatch_store::store::{MAX_DEPARTURES, promotion_duty_key};
@@ -6,7 +6,7 @@
 
 const GROUP: &str = "g";
 
-/// A store, and a node that follows its feed from the start.
+/// A store, and a node that follows its feed from the first change.
 #[derive(Default)]
 struct Followed {
     store: Store,
@@ -36,7 +36,7 @@
         let entry = Entry { number, key: format!("{number}").into(), command };
         let applied = self.store.apply_with_event(&entry).unwrap();
         assert!(self.node.apply(&Change { number, event: applied.event }));
-        assert_eq!(self.node.primaries, self.store.primaries, "a node knows the voters as the store does");
+        assert_eq!(self.node.primaries, self.store.primaries, "the node and the store agree on the voters");
         assert_eq!(self.node.servers, self.store.servers);
         applied.answer
     }
@@ -49,7 +49,7 @@
         assert_eq!(self.write(Command::DeregisterServer { server: server.into() }), Answer::Done);
     }
 
-    /// Closes the primary `demoted`, as a promotion planned with these voters does, then assigns `server`.
+    /// Assigns `server` as the primary in place of `demoted`, as a promotion planned with these voters does.
     fn assign(&mut self, server: &str, demoted: Option<&str>, voters: &[&str]) {
         let command = Command::AcquireFence { duty: promotion_duty_key(GROUP), by: "n".into() };
         let Answer::Fence(fence) = self.write(command) else { panic!("no fence") };
@@ -70,7 +70,7 @@
     }
 }
 
-/// Three servers at addresses of their own; a is the primary.
+/// Returns a group of three servers with different addresses, of which `a` is the primary.
 fn group_of_three() -> Followed {
     let mut followed = Followed::default();
     for (server, addr) in [("a", "1"), ("b", "2"), ("c", "3")] {
@@ -80,12 +80,13 @@
     followed
 }
 
-/// Drawn seed 9410978: the node that knew who had whose log was restarted, and no promotion could prove its choice.
+/// Simulator seed 9410978: successors were known only to a node that was restarted, and after that no promotion could
+/// prove that its candidate had all acknowledged commits.
 #[test]
-fn a_successor_takes_its_predecessors_place_when_that_left_in_order() {
+fn a_successor_replaces_its_predecessor_as_voter_after_a_graceful_shutdown() {
     let mut followed = group_of_three();
     followed.deregister("b");
-    assert_eq!(followed.voters(), names(&["a", "b", "c"]), "nobody has its log yet");
+    assert_eq!(followed.voters(), names(&["a", "b", "c"]), "its log has no successor yet");
     followed.register(record("b2", "2", 1));
     assert_eq!(followed.voters(), names(&["a", "b2", "c"]));
     followed.register(ServerRecord { draining: true, ..record("b2", "2", 2) });
@@ -93,19 +94,19 @@
     assert_eq!(
         followed.voters(),
         names(&["a", "b3", "c"]),
-        "a record that drains was pushed out of its address"
+        "the record at the address was draining, so its server shut down gracefully"
     );
 }
 
 #[test]
-fn a_server_that_was_pushed_out_without_a_word_keeps_its_place() {
+fn a_server_that_loses_its_address_without_draining_remains_a_voter() {
     let mut followed = group_of_three();
     followed.register(record("x", "2", 1));
-    assert_eq!(followed.voters(), names(&["a", "b", "c"]), "it took its log with it");
+    assert_eq!(followed.voters(), names(&["a", "b", "c"]), "its log stays with the server itself");
 }
 
 #[test]
-fn a_promotion_planned_before_a_succession_names_the_successor() {
+fn an_assignment_that_names_departed_servers_is_stored_with_their_successors() {
     let mut followed = group_of_three();
     followed.deregister("a");
     followed.deregister("b");
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn the_assigned_server_itself_is_never_renamed() {
+fn the_assigned_primary_is_not_replaced_by_its_successor() {
     let mut followed = group_of_three();
     followed.deregister("a");
     followed.register(record("a2", "1", 1));
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn a_server_that_joined_late_and_left_counts_until_its_successor_is_known() {
+fn a_server_that_joined_after_the_assignment_becomes_a_voter_when_it_departs() {
     let mut followed = group_of_three();
     followed.register(record("d", "4", 1));
     assert_eq!(followed.voters(), names(&["a", "b", "c"]));
@@ -137,9 +138,9 @@
     assert_eq!(followed.voters(), names(&["a", "b", "c", "d2"]));
 }
 
-/// A heartbeat that comes seconds late must not bring back a server that said it is gone.
+/// A heartbeat that arrives seconds late must not register a server again that has deregistered.
 #[test]
-fn a_late_heartbeat_brings_back_no_server_that_left() {
+fn a_delayed_heartbeat_does_not_register_a_departed_server_again() {
     let mut followed = group_of_three();
     followed.deregister("b");
     for late in [9, 10, 11, 74] {
@@ -152,7 +153,7 @@
     followed.register(record("b", "2", 12));
     assert!(followed.store.servers.contains_key("b2"), "its successor keeps the address");
     followed.register(record("b", "5", 75));
-    assert!(followed.store.servers.contains_key("b"), "it lives, at another address");
+    assert!(followed.store.servers.contains_key("b"), "it is running again, at another address");
 }
 
 #[test]
@@ -177,7 +178,7 @@
 }
 
 #[test]
-fn a_store_written_before_departures_were_kept_is_read() {
+fn a_store_of_a_version_without_departures_is_read() {
     let followed = group_of_three();
     assert!(followed.store.departures.is_empty());
     let mut bytes = borsh::to_vec(&followed.store).unwrap();
@@ -187,7 +188,7 @@
 }
 
 #[test]
-fn other_groups_of_a_reused_address_follow_too() {
+fn a_departure_is_recorded_when_a_server_of_another_group_takes_over_the_address() {
     let mut followed = group_of_three();
     followed.register(ServerRecord { draining: true, ..record("d", "4", 1) });
     let other = ServerRecord { group: "h".into(), ..record("x", "4", 1) };
@@ -198,5 +199,5 @@
         panic!("{:?}", applied.event)
     };
     assert_eq!(registered.as_ref(), Some(&other));
-    assert_eq!(primaries[GROUP].voters, names(&["a", "b", "c", "d"]), "who has its log is not known");
+    assert_eq!(primaries[GROUP].voters, names(&["a", "b", "c", "d"]), "the successor of d is not known");
 }
--- a/crates/store/tests/discovery.rs
+++ b/crates/store/tests/discovery.rs
@@ -1,9 +1,10 @@
-//! Keepers that find one another: first view, lost disks, spares, and the fewest replicas that commit.
+//! Discovery between keepers: the first view, lost disks, spare keepers, and the minimum number of replicas for a
+//! commit.
 mod cluster;
 
 use assert_matches::assert_matches;
 use cluster::three_keepers::{SEEDS, adopt, adopted, first_view, serving_cluster};
-use cluster::{CATCH_UP, Cluster, START};
+use cluster::{CATCH_UP_TIME, Cluster, START};
 use quincehatch_core::{Name, Role, ServerRecord};
 use quincehatch_store::{Answer, Command, Reply, Request, View, timing};
 
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn a_keeper_takes_its_old_place_under_a_new_name_when_its_disk_was_wiped() {
+fn a_keeper_with_a_wiped_disk_rejoins_as_a_voter_under_a_new_name() {
     let mut cluster = serving_cluster();
     write(&mut cluster, 1, "k", adopt(7));
     cluster.run_for(100);
@@ -36,7 +37,7 @@
     let view = cluster.view("a:1").clone();
     assert!(view.is_voter("b:1#f") && !view.is_voter("b:1") && view.is_member("b:1#f"), "{view:?}");
     assert_eq!(view.voters.len(), 3);
-    // It holds the whole store and votes: another may be lost now.
+    // It has the whole store and votes, so another keeper may be lost now.
     assert_eq!(cluster.keepers["b:1#f"].store.adopted, cluster.keepers["a:1"].store.adopted);
     cluster.down = vec!["a:1".into()];
     cluster.run_for(4_000);
@@ -49,7 +50,7 @@
 #[test]
 fn a_keeper_never_votes_under_its_old_name_when_its_disk_was_wiped() {
     let mut cluster = serving_cluster();
-    // Only a still has its disk: no majority, whatever the wiped ones answer.
+    // Only a has its disk, so there is no majority, whatever the wiped keepers answer.
     cluster.down = vec!["b:1".into(), "c:1".into()];
     cluster.start("b:1#f", "b:1", &SEEDS, View::default());
     cluster.start("c:1#f", "c:1", &SEEDS, View::default());
@@ -63,15 +64,15 @@
     let mut cluster = serving_cluster();
     cluster.start("d:1#s", "d:1", &SEEDS, View::default());
     cluster.run_for(12_000);
-    assert_eq!(cluster.view("d:1#s").voters, first_view().voters, "it knows the view, and stays outside");
+    assert_eq!(cluster.view("d:1#s").voters, first_view().voters, "it knows the view and remains outside");
     cluster.down = vec!["c:1".into()];
-    let replace_after = timing::replace_after(CATCH_UP);
+    let replace_after = timing::replace_after(CATCH_UP_TIME);
     cluster.run_for(replace_after - 20);
     assert!(!cluster.view("a:1").is_voter("d:1#s"), "too soon");
-    cluster.run_for(CATCH_UP - replace_after);
+    cluster.run_for(CATCH_UP_TIME - replace_after);
     let view = cluster.view("a:1").clone();
     assert!(view.is_member("d:1#s") && !view.is_voter("c:1"), "{view:?}");
-    // The lost one comes back with its disk: it learns that it is outside the view, and stays there.
+    // The lost keeper returns with its disk, learns that it is outside the view, and remains outside.
     cluster.down.clear();
     cluster.run_for(6_000);
     assert_eq!(cluster.view("c:1").voters, cluster.view("a:1").voters);
@@ -79,7 +80,7 @@
 }
 
 #[test]
-fn a_keeper_does_not_replace_the_others_when_it_was_suspended_itself() {
+fn a_keeper_does_not_replace_its_peers_when_it_was_suspended_itself() {
     let mut cluster = serving_cluster();
     cluster.start("d:1#s", "d:1", &SEEDS, View::default());
     cluster.run_for(2_000);
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn a_keeper_at_another_address_takes_the_place_when_a_voter_is_lost() {
+fn a_keeper_at_another_address_replaces_a_lost_voter() {
     let mut cluster = serving_cluster();
     cluster.keepers.remove("a:1");
     cluster.running_at.remove("a:1");
@@ -108,7 +109,7 @@
     let mut cluster = serving_cluster();
     write(&mut cluster, 1, "k", adopt(7));
     cluster.run_for(100);
-    // b and c are down for a while: a commits nothing alone.
+    // While b and c are down, a alone commits nothing.
     cluster.down = vec!["b:1".into(), "c:1".into()];
     cluster.run_for(1_500);
     cluster.request("a:1", 2, Request::Write { key: "k2".into(), command: adopt(8) });
@@ -123,10 +124,10 @@
 }
 
 #[test]
-fn a_chain_of_one_hands_out_nothing_until_another_member_has_joined() {
+fn a_chain_of_one_commits_nothing_and_answers_no_reads_until_another_member_has_joined() {
     let mut cluster = Cluster { now: START, ..Default::default() };
     let alone = View { version: 2, members: vec!["a:1".into()], ..first_view() };
-    // c is down; b votes and has yet to fetch what a holds.
+    // c is down; b votes but must first fetch the store from a.
     cluster.start("a:1", "a:1", &SEEDS, alone.clone());
     cluster.start("b:1", "b:1", &SEEDS, alone);
     cluster.request("a:1", 1, Request::Write { key: "k".into(), command: adopt(7) });
@@ -140,7 +141,7 @@
         assert_matches!(cluster.reply_to(100 + steps), Some(Reply::Redirect { .. }));
         assert_eq!((cluster.keepers["a:1"].committed, cluster.reply_to(1)), (0, None));
     }
-    assert!(served_steps > 0, "it held the view lease alone");
+    assert!(served_steps > 0, "a held the view lease as the only member");
     cluster.run_for(4_500);
     assert_eq!(cluster.view("a:1").members, ["a:1", "b:1"]);
     assert_matches!(cluster.reply_to(1), Some(Reply::Answer { answer: Answer::Version(1), .. }));
@@ -152,7 +153,7 @@
     let mut cluster = serving_cluster();
     write(&mut cluster, 1, "k", adopt(7));
     cluster.run_for(40);
-    // One loses its disk, the others only restart.
+    // b loses its disk; a and c restart with theirs.
     cluster.keepers.clear();
     cluster.in_flight.clear();
     cluster.start("a:1", "a:1", &SEEDS, View::default());
@@ -205,13 +206,13 @@
     let enrolled = cluster.enroll("n1", 1);
     cluster.poll("n1", 9, enrolled, enrolled);
     cluster.run_for(100);
-    let began = cluster.now;
+    let started_at = cluster.now;
     write(&mut cluster, 2, "k", adopt(7));
     while cluster.reply_to(2).is_none() {
         cluster.run_for(20);
     }
-    assert!((1_200..1_400).contains(&(cluster.now - began)), "{}", cluster.now - began);
-    // Repeated with the same key, it is answered at once.
+    assert!((1_200..1_400).contains(&(cluster.now - started_at)), "{}", cluster.now - started_at);
+    // A retry with the same key is answered within one tick.
     write(&mut cluster, 3, "k", adopt(7));
     cluster.run_for(20);
     assert_matches!(cluster.reply_to(3), Some(Reply::Answer { answer: Answer::Version(1), .. }));
--- a/crates/store/tests/disk.rs
+++ b/crates/store/tests/disk.rs
@@ -1,4 +1,4 @@
-//! The data directory of a keeper: what it keeps through restarts, and what it rejects.
+//! The data directory of a keeper: recovery after restarts, and rejection of unusable directories.
 use quincehatch_core::{ErrorCode, hash64};
 use quincehatch_store::entry_log::PackedEntry;
 use quincehatch_store::record::Record;
@@ -9,7 +9,7 @@
 
 const KEEPER: &str = "k1";
 
-/// A directory that is removed with the test.
+/// A directory that is removed when the test ends.
 struct TestDirectory(PathBuf);
 
 impl TestDirectory {
@@ -23,12 +23,12 @@
         self.0.join("keeper.redb")
     }
 
-    /// Opens the directory of the keeper, which exists.
+    /// Opens the existing directory of the keeper.
     fn open(&self) -> OpenedDisk {
         Disk::open(&self.0, KEEPER, None).unwrap()
     }
 
-    /// Creates the data of the keeper, with three entries.
+    /// Creates the directory of the keeper with three entries.
     fn fill(&self) {
         let mut disk = Disk::open(&self.0, KEEPER, Some(first_view())).unwrap().disk;
         for number in 1..=3 {
@@ -90,19 +90,19 @@
 #[test]
 fn directory_is_rejected_when_empty_or_in_use_or_of_another_keeper() {
     let directory = TestDirectory::new("rejected");
-    directory.assert_rejected(KEEPER, None, "holds no data of a keeper");
+    directory.assert_rejected(KEEPER, None, "contains no keeper data");
     directory.fill();
-    directory.assert_rejected(KEEPER, Some(first_view()), "holds data already");
+    directory.assert_rejected(KEEPER, Some(first_view()), "already contains data");
     directory.assert_rejected("k2", None, "belongs to the keeper \"k1\"");
 }
 
-/// Where the bytes of the second entry's text stand in the file.
+/// Returns an offset of the second entry's text in the file.
 fn find_entry_text(file: &[u8]) -> Option<usize> {
     const TEXT: &[u8] = b"text 2";
     file.windows(TEXT.len()).position(|window| window == TEXT)
 }
 
-fn assert_damage_is_noticed(name: &str, damage: impl Fn(&mut Vec<u8>)) {
+fn assert_damage_is_detected(name: &str, damage: impl Fn(&mut Vec<u8>)) {
     let directory = TestDirectory::with_three_entries(name);
     let intact = std::fs::read(directory.file()).unwrap();
     let mut damaged = intact.clone();
@@ -114,11 +114,11 @@
 
 #[test]
 fn file_is_rejected_when_torn_or_damaged() {
-    assert_damage_is_noticed("torn", |file| file.truncate(file.len() / 2));
-    assert_damage_is_noticed("header", |file| file[..64].fill(7));
-    assert_damage_is_noticed("text", |file| {
+    assert_damage_is_detected("torn", |file| file.truncate(file.len() / 2));
+    assert_damage_is_detected("header", |file| file[..64].fill(7));
+    assert_damage_is_detected("text", |file| {
         assert!(find_entry_text(file).is_some());
-        // Pages that were replaced may hold the record too: every copy of it is damaged.
+        // Replaced pages may still contain the record, so every copy of it is damaged.
         while let Some(offset) = find_entry_text(file) {
             file[offset] = b'T';
         }
@@ -142,7 +142,7 @@
     assert_eq!(std::fs::read_dir(&directory.0).unwrap().count(), 1);
 }
 
-/// The file is moved away for a while, which fails as a disk that takes no writes does.
+/// The file is moved away for a while, which has the same effect as a disk that does not accept writes.
 #[test]
 fn directory_is_recovered_when_the_file_can_be_opened_again() {
     let directory = TestDirectory::with_three_entries("recover");
@@ -163,7 +163,7 @@
     assert_eq!(directory.open().state.store.last_change, 4);
 }
 
-/// Earlier versions kept the store and the entries unpacked.
+/// Earlier versions stored the store and the entries uncompressed.
 #[test]
 fn directory_of_an_earlier_version_is_read_and_replaced_by_the_first_snapshot() {
     let directory = TestDirectory::new("earlier");
--- a/crates/store/tests/disk_reserve.rs
+++ b/crates/store/tests/disk_reserve.rs
@@ -1,4 +1,4 @@
-//! The last part of a nearly full disk is reserved for small records.
+//! The last quarter of the allowed disk size is reserved for small records.
 mod cluster;
 mod samples;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn new_documents_are_rejected_and_all_else_is_answered_when_the_reserve_is_touched() {
+fn new_documents_are_rejected_and_other_requests_are_answered_when_the_reserve_is_in_use() {
     let mut cluster = Cluster::new(&["a", "b", "c"]);
     cluster.run_for(3_000);
     assert_matches!(write(&mut cluster, 1, "first", adopt(1, document(1))), Some(Reply::Answer { .. }));
--- a/crates/store/tests/disk_space.rs
+++ b/crates/store/tests/disk_space.rs
@@ -1,4 +1,4 @@
-//! The data directory stays small, however many documents were adopted.
+//! The size of the data directory stays limited, however many documents are adopted.
 mod samples;
 
 use quincehatch_store::entry_log::PackedEntry;
@@ -54,7 +54,7 @@
     let mut store = Store::default();
     let mut largest = 0;
     for number in 1..=400 {
-        // Documents that hardly compress are the worst case.
+        // Documents that are barely compressible are the worst case.
         save_change(&mut disk, &mut store, if number % 2 == 0 { noise(number) } else { document(number) });
         largest = largest.max(disk.usage().used);
         assert!(!disk.usage().is_reserve_touched(), "change {number}: {:?}", disk.usage());
@@ -65,7 +65,7 @@
     assert_eq!(state.store, store);
 }
 
-/// The size of the log counts from what the file holds, not from the start of the process.
+/// The size of the log includes the entries from before the start of the process.
 #[test]
 fn the_directory_stays_small_when_the_process_restarts_after_every_change() {
     let allowed = 16 * MIB;
@@ -102,21 +102,24 @@
     let directory = DataDirectory::new("table");
     let mut disk = directory.create(allowed);
     let mut store = Store::default();
-    let began = Instant::now();
+    let started_at = Instant::now();
     println!("| changes | file bytes | largest so far | log in memory, bytes | load ms | ms a change |");
     let mut largest = 0;
     for number in 1..=5_000 {
         save_change(&mut disk, &mut store, document(number));
         largest = largest.max(disk.usage().used);
         if [10, 100, 300, 1_000, 5_000].contains(&number) {
-            let a_change = began.elapsed().as_millis() as f64 / number as f64;
+            let ms_per_change = started_at.elapsed().as_millis() as f64 / number as f64;
             let used = disk.usage().used;
             drop(disk);
-            let opened = Instant::now();
+            let load_started_at = Instant::now();
             let OpenedDisk { disk: reopened, state, .. } = directory.open(allowed);
-            let load = opened.elapsed().as_millis();
+            let load_ms = load_started_at.elapsed().as_millis();
             disk = reopened;
-            println!("| {number} | {used} | {largest} | {} | {load} | {a_change:.1} |", state.log.bytes());
+            println!(
+                "| {number} | {used} | {largest} | {} | {load_ms} | {ms_per_change:.1} |",
+                state.log.bytes()
+            );
         }
     }
 }
--- a/crates/store/tests/documents.rs
+++ b/crates/store/tests/documents.rs
@@ -1,5 +1,5 @@
-//! One number, one document: what operators are answered through races, lost replies, restarts and changes of members
-//! (docs/design-control.md).
+//! A document number is assigned to a single document. Operators get consistent answers despite races, lost replies,
+//! restarts and changes of members (docs/design-control.md).
 mod cluster;
 
 use assert_matches::assert_matches;
@@ -11,10 +11,10 @@
 use quincehatch_store::{Answer, Command, Entry, Reply, Request, Store, View, Voter};
 
 const THREE: [&str; 3] = ["k1", "k2", "k3"];
-/// First token of the writes that fill log and answers.
-const FILL: u64 = 1_000_000;
+/// First token of the writes that overflow the log and the retained answers.
+const FIRST_FILL_TOKEN: u64 = 1_000_000;
 
-/// Operators who send documents to a chain.
+/// A chain, and operators who send documents to it.
 struct Operators {
     cluster: Cluster,
     token: u64,
@@ -25,7 +25,7 @@
     Command::AdoptDocument { number, text, source, by: "t".into() }
 }
 
-/// The idempotency key of a document, which depends on its number and content alone.
+/// Returns the idempotency key of a document, which depends only on its number and content.
 fn key(number: u64, content: &str) -> Name {
     format!("adopt/{number}/{content}").into()
 }
@@ -50,7 +50,7 @@
         self.cluster.view(&tail).head().unwrap().to_string()
     }
 
-    /// Sends a document through a keeper; the token of the write at the head.
+    /// Sends a document to a keeper, follows a redirect, and returns the token of the request.
     fn send(&mut self, keeper: &str, number: u64, content: &str) -> u64 {
         let request = Request::Write { key: key(number, content), command: adopt(number, content) };
         self.token += 1;
@@ -63,7 +63,7 @@
         self.token
     }
 
-    /// Sends a document through the head of the serving view, and waits for the answer.
+    /// Sends a document to the head and returns the reply.
     fn offer(&mut self, number: u64, content: &str) -> Reply {
         let head = self.head();
         let token = self.send(&head, number, content);
@@ -81,29 +81,33 @@
     fn adopt_three(&mut self) {
         assert!(confirmed(&self.offer(7, "a")));
         assert!(confirmed(&self.offer(9, "c")));
-        assert!(confirmed(&self.offer(5, "late")), "an older number that nobody took is acknowledged");
+        assert!(confirmed(&self.offer(5, "late")), "an unused lower number is acknowledged");
         assert_eq!(self.document_in_force().as_deref(), Some("source 9 c"));
     }
 
-    /// Every document is recognised, and none is confirmed under a number of another.
+    /// Checks that every document is recognised, and that no other document is confirmed under its number.
     fn check_all_answers(&mut self) {
         for (number, content) in [(7, "a"), (9, "c"), (5, "late")] {
-            assert!(confirmed(&self.offer(number, content)), "{number} {content} was taken");
-            assert!(rejected(&self.offer(number, "of another")), "{number} is that of another");
+            assert!(confirmed(&self.offer(number, content)), "{number} {content} was adopted");
+            assert!(rejected(&self.offer(number, "of another")), "{number} belongs to another document");
         }
         assert_eq!(
             self.document_in_force().as_deref(),
             Some("source 9 c"),
-            "what was sent again changes nothing"
+            "a repeated document changes nothing"
         );
     }
 
-    /// Makes so many writes that neither the log nor the remembered answers hold the earlier ones.
+    /// Makes so many writes that neither the log nor the retained answers contain the earlier ones.
     fn overflow_log_and_answers(&mut self) {
         let head = self.head();
         for i in 0..(MAX_ANSWERED_WRITES.max(LOG_MAX_ENTRIES) + 8) as u64 {
             let command = Command::AcquireFence { duty: "d".into(), by: "t".into() };
-            self.cluster.request(&head, FILL + i, Request::Write { key: format!("f/{i}").into(), command });
+            self.cluster.request(
+                &head,
+                FIRST_FILL_TOKEN + i,
+                Request::Write { key: format!("f/{i}").into(), command },
+            );
             if i % 200 == 0 {
                 self.cluster.run_for(60);
             }
@@ -133,7 +137,7 @@
     operators.overflow_log_and_answers();
     assert!(
         operators.cluster.keepers["k1"].store.answered_write(&key(7, "a")).is_none(),
-        "its answer is no longer remembered"
+        "its answer is no longer retained"
     );
     operators.check_all_answers();
 }
@@ -171,7 +175,7 @@
     cluster.request("k3", 900_002, Request::ChangeVoters { version, voters });
     cluster.run_for(6_000);
     assert_eq!(cluster.view("k1").members, ["k1", "k3", "k4"]);
-    // Both older members leave and return: the new one, which fetched the store, becomes the head.
+    // Both older members stop and return in turn, so the new member, which fetched the store, becomes the head.
     for old in ["k1", "k3"] {
         cluster.down.push(old.into());
         cluster.run_for(5_000);
@@ -186,7 +190,7 @@
 fn no_document_is_rejected_when_the_entry_that_took_its_number_is_lost() {
     let mut operators = Operators::new();
     operators.cluster.partitioned = vec!["k1".into()];
-    // The head that is cut off has one of them in its log, and nobody else will ever hold it.
+    // The partitioned head has one of the documents in its log, but no other keeper ever receives it.
     let lost = [operators.send("k1", 7, "a"), operators.send("k1", 7, "b")];
     operators.cluster.run_for(5_000);
     assert!(confirmed(&operators.offer(7, "b")));
@@ -201,7 +205,7 @@
     assert_eq!(operators.document_in_force().as_deref(), Some("source 7 b"));
 }
 
-/// A majority is in contact with the head, yet the entry that took the number stays uncommitted and is lost.
+/// The head is in contact with a majority, but the entry that recorded the number remains uncommitted and is lost.
 #[test]
 fn no_document_is_rejected_while_the_entry_that_took_its_number_is_uncommitted() {
     let mut operators = Operators::new();
--- a/crates/store/tests/explorer/mod.rs
+++ b/crates/store/tests/explorer/mod.rs
@@ -1,8 +1,8 @@
-//! The view register under every order of its messages.
+//! A model checker for the view register.
 //!
-//! Several attempts to change the view run at once, from bases that may be outdated. Every message may arrive at any time
-//! after it was sent, or never, which is also what a partition, a restart, a wiped disk and a lost machine look like to
-//! the others. All reachable states are visited, with the real acceptor and proposer.
+//! Several attempts to change the view run concurrently, from base views that may be outdated. Every message may arrive
+//! at any time after it was sent, or never; a partition, a restart, a wiped disk and a lost machine have the same
+//! effect on the other nodes. All reachable states are visited, with the real acceptor and proposer.
 mod attempt;
 mod subsets;
 
@@ -19,28 +19,28 @@
     acceptor: Acceptor,
 }
 
-/// How an attempt is to change the view it starts from.
+/// The change that an attempt makes to its base view.
 #[derive(Clone, Copy, Debug)]
 pub enum Change {
-    /// The member at this place is removed from the chain.
+    /// Removes the member at this index from the chain.
     Remove(usize),
-    /// The voter at this place is replaced by a keeper outside the view.
+    /// Replaces the voter at this index by a keeper outside the view.
     Replace(usize),
 }
 
 #[derive(Clone)]
-pub struct World {
+pub struct State {
     nodes: BTreeMap<Name, Node>,
     changes: Vec<Change>,
     attempts: Vec<Option<Attempt>>,
-    /// Views that majorities have accepted under one ballot, in the order of their versions.
+    /// The decided views, each accepted by a majority under one ballot, in the order of their versions.
     decided: Vec<View>,
 }
 
-pub struct Explored {
+pub struct Exploration {
     pub states: usize,
-    /// The longest sequence of decided views.
-    pub longest: usize,
+    /// Length of the longest sequence of decided views.
+    pub longest_history: usize,
 }
 
 fn voter(name: &str) -> Voter {
@@ -48,7 +48,7 @@
 }
 
 impl Node {
-    /// Asks a copy of the acceptor. All that is assumed of its rules is that it never accepts what it has rejected before.
+    /// Whether a copy of the acceptor accepts the message. A message that was rejected once is never accepted later.
     fn would_accept(&self, base: u64, message: &PeerMessage) -> bool {
         let answer = self.acceptor.clone().step(self.decided.version.max(base), message);
         let message = answer.map(|answer| answer.message);
@@ -59,8 +59,8 @@
     }
 }
 
-impl World {
-    pub fn new(voters: &[&str], outsiders: &[&str], changes: &[Change]) -> World {
+impl State {
+    pub fn new(voters: &[&str], outsiders: &[&str], changes: &[Change]) -> State {
         let members = voters.iter().map(|name| Name::from(*name)).collect();
         let first = View { version: 1, members, voters: voters.iter().map(|name| voter(name)).collect() };
         let node = |name: &&str| {
@@ -68,10 +68,10 @@
             (Name::from(*name), Node { decided: known, acceptor: Acceptor::default() })
         };
         let nodes = voters.iter().chain(outsiders).map(node).collect();
-        World { nodes, changes: changes.to_vec(), attempts: vec![None; changes.len()], decided: vec![first] }
+        State { nodes, changes: changes.to_vec(), attempts: vec![None; changes.len()], decided: vec![first] }
     }
 
-    /// The view after the change; a newcomer is the tail.
+    /// Returns the view after the change; a new member becomes the tail. Returns `None` if the change is not possible.
     fn changed(&self, base: &View, change: Change) -> Option<View> {
         let mut view = View { version: base.version + 1, ..base.clone() };
         match change {
@@ -90,11 +90,11 @@
         Some(view)
     }
 
-    fn begin(&mut self, number: usize, base: &View, wanted: &View, quorum: &[Name]) {
+    fn begin(&mut self, number: usize, base: &View, proposed: &View, quorum: &[Name]) {
         let mut proposer = Proposer::new(number as u64);
         proposer.observe_ballot(number as u64);
         let mut prepares = BTreeMap::new();
-        for action in proposer.begin(0, base, wanted.clone()) {
+        for action in proposer.begin(0, base, proposed.clone()) {
             if let ProposerAction::Send(to, message) = action {
                 prepares.insert(to, message);
             }
@@ -103,7 +103,7 @@
         self.attempts[number] = Some(Attempt {
             proposer,
             base: base.clone(),
-            wanted: wanted.clone(),
+            proposed: proposed.clone(),
             prepares,
             promises: BTreeMap::new(),
             accepts: BTreeMap::new(),
@@ -111,7 +111,8 @@
         });
     }
 
-    /// Delivers a message to its acceptor, which learns the base from it as a keeper does, and the answer to the proposer.
+    /// Delivers a message to its acceptor, which learns the base view from it as a keeper does, and delivers the answer
+    /// to the proposer.
     fn deliver(&mut self, number: usize, to: &Name, accepting: bool) {
         let attempt = self.attempts[number].as_mut().unwrap();
         let pending = if accepting { &mut attempt.accepts } else { &mut attempt.prepares };
@@ -141,16 +142,16 @@
         }
     }
 
-    /// What an acceptor rejects now it rejects for ever: it need not be tried later. An attempt that has its majority of
-    /// promises, or cannot get it, needs no others.
+    /// Drops messages that need not be delivered. An acceptor that rejects a message now rejects it at any later time,
+    /// and an attempt that has a majority of promises, or can no longer get one, needs no further promises.
     fn drop_rejected(&mut self) {
         let nodes = &self.nodes;
         for attempt in self.attempts.iter_mut().flatten() {
             let base = attempt.base.version;
             let is_accepted = |to: &Name, message: &PeerMessage| nodes[to].would_accept(base, message);
-            let before = attempt.prepares.len();
+            let count_before = attempt.prepares.len();
             attempt.prepares.retain(|to, message| is_accepted(to, message));
-            if attempt.prepares.len() < before {
+            if attempt.prepares.len() < count_before {
                 attempt.prepares.clear();
                 attempt.promises.clear();
             }
@@ -159,16 +160,16 @@
             }
             attempt.accepts.retain(|to, message| is_accepted(to, message));
             if attempt.prepares.is_empty() && attempt.accepts.is_empty() {
-                *attempt = Attempt::over();
+                *attempt = Attempt::finished();
             }
         }
     }
 
-    fn successors(&self) -> Vec<World> {
+    fn successors(&self) -> Vec<State> {
         let mut found = Vec::new();
         for (number, attempt) in self.attempts.iter().enumerate() {
             let Some(attempt) = attempt else {
-                found.extend(self.beginnings(number));
+                found.extend(self.start_attempt(number));
                 continue;
             };
             let prepares = attempt.prepares.keys().map(|to| (to, false));
@@ -183,15 +184,16 @@
         found
     }
 
-    /// From any view that was ever decided: a proposer may not have heard of a newer one.
-    fn beginnings(&self, number: usize) -> Vec<World> {
+    /// Returns the states after the start of an attempt. It may start from any decided view, because a proposer may not
+    /// know the newer ones.
+    fn start_attempt(&self, number: usize) -> Vec<State> {
         let mut found = Vec::new();
         for base in &self.decided {
             let names: Vec<Name> = base.voters.iter().map(|voter| voter.name.clone()).collect();
-            let Some(wanted) = self.changed(base, self.changes[number]) else { continue };
+            let Some(proposed) = self.changed(base, self.changes[number]) else { continue };
             for quorum in subsets(&names, names.len() / 2 + 1) {
                 let mut next = self.clone();
-                next.begin(number, base, &wanted, &quorum);
+                next.begin(number, base, &proposed, &quorum);
                 found.push(next);
             }
         }
@@ -202,7 +204,7 @@
         for (i, view) in self.decided.iter().enumerate() {
             assert_eq!(view.version, i as u64 + 1, "two views of one version: {:#?}", self.decided);
         }
-        // Once a view has a successor, no majority renews the lease of its tail.
+        // Once a view has a successor, no majority renews the lease of the view's tail.
         let superseded = &self.decided[..self.decided.len() - 1];
         for view in superseded {
             let renews = |name: &&Name| {
@@ -216,32 +218,33 @@
     fn key(&self) -> u64 {
         let mut bytes = Vec::new();
         for node in self.nodes.values() {
-            let state = (&node.decided, &node.acceptor);
-            bytes.extend(borsh::to_vec(&state).unwrap());
+            let node_state = (&node.decided, &node.acceptor);
+            bytes.extend(borsh::to_vec(&node_state).unwrap());
         }
         for attempt in self.attempts.iter().flatten() {
             let sent =
-                (&attempt.base, &attempt.wanted, &attempt.prepares, &attempt.promises, &attempt.accepts);
+                (&attempt.base, &attempt.proposed, &attempt.prepares, &attempt.promises, &attempt.accepts);
             bytes.extend(borsh::to_vec(&(sent, &attempt.accepted_by)).unwrap());
         }
-        let begun: Vec<bool> = self.attempts.iter().map(Option::is_some).collect();
-        bytes.extend(borsh::to_vec(&(begun, &self.decided)).unwrap());
+        let started: Vec<bool> = self.attempts.iter().map(Option::is_some).collect();
+        bytes.extend(borsh::to_vec(&(started, &self.decided)).unwrap());
         hash64(&[&bytes])
     }
 }
 
-pub fn explore(first: World) -> Explored {
-    let mut seen = HashSet::from([first.key()]);
-    let mut open = vec![first];
-    let mut longest = 1;
-    while let Some(world) = open.pop() {
-        world.check();
-        longest = longest.max(world.decided.len());
-        for next in world.successors() {
+/// Visits all states that are reachable from `initial`, and checks each of them.
+pub fn explore(initial: State) -> Exploration {
+    let mut seen = HashSet::from([initial.key()]);
+    let mut unexplored = vec![initial];
+    let mut longest_history = 1;
+    while let Some(state) = unexplored.pop() {
+        state.check();
+        longest_history = longest_history.max(state.decided.len());
+        for next in state.successors() {
             if seen.insert(next.key()) {
-                open.push(next);
+                unexplored.push(next);
             }
         }
     }
-    Explored { states: seen.len(), longest }
+    Exploration { states: seen.len(), longest_history }
 }
--- a/crates/store/tests/explorer/subsets.rs
+++ b/crates/store/tests/explorer/subsets.rs
@@ -1,7 +1,7 @@
-//! Subsets of a given size.
+//! Enumeration of subsets of a given size.
 use quincehatch_core::Name;
 
-/// All sets of `size` out of `names`.
+/// Returns all subsets of `names` with `size` elements.
 pub fn subsets(names: &[Name], size: usize) -> Vec<Vec<Name>> {
     if size == 0 {
         return vec![Vec::new()];
--- a/crates/store/tests/fault_sequences.rs
+++ b/crates/store/tests/fault_sequences.rs
@@ -1,39 +1,42 @@
-//! Replacements, a wipe, a partition and a restart in every order, at the head and at the tail of the chain.
+//! Sequences of faults: two replacements, a wiped disk, a partition and a restart in every order, at the head and at
+//! the tail of the chain.
 //!
-//! Each fault comes as soon as the one before it no longer counts as a loss. After each, acknowledged writes are there and
-//! new ones are taken; at every moment one keeper serves at most, and all agree on each version of the view.
+//! Each fault occurs as soon as the previous one no longer counts as a loss. After each fault all acknowledged writes
+//! are present and new writes are acknowledged. At any time at most one keeper serves, and all keepers agree on each
+//! version of the view.
 mod cluster;
 
 use cluster::three_keepers::{SEEDS, adopted, is_acknowledged, starting, write};
-use cluster::{CATCH_UP, Cluster};
+use cluster::{CATCH_UP_TIME, Cluster};
 use quincehatch_core::{Millis, Name};
 use quincehatch_store::View;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// The machine is lost, and another comes at another address.
+    /// The machine is lost, and another one starts at another address.
     Replace,
-    /// The machine loses its disk and comes back at its address.
+    /// The machine loses its disk and returns at the same address.
     Wipe,
-    /// The machine is partitioned from the others for a while.
+    /// The machine is partitioned from the other machines for a while.
     Partition,
     /// The machine restarts with its disk.
     Restart,
 }
 
 const FAULTS: [Fault; 5] = [Fault::Replace, Fault::Replace, Fault::Wipe, Fault::Partition, Fault::Restart];
-/// First token of the reads that check what is there.
+/// First token of the reads that check for acknowledged writes.
 const FIRST_READ_TOKEN: u64 = 1_000_000;
 
 struct Trial {
     cluster: Cluster,
-    /// Every view that a keeper has adopted, by its version.
+    /// All views that keepers have adopted, by version.
     views: BTreeMap<u64, View>,
-    /// Keepers that started with an empty disk.
+    /// Number of keepers that started with an empty disk.
     started_empty: usize,
-    /// Documents written, and the newest that was acknowledged.
+    /// Number of the newest document that was written.
     written: u64,
+    /// Number of the newest document that was acknowledged.
     acknowledged: u64,
 }
 
@@ -43,7 +46,7 @@
         let mut trial =
             Trial { cluster, views: BTreeMap::new(), started_empty: 0, written: 0, acknowledged: 0 };
         for _ in 0..spares {
-            trial.add_elsewhere();
+            trial.add_at_new_address();
         }
         trial.run(8_000);
         trial.write();
@@ -56,7 +59,7 @@
         self.cluster.start(&format!("{addr}#{}", self.started_empty), addr, &SEEDS, View::default());
     }
 
-    fn add_elsewhere(&mut self) {
+    fn add_at_new_address(&mut self) {
         self.add(&format!("n{}:1", self.started_empty));
     }
 
@@ -67,11 +70,12 @@
         }
     }
 
+    /// Checks that at most one keeper serves, and that all keepers agree on the views.
     fn check(&mut self) {
         let up = self.cluster.keepers.values().filter(|keeper| !self.cluster.down.contains(&keeper.name));
         let serving: Vec<&Name> =
             up.filter(|keeper| keeper.is_serving()).map(|keeper| &keeper.name).collect();
-        assert!(serving.len() <= 1, "two serve: {serving:?}");
+        assert!(serving.len() <= 1, "more than one keeper serves: {serving:?}");
         for keeper in self.cluster.keepers.values() {
             let known = self.views.entry(keeper.view.version).or_insert_with(|| keeper.view.clone());
             assert_eq!(*known, keeper.view, "two views of one version");
@@ -88,17 +92,17 @@
         }
     }
 
-    /// The first or the last member of the chain that is up and reached.
+    /// Returns the first or the last member of the chain that is running and reachable.
     fn target(&self, last: bool) -> Name {
         let newest = self.views.values().next_back().unwrap();
-        let is_reached =
+        let is_reachable =
             |name: &&Name| !self.cluster.down.contains(name) && !self.cluster.partitioned.contains(name);
-        let mut reached = newest.members.iter().filter(is_reached);
-        let target = if last { reached.next_back() } else { reached.next() };
+        let mut reachable = newest.members.iter().filter(is_reachable);
+        let target = if last { reachable.next_back() } else { reachable.next() };
         target.cloned().unwrap()
     }
 
-    /// Begins the fault, with a write in flight.
+    /// Starts the fault while a write is in flight.
     fn begin(&mut self, fault: Fault, target: &Name) {
         self.write();
         match fault {
@@ -110,7 +114,7 @@
     fn end(&mut self, fault: Fault, target: &Name) {
         let addr = self.cluster.addr(target);
         match fault {
-            Fault::Replace => self.add_elsewhere(),
+            Fault::Replace => self.add_at_new_address(),
             Fault::Wipe => {
                 self.cluster.keepers.remove(target);
                 self.cluster.down.retain(|name| name != target);
@@ -128,19 +132,22 @@
         if fault == Fault::Partition { 5_000 } else { 1_000 }
     }
 
-    /// Acknowledged writes are there, and new ones are acknowledged.
+    /// Checks that the acknowledged writes are present and that new writes are acknowledged.
     fn check_recovery(&mut self) {
-        let before = self.acknowledged;
+        let acknowledged_before = self.acknowledged;
         let token = FIRST_READ_TOKEN + self.written;
-        let held = adopted(&mut self.cluster, token).map_or(0, |document| document.number);
-        assert!(held >= before, "{before} was acknowledged, {held} is there");
+        let stored = adopted(&mut self.cluster, token).map_or(0, |document| document.number);
+        assert!(
+            stored >= acknowledged_before,
+            "{acknowledged_before} was acknowledged, but {stored} is in force"
+        );
         self.write();
         self.run(1_500);
-        assert!(self.acknowledged > before, "no writes after it");
+        assert!(self.acknowledged > acknowledged_before, "no write is acknowledged after the fault");
     }
 }
 
-/// All different orders of the faults.
+/// Returns all distinct orders of the faults.
 fn orders(faults: &[Fault]) -> Vec<Vec<Fault>> {
     if faults.is_empty() {
         return vec![Vec::new()];
@@ -159,22 +166,25 @@
     found
 }
 
-/// Whether a fault is at the tail: one bit of `ends` for each fault.
-fn is_at_tail(ends: u32, number: usize) -> bool {
-    ends >> number & 1 == 1
+/// Whether the fault with this index occurs at the tail: bit `number` of `tail_bits` is set.
+fn is_at_tail(tail_bits: u32, number: usize) -> bool {
+    tail_bits >> number & 1 == 1
 }
 
 fn check_one_fault_at_a_time(spares: usize) {
     for order in orders(&FAULTS) {
-        for ends in 0..1 << order.len() {
+        for tail_bits in 0..1 << order.len() {
             let mut trial = Trial::new(1, spares);
             for (i, fault) in order.iter().enumerate() {
-                let target = trial.target(is_at_tail(ends, i));
+                let target = trial.target(is_at_tail(tail_bits, i));
                 trial.begin(*fault, &target);
                 trial.run(Trial::duration(*fault));
                 trial.end(*fault, &target);
-                trial.run(CATCH_UP);
-                assert!(trial.cluster.tail().is_some(), "{order:?} {ends:b}: nobody serves after {i}");
+                trial.run(CATCH_UP_TIME);
+                assert!(
+                    trial.cluster.tail().is_some(),
+                    "{order:?} {tail_bits:b}: no keeper serves after fault {i}"
+                );
                 trial.check_recovery();
             }
         }
@@ -191,16 +201,16 @@
     check_one_fault_at_a_time(1);
 }
 
-/// If two losses are tolerated: two faults at a time.
+/// Two losses are tolerated, so two faults occur at a time.
 #[test]
 fn no_write_is_lost_when_five_keepers_have_two_faults_at_a_time() {
     for order in orders(&FAULTS) {
-        for ends in 0..1 << order.len() {
+        for tail_bits in 0..1 << order.len() {
             let mut trial = Trial::new(2, 2);
             for (i, pair) in order.chunks(2).enumerate() {
                 let mut targets = Vec::new();
                 for (place, fault) in pair.iter().enumerate() {
-                    let target = trial.target(is_at_tail(ends, 2 * i + place));
+                    let target = trial.target(is_at_tail(tail_bits, 2 * i + place));
                     trial.begin(*fault, &target);
                     targets.push(target);
                 }
@@ -210,7 +220,10 @@
                     trial.end(*fault, target);
                 }
                 trial.run(6_000);
-                assert!(trial.cluster.tail().is_some(), "{order:?} {ends:b}: nobody serves after {i}");
+                assert!(
+                    trial.cluster.tail().is_some(),
+                    "{order:?} {tail_bits:b}: no keeper serves after fault {i}"
+                );
                 trial.check_recovery();
             }
         }
--- a/crates/store/tests/feed.rs
+++ b/crates/store/tests/feed.rs
@@ -1,4 +1,4 @@
-//! The feed from which nodes learn what the replicated store holds.
+//! The change feed from which nodes build their copy of the replicated store.
 mod cluster;
 
 use assert_matches::assert_matches;
@@ -11,12 +11,12 @@
 
 const MEMBERS: [&str; 3] = ["a", "b", "c"];
 const NODE: &str = "n";
-/// Token of the write that enrols the node; other requests count from 1.
+/// Token of the write that enrolls the node; the tokens of other requests start at 1.
 const ENROLL_TOKEN: u64 = 1_000_000;
-/// Routes of a configuration for hundreds of databases.
+/// Number of routes in a configuration for hundreds of databases.
 const MANY_ROUTES: usize = 900;
 
-/// A configuration of that many routes; one of them has that time-out.
+/// Returns a configuration with this number of routes, one of which has the time-out `timeout_ms`.
 fn configuration(routes: usize, timeout_ms: usize) -> String {
     let route = |i: usize| {
         let (name, database) = (i * 7919 % 100_003, i * 104_729 % 1_000_003);
@@ -71,12 +71,12 @@
     fn poll(&mut self, last_change: ChangeNumber) -> Reply {
         self.token += 1;
         self.cluster.poll(NODE, self.token, self.enrolled, last_change);
-        // Where there is nothing new, the poll waits for a while.
+        // If there is nothing new, the poll remains pending for a while.
         self.cluster.run_for(2_000);
         self.cluster.reply_to(self.token).unwrap()
     }
 
-    /// Polls once and applies the reply; its length on the wire, in bytes.
+    /// Polls once, applies the reply, and returns the length of the reply on the wire, in bytes.
     fn follow(&mut self) -> usize {
         let reply = self.poll(self.state.last_change);
         let size = borsh::to_vec(&reply).unwrap().len();
@@ -92,7 +92,7 @@
         size
     }
 
-    /// What nodes should know, as it follows from the store itself.
+    /// Returns the state that nodes must have, computed from the store itself.
     fn expected_state(&self) -> FeedState {
         let store = &self.cluster.keepers["c"].store;
         let json = store.configuration().map_or("", |entry| &entry.text);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_follower_knows_what_the_store_holds_after_each_change() {
+fn a_follower_has_the_state_of_the_store_after_each_change() {
     let mut follower = Follower::new();
     let primary = |fence| PrimaryAssignment { fence, server: Some("s2".into()), ..Default::default() };
     let commands = [
@@ -127,7 +127,7 @@
         // Rejected: its token was never issued, and is lower than the one in use.
         Command::AssignPrimary { group: "g".into(), primary: primary(0) },
         adopt(2, configuration(5, 100)),
-        // Another server at a known address takes it over.
+        // Another server takes over the address of s1.
         register("s3", "10.0.0.1:1", 1),
         adopt(4, configuration(30, 200)),
         Command::DeregisterServer { server: "s2".into() },
@@ -147,7 +147,7 @@
     for number in 1..=12 {
         follower.write(adopt(number, configuration(MANY_ROUTES, number as usize)));
     }
-    // All keepers restart: their logs reach back, the remembered changes do not.
+    // All keepers restart, so they no longer retain earlier changes for the feed.
     for (name, keeper) in std::mem::take(&mut follower.cluster.keepers) {
         let recovered = RecoveredState { view: keeper.view, store: keeper.store, ..Default::default() };
         let restarted = Keeper::new(name.clone(), follower.cluster.now, recovered);
@@ -179,5 +179,5 @@
         }
     }
     let patch = Patch::between(&configuration(40, 1), &configuration(40, 22));
-    assert_eq!(patch.apply(""), None, "a patch of another text is none");
+    assert_eq!(patch.apply(""), None, "the patch does not apply to another text");
 }
--- a/crates/store/tests/hosts/mod.rs
+++ b/crates/store/tests/hosts/mod.rs
@@ -1,4 +1,4 @@
-//! Keepers with disks that fail or stall, in virtual time.
+//! Keeper hosts with disks that fail or stall on demand, in virtual time.
 #![allow(dead_code)]
 use quincehatch_core::{Error, ErrorCode, Millis, Name};
 use quincehatch_store::disk_usage::DiskUsage;
@@ -60,7 +60,7 @@
     }
 }
 
-/// A message on its way from one keeper to another.
+/// A message that was sent and not yet delivered.
 struct MessageInFlight {
     from: Name,
     to: Name,
@@ -73,17 +73,17 @@
     pub line: String,
 }
 
-/// Hosts in one loop, each with its disk; a name is an address too.
+/// A cluster of keeper hosts, each with its own disk. The name of a keeper is also its address.
 #[derive(Default)]
 pub struct Hosts {
     pub now: Millis,
     pub hosts: BTreeMap<Name, KeeperHost>,
     pub disks: BTreeMap<Name, FaultyDisk>,
     in_flight: VecDeque<MessageInFlight>,
-    /// Replies, with the tokens of their requests.
+    /// The sent replies, with the tokens of their requests.
     pub replies: Vec<(u64, Reply)>,
     pub logged: Vec<LoggedLine>,
-    /// Number of messages that each host sent.
+    /// Number of messages that each host has sent to its peers.
     pub sent: BTreeMap<Name, usize>,
 }
 
@@ -92,15 +92,15 @@
         let members: Vec<Name> = names.iter().map(|name| Name::from(*name)).collect();
         let voters = members.iter().map(|name| Voter { name: name.clone(), addr: name.clone() }).collect();
         let view = View { version: 1, members: members.clone(), voters };
-        let mut net = Self { now: 1_000, ..Default::default() };
+        let mut cluster = Self { now: 1_000, ..Default::default() };
         for name in members {
             let state = RecoveredState { view: view.clone(), ..Default::default() };
             let keeper_name = name.clone();
             let make_keeper = Box::new(move |state, now| Keeper::new(keeper_name.clone(), now, state));
-            net.hosts.insert(name.clone(), KeeperHost::new(state.clone(), net.now, make_keeper));
-            net.disks.insert(name, FaultyDisk { state, ..Default::default() });
+            cluster.hosts.insert(name.clone(), KeeperHost::new(state.clone(), cluster.now, make_keeper));
+            cluster.disks.insert(name, FaultyDisk { state, ..Default::default() });
         }
-        net
+        cluster
     }
 
     pub fn disk(&mut self, name: &str) -> &mut FaultyDisk {
@@ -131,7 +131,7 @@
                 }
                 Output::Reply(token, reply) => self.replies.push((token, reply)),
                 Output::Log(line) => self.logged.push(LoggedLine { keeper: name.into(), line }),
-                Output::Persist(record) => panic!("{record:?} left with the outputs"),
+                Output::Persist(record) => panic!("{record:?} is among the outputs"),
             }
         }
     }
@@ -160,7 +160,7 @@
         }
     }
 
-    pub fn ask(&mut self, name: &str, token: u64, request: Request) {
+    pub fn request(&mut self, name: &str, token: u64, request: Request) {
         self.step(name, Input::Request { token, request });
     }
 
@@ -172,7 +172,7 @@
         self.hosts[name].keeper().unwrap_or_else(|| panic!("{name} is suspended"))
     }
 
-    /// The keeper that serves as the tail.
+    /// Returns the keeper that serves as the tail.
     pub fn tail(&self) -> Option<&Keeper> {
         self.hosts.values().filter_map(KeeperHost::keeper).find(|keeper| keeper.can_commit())
     }
--- a/crates/store/tests/join_as_voter.rs
+++ b/crates/store/tests/join_as_voter.rs
@@ -1,4 +1,4 @@
-//! Only a voter joins the chain: the others would have no address for any other keeper.
+//! Only a voter may join the chain, because the members have no address of any other keeper.
 mod cluster;
 
 use cluster::{Cluster, InFlight, START, voter};
@@ -6,14 +6,14 @@
 use quincehatch_store::snapshot::SnapshotProgress;
 use quincehatch_store::{Input, PeerMessage, View};
 
-/// `c:1` was partitioned, and `d:1` took its place. What `c:1` asked of the tail before that is answered late.
+/// `c:1` was partitioned, and `d:1` replaced it as a voter. A snapshot request that `c:1` sent before is answered late.
 #[test]
 fn a_keeper_that_lost_its_vote_does_not_join_when_a_late_snapshot_arrives() {
     let members: Vec<Name> = ["a:1", "b:1"].map(Name::from).into();
     let voters = ["a:1", "b:1", "d:1"].map(voter).into();
     let view = View { version: 3, members, voters };
     let mut cluster = Cluster { now: START, ..Default::default() };
-    // `d:1` would join by itself: it receives nothing until the late answer has come.
+    // `d:1` receives no messages, because otherwise it would join the chain before the late answer arrives.
     cluster.unreachable = vec!["d:1".into()];
     for keeper in ["a:1", "b:1", "c:1", "d:1"] {
         cluster.start(keeper, keeper, &["a:1", "b:1"], view.clone());
--- a/crates/store/tests/large_fleet.rs
+++ b/crates/store/tests/large_fleet.rs
@@ -1,9 +1,8 @@
-//! What a fleet of hundreds of nodes costs the tail of the chain.
+//! Load of hundreds of nodes on the tail of the chain.
 //!
-//! Users saw a fleet of 300 nodes leave configurations unconfirmed for as long as it started, and after a loss of
-//! power. Each change of the store woke all nodes' polls, and each node polled again at once: 300 nodes and 360 servers
-//! that come together make some 900 changes, so 270,000 answers, and the tail's own part in the chain waited behind
-//! them.
+//! Configurations remained unconfirmed while a fleet of 300 nodes started, and again after a power loss. Each change of
+//! the store completed the polls of all nodes, and each node polled again at once: 300 nodes and 360 servers that start
+//! together make about 900 changes and so 270,000 answers, which delayed the tail's replication messages.
 mod cluster;
 
 use cluster::Cluster;
@@ -17,12 +16,12 @@
 const POLL_PAUSE: Millis = 20;
 /// Tokens of polls; those of writes are below.
 const FIRST_POLL: u64 = 1_000_000;
-/// Polls that the tail answers in a second, whatever happens.
+/// Maximum number of polls that the tail may answer in a second.
 const MAX_ANSWERS_PER_SECOND: usize = 3_000;
-/// Bytes of answers in a second: what a link of 100 Mbit/s takes.
+/// Maximum bytes of answers in a second: the capacity of a link of 100 Mbit/s.
 const MAX_BYTES_PER_SECOND: usize = 12_500_000;
 
-/// What a node has applied, and the entry that enrolled it.
+/// The newest change that a node has applied, and the entry that enrolled it.
 struct Follower {
     enrolled: ChangeNumber,
     last_change: ChangeNumber,
@@ -31,17 +30,18 @@
 struct Fleet {
     cluster: Cluster,
     followers: BTreeMap<Name, Follower>,
-    /// Which node sent the poll of that token.
+    /// The node that sent each pending poll, by token.
     polls: BTreeMap<u64, Name>,
     next_poll: u64,
     next_write: u64,
-    /// Answers to polls, and their bytes.
+    /// Number of answers to polls.
     answers: usize,
+    /// Total bytes of the answers to polls.
     bytes: usize,
 }
 
 impl Fleet {
-    /// A chain that serves, and the nodes enrolled; they have not polled yet.
+    /// Starts a chain and enrolls the nodes, which have not polled yet.
     fn new() -> Self {
         let mut cluster = Cluster::new(&["a", "b", "c"]);
         cluster.run_for(8_000);
@@ -71,7 +71,7 @@
     fn write(&mut self, command: Command) -> u64 {
         let token = self.next_write;
         self.next_write += 1;
-        let head = self.cluster.head().expect("a chain that serves");
+        let head = self.cluster.head().expect("the chain serves");
         self.cluster.request(&head, token, Request::Write { key: format!("k{token}").into(), command });
         token
     }
@@ -90,30 +90,30 @@
         self.write(Command::RegisterServer { at: record });
     }
 
-    fn poll_of(&mut self, node: &Name) {
+    fn poll_node(&mut self, node: &Name) {
         let Follower { enrolled, last_change } = self.followers[node];
         self.polls.insert(self.next_poll, node.clone());
         self.cluster.poll(node, self.next_poll, enrolled, last_change);
         self.next_poll += 1;
     }
 
-    fn poll_of_all(&mut self) {
+    fn poll_all(&mut self) {
         let nodes: Vec<Name> = self.followers.keys().cloned().collect();
-        nodes.iter().for_each(|node| self.poll_of(node));
+        nodes.iter().for_each(|node| self.poll_node(node));
     }
 
-    /// Lets time pass; each node polls again when it was answered.
+    /// Advances virtual time; each node polls again after its poll was answered.
     fn run_for(&mut self, time: Millis) {
         let end = self.cluster.now + time;
         while self.cluster.now < end {
             self.cluster.run_for(POLL_PAUSE);
             for sent in std::mem::take(&mut self.cluster.replies) {
-                self.take_reply(sent.token, sent.reply);
+                self.handle_reply(sent.token, sent.reply);
             }
         }
     }
 
-    fn take_reply(&mut self, token: u64, reply: Reply) {
+    fn handle_reply(&mut self, token: u64, reply: Reply) {
         let Some(node) = self.polls.remove(&token) else {
             self.cluster.replies.push(cluster::SentReply { token, reply });
             return;
@@ -126,18 +126,18 @@
                 follower.last_change = changes.last().map_or(follower.last_change, |change| change.number);
             }
             Reply::PackedSnapshot { snapshot, .. } => follower.last_change = snapshot.last_change,
-            // It has waited long for a long answer.
+            // The poll was pending for too long because the answer exceeds the budget.
             Reply::Redirect { .. } => {}
             other => panic!("{other:?}"),
         }
-        self.poll_of(&node);
+        self.poll_node(&node);
     }
 }
 
 #[test]
 fn the_tail_answers_a_bounded_number_of_polls_while_many_servers_register() {
     let mut fleet = Fleet::new();
-    fleet.poll_of_all();
+    fleet.poll_all();
     fleet.run_for(1_000);
     fleet.answers = 0;
     const SECONDS: usize = 4;
@@ -146,19 +146,19 @@
         fleet.run_for(POLL_PAUSE);
     }
     assert!(fleet.answers <= SECONDS * MAX_ANSWERS_PER_SECOND, "{} answers", fleet.answers);
-    // Nobody was left behind for it.
+    // The limit leaves no node behind.
     fleet.run_for(1_000);
     let last_change = fleet.last_change();
     let behind = fleet.followers.values().filter(|follower| follower.last_change < last_change).count();
     assert_eq!(behind, 0);
 }
 
-/// A configuration of 1,680 routes more filled the tail's link for seconds: its peers did not hear of it and took it for
-/// lost, and the next tail sent the same to all nodes again.
+/// A configuration with 1,680 more routes saturated the tail's link for seconds: its peers received no messages and
+/// considered it lost, and the next tail sent the same configuration to all nodes again.
 #[test]
 fn a_long_configuration_reaches_all_nodes_without_filling_the_link() {
     let mut fleet = Fleet::new();
-    fleet.poll_of_all();
+    fleet.poll_all();
     fleet.run_for(1_000);
     let mut rng = Rng::new(7);
     let route = |rng: &mut Rng| {
@@ -183,7 +183,7 @@
 #[test]
 fn a_primary_is_closed_at_all_nodes_within_a_second_while_many_servers_register() {
     let mut fleet = Fleet::new();
-    fleet.poll_of_all();
+    fleet.poll_all();
     fleet.run_for(1_000);
     let mut closed = None;
     for number in 0..100 {
--- a/crates/store/tests/metrics.rs
+++ b/crates/store/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What a keeper's status says, as metrics.
+//! The metrics that are derived from a keeper's status.
 use quincehatch_core::Name;
 use quincehatch_metrics::render;
 use quincehatch_store::messages::{KeeperStatus, LeaseStatus, PollCounts};
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_members_metrics_report_its_place_its_progress_and_its_leases() {
+fn metrics_of_a_member_report_its_position_progress_and_leases() {
     let text = render(keeper_metrics(&status_of("k2")));
     for line in [
         "quincehatch_view_version 7.0",
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_keeper_outside_the_chain_has_no_place_and_no_vote() {
+fn metrics_of_a_keeper_outside_the_chain_report_position_0_and_no_vote() {
     let text = render(keeper_metrics(&status_of("k9")));
     assert!(
         text.contains("quincehatch_chain_position 0.0") && text.contains("quincehatch_votes 0.0"),
--- a/crates/store/tests/node_lease_takeover.rs
+++ b/crates/store/tests/node_lease_takeover.rs
@@ -1,4 +1,4 @@
-//! For which node leases a new tail waits.
+//! Takeover by a new tail: it waits for the node leases that earlier tails may have granted.
 mod cluster;
 
 use assert_matches::assert_matches;
@@ -7,7 +7,7 @@
 use quincehatch_store::timing::NODE_LEASE;
 use quincehatch_store::{Answer, Command, Reply, Request};
 
-/// Demotes the group's primary: a write that must be in force at every node that may act.
+/// Demotes the group's primary. The write is answered only once it is in force at every node with a lease.
 fn demote(cluster: &mut Cluster, token: u64) {
     let head = cluster.head().unwrap();
     let no_primary = PrimaryAssignment { fence: 1, ..Default::default() };
@@ -27,7 +27,7 @@
     }
 }
 
-/// A chain that serves, with one node enrolled.
+/// A serving chain with one enrolled node.
 struct Setup {
     cluster: Cluster,
     /// The entry that enrolled the node `n1`.
@@ -43,8 +43,8 @@
     Setup { cluster, enrolled, tail }
 }
 
-/// A demotion after the loss of the tail once waited four seconds for leases that no node held. Found in runs that stop
-/// keepers.
+/// After the loss of the tail, a demotion once waited four seconds for leases that no node held. Runs that stop keepers
+/// found this.
 #[test]
 fn a_new_tail_waits_only_until_every_enrolled_node_has_polled() {
     let Setup { mut cluster, enrolled, tail } = setup();
@@ -65,12 +65,16 @@
     cluster.poll("n1", 2, enrolled, enrolled);
     cluster.run_for(100);
     replace_tail(&mut cluster, &tail);
-    let began = cluster.now;
+    let started_at = cluster.now;
     demote(&mut cluster, 3);
     while !is_demoted(&cluster, 3) {
         cluster.run_for(20);
     }
-    assert!((NODE_LEASE..NODE_LEASE + 300).contains(&(cluster.now - began)), "{}", cluster.now - began);
+    assert!(
+        (NODE_LEASE..NODE_LEASE + 300).contains(&(cluster.now - started_at)),
+        "{}",
+        cluster.now - started_at
+    );
 }
 
 #[test]
@@ -79,7 +83,7 @@
     cluster.poll("n2", 2, enrolled, 0);
     cluster.run_for(40);
     assert_matches!(cluster.reply_to(2), Some(Reply::NotEnrolled));
-    // The next process of a node has its own enrollment: the old one is not valid any more.
+    // The next process of a node has its own enrollment, which invalidates the previous one.
     let next = cluster.enroll("n1", 3);
     cluster.poll("n1", 4, enrolled, next);
     cluster.run_for(40);
@@ -89,13 +93,13 @@
     assert_matches!(cluster.reply_to(5), Some(Reply::Changes { .. } | Reply::PackedSnapshot { .. }));
 }
 
-/// The node was dismissed while it held a lease, and then the tail was lost: its lease counts all the same.
+/// A node is dismissed while it holds a lease, and then the tail is lost. The new tail must still wait for the lease.
 #[test]
 fn a_new_tail_waits_for_a_node_when_it_was_dismissed_recently() {
     for joins in [false, true] {
         let Setup { mut cluster, enrolled, tail } = setup();
         if joins {
-            // The next tail has fetched its store from the one before.
+            // The next tail has joined the chain and fetched its store from the previous tail.
             cluster.down.push(tail.clone());
             cluster.run_for(4_000);
             cluster.down.clear();
@@ -116,30 +120,30 @@
     }
 }
 
-/// A keeper that returns becomes the tail. The tail before it hands over its leases, so that a demotion need not wait for
-/// an unresponsive node longer than that node's lease.
+/// A keeper that returns becomes the tail. The previous tail hands over its leases, so that a demotion waits for an
+/// unresponsive node no longer than that node's lease.
 #[test]
 fn a_new_tail_waits_no_longer_than_the_old_tails_leases_when_they_are_handed_over() {
     let Setup { mut cluster, enrolled, tail } = setup();
     replace_tail(&mut cluster, &tail);
     cluster.poll("n1", 2, enrolled, enrolled);
-    // The node does not poll any more.
+    // The node polls no more.
     cluster.run_for(3_000);
     cluster.down.clear();
-    let began = cluster.now;
+    let started_at = cluster.now;
     while cluster.tail() != Some(tail.clone()) {
         cluster.run_for(20);
     }
-    assert!(cluster.now - began < 2_000);
+    assert!(cluster.now - started_at < 2_000);
     demote(&mut cluster, 3);
     while !is_demoted(&cluster, 3) {
         cluster.run_for(20);
     }
-    assert!(cluster.now - began < 2_500, "{}", cluster.now - began);
+    assert!(cluster.now - started_at < 2_500, "{}", cluster.now - started_at);
 }
 
-/// What the tail before knew says nothing of leases that this one granted itself, in an earlier process. Found by the
-/// simulator with seed 7000113.
+/// The leases that the previous tail hands over do not include those that this tail granted in an earlier process.
+/// Simulator seed 7000113.
 #[test]
 fn a_restarted_tail_waits_for_its_own_leases_when_the_old_tail_hands_over_none() {
     let Setup { mut cluster, enrolled, tail } = setup();
@@ -153,7 +157,7 @@
     cluster.in_flight.clear();
     cluster.restart(&tail);
     cluster.run_for(400);
-    assert_eq!(cluster.tail(), Some(tail.clone()), "it serves at once, as it has before");
+    assert_eq!(cluster.tail(), Some(tail.clone()), "it serves at once, because it has served in this view");
     demote(&mut cluster, 3);
     cluster.run_for(1_500);
     assert!(!is_demoted(&cluster, 3), "n1 may act on its lease");
--- a/crates/store/tests/orderly_leave.rs
+++ b/crates/store/tests/orderly_leave.rs
@@ -1,11 +1,12 @@
-//! Keepers that are told to stop leave the chain first.
+//! Graceful shutdown: a keeper leaves the chain before its process ends.
 mod cluster;
 
 use assert_matches::assert_matches;
 use cluster::three_keepers::*;
 use quincehatch_store::{Command, Reply, Request, View};
 
-/// A leave is a change of the view and no time-out, and the new tail need not wait for the old one's lease to end.
+/// A keeper leaves by a view change and not by a time-out, so the new tail does not wait for the old tail's view lease
+/// to expire.
 #[test]
 fn writes_go_on_at_once_when_a_keeper_leaves() {
     for leaver in SEEDS {
@@ -14,19 +15,19 @@
         cluster.poll("n1", 51, enrolled, enrolled);
         cluster.run_for(100);
         leave(&mut cluster, leaver);
-        let took = until_left(&mut cluster, leaver);
-        assert!(took <= 200, "{leaver}: {took}");
-        let began = cluster.now;
+        let elapsed = run_until_left(&mut cluster, leaver);
+        assert!(elapsed <= 200, "{leaver}: {elapsed}");
+        let started_at = cluster.now;
         while cluster.tail().is_none() {
             cluster.run_for(20);
         }
-        assert!(cluster.now - began <= 100, "{leaver}: {}", cluster.now - began);
+        assert!(cluster.now - started_at <= 100, "{leaver}: {}", cluster.now - started_at);
         write(&mut cluster, 1);
         cluster.run_for(1_400);
         assert!(is_acknowledged(&cluster, 1), "{leaver}");
         let view = cluster.view(&cluster.tail().unwrap()).clone();
         assert!(view.is_voter(leaver) && !view.is_member(leaver), "{view:?}");
-        // After a restart it returns to the chain.
+        // After a restart the keeper rejoins the chain.
         cluster.down.clear();
         cluster.start(leaver, leaver, &SEEDS, View::default());
         cluster.run_for(2_000);
@@ -43,7 +44,7 @@
     cluster.poll("n1", 51, enrolled, enrolled);
     cluster.run_for(100);
     leave(&mut cluster, "c:1");
-    until_left(&mut cluster, "c:1");
+    run_until_left(&mut cluster, "c:1");
     let head = cluster.view("b:1").head().cloned().unwrap();
     let command = Command::PushConfiguration { base: 0, text: "x".into(), by: "t".into() };
     cluster.request(&head, 60, Request::Write { key: "p".into(), command });
@@ -53,7 +54,7 @@
     assert_matches!(cluster.reply_to(60), Some(Reply::Answer { .. }));
 }
 
-/// A keeper outside the view takes over the vote of the one that leaves, and holds everything that one held.
+/// A keeper outside the view replaces the leaving one as a voter, after it has fetched the whole store.
 #[test]
 fn the_vote_goes_to_a_spare_when_a_keeper_leaves() {
     for leaver in SEEDS {
@@ -63,8 +64,8 @@
         write(&mut cluster, 1);
         cluster.run_for(200);
         leave(&mut cluster, leaver);
-        let took = until_left(&mut cluster, leaver);
-        assert!(took <= 600, "{leaver}: {took}");
+        let elapsed = run_until_left(&mut cluster, leaver);
+        assert!(elapsed <= 600, "{leaver}: {elapsed}");
         cluster.run_for(500);
         let view = cluster.view(&cluster.tail().unwrap()).clone();
         assert!(view.is_member("d:1#1") && !view.is_voter(leaver) && view.voters.len() == 3, "{view:?}");
@@ -72,39 +73,40 @@
     }
 }
 
-/// Two keepers leave in turn, and the third holds everything: it does not leave before another one holds it too.
+/// Two keepers leave in turn. The third is the only replica left, so it does not leave before another keeper has the
+/// whole store.
 #[test]
-fn the_last_replica_stays_until_another_holds_everything() {
+fn the_last_replica_does_not_leave_until_another_has_the_whole_store() {
     let mut cluster = serving_cluster();
     write(&mut cluster, 1);
     cluster.run_for(200);
     leave(&mut cluster, "a:1");
-    until_left(&mut cluster, "a:1");
+    run_until_left(&mut cluster, "a:1");
     leave(&mut cluster, "b:1");
-    until_left(&mut cluster, "b:1");
+    run_until_left(&mut cluster, "b:1");
     assert_eq!(cluster.view("c:1").members, ["c:1"]);
     leave(&mut cluster, "c:1");
     cluster.run_for(500);
     assert!(!cluster.keepers["c:1"].has_left());
     cluster.down.retain(|name| name != "a:1");
     cluster.start("a:1", "a:1", &SEEDS, View::default());
-    until_left(&mut cluster, "c:1");
+    run_until_left(&mut cluster, "c:1");
     assert_eq!(cluster.keepers["a:1"].store.adopted.as_ref().map(|document| document.number), Some(1));
     assert_eq!(cluster.view("a:1").members, ["a:1"]);
 }
 
-/// A keeper that leaves without a majority ends all the same when its time is over.
+/// Without a majority the view cannot change, so a leaving keeper ends when its time limit has passed.
 #[test]
 fn a_leave_ends_in_time_when_there_is_no_majority() {
     let mut cluster = serving_cluster();
     cluster.down = vec!["a:1".into(), "b:1".into()];
     leave(&mut cluster, "c:1");
-    let took = until_left(&mut cluster, "c:1");
-    assert!((LEAVE_WITHIN..=LEAVE_WITHIN + 200).contains(&took), "{took}");
+    let elapsed = run_until_left(&mut cluster, "c:1");
+    assert!((LEAVE_TIMEOUT..=LEAVE_TIMEOUT + 200).contains(&elapsed), "{elapsed}");
 }
 
-/// Another voter is lost at the moment in which one is told to stop, and there is a spare. A majority is left, as the
-/// keeper that leaves stays until its vote is handed over.
+/// Another voter is lost at the moment when a keeper begins to leave, and there is a spare. A majority remains, because
+/// the leaving keeper keeps running until the spare has replaced it as a voter.
 #[test]
 fn a_majority_is_left_when_a_voter_is_lost_during_a_leave() {
     for leaver in SEEDS {
@@ -116,7 +118,7 @@
             cluster.run_for(200);
             cluster.down = vec![lost.into()];
             leave(&mut cluster, leaver);
-            until_left(&mut cluster, leaver);
+            run_until_left(&mut cluster, leaver);
             cluster.run_for(5_000);
             let view = cluster.view(&cluster.tail().expect("a majority serves")).clone();
             assert!(view.is_member("d:1#1") && !view.is_voter(leaver), "{leaver} {lost}: {view:?}");
--- a/crates/store/tests/partition.rs
+++ b/crates/store/tests/partition.rs
@@ -1,5 +1,5 @@
-//! A keeper that is partitioned from the majority gives no definite answer: it confirms nothing, rejects nothing and hands
-//! out no outdated document (docs/design-control.md).
+//! A keeper that is partitioned from the majority gives no definite answer: it confirms and rejects no writes and
+//! returns no stale document (docs/design-control.md).
 mod cluster;
 
 use cluster::{Cluster, SentReply};
@@ -7,12 +7,12 @@
 use quincehatch_store::{Answer, Command, Reply, Request};
 
 /// How long a keeper stays partitioned.
-const PARTITION_TIME: Millis = 20_000;
-/// Time between two rounds of requests.
-const ROUND_TIME: Millis = 100;
+const PARTITION_DURATION: Millis = 20_000;
+/// Interval between two rounds of requests.
+const ROUND_INTERVAL: Millis = 100;
 /// First token of the requests that are sent during the partition.
 const FIRST_TOKEN: u64 = 1_000;
-/// Tokens of one round.
+/// Number of tokens that one round uses.
 const TOKENS_PER_ROUND: u64 = 10;
 
 fn adopt(number: u64, content: &str) -> Command {
@@ -46,9 +46,9 @@
     matches!(reply, Reply::Answer { .. })
 }
 
-/// Everything that operators and servers may ask of a keeper: new, repeated and conflicting writes, and those that change
-/// nothing.
-fn ask_everything(cluster: &mut Cluster, keeper: &str, token: u64) {
+/// Sends one request of each kind that operators and servers send to a keeper: reads, and writes that are new,
+/// repeated, conflicting or without effect.
+fn send_all_requests(cluster: &mut Cluster, keeper: &str, token: u64) {
     let writes = [
         ("adopt/7/a", adopt(7, "a")),
         ("adopt/7/a again", adopt(7, "a")),
@@ -66,7 +66,7 @@
     cluster.request(keeper, token + 9, Request::ReadStore);
 }
 
-fn check_partition_of(cut: &str) {
+fn check_partition(partitioned_keeper: &str) {
     let mut cluster = Cluster::new(&["k1", "k2", "k3"]);
     cluster.run_for(6_000);
     write(&mut cluster, "k1", 1, "adopt/7/a", adopt(7, "a"));
@@ -75,19 +75,21 @@
     assert!(cluster.reply_to(1).is_some_and(|reply| is_answer(&reply)));
     assert!(cluster.reply_to(2).is_some_and(|reply| is_answer(&reply)));
 
-    cluster.partitioned = vec![cut.into()];
-    let until = cluster.now + PARTITION_TIME;
+    cluster.partitioned = vec![partitioned_keeper.into()];
+    let until = cluster.now + PARTITION_DURATION;
     let mut token = FIRST_TOKEN;
-    // How many replies there were when the others had gone on.
+    // Number of replies at the time when the other keepers had removed the partitioned one.
     let mut replies_before = None;
     while cluster.now < until {
-        ask_everything(&mut cluster, cut, token);
+        send_all_requests(&mut cluster, partitioned_keeper, token);
         token += TOKENS_PER_ROUND;
-        cluster.run_for(ROUND_TIME);
-        let other_tail: Option<Name> = cluster.tail().filter(|tail| tail != cut);
-        let Some(tail) = other_tail.filter(|tail| !cluster.view(tail).is_member(cut)) else { continue };
+        cluster.run_for(ROUND_INTERVAL);
+        let other_tail: Option<Name> = cluster.tail().filter(|tail| tail != partitioned_keeper);
+        let Some(tail) = other_tail.filter(|tail| !cluster.view(tail).is_member(partitioned_keeper)) else {
+            continue;
+        };
         if replies_before.is_none() {
-            // The others go on: they adopt another document, s1 is removed and s3 added.
+            // The other keepers continue: they adopt another document, remove s1 and add s3.
             let head = cluster.view(&tail).head().unwrap().to_string();
             write(&mut cluster, &head, 3, "adopt/8/c", adopt(8, "c"));
             write(&mut cluster, &head, 4, "depart/s1", deregister("s1"));
@@ -97,39 +99,45 @@
     }
     assert!(
         (3..=5).all(|token| cluster.reply_to(token).is_some_and(|reply| is_answer(&reply))),
-        "the others go on without {cut}"
+        "the other keepers continue without {partitioned_keeper}"
     );
     let during_partition = |sent: &&SentReply| sent.token >= FIRST_TOKEN;
     for SentReply { token, reply } in cluster.replies.iter().filter(during_partition) {
-        assert!(!is_answer(reply), "{cut}, partitioned, answers {token}: {reply:?}");
+        assert!(!is_answer(reply), "{partitioned_keeper} is partitioned, but answers {token}: {reply:?}");
     }
     let replies_after = &cluster.replies[replies_before.unwrap()..];
     for SentReply { token, reply } in replies_after.iter().filter(during_partition) {
-        let is_outdated = matches!(reply, Reply::Document { .. } | Reply::Store { .. });
-        assert!(!is_outdated, "{cut}, partitioned, hands out an outdated state for {token}: {reply:?}");
+        let is_stale = matches!(reply, Reply::Document { .. } | Reply::Store { .. });
+        assert!(
+            !is_stale,
+            "{partitioned_keeper} is partitioned, but returns stale state for {token}: {reply:?}"
+        );
     }
     cluster.partitioned.clear();
     cluster.run_for(6_000);
     let tail = cluster.tail().unwrap();
-    assert!(cluster.keepers[&tail].store.servers.contains_key("s3"), "what was registered stays");
+    assert!(
+        cluster.keepers[&tail].store.servers.contains_key("s3"),
+        "the server that was registered meanwhile is still recorded"
+    );
 }
 
 #[test]
 fn a_head_gives_no_definite_answer_when_partitioned() {
-    check_partition_of("k1");
+    check_partition("k1");
 }
 
 #[test]
 fn a_middle_member_gives_no_definite_answer_when_partitioned() {
-    check_partition_of("k2");
+    check_partition("k2");
 }
 
 #[test]
 fn a_tail_gives_no_definite_answer_when_partitioned() {
-    check_partition_of("k3");
+    check_partition("k3");
 }
 
-/// A write that changes nothing takes no entry, and yet is answered soon if a majority is in reach.
+/// A write that changes nothing appends no entry, and is still answered soon if a majority is reachable.
 #[test]
 fn an_answer_comes_within_100_ms_when_a_write_changes_nothing() {
     let mut cluster = Cluster::new(&["k1", "k2", "k3"]);
@@ -139,7 +147,7 @@
     let entries = cluster.keepers["k1"].store.last_change;
     for token in 2..40 {
         write(&mut cluster, "k1", token, &format!("heartbeat/s1/{token}"), register("s1", token));
-        cluster.run_for(ROUND_TIME);
+        cluster.run_for(ROUND_INTERVAL);
         let reply = cluster.reply_to(token);
         assert!(matches!(reply, Some(Reply::Answer { answer: Answer::Done, .. })), "{token}: {reply:?}");
     }
--- a/crates/store/tests/primaries.rs
+++ b/crates/store/tests/primaries.rs
@@ -1,4 +1,5 @@
-//! Which voter sets of a group hold is decided by the store, whoever writes an assignment.
+//! Assignments of primaries: the store decides which voter sets of a group are valid, whichever node writes an
+//! assignment.
 use quincehatch_core::{ErrorCode, FencingToken, Name, PrimaryAssignment};
 use quincehatch_store::store::promotion_duty_key;
 use quincehatch_store::{Answer, Command, Entry, PrimaryState, Store};
@@ -41,7 +42,7 @@
         self.write(Command::DropPreviousVoters { group: GROUP.into(), fence })
     }
 
-    /// All voter sets that hold now.
+    /// Returns all voter sets that are valid now.
     fn voter_sets(&self) -> Vec<Vec<Name>> {
         let primary = &self.0.primaries[GROUP];
         let all = primary.previous_voters.iter().chain(Some(&primary.voters));
@@ -65,7 +66,8 @@
     assert!(is_stale, "{answer:?}");
 }
 
-/// Drawn seed 700294: a node that was cut off wrote, long after, the voters it knew when it began.
+/// Simulator seed 700294: a node that was partitioned during a promotion wrote, long after, the voters that it knew
+/// when the promotion began.
 #[test]
 fn no_voter_set_is_dropped_when_a_close_names_an_older_one() {
     let mut store = TestStore::default();
@@ -87,7 +89,7 @@
     let second = store.acquire_fence();
     let closed = store.assign(second, None, &[]);
     assert_eq!(assigned_voter_sets(closed), [names(&["a", "b", "c"])]);
-    // Abandoned after its set was written: whoever promotes next finds it.
+    // The promotion is abandoned after its voter set was written; the next promotion must include that set.
     let abandoned = store.assign(second, None, &["a", "b", "d"]);
     assert_eq!(assigned_voter_sets(abandoned).len(), 2);
     let third = store.acquire_fence();
@@ -113,8 +115,9 @@
     assert_eq!(store.voter_sets(), [names(&["b", "c", "d"])]);
 }
 
-/// Drawn seed 101: of two nodes that began at once, the later one acquired a higher token, saw that it had come too late,
-/// and gave up; the other was overtaken by it, again and again.
+/// Simulator seed 101: two nodes began a promotion at the same time. The later one acquired a higher token, found that
+/// the other had begun, and abandoned its promotion; the higher token made the other's assignment stale, again and
+/// again.
 #[test]
 fn no_fence_is_issued_when_another_one_was_issued_meanwhile() {
     let mut store = TestStore::default();
@@ -125,8 +128,8 @@
     assert_eq!(store.0.fence(&promotion_duty_key(GROUP)), first + 1);
 }
 
-/// Drawn seed 154: a node that had seen the other's token, but planned before its close, acquired a higher one and then
-/// saw that the primary was not the one it had planned for.
+/// Simulator seed 154: a node that had seen another node's token, but planned before that node closed the primary,
+/// acquired a higher token and only then found that the primary was not the one it had planned for.
 #[test]
 fn no_fence_is_issued_when_the_primary_is_not_the_one_planned_for() {
     let mut store = TestStore::default();
@@ -136,7 +139,9 @@
     let expected = PrimaryState { fence, primary: store.0.primaries.get(GROUP).cloned() };
     store.assign(fence, None, &[]);
     assert_stale(&store.acquire_fence_if_unchanged(&expected));
-    let Answer::Primary(named) = store.assign(fence, Some("b"), &[]) else { panic!("it was overtaken") };
+    let Answer::Primary(named) = store.assign(fence, Some("b"), &[]) else {
+        panic!("a newer token was issued")
+    };
     let expected = PrimaryState { fence, primary: Some(named) };
     assert_eq!(store.acquire_fence_if_unchanged(&expected), Answer::Fence(fence + 1));
 }
--- a/crates/store/tests/process_restart.rs
+++ b/crates/store/tests/process_restart.rs
@@ -1,4 +1,4 @@
-//! Messages to an earlier process of a keeper count for nothing in a later one, whatever the wall clock says.
+//! A restarted keeper ignores messages that answer its earlier process, whatever its wall clock shows.
 use quincehatch_core::{Millis, Name};
 use quincehatch_runtime::seam::{BoxFuture, OnDisconnect, VirtualConnection, World, with_world};
 use quincehatch_store::{Input, Keeper, Output, PeerMessage, Record, RecoveredState, View, Voter};
@@ -6,7 +6,8 @@
 use std::sync::Arc;
 use std::task::Waker;
 
-/// A process whose wall clock shows the same time as at the start of the process before. The number is its incarnation.
+/// A process whose wall clock shows the same time as at the start of the previous process. The number is its
+/// incarnation.
 struct Process(u64);
 
 impl World for Process {
@@ -47,7 +48,7 @@
     RecoveredState { view, served_version: 1, ..Default::default() }
 }
 
-/// The tail as it starts in that process, and the grants that k1 sends for its first heartbeats.
+/// Starts the tail in the process with this incarnation, and returns it with the grants of k1 for its first heartbeats.
 fn start(incarnation: u64, at: Millis) -> (Keeper, Vec<PeerMessage>) {
     let mut tail = with_world(Arc::new(Process(incarnation)), || Keeper::new("k3".into(), at, recovered()));
     let mut grants = Vec::new();
@@ -68,7 +69,7 @@
     let (mut first, old_grants) = start(0x9e37_79b9_7f4a_7c15, 1_000);
     let at = 1_000 + 4 * 500;
     first.step(at, Input::Peer { from: "k1".into(), message: old_grants.last().unwrap().clone() });
-    assert!(first.is_serving(), "two of three grant its lease");
+    assert!(first.is_serving(), "two of three voters grant its lease");
 
     let (mut second, grants) = start(0x3c6e_f372_fe94_f82b, 1_000);
     for message in old_grants {
@@ -79,7 +80,7 @@
     assert!(second.is_serving());
 }
 
-/// Ballots must not repeat across restarts either: they continue from what the disk holds.
+/// Ballots must not be reused after a restart: they continue from the ballots on the disk.
 #[test]
 fn ballots_are_never_used_again_when_the_proposer_restarts() {
     let mut recovered = recovered();
@@ -87,7 +88,7 @@
     for incarnation in 0..3 {
         let mut keeper =
             with_world(Arc::new(Process(incarnation)), || Keeper::new("k3".into(), 1_000, recovered.clone()));
-        // k1 and k2 are unresponsive: it proposes a view without them.
+        // k1 and k2 are unresponsive, so k3 proposes a view without them.
         for step in 0..60 {
             for output in keeper.step(1_000 + step * 100, Input::Tick) {
                 match output {
--- a/crates/store/tests/quota.rs
+++ b/crates/store/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Settlements of tenants' operations at the tail of the chain.
+//! Quotas of tenants: settlements at the tail of the chain.
 mod cluster;
 
 use assert_matches::assert_matches;
@@ -16,7 +16,7 @@
 }
 
 impl Chain {
-    /// A chain whose configuration limits a tenant to 100 operations a second and 50 more.
+    /// Starts a chain whose configuration limits a tenant to 100 operations a second with a burst of 50.
     fn serving() -> Chain {
         let mut chain = Chain { cluster: serving_cluster(), token: 100 };
         let document = Command::AdoptDocument {
@@ -43,12 +43,12 @@
         assert_matches!(answer, Answer::Enrolled(number) => number)
     }
 
-    /// What the keeper answers to a node that needs so many tokens.
+    /// Settles with a keeper for a node that needs this number of tokens, and returns the reply.
     fn settle(&mut self, keeper: &str, node: &str, enrolled: ChangeNumber, needed: u32) -> Reply {
         self.try_settle(keeper, node, enrolled, needed).unwrap()
     }
 
-    /// The same; `None` if the keeper does not answer.
+    /// Settles as [`Chain::settle`] does; returns `None` if the keeper does not answer.
     fn try_settle(&mut self, keeper: &str, node: &str, enrolled: ChangeNumber, needed: u32) -> Option<Reply> {
         let claim = Claim {
             tenant: "rowan".into(),
@@ -102,7 +102,7 @@
     assert!(granted(chain.settle(&tail, "n1", enrolled, 1_000)).tokens <= 12, "100 a second");
 }
 
-/// What the tail before it granted last is not known to it.
+/// The new tail does not know the grants of the previous tail.
 #[test]
 fn a_new_tail_begins_with_empty_accounts() {
     let mut chain = Chain::serving();
@@ -124,7 +124,7 @@
     assert!(grant.tokens <= 2 && grant.exhausted_ms > 0, "{grant:?}");
 }
 
-/// A lower limit counts from the next settlement on.
+/// A lower limit applies from the next settlement on.
 #[test]
 fn a_lower_limit_is_in_force_at_once() {
     let mut chain = Chain::serving();
--- a/crates/store/tests/samples/mod.rs
+++ b/crates/store/tests/samples/mod.rs
@@ -1,10 +1,10 @@
-//! Configurations of the size that large installations have.
+//! Sample documents of the size that large installations use.
 #![allow(dead_code)]
 use quincehatch_store::{Command, Entry};
 
 pub const DOCUMENT_BYTES: usize = 150_000;
 
-/// A document of some 900 routes. From one number to the next a few of them change.
+/// Returns a document of about 900 routes. A few routes differ between consecutive numbers.
 pub fn document(number: u64) -> String {
     let mut text = format!("{{\"revision\": {number}, \"routes\": [");
     let mut route = 0u64;
@@ -24,7 +24,7 @@
     text
 }
 
-/// A document that hardly compresses.
+/// Returns a document that is barely compressible.
 pub fn noise(number: u64) -> String {
     let mut state = number.wrapping_add(1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     let mut text = String::with_capacity(DOCUMENT_BYTES);
@@ -37,7 +37,7 @@
     text
 }
 
-/// The operator's document and what was made of it, as one change carries them.
+/// Returns the command that adopts a document with this number and text.
 pub fn adopt(number: u64, text: String) -> Command {
     Command::AdoptDocument { number, source: text.clone(), text, by: "operator".into() }
 }
--- a/crates/store/tests/tail_restart.rs
+++ b/crates/store/tests/tail_restart.rs
@@ -12,8 +12,8 @@
     }
 }
 
-/// A keeper that has served as the tail of its view has waited for older tails before: after a restart it need not do so
-/// again. One that has not served must wait. Found in runs that kill all processes at once.
+/// A keeper that has served as the tail of its view has already waited for the leases of earlier tails, so it does not
+/// wait again after a restart. A keeper that has not served must wait. Runs that kill all processes at once found this.
 #[test]
 fn a_restarted_tail_serves_at_once_if_it_served_in_its_view_before() {
     let mut cluster = Cluster { now: START, ..Default::default() };
--- a/crates/store/tests/view_register.rs
+++ b/crates/store/tests/view_register.rs
@@ -1,13 +1,13 @@
-//! No order of messages, losses and restarts makes the register decide two views of one version.
+//! The view register decides at most one view per version, under every order of messages, losses and restarts.
 mod explorer;
 
 use explorer::Change::{self, Remove, Replace};
-use explorer::{World, explore};
+use explorer::{State, explore};
 
-fn check(voters: &[&str], outsiders: &[&str], changes: &[Change], longest: usize) {
-    let explored = explore(World::new(voters, outsiders, changes));
+fn check(voters: &[&str], outsiders: &[&str], changes: &[Change], longest_history: usize) {
+    let explored = explore(State::new(voters, outsiders, changes));
     println!("{changes:?} of {}: {} states", voters.len(), explored.states);
-    assert_eq!(explored.longest, longest, "the changes can be decided one after the other");
+    assert_eq!(explored.longest_history, longest_history, "all changes can be decided in sequence");
 }
 
 #[test]
--- a/crates/store/tests/written_by_8d4197c.rs
+++ b/crates/store/tests/written_by_8d4197c.rs
@@ -1,26 +1,28 @@
-//! A data folder that version 8d4197c wrote is still read, with all that it holds.
+//! Compatibility: all contents of a data directory that version 8d4197c wrote are read.
 use quincehatch_core::{PrimaryAssignment, Role, ServerRecord};
 use quincehatch_store::storage::disk::Disk;
 use quincehatch_store::store::IssuedFence;
 use quincehatch_store::{Command, RecoveredState, Voter};
 use std::path::{Path, PathBuf};
 
-/// The configuration in force, as the same version stored it.
+/// The configuration in force, as version 8d4197c stored it.
 const STORED_CONFIGURATION: &str =
     include_str!("../../config/tests/fixtures/8d4197c/stored-configuration.json");
-/// Two pushes, two promotions with one list of voters, an enrolled node and three servers.
+/// Number of the last entry. The entries are two pushes, two promotions with one list of voters, the enrollment of a
+/// node and the registrations of three servers.
 const LAST_CHANGE: u64 = 13;
 
-/// A copy of the fixture: opening a data folder may write to it.
-struct DataFolder(PathBuf);
+/// A copy of the fixture, because opening a data directory may write to it.
+struct DataDirectory(PathBuf);
 
-impl DataFolder {
-    fn copy(name: &str) -> DataFolder {
+impl DataDirectory {
+    fn copy(name: &str) -> DataDirectory {
         let fixture = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/8d4197c/keeper.redb");
-        let folder = std::env::temp_dir().join(format!("quincehatch-8d4197c-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).unwrap();
-        std::fs::copy(fixture, folder.join("keeper.redb")).unwrap();
-        DataFolder(folder)
+        let directory =
+            std::env::temp_dir().join(format!("quincehatch-8d4197c-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&directory).unwrap();
+        std::fs::copy(fixture, directory.join("keeper.redb")).unwrap();
+        DataDirectory(directory)
     }
 
     fn recover(&self) -> RecoveredState {
@@ -28,7 +30,7 @@
     }
 }
 
-impl Drop for DataFolder {
+impl Drop for DataDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -49,8 +51,8 @@
 
 #[test]
 fn a_keeper_finds_its_view_when_8d4197c_wrote_the_data_folder() {
-    let folder = DataFolder::copy("view");
-    let recovered = folder.recover();
+    let directory = DataDirectory::copy("view");
+    let recovered = directory.recover();
     assert_eq!((recovered.view.version, recovered.served_version), (1, 1));
     assert_eq!(recovered.view.members, ["k1"]);
     assert_eq!(recovered.view.voters, [Voter { name: "k1".into(), addr: "127.0.0.1:34102".into() }]);
@@ -59,8 +61,8 @@
 
 #[test]
 fn a_keeper_finds_configurations_fences_primaries_and_servers_when_8d4197c_wrote_the_data_folder() {
-    let folder = DataFolder::copy("store");
-    let store = folder.recover().store;
+    let directory = DataDirectory::copy("store");
+    let store = directory.recover().store;
     assert_eq!(store.last_change, LAST_CHANGE);
     let authors: Vec<_> = store.history.iter().map(|entry| (entry.version, entry.author.as_str())).collect();
     assert_eq!(authors, [(1, "qhlab"), (2, "operator")]);
@@ -83,8 +85,8 @@
 
 #[test]
 fn a_keeper_finds_every_entry_of_its_log_when_8d4197c_wrote_the_data_folder() {
-    let folder = DataFolder::copy("log");
-    let log = folder.recover().log;
+    let directory = DataDirectory::copy("log");
+    let log = directory.recover().log;
     let entries = log.entries_after(0, usize::MAX).unwrap();
     let entries: Vec<_> = entries.iter().map(|packed| packed.unpack().unwrap()).collect();
     let numbers: Vec<u64> = entries.iter().map(|entry| entry.number).collect();
