--- a/crates/failover/src/direct.rs
+++ b/crates/failover/src/direct.rs
@@ -1,4 +1,5 @@
-//! Direct groups: their servers speak their own protocol, and a commit waits until a number of replicas received it.
+//! Direct groups: their servers speak their own protocol, and a commit waits until a given number of replicas have
+//! received it.
 pub mod candidate;
 pub mod replication;
 
@@ -6,21 +7,23 @@
 use crate::pooled::need_without_server;
 use quincehatch_core::Millis;
 
-/// Probe failures beyond these limits are a failure of the primary, if other nodes see the same.
+/// The primary counts as failed once its probes have failed for this long, if other nodes confirm it.
 pub const PROBE_FAILURE_LIMITS: ProbeFailureLimits = ProbeFailureLimits { unanswered: 500, refused: 300 };
-/// Replies overdue for this long are no mere hiccup of a disk.
+/// The primary counts as stalled once its replies have been overdue for this long. A short pause of its disk stays
+/// below this limit.
 pub const STALL_LIMIT: Millis = 1_500;
-/// The assigned server may report for this long that it is not the primary.
+/// The assigned server is replaced once it has reported for this long that it is not the primary.
 pub const NOT_PRIMARY_LIMIT: Millis = 600;
-/// A primary is cut off once no replica that answers has received, for this long, what the primary had then.
+/// A primary counts as cut off once no answering replica has reached the primary's replication watermark for this long.
 pub const CUT_OFF_AFTER: Millis = 2_000;
 
-/// Whether the primary has failed by its status probes, as opposed to stalling.
+/// Whether the primary's status probes have failed for at least the limit. A stall is detected separately.
 pub fn primary_failed(observation: &GroupObservation) -> bool {
     PROBE_FAILURE_LIMITS.exceeded_by(observation)
 }
 
-/// What a group with an assignment needs. `has_successor`: a server that is not draining could take over in order.
+/// Returns which promotion a group with an assignment needs, if any. `has_successor` says whether a server that is not
+/// draining could take over in a planned handover.
 pub fn promotion_need(observation: &GroupObservation, has_successor: bool) -> PromotionNeed {
     let Some(assignment) = &observation.primary else { return PromotionNeed::Nothing };
     if observation.yields_to_other_promotion() {
--- a/crates/failover/src/direct/candidate.rs
+++ b/crates/failover/src/direct/candidate.rs
@@ -1,60 +1,63 @@
-//! Which server of a direct group may be promoted.
+//! The rule that decides which server of a direct group may be promoted.
 //!
-//! With `sync_replicas = n` a commit is acknowledged once the primary and `n` of its replicas have it, and the logs of
-//! one term are prefixes of the primary's. A suspended log (its replica suspended, the old primary demoted) receives
-//! nothing more. So a log holds everything that was or ever will be acknowledged if one of these is true:
-//! - all but `n - 1` of the replicas that may hold commits are suspended, and it reaches the highest of these: whatever
-//!   was acknowledged is on `n` of them, so on one that was looked at; what is not can no longer be acknowledged;
-//! - the old primary itself is suspended, and it reaches the old primary's end;
-//! - every node that may have passed on an acknowledgement reported the end of what it passed on, and it reaches the
-//!   highest of these; nodes pass on none once the closed assignment is in force.
+//! With `sync_replicas = n` a commit is acknowledged once the primary and `n` of its replicas have it, and each
+//! replica's log of one term is a prefix of the primary's log. A suspended log (the replica is suspended, or the old
+//! primary is demoted) receives no more entries. So a log holds every commit that was or ever will be acknowledged if
+//! one of these conditions is true:
+//! - All but `n - 1` of the replicas that may hold commits are suspended, and the log reaches the highest of their
+//!   ends. An acknowledged commit is on `n` of these replicas, so at least one suspended log has it. A commit that no
+//!   suspended log has can no longer be acknowledged.
+//! - The old primary itself is suspended, and the log reaches the old primary's end.
+//! - Every node that may have forwarded an acknowledgement has reported the highest position that it acknowledged, and
+//!   the log reaches the highest of these. Nodes forward no acknowledgements once the closed assignment is in force.
 //!
-//! Otherwise nobody is promoted. Without sync replicas nothing is known of any log but the old primary's own: the
-//! highest that can be had is taken after a while.
+//! If no condition is true, no server is promoted. Without sync replicas only the old primary's own log is known to be
+//! complete, so after a delay the highest suspended log is used.
 use quincehatch_core::{FencingToken, Name, Position};
 use quincehatch_runtime::seam::injected_bug;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// How the commits of a direct group are replicated, and which servers may hold them.
+/// The replication settings of a direct group, and the servers that may hold its acknowledged commits.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SyncGroup {
-    /// Replicas that a commit waits for.
+    /// The number of replicas that must receive a commit before it is acknowledged.
     pub sync_replicas: u64,
-    /// Servers beside the old primary that may have received acknowledged commits, known to this node or not.
+    /// Servers other than the old primary that may have received acknowledged commits. Some may be unknown to this
+    /// node.
     pub holders: Vec<Name>,
-    /// Servers that are draining: promoted only where no other may be.
+    /// Servers that are draining. One of these is promoted only if no other server is eligible.
     pub draining: Vec<Name>,
-    /// The fencing token of the primary under which the nodes' acknowledged ends were last gathered.
+    /// The primary's fencing token when the nodes' acknowledged positions were last gathered.
     pub gathered_under: Option<FencingToken>,
 }
 
 /// A server that may be promoted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// The server's name.
+    /// The name of the server.
     pub server: Name,
-    /// Where its log ends.
+    /// The end of its log.
     pub end: Position,
 }
 
-/// What is known at the time of choosing.
+/// The inputs for choosing the server to promote.
 #[derive(Clone, Debug)]
 pub struct CandidateSelection<'a> {
-    /// The group.
+    /// The replication settings of the group.
     pub group: &'a SyncGroup,
-    /// The ends of suspended logs, the old primary's too if it is suspended.
+    /// The ends of all suspended logs, including the old primary's log if it is suspended.
     pub suspended: &'a BTreeMap<Name, Position>,
     /// The old primary, if there was one.
     pub old_primary: Option<&'a Name>,
-    /// The end of what nodes passed on as acknowledged; none unless every one of them reported it.
+    /// The highest position that any node acknowledged to clients; `None` until every node has reported its own.
     pub acknowledged_end: Option<Position>,
-    /// Servers that do not answer were waited for long enough.
+    /// Whether the delay for servers that do not answer has passed.
     pub waited: bool,
 }
 
 impl CandidateSelection<'_> {
-    /// The lowest log end that is known to hold everything acknowledged; none if none is known to.
+    /// Returns the lowest log end that is known to include every acknowledged commit, or `None` if that is not known.
     pub fn required_end(&self) -> Option<Position> {
         if injected_bug("sync-any") {
             return Some(Position::default());
@@ -68,7 +71,8 @@
         [by_old_primary, self.acknowledged_end, by_replicas].into_iter().flatten().min()
     }
 
-    /// Without sync replicas no number of replicas proves anything: the highest log is taken after a while.
+    /// Returns the highest suspended end once the delay has passed. Without sync replicas no number of suspended
+    /// replicas proves that a log is complete.
     fn highest_end_after_waiting(&self) -> Option<Position> {
         if !self.waited {
             return None;
@@ -76,7 +80,8 @@
         self.suspended.values().max().copied()
     }
 
-    /// Fewer than `sync_replicas` holders may be missing: every acknowledged commit is on one that was looked at.
+    /// Returns the highest suspended end of the holders if fewer than `sync_replicas` of them are missing: then every
+    /// acknowledged commit is on one of the suspended holders.
     fn highest_end_among_enough_holders(&self) -> Option<Position> {
         let holders = &self.group.holders;
         let missing = holders.iter().filter(|holder| !self.suspended.contains_key(*holder)).count() as u64;
@@ -86,7 +91,7 @@
         holders.iter().filter_map(|holder| self.suspended.get(holder)).max().copied()
     }
 
-    /// The server to promote, of those that hold everything acknowledged; none while no server is known to.
+    /// Returns the best server among those that hold every acknowledged commit, or `None` while no server is known to.
     pub fn choose(&self, preferred: Option<&Name>) -> Option<Candidate> {
         let required = self.required_end()?;
         let eligible = self.suspended.iter().filter(|(_, end)| **end >= required);
@@ -94,14 +99,15 @@
         candidates.max_by(|a, b| self.compare(a, b, preferred))
     }
 
-    /// One that stays ranks above one that is draining, then the preferred one, then one that is not the old primary
-    /// (which failed or is to be relieved), then the higher log, then the lower name.
+    /// Ranks a server that is not draining above one that is. Ties are broken, in this order, in favour of the
+    /// preferred server, a server other than the old primary (which failed or is being handed over), the higher log end
+    /// and the lower name.
     fn compare(&self, a: &Candidate, b: &Candidate, preferred: Option<&Name>) -> Ordering {
         let rank = |candidate: &Candidate| {
-            let stays = !self.group.draining.contains(&candidate.server);
+            let is_staying = !self.group.draining.contains(&candidate.server);
             let is_preferred = preferred == Some(&candidate.server);
             let is_other = self.old_primary != Some(&candidate.server);
-            (stays, is_preferred, is_other, candidate.end)
+            (is_staying, is_preferred, is_other, candidate.end)
         };
         rank(a).cmp(&rank(b)).then_with(|| b.server.cmp(&a.server))
     }
--- a/crates/failover/src/direct/replication.rs
+++ b/crates/failover/src/direct/replication.rs
@@ -1,16 +1,16 @@
-//! Whether a primary's log still reaches any replica.
+//! Detection of a primary whose log no longer reaches any replica.
 use quincehatch_core::{Millis, Position};
 
-/// What a server had received when it was asked.
+/// The end of the log that a server reported when its status was queried.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReceivedSample {
-    /// When it was asked.
+    /// The time at which the query was sent.
     pub asked_at: Millis,
-    /// The end of what it had received.
+    /// The end of the log entries that it had received.
     pub received: Position,
 }
 
-/// A watermark of the primary's log: where it ended at some moment, no replica having been seen to reach that since.
+/// A recorded end of the primary's log that no replica has been seen to reach yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReplicationWatermark {
     end: Position,
@@ -18,8 +18,9 @@
 }
 
 impl ReplicationWatermark {
-    /// Takes the latest samples. Returns for how long no replica has reached the watermark, as seen from a replica that
-    /// was asked since it was set; 0 where one has, or none answered.
+    /// Applies the latest samples. Once a replica has reached the watermark, a new one is set. Returns for how long the
+    /// current watermark has not been reached, measured up to the latest sample of a replica behind it, or 0 if no
+    /// answering replica is behind it.
     pub fn update(&mut self, primary: ReceivedSample, replicas: &[ReceivedSample]) -> Millis {
         let never_set = self.set_at == 0;
         let log_shrank = primary.received < self.end;
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,10 +1,10 @@
 //! Failover decisions, without I/O: when a group of database servers needs another primary, which server may become
-//! it, and in which order a promotion writes, fences and promotes.
+//! the primary, and in which order a promotion writes assignments, fences servers and promotes one.
 //!
-//! A caller (a node, or the simulator) feeds in what it observes and carries out the actions that come out. Groups come
-//! in two kinds. In a *pooled* group the servers keep a majority-acknowledged log and check fencing tokens themselves
-//! ([`pooled`]). In a *direct* group the servers speak their own protocol and a commit waits for a number of receiving
-//! replicas ([`direct`]).
+//! The caller (a node, or the simulator) passes in its observations and carries out the returned actions. There are two
+//! kinds of groups. In a *pooled* group the servers keep a majority-acknowledged log and check fencing tokens
+//! themselves ([`pooled`]). In a *direct* group the servers speak their own protocol, and a commit waits until a given
+//! number of replicas have received it ([`direct`]).
 #![warn(
     missing_docs,
     clippy::too_many_lines,
--- a/crates/failover/src/pooled.rs
+++ b/crates/failover/src/pooled.rs
@@ -1,24 +1,25 @@
-//! When a pooled group needs a promotion.
+//! The decision when a pooled group needs a promotion.
 use crate::observation::{GroupObservation, ProbeFailureLimits, PromotionNeed, STUCK_AFTER, lasts_at_least};
 use quincehatch_core::Millis;
 
-/// Probe failures beyond these limits are a failure of the primary, if other nodes see the same.
+/// The primary counts as failed once its probes have failed for this long, if other nodes confirm it.
 pub const PROBE_FAILURE_LIMITS: ProbeFailureLimits = ProbeFailureLimits { unanswered: 2_500, refused: 1_000 };
-/// Replies overdue for this long are no mere hiccup of a disk.
+/// The primary counts as stalled once its replies have been overdue for this long. A short pause of its disk stays
+/// below this limit.
 pub const STALL_LIMIT: Millis = 1_500;
-/// The assigned server may report for this long that it is not the primary.
+/// The assigned server is replaced once it has reported for this long that it is not the primary.
 pub const NOT_PRIMARY_LIMIT: Millis = 1_500;
-/// A change among the group's servers is acted on after it has lasted this long.
+/// A difference between the running servers and the voters causes a planned promotion after it has lasted this long.
 pub const MEMBERSHIP_CHANGE_DELAY: Millis = 1_500;
 
-/// Whether the primary has failed by its status probes, as opposed to stalling.
+/// Whether the primary's status probes have failed for at least the limit. A stall is detected separately.
 pub fn primary_failed(observation: &GroupObservation) -> bool {
     PROBE_FAILURE_LIMITS.exceeded_by(observation)
 }
 
-/// What the group needs.
+/// Returns which promotion the group needs, if any.
 pub fn promotion_need(observation: &GroupObservation) -> PromotionNeed {
-    // A minority of the servers says nothing about what was committed.
+    // A minority of the servers may lack committed entries.
     let sees_majority = observation.servers.len() * 2 > observation.server_count;
     if !sees_majority || observation.yields_to_other_promotion() {
         return PromotionNeed::Nothing;
@@ -42,7 +43,8 @@
     PromotionNeed::Nothing
 }
 
-/// What a group needs whose assignment names no server: a promotion that closed it is under way, or stuck.
+/// Returns which promotion a group needs while its assignment names no server: the promotion that closed the assignment
+/// is in progress, or it is stuck.
 pub(crate) fn need_without_server(observation: &GroupObservation) -> PromotionNeed {
     if observation.primary_unchanged_for >= STUCK_AFTER {
         PromotionNeed::Now { planned: false }
--- a/crates/failover/src/promotion.rs
+++ b/crates/failover/src/promotion.rs
@@ -1,7 +1,7 @@
-//! Promotion of one group's primary under one fencing token. The same steps run in a node and in the simulator.
+//! Promotion of a new primary of one group under one fencing token. Nodes and the simulator run the same steps.
 //!
-//! A promotion acquires a fencing token, closes the group's assignment, fences servers until one is known to hold every
-//! acknowledged commit, makes it the primary and writes the assignment that names it.
+//! A promotion acquires a fencing token, closes the group's assignment, fences servers until one of them is known to
+//! hold every acknowledged commit, makes that server the primary and writes the assignment that names it.
 mod candidate;
 mod plan;
 mod protocol;
@@ -13,48 +13,50 @@
 use quincehatch_core::{FencingToken, Millis, Name, Position, PrimaryAssignment};
 use std::collections::BTreeMap;
 
-/// A promotion that has not ended by then is given up; the next begins under a higher fencing token.
+/// A promotion that has not finished within this time is abandoned; the next one starts under a higher fencing token.
 pub const MAX_DURATION: Millis = 15_000;
-/// A planned promotion of a pooled group waits this long for open transactions.
+/// A planned promotion of a pooled group waits at most this long for open transactions.
 const POOLED_DRAIN_TIMEOUT: Millis = 1_500;
-/// A planned promotion of a direct group waits this long for work in flight, and for a replica that has all of it.
+/// A planned promotion of a direct group waits at most this long until no request is in flight and a replica has
+/// received the whole log.
 const DIRECT_DRAIN_TIMEOUT: Millis = 600;
-/// Without enough servers fenced by then the promotion is given up.
+/// The promotion is abandoned if too few servers are fenced within this time.
 const FENCE_TIMEOUT: Millis = 4_000;
-/// The chosen server is asked for this long to become the primary.
+/// The promotion is abandoned if the chosen server still cannot be promoted after this time.
 const PROMOTE_TIMEOUT: Millis = 1_500;
 
 /// The state of one promotion.
 #[derive(Clone, Debug)]
 pub struct Promotion {
-    /// What it sets out to do.
+    /// The plan that the promotion carries out.
     pub plan: PromotionPlan,
-    /// Where it stands.
+    /// The phase that the promotion is in.
     pub phase: Phase,
-    /// Its fencing token; 0 until one is acquired.
+    /// The promotion's fencing token; 0 until one is acquired.
     pub fence: FencingToken,
-    began_at: Millis,
-    phase_since: Millis,
+    started_at: Millis,
+    phase_started_at: Millis,
     requested_at: Millis,
-    /// Where the logs of fenced servers end.
+    /// The log ends of the fenced servers.
     fenced: BTreeMap<Name, Position>,
     chosen: Option<Name>,
-    /// The end of what nodes passed on as acknowledged, once all have reported.
+    /// The highest position that any node acknowledged to clients, once all nodes have reported.
     acknowledged_end: Option<Position>,
-    /// The voter sets that hold, as the store gave them once the assignment was closed; none before the first.
+    /// The voter sets in force, as the store returned them with the closed assignment; empty before the first
+    /// assignment.
     voter_sets: Vec<Vec<Name>>,
     actions: Vec<PromotionAction>,
 }
 
 impl Promotion {
-    /// Begins a promotion. Returns it with its first actions.
+    /// Starts a promotion. Returns it with its first actions.
     pub fn new(now: Millis, plan: PromotionPlan) -> (Self, Vec<PromotionAction>) {
         let mut promotion = Self {
             plan,
             phase: Phase::AcquiringFence,
             fence: 0,
-            began_at: now,
-            phase_since: now,
+            started_at: now,
+            phase_started_at: now,
             requested_at: 0,
             fenced: BTreeMap::new(),
             chosen: None,
@@ -68,20 +70,20 @@
         (promotion, actions)
     }
 
-    /// Whether the promotion has succeeded or was given up.
+    /// Whether the promotion has succeeded or was abandoned.
     pub fn is_finished(&self) -> bool {
         matches!(self.phase, Phase::Done | Phase::Failed)
     }
 
-    /// Takes an event. Returns the actions to carry out now.
+    /// Processes an event. Returns the actions to carry out now.
     pub fn step(&mut self, now: Millis, event: PromotionEvent) -> Vec<PromotionAction> {
         if self.is_finished() {
             return Vec::new();
         }
         if event == PromotionEvent::Superseded {
             self.fail("was superseded by a higher fencing token");
-        } else if now > self.began_at + MAX_DURATION {
-            self.fail("took too long");
+        } else if now > self.started_at + MAX_DURATION {
+            self.fail("timed out");
         } else {
             self.advance(now, event);
         }
@@ -90,15 +92,15 @@
 
     fn advance(&mut self, now: Millis, event: PromotionEvent) {
         self.apply(now, event);
-        if self.phase == Phase::Draining && now >= self.phase_since + self.drain_timeout() {
+        if self.phase == Phase::Draining && now >= self.phase_started_at + self.drain_timeout() {
             self.enter(now, Phase::Fencing);
         }
         if self.phase == Phase::Fencing {
             self.choose_candidate(now);
         }
-        // The voters may have changed meanwhile: the next promotion reads them anew.
-        if self.phase == Phase::Fencing && now >= self.phase_since + FENCE_TIMEOUT {
-            self.fail("found no majority to fence");
+        // The voters may have changed in the meantime; the next promotion reads them again.
+        if self.phase == Phase::Fencing && now >= self.phase_started_at + FENCE_TIMEOUT {
+            self.fail("could not fence enough servers");
         }
         self.request(now);
     }
@@ -117,12 +119,13 @@
             {
                 self.enter(now, Phase::Naming);
             }
-            // The server may have been promoted although no answer came, so no other may be under this fencing token:
-            // the same one is asked again, and after a while the next promotion begins under a higher token.
+            // The server may have been promoted although its answer was lost, so no other server may be promoted under
+            // this fencing token. The request is repeated until the timeout; then the next promotion starts under a
+            // higher token.
             (Phase::Promoting, PromotionEvent::ServerNotPromoted(_))
-                if now >= self.phase_since + PROMOTE_TIMEOUT =>
+                if now >= self.phase_started_at + PROMOTE_TIMEOUT =>
             {
-                self.fail("could not promote");
+                self.fail("could not promote the chosen server");
             }
             (Phase::Naming, PromotionEvent::PrimaryAnnounced) => {
                 self.phase = Phase::Done;
@@ -132,15 +135,15 @@
                 self.fenced.insert(server, end);
             }
             (_, PromotionEvent::AcknowledgedUpTo(end)) => self.acknowledged_end = Some(end),
-            // An answer to a request of an earlier phase, or a tick.
+            // A tick, or the answer to a request of an earlier phase.
             _ => {}
         }
     }
 
     fn primary_closed(&mut self, now: Millis, closed: &PrimaryAssignment) {
         self.voter_sets = closed.voter_sets();
-        // Servers of a direct group may have been resumed by a promotion that was given up: only what is suspended
-        // under the closed assignment counts.
+        // An abandoned promotion may have resumed servers of a direct group, so only servers that are suspended under
+        // the closed assignment count.
         if self.plan.sync_group.is_some() {
             self.fenced.clear();
         }
@@ -153,7 +156,7 @@
 
     fn enter(&mut self, now: Millis, phase: Phase) {
         self.phase = phase;
-        self.phase_since = now;
+        self.phase_started_at = now;
         self.requested_at = 0;
         self.log(&format!("is {phase:?}").to_lowercase());
         self.request(now);
--- a/crates/failover/src/promotion/candidate.rs
+++ b/crates/failover/src/promotion/candidate.rs
@@ -1,17 +1,18 @@
-//! The choice of the server to promote, in pooled and in direct groups.
+//! Selection of the server to promote, in pooled and in direct groups.
 use super::{Phase, Promotion};
 use crate::direct::candidate::{CandidateSelection, SyncGroup};
 use quincehatch_core::{Millis, Name, Position};
 use quincehatch_runtime::seam::injected_bug;
 
-/// Pooled: the old primary is chosen from only after this long without enough other servers.
+/// In a pooled group the old primary becomes eligible only after too few other servers were fenced within this time.
 const OLD_PRIMARY_DELAY: Millis = 1_000;
-/// Direct: without sync replicas the highest log is taken after this long.
+/// In a direct group without sync replicas the highest log is chosen after this delay.
 const HIGHEST_LOG_DELAY: Millis = 1_500;
-/// Direct: a better server than the old primary or a draining one is waited for this long.
+/// In a direct group the old primary or a draining server is chosen only after this delay, as a better server may
+/// answer.
 const BETTER_CANDIDATE_DELAY: Millis = 800;
 
-/// A fenced server and where its log ends.
+/// A fenced server and the end of its log.
 type FencedServer<'a> = (&'a Name, &'a Position);
 
 impl Promotion {
@@ -29,13 +30,13 @@
             suspended: &self.fenced,
             old_primary: self.plan.old_primary.as_ref(),
             acknowledged_end: self.acknowledged_end,
-            waited: now >= self.phase_since + HIGHEST_LOG_DELAY,
+            waited: now >= self.phase_started_at + HIGHEST_LOG_DELAY,
         };
         let Some(candidate) = selection.choose(self.plan.preferred.as_ref()) else { return };
         let is_old_primary = self.plan.old_primary.as_ref() == Some(&candidate.server);
         let is_last_resort = is_old_primary || group.draining.contains(&candidate.server);
         let others_may_answer = self.fenced.len() < self.plan.servers.len();
-        if is_last_resort && others_may_answer && now < self.phase_since + BETTER_CANDIDATE_DELAY {
+        if is_last_resort && others_may_answer && now < self.phase_started_at + BETTER_CANDIDATE_DELAY {
             return;
         }
         let (end, suspended) = (candidate.end, self.fenced.len());
@@ -47,9 +48,9 @@
         self.enter(now, Phase::Promoting);
     }
 
-    /// The highest log among all but one of every voter set holds every acknowledged commit, as each of those is on two
-    /// servers of one set. The old primary is chosen only if there are not enough servers without it: it failed, or it
-    /// is to be relieved, and its log may well be the longest.
+    /// Chooses a server with the highest log among all but one of the servers of every voter set. That log holds every
+    /// acknowledged commit, as each commit is on two servers of one set. The old primary failed or is being handed
+    /// over, and its log may be the longest, so it is chosen only if too few other servers are fenced.
     fn choose_pooled(&mut self, now: Millis) {
         let Some(best) = self.highest_logs(now) else { return };
         let preferred = self.plan.preferred.clone().filter(|name| best.servers.contains(name));
@@ -57,12 +58,13 @@
         let server = self.chosen.clone().unwrap_or_default();
         let (end, fenced) = (best.end, self.fenced.len());
         self.log(&format!("chose {server} at {}.{} of {fenced} fenced", end.fence, end.number));
-        // The server is given no voters that the store does not have: another promotion would not fence them.
+        // The server must not get voters that the store has not recorded: another promotion would not fence them.
         let recorded = self.voter_sets.last() == Some(&self.next_voters()) || injected_bug("unlisted");
         self.enter(now, if recorded { Phase::Promoting } else { Phase::Listing });
     }
 
-    /// The highest end among the servers that may be chosen from, and who has it; none while too few are fenced.
+    /// Returns the highest log end among the eligible servers and the servers that have it, or `None` while too few
+    /// servers are fenced.
     fn highest_logs(&self, now: Millis) -> Option<HighestLogs> {
         let eligible = self.eligible_servers(now)?;
         let ends = eligible.iter().map(|(_, end)| **end);
@@ -71,6 +73,7 @@
         Some(HighestLogs { end, servers: at_end.map(|(name, _)| (*name).clone()).collect() })
     }
 
+    /// Returns the fenced voters to choose from, or `None` while too few of them are fenced.
     fn eligible_servers(&self, now: Millis) -> Option<Vec<FencedServer<'_>>> {
         let voters: Vec<_> = self.fenced.iter().filter(|(name, _)| self.is_voter(name)).collect();
         let keeps_old_primary = self.plan.preferred.is_some() && self.plan.preferred == self.plan.old_primary;
@@ -80,17 +83,17 @@
         if self.is_enough(&others) {
             return Some(others);
         }
-        let waited = now >= self.phase_since + OLD_PRIMARY_DELAY && !self.plan.planned;
+        let waited = now >= self.phase_started_at + OLD_PRIMARY_DELAY && !self.plan.planned;
         if waited && self.is_enough(&voters) { Some(voters) } else { None }
     }
 
-    /// An acknowledged commit is on voters of one of the sets; other servers may lack it.
+    /// Whether the server is in one of the voter sets. Acknowledged commits are on voters; other servers may lack them.
     fn is_voter(&self, server: &Name) -> bool {
         self.voter_sets.is_empty() || self.voter_sets.iter().any(|voters| voters.contains(server))
     }
 
-    /// Whether these servers hold every acknowledged commit: all but one of each voter set; before the first
-    /// assignment, a majority of the group.
+    /// Whether these servers together hold every acknowledged commit. They must be all but one of each voter set or,
+    /// before the first assignment, a majority of the group.
     fn is_enough(&self, servers: &[FencedServer<'_>]) -> bool {
         if self.voter_sets.is_empty() {
             return servers.len() * 2 > self.plan.server_count;
@@ -101,7 +104,7 @@
     }
 }
 
-/// The servers whose logs end highest.
+/// The servers with the highest log end.
 struct HighestLogs {
     end: Position,
     servers: Vec<Name>,
--- a/crates/failover/src/promotion/plan.rs
+++ b/crates/failover/src/promotion/plan.rs
@@ -1,32 +1,32 @@
-//! What a promotion sets out to do.
+//! The plan of a promotion.
 use crate::direct::candidate::SyncGroup;
 use quincehatch_core::{FencingToken, Name, PrimaryAssignment};
 
-/// The plan of one promotion, drawn up from one observation of the group.
+/// The plan of one promotion, made from one observation of the group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PromotionPlan {
-    /// The group.
+    /// The group to promote a primary in.
     pub group: Name,
     /// The node that carries the promotion out.
     pub coordinator: Name,
-    /// Tells the writes of this attempt from those of any other.
+    /// The identifier of this attempt; it distinguishes its writes from those of any other attempt.
     pub attempt: Name,
-    /// The assignment, open or closed, that the plan is made for.
+    /// The assignment, open or closed, that the promotion replaces.
     pub primary: Option<PrimaryAssignment>,
-    /// The latest fencing token of the group's promotion duty at that moment.
+    /// The latest fencing token of the group's promotion duty when the plan was made.
     pub expected_fence: FencingToken,
     /// The server that was the primary, if any.
     pub old_primary: Option<Name>,
-    /// All servers of the group, the old primary too.
+    /// All servers of the group, including the old primary.
     pub servers: Vec<Name>,
-    /// How many servers the group has; before the first assignment a majority of these must be fenced.
+    /// The number of servers in the group; before the first assignment a majority of them must be fenced.
     pub server_count: usize,
-    /// The old primary works: it is drained first, and another is preferred to it.
+    /// Whether the old primary still works: it is drained first, and another server is preferred to it.
     pub planned: bool,
-    /// The server an operator prefers.
+    /// The server that an operator prefers.
     pub preferred: Option<Name>,
     /// The voters of the next assignment.
     pub voters: Vec<Name>,
-    /// Of a direct group: how its commits are replicated. None for a pooled group.
+    /// The replication settings of a direct group; `None` for a pooled group.
     pub sync_group: Option<SyncGroup>,
 }
--- a/crates/failover/src/promotion/protocol.rs
+++ b/crates/failover/src/promotion/protocol.rs
@@ -1,33 +1,33 @@
-//! The phases of a promotion, the events that advance it, and the actions it asks for.
+//! The phases of a promotion, the events that advance it, and the actions that it requests.
 use quincehatch_core::{FencingToken, Name, Position, PrimaryAssignment};
 
-/// The phases of a promotion, in their order.
+/// The phases of a promotion, in order.
 ///
-/// The log tells each change of phase by the lower-case name, which the simulator's fault schedules match.
+/// Each change of phase is logged under the lower-case name, which the simulator's fault schedules match.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Acquires a fencing token above every earlier one.
+    /// The promotion acquires a fencing token above every earlier one.
     AcquiringFence,
-    /// Writes an assignment without a server, so that no node sends anything to the old primary.
+    /// The promotion writes an assignment without a server, so that no node sends requests to the old primary.
     Closing,
-    /// Of a planned promotion: waits for what is in flight.
+    /// A planned promotion waits until no request of the group is in flight.
     Draining,
-    /// Fences servers until one may be chosen.
+    /// The promotion fences servers until one of them may be chosen.
     Fencing,
-    /// Records the voters that the chosen server will have.
+    /// The promotion records the voters of the chosen server in the store.
     Listing,
-    /// Makes the chosen server the primary.
+    /// The promotion makes the chosen server the primary.
     Promoting,
-    /// Writes the assignment that names it.
+    /// The promotion writes the assignment that names the new primary.
     Naming,
     /// The promotion succeeded.
     Done,
-    /// The promotion was given up.
+    /// The promotion was abandoned.
     Failed,
 }
 
 impl Phase {
-    /// The phase's name in metrics.
+    /// Returns the name of the phase in metrics.
     pub fn label(self) -> &'static str {
         match self {
             Phase::AcquiringFence => "acquiring_fence",
@@ -43,34 +43,35 @@
     }
 }
 
-/// What a promotion learns.
+/// An event that a promotion processes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PromotionEvent {
-    /// Nothing but that time has passed.
+    /// Time has passed without any other event.
     Tick,
     /// The store granted a fencing token.
     FenceAcquired(FencingToken),
-    /// The closed assignment is in force at every node: as the store has it, with the voter sets that hold.
+    /// The closed assignment is in force at every node. It is the store's copy and contains the voter sets in force.
     PrimaryClosed(PrimaryAssignment),
-    /// A server rejects lower fencing tokens from now on; its log ends at the position.
+    /// A server now rejects lower fencing tokens; its log ends at the position.
     ServerFenced(Name, Position),
     /// The voters of the chosen server are recorded in the store.
     VotersRecorded,
-    /// The server is the primary.
+    /// The server has become the primary.
     ServerPromoted(Name),
     /// The server could not be promoted.
     ServerNotPromoted(Name),
-    /// Every live node reports that nothing of the group is in flight there.
+    /// Every live node reports that it has no request of the group in flight.
     Drained,
     /// The assignment that names the new primary is in force at every node.
     PrimaryAnnounced,
-    /// Every node that may have passed on acknowledgements reported the end of these.
+    /// Every node that may have forwarded acknowledgements has reported the highest position that it acknowledged; this
+    /// is the highest of all.
     AcknowledgedUpTo(Position),
-    /// A higher fencing token was granted: another node has taken over.
+    /// A higher fencing token was granted: another node has started a promotion.
     Superseded,
 }
 
-/// What a promotion asks its caller to do. Each is asked for again until the event that answers it is in.
+/// An action that the caller is to carry out. The promotion repeats it until the event that completes it arrives.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PromotionAction {
     /// Acquire a fencing token from the store.
@@ -82,29 +83,29 @@
     WritePrimary {
         /// The idempotency key of the write.
         key: Name,
-        /// The assignment.
+        /// The assignment to write.
         primary: PrimaryAssignment,
     },
-    /// Make a server reject lower fencing tokens, and learn where its log ends.
+    /// Make a server reject lower fencing tokens, and query the end of its log.
     FenceServer {
-        /// The server.
+        /// The server to fence.
         server: Name,
         /// The promotion's fencing token.
         fence: FencingToken,
     },
     /// Make a server the primary.
     PromoteServer {
-        /// The server.
+        /// The server to promote.
         server: Name,
         /// The promotion's fencing token.
         fence: FencingToken,
-        /// The servers whose majority acknowledges its commits.
+        /// The voters of the new primary; a majority of them must acknowledge a commit.
         voters: Vec<Name>,
     },
-    /// Ask every node what is in flight there.
+    /// Query every node for the number of its requests in flight.
     CountInFlight,
-    /// Ask every node for the end of what it passed on as acknowledged.
+    /// Query every node for the highest position that it acknowledged to clients.
     QueryAcknowledged,
-    /// Record a line of the promotion's progress.
+    /// Write a log line about the promotion's progress.
     Log(String),
 }
--- a/crates/failover/src/promotion/requests.rs
+++ b/crates/failover/src/promotion/requests.rs
@@ -1,15 +1,15 @@
-//! What each phase of a promotion asks for, again and again until it has it.
+//! The actions that each phase of a promotion requests, repeated until the phase is complete.
 use super::{Phase, Promotion, PromotionAction};
 use quincehatch_core::{Millis, Name, PrimaryAssignment};
 use std::collections::BTreeSet;
 
-/// Between two requests for the same thing.
+/// The time between two requests for the same action.
 const RETRY_INTERVAL: Millis = 300;
-/// Between two counts of what is in flight.
+/// The time between two counts of the requests in flight.
 const DRAIN_POLL_INTERVAL: Millis = 20;
 
 impl Promotion {
-    /// Asks for what the present phase needs, unless it was asked for just now.
+    /// Requests the actions of the current phase, unless they were requested within the retry interval.
     pub(super) fn request(&mut self, now: Millis) {
         let interval = if self.phase == Phase::Draining { DRAIN_POLL_INTERVAL } else { RETRY_INTERVAL };
         if self.requested_at != 0 && now < self.requested_at + interval {
@@ -18,11 +18,11 @@
         self.requested_at = now.max(1);
         match self.phase {
             Phase::AcquiringFence => {
-                self.actions.push(PromotionAction::AcquireFence { key: self.write_key("fence") });
+                self.actions.push(PromotionAction::AcquireFence { key: self.idempotency_key("fence") });
             }
             Phase::Closing => {
                 self.write_primary("close");
-                // A failed primary has nothing to drain: servers are fenced while the closed assignment spreads.
+                // A failed primary has nothing to drain, so servers are fenced while nodes adopt the closed assignment.
                 if !self.plan.planned {
                     self.fence_servers();
                 }
@@ -41,16 +41,16 @@
         }
     }
 
-    fn write_key(&self, step: &str) -> Name {
+    fn idempotency_key(&self, step: &str) -> Name {
         format!("{}/{step}", self.plan.attempt).into()
     }
 
     fn write_primary(&mut self, step: &str) {
-        let (key, primary) = (self.write_key(step), self.assignment());
+        let (key, primary) = (self.idempotency_key(step), self.assignment());
         self.actions.push(PromotionAction::WritePrimary { key, primary });
     }
 
-    /// The assignment to write in this phase. Which earlier voter sets hold beside its own, the store knows itself.
+    /// Returns the assignment to write in this phase. The store itself adds the earlier voter sets that are in force.
     fn assignment(&self) -> PrimaryAssignment {
         let server = if self.phase == Phase::Naming { self.chosen.clone() } else { None };
         let has_voters = matches!(self.phase, Phase::Naming | Phase::Listing);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The planned voters; whoever is chosen votes too.
+    /// Returns the planned voters and the chosen server, which is always a voter.
     pub(super) fn next_voters(&self) -> Vec<Name> {
         let voters: BTreeSet<&Name> = self.plan.voters.iter().chain(&self.chosen).collect();
         voters.into_iter().cloned().collect()
@@ -72,7 +72,7 @@
 
     fn fence_servers(&mut self) {
         for server in self.plan.servers.clone() {
-            // A log of a direct group stays suspended once it is.
+            // A suspended log of a direct group stays suspended, so it needs no second request.
             let is_suspended = self.plan.sync_group.is_some() && self.fenced.contains_key(&server);
             if !is_suspended {
                 self.actions.push(PromotionAction::FenceServer { server, fence: self.fence });
--- a/crates/failover/src/votes.rs
+++ b/crates/failover/src/votes.rs
@@ -1,24 +1,24 @@
-//! Confirmation of a primary's failure by other nodes: a node that is cut off deposes nobody.
+//! Confirmation of a primary's failure by other nodes, so that a node that is cut off does not depose a primary.
 
-/// How a primary is suspected to have failed.
+/// The way in which a primary is suspected to have failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspectedFailure {
-    /// It answers no status probe.
+    /// The primary answers no status probes.
     Unresponsive,
-    /// It answers probes, but replies to statements are overdue.
+    /// The primary answers probes, but its replies to statements are overdue.
     Stalled,
 }
 
-/// What one node sees of a server when it is asked.
+/// One node's observation of a server when the node is queried.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PrimaryObservation {
-    /// The node knows the server at all.
+    /// Whether the node knows the server.
     pub known_here: bool,
-    /// Status probes fail.
+    /// Whether the server's status probes fail.
     pub failing: bool,
-    /// Replies are overdue.
+    /// Whether the server's replies are overdue.
     pub stalled: bool,
-    /// Statements were answered lately.
+    /// Whether the server answered statements recently.
     pub answering: bool,
 }
 
@@ -32,7 +32,7 @@
             SuspectedFailure::Unresponsive => Vote::Deny,
             SuspectedFailure::Stalled if self.stalled => Vote::Confirm,
             SuspectedFailure::Stalled if self.answering => Vote::Deny,
-            // A node without requests to the server cannot tell a stall from idleness.
+            // A node that sends the server no requests cannot distinguish a stall from idleness.
             SuspectedFailure::Stalled => Vote::Abstain,
         }
     }
@@ -44,23 +44,23 @@
     Abstain,
 }
 
-/// The count of what nodes see of a primary that this node suspects.
+/// The votes of nodes on a primary that this node suspects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailureVotes {
     suspected: SuspectedFailure,
     confirming: usize,
     denying: usize,
-    asked: usize,
+    queried: usize,
 }
 
 impl FailureVotes {
-    /// Starts the count with what this node sees itself, `asked` other nodes being asked.
+    /// Starts the count with this node's own observation; `queried` is the number of other nodes that are queried.
     ///
-    /// The own observation counts for a stall only, where a node without requests to the server has nothing to say.
-    /// Every node probes every server's status, so others must see a failure to answer too.
-    pub fn begin(suspected: SuspectedFailure, own: PrimaryObservation, asked: usize) -> Self {
+    /// The own observation counts only for a stall, which nodes without requests to the server cannot observe. Every
+    /// node probes every server's status, so other nodes must also observe a server that does not answer.
+    pub fn begin(suspected: SuspectedFailure, own: PrimaryObservation, queried: usize) -> Self {
         let own_stall = suspected == SuspectedFailure::Stalled && own.stalled;
-        Self { suspected, confirming: usize::from(own_stall), denying: 0, asked }
+        Self { suspected, confirming: usize::from(own_stall), denying: 0, queried }
     }
 
     /// Counts another node's observation.
@@ -72,9 +72,9 @@
         }
     }
 
-    /// Whether the failure is confirmed. Nodes that did not answer count for neither side; a node that has no others
-    /// to ask decides alone.
+    /// Whether the failure is confirmed. Nodes that did not answer count for neither side. A node without other nodes
+    /// to query decides alone.
     pub fn confirmed(&self) -> bool {
-        self.asked == 0 || (self.confirming >= 1 && self.confirming > self.denying)
+        self.queried == 0 || (self.confirming >= 1 && self.confirming > self.denying)
     }
 }
--- a/crates/failover/tests/direct_candidate.rs
+++ b/crates/failover/tests/direct_candidate.rs
@@ -1,4 +1,5 @@
-//! Which server of a direct group is promoted: over every small case, against what could have been acknowledged.
+//! Checks which server of a direct group is promoted, in every small scenario, against the commits that may have been
+//! acknowledged.
 use quincehatch_core::{Name, Position};
 use quincehatch_failover::direct::candidate::{Candidate, CandidateSelection, SyncGroup};
 use std::collections::BTreeMap;
@@ -18,7 +19,7 @@
     Candidate { server: server.into(), end }
 }
 
-/// A group at the moment of choosing.
+/// The state of a group when the server to promote is chosen.
 #[derive(Clone, Debug)]
 struct Scenario {
     sync_replicas: u64,
@@ -30,8 +31,8 @@
 }
 
 impl Scenario {
-    /// The highest commit that may be acknowledged, now or later: `sync_replicas` replicas have it, or may yet receive
-    /// it. A primary that is not suspended may have made more than it was seen to.
+    /// Returns the highest commit that may be acknowledged, now or later: `sync_replicas` replicas have it or may still
+    /// receive it. A primary that is not suspended may have written one more commit than was observed.
     fn highest_acknowledged(&self) -> u64 {
         let may_receive = if self.primary_suspended { self.primary_end } else { self.primary_end + 1 };
         let replicas = self.ends.iter().zip(&self.suspended);
@@ -62,7 +63,7 @@
     }
 }
 
-/// Every scenario of so many replicas.
+/// Calls `check` with every scenario that has this number of replicas.
 fn for_each_scenario(replicas: usize, sync_replicas: u64, mut check: impl FnMut(&Scenario)) {
     let end_count = MAX_END as usize + 1;
     for primary_end in 0..=MAX_END {
@@ -87,17 +88,17 @@
     }
 }
 
-/// A way to choose.
+/// A rule that chooses the server to promote.
 type Choose = fn(&CandidateSelection<'_>) -> Option<Candidate>;
 
-/// How a way to choose did over all scenarios.
+/// The results of a rule over all scenarios.
 #[derive(Default)]
 struct Tally {
     scenarios: usize,
-    /// It promoted a log that lacks what was acknowledged.
+    /// Scenarios in which the promoted log lacks an acknowledged commit.
     lost: usize,
-    /// It promoted nobody.
-    nobody: usize,
+    /// Scenarios in which no server was promoted.
+    not_promoted: usize,
 }
 
 fn tally(replicas: usize, sync_replicas: u64, choose: Choose) -> Tally {
@@ -106,7 +107,7 @@
     for_each_scenario(replicas, sync_replicas, |scenario| {
         let (group, suspended) = (scenario.group(), scenario.suspended_ends());
         let highest = scenario.highest_acknowledged();
-        // What nodes passed on is any part of it; where they reported, no more than that is passed on.
+        // Nodes may have acknowledged any part of these commits. Once all have reported, they acknowledge no more.
         for reported in (0..=highest).map(Some).chain([None]) {
             let selection = CandidateSelection {
                 group: &group,
@@ -118,7 +119,7 @@
             tally.scenarios += 1;
             match choose(&selection) {
                 Some(chosen) => tally.lost += usize::from(chosen.end < at(reported.unwrap_or(highest))),
-                None => tally.nobody += 1,
+                None => tally.not_promoted += 1,
             }
         }
     });
@@ -126,24 +127,24 @@
 }
 
 #[test]
-fn nothing_that_may_be_acknowledged_is_missing_when_a_server_is_promoted() {
+fn the_promoted_server_has_every_commit_that_may_be_acknowledged() {
     for (replicas, sync_replicas) in [(1, 1), (2, 1), (3, 1), (2, 2), (3, 2), (3, 3)] {
         let tally = tally(replicas, sync_replicas, |selection| selection.choose(None));
         assert_eq!(tally.lost, 0, "{replicas} replicas, {sync_replicas} of them synchronous");
-        let (nobody, scenarios) = (tally.nobody, tally.scenarios);
-        let case = format!("{replicas} {sync_replicas}: nobody in {nobody} of {scenarios}");
-        assert!(nobody * 3 < scenarios * 2, "{case}");
+        let (not_promoted, scenarios) = (tally.not_promoted, tally.scenarios);
+        let case = format!("{replicas} {sync_replicas}: no server promoted in {not_promoted} of {scenarios}");
+        assert!(not_promoted * 3 < scenarios * 2, "{case}");
     }
 }
 
 #[test]
-fn commits_would_be_lost_when_the_highest_log_is_taken_without_condition() {
+fn choosing_the_highest_log_unconditionally_loses_commits() {
     let highest: Choose = |selection| {
         let best = selection.suspended.iter().max_by_key(|(_, end)| **end);
         best.map(|(name, end)| candidate(name, *end))
     };
     assert!(tally(2, 1, highest).lost > 0 && tally(3, 1, highest).lost > 0);
-    // One suspended replica too few loses commits too.
+    // Requiring one suspended replica too few also loses commits.
     let one_too_few: Choose = |selection| {
         let sync_replicas = selection.group.sync_replicas + 1;
         let group = SyncGroup { sync_replicas, ..selection.group.clone() };
@@ -170,17 +171,17 @@
             return;
         }
         let chosen = chosen.unwrap();
-        // One that is draining is taken only where none that stays has all that counts.
+        // A draining server is chosen only if no other server has every commit that may be acknowledged.
         let required = selection.required_end().unwrap();
-        let stays = |name: &&Name| !group.draining.contains(name) && suspended[*name] >= required;
-        let is_last_resort = !suspended.keys().any(|name| stays(&name));
+        let is_staying = |name: &&Name| !group.draining.contains(name) && suspended[*name] >= required;
+        let is_last_resort = !suspended.keys().any(|name| is_staying(&name));
         assert!(!group.draining.contains(&chosen.server) || is_last_resort, "{scenario:?}");
         assert_eq!(suspended[&chosen.server], chosen.end);
     });
 }
 
 #[test]
-fn the_old_primary_is_relieved_when_another_will_do_and_a_preference_is_met_among_eligible_servers() {
+fn an_eligible_replica_is_chosen_before_the_old_primary_and_before_an_ineligible_preferred_server() {
     let group = SyncGroup { sync_replicas: 1, holders: names(2), ..Default::default() };
     let suspended: BTreeMap<Name, Position> =
         [("lead", 5), ("r0", 4), ("r1", 3)].map(|(name, end)| (name.into(), at(end))).into();
@@ -194,7 +195,11 @@
     };
     assert_eq!(selection.choose(None), Some(candidate("r0", at(4))));
     let preferred = selection.choose(Some(&"r1".into()));
-    assert_eq!(preferred, Some(candidate("r0", at(4))), "it lacks what may be acknowledged");
+    assert_eq!(
+        preferred,
+        Some(candidate("r0", at(4))),
+        "the preferred server lacks a commit that may be acknowledged"
+    );
     let only_low: BTreeMap<Name, Position> =
         [("lead", 5), ("r1", 3)].map(|(name, end)| (name.into(), at(end))).into();
     let selection = CandidateSelection { suspended: &only_low, ..selection };
@@ -202,7 +207,7 @@
 }
 
 #[test]
-fn the_log_of_the_newer_term_is_taken_when_terms_differ() {
+fn the_log_of_the_newer_term_is_chosen_when_terms_differ() {
     let group = SyncGroup { sync_replicas: 1, holders: names(2), ..Default::default() };
     let newer = Position { fence: 2, number: 3 };
     let suspended: BTreeMap<Name, Position> = [("r0".into(), at(9)), ("r1".into(), newer)].into();
@@ -217,7 +222,7 @@
 }
 
 #[test]
-fn the_highest_log_is_taken_after_a_while_when_there_are_no_sync_replicas() {
+fn without_sync_replicas_the_highest_log_is_chosen_after_the_delay() {
     let group = SyncGroup { holders: names(2), ..Default::default() };
     let suspended: BTreeMap<Name, Position> = [("r0".into(), at(2))].into();
     let selection = CandidateSelection {
--- a/crates/failover/tests/direct_need.rs
+++ b/crates/failover/tests/direct_need.rs
@@ -1,4 +1,4 @@
-//! When a direct group needs a promotion.
+//! Tests of the decision when a direct group needs a promotion.
 use quincehatch_core::{Position, PrimaryAssignment};
 use quincehatch_failover::direct::replication::{ReceivedSample, ReplicationWatermark};
 use quincehatch_failover::direct::{primary_failed, promotion_need};
@@ -9,12 +9,12 @@
 }
 
 #[test]
-fn a_silence_needs_confirmation_and_a_draining_primary_waits_for_a_successor() {
+fn an_unresponsive_primary_needs_confirmation_and_a_draining_primary_waits_for_a_successor() {
     let primary = PrimaryAssignment { fence: 1, server: Some("a".into()), ..Default::default() };
     let healthy = GroupObservation { primary: Some(primary), ..Default::default() };
     assert_eq!(promotion_need(&healthy, true), PromotionNeed::Nothing);
-    let silent = GroupObservation { failing_for: Some(500), ..healthy.clone() };
-    assert!(primary_failed(&silent) && promotion_need(&silent, true) == PromotionNeed::Confirm);
+    let unresponsive = GroupObservation { failing_for: Some(500), ..healthy.clone() };
+    assert!(primary_failed(&unresponsive) && promotion_need(&unresponsive, true) == PromotionNeed::Confirm);
     let short = GroupObservation { failing_for: Some(499), ..healthy.clone() };
     assert_eq!(promotion_need(&short, true), PromotionNeed::Nothing);
     let refused = GroupObservation { failing_for: Some(300), connection_refused: true, ..healthy.clone() };
@@ -22,7 +22,7 @@
     let draining = GroupObservation { draining: true, ..healthy.clone() };
     assert_eq!(promotion_need(&draining, true), PromotionNeed::Now { planned: true });
     assert_eq!(promotion_need(&draining, false), PromotionNeed::Nothing);
-    // A node that began after the primary left knows nothing of it but that nobody is registered under its name.
+    // A node that started after the primary left observes only that no server is registered under its name.
     let unregistered = GroupObservation { unregistered: true, ..healthy.clone() };
     assert_eq!(promotion_need(&unregistered, true), PromotionNeed::Now { planned: true });
     assert_eq!(promotion_need(&unregistered, false), PromotionNeed::Nothing);
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn a_primary_is_cut_off_when_no_replica_that_answers_has_what_it_had_long_ago() {
+fn the_time_without_replication_grows_until_an_answering_replica_reaches_the_watermark() {
     let mut watermark = ReplicationWatermark::default();
     assert_eq!(watermark.update(sample(100, 5), &[sample(90, 4), sample(0, 0)]), 0);
     assert_eq!(watermark.update(sample(500, 9), &[sample(400, 4), sample(0, 0)]), 300);
     assert_eq!(watermark.update(sample(2_100, 9), &[sample(2_200, 4), sample(0, 0)]), 2_100);
-    // One has it: a new watermark is set.
+    // One replica has reached the watermark, so a new one is set.
     assert_eq!(watermark.update(sample(2_500, 9), &[sample(2_600, 5), sample(0, 0)]), 100);
     assert_eq!(watermark.update(sample(3_000, 9), &[sample(3_100, 9), sample(0, 0)]), 0);
-    // Where nobody else answers, nothing is known.
+    // If no replica answers, nothing is known about replication.
     assert_eq!(watermark.update(sample(9_000, 12), &[]), 0);
 }
--- a/crates/failover/tests/promotion.rs
+++ b/crates/failover/tests/promotion.rs
@@ -1,8 +1,9 @@
-//! The steps of a promotion: what it writes before it gives a server anything, and of whom it chooses.
+//! Tests of the steps of a promotion: which voters it records before it promotes a server, and which servers must be
+//! fenced before it chooses one.
 use quincehatch_core::{Name, Position, PrimaryAssignment};
 use quincehatch_failover::promotion::{Phase, Promotion, PromotionAction, PromotionEvent, PromotionPlan};
 
-/// One name for each letter.
+/// Returns one name for each letter.
 fn names(letters: &str) -> Vec<Name> {
     letters.chars().map(|letter| letter.to_string().into()).collect()
 }
@@ -42,10 +43,10 @@
     promotion
 }
 
-/// Seed 2001440 of the simulator: a server was the primary with voters that nobody else knew, and showed what the next
-/// primary lacked.
+/// Guards against a fault that seed 2001440 of the simulator found: a server became the primary with voters that no
+/// other node knew, and served data that the next primary lacked.
 #[test]
-fn no_server_is_promoted_when_its_voters_are_not_recorded_in_the_store() {
+fn no_server_is_promoted_before_its_voters_are_recorded_in_the_store() {
     let mut promotion = closed_promotion("abcd", "abd", &["abc"]);
     promotion.step(1, fenced("a", 7));
     let actions = promotion.step(1, fenced("b", 5));
@@ -67,14 +68,14 @@
 }
 
 #[test]
-fn nothing_is_recorded_when_the_voters_stay_the_same() {
+fn voters_are_not_recorded_again_when_they_stay_the_same() {
     let mut promotion = closed_promotion("abc", "cab", &["abc"]);
     promotion.step(1, fenced("a", 7));
     promotion.step(1, fenced("b", 5));
     assert_eq!(promotion.phase, Phase::Promoting);
 }
 
-/// A commit is on two of a voter set, so three of five may all lack it.
+/// A commit may be on only two servers of a voter set, so three of five servers may all lack it.
 #[test]
 fn a_server_is_chosen_only_when_all_but_one_of_each_voter_set_are_fenced() {
     for voter_sets in [&["abcde"][..], &["abc", "cde"]] {
--- a/crates/failover/tests/votes.rs
+++ b/crates/failover/tests/votes.rs
@@ -1,4 +1,4 @@
-//! Confirmation of a primary's failure by other nodes.
+//! Tests of the confirmation of a primary's failure by other nodes.
 use quincehatch_core::PrimaryAssignment;
 use quincehatch_failover::observation::{GroupObservation, PromotionNeed};
 use quincehatch_failover::pooled::{PROBE_FAILURE_LIMITS, promotion_need};
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn nobody_is_deposed_when_one_node_alone_sees_a_failure() {
+fn a_failure_is_not_confirmed_when_only_one_node_observes_it() {
     let primary = PrimaryAssignment { fence: 1, server: Some("a".into()), ..Default::default() };
     let observation = GroupObservation {
         primary: Some(primary),
@@ -33,7 +33,7 @@
     assert!(confirmed_unresponsive(&[true, true, false]) && confirmed_unresponsive(&[]));
 }
 
-/// Clients of a group may all be in one zone: the other nodes have nothing to say of a stall.
+/// The clients of a group may all be in one zone; nodes in other zones then cannot observe a stall.
 #[test]
 fn a_stall_is_not_denied_when_nodes_have_no_requests_to_the_server() {
     let idle = PrimaryObservation { known_here: true, ..Default::default() };
