--- a/crates/quota/src/allowance.rs
+++ b/crates/quota/src/allowance.rs
@@ -1,82 +1,88 @@
-//! What one node may run for one tenant.
-use crate::allowances::{Admission, MAX_HOLD};
+//! The operations that one node may run for one tenant.
+use crate::allowances::{Admission, MAX_IDLE_HOLD};
+use crate::average_rate::{AdmittedRate, ArrivalRate};
 use crate::messages::{Claim, Grant};
-use crate::pace::{AdmittedPace, AskedPace};
 use quincehatch_core::{Millis, Name};
 
-/// While no tail answers, a node may run at once what it would run at its pace in this time, in milliseconds.
-pub(crate) const BORROWED_AHEAD: f64 = 250.0;
-/// A node asks no sooner again for a tenant that is at its limit: many nodes wait for the same tokens.
-const MIN_EXHAUSTED: Millis = 150;
-/// A tenant that did not come for so long is forgotten.
-const FORGET_AFTER: Millis = 60_000;
-/// A node holds tokens for the operations of this many settlements.
-const SETTLEMENTS_AHEAD: f64 = 2.0;
-/// Tokens held for one tenant at most.
+/// While no tail answers, a node may run on credit the operations of this time in advance, in milliseconds.
+pub(crate) const CREDIT_ADVANCE_MS: f64 = 250.0;
+/// The minimum delay before a node requests tokens again for a tenant at its limit, as many nodes wait for the same
+/// tokens.
+const MIN_EXHAUSTED_DELAY: Millis = 150;
+/// A tenant without operations at this node for this long may be removed.
+const IDLE_RETENTION: Millis = 60_000;
+/// A node holds tokens for the expected operations of this many settlement intervals.
+const INTERVALS_COVERED: f64 = 2.0;
+/// The maximum number of tokens that a node holds for one tenant.
 const MAX_RESERVE: f64 = 10_000.0;
 
-/// One tenant at one node.
+/// The state of one tenant at one node.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Allowance {
     tokens: u64,
-    /// Operations that wait for a token.
+    /// The number of operations that wait for a token.
     pub waiting: u64,
-    /// The last settlement brought less than was needed, and there is nothing before this time.
+    /// The last settlement granted fewer tokens than were needed, and none are available before this time; 0 if enough
+    /// were granted.
     exhausted_until: Millis,
-    /// What the next settlement reports.
+    /// Operations since the last claim, which the next claim reports.
     used: u64,
     overdrawn: u64,
     rejected: u64,
-    /// Operations a millisecond that were admitted lately, and that came lately.
-    admitted_pace: AdmittedPace,
-    asked_pace: AskedPace,
-    last_asked: Millis,
-    /// By which its pace may be multiplied while it borrows, in percent, as the last settlement said.
+    /// The rate of the operations that were admitted.
+    admitted_rate: AdmittedRate,
+    /// The rate of the operations that arrived.
+    arrival_rate: ArrivalRate,
+    last_request_at: Millis,
+    /// The factor, in percent, by which the admitted rate may be multiplied while operations run on credit. It comes
+    /// from the last settlement.
     headroom_percent: u32,
-    /// Run without a token since the last settlement that was answered.
+    /// Operations run without a token since the last settlement that was answered.
     borrowed: u64,
-    /// The part of an operation that it may borrow beyond whole ones, drawn anew for each time without an answer: nodes
-    /// that each run less than one operation in that time run their sum all the same.
+    /// A random fraction added to the operations allowed on credit, drawn again for each period without an answer.
+    /// Nodes whose share is less than one operation each then still run the sum of their shares together.
     rounding: f64,
 }
 
 impl Allowance {
-    /// An operation comes. The first one of a calm tenant that finds no token need not wait: it runs on credit, and is
-    /// settled afterwards.
-    pub fn admit(&mut self, now: Millis, unsettled_since: Option<Millis>, is_calm: bool) -> Admission {
-        self.last_asked = now;
+    /// Decides on an operation. The first operation that finds no token need not wait if the tenant may use credit: it
+    /// runs on credit and is settled afterwards.
+    pub fn admit(&mut self, now: Millis, unsettled_since: Option<Millis>, may_use_credit: bool) -> Admission {
+        self.last_request_at = now;
         if self.tokens > 0 {
             self.tokens -= 1;
             return self.admitted(now);
         }
         if let Some(since) = unsettled_since {
-            return if self.borrow(now, since, is_calm) { Admission::Admitted } else { self.reject() };
+            return if self.borrow(now, since, may_use_credit) { Admission::Admitted } else { self.reject() };
         }
         if now < self.exhausted_until {
             return self.reject();
         }
-        if self.borrowed == 0 && is_calm {
-            self.admitted_pace.note(now, 1.0);
+        if self.borrowed == 0 && may_use_credit {
+            self.admitted_rate.record(now, 1.0);
             self.run_on_credit();
             return Admission::Admitted;
         }
         Admission::Wait
     }
 
-    /// The operation is new, and not one that waited.
-    pub fn note_asked(&mut self, now: Millis) {
-        self.asked_pace.note(now, 1.0);
+    /// Records the arrival of a new operation. It is not called again for an operation that has waited.
+    pub fn record_arrival(&mut self, now: Millis) {
+        self.arrival_rate.record(now, 1.0);
     }
 
-    /// No tail has answered since `since`: the node goes on at its share of the tenant's rate, which is what it ran of
-    /// all that ran before.
-    pub fn borrow(&mut self, now: Millis, since: Millis, was_calm: bool) -> bool {
+    /// Runs an operation on credit if the node's share allows it, as no tail has answered since `since`. Returns
+    /// whether it runs. The node's share of the tenant's rate is the share of operations that it ran before.
+    /// `had_credit` says whether the tenant was allowed to use credit before; its first operation then runs in any
+    /// case.
+    pub fn borrow(&mut self, now: Millis, since: Millis, had_credit: bool) -> bool {
         if self.borrowed == 0 {
             self.rounding = fastrand::f64();
         }
-        let share_per_ms = self.admitted_pace.at(since) * f64::from(self.headroom_percent) / 100.0;
-        let time = now.saturating_sub(since) as f64 + BORROWED_AHEAD;
-        let is_within_share = (self.borrowed == 0 && was_calm)
+        let share_per_ms = self.admitted_rate.at(since) * f64::from(self.headroom_percent) / 100.0;
+        let time = now.saturating_sub(since) as f64 + CREDIT_ADVANCE_MS;
+        let is_within_share = (self.borrowed == 0 && had_credit)
             || (self.borrowed + 1) as f64 <= share_per_ms * time + self.rounding;
         if is_within_share {
             self.run_on_credit();
@@ -97,11 +103,11 @@
 
     fn admitted(&mut self, now: Millis) -> Admission {
         self.used += 1;
-        self.admitted_pace.note(now, 1.0);
+        self.admitted_rate.record(now, 1.0);
         Admission::Admitted
     }
 
-    /// A token that is there is spent; for what need not run.
+    /// Spends a token on an optional operation. Returns false if no token is held.
     pub fn take_spare(&mut self, now: Millis) -> bool {
         let has_token = self.tokens > 0;
         if has_token {
@@ -111,17 +117,25 @@
         has_token
     }
 
-    /// The claim of the next settlement; `None` if there is nothing to say. `interval`: time between settlements.
-    pub fn claim(&mut self, now: Millis, tenant: &Name, interval: Millis, is_calm: bool) -> Option<Claim> {
-        let is_idle = now.saturating_sub(self.last_asked) > MAX_HOLD;
-        let target = if is_idle { 0 } else { self.target(now, interval, is_calm) };
+    /// Returns the claim of the next settlement, or `None` if there is nothing to claim or report. `interval` is the
+    /// time between settlements.
+    pub fn claim(
+        &mut self,
+        now: Millis,
+        tenant: &Name,
+        interval: Millis,
+        may_use_credit: bool,
+    ) -> Option<Claim> {
+        let is_idle = now.saturating_sub(self.last_request_at) > MAX_IDLE_HOLD;
+        let target = if is_idle { 0 } else { self.target(now, interval, may_use_credit) };
         let returned = self.tokens.saturating_sub(target);
-        // Tokens above the target are kept until there are twice as many, so that none goes to and fro.
+        // Tokens above the target are returned only once the excess is larger than the target, so that the node does
+        // not return tokens and request them again in turn.
         let returned = if is_idle || returned > target { returned } else { 0 };
         let needed = self.waiting + if self.exhausted_until > 0 { self.rejected } else { 0 };
         let reserve = target.saturating_sub(self.tokens);
-        let wants = needed > 0 || (reserve > 0 && reserve * 2 >= target);
-        if !(wants || returned > 0 || self.used > 0 || self.rejected > 0) {
+        let needs_tokens = needed > 0 || (reserve > 0 && reserve * 2 >= target);
+        if !(needs_tokens || returned > 0 || self.used > 0 || self.rejected > 0) {
             return None;
         }
         self.tokens -= returned;
@@ -137,26 +151,27 @@
         })
     }
 
-    /// Tokens to hold: for the operations that come until the settlement after the next, and one more unless that would
-    /// run on credit.
-    fn target(&self, now: Millis, interval: Millis, is_calm: bool) -> u64 {
-        let expected = self.asked_pace.at(now) * interval as f64 * SETTLEMENTS_AHEAD;
-        expected.min(MAX_RESERVE) as u64 + u64::from(!is_calm)
+    /// Returns the number of tokens to hold: one for each operation expected until the settlement after the next, and
+    /// one more if the tenant may not use credit.
+    fn target(&self, now: Millis, interval: Millis, may_use_credit: bool) -> u64 {
+        let expected = self.arrival_rate.at(now) * interval as f64 * INTERVALS_COVERED;
+        expected.min(MAX_RESERVE) as u64 + u64::from(!may_use_credit)
     }
 
-    /// The tail has answered the claim.
+    /// Applies the tail's answer to the claim.
     pub fn settled(&mut self, now: Millis, grant: &Grant) {
         self.tokens += u64::from(grant.tokens);
         self.exhausted_until = match grant.exhausted_ms {
             0 => 0,
-            ms => now + Millis::from(ms).max(MIN_EXHAUSTED),
+            ms => now + Millis::from(ms).max(MIN_EXHAUSTED_DELAY),
         };
         self.headroom_percent = grant.headroom_percent;
         self.borrowed = 0;
     }
 
-    /// The claim was not answered. What it gave back is lost; what it reported is reported again. The tail may have
-    /// booked it, so it may count twice, which only makes the tenant's account poorer.
+    /// Restores the state after a claim that was not answered. Tokens that the claim returned are lost; operations that
+    /// it reported are reported again. The tail may have received the claim and count them twice, which can only lower
+    /// the balance of the tenant's account.
     pub fn not_settled(&mut self, claim: &Claim) {
         self.overdrawn += u64::from(claim.overdrawn);
         self.used += u64::from(claim.used);
@@ -164,9 +179,9 @@
         self.exhausted_until = 0;
     }
 
-    /// Whether it may be forgotten. Its pace is of use for long: most tenants come to a node seldom.
+    /// Whether this state may be removed. Its rates remain useful for long, as most tenants use a node seldom.
     pub fn is_unused(&self, now: Millis) -> bool {
-        let is_quiet = now.saturating_sub(self.last_asked) > FORGET_AFTER;
-        is_quiet && self.tokens == 0 && self.waiting == 0 && self.overdrawn == 0 && self.used == 0
+        let retention_passed = now.saturating_sub(self.last_request_at) > IDLE_RETENTION;
+        retention_passed && self.tokens == 0 && self.waiting == 0 && self.overdrawn == 0 && self.used == 0
     }
 }
--- a/crates/quota/src/allowances.rs
+++ b/crates/quota/src/allowances.rs
@@ -1,117 +1,119 @@
-//! What one node may run for all its tenants.
+//! The operations that one node may run for all its tenants.
 use crate::allowance::Allowance;
 use crate::messages::{Claim, Settlement};
 use quincehatch_core::{Millis, Name};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tokens of a tenant that nobody asked for during this time are given back. It is less than a node's lease, so a tail
-/// that hears nothing of a node for longer may forget what it held.
-pub const MAX_HOLD: Millis = 3_000;
+/// A node returns the tokens of a tenant without operations for this long. This is shorter than a node's lease, so the
+/// tail may discard its record of a node's tokens once the lease has expired.
+pub const MAX_IDLE_HOLD: Millis = 3_000;
 
-/// How long a settlement tells which tenants are calm.
-const CALM_TERM: Millis = 1_500;
+/// For how long the answer to a settlement determines which tenants may use credit.
+const CREDIT_VALIDITY: Millis = 1_500;
 
-/// What becomes of an operation.
+/// The decision on an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may run.
+    /// The operation may run.
     Admitted,
-    /// There is no token, and the tail is to be asked.
+    /// The node holds no token, and the operation waits for a settlement with the tail.
     Wait,
-    /// The tenant is at its limit.
+    /// The operation is rejected, as the tenant is at its limit.
     Rejected,
 }
 
-/// Operations since the process began, by what became of them.
+/// Operations since the start of the process, by decision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AdmissionTotals {
-    /// Run with a token.
+    /// Operations run with a token.
     pub admitted: u64,
-    /// Run on credit, as no tail answered.
+    /// Operations run on credit.
     pub borrowed: u64,
-    /// Rejected.
+    /// Operations rejected.
     pub rejected: u64,
 }
 
-/// A node's allowances.
+/// The allowances of all tenants at one node.
 #[derive(Clone, Debug, Default)]
 pub struct Allowances {
     totals: AdmissionTotals,
     by_tenant: BTreeMap<Name, Allowance>,
-    /// Since when no settlement was answered, if the last was not.
+    /// The time since which no settlement was answered; `None` if the last one was answered.
     unsettled_since: Option<Millis>,
-    /// What the settlement under way claims.
-    under_way: Vec<Claim>,
-    /// When the next settlement for all tenants is due.
+    /// The claims of the settlement in flight.
+    pending_claims: Vec<Claim>,
+    /// The time at which the next settlement for all tenants is due.
     due_at: Millis,
-    /// When the last settlement was answered.
+    /// The time at which the last settlement was answered.
     settled_at: Option<Millis>,
-    /// Tenants that may run nothing on credit, by that answer.
-    pressed: BTreeSet<Name>,
+    /// Tenants that may not run operations on credit according to that answer.
+    without_credit: BTreeSet<Name>,
 }
 
 impl Allowances {
-    fn of(&mut self, tenant: &Name) -> &mut Allowance {
+    fn allowance_mut(&mut self, tenant: &Name) -> &mut Allowance {
         if !self.by_tenant.contains_key(tenant) {
             self.by_tenant.insert(tenant.clone(), Allowance::default());
         }
         self.by_tenant.get_mut(tenant).expect("it was inserted")
     }
 
-    /// A new operation of a tenant. One that is to wait counts as waiting until [`Allowances::stop_waiting`].
+    /// Decides on a new operation of a tenant. If it must wait, it counts as waiting until [`Allowances::stop_waiting`]
+    /// is called.
     pub fn admit(&mut self, now: Millis, tenant: &Name) -> Admission {
-        let (since, is_calm) = (self.unsettled_since, self.is_calm(now, tenant));
-        let allowance = self.of(tenant);
-        allowance.note_asked(now);
-        let admission = allowance.admit(now, since, is_calm);
+        let (since, may_use_credit) = (self.unsettled_since, self.may_use_credit(now, tenant));
+        let allowance = self.allowance_mut(tenant);
+        allowance.record_arrival(now);
+        let admission = allowance.admit(now, since, may_use_credit);
         allowance.waiting += u64::from(admission == Admission::Wait);
         admission
     }
 
-    /// Whether the tenant was not pressed when the last settlement was answered, lately or before no tail answered.
-    fn is_calm(&self, now: Millis, tenant: &Name) -> bool {
+    /// Whether the tenant may run operations on credit according to the last answered settlement. That answer is valid
+    /// while it is recent, and also while no tail answers.
+    fn may_use_credit(&self, now: Millis, tenant: &Name) -> bool {
         let is_known =
-            self.settled_at.is_some_and(|at| now < at + CALM_TERM || self.unsettled_since.is_some());
-        is_known && !self.pressed.contains(tenant)
+            self.settled_at.is_some_and(|at| now < at + CREDIT_VALIDITY || self.unsettled_since.is_some());
+        is_known && !self.without_credit.contains(tenant)
     }
 
-    /// The same for one that waits, after a settlement.
+    /// Decides again, after a settlement, on an operation that waits.
     pub fn admit_waiting(&mut self, now: Millis, tenant: &Name) -> Admission {
-        let (since, is_calm) = (self.unsettled_since, self.is_calm(now, tenant));
-        self.of(tenant).admit(now, since, is_calm)
+        let (since, may_use_credit) = (self.unsettled_since, self.may_use_credit(now, tenant));
+        self.allowance_mut(tenant).admit(now, since, may_use_credit)
     }
 
-    /// One that has waited long, as the tail is slow: whether it may run on credit.
+    /// Whether an operation that has waited long, because the tail is slow, may run on credit.
     pub fn borrow(&mut self, now: Millis, tenant: &Name) -> bool {
         let since = self.unsettled_since.unwrap_or(now);
-        let was_calm = self.is_calm(now, tenant);
-        self.of(tenant).borrow(now, since, was_calm)
+        let had_credit = self.may_use_credit(now, tenant);
+        self.allowance_mut(tenant).borrow(now, since, had_credit)
     }
 
-    /// One that has waited for too long is rejected.
+    /// Rejects an operation that has waited too long.
     pub fn reject(&mut self, tenant: &Name) {
-        self.of(tenant).reject();
+        self.allowance_mut(tenant).reject();
     }
 
-    /// An operation waits no more.
+    /// Records that an operation no longer waits.
     pub fn stop_waiting(&mut self, tenant: &Name) {
-        let allowance = self.of(tenant);
+        let allowance = self.allowance_mut(tenant);
         allowance.waiting = allowance.waiting.saturating_sub(1);
     }
 
-    /// Takes a token for something that need not run, if one is there.
+    /// Spends a token on an optional operation. Returns false if none is held.
     pub fn take_spare(&mut self, now: Millis, tenant: &Name) -> bool {
         self.by_tenant.get_mut(tenant).is_some_and(|allowance| allowance.take_spare(now))
     }
 
-    /// What became of all operations.
+    /// Returns the totals of all operations that were settled so far.
     pub fn totals(&self) -> AdmissionTotals {
         self.totals
     }
 
-    /// The claims of a settlement, which is to end with [`Allowances::settled`] or [`Allowances::not_settled`]; empty if
-    /// there is nothing to settle. `interval`: time between settlements; one in between is for tenants whose operations
-    /// wait, and leaves the others to the next.
+    /// Starts a settlement and returns its claims, which are empty if there is nothing to settle. The caller must
+    /// finish the settlement with [`Allowances::settled`] or [`Allowances::not_settled`]. `interval` is the time
+    /// between regular settlements; an earlier one contains only tenants whose operations wait.
     pub fn begin_settlement(&mut self, now: Millis, interval: Millis) -> Vec<Claim> {
         let is_due = now >= self.due_at;
         if is_due {
@@ -121,8 +123,8 @@
         let mut claims = Vec::new();
         for (tenant, allowance) in &mut self.by_tenant {
             if is_due || allowance.waiting > 0 {
-                let is_calm = !self.pressed.contains(tenant);
-                claims.extend(allowance.claim(now, tenant, interval, is_calm));
+                let may_use_credit = !self.without_credit.contains(tenant);
+                claims.extend(allowance.claim(now, tenant, interval, may_use_credit));
             }
         }
         for claim in &claims {
@@ -130,26 +132,26 @@
             self.totals.borrowed += u64::from(claim.overdrawn);
             self.totals.rejected += u64::from(claim.rejected);
         }
-        self.under_way = claims.clone();
+        self.pending_claims = claims.clone();
         claims
     }
 
-    /// The tail has answered.
+    /// Finishes a settlement with the tail's answer.
     pub fn settled(&mut self, now: Millis, settlement: &Settlement) {
         self.unsettled_since = None;
-        self.under_way.clear();
+        self.pending_claims.clear();
         self.settled_at = Some(now);
-        self.pressed = settlement.pressed.iter().cloned().collect();
+        self.without_credit = settlement.pressed.iter().cloned().collect();
         for grant in &settlement.grants {
-            self.of(&grant.tenant).settled(now, grant);
+            self.allowance_mut(&grant.tenant).settled(now, grant);
         }
     }
 
-    /// No tail has answered.
+    /// Finishes a settlement that no tail has answered.
     pub fn not_settled(&mut self, now: Millis) {
         self.unsettled_since = self.unsettled_since.or(Some(now));
-        for claim in std::mem::take(&mut self.under_way) {
-            self.of(&claim.tenant).not_settled(&claim);
+        for claim in std::mem::take(&mut self.pending_claims) {
+            self.allowance_mut(&claim.tenant).not_settled(&claim);
         }
     }
 
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -1,54 +1,54 @@
-//! The tail's accounts of all tenants.
+//! The accounts of all tenants at the tail of the keepers' chain.
 use crate::account::Account;
 use crate::limit::{Limit, Tolerance};
 use crate::messages::{Claim, Grant, Settlement, TenantUsage};
 use quincehatch_core::{Millis, Name, Version};
 use std::collections::BTreeMap;
 
-/// A node of which nothing was heard for so long may be cut off. It is several times the interval at which nodes poll the
-/// tail, each of which counts.
-const SILENT_AFTER: Millis = 700;
-/// A node of which nothing was heard for so long runs nothing: no lease of a node is longer.
-pub(crate) const GONE_AFTER: Millis = 4_200;
-/// How often silent nodes are looked for.
+/// A node counts as silent, and may be cut off, once it has not contacted the tail for this long. This is several times
+/// the interval of the nodes' polls, each of which is a contact.
+const SILENCE_TIMEOUT: Millis = 700;
+/// A node that has not contacted the tail for this long runs no operations, as no node's lease is longer.
+pub(crate) const NODE_EXPIRY: Millis = 4_200;
+/// The time between two checks for silent nodes.
 const CHECK_INTERVAL: Millis = 200;
 
-/// When a node may come again for a tenant that has no account here, in milliseconds.
+/// The time after which a node may request tokens again for a tenant that has no account, in milliseconds.
 const NO_ACCOUNT_MS: u32 = 1_000;
-/// How often accounts are looked through for those that are pressed.
-const PRESSED_INTERVAL: Millis = 40;
+/// The time between two searches for the accounts below half of their capacity.
+const BALANCE_CHECK_INTERVAL: Millis = 40;
 
-/// The accounts of all tenants that have a limit. It is the tail's alone and dies with it: the next tail begins with
-/// empty accounts, as it cannot know what was granted last.
+/// The accounts of all tenants that have a limit. They exist only at the tail and are not replicated: the next tail
+/// starts with empty accounts, as it cannot know what its predecessor granted last.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     tolerance: Tolerance,
     /// The version of the configuration whose limits are in force.
     version: Version,
     accounts: BTreeMap<Name, Account>,
-    /// When each node was last heard of.
-    contacts: BTreeMap<Name, Millis>,
-    began_at: Millis,
-    /// Nodes that may hold a lease of an earlier tail, as far as this one knew when it began.
+    /// The time of each node's last contact.
+    last_contacts: BTreeMap<Name, Millis>,
+    started_at: Millis,
+    /// The number of nodes that may hold a lease of an earlier tail, as known to this tail when it started.
     expected_nodes: usize,
-    checked_at: Millis,
-    pressed: Vec<Name>,
-    pressed_at: Option<Millis>,
+    silence_checked_at: Millis,
+    without_credit: Vec<Name>,
+    balances_checked_at: Option<Millis>,
 }
 
 impl Ledger {
-    /// Accounts of a keeper that becomes the tail, when `expected_nodes` may hold leases.
+    /// Returns the accounts of a keeper that becomes the tail while `expected_nodes` nodes may hold leases.
     pub fn new(now: Millis, expected_nodes: usize, tolerance: Tolerance) -> Ledger {
         Ledger {
             tolerance,
             version: 0,
             accounts: BTreeMap::new(),
-            contacts: BTreeMap::new(),
-            began_at: now,
+            last_contacts: BTreeMap::new(),
+            started_at: now,
             expected_nodes,
-            checked_at: now,
-            pressed: Vec::new(),
-            pressed_at: None,
+            silence_checked_at: now,
+            without_credit: Vec::new(),
+            balances_checked_at: None,
         }
     }
 
@@ -57,7 +57,7 @@
         self.version
     }
 
-    /// Takes the limits of a newer configuration. A tenant whose limit is dropped loses its account.
+    /// Applies the limits of a newer configuration. A tenant without a limit in it loses its account.
     pub fn set_limits(&mut self, now: Millis, version: Version, limits: &BTreeMap<Name, Limit>) {
         self.version = version;
         self.accounts.retain(|tenant, _| limits.contains_key(tenant));
@@ -67,16 +67,16 @@
         }
     }
 
-    /// Something was heard of a node: a poll, or a settlement.
+    /// Records a contact of a node, which is a poll or a settlement.
     pub fn note_contact(&mut self, now: Millis, node: &Name) {
-        match self.contacts.get_mut(node) {
-            Some(heard_at) => *heard_at = now,
-            None => drop(self.contacts.insert(node.clone(), now)),
+        match self.last_contacts.get_mut(node) {
+            Some(last_contact_at) => *last_contact_at = now,
+            None => drop(self.last_contacts.insert(node.clone(), now)),
         }
         self.check_silent_nodes(now);
     }
 
-    /// Settles with a node. A tenant that has no account here is granted nothing: the node's configuration is older.
+    /// Settles with a node. A tenant without an account is granted no tokens, as the node's configuration is older.
     pub fn settle(&mut self, now: Millis, node: &Name, claims: &[Claim]) -> Settlement {
         self.note_contact(now, node);
         let mut grants = Vec::with_capacity(claims.len());
@@ -91,55 +91,58 @@
                 },
             });
         }
-        Settlement { grants, pressed: self.pressed_tenants(now) }
+        Settlement { grants, pressed: self.tenants_without_credit(now) }
     }
 
-    fn pressed_tenants(&mut self, now: Millis) -> Vec<Name> {
-        if self.pressed_at.is_none_or(|at| now >= at + PRESSED_INTERVAL) {
-            let pressed = self
+    /// Returns the tenants whose accounts are below half of their capacity.
+    fn tenants_without_credit(&mut self, now: Millis) -> Vec<Name> {
+        if self.balances_checked_at.is_none_or(|at| now >= at + BALANCE_CHECK_INTERVAL) {
+            let below_half = self
                 .accounts
                 .iter_mut()
-                .filter_map(|(tenant, account)| account.is_pressed(now).then(|| tenant.clone()));
-            self.pressed = pressed.collect();
-            self.pressed_at = Some(now);
+                .filter_map(|(tenant, account)| account.is_below_half(now).then(|| tenant.clone()));
+            self.without_credit = below_half.collect();
+            self.balances_checked_at = Some(now);
         }
-        self.pressed.clone()
+        self.without_credit.clone()
     }
 
-    /// Nodes that are cut off go on at their share until their leases are over, so it is not granted to others meanwhile.
+    /// Charges the accounts for nodes that may be cut off. These continue at their share of the rate until their leases
+    /// expire, so their share must not be granted to other nodes until then.
     fn check_silent_nodes(&mut self, now: Millis) {
-        let elapsed = now.saturating_sub(self.checked_at);
+        let elapsed = now.saturating_sub(self.silence_checked_at);
         if elapsed < CHECK_INTERVAL {
             return;
         }
-        self.checked_at = now;
-        let gone_before = now.saturating_sub(GONE_AFTER);
-        self.contacts.retain(|_, heard_at| *heard_at >= gone_before);
-        let silent_since = now.saturating_sub(SILENT_AFTER);
+        self.silence_checked_at = now;
+        let expired_before = now.saturating_sub(NODE_EXPIRY);
+        self.last_contacts.retain(|_, last_contact_at| *last_contact_at >= expired_before);
+        let silent_since = now.saturating_sub(SILENCE_TIMEOUT);
         let silent: BTreeMap<Name, Millis> = self
-            .contacts
+            .last_contacts
             .iter()
             .filter(|(_, at)| **at < silent_since)
             .map(|(node, at)| (node.clone(), *at))
             .collect();
-        let unknown_part = self.unknown_part(now);
+        let unknown_fraction = self.unknown_fraction(now);
         for account in self.accounts.values_mut() {
-            account.forget_silent(gone_before);
+            account.remove_expired_nodes(expired_before);
             account.reserve_for_silent(now, elapsed, &silent);
-            account.reserve_for_unknown(elapsed, unknown_part);
+            account.reserve_for_unknown(elapsed, unknown_fraction);
         }
     }
 
-    /// The part of all nodes that may hold a lease of an earlier tail and were not heard of yet.
-    fn unknown_part(&self, now: Millis) -> f64 {
-        if now >= self.began_at + GONE_AFTER || self.expected_nodes == 0 {
+    /// Returns the fraction of the expected nodes that may hold a lease of an earlier tail and have not contacted this
+    /// tail yet.
+    fn unknown_fraction(&self, now: Millis) -> f64 {
+        if now >= self.started_at + NODE_EXPIRY || self.expected_nodes == 0 {
             return 0.0;
         }
-        let unknown = self.expected_nodes.saturating_sub(self.contacts.len());
+        let unknown = self.expected_nodes.saturating_sub(self.last_contacts.len());
         unknown as f64 / self.expected_nodes as f64
     }
 
-    /// All accounts, for operators.
+    /// Returns the usage of all accounts, for operators.
     pub fn usage(&self, now: Millis) -> Vec<TenantUsage> {
         self.accounts.iter().map(|(tenant, account)| account.usage(now, tenant)).collect()
     }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,9 +1,10 @@
-//! One count of each tenant's operations over all nodes, without I/O (docs/design-quota.md).
+//! Limits on tenants' operations, enforced over all nodes together, without I/O (docs/design-quota.md).
 //!
-//! The tail of the keepers' chain has an account for each tenant: a token bucket. An operation takes one token. Nodes hold
-//! a few tokens of each tenant that they serve, spend them without asking, and settle with the tail several times a
-//! second: [`Ledger`] is the tail's side, [`Allowances`] a node's. While a node reaches no tail it borrows: it goes on at
-//! the pace at which it was granted tokens lately, and settles afterwards.
+//! The tail of the keepers' replication chain has an account for each tenant: a token bucket. Each operation spends one
+//! token. A node holds a few tokens of each tenant that it serves, spends them without a request to the tail, and
+//! settles with the tail several times a second. [`Ledger`] is the tail's side of a settlement, [`Allowances`] the
+//! node's side. While a node cannot reach the tail it runs operations on credit: it continues at the rate at which it
+//! recently ran operations, and settles afterwards.
 #![warn(
     missing_docs,
     clippy::too_many_lines,
@@ -15,10 +16,10 @@
 mod account;
 mod allowance;
 mod allowances;
+mod average_rate;
 mod ledger;
 mod limit;
 mod messages;
-mod pace;
 mod token_bucket;
 
 pub use allowances::{Admission, AdmissionTotals, Allowances};
--- a/crates/quota/tests/drawn_runs.rs
+++ b/crates/quota/tests/drawn_runs.rs
@@ -1,5 +1,5 @@
-//! Runs drawn from a seed: no tenant exceeds its limit in any window, whatever is lost, and nothing is rejected while the
-//! fleet is connected and the tenant below its limit.
+//! Randomized runs of a fleet, each from a seed. They check that no tenant exceeds its limit in any window, whichever
+//! messages, nodes and keepers fail, and that a tenant below its limit is not rejected while the fleet is connected.
 mod fleet;
 
 use fleet::{Bug, Fleet, Load, worst_excess};
@@ -12,41 +12,42 @@
     Load { tenant: name.into(), limit, per_s, nodes }
 }
 
-/// A large tenant that floods, a middle one at its limit, a small one that floods, and a small one below its limit.
+/// Returns the loads of a large tenant far above its limit, a medium one at its limit, a small one far above its limit
+/// and a small one below its limit.
 fn loads() -> Vec<Load> {
     let limit = |rate_per_s, burst| Limit { rate_per_s, burst };
     vec![
         load("large", limit(120, 120), 450.0, NODES),
-        load("middle", limit(40, 40), 40.0, 25),
+        load("medium", limit(40, 40), 40.0, 25),
         load("small", limit(10, 10), 60.0, 15),
-        load("calm", limit(20, 20), 10.0, 15),
+        load("below-limit", limit(20, 20), 10.0, 15),
     ]
 }
 
-/// Draws what goes wrong, one thing after the other and some at once.
-fn trouble(fleet: &mut Fleet) {
+/// Injects random faults, some of them at the same time.
+fn inject_faults(fleet: &mut Fleet) {
     for _ in 0..6 {
         match fastrand::u8(0..6) {
             0 => fleet.change_tail(fastrand::u64(0..3_000)),
             1 => fleet.loss_percent = fastrand::u32(0..30),
             2 => {
                 let share = fastrand::usize(2..6);
-                fleet.nodes.iter_mut().step_by(share).for_each(|node| node.is_cut = true);
+                fleet.nodes.iter_mut().step_by(share).for_each(|node| node.is_cut_off = true);
             }
             3 => (0..NODES).step_by(2).for_each(|index| fleet.kill(index, fastrand::u64(200..2_000))),
-            4 => fleet.nodes.iter_mut().for_each(|node| node.is_cut = false),
+            4 => fleet.nodes.iter_mut().for_each(|node| node.is_cut_off = false),
             _ => fleet.kill(fastrand::usize(0..NODES), 500),
         }
         fleet.run(fastrand::u64(200..4_000));
     }
 }
 
-/// The worst excess of any tenant, and its name.
+/// Returns the largest excess of any tenant in one run, and the name of that tenant.
 fn excess_of_run(seed: u64, bug: Bug) -> (u64, String) {
     fastrand::seed(seed);
     let mut fleet = Fleet::new(NODES, loads(), bug);
     fleet.run(6_000);
-    trouble(&mut fleet);
+    inject_faults(&mut fleet);
     let excess = |load: &Load| {
         let ran = fleet.ran.get(&load.tenant).map(Vec::as_slice).unwrap_or_default();
         (worst_excess(ran, load.limit), load.tenant.to_string())
@@ -55,20 +56,20 @@
 }
 
 #[test]
-fn no_tenant_exceeds_its_limit_in_any_window_whatever_is_lost() {
+fn no_tenant_exceeds_its_limit_in_any_window_under_random_faults() {
     for seed in 0..SEEDS {
         let (excess, tenant) = excess_of_run(seed, Bug::None);
-        assert_eq!(excess, 0, "seed {seed}: {tenant} ran {excess} too many in some window");
+        assert_eq!(excess, 0, "seed {seed}: {tenant} ran {excess} operations too many in some window");
     }
 }
 
 #[test]
-fn the_check_finds_a_keeper_that_goes_on_granting_beside_its_successor() {
+fn the_check_detects_a_former_tail_that_continues_to_grant_tokens() {
     assert!((0..SEEDS).any(|seed| excess_of_run(seed, Bug::TwoTails).0 > 0));
 }
 
 #[test]
-fn the_check_finds_a_grant_that_is_booked_twice() {
+fn the_check_detects_a_grant_that_is_applied_twice() {
     assert!((0..SEEDS).any(|seed| excess_of_run(seed, Bug::GrantAppliedTwice).0 > 0));
 }
 
@@ -79,17 +80,19 @@
         let mut fleet = Fleet::new(NODES, loads(), Bug::None);
         fleet.run(3_000);
         fleet.rejected.clear();
-        let before = fleet.ran["calm"].len();
+        let before = fleet.ran["below-limit"].len();
         fleet.run(20_000);
-        let (rejected, ran) =
-            (fleet.rejected.get("calm").copied().unwrap_or(0), fleet.ran["calm"].len() - before);
+        let (rejected, ran) = (
+            fleet.rejected.get("below-limit").copied().unwrap_or(0),
+            fleet.ran["below-limit"].len() - before,
+        );
         assert!(rejected * 100 <= ran as u64, "seed {seed}: {rejected} rejected, {ran} ran");
     }
 }
 
-/// At its limit a tenant gets what the limit says, and not much less.
+/// A tenant above its limit must get the rate of its limit, and not much less.
 #[test]
-fn a_tenant_that_floods_gets_its_rate() {
+fn a_tenant_above_its_limit_gets_its_rate() {
     for seed in 0..20 {
         fastrand::seed(seed);
         let mut fleet = Fleet::new(NODES, loads(), Bug::None);
@@ -101,20 +104,21 @@
     }
 }
 
-/// What nodes run while no keeper settles is charged to the tenant afterwards.
+/// Operations that nodes run on credit while there is no tail are charged to the tenant afterwards, which must not
+/// reject many operations of a tenant below its limit.
 #[test]
-fn a_keeper_that_is_gone_for_two_seconds_costs_a_calm_tenant_little() {
+fn two_seconds_without_a_tail_reject_few_operations_of_a_tenant_below_its_limit() {
     let (mut rejected, mut ran) = (0, 0);
     for seed in 0..20 {
         fastrand::seed(seed);
         let mut fleet = Fleet::new(NODES, loads(), Bug::None);
         fleet.run(6_000);
         fleet.rejected.clear();
-        let before = fleet.ran["calm"].len();
+        let before = fleet.ran["below-limit"].len();
         fleet.change_tail(2_000);
         fleet.run(4_000);
-        rejected += fleet.rejected.get("calm").copied().unwrap_or(0);
-        ran += fleet.ran["calm"].len() - before;
+        rejected += fleet.rejected.get("below-limit").copied().unwrap_or(0);
+        ran += fleet.ran["below-limit"].len() - before;
     }
     assert!(rejected * 2 <= ran as u64, "{rejected} rejected, {ran} ran");
 }
--- a/crates/quota/tests/fleet/mod.rs
+++ b/crates/quota/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of nodes and the keeper that settles with them, in steps of virtual time: requests and replies get lost, nodes
-//! are cut off, killed and back, the keeper goes and another takes over, a tenant floods.
+//! A fleet of nodes and the tail that settles with them, in steps of virtual time. Messages can be lost, nodes cut off
+//! or killed and restarted, the tail replaced, and tenants can run more operations than their limits allow.
 use quincehatch_core::{Millis, Name};
 use quincehatch_quota::{Admission, Claim, Ledger, Limit, Settlement, Tolerance};
 use std::collections::{BTreeMap, VecDeque};
@@ -11,39 +11,39 @@
 pub use window::worst_excess;
 
 pub const STEP: Millis = 5;
-/// Time between two settlements of a node.
+/// The time between two settlements of a node.
 const INTERVAL: Millis = 400;
-/// A settlement that was not answered by then is given up.
+/// A settlement fails if it is not answered within this time.
 const SETTLE_TIMEOUT: Millis = 60;
-/// Time of a message.
-const HOP: Millis = 5;
-/// A node that no settlement reached for so long has lost its lease and runs nothing.
+/// The latency of a message.
+const LATENCY: Millis = 5;
+/// A node without an answer from the tail for this long has lost its lease and runs no operations.
 const LEASE: Millis = 4_000;
 
-/// What is wrong on purpose.
+/// An injected bug that the checks must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bug {
     None,
-    /// The keeper that lost its place goes on granting beside the new one.
+    /// The former tail continues to grant tokens beside the new one.
     TwoTails,
-    /// A grant is booked twice by the node.
+    /// A node applies each grant twice.
     GrantAppliedTwice,
-    /// What nodes ran on credit is never charged.
+    /// Operations that nodes ran on credit are never charged.
     CreditForgotten,
 }
 
-/// One tenant, and what comes for it.
+/// One tenant and the load of its clients.
 #[derive(Clone, Debug)]
 pub struct Load {
     pub tenant: Name,
     pub limit: Limit,
-    /// Operations a second over all nodes.
+    /// Operations per second over all nodes.
     pub per_s: f64,
-    /// Nodes that its clients come to.
+    /// The number of nodes that its clients use.
     pub nodes: usize,
 }
 
-/// A message on its way.
+/// A message in flight.
 enum Message {
     Claims { node: usize, settlement: u64, claims: Vec<Claim> },
     Granted { node: usize, settlement: u64, answer: Settlement },
@@ -55,12 +55,12 @@
     pub loads: Vec<Load>,
     pub loss_percent: u32,
     tails: Vec<Ledger>,
-    /// No keeper settles until then.
+    /// There is no tail until this time.
     pub no_tail_until: Millis,
     messages: VecDeque<(Millis, Message)>,
     next_settlement: u64,
     bug: Bug,
-    /// When operations ran, by tenant.
+    /// The times at which operations ran, by tenant.
     pub ran: BTreeMap<Name, Vec<Millis>>,
     pub rejected: BTreeMap<Name, u64>,
 }
@@ -84,7 +84,7 @@
         fleet
     }
 
-    /// The keeper that settles goes; another takes over after `gap`.
+    /// Removes the tail; a new one takes over after `gap`.
     pub fn change_tail(&mut self, gap: Millis) {
         if self.bug != Bug::TwoTails {
             self.tails.clear();
@@ -96,10 +96,10 @@
         self.no_tail_until = self.now + gap;
     }
 
-    /// A node's process dies with the tokens it held, and is back after `down`.
+    /// Kills a node's process, which loses its tokens; the node restarts after `down`.
     pub fn kill(&mut self, index: usize, down: Millis) {
-        let back_at = self.now + down;
-        self.nodes[index] = FleetNode { down_until: back_at, ..FleetNode::new(index, back_at) };
+        let restart_at = self.now + down;
+        self.nodes[index] = FleetNode { down_until: restart_at, ..FleetNode::new(index, restart_at) };
     }
 
     pub fn run(&mut self, duration: Millis) {
@@ -107,7 +107,7 @@
         while self.now < end {
             self.now += STEP;
             self.deliver();
-            self.arrive();
+            self.generate_load();
             self.settle();
         }
     }
@@ -117,7 +117,7 @@
         self.now >= node.down_until && self.now < node.answered_at + LEASE
     }
 
-    fn arrive(&mut self) {
+    fn generate_load(&mut self) {
         for load in self.loads.clone() {
             let mut expected = load.per_s * STEP as f64 / 1_000.0;
             while expected > 0.0 {
@@ -141,10 +141,10 @@
             node.waiting.push_back((tenant.clone(), now + SETTLE_TIMEOUT));
             node.next_settlement_at = now;
         }
-        self.note(tenant, admission);
+        self.record(tenant, admission);
     }
 
-    fn note(&mut self, tenant: &Name, admission: Admission) {
+    fn record(&mut self, tenant: &Name, admission: Admission) {
         match admission {
             Admission::Admitted => self.ran.entry(tenant.clone()).or_default().push(self.now),
             Admission::Rejected => *self.rejected.entry(tenant.clone()).or_default() += 1,
@@ -154,21 +154,21 @@
 
     fn settle(&mut self) {
         for index in 0..self.nodes.len() {
-            self.give_up_waits(index);
+            self.expire_waiting(index);
             let now = self.now;
             let node = &mut self.nodes[index];
-            if node.under_way.is_some_and(|(_, until)| until <= now) {
-                node.under_way = None;
+            if node.in_flight.is_some_and(|(_, until)| until <= now) {
+                node.in_flight = None;
                 node.allowances.not_settled(now);
             }
-            if now < node.down_until || node.under_way.is_some() || now < node.next_settlement_at {
+            if now < node.down_until || node.in_flight.is_some() || now < node.next_settlement_at {
                 continue;
             }
             let claims = node.allowances.begin_settlement(now, INTERVAL);
             node.next_settlement_at = now + INTERVAL;
             if claims.is_empty() {
-                let is_reached = !node.is_cut && now >= self.no_tail_until;
-                if is_reached {
+                let reaches_tail = !node.is_cut_off && now >= self.no_tail_until;
+                if reaches_tail {
                     node.answered_at = now;
                     let tail = index % self.tails.len();
                     self.tails[tail].note_contact(now, &node.name);
@@ -177,23 +177,23 @@
             }
             self.next_settlement += 1;
             let settlement = self.next_settlement;
-            node.under_way = Some((settlement, now + SETTLE_TIMEOUT));
-            let is_lost = node.is_cut || fastrand::u32(0..100) < self.loss_percent;
+            node.in_flight = Some((settlement, now + SETTLE_TIMEOUT));
+            let is_lost = node.is_cut_off || fastrand::u32(0..100) < self.loss_percent;
             if !is_lost {
-                self.messages.push_back((now + HOP, Message::Claims { node: index, settlement, claims }));
+                self.messages.push_back((now + LATENCY, Message::Claims { node: index, settlement, claims }));
             }
         }
     }
 
-    fn give_up_waits(&mut self, index: usize) {
+    fn expire_waiting(&mut self, index: usize) {
         while let Some((tenant, until)) = self.nodes[index].waiting.front().cloned() {
             if until > self.now {
                 return;
             }
             self.nodes[index].waiting.pop_front();
             self.nodes[index].allowances.stop_waiting(&tenant);
-            let admission = self.nodes[index].end_of_wait(self.now, &tenant);
-            self.note(&tenant, admission);
+            let admission = self.nodes[index].end_wait(self.now, &tenant);
+            self.record(&tenant, admission);
         }
     }
 
@@ -218,18 +218,18 @@
         }
         let tail = node % self.tails.len();
         let answer = self.tails[tail].settle(self.now, &self.nodes[node].name.clone(), &claims);
-        if !self.nodes[node].is_cut && fastrand::u32(0..100) >= self.loss_percent {
-            self.messages.push_back((self.now + HOP, Message::Granted { node, settlement, answer }));
+        if !self.nodes[node].is_cut_off && fastrand::u32(0..100) >= self.loss_percent {
+            self.messages.push_back((self.now + LATENCY, Message::Granted { node, settlement, answer }));
         }
     }
 
     fn deliver_answer(&mut self, index: usize, settlement: u64, answer: &Settlement) {
         let now = self.now;
         let node = &mut self.nodes[index];
-        if node.under_way.is_none_or(|(number, _)| number != settlement) {
+        if node.in_flight.is_none_or(|(number, _)| number != settlement) {
             return;
         }
-        node.under_way = None;
+        node.in_flight = None;
         node.answered_at = now;
         node.allowances.settled(now, answer);
         if self.bug == Bug::GrantAppliedTwice {
@@ -243,7 +243,7 @@
                 continue;
             }
             self.nodes[index].allowances.stop_waiting(&tenant);
-            self.note(&tenant, admission);
+            self.record(&tenant, admission);
         }
     }
 }
--- a/crates/quota/tests/fleet/node.rs
+++ b/crates/quota/tests/fleet/node.rs
@@ -1,4 +1,4 @@
-//! One node of the fleet.
+//! One node of the simulated fleet.
 use super::INTERVAL;
 use quincehatch_core::{Millis, Name};
 use quincehatch_quota::{Admission, Allowances};
@@ -7,13 +7,13 @@
 pub struct FleetNode {
     pub name: Name,
     pub allowances: Allowances,
-    /// Operations that wait, by tenant, with the time when they give up.
+    /// The operations that wait: the tenant of each, and the time at which the wait ends.
     pub waiting: VecDeque<(Name, Millis)>,
-    /// The settlement under way: its number, and when it is given up.
-    pub under_way: Option<(u64, Millis)>,
+    /// The settlement in flight: its number and the time at which it fails.
+    pub in_flight: Option<(u64, Millis)>,
     pub next_settlement_at: Millis,
     pub answered_at: Millis,
-    pub is_cut: bool,
+    pub is_cut_off: bool,
     pub down_until: Millis,
 }
 
@@ -23,16 +23,16 @@
             name: format!("node-{index}").into(),
             allowances: Allowances::default(),
             waiting: VecDeque::new(),
-            under_way: None,
+            in_flight: None,
             next_settlement_at: now + fastrand::u64(0..INTERVAL),
             answered_at: now,
-            is_cut: false,
+            is_cut_off: false,
             down_until: 0,
         }
     }
 
-    /// An operation has waited for too long: it runs on credit, or is rejected.
-    pub fn end_of_wait(&mut self, now: Millis, tenant: &Name) -> Admission {
+    /// Decides on an operation that has waited too long: it runs on credit or is rejected.
+    pub fn end_wait(&mut self, now: Millis, tenant: &Name) -> Admission {
         if self.allowances.borrow(now, tenant) {
             return Admission::Admitted;
         }
--- a/crates/quota/tests/fleet/window.rs
+++ b/crates/quota/tests/fleet/window.rs
@@ -1,8 +1,9 @@
-//! The check of a tenant's limit in each window.
+//! The check that a tenant stays within its limit in every window.
 use quincehatch_core::Millis;
 use quincehatch_quota::{Limit, Tolerance};
 
-/// The most operations that ran within any window beyond what the tolerance allows; 0 if none did.
+/// Returns the largest number of operations within any window beyond the limit and its tolerance; 0 if there is no
+/// excess.
 pub fn worst_excess(ran: &[Millis], limit: Limit) -> u64 {
     let tolerance = Tolerance::default();
     let allowed = limit.in_window(tolerance.window);
