--- a/crates/store/src/command.rs
+++ b/crates/store/src/command.rs
@@ -4,8 +4,8 @@
 };
 
 messages! {
-    /// A change of the replicated state. On disk and on the wire a command is known by its position in this list: new
-    /// ones are added at the end.
+    /// A change of the replicated state. On disk and on the wire a command is identified by its position in this list:
+    /// new commands are added at the end.
     #[derive(Eq)]
     pub enum Command {
         /// Replaces the configuration, if its version is still `base`.
@@ -17,26 +17,26 @@
             /// The operator who sent it.
             by: Name
         },
-        /// Issues the next fencing token for a singleton duty.
+        /// Issues the next fencing token for a singleton role.
         AcquireFence {
-            /// The key of the duty.
+            /// The key of the singleton role.
             duty: Name,
-            /// The node that takes the duty.
+            /// The node that acquires the role.
             by: Name
         },
-        /// Sets a group's primary, under a fencing token of the group's promotion duty.
+        /// Sets a group's primary, under a fencing token of the group's promotion role.
         AssignPrimary {
             /// The group of servers.
             group: Name,
             /// The primary, and the token under which it is set.
             primary: PrimaryAssignment
         },
-        /// Adopts a configuration document that its operator has numbered. The highest number is in force; a lower one
-        /// changes nothing.
+        /// Adopts a configuration document that the operator has numbered. The document with the highest number is in
+        /// force; one with a lower number has no effect.
         AdoptDocument {
             /// The operator's number of the document.
             number: u64,
-            /// The configuration made from the document, as JSON.
+            /// The configuration derived from the document, as JSON.
             text: String,
             /// The operator's document, byte for byte.
             source: String,
@@ -48,7 +48,7 @@
             /// The server's record.
             at: ServerRecord
         },
-        /// Removes a server that was shut down in an orderly way.
+        /// Removes a server that was shut down gracefully.
         DeregisterServer {
             /// The server's name.
             server: Name
@@ -58,44 +58,44 @@
         EnrollNode {
             /// The node's name.
             node: Name,
-            /// Tells this process of the node from earlier ones.
+            /// Distinguishes this process of the node from earlier ones.
             incarnation: u64
         },
-        /// Ends an enrollment: the process holds no lease any more and asks for none.
+        /// Ends an enrollment: the process no longer holds a lease and requests none.
         DismissNode {
             /// The node's name.
             node: Name,
             /// The number of the entry that enrolled the process.
             enrolled: ChangeNumber
         },
-        /// Forgets the voter sets from before the present one. Sent once the primary under `fence` has its whole log on
-        /// enough servers of the present set.
+        /// Removes the voter sets that precede the current one. Sent once the primary under `fence` has replicated its
+        /// whole log to enough servers of the current set.
         DropPreviousVoters {
             /// The group of servers.
             group: Name,
             /// The fencing token under which the primary was set.
             fence: FencingToken
         },
-        /// Issues the next fencing token for a group's promotion duty, if the group's state is still the one the
-        /// promotion was planned for. A node that plans from an outdated state gets no token, so it never invalidates a
-        /// promotion under way only to give up afterwards.
+        /// Issues the next fencing token for a group's promotion role if the group's state is still the one that the
+        /// promotion was planned for. A node that planned with an outdated state gets no token, so it does not
+        /// invalidate a promotion in progress and abort its own afterwards.
         AcquireFenceIfUnchanged {
             /// The group of servers.
             group: Name,
-            /// The node that takes the duty.
+            /// The node that acquires the role.
             by: Name,
             /// The state that the promotion was planned for.
             expected: PrimaryState
         }
     }
 
-    /// What the replicated state says about a group's primary.
+    /// The replicated state of a group's primary.
     #[derive(Eq, Default)]
     pub struct PrimaryState {
-        /// The newest fencing token of the group's promotion duty. If it is above the primary's own, a promotion has
-        /// begun that has not written anything yet.
+        /// The newest fencing token of the group's promotion role. If it is higher than the token of `primary`, a
+        /// promotion has begun that has not written its primary yet.
         pub fence: FencingToken,
-        /// The primary as it was last written.
+        /// The primary that was last written.
         pub primary: Option<PrimaryAssignment>
     }
 
@@ -106,24 +106,25 @@
         pub number: ChangeNumber,
         /// The idempotency key: of two entries with the same key only the first takes effect.
         pub key: Name,
-        /// What the entry changes.
+        /// The command to apply.
         pub command: Command
     }
 
-    /// The answer to a command. It depends on nothing but the entries before it, so every replica computes the same.
+    /// The answer to a command. It depends only on the command and the entries before it, so every replica computes the
+    /// same answer.
     #[derive(Eq)]
     pub enum Answer {
-        /// The version of the configuration that is in force now.
+        /// The version of the configuration that is in force after the command.
         Version(Version),
         /// The fencing token that was issued.
         Fence(FencingToken),
-        /// Applied; there is nothing more to say.
+        /// The command was applied and has no result.
         Done,
-        /// Not applied, and why.
+        /// The command was not applied, for this reason.
         Rejected(Error),
         /// The number of the entry that enrolled the node.
         Enrolled(ChangeNumber),
-        /// The group's primary as it is recorded now.
+        /// The group's primary after the command.
         Primary(PrimaryAssignment)
     }
 }
--- a/crates/store/src/entry_log.rs
+++ b/crates/store/src/entry_log.rs
@@ -6,10 +6,10 @@
 use std::collections::VecDeque;
 
 messages! {
-    /// An entry, serialised and packed once: in this form it is in memory, on disk and on the wire.
+    /// An entry that is serialised and packed once. It is retained in memory, stored on disk and sent in this form.
     #[derive(Eq)]
     pub struct PackedEntry {
-        /// Number of the entry.
+        /// The number of the entry.
         pub number: ChangeNumber,
         /// The serialised entry.
         pub bytes: PackedBytes
@@ -23,21 +23,21 @@
         Self { number: entry.number, bytes: PackedBytes::pack(serialised) }
     }
 
-    /// The entry; `None` if the bytes are damaged or contain another number.
+    /// Returns the entry; `None` if the bytes are damaged or contain another number.
     pub fn unpack(&self) -> Option<Entry> {
         let serialised = self.bytes.unpack()?;
         let entry: Entry = borsh::from_slice(&serialised).ok()?;
         (entry.number == self.number).then_some(entry)
     }
 
-    /// Length of the packed form, in bytes.
+    /// Returns the length of the packed form, in bytes.
     pub fn size(&self) -> usize {
         self.bytes.size()
     }
 }
 
-/// Consecutive entries up to the newest one. The oldest are dropped when there are more than [`LOG_MAX_ENTRIES`] or they
-/// take more than [`LOG_MAX_BYTES`]; the newest always stays.
+/// Consecutive entries up to the newest one. The oldest are dropped when there are more than [`LOG_MAX_ENTRIES`] or
+/// they take more than [`LOG_MAX_BYTES`]; the newest entry is always retained.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EntryLog {
     entries: VecDeque<PackedEntry>,
@@ -71,32 +71,33 @@
         *self = Self::default();
     }
 
-    /// Number of entries.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Is the log empty?
+    /// Returns whether the log contains no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Bytes that the packed entries take together.
+    /// Returns the total size of the packed entries, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The entries, oldest first.
+    /// Iterates over the entries, oldest first.
     pub fn iter(&self) -> impl Iterator<Item = &PackedEntry> {
         self.entries.iter()
     }
 
-    /// Does the log contain every entry that follows `number`, as far as there are any?
+    /// Returns whether the log contains every existing entry that follows `number`; `false` if the log is empty.
     pub fn reaches_back_to(&self, number: ChangeNumber) -> bool {
         self.entries.front().is_some_and(|oldest| oldest.number <= number + 1)
     }
 
-    /// The entries that follow `number`, up to `max_bytes` but at least one; `None` if some of them were dropped.
+    /// Returns the entries that follow `number`, up to `max_bytes` but at least one; `None` if some of them were
+    /// dropped.
     pub fn entries_after(&self, number: ChangeNumber, max_bytes: usize) -> Option<Vec<PackedEntry>> {
         if !self.reaches_back_to(number) {
             return None;
--- a/crates/store/src/keeper.rs
+++ b/crates/store/src/keeper.rs
@@ -1,8 +1,8 @@
-//! A keeper: one replica of the store. It is a voter of the view register and, while it is in the view, a
-//! member of the replication chain, perhaps its head or its tail.
+//! A keeper: one replica of the store. It may be a voter of the view register and, independently of that, a member of
+//! the replication chain: its head, its tail or a replica in between.
 //!
-//! [`Keeper::step`] is the whole protocol without input or output: it takes one [`Input`] and returns [`Output`]s. The
-//! caller makes records durable, sends messages and tells the time.
+//! [`Keeper::step`] implements the whole protocol without I/O: it takes one [`Input`] and returns [`Output`]s. The
+//! caller makes records durable, sends messages and supplies the time.
 mod event;
 mod feed_updates;
 mod heartbeat;
@@ -38,7 +38,7 @@
 use recent_changes::RecentChanges;
 use requests::{CommitTimes, PendingWrite, Polls, Quota};
 use std::collections::BTreeMap;
-use view_lease::{ViewLease, first_heartbeat};
+use view_lease::{ViewLease, initial_sequence};
 
 pub use event::{Input, Output};
 pub use membership::DiscoverySettings;
@@ -50,30 +50,31 @@
     pub name: Name,
     /// The newest view that the keeper knows.
     pub view: View,
-    /// The state that all entries held here add up to.
+    /// The state that results from all entries up to the newest one that this keeper holds.
     pub store: Store,
     /// The newest entry that the keeper knows to be committed.
     pub committed: ChangeNumber,
     /// The newest entry that the keeper knows to be applied by every node with a lease.
     pub in_force: ChangeNumber,
 
-    // The step that is under way.
+    // The current step.
     now: Millis,
     outputs: Vec<Output>,
 
     // Replication.
-    /// The newest entries, for members that lag behind.
+    /// The newest entries, which are sent to members that lag behind.
     log: EntryLog,
-    /// Whether the keeper holds everything that its predecessor held when the view was adopted, or later.
+    /// Whether the keeper holds every entry that its predecessor held when the predecessor adopted the view.
     in_sync: bool,
-    /// Whether the keeper was taken into the chain and its predecessor has not passed on everything yet. It may lack
-    /// what was committed before it came: it neither serves nor removes other members.
+    /// Whether the keeper has joined the chain and its predecessor has not yet sent it all entries. The keeper may lack
+    /// entries that were committed before it joined, so it neither serves nor removes other members.
     catching_up: bool,
-    /// The newest entry held when the view was adopted.
-    held_at_adoption: ChangeNumber,
+    /// The newest entry that the keeper held when it adopted the view.
+    last_change_at_adoption: ChangeNumber,
     /// The newest entry that the tail has acknowledged in this view.
     acknowledged: ChangeNumber,
-    /// Fewest members of a view that commits: every committed entry is on as many disks.
+    /// The smallest number of members with which a chain commits, so every committed entry is on at least as many
+    /// disks.
     min_replicas: usize,
     outgoing_snapshot: Option<OutgoingSnapshot>,
     incoming_snapshot: IncomingSnapshot,
@@ -82,9 +83,9 @@
 
     // Requests and the feed.
     recent_changes: RecentChanges,
-    /// The configuration in force, packed once for all snapshots that carry it.
+    /// The configuration in force, packed once for all snapshots that contain it.
     packed_configuration: Option<PackedConfiguration>,
-    /// A snapshot that was packed for nodes lately.
+    /// The snapshot that was last packed for nodes.
     packed_snapshot: Option<PackedSnapshot>,
     commit_times: CommitTimes,
     pending_writes: Vec<PendingWrite>,
@@ -93,49 +94,49 @@
     // Views.
     acceptor: Acceptor,
     proposer: Proposer,
-    /// The view just before the present one, if this keeper knew it.
+    /// The view whose version directly precedes that of the current view, if this keeper had adopted it.
     previous_view: Option<View>,
     view_adopted_at: Millis,
     last_proposal_at: Millis,
-    /// Since when this voter has held an accepted view that it does not know to be decided.
+    /// When this voter first noticed that it has accepted a view which it does not know to be decided.
     undecided_view_since: Option<Millis>,
 
     // Contact and leases.
-    /// When each other keeper was last heard from.
+    /// When the last message from each other keeper arrived.
     last_heard: BTreeMap<Name, Millis>,
     next_heartbeat_at: Millis,
     view_lease: ViewLease,
-    /// Until then the tail of an older view may serve.
-    older_tail_until: Millis,
+    /// Until then the tail of an older view may hold its view lease and serve.
+    older_tail_lease_until: Millis,
     /// The last view in which this keeper served as the tail.
     served_version: Version,
-    /// The leases granted as the tail of the present view.
+    /// The leases that this keeper has granted as the tail of the current view.
     node_leases: Option<NodeLeases>,
-    /// The leases granted as the tail of the view before, to be handed to the present tail.
+    /// The leases that this keeper granted as the tail of the previous view, to be handed over to the current tail.
     previous_node_leases: Option<NodeLeases>,
     dismissed_leases: DismissedLeases,
-    /// What tenants ran, as the tail of the present view.
+    /// The tenants' operations that this keeper has counted as the tail of the current view.
     quota: Quota,
 
     // Membership.
     discovery: Option<Discovery>,
-    /// The next view, in which a member offers this keeper a vote.
+    /// The next view, in which a member has invited this keeper to be a voter.
     invitation: Option<View>,
     leaving: Option<Leaving>,
 }
 
 impl Keeper {
-    /// A keeper that starts from what its disk holds.
+    /// Creates a keeper from the state that was recovered from its disk.
     pub fn new(name: Name, now: Millis, recovered: RecoveredState) -> Self {
-        // Derived from the name and not from a position in the list of voters, which changes: no two proposers may ever
-        // use the same ballot.
+        // The proposer's id is derived from the name and not from the position in the list of voters, which changes: no
+        // two proposers may ever use the same ballot.
         let mut proposer = Proposer::new(hash64(&[name.as_bytes()]));
         proposer.observe_ballot(recovered.acceptor.promised.number);
         let view = &recovered.view;
-        // A tail that has begun to serve in this very view has waited for the older tails and lacks nothing.
+        // A tail that has already served in this view has waited for the leases of older tails and lacks no entries.
         let has_served = view.tail() == Some(&name) && recovered.served_version == view.version;
         let is_complete_head = view.head() == Some(&name) && !recovered.catching_up;
-        let older_tail_until = if has_served { now } else { now + with_clock_drift(VIEW_LEASE) };
+        let older_tail_lease_until = if has_served { now } else { now + with_clock_drift(VIEW_LEASE) };
         Self {
             now,
             outputs: Vec::new(),
@@ -144,7 +145,7 @@
             log: recovered.log,
             in_sync: has_served || is_complete_head,
             catching_up: recovered.catching_up,
-            held_at_adoption: recovered.store.last_change,
+            last_change_at_adoption: recovered.store.last_change,
             acknowledged: 0,
             min_replicas: 1,
             outgoing_snapshot: None,
@@ -165,12 +166,12 @@
             undecided_view_since: None,
             last_heard: BTreeMap::new(),
             next_heartbeat_at: now,
-            view_lease: ViewLease::new(first_heartbeat()),
-            older_tail_until,
+            view_lease: ViewLease::new(initial_sequence()),
+            older_tail_lease_until,
             served_version: recovered.served_version,
             node_leases: None,
             previous_node_leases: None,
-            dismissed_leases: DismissedLeases::of_recovered(&recovered.store, now),
+            dismissed_leases: DismissedLeases::from_recovered(&recovered.store, now),
             quota: Quota::default(),
             discovery: None,
             invitation: None,
@@ -181,13 +182,13 @@
         }
     }
 
-    /// Lets the keeper find its place in the chain by itself.
+    /// Enables discovery, by which keepers join the view and replace lost voters without an operator.
     pub fn with_discovery(mut self, settings: DiscoverySettings) -> Self {
         self.discovery = Some(Discovery::new(settings, self.now));
         self
     }
 
-    /// Lets no chain with fewer members commit.
+    /// Sets the smallest number of members with which a chain commits.
     pub fn with_min_replicas(mut self, min_replicas: usize) -> Self {
         self.min_replicas = min_replicas;
         self
@@ -199,31 +200,31 @@
         self
     }
 
-    /// Takes note of the size of the keeper's data directory.
+    /// Records the size of the keeper's data directory.
     pub fn set_disk_usage(&mut self, usage: DiskUsage) {
         self.disk_usage = usage;
     }
 
-    /// Is this keeper the tail of the newest view it knows?
+    /// Returns whether this keeper is the tail of the newest view it knows.
     pub fn is_tail(&self) -> bool {
         self.view.tail() == Some(&self.name)
     }
 
-    /// Is this keeper the head of the newest view it knows?
+    /// Returns whether this keeper is the head of the newest view it knows.
     pub fn is_head(&self) -> bool {
         self.view.head() == Some(&self.name)
     }
 
-    /// May this keeper answer as the tail at this moment?
+    /// Returns whether this keeper may answer requests as the tail at this moment.
     ///
-    /// It must hold the view lease, so that no newer view is served; the leases of older tails must have ended; and it
-    /// must hold whatever they have committed.
+    /// The keeper must hold the view lease, so that no tail of a newer view serves; the view leases of older tails must
+    /// have ended; and the keeper must hold every entry that they have committed.
     pub fn is_serving(&self) -> bool {
         let has_lease = self.view_lease.is_held(self.now) || seam::injected_bug("no-view-lease");
-        self.is_tail() && self.in_sync && self.now >= self.older_tail_until && has_lease
+        self.is_tail() && self.in_sync && self.now >= self.older_tail_lease_until && has_lease
     }
 
-    /// May this keeper commit entries, and hand out what is committed?
+    /// Returns whether this keeper may commit entries and answer reads of committed state.
     pub fn can_commit(&self) -> bool {
         self.is_serving() && self.view.members.len() >= self.min_replicas
     }
--- a/crates/store/src/keeper/feed_updates.rs
+++ b/crates/store/src/keeper/feed_updates.rs
@@ -1,16 +1,16 @@
-//! The feed as the tail serves it: recent changes, or a snapshot for a node that lacks more than is remembered.
+//! Replies to nodes' polls at the tail: recent changes, or a snapshot for a node that lacks older ones.
 use super::Keeper;
 use crate::compression::PackedText;
 use crate::feed::{Change, FeedSnapshot, PackedSnapshot};
 use crate::messages::Reply;
 use quincehatch_core::{ChangeNumber, Millis, Version};
 
-/// A packed snapshot serves nodes until there are so many newer changes.
-const SNAPSHOT_MAX_AGE: ChangeNumber = 128;
-/// No lease comes with a snapshot that lacks changes: a node with a lease acts on all that was committed.
+/// The largest number of changes by which a packed snapshot may be older than the store and still be sent.
+const SNAPSHOT_MAX_AGE_CHANGES: ChangeNumber = 128;
+/// The lease term that is sent with an outdated snapshot: a node that holds a lease must have every committed change.
 const NO_LEASE: Millis = 0;
 
-/// A configuration, packed for snapshots.
+/// A configuration in the packed form in which snapshots contain it.
 #[derive(Clone, Debug)]
 pub(super) struct PackedConfiguration {
     version: Version,
@@ -18,9 +18,9 @@
 }
 
 impl Keeper {
-    /// The changes that follow `last_change`, or a snapshot if they are not all remembered.
+    /// Returns the changes that follow `last_change`, or a snapshot if some of them are no longer retained.
     pub(super) fn changes_since(&mut self, last_change: ChangeNumber, lease_ms: Millis) -> Reply {
-        if let Some(changes) = self.remembered_since(last_change) {
+        if let Some(changes) = self.retained_changes_since(last_change) {
             return Reply::Changes { changes, lease_ms };
         }
         let is_newest = self.snapshot_for_nodes().last_change == self.store.last_change;
@@ -29,28 +29,28 @@
         Reply::PackedSnapshot { snapshot, lease_ms }
     }
 
-    /// The bytes, more or less, of what a node is sent that has applied `last_change`.
-    pub(super) fn answer_length(&mut self, last_change: ChangeNumber) -> u64 {
+    /// Returns the approximate size in bytes of the reply to a node that has applied `last_change`.
+    pub(super) fn reply_size(&mut self, last_change: ChangeNumber) -> u64 {
         let is_ahead = last_change > self.store.last_change;
-        if let Some(bytes) = self.recent_changes.length_since(last_change).filter(|_| !is_ahead) {
+        if let Some(bytes) = self.recent_changes.size_since(last_change).filter(|_| !is_ahead) {
             return bytes;
         }
         self.snapshot_for_nodes().size() as u64
     }
 
-    fn remembered_since(&self, last_change: ChangeNumber) -> Option<Vec<Change>> {
+    fn retained_changes_since(&self, last_change: ChangeNumber) -> Option<Vec<Change>> {
         if last_change == self.store.last_change {
             return Some(Vec::new());
         }
-        // A node that claims to be ahead followed a store that was lost; it starts anew.
+        // A node that is ahead has followed a store that was lost, so it needs a snapshot.
         if last_change > self.store.last_change {
             return None;
         }
         self.recent_changes.since(last_change)
     }
 
-    /// A snapshot that a node can follow the changes from. Many nodes that start together are sent the same one, although
-    /// each of them enrolls with a change of its own.
+    /// Returns a snapshot after which all changes are retained. Many nodes that start at the same time are sent the
+    /// same snapshot, although each of them adds a change when it enrolls.
     fn snapshot_for_nodes(&mut self) -> &PackedSnapshot {
         let usable = self.packed_snapshot.take().filter(|packed| self.is_usable(packed));
         let snapshot = usable.unwrap_or_else(|| {
@@ -63,14 +63,14 @@
     fn is_usable(&self, snapshot: &PackedSnapshot) -> bool {
         let last_change = self.store.last_change;
         let is_recent = snapshot.last_change <= last_change
-            && last_change - snapshot.last_change <= SNAPSHOT_MAX_AGE
+            && last_change - snapshot.last_change <= SNAPSHOT_MAX_AGE_CHANGES
             && snapshot.configuration_version == self.store.configuration_version();
         is_recent
             && (snapshot.last_change == last_change
                 || self.recent_changes.reaches_back_to(snapshot.last_change))
     }
 
-    /// The packed configuration in force. It is packed once a version, however many nodes ask for it.
+    /// Returns the configuration in force. It is packed once per version, not once per snapshot.
     fn packed_configuration_json(&mut self) -> PackedText {
         let version = self.store.configuration_version();
         if let Some(packed) = self.packed_configuration.as_ref().filter(|packed| packed.version == version) {
--- a/crates/store/src/keeper/heartbeat.rs
+++ b/crates/store/src/keeper/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats to the voters, and the grants that answer them.
+//! Heartbeats to the voters, and the voters' grants of the view lease in response.
 use super::Keeper;
 use crate::messages::PeerMessage;
 use crate::timing::HEARTBEAT_INTERVAL;
@@ -6,7 +6,7 @@
 use quincehatch_core::{Name, Version};
 
 impl Keeper {
-    /// Sends a heartbeat to every voter; it asks for the view lease too.
+    /// Sends a heartbeat to every voter, which also requests a renewal of the view lease.
     pub(super) fn send_heartbeat(&mut self) {
         self.next_heartbeat_at = self.now + HEARTBEAT_INTERVAL;
         let sequence = self.view_lease.begin_heartbeat(self.now);
@@ -17,18 +17,20 @@
         }
     }
 
-    /// Learns the sender's view if it is newer, and renews its lease unless this voter knows of a newer view.
+    /// Adopts the sender's view if it is newer, and renews the sender's view lease unless this voter knows of a newer
+    /// view.
     pub(super) fn handle_heartbeat(&mut self, from: &Name, view: View, sequence: u64) {
         let version = view.version;
         self.inform_outdated_peer(from, &view);
         self.adopt_view(view);
-        // Not even an accepted view may be newer: it may be decided already, and its tail may serve.
+        // A view that this voter has accepted must not be newer either: it may be decided already, and its tail may
+        // serve.
         if self.acceptor.accepted_version() <= version && self.view.version <= version {
             self.send(from, PeerMessage::GrantViewLease { version, sequence });
         }
     }
 
-    /// Counts a grant for the present view.
+    /// Counts a voter's grant if it is for the current view.
     pub(super) fn handle_grant(&mut self, from: &Name, version: Version, sequence: u64) {
         if version == self.view.version {
             self.view_lease.record_grant(&self.view, from, sequence);
--- a/crates/store/src/keeper/membership.rs
+++ b/crates/store/src/keeper/membership.rs
@@ -1,4 +1,5 @@
-//! Who votes and who is in the chain: discovery of other keepers, replacement of lost voters, orderly leaves.
+//! Membership of the chain and of the voters: discovery of other keepers, replacement of lost voters, and graceful
+//! shutdown.
 mod discovery;
 mod invitation;
 mod known_keepers;
--- a/crates/store/src/keeper/membership/known_keepers.rs
+++ b/crates/store/src/keeper/membership/known_keepers.rs
@@ -1,4 +1,4 @@
-//! What a keeper knows of keepers outside the view.
+//! The keepers outside the view that a keeper has discovered, and the settings of discovery.
 use crate::timing::PEER_TIMEOUT;
 use crate::view::Voter;
 use quincehatch_core::{Millis, Name};
@@ -6,39 +6,40 @@
 
 /// Shortest time between two announcements of a keeper outside the view.
 const DISCOVERY_INTERVAL: Millis = 500;
-/// A keeper outside the view that was last heard from longer ago is not invited: three announcements were lost, or it
-/// is gone.
+/// A keeper outside the view from which nothing was received for this long is not invited: three announcements were
+/// lost, or the keeper is down.
 const CANDIDATE_EXPIRY: Millis = 1_500;
-/// Keepers outside the view that are remembered.
+/// Maximum number of keepers outside the view that are recorded.
 const MAX_CANDIDATES: usize = 64;
-/// After a longer gap between two ticks this keeper counts as suspended: that it did not hear from others tells nothing.
+/// After a longer gap between two ticks this keeper counts as suspended, and the silence of peers during the gap does
+/// not count.
 const MAX_TICK_GAP: Millis = PEER_TIMEOUT / 2;
 
-/// How a keeper finds the others if its settings do not list them, and how many are to vote.
+/// How a keeper finds other keepers if its configuration does not list them, and the wanted number of voters.
 #[derive(Clone, Debug, Default)]
 pub struct DiscoverySettings {
-    /// Where this keeper is reached.
+    /// The address of this keeper.
     pub at: Name,
     /// Addresses at which other keepers may be reached.
     pub seeds: Vec<Name>,
-    /// A voter without contact for this long gives its vote to a keeper outside the view, see
+    /// A voter that has been unresponsive for this long is replaced by a keeper outside the view, see
     /// [`replace_after`](crate::timing::replace_after).
     pub replace_after: Millis,
-    /// Wanted number of voters. If the first view has fewer, keepers from outside are added as they come.
+    /// Wanted number of voters. While the view has fewer, keepers outside the view are added.
     pub voter_count: usize,
 }
 
-/// What a keeper that takes part in discovery knows.
+/// The state of a keeper that takes part in discovery.
 #[derive(Clone, Debug)]
 pub(in crate::keeper) struct Discovery {
     pub(super) settings: DiscoverySettings,
-    /// Keepers outside the view.
+    /// Keepers outside the view, by name.
     candidates: BTreeMap<Name, Candidate>,
     last_announcement_at: Millis,
     announcements: u64,
     last_tick_at: Millis,
-    /// Since then this keeper was not suspended.
-    pub(super) undisturbed_since: Millis,
+    /// Since when this keeper has run without being suspended.
+    pub(super) running_since: Millis,
 }
 
 /// A keeper outside the view.
@@ -46,8 +47,9 @@
 struct Candidate {
     addr: Name,
     last_heard: Millis,
-    /// It asked for a place. Otherwise it only does not know that it has none.
-    wants_place: bool,
+    /// Whether the keeper has announced itself to join the view. Otherwise it was removed from the view and does not
+    /// know about it.
+    wants_to_join: bool,
 }
 
 impl Candidate {
@@ -64,30 +66,30 @@
             last_announcement_at: 0,
             announcements: 0,
             last_tick_at: now,
-            undisturbed_since: now,
+            running_since: now,
         }
     }
 
-    /// Notices gaps between two ticks, during which this keeper was suspended.
+    /// Records a tick, and detects a gap since the last one during which this keeper was suspended.
     pub(super) fn record_tick(&mut self, now: Millis) {
         if now > self.last_tick_at + MAX_TICK_GAP {
-            self.undisturbed_since = now;
+            self.running_since = now;
         }
         self.last_tick_at = now;
     }
 
-    /// Is it time for the next announcement?
+    /// Returns whether the next announcement is due.
     pub(super) fn is_announcement_due(&self, now: Millis) -> bool {
         now >= self.last_announcement_at + DISCOVERY_INTERVAL
     }
 
-    /// Begins an announcement; returns to whom it goes. The voters of the view and the seeds take turns, as either list
-    /// may be outdated.
+    /// Begins an announcement and returns its receivers. Announcements go alternately to the voters of the view and to
+    /// the seeds, as either list may be outdated.
     pub(super) fn begin_announcement(&mut self, now: Millis, voters: &[Voter]) -> Vec<Name> {
         self.last_announcement_at = now;
         self.announcements += 1;
-        let asks_seeds = voters.is_empty() || self.announcements.is_multiple_of(2);
-        let mut receivers: Vec<Name> = match asks_seeds {
+        let is_for_seeds = voters.is_empty() || self.announcements.is_multiple_of(2);
+        let mut receivers: Vec<Name> = match is_for_seeds {
             true => self.settings.seeds.clone(),
             false => voters.iter().map(|voter| voter.name.clone()).collect(),
         };
@@ -95,25 +97,26 @@
         receivers
     }
 
-    /// Takes note of a keeper outside the view.
-    pub(super) fn record_candidate(&mut self, now: Millis, name: &Name, addr: Name, wants_place: bool) {
+    /// Records a keeper outside the view.
+    pub(super) fn record_candidate(&mut self, now: Millis, name: &Name, addr: Name, wants_to_join: bool) {
         self.candidates.retain(|_, candidate| !candidate.is_expired(now));
         if self.candidates.len() < MAX_CANDIDATES {
-            let candidate = Candidate { addr, last_heard: now, wants_place };
+            let candidate = Candidate { addr, last_heard: now, wants_to_join };
             self.candidates.insert(name.clone(), candidate);
         }
     }
 
-    /// Keepers that have asked for a place recently, in the order of their names.
+    /// Returns the keepers that have recently announced themselves to join, in the order of their names.
     pub(super) fn candidates(&self, now: Millis) -> impl Iterator<Item = Voter> {
-        let wants_place = move |candidate: &Candidate| candidate.wants_place && !candidate.is_expired(now);
+        let wants_to_join =
+            move |candidate: &Candidate| candidate.wants_to_join && !candidate.is_expired(now);
         self.candidates
             .iter()
-            .filter(move |(_, candidate)| wants_place(candidate))
+            .filter(move |(_, candidate)| wants_to_join(candidate))
             .map(|(name, candidate)| Voter { name: name.clone(), addr: candidate.addr.clone() })
     }
 
-    /// Where a keeper outside the view said that it is reached; a seed is named by its address.
+    /// Returns the address that a keeper outside the view has announced. The name of a seed is its address.
     pub(super) fn addr(&self, name: &str) -> Option<Name> {
         if let Some(candidate) = self.candidates.get(name) {
             return Some(candidate.addr.clone());
--- a/crates/store/src/keeper/proposals.rs
+++ b/crates/store/src/keeper/proposals.rs
@@ -1,4 +1,4 @@
-//! A keeper as a voter on views and as their proposer.
+//! The keeper's roles in deciding views: acceptor of other keepers' proposals, and proposer.
 use super::{Keeper, Output};
 use crate::messages::PeerMessage;
 use crate::record::Record;
@@ -8,7 +8,7 @@
 use quincehatch_core::Name;
 
 impl Keeper {
-    /// Answers a proposer, whose base this keeper has adopted by now.
+    /// Answers a proposal, whose base view this keeper has adopted before the call.
     pub(super) fn handle_proposal(&mut self, proposer: &Name, message: &PeerMessage) {
         let Some(reply) = self.acceptor.step(self.view.version, message) else { return };
         if reply.is_changed {
@@ -17,38 +17,38 @@
         self.send(proposer, reply.message);
     }
 
-    /// Takes a voter's answer to a proposal of this keeper.
+    /// Handles a voter's answer to a proposal of this keeper.
     pub(super) fn handle_vote(&mut self, from: &Name, message: &PeerMessage) {
         let actions = self.proposer.step(from, message);
         self.perform(actions);
     }
 
-    /// Proposes the view unless a proposal is under way. A view with a member that does not vote is not proposed: the
-    /// others would have no address for that member.
+    /// Proposes the view unless a proposal is in progress. A view with a member that is not a voter is not proposed, as
+    /// addresses are part of the list of voters and the other keepers could not reach that member.
     pub(super) fn propose(&mut self, wanted: View) {
         let all_vote = wanted.members.iter().all(|member| wanted.is_voter(member));
         if !all_vote || self.proposer.is_busy(self.now, PROPOSAL_INTERVAL) {
             return;
         }
         self.last_proposal_at = self.now;
-        // A ballot must be above whatever this voter has promised to others.
+        // The ballot must be higher than any that this voter has promised to other proposers.
         self.proposer.observe_ballot(self.acceptor.promised.number);
         let base = self.view.clone();
         let actions = self.proposer.begin(self.now, &base, wanted);
         self.perform(actions);
     }
 
-    /// Proposes a view again that this voter has accepted and does not know to be decided, in case its proposer does not
-    /// see it through. Until it is decided this voter does not renew the lease of the present view. Is there such a
-    /// view?
-    pub(super) fn finish_accepted_view(&mut self) -> bool {
+    /// Proposes a view again that this voter has accepted and does not know to be decided, in case its proposer has
+    /// stopped. Until that view is decided, this voter does not renew the lease of the current view. Returns whether
+    /// there is such a view.
+    pub(super) fn repropose_accepted_view(&mut self) -> bool {
         let accepted = self.acceptor.accepted.as_ref().map(|accepted| accepted.view.clone());
         let Some(undecided) = accepted.filter(|view| view.version > self.view.version) else {
             self.undecided_view_since = None;
             return false;
         };
         let since = *self.undecided_view_since.get_or_insert(self.now);
-        // Voters wait one after the other, so that they do not all propose at once.
+        // Each voter waits longer than the one before it in the list, so that they do not all propose at the same time.
         let rank = undecided.voters.iter().position(|voter| voter.name == self.name).unwrap_or(0) as u64;
         let wait = PROPOSAL_INTERVAL * (2 + rank);
         if self.now >= since + wait && self.now >= self.last_proposal_at + wait {
@@ -66,7 +66,8 @@
         }
     }
 
-    /// The new voters learn of the view from a heartbeat; those that no longer vote are told.
+    /// Announces a decided view: to its voters by a heartbeat, and to voters of the base that are no longer voters by a
+    /// message of its own.
     fn announce_decided_view(&mut self, view: View, base: &View) {
         let members = view.members.join(" ");
         self.outputs.push(Output::Log(format!("view {} is decided: {members}", view.version)));
--- a/crates/store/src/keeper/replication.rs
+++ b/crates/store/src/keeper/replication.rs
@@ -11,8 +11,8 @@
 use quincehatch_core::{ChangeNumber, Name};
 
 impl Keeper {
-    /// Handles a message of a neighbour in the chain. One from another view, or from a keeper that is not that
-    /// neighbour, is ignored: only within one view does every member hold a prefix of its predecessor's log.
+    /// Handles a replication message from the predecessor or the successor. A message from another view or from any
+    /// other keeper is ignored: only within one view does every member hold a prefix of its predecessor's log.
     pub(super) fn handle_replication(&mut self, from: &Name, message: PeerMessage) {
         match message {
             PeerMessage::AppendEntries { version, previous_change, entries, last_change } => {
@@ -34,23 +34,23 @@
         }
     }
 
-    /// Applies an entry if it is the next one, and returns the answer to its command.
+    /// Applies an entry and returns the answer to its command; `None` if the entry is not the next one.
     pub(super) fn append_entry(&mut self, entry: &Entry, packed: PackedEntry) -> Option<Answer> {
         let AppliedEntry { answer, event } = self.store.apply_with_event(entry)?;
-        self.note_dismissal(&entry.command);
+        self.record_dismissal(&entry.command);
         self.recent_changes.push(Change { number: entry.number, event });
         self.outputs.push(Output::Persist(Record::Entry { entry: packed.clone() }));
         self.log.push_back(packed);
         Some(answer)
     }
 
-    /// A dismissed node may hold a lease until its term has passed.
-    fn note_dismissal(&mut self, command: &Command) {
+    /// Records that a dismissed node may hold a lease until the lease term has passed.
+    fn record_dismissal(&mut self, command: &Command) {
         let Command::DismissNode { node, .. } = command else { return };
         if self.store.nodes.contains_key(node) {
             return;
         }
-        self.dismissed_leases.note(node, self.now);
+        self.dismissed_leases.record(node, self.now);
     }
 
     /// Sends the entries after `previous_change` to the successor.
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Asks the predecessor for what this keeper lacks, and acknowledges what is committed. Sent with each heartbeat, as
-    /// either message may be lost or arrive while the view changes.
+    /// Requests missing entries from the predecessor, and acknowledges the committed ones. Both messages are sent with
+    /// each heartbeat, as either may be lost or arrive during a change of the view.
     pub(super) fn report_to_predecessor(&mut self) {
         if let Some(predecessor) = self.predecessor().cloned() {
             self.request_missing_entries(&predecessor);
@@ -71,7 +71,7 @@
         self.acknowledge();
     }
 
-    /// Tells the predecessor what is committed and in force.
+    /// Sends the predecessor the numbers of the newest entries that are committed and in force.
     pub(super) fn acknowledge(&mut self) {
         let Some(predecessor) = self.predecessor().cloned() else { return };
         let (committed, in_force) = (self.committed, self.in_force);
@@ -94,8 +94,8 @@
         entries: Vec<PackedEntry>,
         last_change: ChangeNumber,
     ) {
-        let held = self.store.last_change;
-        if previous_change > held {
+        let last_change_before = self.store.last_change;
+        if previous_change > last_change_before {
             return self.request_missing_entries(predecessor);
         }
         for packed in entries {
@@ -103,7 +103,7 @@
                 self.append_entry(&entry, packed);
             }
         }
-        let has_grown = self.store.last_change > held;
+        let has_grown = self.store.last_change > last_change_before;
         if self.store.last_change >= last_change {
             self.in_sync = true;
             self.set_catching_up(false);
@@ -111,7 +111,7 @@
             self.request_missing_entries(predecessor);
         }
         if has_grown {
-            self.forward_entries(held);
+            self.forward_entries(last_change_before);
         }
     }
 
@@ -139,7 +139,8 @@
         }
     }
 
-    /// As many entries after `previous_change` as fit a message; `None` if the log no longer holds the first of them.
+    /// Returns as many entries after `previous_change` as fit into one message; `None` if the log no longer contains
+    /// the first of them.
     fn entries_after(&self, previous_change: ChangeNumber) -> Option<Vec<PackedEntry>> {
         if previous_change >= self.store.last_change {
             return Some(Vec::new());
--- a/crates/store/src/keeper/requests.rs
+++ b/crates/store/src/keeper/requests.rs
@@ -1,11 +1,11 @@
-//! Requests of nodes and operators.
+//! Requests from nodes and operators.
 mod ack_level;
-mod answer_budget;
 mod commit;
 mod commit_times;
 mod polls;
 mod quorum_contact;
 mod quota;
+mod reply_rate_limiter;
 mod voters;
 mod writes;
 
@@ -19,7 +19,7 @@
 pub(super) use writes::PendingWrite;
 
 impl Keeper {
-    /// Takes a request. Its reply is an output of this step or, for a write and for a poll, perhaps of a later one.
+    /// Handles a request. The reply is an output of this step or, for a write or a poll, possibly of a later one.
     pub(super) fn handle_request(&mut self, token: u64, request: Request) {
         if let Some(poll) = Poll::from_request(token, &request) {
             return self.handle_poll(poll);
@@ -28,7 +28,7 @@
             Request::CurrentView => Some(self.redirect()),
             Request::Status => Some(Reply::Status { status: self.status() }),
             Request::ChangeVoters { version, voters } => Some(self.change_voters(version, voters)),
-            Request::Write { key, command } => self.write(token, key, command),
+            Request::Write { key, command } => self.handle_write(token, key, command),
             Request::ReadStore | Request::ReadDocument | Request::SettleQuota { .. } | Request::ReadQuota
                 if !self.can_commit() =>
             {
@@ -40,7 +40,7 @@
                 Some(self.settle_quota(&node, enrolled, &claims))
             }
             Request::ReadQuota => Some(Reply::Quota { tenants: self.quota_usage() }),
-            // Taken above.
+            // Handled above as a poll.
             Request::Feed { .. } => None,
         };
         if let Some(reply) = reply {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Another keeper answers such requests: the head or the tail of the view.
+    /// Returns the reply that refers the client to the current view, whose head or tail answers the request.
     fn redirect(&self) -> Reply {
         Reply::Redirect { view: self.view.clone() }
     }
--- a/crates/store/src/keeper/requests/commit.rs
+++ b/crates/store/src/keeper/requests/commit.rs
@@ -1,9 +1,10 @@
-//! Commit at the tail, and the answers that follow from it.
+//! Commit at the tail, and the replies that depend on it.
 use crate::keeper::{Keeper, Output};
 use crate::record::Record;
 
 impl Keeper {
-    /// After every input: the tail commits what it holds, and whoever waits for that is answered.
+    /// Runs after every input: the tail commits the entries that it holds, and the polls and writes that wait for them
+    /// are answered.
     pub(in crate::keeper) fn commit_and_answer(&mut self) {
         if self.can_commit() {
             self.commit();
@@ -13,7 +14,7 @@
         self.answer_due_writes();
     }
 
-    /// Whatever the tail holds is on the disk of every member, and so committed.
+    /// Commits all entries that the tail holds: each of them is on the disk of every member.
     fn commit(&mut self) {
         let last_change = self.store.last_change;
         if self.served_version != self.view.version {
--- a/crates/store/src/keeper/requests/commit_times.rs
+++ b/crates/store/src/keeper/requests/commit_times.rs
@@ -1,8 +1,8 @@
-//! When entries were committed.
+//! The times at which recent entries were committed.
 use quincehatch_core::{ChangeNumber, Millis};
 use std::collections::VecDeque;
 
-/// Commits whose time is remembered.
+/// Maximum number of commits whose time is retained.
 const MAX_COMMIT_TIMES: usize = 64;
 
 #[derive(Clone, Copy, Debug)]
@@ -11,12 +11,12 @@
     at: Millis,
 }
 
-/// The newest commits and when this keeper learned of each.
+/// The newest commits, and the time at which this keeper learned of each.
 #[derive(Clone, Debug, Default)]
 pub(in crate::keeper) struct CommitTimes(VecDeque<CommitTime>);
 
 impl CommitTimes {
-    /// Takes note that everything up to `committed` is committed.
+    /// Records that all entries up to `committed` are committed.
     pub fn record(&mut self, committed: ChangeNumber, now: Millis) {
         let is_newer = self.0.back().is_none_or(|newest| newest.number < committed);
         if !is_newer {
@@ -28,7 +28,8 @@
         }
     }
 
-    /// For how long, at least, this keeper has known that the entry is committed; `None` if it is not.
+    /// Returns a lower bound of the time for which this keeper has known that the entry is committed; `None` if it does
+    /// not know it.
     pub fn committed_for(&self, number: ChangeNumber, now: Millis) -> Option<Millis> {
         let commit = self.0.iter().find(|commit| commit.number >= number)?;
         Some(now - commit.at)
--- a/crates/store/src/keeper/requests/polls.rs
+++ b/crates/store/src/keeper/requests/polls.rs
@@ -1,30 +1,30 @@
-//! Nodes' polls for changes, at the tail. Each poll renews the node's lease.
-use super::answer_budget::AnswerBudget;
+//! Nodes' long polls for changes, at the tail. Each poll renews the node's lease.
+use super::reply_rate_limiter::ReplyRateLimiter;
 use crate::keeper::{Keeper, Output};
 use crate::messages::{Reply, Request};
-use crate::timing::{MAX_PUT_OFF, NODE_LEASE, feed_poll_wait};
+use crate::timing::{MAX_POLL_DELAY, NODE_LEASE, feed_poll_wait};
 use quincehatch_core::{ChangeNumber, Millis, Name};
 use std::collections::BTreeMap;
 
-/// The bytes of the answers to polls, by the newest change that a node has applied.
-type AnswerLengths = BTreeMap<ChangeNumber, u64>;
+/// The sizes in bytes of the replies to polls, by the newest change that the polling node has applied.
+type ReplySizes = BTreeMap<ChangeNumber, u64>;
 
-/// One look at all polls that wait.
+/// State of one pass over all pending polls.
 #[derive(Default)]
-struct Round {
-    lengths: AnswerLengths,
-    is_budget_spent: bool,
+struct AnswerPass {
+    reply_sizes: ReplySizes,
+    is_rate_limited: bool,
 }
 
-/// What becomes of a poll that waits.
+/// What to do with a pending poll.
 enum Decision {
     Wait,
     Answer,
-    /// The node is to ask again: it has waited long, and may wait no longer.
-    SendAway,
+    /// The rate limit has delayed the reply for as long as allowed, so the node is to poll again.
+    Redirect,
 }
 
-/// What a node polls with.
+/// A node's poll for changes.
 #[derive(Clone, Debug)]
 pub(in crate::keeper) struct Poll {
     pub token: u64,
@@ -32,88 +32,88 @@
     pub addr: Name,
     /// The newest change that the node has applied.
     pub last_change: ChangeNumber,
-    /// The entry that enrolled the node's process.
+    /// The number of the entry that enrolled the node's process.
     pub enrolled: ChangeNumber,
 }
 
-/// A poll that waits for a change, or for this keeper to serve.
+/// A poll that waits for a change, or until this keeper serves.
 #[derive(Clone, Debug)]
 pub(in crate::keeper) struct PendingPoll {
     poll: Poll,
-    /// The node's lease was renewed when the poll came.
-    is_leased: bool,
-    /// It is answered by then, without a change if there is none.
+    /// Whether the node's lease was renewed when the poll arrived.
+    is_lease_renewed: bool,
+    /// When the poll is answered at the latest, without changes if there are none.
     deadline: Millis,
 }
 
-/// The polls at a keeper, in the order in which they came.
+/// The pending polls at a keeper, in the order of their arrival.
 #[derive(Clone, Debug)]
 pub(in crate::keeper) struct Polls {
     pending: Vec<PendingPoll>,
-    budget: AnswerBudget,
-    /// Answers since the process began, for operators.
+    rate_limiter: ReplyRateLimiter,
+    /// Number of polls answered since the process started, for metrics.
     pub answered: u64,
 }
 
 impl Polls {
     pub fn new(now: Millis) -> Self {
-        Self { pending: Vec::new(), budget: AnswerBudget::new(now), answered: 0 }
+        Self { pending: Vec::new(), rate_limiter: ReplyRateLimiter::new(now), answered: 0 }
     }
 
-    pub fn waiting(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// One poll per node: a new one takes the place of an older one.
-    fn take_older(&mut self, node: &Name) -> Vec<PendingPoll> {
-        let is_older = |pending: &PendingPoll| pending.poll.node == *node;
-        if !self.pending.iter().any(is_older) {
+    /// Removes and returns the pending polls of a node, which a newer poll of that node supersedes.
+    fn remove_superseded(&mut self, node: &Name) -> Vec<PendingPoll> {
+        let is_superseded = |pending: &PendingPoll| pending.poll.node == *node;
+        if !self.pending.iter().any(is_superseded) {
             return Vec::new();
         }
-        let (older, others) = std::mem::take(&mut self.pending).into_iter().partition(is_older);
-        self.pending = others;
+        let (older, remaining) = std::mem::take(&mut self.pending).into_iter().partition(is_superseded);
+        self.pending = remaining;
         older
     }
 }
 
 impl Keeper {
-    /// Answers a poll at once if there are changes after its last one, otherwise once there are, or after a while. The
-    /// node counts its lease from when it sent the poll, so the poll may wait here.
+    /// Answers a poll in this step if the node lacks changes, otherwise when there are changes or the poll's deadline
+    /// has passed. The node counts its lease term from when it sent the poll, so the wait does not extend the lease.
     ///
-    /// A tail that does not serve yet keeps the poll too: sent away, hundreds of nodes would come back at once, and ask
-    /// all other keepers for a newer view.
+    /// A tail that does not serve yet retains the poll too: if it redirected hundreds of nodes, all of them would retry
+    /// immediately and query all other keepers for a newer view.
     pub(super) fn handle_poll(&mut self, poll: Poll) {
-        let is_leased = self.can_commit();
-        if !is_leased && !self.is_tail() {
+        let grants_lease = self.can_commit();
+        if !grants_lease && !self.is_tail() {
             let redirect = self.redirect();
             return self.answer_poll(poll.token, redirect);
         }
-        if is_leased && !self.renew_lease(&poll) {
+        if grants_lease && !self.renew_lease(&poll) {
             return self.answer_poll(poll.token, Reply::NotEnrolled);
         }
-        // The node does not wait for the older one any more: it is answered without changes, and so without a lease.
-        for older in self.polls.take_older(&poll.node) {
+        // The node no longer waits for its older polls: they are redirected, so the replies grant no lease.
+        for older in self.polls.remove_superseded(&poll.node) {
             let redirect = self.redirect();
             self.answer_poll(older.poll.token, redirect);
         }
         let deadline = self.now + feed_poll_wait(self.store.nodes.len());
-        // It is answered at the end of this step if there is a change that the node lacks.
-        self.polls.pending.push(PendingPoll { poll, is_leased, deadline });
+        // The poll is answered at the end of this step if there is a change that the node lacks.
+        self.polls.pending.push(PendingPoll { poll, is_lease_renewed: grants_lease, deadline });
     }
 
-    /// Answers the polls that wait no longer: there are changes, the time is up, or this keeper is not the tail any
-    /// more. Those that came first are answered first, as far as the budget goes.
+    /// Answers the polls for which there are changes or whose deadline has passed, and all polls if this keeper is no
+    /// longer the tail. Polls are answered in the order of their arrival, within the rate limit.
     pub(super) fn answer_due_polls(&mut self) {
-        let may_be_due = |pending: &PendingPoll| self.is_time_up(pending) || self.lacks_changes(pending);
+        let may_be_due = |pending: &PendingPoll| self.is_wait_over(pending) || self.lacks_changes(pending);
         if !self.polls.pending.iter().any(may_be_due) {
             return;
         }
-        let mut round = Round::default();
+        let mut pass = AnswerPass::default();
         for pending in std::mem::take(&mut self.polls.pending) {
-            match self.decide(&pending, &mut round) {
+            match self.decide(&pending, &mut pass) {
                 Decision::Wait => self.polls.pending.push(pending),
                 Decision::Answer => self.answer_pending(pending),
-                Decision::SendAway => {
+                Decision::Redirect => {
                     let redirect = self.redirect();
                     self.answer_poll(pending.poll.token, redirect);
                 }
@@ -121,28 +121,29 @@
         }
     }
 
-    fn decide(&mut self, pending: &PendingPoll, round: &mut Round) -> Decision {
+    fn decide(&mut self, pending: &PendingPoll, pass: &mut AnswerPass) -> Decision {
         if !self.lacks_changes(pending) {
-            return if self.is_time_up(pending) { Decision::Answer } else { Decision::Wait };
+            return if self.is_wait_over(pending) { Decision::Answer } else { Decision::Wait };
         }
-        // Whoever comes behind one that must wait waits too: short answers would else keep a long one waiting.
-        round.is_budget_spent = round.is_budget_spent || !self.pay_for(pending, &mut round.lengths);
-        if !round.is_budget_spent {
+        // Polls behind one that the rate limit delays are delayed too: otherwise small replies could starve a large
+        // one.
+        pass.is_rate_limited = pass.is_rate_limited || !self.try_take_tokens(pending, &mut pass.reply_sizes);
+        if !pass.is_rate_limited {
             Decision::Answer
-        } else if self.now < pending.deadline + MAX_PUT_OFF {
+        } else if self.now < pending.deadline + MAX_POLL_DELAY {
             Decision::Wait
         } else {
-            Decision::SendAway
+            Decision::Redirect
         }
     }
 
-    fn pay_for(&mut self, pending: &PendingPoll, lengths: &mut AnswerLengths) -> bool {
+    fn try_take_tokens(&mut self, pending: &PendingPoll, reply_sizes: &mut ReplySizes) -> bool {
         let last_change = pending.poll.last_change;
-        let bytes = *lengths.entry(last_change).or_insert_with(|| self.answer_length(last_change));
-        self.polls.budget.pay(self.now, bytes)
+        let bytes = *reply_sizes.entry(last_change).or_insert_with(|| self.reply_size(last_change));
+        self.polls.rate_limiter.try_take(self.now, bytes)
     }
 
-    fn is_time_up(&self, pending: &PendingPoll) -> bool {
+    fn is_wait_over(&self, pending: &PendingPoll) -> bool {
         !self.is_tail() || self.now >= pending.deadline
     }
 
@@ -151,10 +152,10 @@
     }
 
     fn answer_pending(&mut self, pending: PendingPoll) {
-        let PendingPoll { poll, is_leased, .. } = pending;
+        let PendingPoll { poll, is_lease_renewed, .. } = pending;
         let reply = if !self.can_commit() {
             self.redirect()
-        } else if !is_leased && !self.renew_lease(&poll) {
+        } else if !is_lease_renewed && !self.renew_lease(&poll) {
             Reply::NotEnrolled
         } else {
             self.changes_since(poll.last_change, NODE_LEASE)
@@ -162,14 +163,14 @@
         self.answer_poll(poll.token, reply);
     }
 
-    /// Renews the lease of the node's process; `false` if it is not enrolled.
+    /// Renews the lease of the node's process; `false` if that process is not enrolled.
     fn renew_lease(&mut self, poll: &Poll) -> bool {
         if self.store.nodes.get(&poll.node) != Some(&poll.enrolled) {
             return false;
         }
         let (now, applied) = (self.now, poll.last_change.min(self.store.last_change));
         self.node_leases().grant(now, &poll.node, &poll.addr, applied);
-        self.note_quota_contact(&poll.node);
+        self.record_quota_contact(&poll.node);
         true
     }
 
@@ -180,7 +181,7 @@
 }
 
 impl Poll {
-    /// The poll of a request; `None` if it is another request.
+    /// Returns the poll that a request contains; `None` for other kinds of requests.
     pub fn from_request(token: u64, request: &Request) -> Option<Poll> {
         let Request::Feed { node, addr, last_change, enrolled, .. } = request else { return None };
         let (node, addr) = (node.clone(), addr.clone());
--- a/crates/store/src/keeper/requests/quorum_contact.rs
+++ b/crates/store/src/keeper/requests/quorum_contact.rs
@@ -1,33 +1,36 @@
-//! Answers that need no new log entry. The head gives them only after contact with a majority of the voters.
+//! Answers to writes that need no new log entry. The head gives them only after a majority of the voters has confirmed
+//! its view.
 //!
-//! A new entry proves by its commit that the head is still the head. An answer that rests on what the store holds
-//! already has no commit to wait for, and a head that was cut off may hold an old store. So the answer waits until a
-//! majority has granted a heartbeat that was sent after the request came: no newer view was decided before that
-//! heartbeat, so the head's log held every entry that was committed by then. No clock is part of the argument.
+//! The commit of a new entry proves that the head is still the head. An answer that the store already contains has no
+//! commit to wait for, and a partitioned head may hold an outdated store. So the answer waits until a majority has
+//! granted a heartbeat that was sent after the request arrived: no newer view was decided before that heartbeat was
+//! sent, so the head's log contained every entry that was committed by then. The argument does not depend on clocks.
 use crate::command::Command;
 use crate::keeper::Keeper;
 use crate::store::RecordedAnswer;
 use quincehatch_core::Millis;
 
-/// How long a request that changes nothing waits for others, so that one heartbeat serves them all.
-const CONTACT_WAIT: Millis = 60;
+/// Longest delay of the heartbeat that confirms a request without effect, so that one heartbeat confirms several
+/// requests.
+const QUORUM_CONTACT_DELAY: Millis = 60;
 
 impl Keeper {
-    /// What the store answers to a write that was taken before, or that would change nothing; `None` if the write needs
-    /// an entry of its own.
+    /// Returns the stored answer to a write that was applied before, or the answer to a write that would change
+    /// nothing; `None` if the write needs a new entry.
     pub(super) fn recorded_answer(&self, key: &str, command: &Command) -> Option<RecordedAnswer> {
         let Some(earlier) = self.store.answered_write(key) else { return self.store.no_op_answer(command) };
         let answer = earlier.answer_to(command.digest());
         Some(RecordedAnswer { entry: earlier.number, answer })
     }
 
-    /// Has a heartbeat sent soon. Returns the number that a granted heartbeat must exceed to prove contact from now on.
-    pub(super) fn request_contact(&mut self, command: &Command) -> u64 {
+    /// Sends a heartbeat now or schedules one soon. Returns the sequence number of the last heartbeat before: a grant
+    /// of any later heartbeat confirms the view as of now.
+    pub(super) fn request_quorum_contact(&mut self, command: &Command) -> u64 {
         let newest_heartbeat = self.view_lease.sequence();
         match command {
-            // These come at all times and may wait a little.
+            // These commands are frequent, so they share a heartbeat.
             Command::RegisterServer { .. } | Command::DeregisterServer { .. } => {
-                self.next_heartbeat_at = self.next_heartbeat_at.min(self.now + CONTACT_WAIT);
+                self.next_heartbeat_at = self.next_heartbeat_at.min(self.now + QUORUM_CONTACT_DELAY);
             }
             _ => self.send_heartbeat(),
         }
--- a/crates/store/src/keeper/requests/quota.rs
+++ b/crates/store/src/keeper/requests/quota.rs
@@ -1,24 +1,24 @@
-//! Settlements of tenants' operations, at the tail.
+//! Quotas of tenants, which nodes settle with the tail.
 //!
-//! The ledger is the serving tail's alone and is not replicated: a token that is lost is never granted again, and a new
-//! tail begins with empty accounts (docs/design-quota.md).
+//! Only the serving tail has a ledger, which is not replicated: a lost token is never granted again, and a new tail
+//! begins with empty accounts (docs/design-quota.md).
 use crate::keeper::Keeper;
 use crate::messages::Reply;
 use quincehatch_config::configuration::limits_in_stored;
 use quincehatch_core::{ChangeNumber, Name};
 use quincehatch_quota::{Claim, Ledger, TenantUsage, Tolerance};
 
-/// What the tail counts of tenants' operations.
+/// The tail's accounts of tenants' operations.
 #[derive(Clone, Debug, Default)]
 pub(in crate::keeper) struct Quota {
-    /// The accounts, as the tail of the present view.
+    /// The accounts while this keeper is the tail of the current view.
     pub ledger: Option<Ledger>,
     /// By how much tenants may exceed their limits.
     pub tolerance: Tolerance,
 }
 
 impl Keeper {
-    /// Settles with a node. Only an enrolled process is granted anything: tokens are spent under a node's lease.
+    /// Settles a node's claims. Tokens are granted to enrolled processes only, as they are spent under a node's lease.
     pub(super) fn settle_quota(&mut self, node: &Name, enrolled: ChangeNumber, claims: &[Claim]) -> Reply {
         if self.store.nodes.get(node) != Some(&enrolled) {
             return Reply::NotEnrolled;
@@ -27,20 +27,20 @@
         Reply::QuotaGranted { settlement: self.quota_ledger().settle(now, node, claims) }
     }
 
-    /// What is known of each tenant that has a limit.
+    /// Returns the usage of each tenant that has a limit.
     pub(super) fn quota_usage(&mut self) -> Vec<TenantUsage> {
         let now = self.now;
         self.quota_ledger().usage(now)
     }
 
-    /// A node has polled, so it is not cut off. The accounts are opened with the first poll and not with the first
-    /// settlement, as they fill from then on.
-    pub(super) fn note_quota_contact(&mut self, node: &Name) {
+    /// Records a poll of a node, which shows that the node can reach the tail. The ledger is created with the first
+    /// poll and not with the first settlement, as the accounts are refilled from then on.
+    pub(super) fn record_quota_contact(&mut self, node: &Name) {
         let now = self.now;
         self.quota_ledger().note_contact(now, node);
     }
 
-    /// The ledger of this tail, with the limits of the configuration in force.
+    /// Returns the ledger of this tail, with the limits of the configuration in force.
     fn quota_ledger(&mut self) -> &mut Ledger {
         let (now, nodes, tolerance) = (self.now, self.store.nodes.len(), self.quota.tolerance);
         let ledger = self.quota.ledger.get_or_insert_with(|| Ledger::new(now, nodes, tolerance));
--- a/crates/store/src/keeper/requests/voters.rs
+++ b/crates/store/src/keeper/requests/voters.rs
@@ -1,12 +1,12 @@
-//! Changes of the voters by an operator.
+//! Changes of the set of voters by an operator.
 use crate::keeper::Keeper;
 use crate::messages::Reply;
 use crate::view::{View, Voter};
 use quincehatch_core::{ErrorCode, Version};
 
 impl Keeper {
-    /// Proposes the view with these voters. One voter is added or removed at a time, so that a majority of the old ones
-    /// and a majority of the new ones always share a voter.
+    /// Proposes a view with these voters. Only one voter may be added or removed at a time, so that any majority of the
+    /// old voters and any majority of the new voters share a voter.
     pub(super) fn change_voters(&mut self, version: Version, voters: Vec<Voter>) -> Reply {
         let old = &self.view.voters;
         let removed = old.iter().filter(|voter| !voters.contains(voter)).count();
--- a/crates/store/src/keeper/requests/writes.rs
+++ b/crates/store/src/keeper/requests/writes.rs
@@ -1,4 +1,4 @@
-//! Writes, at the head.
+//! Writes to the replicated log, at the head.
 use super::ack_level::AckLevel;
 use crate::command::{Answer, Command, Entry};
 use crate::entry_log::PackedEntry;
@@ -8,29 +8,31 @@
 use crate::timing::{ADOPT_ACK_DELAY, RETRY_PENDING_AFTER};
 use quincehatch_core::{ChangeNumber, Error, ErrorCode, Millis, Name};
 
-/// Writes that may wait for their acknowledgement; further ones are rejected.
+/// Maximum number of writes that wait for their acknowledgement; further writes are rejected.
 const MAX_PENDING_WRITES: usize = 1024;
-/// How long a write waits for its acknowledgement before its client is told to repeat it with the same key.
+/// How long a write waits for its acknowledgement before it is rejected, after which the client retries it with the
+/// same idempotency key.
 const WRITE_TIMEOUT: Millis = 8_000;
-/// What a client is told to wait before it repeats a write that was rejected for lack of space.
+/// Delay after which a client may retry a write that was rejected because of too many pending writes or a full disk.
 const RETRY_OVERLOADED_AFTER: Millis = 1_000;
 
 /// A write that waits for its acknowledgement.
 #[derive(Clone, Debug)]
 pub(in crate::keeper) struct PendingWrite {
     token: u64,
-    /// The entry that must have come as far as `ack_level` says.
+    /// Number of the entry that must reach `ack_level`.
     number: ChangeNumber,
     answer: Answer,
     ack_level: AckLevel,
-    /// If no new entry proves that this keeper is still the head: a majority must grant a heartbeat after this one.
-    contact_after: Option<u64>,
+    /// For an answer without a new entry: a majority must grant a heartbeat with a higher sequence number, which proves
+    /// that this keeper is still the head.
+    quorum_contact_after: Option<u64>,
     deadline: Millis,
 }
 
 impl Keeper {
-    /// Takes a write. Returns a reply only if it is not taken.
-    pub(super) fn write(&mut self, token: u64, key: Name, command: Command) -> Option<Reply> {
+    /// Handles a write. Returns a reply only if the write is redirected or rejected.
+    pub(super) fn handle_write(&mut self, token: u64, key: Name, command: Command) -> Option<Reply> {
         if !self.is_head() {
             return Some(self.redirect());
         }
@@ -38,8 +40,8 @@
             return Some(Reply::Rejected { error: overloaded("too many writes are pending") });
         }
         let pending = match self.recorded_answer(&key, &command) {
-            Some(recorded) => self.await_contact(token, recorded, &command),
-            // The rest of the disk is kept for small records that the chain cannot do without.
+            Some(recorded) => self.await_quorum_contact(token, recorded, &command),
+            // The rest of the disk is reserved for small records without which the chain cannot operate.
             None if self.disk_usage.is_reserve_touched() && command.is_document() => {
                 return Some(Reply::Rejected { error: overloaded("the disk is nearly full") });
             }
@@ -49,7 +51,8 @@
         None
     }
 
-    /// Answers the writes that wait no longer.
+    /// Answers the writes that are acknowledged or timed out, and redirects all writes if this keeper is no longer the
+    /// head.
     pub(super) fn answer_due_writes(&mut self) {
         let mut waiting = Vec::new();
         for write in std::mem::take(&mut self.pending_writes) {
@@ -61,8 +64,13 @@
         self.pending_writes = waiting;
     }
 
-    fn await_contact(&mut self, token: u64, recorded: RecordedAnswer, command: &Command) -> PendingWrite {
-        let contact_after = Some(self.request_contact(command));
+    fn await_quorum_contact(
+        &mut self,
+        token: u64,
+        recorded: RecordedAnswer,
+        command: &Command,
+    ) -> PendingWrite {
+        let quorum_contact_after = Some(self.request_quorum_contact(command));
         let ack_level = AckLevel::for_write(command, &recorded.answer);
         let deadline = self.now + WRITE_TIMEOUT;
         PendingWrite {
@@ -70,7 +78,7 @@
             number: recorded.entry,
             answer: recorded.answer,
             ack_level,
-            contact_after,
+            quorum_contact_after,
             deadline,
         }
     }
@@ -83,17 +91,17 @@
         self.forward_entries(previous_change);
         let ack_level = AckLevel::for_write(&entry.command, &answer);
         let deadline = self.now + WRITE_TIMEOUT;
-        Some(PendingWrite { token, number, answer, ack_level, contact_after: None, deadline })
+        Some(PendingWrite { token, number, answer, ack_level, quorum_contact_after: None, deadline })
     }
 
-    /// The reply to a write if it waits no longer.
+    /// Returns the reply to a write; `None` while it must wait.
     fn reply_to(&self, write: &PendingWrite) -> Option<Reply> {
         if !self.is_head() {
             return Some(self.redirect());
         }
-        let has_contact =
-            write.contact_after.is_none_or(|heartbeat| self.view_lease.is_confirmed_after(heartbeat));
-        if has_contact && self.is_acknowledged(write) {
+        let has_quorum_contact =
+            write.quorum_contact_after.is_none_or(|heartbeat| self.view_lease.is_confirmed_after(heartbeat));
+        if has_quorum_contact && self.is_acknowledged(write) {
             return Some(Reply::Answer { number: write.number, answer: write.answer.clone() });
         }
         if self.now < write.deadline {
--- a/crates/store/src/keeper/snapshot_transfer.rs
+++ b/crates/store/src/keeper/snapshot_transfer.rs
@@ -1,5 +1,5 @@
-//! How a keeper brings its store up to date from another: it requests log entries, and where the log does not reach back
-//! a snapshot in parts.
+//! Transfer of the store from one keeper to another: of log entries or, if the sender's log does not reach back far
+//! enough, of a snapshot in parts.
 use super::{Keeper, Output};
 use crate::messages::PeerMessage;
 use crate::record::Record;
@@ -10,21 +10,21 @@
 /// Why a snapshot is transferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TransferPurpose {
-    /// The receiver joins the chain; the tail sends.
+    /// The receiver is to join the chain; the tail is the sender.
     Join,
-    /// The receiver is a member that fell behind; its predecessor sends.
+    /// The receiver is a member that lags behind; its predecessor is the sender.
     CatchUp,
 }
 
 impl TransferPurpose {
-    /// The purpose as the wire has it.
+    /// Returns the purpose from the flag in a message.
     pub fn from_joining(joining: bool) -> Self {
         if joining { TransferPurpose::Join } else { TransferPurpose::CatchUp }
     }
 }
 
 impl Keeper {
-    /// Requests from the predecessor the entries that follow the last one here.
+    /// Requests from the predecessor the entries that follow this keeper's newest one.
     pub(super) fn request_missing_entries(&mut self, predecessor: &Name) {
         let progress = self.incoming_snapshot.progress(predecessor);
         let request = PeerMessage::RequestEntries {
@@ -35,7 +35,7 @@
         self.send(predecessor, request);
     }
 
-    /// The part of a snapshot that follows what the receiver holds.
+    /// Returns a message with the next part of a snapshot after those that the receiver holds.
     pub(super) fn snapshot_message(
         &mut self,
         purpose: TransferPurpose,
@@ -51,28 +51,32 @@
         }
     }
 
-    /// The snapshot that is being sent, as long as the log continues from it, or else a new one. An older snapshot is
-    /// sent to its end, so that a store which changes all the time still arrives.
+    /// Returns the snapshot that is being sent while the log still contains all entries after it, otherwise a new one.
+    /// A transfer continues with the same snapshot although the store has changed, so that it completes under constant
+    /// writes.
     fn usable_snapshot(&mut self) -> &OutgoingSnapshot {
         let (log, last_change) = (&self.log, self.store.last_change);
-        let is_usable =
-            |sent: &OutgoingSnapshot| sent.change() == last_change || log.reaches_back_to(sent.change());
+        let is_usable = |outgoing: &OutgoingSnapshot| {
+            outgoing.change() == last_change || log.reaches_back_to(outgoing.change())
+        };
         let snapshot = match self.outgoing_snapshot.take().filter(is_usable) {
-            Some(sent) => sent,
+            Some(outgoing) => outgoing,
             None => OutgoingSnapshot::from_store(&self.store),
         };
         self.outgoing_snapshot.insert(snapshot)
     }
 
-    /// Answers a keeper that is to join and fetches the store. Only a serving tail does: what it holds is committed.
-    pub(super) fn handle_fetch(&mut self, from: &Name, progress: SnapshotProgress) {
+    /// Sends the next part of the store to a keeper that is to join the chain. Only a serving tail does so, because all
+    /// entries that it holds are committed.
+    pub(super) fn handle_fetch_snapshot(&mut self, from: &Name, progress: SnapshotProgress) {
         if self.is_serving() && !self.view.is_member(from) {
             let message = self.snapshot_message(TransferPurpose::Join, progress);
             self.send(from, message);
         }
     }
 
-    /// Takes a part of a snapshot, and requests the next one or installs the store; `true` if it was installed.
+    /// Handles a part of a snapshot: requests the next part, or installs the store if this was the last one. Returns
+    /// whether the store was installed.
     pub(super) fn accept_snapshot_part(
         &mut self,
         from: &Name,
@@ -96,8 +100,8 @@
         false
     }
 
-    /// A keeper outside the view takes a snapshot to join. A member takes one from its predecessor alone, and none that
-    /// is older than its own store.
+    /// Returns whether this keeper accepts the snapshot. A keeper outside the chain accepts one to join. A member
+    /// accepts one from its predecessor only, and only if it is newer than its own store.
     fn expects_snapshot(&self, from: &Name, part: &SnapshotPart, purpose: TransferPurpose) -> bool {
         let is_member = self.view.is_member(&self.name);
         match purpose {
@@ -109,13 +113,13 @@
         }
     }
 
-    /// Replaces the store. A keeper that joins proposes the view in which it has a place; without an invitation to one
-    /// it keeps its own store.
+    /// Replaces the store. A keeper that joins then proposes the view in which it is a member; without a valid
+    /// invitation it retains its own store. Returns whether the store was replaced.
     fn install_snapshot(&mut self, store: Store, purpose: TransferPurpose) -> bool {
-        let mut view_to_enter = None;
+        let mut view_to_join = None;
         if purpose == TransferPurpose::Join {
-            view_to_enter = self.take_view_to_enter();
-            if view_to_enter.is_none() {
+            view_to_join = self.take_view_to_join();
+            if view_to_join.is_none() {
                 return false;
             }
         }
@@ -127,7 +131,7 @@
         self.in_force = 0;
         let record = Record::Snapshot { store: Box::new(self.store.clone()) };
         self.outputs.push(Output::Persist(record));
-        if let Some(view) = view_to_enter {
+        if let Some(view) = view_to_join {
             self.set_catching_up(true);
             self.propose(view);
             return true;
@@ -138,7 +142,7 @@
         true
     }
 
-    /// Requests from the tail the next part of its store.
+    /// Requests the next part of the store from the tail.
     pub(super) fn request_snapshot_part(&mut self, tail: &Name) {
         self.last_fetch_at = self.now;
         let progress = self.incoming_snapshot.progress(tail);
--- a/crates/store/src/keeper/status.rs
+++ b/crates/store/src/keeper/status.rs
@@ -1,9 +1,9 @@
-//! A keeper's report about itself, for operators.
+//! The status that a keeper reports to operators.
 use super::Keeper;
 use crate::messages::{KeeperStatus, LogSize, PollCounts};
 
 impl Keeper {
-    /// The keeper's place in the chain, what it holds, and why it does or does not serve.
+    /// Returns the keeper's status: its view, its newest entries, its leases, and why it does or does not serve.
     pub fn status(&self) -> KeeperStatus {
         let leases = self.node_leases.as_ref().map(|leases| leases.statuses(self.now));
         KeeperStatus {
@@ -18,7 +18,7 @@
             leases: leases.unwrap_or_default(),
             disk: self.disk_usage,
             log: LogSize { entries: self.log.len() as u64, bytes: self.log.bytes() as u64 },
-            polls: PollCounts { waiting: self.polls.waiting() as u64, answered: self.polls.answered },
+            polls: PollCounts { waiting: self.polls.pending_count() as u64, answered: self.polls.answered },
         }
     }
 
@@ -35,7 +35,7 @@
             "in the chain"
         } else if !self.in_sync {
             "waiting for its predecessor"
-        } else if self.now < self.older_tail_until {
+        } else if self.now < self.older_tail_lease_until {
             "waiting for the old tail's lease to end"
         } else if !self.view_lease.is_held(self.now) {
             "no majority renews the view lease"
--- a/crates/store/src/keeper/step.rs
+++ b/crates/store/src/keeper/step.rs
@@ -1,4 +1,4 @@
-//! One step of a keeper: dispatch of its inputs.
+//! One step of a keeper: dispatch of its input to the handlers.
 use super::snapshot_transfer::TransferPurpose;
 use super::{Input, Keeper, Output};
 use crate::messages::PeerMessage;
@@ -6,7 +6,8 @@
 use quincehatch_core::{Millis, Name};
 
 impl Keeper {
-    /// Takes one input. None of the outputs may leave before the records among them are durable.
+    /// Handles one input and returns the resulting outputs. None of them may leave the keeper before the records among
+    /// them are durable.
     pub fn step(&mut self, now: Millis, input: Input) -> Vec<Output> {
         self.advance_clock(now);
         match input {
@@ -20,8 +21,8 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Sets the time, which never goes back. A keeper that did not run for a while cannot tell who was silent
-    /// meanwhile, so nobody's silence counts from before then.
+    /// Advances the clock, which never goes back. A keeper that was suspended cannot tell which peers were silent
+    /// meanwhile, so after a long gap the peer timeouts start anew.
     pub fn advance_clock(&mut self, now: Millis) {
         let gap = now.saturating_sub(self.now);
         self.now = self.now.max(now);
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Sends a message; one to the keeper itself, which votes like any other, is handled at once.
+    /// Sends a message. A message to the keeper itself, which votes on its own proposals, is handled immediately.
     pub(super) fn send(&mut self, to: &Name, message: PeerMessage) {
         if *to == self.name {
             let own_name = self.name.clone();
@@ -70,14 +71,14 @@
             message @ (PeerMessage::AppendEntries { .. }
             | PeerMessage::RequestEntries { .. }
             | PeerMessage::Acknowledge { .. }) => self.handle_replication(from, message),
-            PeerMessage::FetchSnapshot { version: _, progress } => self.handle_fetch(from, progress),
+            PeerMessage::FetchSnapshot { version: _, progress } => self.handle_fetch_snapshot(from, progress),
             PeerMessage::HandOverLeases { version, leases, unknown_leases_ms } => {
                 self.handle_lease_handover(from, version, &leases, unknown_leases_ms);
             }
             PeerMessage::Snapshot { version, part, joining, dismissed_leases, unknown_leases_ms } => {
                 let purpose = TransferPurpose::from_joining(joining);
                 if self.accept_snapshot_part(from, version, part, purpose) {
-                    self.dismissed_leases.take_over(self.now, dismissed_leases, unknown_leases_ms);
+                    self.dismissed_leases.replace_all(self.now, dismissed_leases, unknown_leases_ms);
                 }
             }
             PeerMessage::Discover { at } => self.handle_discover(from, at),
--- a/crates/store/src/keeper/view_lease.rs
+++ b/crates/store/src/keeper/view_lease.rs
@@ -1,49 +1,53 @@
-//! The lease of the present view, which a majority of the voters renews with each heartbeat.
+//! The lease of the current view, which a majority of the voters renews with each heartbeat.
 //!
-//! A voter grants it for the newest view that it knows only. Once a newer view is decided, a majority of the voters of
-//! the older one knows, so the older view's tail stops serving when its lease ends.
+//! A voter grants the lease only for the newest view that it has accepted or adopted. Once a newer view is decided, a
+//! majority of the voters of the older view has accepted it, so the older view's tail stops serving when its lease
+//! ends.
 use crate::timing::{VIEW_LEASE, minus_clock_drift};
 use crate::view::View;
 use quincehatch_core::{Millis, Name};
 use quincehatch_runtime::seam;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The heartbeats of one keeper, and the lease that they have earned.
+/// The recent heartbeats of one keeper, the grants for them, and the resulting lease.
 #[derive(Clone, Debug)]
 pub(super) struct ViewLease {
-    /// The newest heartbeat sent.
+    /// The sequence number of the newest heartbeat sent.
     sequence: u64,
-    /// The newest heartbeat that a majority granted.
+    /// The sequence number of the newest heartbeat that a majority has granted.
     confirmed: u64,
-    /// When each heartbeat was sent, as long as a grant for it can still renew the lease.
+    /// When each heartbeat was sent, by sequence number. Heartbeats too old to renew the lease are removed.
     sent_at: BTreeMap<u64, Millis>,
+    /// The voters that have granted each heartbeat, by sequence number.
     granted_by: BTreeMap<u64, BTreeSet<Name>>,
-    until: Millis,
+    /// When the lease ends.
+    ends_at: Millis,
 }
 
 impl ViewLease {
-    /// Heartbeats are numbered from `sequence` on, so that no grant to an earlier process is taken for one of these.
+    /// Creates a lease that is not held. Heartbeats are numbered after `sequence`, so that a grant to an earlier
+    /// process of the keeper is not counted for one of these heartbeats.
     pub fn new(sequence: u64) -> Self {
         let (sent_at, granted_by) = (BTreeMap::new(), BTreeMap::new());
-        Self { sequence, confirmed: 0, sent_at, granted_by, until: 0 }
+        Self { sequence, confirmed: 0, sent_at, granted_by, ends_at: 0 }
     }
 
-    /// The number of the newest heartbeat.
+    /// Returns the sequence number of the newest heartbeat.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Is the lease held?
+    /// Returns whether the lease is held.
     pub fn is_held(&self, now: Millis) -> bool {
-        now < self.until
+        now < self.ends_at
     }
 
-    /// Has a majority granted a heartbeat that was sent after that one?
+    /// Returns whether a majority has granted a heartbeat that was sent after the given one.
     pub fn is_confirmed_after(&self, heartbeat: u64) -> bool {
         self.confirmed > heartbeat
     }
 
-    /// Numbers the next heartbeat, which is sent at `now`.
+    /// Returns the sequence number of the next heartbeat, which is sent at `now`.
     pub fn begin_heartbeat(&mut self, now: Millis) -> u64 {
         self.sequence += 1;
         self.sent_at.insert(self.sequence, now);
@@ -54,27 +58,29 @@
         self.sequence
     }
 
-    /// Counts a voter's grant. The lease runs from when the heartbeat was sent, as the voters' terms begin later.
+    /// Counts a voter's grant. The lease term is counted from when the heartbeat was sent, as the voters count it from
+    /// a later time.
     pub fn record_grant(&mut self, view: &View, from: &Name, sequence: u64) {
         let Some(sent_at) = self.sent_at.get(&sequence).copied() else { return };
         let granted_by = self.granted_by.entry(sequence).or_default();
         granted_by.insert(from.clone());
         if view.has_majority(granted_by.iter()) {
-            self.until = self.until.max(sent_at + minus_clock_drift(VIEW_LEASE));
+            self.ends_at = self.ends_at.max(sent_at + minus_clock_drift(VIEW_LEASE));
             self.confirmed = self.confirmed.max(sequence);
         }
     }
 
-    /// Drops the lease and all grants: they were for the view before.
+    /// Drops the lease and all grants, which were for the previous view.
     pub fn reset(&mut self) {
         self.sent_at.clear();
         self.granted_by.clear();
-        self.until = 0;
+        self.ends_at = 0;
     }
 }
 
-/// The number before the first heartbeat of this process. No grant to an earlier process may answer a heartbeat of this
-/// one, even if the wall clock was set back in between; half of the range is left to count in.
-pub(super) fn first_heartbeat() -> u64 {
+/// Returns the sequence number before the first heartbeat of this process. It is random, so that no grant to an earlier
+/// process matches a heartbeat of this one, even if the wall clock was set back in between. Half of the range is left
+/// for counting.
+pub(super) fn initial_sequence() -> u64 {
     seam::draw_incarnation() >> 1
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,8 @@
-//! The replicated store that all processes share: configuration, servers, primaries and fencing tokens.
+//! The replicated store that all processes use: configuration, servers, primaries and fencing tokens.
 //!
-//! Keepers replicate a log of [`Command`]s along a chain (see [`keeper`]). A [`View`] says which keepers form the chain;
-//! its voters decide the next view by consensus (see [`register`]). Nodes hold a copy of the state, kept fresh by the
-//! [`feed`] from the tail, and act on it only while they hold a lease (see [`node_leases`]).
+//! Keepers replicate a log of [`Command`]s along a chain (see [`keeper`]). A [`View`] says which keepers form the
+//! chain; its voters decide the next view by consensus (see [`register`]). Nodes hold a copy of the state, which the
+//! [`feed`] from the tail keeps up to date, and act on it only while they hold a lease (see [`node_leases`]).
 #![warn(
     missing_docs,
     clippy::too_many_lines,
--- a/crates/store/src/peers.rs
+++ b/crates/store/src/peers.rs
@@ -1,4 +1,4 @@
-//! Connections from one keeper to the others.
+//! Connections from one keeper to its peers.
 use crate::messages::{KeeperRequest, PeerMessage};
 use quincehatch_core::Name;
 use quincehatch_wire::{Caller, Destination, Identity};
@@ -6,31 +6,32 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Messages that may wait for one peer. Further ones are dropped: the protocol sends again.
+/// Maximum number of messages that are queued for one peer. Further messages are dropped, as the protocol resends them.
 const MAX_QUEUED_MESSAGES: usize = 256;
-/// A message that a peer does not take within this time is dropped: the protocol sends again.
+/// A message that a peer does not accept within this time is dropped, as the protocol resends it.
 const DELIVERY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A peer: after a wiped disk another keeper may run at the same address.
+/// A peer, identified by its name and its address: after the loss of a disk a keeper with another name may run at the
+/// same address.
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct Peer {
     name: Name,
     addr: Name,
 }
 
-/// Sends messages to other keepers, to each in order.
+/// Sends messages to other keepers. The messages to one peer are sent in order.
 pub(crate) struct Peers {
     identity: Identity,
     queues: HashMap<Peer, mpsc::Sender<PeerMessage>>,
 }
 
 impl Peers {
-    /// No connections yet; each begins with the first message to its peer.
+    /// Creates an empty set of connections; each is opened with the first message to its peer.
     pub fn new(identity: Identity) -> Self {
         Self { identity, queues: HashMap::new() }
     }
 
-    /// Queues a message for the named keeper at that address.
+    /// Queues a message to the named keeper at the given address.
     pub fn send(&mut self, name: Name, addr: Name, message: PeerMessage) {
         let peer = Peer { name, addr };
         let identity = &self.identity;
@@ -49,9 +50,9 @@
     let caller = Caller::new(identity);
     while let Some(message) = messages.recv().await {
         let destination = match message {
-            // Seeds are known by their addresses alone.
+            // Only the addresses of seeds are known, not their names.
             PeerMessage::Discover { .. } => Destination::address(&peer.addr),
-            // Everything else is for the keeper of that very name.
+            // All other messages are only for the keeper with this name.
             _ => Destination::process(&peer.name, &peer.addr),
         };
         let request = KeeperRequest::Peer { from: from.clone(), message };
--- a/crates/store/src/register.rs
+++ b/crates/store/src/register.rs
@@ -2,11 +2,11 @@
 //!
 //! Every version is one instance of single-decree Paxos. Version `v + 1` is decided by the voters of the decided view
 //! `v`, its *base*: a majority of them must promise and accept, and a majority of the new view's voters must accept as
-//! well, so that the new set is alive. Each message names its base. An acceptor learns a newer base from it and rejects
-//! an older one, so an instance takes no votes of a voter that knows its outcome, and what an acceptor has accepted is
-//! never overwritten by a proposal for an earlier version.
+//! well, so that the new set of voters is operational. Each message contains its base. An acceptor adopts a newer base
+//! from the message and rejects an older one, so a voter that knows the outcome of an instance no longer votes in it,
+//! and a view that an acceptor has accepted is never overwritten by a proposal for an earlier version.
 //!
-//! Both roles are state machines without input or output of their own.
+//! Both roles are state machines without I/O.
 mod acceptor;
 mod proposer;
 
--- a/crates/store/src/stale_reply/tests.rs
+++ b/crates/store/src/stale_reply/tests.rs
@@ -1,4 +1,4 @@
-//! What a tail that has lost its lease lets out.
+//! Replies of a tail whose view lease has ended.
 use super::without_lease;
 use crate::feed::{FeedSnapshot, PackedSnapshot};
 use crate::messages::Reply;
@@ -6,7 +6,7 @@
 use crate::view::View;
 
 #[test]
-fn nothing_that_gives_a_node_its_lease_leaves_a_tail_without_one() {
+fn replies_that_grant_node_leases_are_redirected_after_the_view_lease_has_ended() {
     let snapshot = PackedSnapshot::pack(&FeedSnapshot::default());
     let replies = [
         Reply::Changes { changes: Vec::new(), lease_ms: NODE_LEASE },
