--- a/crates/store/src/keeper/proposals.rs
+++ b/crates/store/src/keeper/proposals.rs
@@ -70,7 +70,8 @@
     /// message of its own.
     fn announce_decided_view(&mut self, view: View, base: &View) {
         let members = view.members.join(" ");
-        self.outputs.push(Output::Log(format!("view {} is decided: {members}", view.version)));
+        self.outputs
+            .push(Output::Log(format!("view {} was decided, chain members: {members}", view.version)));
         self.adopt_view(view.clone());
         self.send_heartbeat();
         for voter in base.voters.iter().filter(|voter| !view.is_voter(&voter.name)) {
--- a/crates/store/src/keeper/requests/writes.rs
+++ b/crates/store/src/keeper/requests/writes.rs
@@ -107,7 +107,7 @@
         if self.now < write.deadline {
             return None;
         }
-        let detail = "not acknowledged yet; retry with the same key";
+        let detail = "write not acknowledged in time; retry with the same idempotency key";
         let error = ErrorCode::ChainUnavailable.with_detail(detail).with_unknown_outcome();
         Some(Reply::Rejected { error: error.with_retry_after(RETRY_PENDING_AFTER) })
     }
