--- a/crates/proxy/src/direct/begin.rs
+++ b/crates/proxy/src/direct/begin.rs
@@ -1,4 +1,4 @@
-//! Beginning a transaction: choosing the server whose connection it keeps.
+//! Begins a transaction: chooses a server and checks out the connection that the transaction uses until its end.
 use super::DirectProxy;
 use super::check_out::{CheckoutRequest, check_out};
 use super::connection::{Connection, ConnectionError, SessionSettings};
@@ -17,41 +17,42 @@
 use quincehatch_core::{Error, ErrorCode, FencingToken};
 use quincehatch_runtime::now;
 
-/// How a transaction is to begin.
+/// The parameters of a transaction that is to begin.
 pub(super) struct BeginRequest {
     pub route: ResolvedRoute,
-    /// The client said that it only reads.
+    /// Whether the client declared the transaction as read-only.
     pub read_only: bool,
 }
 
-/// How one attempt to begin ended.
+/// The result of one attempt to begin.
 enum BeginAttempt {
     Begun {
         checkout: Checkout,
         fence: FencingToken,
     },
-    /// The server stopped being the primary before anything was sent.
+    /// The server stopped being the primary, or the client's key was revoked, before anything was sent.
     NotStarted,
     /// The tenant is at its limit.
     Rejected(Error),
     Retry(Error),
 }
 
-/// What all attempts to begin one transaction share.
+/// The context that all attempts to begin one transaction share.
 #[derive(Clone, Copy)]
 struct BeginContext<'a> {
     direct: &'a DirectProxy,
     settings: &'a SessionSettings,
     deadlines: Deadlines,
-    /// Nothing is sent to a server before it is granted.
+    /// The transaction is not begun at a server before this is granted.
     admission: &'a OperationAdmission<'a>,
 }
 
 impl BeginRequest {
-    /// Begins the transaction at a server that fits.
+    /// Begins the transaction at a suitable server.
     ///
     /// # Errors
-    /// When no server could be had in time. Nothing of the transaction was run then.
+    /// If the tenant's key is revoked or its limit reached, or if no server began the transaction in time. Nothing of
+    /// the transaction was run then.
     pub async fn begin(
         self,
         direct: &DirectProxy,
@@ -70,7 +71,8 @@
             let target = if on_any_server {
                 choose_read_target(direct, &self.route, &tried, false)
             } else {
-                // Counted before the primary is looked up: a handover either sees this work, or is seen by it.
+                // Counted as in flight before the primary is looked up, so that a primary handover either waits for
+                // this transaction, or is seen by the lookup.
                 in_flight = Some(direct.proxy.registry.in_flight.begin(&self.route.group));
                 let server = wait_for_primary(direct, &self.route.group, deadlines.start_by).await?;
                 Some(ReadTarget { server, floor: None })
@@ -128,7 +130,7 @@
             return BeginAttempt::Rejected(error);
         }
         let was_replaced = target.is_primary() && fence_if_accepting(direct, &route.group, server).is_none();
-        // Its key may have been revoked while it waited.
+        // The client's key may have been revoked while the transaction waited.
         if was_replaced || direct.check_tenant(route).is_err() {
             checkout.check_in();
             return BeginAttempt::NotStarted;
--- a/crates/proxy/src/direct/check_out.rs
+++ b/crates/proxy/src/direct/check_out.rs
@@ -1,4 +1,4 @@
-//! Checking a connection to a server out: an idle one, a new one, or the next that comes free.
+//! Checks out a connection to a server: an idle one, a new one, or the next one that is released.
 use super::DirectProxy;
 use super::connection::{Connection, SessionSettings};
 use super::pool::{Checkout, DirectPool, Handover, IdleConnection, Reservation, Waiter};
@@ -13,22 +13,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A new connection that is not open by then is given up.
+/// How long to wait for a new connection to open before the attempt is abandoned.
 const OPEN_TIMEOUT: Millis = 1_000;
 
-/// Why there is no connection. Nothing was sent.
+/// Why no connection could be checked out. No call was sent to the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CheckoutError {
-    /// None came free in time.
+    /// No connection was released in time, or the server rejected a new one because it is busy.
     Busy,
-    /// The server takes no more.
+    /// The server's connection limit is reached.
     Full,
-    /// It could not be opened, or another server listens at the address.
+    /// The connection could not be opened, or another server listens at the address.
     Broke,
 }
 
 impl CheckoutError {
-    /// The result code for the client.
+    /// Returns the error code for the client.
     pub fn code(self) -> ErrorCode {
         match self {
             CheckoutError::Busy | CheckoutError::Full => ErrorCode::ConnectionsBusy,
@@ -37,37 +37,38 @@
     }
 }
 
-/// Which connection is wanted.
+/// The properties of the connection to check out.
 #[derive(Clone, Copy)]
 pub struct CheckoutRequest<'a> {
-    /// For whom statements will run on it.
+    /// The tenant whose statements will run on it.
     pub tenant: Option<&'a Name>,
-    /// One with these settings is preferred.
+    /// An idle connection with these settings is preferred.
     pub settings: &'a SessionSettings,
-    /// Among those that wait, the lowest is served first.
+    /// The priority in the queue; lower numbers are served first.
     pub priority: u64,
-    /// Waiting is given up then.
-    pub until: Millis,
+    /// The time after which waiting ends with [`CheckoutError::Busy`].
+    pub deadline: Millis,
 }
 
 impl<'a> CheckoutRequest<'a> {
-    /// For statements that follow a route.
-    pub(super) fn new(route: &'a ResolvedRoute, settings: &'a SessionSettings, until: Millis) -> Self {
-        CheckoutRequest { tenant: route.tenant.as_ref(), settings, priority: route.priority, until }
+    /// Creates the request for statements of a route.
+    pub(super) fn new(route: &'a ResolvedRoute, settings: &'a SessionSettings, deadline: Millis) -> Self {
+        CheckoutRequest { tenant: route.tenant.as_ref(), settings, priority: route.priority, deadline }
     }
 }
 
-/// Checks a connection to `server` out. One that another tenant used is never handed out: a server learns the tenant
+/// Checks out a connection to `server`. A connection of another tenant is never returned: a server is told the tenant
 /// once, when the connection is opened.
 ///
 /// # Errors
-/// A [`CheckoutError`]; also when opening a connection failed, as the caller may prefer another server then.
+/// A [`CheckoutError`]. A failed attempt to open a connection is not retried here, as the caller may prefer another
+/// server.
 pub async fn check_out(
     direct: &DirectProxy,
     server: &Arc<ServerEntry>,
     request: CheckoutRequest<'_>,
 ) -> Result<Checkout, CheckoutError> {
-    let CheckoutRequest { tenant, settings, priority, until } = request;
+    let CheckoutRequest { tenant, settings, priority, deadline } = request;
     let pool = &server.direct_pool;
     let max = direct.connection_share(&server.group()).max;
     loop {
@@ -76,12 +77,12 @@
         }
         let permit = match pool.reserve(max, priority, tenant) {
             Reservation::Granted(permit) => permit,
-            Reservation::Queued(waiter) => match wait(pool, waiter, until).await {
+            Reservation::Queued(waiter) => match wait_for_handover(pool, waiter, deadline).await {
                 Some(Handover { connection: Some(connection), permit }) => {
                     return Ok(Checkout::new(connection, permit));
                 }
                 Some(Handover { connection: None, permit }) => permit,
-                None if now() >= until => return Err(CheckoutError::Busy),
+                None if now() >= deadline => return Err(CheckoutError::Busy),
                 None => continue,
             },
         };
@@ -90,7 +91,8 @@
     }
 }
 
-/// An idle connection. Those that broke meanwhile are evidence about the server.
+/// Checks out an idle connection, if there is one. Connections that broke while idle count as health evidence against
+/// the server.
 fn check_out_idle(
     direct: &DirectProxy,
     server: &Arc<ServerEntry>,
@@ -110,15 +112,15 @@
     }
 }
 
-/// Waits for a handover until `until`, or until it is time to try again.
-async fn wait(pool: &DirectPool, mut waiter: Waiter, until: Millis) -> Option<Handover> {
-    let wake_at = waiter.retry_at.map_or(until, |retry_at| until.min(retry_at));
+/// Waits for a handover until `deadline` or the waiter's `retry_at`, whichever comes first.
+async fn wait_for_handover(pool: &DirectPool, mut waiter: Waiter, deadline: Millis) -> Option<Handover> {
+    let wake_at = waiter.retry_at.map_or(deadline, |retry_at| deadline.min(retry_at));
     let left = Duration::from_millis(wake_at.saturating_sub(now()).max(1));
     if let Ok(Ok(handover)) = seam::timeout(left, &mut waiter.receiver).await {
         return Some(handover);
     }
     pool.cancel_waiter(waiter.key);
-    // It may have come at the very moment at which the time was over.
+    // The handover may have been sent between the timeout and the removal from the queue.
     waiter.receiver.try_recv().ok()
 }
 
@@ -127,7 +129,7 @@
     server: &Arc<ServerEntry>,
     tenant: Option<&Name>,
 ) -> Result<Connection, CheckoutError> {
-    let asked_at = now();
+    let started_at = now();
     let opening = direct.servers.connect(ConnectRequest {
         addr: server.addr(),
         group: server.group(),
@@ -137,54 +139,54 @@
     });
     match seam::timeout(Duration::from_millis(OPEN_TIMEOUT), opening).await {
         Ok(Ok(Ok(opened))) => {
-            server.note_answer(asked_at);
+            server.note_answer(started_at);
             direct.open_counts.record_opened();
-            server.direct_pool.note_opened();
+            server.direct_pool.record_connection_opened();
             Ok(Connection::new(opened.connection, tenant.cloned()))
         }
-        Ok(Ok(Err(rejection))) => Err(note_rejection(direct, server, asked_at, rejection.reason)),
+        Ok(Ok(Err(rejection))) => Err(record_rejection(direct, server, started_at, rejection.reason)),
         Ok(Err(error)) => {
-            note_open_error(direct, server, asked_at, &error);
+            record_open_error(direct, server, started_at, &error);
             Err(CheckoutError::Broke)
         }
         Err(_) => {
             direct.open_counts.record_failed();
-            server.note_failure(asked_at, false);
+            server.note_failure(started_at, false);
             add_evidence(direct, server, HealthSignal::Unresponsive);
             Err(CheckoutError::Broke)
         }
     }
 }
 
-/// The server rejected the connection.
-fn note_rejection(
+/// Records that the server rejected the connection, and returns the error for the caller.
+fn record_rejection(
     direct: &DirectProxy,
     server: &ServerEntry,
-    asked_at: Millis,
+    started_at: Millis,
     reason: RejectReason,
 ) -> CheckoutError {
     match reason {
         RejectReason::TooManyConnections => {
             direct.open_counts.record_full();
-            server.direct_pool.note_full(now());
+            server.direct_pool.record_connection_rejected(now());
             CheckoutError::Full
         }
         RejectReason::Busy => {
-            server.direct_pool.note_congested(now());
+            server.direct_pool.record_congestion(now());
             CheckoutError::Busy
         }
         _ => {
-            // Another server has the address by now.
-            server.note_failure(asked_at, true);
+            // Another server has taken over the address.
+            server.note_failure(started_at, true);
             add_evidence(direct, server, HealthSignal::Reset);
             CheckoutError::Broke
         }
     }
 }
 
-fn note_open_error(direct: &DirectProxy, server: &ServerEntry, asked_at: Millis, error: &io::Error) {
+fn record_open_error(direct: &DirectProxy, server: &ServerEntry, started_at: Millis, error: &io::Error) {
     direct.open_counts.record_failed();
-    server.note_failure(asked_at, error.kind() == io::ErrorKind::ConnectionRefused);
+    server.note_failure(started_at, error.kind() == io::ErrorKind::ConnectionRefused);
     let health_settings = direct.proxy.health_settings();
     let end = classify_end(error, server.connection_usage(true));
     server.health.lock().unwrap().connection_ended(now(), &health_settings, end);
--- a/crates/proxy/src/direct/command.rs
+++ b/crates/proxy/src/direct/command.rs
@@ -1,4 +1,4 @@
-//! What a client asks on a session.
+//! The commands that a client sends on a session.
 use bytes::Bytes;
 
 /// One command of a session. Texts are the client's own, byte for byte.
@@ -6,7 +6,7 @@
 pub enum SessionCommand {
     /// Begin a transaction.
     Begin {
-        /// It only reads.
+        /// Whether the transaction only reads.
         read: bool,
     },
     /// Commit the open transaction.
@@ -25,7 +25,7 @@
     },
     /// Set a session setting.
     Set {
-        /// The setting.
+        /// The name of the setting.
         name: Bytes,
         /// Its value.
         value: Bytes,
@@ -34,9 +34,9 @@
     Prepare {
         /// The client's name for it.
         name: Bytes,
-        /// It writes.
+        /// Whether it writes.
         write: bool,
-        /// The statement with places for arguments.
+        /// The statement with placeholders for arguments.
         template: Bytes,
     },
     /// Run a prepared statement.
@@ -46,20 +46,20 @@
         /// The arguments.
         arguments: Bytes,
     },
-    /// Forget a prepared statement.
+    /// Remove a prepared statement.
     Deallocate {
         /// The client's name for it.
         name: Bytes,
     },
-    /// No command that is known here.
+    /// A command that is not recognized.
     Unknown,
 }
 
 /// A command with the id that the client gave it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SessionRequest {
-    /// The client's id; statements carry it to the server, whose stamp covers it.
+    /// The client's id. Statements and commits carry it to the server, and the server's stamp covers it.
     pub id: Bytes,
-    /// What is asked.
+    /// The command.
     pub command: SessionCommand,
 }
--- a/crates/proxy/src/direct/connection.rs
+++ b/crates/proxy/src/direct/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a server, and the session state that it carries there.
+//! A connection to a server, and the session state that the server holds for it.
 use crate::ports::{ServerCall, ServerConnection, ServerReply};
 use bytes::Bytes;
 use quincehatch_core::{Millis, Name};
@@ -9,17 +9,17 @@
 /// The settings of a session, by name.
 pub type SessionSettings = BTreeMap<Bytes, Bytes>;
 
-/// Why a connection brought no answer.
+/// Why a call on a connection got no valid reply.
 #[derive(Debug)]
 pub enum ConnectionError {
-    /// It broke, or the server answered what no server answers.
+    /// The connection broke, or the server sent a reply that violates the protocol.
     Broke(io::Error),
-    /// No answer came in the time given for it.
+    /// The reply did not arrive within the call's timeout.
     TimedOut,
 }
 
 impl ConnectionError {
-    /// The server answered what the protocol does not allow.
+    /// Returns the error for a reply or call that violates the protocol.
     pub(super) fn protocol(cause: &str) -> ConnectionError {
         ConnectionError::Broke(io::Error::new(io::ErrorKind::InvalidData, cause))
     }
@@ -28,27 +28,28 @@
 /// A connection to a server.
 pub struct Connection {
     server: Box<dyn ServerConnection>,
-    /// For whom statements run on it, as the server was told when it was opened. It serves nobody else.
+    /// The tenant that was sent to the server when the connection was opened. Only this tenant's statements run on it.
     pub tenant: Option<Name>,
     /// The settings in force at the server.
     pub settings: SessionSettings,
-    /// The statements that are prepared at the server, by the proxy's names.
+    /// The proxy's names of the statements that are prepared at the server.
     pub prepared: HashSet<Name>,
     /// When the last call on it ended.
     pub last_used: Millis,
-    /// A call was begun and not answered, whether it failed or was cancelled: the connection is never used again, as
-    /// the answer might be taken for that of another call.
+    /// Whether a call was started and its reply was not received, because the call is running, has failed or was
+    /// cancelled. After a failed or cancelled call the connection is never used again, as the late reply could be
+    /// mistaken for the reply to another call.
     reply_pending: bool,
 }
 
 impl Connection {
-    /// A connection that was just opened for a tenant.
+    /// Wraps a connection that was just opened for a tenant.
     pub fn new(server: Box<dyn ServerConnection>, tenant: Option<Name>) -> Connection {
         let (settings, prepared) = (SessionSettings::new(), HashSet::new());
         Connection { server, tenant, settings, prepared, last_used: now(), reply_pending: false }
     }
 
-    /// Why the idle connection must not be used, if it ended or something came on it unasked.
+    /// Returns the reason why an idle connection must not be used, if it was closed or received unsolicited data.
     pub fn broken(&mut self) -> Option<io::Error> {
         self.server.broken()
     }
@@ -58,7 +59,7 @@
         !self.reply_pending
     }
 
-    /// One call and its answer. After an error, or when cancelled, the connection is not usable any more.
+    /// Sends a call and waits for its reply. If it fails or is cancelled, the connection is not usable any more.
     pub(super) async fn exchange(&mut self, call: &ServerCall) -> io::Result<ServerReply> {
         self.reply_pending = true;
         let reply = self.server.call(call).await?;
--- a/crates/proxy/src/direct/connection_setup.rs
+++ b/crates/proxy/src/direct/connection_setup.rs
@@ -1,4 +1,4 @@
-//! Bringing a connection into the state of the session whose statement it is to run.
+//! Applies a session's settings and prepared statements to the connection that is to run its next statement.
 use super::connection::{Connection, ConnectionError, SessionSettings};
 use super::monitored_call::CallContext;
 use super::session_setup::PreparedStatement;
@@ -6,11 +6,11 @@
 use quincehatch_core::Millis;
 use quincehatch_runtime::seam;
 
-/// Prepared statements on one connection before it is reset.
+/// The maximum number of prepared statements on one connection; a connection with more is reset before its next use.
 const MAX_PREPARED: usize = 256;
 
 impl Connection {
-    /// Brings the connection to exactly these settings: no setting of another session may remain in force.
+    /// Makes the connection's settings equal to `wanted`: no setting of another session may remain in force.
     pub(super) async fn apply_settings(
         &mut self,
         context: &CallContext<'_>,
@@ -31,7 +31,7 @@
         self.set_changed(context, wanted, within).await
     }
 
-    /// Sets what differs, as after a change within a transaction.
+    /// Sets the settings whose values differ from `wanted`, for instance after a change within a transaction.
     pub(super) async fn set_changed(
         &mut self,
         context: &CallContext<'_>,
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    /// Prepares a statement unless it is prepared already.
+    /// Prepares a statement unless it is already prepared on this connection.
     pub(super) async fn prepare(
         &mut self,
         context: &CallContext<'_>,
@@ -69,7 +69,7 @@
         Ok(())
     }
 
-    /// A call that a server in good order does not reject.
+    /// Sends a call that a correct server does not reject; a rejection is a protocol error.
     async fn call_expecting_success(
         &mut self,
         context: &CallContext<'_>,
@@ -79,7 +79,7 @@
         let reply = self.call(context, call, within).await?;
         match reply.rejection {
             None => Ok(()),
-            Some(_) => Err(ConnectionError::protocol("a setting was rejected")),
+            Some(_) => Err(ConnectionError::protocol("the server rejected a reset, set or prepare call")),
         }
     }
 }
--- a/crates/proxy/src/direct/mod.rs
+++ b/crates/proxy/src/direct/mod.rs
@@ -1,10 +1,10 @@
-//! Sessions over the servers' own protocol: a session lives as long as its client's connection, and a transaction keeps
+//! Sessions over the servers' own protocol: a session lives as long as its client's connection, and a transaction uses
 //! one server connection from its first statement to its end.
 //!
-//! From the bottom up: `command`, `response` and `route` are data; `connection` and `pool` know no health and no
-//! routing; `monitored_call`, `connection_setup` and `check_out` add these; `statement` and `replies` are shared by the
-//! ways a statement can run: `primary_statement`, `replica_read` (both hedged by `single_statement`) and `transaction`,
-//! which `begin` opens. `session` ties them together.
+//! From the bottom up: `command`, `response` and `route` define data types; `connection` and `pool` do not depend on
+//! health or routing; `monitored_call`, `connection_setup` and `check_out` add both; `statement` and `replies` are
+//! shared by the ways in which a statement can run: `primary_statement`, `replica_read` (both hedged by
+//! `single_statement`) and `transaction`, which `begin` opens. `session` combines them.
 mod begin;
 pub mod check_out;
 pub mod command;
@@ -12,7 +12,7 @@
 mod connection_setup;
 mod monitored_call;
 mod open_counts;
-mod open_gate;
+mod open_throttle;
 pub mod pool;
 mod primary_statement;
 mod proxy;
--- a/crates/proxy/src/direct/monitored_call.rs
+++ b/crates/proxy/src/direct/monitored_call.rs
@@ -1,4 +1,4 @@
-//! Calls to a server whose replies the health checks watch.
+//! Calls to a server that report their results to the server's health checks.
 use super::DirectProxy;
 use super::connection::{Connection, ConnectionError};
 use super::route::ResolvedRoute;
@@ -13,31 +13,33 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The assignment under which a server was the primary when its work began.
+/// The primary assignment of a server at the time a transaction or statement started on it.
 #[derive(Clone, Copy)]
 pub(super) struct PrimaryTerm<'a> {
     pub group: &'a Name,
     pub fence: FencingToken,
 }
 
-/// Which server a call goes to, and how its reply is watched.
+/// The server that a call goes to, and how the health checks monitor its reply.
 pub(super) struct CallContext<'a> {
     pub direct: &'a DirectProxy,
     pub server: &'a Arc<ServerEntry>,
     pub pending_reply: PendingReply,
-    /// Set where only the primary may answer.
+    /// Set if the call is for the primary: it is aborted when another server becomes the primary.
     pub primary_term: Option<PrimaryTerm<'a>>,
 }
 
 impl<'a> CallContext<'a> {
-    /// A statement of this route. If the server is the primary now, only the primary may answer.
+    /// Creates the context of a call on this route. If the server is the primary now, the call is aborted when another
+    /// server becomes the primary.
     pub fn new(direct: &'a DirectProxy, server: &'a Arc<ServerEntry>, route: &'a ResolvedRoute) -> Self {
         let fence = fence_if_primary(direct, &route.group, server);
         let primary_term = fence.map(|fence| PrimaryTerm { group: &route.group, fence });
         CallContext::with_primary_term(direct, server, route, primary_term)
     }
 
-    /// A statement of this route that began under `primary_term`, or on a replica.
+    /// Creates the context of a call on this route that started under `primary_term`, or on a replica if that is
+    /// `None`.
     pub fn with_primary_term(
         direct: &'a DirectProxy,
         server: &'a Arc<ServerEntry>,
@@ -53,13 +55,13 @@
         CallContext { direct, server, pending_reply, primary_term }
     }
 
-    /// Waits until another server is assigned as the primary in place of this one.
+    /// Waits until another server is assigned as the primary. Never returns if the call is not for the primary.
     async fn primary_replaced(&self) {
         let Some(term) = self.primary_term else { return std::future::pending().await };
         let registry = &self.direct.proxy.registry;
         let is_successor = |assignment: &PrimaryAssignment| {
-            let other = assignment.server.as_ref().is_some_and(|name| *name != self.server.name);
-            assignment.fence > term.fence && other
+            let is_other_server = assignment.server.as_ref().is_some_and(|name| *name != self.server.name);
+            assignment.fence > term.fence && is_other_server
         };
         loop {
             let changed = registry.changed.notified();
@@ -70,16 +72,16 @@
         }
     }
 
-    fn note_reply(&self, sent_at: Millis, call_id: u64, reply: &ServerReply) {
+    fn record_reply(&self, sent_at: Millis, call_id: u64, reply: &ServerReply) {
         if reply.rejection.as_ref().is_some_and(|rejection| rejection.reason == RejectReason::Busy) {
-            self.server.direct_pool.note_congested(now());
+            self.server.direct_pool.record_congestion(now());
         }
         let settings = self.direct.proxy.health_settings();
         self.server.health.lock().unwrap().request_succeeded(now(), &settings, call_id);
         self.server.note_answer(sent_at);
     }
 
-    fn note_error(&self, sent_at: Millis, call_id: u64, error: &io::Error) {
+    fn record_error(&self, sent_at: Millis, call_id: u64, error: &io::Error) {
         let end = if is_local_abort(error) {
             ConnectionEnd::Graceful
         } else {
@@ -95,21 +97,22 @@
         }
     }
 
-    /// The reply stays pending until the health checks have seen it; the connection is closed, which ends the query.
-    fn note_timeout(&self, sent_at: Millis, call_id: u64) {
+    /// The overdue reply stays registered until the health checks have counted it. The caller closes the connection,
+    /// which ends the query at the server.
+    fn record_timeout(&self, sent_at: Millis, call_id: u64) {
         let settings = self.direct.proxy.health_settings();
         self.server.health.lock().unwrap().probation_failed(now(), &settings, call_id);
         self.server.note_failure(sent_at, false);
     }
 }
 
-/// Whether this side gave the call up, as another server became the primary.
+/// Whether this proxy aborted the call because another server became the primary.
 fn is_local_abort(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::ConnectionAborted
 }
 
-/// Forgets a pending reply when the call is cancelled, as after another server answered first: the connection is closed,
-/// and the reply would be found overdue later at a server that would have answered.
+/// Deregisters the pending reply when the call is cancelled, for instance because a hedged read got a reply first. The
+/// connection is closed then, and the reply would otherwise count as overdue at a server that may be healthy.
 struct CancelGuard<'a> {
     server: &'a ServerEntry,
     call_id: u64,
@@ -125,7 +128,8 @@
 }
 
 impl Connection {
-    /// One call and its answer, watched by the health checks. After an error the connection is not used again.
+    /// Sends a call, waits for its reply and reports the result to the health checks. After an error the connection is
+    /// not usable any more.
     pub(super) async fn call(
         &mut self,
         context: &CallContext<'_>,
@@ -143,21 +147,21 @@
         let exchange = seam::timeout(Duration::from_millis(within.max(1)), self.exchange(call));
         let result = match seam::select_first(exchange, context.primary_replaced()).await {
             Ok(result) => result,
-            // The server lost its assignment at this moment: it will not answer any more, or will reject the call.
+            // The server was replaced as the primary: it will not reply any more, or will reject the call.
             Err(()) => Ok(Err(io::ErrorKind::ConnectionAborted.into())),
         };
         guard.armed = false;
         match result {
             Ok(Ok(reply)) => {
-                context.note_reply(sent_at, call_id, &reply);
+                context.record_reply(sent_at, call_id, &reply);
                 Ok(reply)
             }
             Ok(Err(error)) => {
-                context.note_error(sent_at, call_id, &error);
+                context.record_error(sent_at, call_id, &error);
                 Err(ConnectionError::Broke(error))
             }
             Err(_) => {
-                context.note_timeout(sent_at, call_id);
+                context.record_timeout(sent_at, call_id);
                 Err(ConnectionError::TimedOut)
             }
         }
--- a/crates/proxy/src/direct/open_counts.rs
+++ b/crates/proxy/src/direct/open_counts.rs
@@ -1,7 +1,7 @@
-//! How attempts to open connections to servers ended, counted for metrics.
+//! Counts attempts to open connections to servers by their outcome, for metrics.
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Attempts to open a connection since the process began, by how they ended.
+/// The attempts to open a connection since the process started, by outcome.
 #[derive(Debug, Default)]
 pub struct OpenCounts {
     opened: AtomicU64,
@@ -9,14 +9,14 @@
     failed: AtomicU64,
 }
 
-/// The counts of one moment.
+/// A snapshot of the counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OpenTotals {
-    /// A connection was opened.
+    /// Attempts that opened a connection.
     pub opened: u64,
-    /// The server has as many connections as it takes.
+    /// Attempts that the server rejected because its connection limit is reached.
     pub full: u64,
-    /// It could not be opened, or not in time.
+    /// Attempts that failed or timed out.
     pub failed: u64,
 }
 
@@ -33,7 +33,7 @@
         self.failed.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The counts of this moment.
+    /// Returns a snapshot of the counts.
     pub fn totals(&self) -> OpenTotals {
         OpenTotals {
             opened: self.opened.load(Ordering::Relaxed),
--- a/crates/proxy/src/direct/pool.rs
+++ b/crates/proxy/src/direct/pool.rs
@@ -1,7 +1,7 @@
-//! The connections of one proxy to one server: counted under one lock, checked out to one statement or transaction at a
-//! time.
+//! The connection pool of one proxy for one server. One lock guards its counts, and a connection is checked out to one
+//! statement or transaction at a time.
 use super::connection::{Connection, SessionSettings};
-use super::open_gate::OpenGate;
+use super::open_throttle::OpenThrottle;
 use super::waiters::{WaiterKey, Waiters};
 use quincehatch_core::{Millis, Name};
 use quincehatch_runtime::now;
@@ -12,39 +12,39 @@
 #[derive(Default)]
 struct PoolState {
     idle: Vec<Connection>,
-    /// Connections that are checked out, and those that are being opened.
+    /// The number of connections that are checked out or being opened.
     checked_out: usize,
     waiters: Waiters,
-    /// Changes when the server drains or restarts: connections from before are not kept.
+    /// Incremented when the server drains or restarts: a connection of an earlier generation is closed at check-in.
     generation: u64,
-    gate: OpenGate,
+    throttle: OpenThrottle,
 }
 
-/// The connections to one server.
+/// The connection pool for one server.
 #[derive(Default)]
 pub struct DirectPool {
     state: Mutex<PoolState>,
 }
 
-/// How many connections a pool has.
+/// The number of connections in a pool, by state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolCounts {
-    /// Nobody uses them.
+    /// Connections that are open and not in use.
     pub idle: usize,
-    /// In use, or being opened.
+    /// Connections that are in use or being opened.
     pub checked_out: usize,
 }
 
-/// The right to one connection to the server; the connection may not be open yet. Dropping it passes the right on.
+/// Permission to use one connection, which may not be open yet. Dropping the permit passes it to the next waiter.
 pub(super) struct Permit {
     pool: Arc<DirectPool>,
     generation: u64,
-    /// It is not counted any more.
+    /// Whether the permit no longer counts as checked out.
     released: bool,
 }
 
 impl Permit {
-    /// Gives the right up, with a connection that is in good order.
+    /// Releases the permit once; `connection` is returned to the pool and must be usable.
     fn release(&mut self, connection: Option<Connection>) {
         if !std::mem::replace(&mut self.released, true) {
             self.pool.release(connection, self.generation);
@@ -58,16 +58,18 @@
     }
 }
 
-/// What a waiter gets: a connection, or the right to open one.
+/// What a waiter receives: a permit, with a connection if one can be reused.
 pub(super) struct Handover {
+    /// `None` if the waiter is to open a connection.
     pub connection: Option<Connection>,
     pub permit: Permit,
 }
 
-/// A connection that is checked out. Dropped without [`Checkout::check_in`] it is closed, which rolls back what is open
-/// on it.
+/// A connection that is checked out. If the checkout is dropped without [`Checkout::check_in`], the connection is
+/// closed, which rolls back any open transaction on it.
 pub struct Checkout {
-    /// The connection. It stands before the permit, so that it is closed before another may be opened.
+    /// The connection. Fields are dropped in order: the connection is closed before the permit allows another to be
+    /// opened.
     pub connection: Connection,
     permit: Permit,
 }
@@ -85,88 +87,89 @@
     }
 }
 
-/// An idle connection, if there is one.
+/// The result of [`DirectPool::take_idle`].
 pub(super) enum IdleConnection {
     Usable(Checkout),
-    /// It broke while it was idle, and was removed.
+    /// The connection broke while it was idle, and was removed from the pool.
     Broken(io::Error),
+    /// The tenant has no idle connection.
     None,
 }
 
-/// A place among those that wait for a connection.
+/// A place in the queue for a connection.
 pub(super) struct Waiter {
     pub key: WaiterKey,
     pub receiver: oneshot::Receiver<Handover>,
-    /// While the server takes no more connections, nobody may be there to hand one on: try again at this time.
+    /// When to retry while opening connections is throttled, as there may be no connection to be handed over.
     pub retry_at: Option<Millis>,
 }
 
-/// What a request for a connection got.
+/// The result of [`DirectPool::reserve`].
 pub(super) enum Reservation {
-    /// A connection may be opened.
+    /// The caller may open a connection.
     Granted(Permit),
-    /// All are in use.
+    /// The caller waits: the maximum number of connections is in use, or none may be opened at present.
     Queued(Waiter),
 }
 
 impl DirectPool {
-    /// Closes the idle connections now and the others as they are checked in: the server drains, or was replaced.
+    /// Closes the idle connections now and the others at check-in. Called when the server drains or was replaced.
     pub fn close(&self) {
         let mut state = self.state.lock().unwrap();
         state.generation += 1;
         state.idle.clear();
     }
 
-    /// Connections that are checked out or being opened.
+    /// Returns the number of connections that are checked out or being opened.
     pub fn checked_out(&self) -> usize {
         self.state.lock().unwrap().checked_out
     }
 
-    /// How many wait for a connection.
+    /// Returns the number of requests that wait for a connection.
     pub fn waiting(&self) -> usize {
         self.state.lock().unwrap().waiters.len()
     }
 
-    /// How many connections there are.
+    /// Returns the number of connections in each state.
     pub fn counts(&self) -> PoolCounts {
         let state = self.state.lock().unwrap();
         PoolCounts { idle: state.idle.len(), checked_out: state.checked_out }
     }
 
-    /// Closes the idle connections that were last used before `before`, all but `keep`.
+    /// Closes the idle connections that were last used before `before`, but leaves at least `keep` idle ones open.
     pub fn trim(&self, before: Millis, keep: usize) {
         let mut state = self.state.lock().unwrap();
-        let mut spare = state.idle.len().saturating_sub(keep);
+        let mut to_close = state.idle.len().saturating_sub(keep);
         state.idle.retain(|connection| {
-            let close = spare > 0 && connection.last_used < before;
+            let close = to_close > 0 && connection.last_used < before;
             if close {
-                spare -= 1;
+                to_close -= 1;
             }
             !close
         });
     }
 
-    /// The server rejected a connection, as it has as many as it takes.
-    pub(super) fn note_full(&self, now: Millis) {
-        self.state.lock().unwrap().gate.note_rejected(now);
+    /// Records that the server rejected a connection because its connection limit is reached.
+    pub(super) fn record_connection_rejected(&self, now: Millis) {
+        self.state.lock().unwrap().throttle.record_rejected(now);
     }
 
-    /// The server rejected a statement, as it is busy.
-    pub(super) fn note_congested(&self, now: Millis) {
-        self.state.lock().unwrap().gate.note_congested(now);
+    /// Records that the server rejected a connection or statement because it is busy.
+    pub(super) fn record_congestion(&self, now: Millis) {
+        self.state.lock().unwrap().throttle.record_congestion(now);
     }
 
-    /// Until when no further connection is opened, as the server is congested; 0 if it never was.
+    /// Returns the time until which the server counts as congested; 0 if it was never congested.
     pub fn congested_until(&self) -> Millis {
-        self.state.lock().unwrap().gate.congested_until()
+        self.state.lock().unwrap().throttle.congested_until()
     }
 
-    /// The server took a connection.
-    pub(super) fn note_opened(&self) {
-        self.state.lock().unwrap().gate.note_taken(now());
+    /// Records that the server accepted a connection.
+    pub(super) fn record_connection_opened(&self) {
+        self.state.lock().unwrap().throttle.record_opened(now());
     }
 
-    /// An idle connection of the tenant, preferably one with these settings, else the one used last.
+    /// Checks out an idle connection of the tenant: one with these settings if possible, else the most recently used.
     pub(super) fn take_idle(
         self: &Arc<Self>,
         tenant: Option<&Name>,
@@ -189,26 +192,27 @@
         IdleConnection::Usable(Checkout { connection, permit })
     }
 
-    /// The right to open a connection for the tenant while fewer than `max` are in use, else a place in the queue.
+    /// Returns a permit to open a connection for the tenant if fewer than `max` are in use and opening one is allowed,
+    /// else a place in the queue.
     ///
-    /// The tenant has no idle connection, so those that are idle are other tenants': where there are `max` connections,
-    /// the one that was unused for the longest time makes room.
+    /// The caller found no idle connection of the tenant, so all idle ones belong to other tenants: if the pool has
+    /// `max` connections, the least recently used idle one is closed.
     pub(super) fn reserve(self: &Arc<Self>, max: usize, priority: u64, tenant: Option<&Name>) -> Reservation {
         let mut state = self.state.lock().unwrap();
-        let is_closed = state.gate.is_closed(now(), state.checked_out);
-        if state.checked_out < max && !is_closed {
+        let is_throttled = state.throttle.is_throttled(now(), state.checked_out);
+        if state.checked_out < max && !is_throttled {
             let excess = (state.checked_out + state.idle.len() + 1).saturating_sub(max);
             state.idle.drain(..excess);
-            state.gate.note_attempt(now());
+            state.throttle.record_attempt(now());
             return Reservation::Granted(self.grant(&mut state));
         }
         let (sender, receiver) = oneshot::channel();
         let key = state.waiters.add(priority, tenant.cloned(), sender);
-        let retry_at = is_closed.then_some(state.gate.opens_at());
+        let retry_at = is_throttled.then_some(state.throttle.next_open_at());
         Reservation::Queued(Waiter { key, receiver, retry_at })
     }
 
-    /// Gives a place in the queue up. A handover may have been sent already.
+    /// Leaves the queue. A handover may have been sent to the waiter already.
     pub(super) fn cancel_waiter(&self, key: WaiterKey) {
         self.state.lock().unwrap().waiters.remove(key);
     }
@@ -218,27 +222,28 @@
         Permit { pool: self.clone(), generation: state.generation, released: false }
     }
 
-    /// One is checked out no more. The next waiter gets the connection if it is its tenant's, else the right to open one
-    /// in its place; at a congested server none is opened, and those of other tenants wait on. The permit is sent along, so that nothing is lost when the waiter is gone: dropping it passes the right on.
+    /// Releases one checkout. The next waiter receives the connection if it belongs to the same tenant, else a permit
+    /// to open one in its place. At a congested server no connection is opened, and waiters of other tenants stay
+    /// queued. A handover includes the permit, so that it passes to the next waiter if this one was dropped.
     fn release(self: &Arc<Self>, connection: Option<Connection>, generation: u64) {
         let mut state = self.state.lock().unwrap();
         state.checked_out -= 1;
         let mut connection = connection.filter(|_| generation == state.generation);
-        let is_congested = state.gate.congested_until() > now();
+        let is_congested = state.throttle.congested_until() > now();
         while let Some(waiter) = state.waiters.take_next(now(), connection.as_ref(), is_congested) {
             let permit = self.grant(&mut state);
             let handed_over = connection.take_if(|connection| connection.tenant == waiter.tenant);
             match waiter.sender.send(Handover { connection: handed_over, permit }) {
                 Ok(()) => return,
-                Err(mut refused) => {
-                    connection = connection.or(refused.connection.take());
-                    // Counted back here, as dropping the permit would lock the state again.
-                    refused.permit.released = true;
+                Err(mut undelivered) => {
+                    connection = connection.or(undelivered.connection.take());
+                    // Decremented here, because dropping the permit would lock the state again.
+                    undelivered.permit.released = true;
                     state.checked_out -= 1;
                 }
             }
         }
-        let crowded = state.gate.is_crowded(now());
-        state.idle.extend(connection.filter(|_| !crowded));
+        let close_idle = state.throttle.should_close_idle(now());
+        state.idle.extend(connection.filter(|_| !close_idle));
     }
 }
--- a/crates/proxy/src/direct/primary_statement.rs
+++ b/crates/proxy/src/direct/primary_statement.rs
@@ -1,4 +1,4 @@
-//! Statements on the primary: writes, and reads that may miss nothing.
+//! Statements on the primary: writes, and reads of routes that only the primary may serve.
 use super::check_out::{CheckoutRequest, check_out};
 use super::connection::ConnectionError;
 use super::monitored_call::CallContext;
@@ -17,21 +17,21 @@
 use quincehatch_core::{Error, ErrorCode, FencingToken};
 use quincehatch_runtime::{now, seam};
 
-/// How one attempt ended.
+/// The result of one attempt.
 enum Attempt {
     Finished(StatementResponse),
-    /// The server stopped being the primary before anything was sent.
+    /// The server stopped being the primary, or the client's key was revoked, before anything was sent.
     NotStarted,
-    /// Nothing was run.
+    /// No connection was available, or the server rejected the statement. Nothing was run.
     Rejected(Error),
-    /// The connection failed and nothing can have been committed. It is closed after the pause before the next attempt.
+    /// The connection failed, and nothing can have been committed. The connection is closed after the backoff pause.
     Disconnected {
         error: Error,
         checkout: Checkout,
     },
 }
 
-/// Runs a statement on the primary. An attempt of which something may have been committed is the last.
+/// Runs a statement on the primary, and retries it as long as no attempt can have committed anything.
 pub(super) async fn run_on_primary(run: SingleStatement<'_>) -> StatementResponse {
     let deadlines = run.route.deadlines();
     let mut backoff = Backoff::default();
@@ -40,7 +40,8 @@
         if let Err(error) = run.direct.check_tenant(run.route) {
             return StatementResponse::failed(error, TransactionState::Idle);
         }
-        // Counted before the primary is looked up: a handover either sees this work, or is seen by it.
+        // Counted as in flight before the primary is looked up, so that a primary handover either waits for this
+        // statement, or is seen by the lookup.
         let in_flight = run.direct.proxy.registry.in_flight.begin(&run.route.group);
         let mut disconnected = None;
         match attempt(run, deadlines).await {
@@ -81,16 +82,16 @@
         return Attempt::Finished(StatementResponse::failed(error, TransactionState::Idle));
     }
     let fence = fence_if_accepting(direct, &route.group, &server);
-    // Its key may have been revoked while it waited.
+    // The client's key may have been revoked while the statement waited.
     let Some(fence) = fence.filter(|_| direct.check_tenant(route).is_ok()) else {
         checkout.check_in();
         return Attempt::NotStarted;
     };
-    let asked_at = now();
+    let sent_at = now();
     let execution = Execution::single(run, None, deadlines.finish_by);
     match checkout.connection.execute(&context, &execution).await {
         StatementAttempt::Replied(reply) => {
-            record_primary_position(direct, route, &server, asked_at, &reply);
+            record_primary_position(direct, route, &server, sent_at, &reply);
             if leaves_idle(&reply) {
                 checkout.check_in();
             }
@@ -121,7 +122,8 @@
     Attempt::Finished(StatementResponse::from_reply(reply, TransactionState::Idle))
 }
 
-/// The statement was sent and not answered: a write may have been committed, and a timeout leaves no time.
+/// Returns the result of an attempt whose statement was sent and got no reply. A write is not retried, as it may have
+/// been committed, and after a timeout there is no time for another attempt.
 fn handle_no_answer(run: SingleStatement<'_>, error: &ConnectionError, checkout: Checkout) -> Attempt {
     let timed_out = matches!(error, ConnectionError::TimedOut);
     let resend_write = seam::injected_bug("held-resend") && !timed_out;
--- a/crates/proxy/src/direct/proxy.rs
+++ b/crates/proxy/src/direct/proxy.rs
@@ -1,4 +1,4 @@
-//! What all direct sessions of a proxy share.
+//! The state that all direct sessions of a proxy share.
 use super::open_counts::OpenCounts;
 use super::route::ResolvedRoute;
 use super::statement_counts::StatementCounts;
@@ -15,59 +15,60 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// An idle connection that was not used for this long is not needed.
+/// The longest time after which an unused idle connection is closed; shorter where the even share is small.
 const IDLE_TIMEOUT: Millis = 1_000;
-/// A proxy may have this many connections to a server though its even share is less.
+/// A proxy whose even share of a server's connections is smaller may have up to this many.
 const BORROW_LIMIT: usize = 4;
-/// Of a server's connections, the divisor of the part up to which a proxy may exceed its even share.
+/// A proxy may exceed its even share up to the server's connections divided by this.
 const BORROW_DIVISOR: usize = 8;
-/// With an even share of this or more a proxy keeps one connection however seldom it is used: if all do, half of the
-/// server's connections are left for whoever needs more than one.
-const KEEPING_SHARE: usize = 2;
-/// Connections that a server takes where the configuration does not say.
+/// With an even share of at least this many connections, a proxy keeps one open however rarely it is used. If all
+/// proxies do so, half of the server's connections remain for those that need more than one.
+const MIN_SHARE_TO_KEEP_IDLE: usize = 2;
+/// The number of connections that a server accepts if the configuration does not specify it.
 const DEFAULT_SERVER_CONNECTIONS: u64 = 64;
-/// The part of a server's connections that the proxies share, in twentieths: the last one is left for those that watch
-/// the group, and for connections that are not known to be gone yet.
+/// The part of a server's connections that the proxies share, in twentieths. The last twentieth is reserved for the
+/// nodes that monitor the group, and for lost connections that the server has not detected yet.
 const SHARED_TWENTIETHS: usize = 19;
 
-/// When a client may try again after the proxy held no lease.
+/// When a client may retry after the proxy held no lease.
 pub(super) const RETRY_AFTER_NO_LEASE: Millis = 250;
 
-/// What all direct sessions of a proxy share.
+/// The state that all direct sessions of a proxy share.
 pub struct DirectProxy {
     /// The proxy.
     pub proxy: Arc<Proxy>,
     /// Opens connections to servers.
     pub servers: Arc<dyn ServerConnector>,
-    /// Live proxies that share the servers' connections, this one included.
+    /// The number of live proxies that share the servers' connections, including this one.
     pub live_nodes: AtomicUsize,
-    /// Open sessions.
+    /// The number of open sessions.
     pub open_sessions: AtomicUsize,
-    /// How statements ended.
+    /// The outcomes of statements.
     pub statement_counts: StatementCounts,
-    /// How attempts to open connections ended.
+    /// The outcomes of attempts to open connections.
     pub open_counts: OpenCounts,
     prepared_names: Mutex<HashMap<PreparedKey, Name>>,
 }
 
-/// What makes two prepared statements the same.
+/// Identifies a prepared statement: statements with equal keys share one name.
 #[derive(PartialEq, Eq, Hash)]
 struct PreparedKey {
     write: bool,
     template: Bytes,
 }
 
-/// The connections of one proxy to one server.
+/// How many connections one proxy may have to one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionShare {
-    /// Its even share.
+    /// The server's shared connections divided by the number of proxies.
     pub even: usize,
-    /// What it may have while the server takes them.
+    /// The number that the proxy may have as long as the server accepts them.
     pub max: usize,
 }
 
 impl DirectProxy {
-    /// A proxy without sessions, alone until it is told of others.
+    /// Creates the state without sessions. The proxy counts as the only live one until
+    /// [`DirectProxy::trim_idle_connections`] updates the number.
     pub fn new(proxy: Arc<Proxy>, servers: Arc<dyn ServerConnector>) -> Arc<DirectProxy> {
         Arc::new(DirectProxy {
             proxy,
@@ -80,17 +81,17 @@
         })
     }
 
-    /// Whether this proxy knows which routes are in force.
+    /// Whether this proxy holds a lease and a configuration, so that the routes it knows are in force.
     pub fn knows_configuration(&self) -> bool {
         let registry = &self.proxy.registry;
         registry.has_lease() && registry.cluster_state().configuration.is_some()
     }
 
-    /// The route of a database for a client with this key, under the configuration in force.
+    /// Returns the route of a database for a client with this key, under the configuration in force.
     ///
     /// # Errors
-    /// `NoRoute` where no route takes the database, `Unauthenticated` where the route needs a key and this is no
-    /// tenant's, `NoLease` while this proxy cannot know whether the key is still in force.
+    /// `NoRoute` if no route matches the database, `Unauthenticated` if the route needs a key and this is no tenant's,
+    /// `NoLease` while this proxy cannot know whether the key is still in force.
     pub fn resolve_route(&self, db: &str, key: ClientKey) -> Result<ResolvedRoute, Error> {
         let state = self.proxy.registry.cluster_state();
         let no_route = || ErrorCode::NoRoute.without_detail();
@@ -105,10 +106,10 @@
         ResolvedRoute::resolve(config, route, key, tenant).ok_or_else(no_route)
     }
 
-    /// Whether the key under which the route was resolved is still the same tenant's.
+    /// Checks that the key with which the route was resolved still belongs to the same tenant.
     ///
     /// # Errors
-    /// `Unauthenticated` where it is not.
+    /// `Unauthenticated` if it does not.
     pub fn check_tenant(&self, route: &ResolvedRoute) -> Result<(), Error> {
         let state = self.proxy.registry.cluster_state();
         let is_unchanged =
@@ -116,47 +117,49 @@
         if is_unchanged { Ok(()) } else { Err(ErrorCode::Unauthenticated.without_detail()) }
     }
 
-    /// Admits an operation that follows the route: a statement outside a transaction, or a transaction.
+    /// Admits an operation on the route: a statement outside a transaction, or a transaction.
     ///
     /// # Errors
-    /// `QuotaExceeded` where the route's tenant is at its limit.
+    /// `QuotaExceeded` if the route's tenant is at its limit.
     pub(super) fn admit_operation<'a>(
         &'a self,
         route: &'a ResolvedRoute,
     ) -> Result<OperationAdmission<'a>, Error> {
-        match self.counted_tenant(route) {
+        match self.limited_tenant(route) {
             Some(tenant) => self.proxy.quota.admit(tenant),
             None => Ok(OperationAdmission::granted()),
         }
     }
 
-    /// Whether a statement that follows the route may be sent a second time: each time counts.
-    pub(super) fn may_run_twice(&self, route: &ResolvedRoute) -> bool {
-        self.counted_tenant(route).is_none_or(|tenant| self.proxy.quota.take_spare(tenant))
+    /// Whether a statement on the route may be hedged. If its tenant has a limit, the hedge needs a token, which is
+    /// taken here.
+    pub(super) fn may_hedge(&self, route: &ResolvedRoute) -> bool {
+        self.limited_tenant(route).is_none_or(|tenant| self.proxy.quota.take_spare(tenant))
     }
 
-    fn counted_tenant<'route>(&self, route: &'route ResolvedRoute) -> Option<&'route Name> {
+    /// Returns the route's tenant if it has a limit.
+    fn limited_tenant<'route>(&self, route: &'route ResolvedRoute) -> Option<&'route Name> {
         let state = self.proxy.registry.cluster_state();
         route.tenant.as_ref().filter(|tenant| state.tenants.has_limit(tenant))
     }
 
-    /// How many connections this proxy may have to one server of the group: its part of what all proxies share, and
-    /// where that is little, what the others hardly need.
+    /// Returns how many connections this proxy may have to one server of the group: its even share, or a few more if
+    /// the even share is small, as it is unlikely that many proxies need more than that at the same time.
     pub fn connection_share(&self, group: &str) -> ConnectionShare {
         let state = self.proxy.registry.cluster_state();
         let group = state.configuration.as_ref().and_then(|config| config.group(group));
-        let all = group.map_or(DEFAULT_SERVER_CONNECTIONS, |group| group.connections) as usize;
+        let max_connections = group.map_or(DEFAULT_SERVER_CONNECTIONS, |group| group.connections) as usize;
         let proxies = self.live_nodes.load(Ordering::Relaxed).max(1);
-        let even = (all * SHARED_TWENTIETHS / 20 / proxies).max(1);
-        ConnectionShare { even, max: even.max(BORROW_LIMIT.min(all / BORROW_DIVISOR)) }
+        let even = (max_connections * SHARED_TWENTIETHS / 20 / proxies).max(1);
+        ConnectionShare { even, max: even.max(BORROW_LIMIT.min(max_connections / BORROW_DIVISOR)) }
     }
 
-    /// Closes idle connections that were not needed lately, for as long as the task runs; `live_nodes` counts the live
-    /// proxies.
+    /// Periodically closes idle connections that were not used recently; runs until the task is cancelled. `live_nodes`
+    /// returns the number of live proxies.
     ///
-    /// One that is kept saves a new one for each request where many proxies spread their requests over many servers: to
-    /// open it takes more of a server's time than a statement does. What no proxy keeps is there for those that come
-    /// back after a loss of power, while the connections they lost still count at the servers.
+    /// Where many proxies spread their requests over many servers, an idle connection saves opening one for each
+    /// request, which takes a server longer than a statement. Connections that are closed here are available to proxies
+    /// that restart after a power loss, while the connections they lost still count at the servers.
     pub async fn trim_idle_connections(self: Arc<Self>, live_nodes: impl Fn() -> usize + Send) {
         loop {
             self.live_nodes.store(live_nodes(), Ordering::Relaxed);
@@ -166,20 +169,20 @@
                 }
                 let even = self.connection_share(&server.group()).even.min(BORROW_LIMIT);
                 let idle_timeout = IDLE_TIMEOUT * even as Millis / BORROW_LIMIT as Millis;
-                let keep = usize::from(even >= KEEPING_SHARE);
-                server.direct_pool.trim(now().saturating_sub(idle_timeout), keep);
+                let min_idle = usize::from(even >= MIN_SHARE_TO_KEEP_IDLE);
+                server.direct_pool.trim(now().saturating_sub(idle_timeout), min_idle);
             }
             seam::sleep(Duration::from_millis(IDLE_TIMEOUT / BORROW_LIMIT as Millis)).await;
         }
     }
 
-    /// The keep-alive settings of connections to servers.
+    /// Returns the keep-alive settings for connections to servers.
     pub fn keepalive_settings(&self) -> KeepaliveSettings {
         keepalive_settings(&self.proxy.health_settings())
     }
 
-    /// This proxy's name of a prepared statement: the same statement has one name, whatever clients call it, so that
-    /// the names of two clients never collide on a connection.
+    /// Returns this proxy's name for a prepared statement. Equal statements share one name, whatever names clients give
+    /// them, so that the names of two clients never collide on a connection.
     pub fn prepared_name(&self, write: bool, template: &Bytes) -> Name {
         let mut names = self.prepared_names.lock().unwrap();
         let next = names.len();
--- a/crates/proxy/src/direct/replica_read.rs
+++ b/crates/proxy/src/direct/replica_read.rs
@@ -1,4 +1,4 @@
-//! Reads on a replica that is fresh enough, or on the primary.
+//! Reads on a replica within the route's staleness bound, or on the primary.
 use super::check_out::{CheckoutRequest, check_out};
 use super::connection::ConnectionError;
 use super::monitored_call::CallContext;
@@ -17,15 +17,15 @@
 use quincehatch_runtime::now;
 use std::sync::{Arc, Mutex};
 
-/// A read that was rejected by more servers than this is given up.
+/// A read fails once it was tried on more servers than this and no other server is left.
 const MAX_SERVERS: usize = 4;
 
-/// The servers that a read was sent to, shared between the read and its hedge.
+/// The servers on which a read was tried, shared between the read and its hedge.
 #[derive(Default)]
 pub(super) struct TriedServers(Mutex<Vec<Arc<ServerEntry>>>);
 
 impl TriedServers {
-    /// The best server that was not tried yet, which counts as tried from now on.
+    /// Chooses the best server that was not tried yet, and marks it as tried.
     fn choose_next(&self, run: SingleStatement<'_>, allow_probation: bool) -> Option<ReadTarget> {
         let mut tried = self.0.lock().unwrap();
         let target = choose_read_target(run.direct, run.route, &tried, allow_probation)?;
@@ -42,16 +42,17 @@
     }
 }
 
-/// How one attempt ended.
+/// The result of one attempt.
 enum Attempt {
     Finished(StatementResponse),
-    /// The server stopped being the primary before anything was sent.
+    /// The server stopped being the primary, or the client's key was revoked, before anything was sent.
     NotStarted,
+    /// The attempt failed with this error, and another server may run the read.
     Retry(Error),
 }
 
-/// Runs a read on the servers of its group, one after the other.
-pub(super) async fn run_on_any(run: SingleStatement<'_>, tried: &TriedServers) -> StatementResponse {
+/// Runs a read on any eligible server of its group, trying one after the other.
+pub(super) async fn run_on_any_server(run: SingleStatement<'_>, tried: &TriedServers) -> StatementResponse {
     let deadlines = run.route.deadlines();
     let mut backoff = Backoff::default();
     let mut last_error = ErrorCode::AllReplicasEjected.without_detail();
@@ -61,7 +62,7 @@
         }
         let Some(target) = tried.choose_next(run, backoff.is_first_attempt()) else {
             if deadlines.start_passed() || tried.count() > MAX_SERVERS {
-                return give_up(last_error);
+                return retries_exhausted(last_error);
             }
             tried.clear();
             backoff.pause().await;
@@ -73,12 +74,12 @@
             Attempt::Retry(error) => last_error = error,
         }
         if deadlines.start_passed() {
-            return give_up(last_error);
+            return retries_exhausted(last_error);
         }
     }
 }
 
-fn give_up(last_error: Error) -> StatementResponse {
+fn retries_exhausted(last_error: Error) -> StatementResponse {
     let error = last_error.with_retry_after(RETRY_AFTER_REJECTION);
     StatementResponse::failed(error, TransactionState::Idle)
 }
@@ -97,16 +98,16 @@
         return Attempt::Finished(StatementResponse::failed(error, TransactionState::Idle));
     }
     let was_replaced = target.is_primary() && fence_if_accepting(direct, &route.group, server).is_none();
-    // Its key may have been revoked while it waited.
+    // The client's key may have been revoked while the read waited.
     if was_replaced || direct.check_tenant(route).is_err() {
         checkout.check_in();
         return Attempt::NotStarted;
     }
-    let asked_at = now();
+    let sent_at = now();
     let execution = Execution::single(run, target.floor, deadlines.finish_by);
     match checkout.connection.execute(&context, &execution).await {
         StatementAttempt::Replied(reply) => {
-            record_primary_position(direct, route, server, asked_at, &reply);
+            record_primary_position(direct, route, server, sent_at, &reply);
             if leaves_idle(&reply) {
                 checkout.check_in();
             }
@@ -124,7 +125,7 @@
 fn handle_reply(reply: ServerReply, deadlines: Deadlines) -> Attempt {
     match reject_reason(&reply) {
         Some(reason) if was_not_run(reason) => Attempt::Retry(rejection_error(reason)),
-        // A read that failed changed nothing; another server may run it.
+        // A failed read changed nothing, so another server may run it.
         Some(RejectReason::Failed) if !deadlines.start_passed() => {
             Attempt::Retry(ErrorCode::ServerRejected.without_detail())
         }
--- a/crates/proxy/src/direct/replies.rs
+++ b/crates/proxy/src/direct/replies.rs
@@ -1,4 +1,4 @@
-//! What a server's reply, or its absence, means to the client and to this proxy.
+//! Interprets server replies and missing replies: the client's response or error, and what the proxy records.
 use super::DirectProxy;
 use super::connection::ConnectionError;
 use super::response::StatementResponse;
@@ -8,13 +8,13 @@
 use crate::registry::ServerEntry;
 use quincehatch_core::{Error, ErrorCode, FencingToken, Millis};
 
-/// When a client may try again after a rejection by a server, or when no attempt could be started in time.
+/// When a client may retry after a rejection by a server, or if no attempt could be started in time.
 pub(super) const RETRY_AFTER_REJECTION: Millis = 100;
-/// When a client may try again after a connection broke.
+/// When a client may retry after a connection broke.
 const RETRY_AFTER_DISCONNECT: Millis = 50;
-const NO_ANSWER: &str = "no answer within the route's timeout";
+const NO_REPLY: &str = "the server did not reply before the deadline";
 
-/// Whether nothing was run after this rejection.
+/// Whether a rejection with this reason means that the server ran nothing.
 pub(super) fn was_not_run(reason: RejectReason) -> bool {
     matches!(
         reason,
@@ -27,33 +27,34 @@
     )
 }
 
-/// Whether no transaction is left on the connection, so that it may serve another session.
+/// Whether no transaction is open on the connection after the reply, so that it may serve another session.
 pub(super) fn leaves_idle(reply: &ServerReply) -> bool {
     reply.transaction_state == TransactionState::Idle
 }
 
-/// Why the server rejected the call, if it did.
+/// Returns the reason why the server rejected the call, if it did.
 pub(super) fn reject_reason(reply: &ServerReply) -> Option<RejectReason> {
     reply.rejection.as_ref().map(|rejection| rejection.reason)
 }
 
-/// Keeps what the primary's reply shows of its log for reads to come; only while it is the primary, as seen here.
+/// Records the end of the primary's log from its reply, as the reference for later reads. Does nothing if the server is
+/// not the primary according to this proxy's cluster state.
 pub(super) fn record_primary_position(
     direct: &DirectProxy,
     route: &ResolvedRoute,
     server: &ServerEntry,
-    asked_at: Millis,
+    sent_at: Millis,
     reply: &ServerReply,
 ) {
     let Some(log_end) = reply.log_end else { return };
     if fence_if_primary(direct, &route.group, server).is_some() {
-        direct.proxy.registry.record_primary_position(&route.group, asked_at, log_end);
+        direct.proxy.registry.record_primary_position(&route.group, sent_at, log_end);
     }
 }
 
-/// The response to a write or commit that was sent under `fence`.
+/// Returns the response to a write or commit that was sent under `fence`.
 ///
-/// It may be reported as committed only if the node that chooses the next primary can still learn of it; else its
+/// It is reported as committed only if the node that chooses the next primary can still learn its position; else its
 /// outcome is unknown.
 pub(super) fn commit_response(
     direct: &DirectProxy,
@@ -67,34 +68,36 @@
     if acknowledged {
         return StatementResponse::from_reply(reply, TransactionState::Idle);
     }
-    let error = ErrorCode::Unknown.with_detail("another primary is being chosen").with_unknown_outcome();
+    let error = ErrorCode::Unknown
+        .with_detail("a new primary is being chosen, and the commit may be lost")
+        .with_unknown_outcome();
     StatementResponse::failed(error, TransactionState::Idle)
 }
 
-/// The error of a statement whose answer did not come, and of which nothing can have been committed.
+/// Returns the error of a statement that got no reply and cannot have committed anything.
 pub(super) fn unanswered_error(error: &ConnectionError) -> Error {
     match error {
         ConnectionError::Broke(cause) => {
             ErrorCode::ServerFailed.with_detail(cause.kind()).with_retry_after(RETRY_AFTER_DISCONNECT)
         }
-        ConnectionError::TimedOut => ErrorCode::DeadlinePassed.with_detail(NO_ANSWER).with_unknown_outcome(),
+        ConnectionError::TimedOut => ErrorCode::DeadlinePassed.with_detail(NO_REPLY).with_unknown_outcome(),
     }
 }
 
-/// The error of a write or commit whose answer did not come: it may have been committed.
+/// Returns the error of a write or commit that got no reply and may have been committed.
 pub(super) fn in_doubt_error(error: &ConnectionError) -> Error {
     let error = match error {
         ConnectionError::Broke(cause) => ErrorCode::Unknown.with_detail(cause.kind()),
-        ConnectionError::TimedOut => ErrorCode::Unknown.with_detail(NO_ANSWER),
+        ConnectionError::TimedOut => ErrorCode::Unknown.with_detail(NO_REPLY),
     };
     error.with_unknown_outcome()
 }
 
-/// The error of a statement that a server did not run.
+/// Returns the error of a statement that a server did not run.
 pub(super) fn rejection_error(reason: RejectReason) -> Error {
     let error = match reason {
         RejectReason::Busy | RejectReason::TooManyConnections => {
-            ErrorCode::ConnectionsBusy.with_detail("the server has no slot left")
+            ErrorCode::ConnectionsBusy.with_detail("the server is busy or has reached its connection limit")
         }
         RejectReason::Behind => ErrorCode::Stale.without_detail(),
         RejectReason::NotPrimary => ErrorCode::NoPrimary.without_detail(),
@@ -103,15 +106,15 @@
     error.with_retry_after(RETRY_AFTER_REJECTION)
 }
 
-/// The error of a transaction that is rolled back.
+/// Returns the error of a transaction that is rolled back.
 pub(super) fn transaction_lost(cause: &str) -> Error {
     ErrorCode::TransactionLost.with_detail(cause).with_retry_after(RETRY_AFTER_DISCONNECT)
 }
 
-/// The error of a transaction whose statement was not answered.
+/// Returns the error of a transaction in which a statement got no reply.
 pub(super) fn transaction_lost_by(error: &ConnectionError) -> Error {
     match error {
         ConnectionError::Broke(cause) => transaction_lost(&cause.kind().to_string()),
-        ConnectionError::TimedOut => transaction_lost(NO_ANSWER),
+        ConnectionError::TimedOut => transaction_lost(NO_REPLY),
     }
 }
--- a/crates/proxy/src/direct/retry.rs
+++ b/crates/proxy/src/direct/retry.rs
@@ -1,21 +1,21 @@
-//! The pauses between the attempts of one statement.
+//! The backoff between the attempts of one statement.
 use quincehatch_core::Millis;
 use quincehatch_runtime::seam;
 use std::time::Duration;
 
-/// How long a server whose slots are all taken is left alone, at least.
+/// The minimum pause, so that a server that rejected an attempt as busy is not retried at once.
 const MIN_PAUSE: Millis = 3;
 /// The random part of the pause doubles with each attempt up to this many times.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// Pauses that grow with each attempt, with a random part.
+/// Pauses with a fixed minimum and a random part that grows with each attempt.
 #[derive(Default)]
 pub(super) struct Backoff {
     attempts: u32,
 }
 
 impl Backoff {
-    /// Whether no pause was made yet.
+    /// Whether [`Backoff::pause`] was not called yet.
     pub fn is_first_attempt(&self) -> bool {
         self.attempts == 0
     }
--- a/crates/proxy/src/direct/route.rs
+++ b/crates/proxy/src/direct/route.rs
@@ -1,50 +1,50 @@
-//! How statements of one database are routed, and the time limits that follow from it.
+//! The resolved route of a database's statements, and the deadlines that it implies.
 use crate::tenants::ClientKey;
 use quincehatch_config::configuration::{Configuration, Route};
 use quincehatch_core::{Millis, Name};
 use quincehatch_runtime::now;
 
-/// The class of routes that only the primary may serve.
+/// The class of routes whose statements only the primary may run.
 const WRITE_CLASS: &str = "order";
-/// A statement within a transaction is given at least this long, if the route's timeout allows it.
+/// The minimum timeout of a statement within a transaction, which also applies if the route's timeout is shorter.
 const MIN_TRANSACTION_STATEMENT_TIMEOUT: Millis = 200;
-/// No read is sent a second time sooner.
+/// The minimum time before a read is hedged.
 const MIN_HEDGE_DELAY: Millis = 60;
 
-/// A route as a statement follows it, resolved under one version of the configuration.
+/// A route with its defaults and its client, resolved under one version of the configuration.
 #[derive(Clone, Debug)]
 pub struct ResolvedRoute {
     /// The group of servers.
     pub group: Name,
-    /// Only the primary may run the statements.
+    /// Whether only the primary may run the statements.
     pub primary_only: bool,
-    /// How long a statement may take in all.
+    /// The maximum total duration of a statement.
     pub timeout: Millis,
-    /// The route's latency target; its timeout where none is configured.
+    /// The route's latency target; its timeout if no target is configured.
     pub latency_target: Millis,
-    /// How far a replica may lag behind for reads.
+    /// The maximum lag of a replica that serves reads.
     pub max_staleness: Millis,
-    /// After this time an unanswered statement is evidence against its server.
+    /// The time after which a missing reply counts as health evidence against the server.
     pub query_timeout: Millis,
-    /// Among those that wait for a connection; lower numbers are served first.
+    /// The priority in the queue for a connection; lower numbers are served first.
     pub priority: u64,
-    /// The key of the client that follows it.
+    /// The key of the client.
     pub key: ClientKey,
-    /// For whom the statements run; `None` for a client without a tenant on a route that needs no key.
+    /// The tenant of the client; `None` if the route needs no key and the client's key is not a tenant's.
     pub tenant: Option<Name>,
 }
 
-/// The time limits of one statement, on the local clock.
+/// The deadlines of one statement, on the local clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Deadlines {
-    /// It must be under way by then, or is given up at once.
+    /// The time after which no attempt may be started.
     pub start_by: Millis,
-    /// Its answer must be there by then.
+    /// The time by which the reply must have arrived.
     pub finish_by: Millis,
 }
 
 impl Deadlines {
-    /// How much time is left for the answer.
+    /// Returns the time that is left for the reply.
     pub fn time_left(&self) -> Millis {
         self.finish_by.saturating_sub(now())
     }
@@ -56,7 +56,8 @@
 }
 
 impl ResolvedRoute {
-    /// Resolves a route for a client with `key`, who is `tenant`; `None` where its placement names no group.
+    /// Resolves a route for a client with `key`, which belongs to `tenant`. Returns `None` if the route's placement
+    /// names no group.
     pub fn resolve(
         config: &Configuration,
         route: &Route,
@@ -77,15 +78,16 @@
         })
     }
 
-    /// The limits of a statement outside a transaction, or of a commit, that begins now.
+    /// Returns the deadlines of a statement outside a transaction, or of a commit, that starts now.
     pub fn deadlines(&self) -> Deadlines {
         self.deadlines_within(self.timeout)
     }
 
-    /// The limits of a statement within a transaction that begins now.
+    /// Returns the deadlines of a statement within a transaction that starts now.
     ///
-    /// It may go unanswered for less than the route's timeout: nothing of it is committed, so giving it up leaves the
-    /// client time to begin anew. A commit, or a write outside a transaction, has no such way out.
+    /// Its timeout may be shorter than the route's: nothing of the transaction is committed, so aborting it early
+    /// leaves the client time to retry. A commit, or a write outside a transaction, may have been applied and cannot be
+    /// retried.
     pub fn transaction_deadlines(&self) -> Deadlines {
         let longest = self.timeout.max(MIN_TRANSACTION_STATEMENT_TIMEOUT);
         let within = (self.latency_target * 2).clamp(MIN_TRANSACTION_STATEMENT_TIMEOUT, longest);
@@ -93,12 +95,12 @@
     }
 
     fn deadlines_within(&self, within: Millis) -> Deadlines {
-        let began = now();
-        let start_by = began + self.latency_target.min(self.timeout);
-        Deadlines { start_by, finish_by: began + within }
+        let started_at = now();
+        let start_by = started_at + self.latency_target.min(self.timeout);
+        Deadlines { start_by, finish_by: started_at + within }
     }
 
-    /// How long a read waits for its answer before it is sent a second time.
+    /// Returns how long a read waits for its reply before it is hedged.
     pub fn hedge_delay(&self) -> Millis {
         (self.latency_target / 2).max(MIN_HEDGE_DELAY)
     }
--- a/crates/proxy/src/direct/server_choice.rs
+++ b/crates/proxy/src/direct/server_choice.rs
@@ -1,4 +1,4 @@
-//! Which server a statement goes to.
+//! Chooses the server that a statement is sent to.
 use super::DirectProxy;
 use super::route::ResolvedRoute;
 use crate::in_flight::QueueSlot;
@@ -9,21 +9,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// When a client that was rejected for want of a primary is to come again.
-const RETRY_AFTER: Millis = 250;
-/// How long a queued statement waits for a change of the cluster state before it looks again.
+/// When a client may retry after a rejection because there is no primary, no lease or no room in the queue.
+const RETRY_AFTER_NO_PRIMARY: Millis = 250;
+/// How long a queued statement waits for a change of the cluster state before it checks for a primary again.
 const RECHECK_INTERVAL: Millis = 100;
-/// Statements queued for a group where no configuration says how many.
+/// The maximum number of statements queued for a group if there is no configuration.
 const DEFAULT_MAX_WAITING: u64 = 512;
-/// How much more a waiter weighs than a connection that is in use.
+/// The weight of a queued request in a server's load, relative to a connection in use.
 const WAITER_WEIGHT: usize = 2;
 
-/// Whether this node may use a primary that it sees assigned: only under a lease, as else the assignment may be old.
+/// Whether this node may use the assigned primary: only under a lease, as the assignment may be stale otherwise.
 fn may_use_primary(registry: &Registry) -> bool {
     registry.has_lease() || seam::injected_bug("held-lead-unleased")
 }
 
-/// The group's primary at this moment, if this node may use it and it still takes new work.
+/// Returns the group's current primary, if this node may use it and it still accepts new work.
 fn usable_primary(direct: &DirectProxy, group: &str) -> Option<Arc<ServerEntry>> {
     let registry = &direct.proxy.registry;
     let primary = registry.primary(group)?.server?;
@@ -33,7 +33,7 @@
     registry.server(&primary).filter(|server| !server.past_drain_grace())
 }
 
-/// The fence under which this server is the primary now; `None` if it is not, or this node has no lease.
+/// Returns the fence under which this server is the primary now; `None` if it is not, or if this node has no lease.
 pub(super) fn fence_if_primary(
     direct: &DirectProxy,
     group: &str,
@@ -45,7 +45,7 @@
     (assigned && may_use_primary(registry)).then_some(assignment.fence)
 }
 
-/// The same for a server that also takes new work.
+/// Returns the same as [`fence_if_primary`], but `None` also if the server accepts no new work.
 pub(super) fn fence_if_accepting(
     direct: &DirectProxy,
     group: &str,
@@ -54,33 +54,33 @@
     fence_if_primary(direct, group, server).filter(|_| !server.past_drain_grace())
 }
 
-/// The group's primary. While another one is being promoted the caller is queued, until `until`.
+/// Returns the group's primary. While a new primary is being promoted the caller is queued, at most until `deadline`.
 ///
 /// # Errors
-/// Without a lease, without a primary in time, or when the queue is full.
+/// `NoLease` without a lease, `NoPrimary` if there is no primary in time, `QueueFull` when the queue is full.
 pub(super) async fn wait_for_primary(
     direct: &DirectProxy,
     group: &str,
-    until: Millis,
+    deadline: Millis,
 ) -> Result<Arc<ServerEntry>, Error> {
     let registry = &direct.proxy.registry;
     let mut queue_slot = None;
     loop {
-        // Taken before the look, so that no change is missed between the look and the wait.
+        // Registered before the check, so that no change is missed between the check and the wait.
         let changed = registry.changed.notified();
         if let Some(server) = usable_primary(direct, group) {
             return Ok(server);
         }
         if !registry.has_lease() {
-            return Err(rejection(ErrorCode::NoLease));
+            return Err(retryable_error(ErrorCode::NoLease));
         }
-        if now() >= until {
-            return Err(rejection(ErrorCode::NoPrimary));
+        if now() >= deadline {
+            return Err(retryable_error(ErrorCode::NoPrimary));
         }
         if queue_slot.is_none() {
             queue_slot = Some(enter_queue(registry, group)?);
         }
-        let left = until.saturating_sub(now()).clamp(1, RECHECK_INTERVAL);
+        let left = deadline.saturating_sub(now()).clamp(1, RECHECK_INTERVAL);
         let _ = seam::timeout(Duration::from_millis(left), changed).await;
     }
 }
@@ -90,17 +90,17 @@
     let config = state.configuration.as_ref();
     let max_waiting = config.map_or(DEFAULT_MAX_WAITING, |config| config.queue.max_waiting);
     let slot = registry.in_flight.enter_queue(group, max_waiting as usize);
-    slot.ok_or_else(|| rejection(ErrorCode::QueueFull))
+    slot.ok_or_else(|| retryable_error(ErrorCode::QueueFull))
 }
 
-fn rejection(code: ErrorCode) -> Error {
-    code.without_detail().with_retry_after(RETRY_AFTER)
+fn retryable_error(code: ErrorCode) -> Error {
+    code.without_detail().with_retry_after(RETRY_AFTER_NO_PRIMARY)
 }
 
-/// Where a read may run.
+/// A server that may run a read.
 pub(super) struct ReadTarget {
     pub server: Arc<ServerEntry>,
-    /// The position that a replica's log must have reached; `None` for the primary, which needs none.
+    /// The position that a replica's log must have reached; `None` for the primary, whose log is always current.
     pub floor: Option<Position>,
 }
 
@@ -111,8 +111,8 @@
     }
 }
 
-/// The best server for a read among those not in `tried`: a healthy replica, else the primary. With `allow_probation` a
-/// replica on probation comes first.
+/// Returns the best server for a read among those not in `tried`: the least loaded healthy replica, else the primary.
+/// With `allow_probation`, a replica on probation that accepts a request is preferred.
 pub(super) fn choose_read_target(
     direct: &DirectProxy,
     route: &ResolvedRoute,
@@ -164,11 +164,12 @@
     healthy.min_by_key(|server| load(direct, server)).cloned()
 }
 
-/// How busy this proxy keeps the server; between equals one in the proxy's own zone is less.
+/// Returns the load that this proxy puts on the server. A server in the proxy's own zone ranks below an equally loaded
+/// server of another zone.
 fn load(direct: &DirectProxy, server: &ServerEntry) -> usize {
     let pool = &server.direct_pool;
-    let elsewhere = server.zone() != direct.proxy.settings.zone;
-    (pool.checked_out() + pool.waiting() * WAITER_WEIGHT) * 2 + usize::from(elsewhere)
+    let in_other_zone = server.zone() != direct.proxy.settings.zone;
+    (pool.checked_out() + pool.waiting() * WAITER_WEIGHT) * 2 + usize::from(in_other_zone)
 }
 
 fn was_tried(tried: &[Arc<ServerEntry>], server: &Arc<ServerEntry>) -> bool {
--- a/crates/proxy/src/direct/session.rs
+++ b/crates/proxy/src/direct/session.rs
@@ -1,5 +1,4 @@
-//! One client's session: its settings and prepared statements live here and are brought to whatever connection its next
-//! statement runs on.
+//! One client's session: its settings and prepared statements are applied to the connection of its next statement.
 use super::DirectProxy;
 use super::begin::BeginRequest;
 use super::command::{SessionCommand, SessionRequest};
@@ -23,14 +22,14 @@
 
 /// How long a new session waits for its proxy to hold a lease.
 const LEASE_WAIT: Millis = 400;
-/// How long it waits for a change of the cluster state before it looks again.
+/// How long a new session waits for a change of the cluster state before it checks for a lease again.
 const LEASE_RECHECK_INTERVAL: Millis = 25;
 
 /// One client's session.
 pub struct DirectSession {
     direct: Arc<DirectProxy>,
     db: Name,
-    /// The key that the client gave; it is looked up anew for each statement, as it may be revoked.
+    /// The client's key. It is looked up for each statement, as it may be revoked.
     key: ClientKey,
     setup: SessionSetup,
     transaction: SessionTransaction,
@@ -43,16 +42,16 @@
 }
 
 impl DirectSession {
-    /// Opens a session of a database that some route takes, for a client with `key`.
+    /// Opens a session on database `db` for a client with `key`.
     ///
     /// # Errors
-    /// `NotReady` while the proxy holds no lease: the routes and keys it knows may be old, so it must not say that there
-    /// is none. `NoRoute` where no route takes the database, `Unauthenticated` where its route needs another key.
+    /// `NotReady` while the proxy holds no lease: its routes and keys may be stale, so it must not report that there is
+    /// no route. `NoRoute` if no route matches the database, `Unauthenticated` if its route needs another key.
     pub async fn open(direct: &Arc<DirectProxy>, db: &str, key: ClientKey) -> Result<DirectSession, Error> {
-        let until = now() + LEASE_WAIT;
+        let deadline = now() + LEASE_WAIT;
         while !direct.knows_configuration() {
-            if now() >= until {
-                let error = ErrorCode::NotReady.with_detail("no lease yet");
+            if now() >= deadline {
+                let error = ErrorCode::NotReady.with_detail("this proxy holds no lease yet");
                 return Err(error.with_retry_after(RETRY_AFTER_NO_LEASE));
             }
             let changed = direct.proxy.registry.changed.notified();
@@ -69,41 +68,41 @@
         })
     }
 
-    /// The state of its transaction.
+    /// Returns the state of the session's transaction.
     pub fn transaction_state(&self) -> TransactionState {
         self.transaction.state()
     }
 
-    /// Whether it has a server connection checked out.
+    /// Whether the session has a server connection checked out.
     pub fn holds_connection(&self) -> bool {
         self.transaction.holds_connection()
     }
 
-    /// Rolls its transaction back, as it was idle for too long or the proxy stops; the next statement is told so.
+    /// Rolls back the transaction after an idle timeout or at shutdown. The next command but a rollback gets an error.
     pub fn abort_transaction(&mut self) {
         self.transaction.fail();
     }
 
-    /// Carries a command out.
+    /// Executes a command and counts its outcome.
     pub async fn execute(&mut self, request: SessionRequest) -> StatementResponse {
-        let response = self.carry_out(request).await;
+        let response = self.dispatch(request).await;
         self.direct.statement_counts.record(&response);
         response
     }
 
-    async fn carry_out(&mut self, request: SessionRequest) -> StatementResponse {
+    async fn dispatch(&mut self, request: SessionRequest) -> StatementResponse {
         let state = self.transaction_state();
         let id = request.id;
         match request.command {
             SessionCommand::Unknown => StatementResponse::malformed(state),
             SessionCommand::Rollback => self.roll_back(),
             SessionCommand::Commit => self.commit(id).await,
-            // A failed transaction can only be ended.
+            // A failed transaction accepts only a commit or rollback.
             _ if state == TransactionState::Failed => StatementResponse::malformed(state),
             SessionCommand::Begin { read } => self.begin(read),
             SessionCommand::Set { name, value } => {
                 let result = self.setup.set(name, value);
-                self.done_or_failed(result)
+                self.respond(result)
             }
             SessionCommand::Prepare { name, write, template } => self.prepare(name, write, template),
             SessionCommand::Deallocate { name } => self.deallocate(name),
@@ -146,17 +145,17 @@
     }
 
     async fn commit(&mut self, id: Bytes) -> StatementResponse {
-        let response = match self.transaction.take_for_step() {
+        let response = match self.transaction.take_for_command() {
             None => StatementResponse::malformed(TransactionState::Idle),
             Some(Transaction::Failed) => {
-                let error = transaction_lost("it had failed and is rolled back");
+                let error = transaction_lost("the transaction had failed and is rolled back");
                 StatementResponse::failed(error, TransactionState::Idle)
             }
             Some(Transaction::Open(open)) if self.direct.check_tenant(&open.route).is_err() => {
-                StatementResponse::failed(transaction_lost("its key is revoked"), TransactionState::Idle)
+                StatementResponse::failed(transaction_lost("the key is revoked"), TransactionState::Idle)
             }
             Some(Transaction::Open(open)) => open.commit(&self.direct, id).await,
-            // Nothing was run in it; the commit goes to a server all the same, as its success is the server's to report.
+            // Without a statement, the commit is still sent to a server, because only a server may report its success.
             Some(Transaction::Deferred(request)) => {
                 match request.begin(&self.direct, self.setup.settings()).await {
                     Ok(open) => open.commit(&self.direct, id).await,
@@ -168,7 +167,7 @@
         response
     }
 
-    fn done_or_failed(&self, result: Result<(), Error>) -> StatementResponse {
+    fn respond(&self, result: Result<(), Error>) -> StatementResponse {
         match result {
             Ok(()) => StatementResponse::done(self.transaction_state()),
             Err(error) => StatementResponse::failed(error, self.transaction_state()),
@@ -178,10 +177,10 @@
     fn prepare(&mut self, name: Bytes, write: bool, template: Bytes) -> StatementResponse {
         let direct = &self.direct;
         let result = self.setup.prepare(name, || {
-            let own_name = direct.prepared_name(write, &template);
-            PreparedStatement { name: own_name, write, template }
+            let proxy_name = direct.prepared_name(write, &template);
+            PreparedStatement { name: proxy_name, write, template }
         });
-        self.done_or_failed(result)
+        self.respond(result)
     }
 
     fn deallocate(&mut self, name: Bytes) -> StatementResponse {
@@ -194,7 +193,7 @@
 
     async fn run_prepared(&mut self, id: Bytes, name: Bytes, arguments: Bytes) -> StatementResponse {
         let Some(prepared) = self.setup.prepared(&name).cloned() else {
-            // An error of a statement fails the transaction it is in.
+            // A statement's error fails its transaction.
             self.abort_transaction();
             return StatementResponse::not_prepared(name, self.transaction_state());
         };
@@ -204,9 +203,9 @@
     }
 
     async fn run(&mut self, statement: Statement) -> StatementResponse {
-        match self.transaction.take_for_step() {
+        match self.transaction.take_for_command() {
             None => self.run_outside_transaction(&statement).await,
-            // Dropping it rolls back what ran under the key before it was revoked.
+            // On error the transaction is dropped, which rolls back what ran before the key was revoked.
             Some(Transaction::Open(open)) => match self.direct.check_tenant(&open.route) {
                 Ok(()) => self.run_in_transaction(open, &statement).await,
                 Err(error) => StatementResponse::failed(error, TransactionState::Failed),
--- a/crates/proxy/src/direct/session_setup.rs
+++ b/crates/proxy/src/direct/session_setup.rs
@@ -1,10 +1,10 @@
-//! The settings and prepared statements of a session, which are brought to the connection that runs its next statement.
+//! The settings and prepared statements of a session, which are applied to the connection that runs its next statement.
 use super::connection::SessionSettings;
 use bytes::Bytes;
 use quincehatch_core::{Error, ErrorCode, Name};
 use std::collections::HashMap;
 
-/// Settings, and prepared statements, that one session may have.
+/// The maximum number of settings, and of prepared statements, of one session.
 const MAX_ENTRIES: usize = 256;
 
 /// A prepared statement under the proxy's own name for it.
@@ -19,12 +19,12 @@
 #[derive(Default)]
 pub(super) struct SessionSetup {
     settings: SessionSettings,
-    /// By the client's names.
+    /// Prepared statements by the client's names.
     prepared: HashMap<Bytes, PreparedStatement>,
 }
 
 impl SessionSetup {
-    /// The settings.
+    /// Returns the settings.
     pub fn settings(&self) -> &SessionSettings {
         &self.settings
     }
@@ -32,7 +32,7 @@
     /// Sets a setting.
     ///
     /// # Errors
-    /// `TooLarge` when the session has as many settings as it may.
+    /// `TooLarge` when the session has the maximum number of settings.
     pub fn set(&mut self, name: Bytes, value: Bytes) -> Result<(), Error> {
         if self.settings.len() >= MAX_ENTRIES && !self.settings.contains_key(&name) {
             return Err(ErrorCode::TooLarge.with_detail("too many settings"));
@@ -41,15 +41,16 @@
         Ok(())
     }
 
-    /// The prepared statement with this name of the client's.
+    /// Returns the prepared statement to which the client gave this name.
     pub fn prepared(&self, name: &Bytes) -> Option<&PreparedStatement> {
         self.prepared.get(name)
     }
 
-    /// Keeps a prepared statement, in place of an earlier one of that name. It is built only if there is room for it.
+    /// Stores a prepared statement, replacing an earlier one of that name. `build` is called only if the session may
+    /// have another one.
     ///
     /// # Errors
-    /// `TooLarge` when the session has as many as it may.
+    /// `TooLarge` when the session has the maximum number of prepared statements.
     pub fn prepare(&mut self, name: Bytes, build: impl FnOnce() -> PreparedStatement) -> Result<(), Error> {
         if self.prepared.len() >= MAX_ENTRIES && !self.prepared.contains_key(&name) {
             return Err(ErrorCode::TooLarge.with_detail("too many prepared statements"));
@@ -58,7 +59,7 @@
         Ok(())
     }
 
-    /// Forgets a prepared statement. Returns false if there was none of that name.
+    /// Removes a prepared statement. Returns false if there was none of that name.
     pub fn deallocate(&mut self, name: &Bytes) -> bool {
         self.prepared.remove(name).is_some()
     }
--- a/crates/proxy/src/direct/session_transaction.rs
+++ b/crates/proxy/src/direct/session_transaction.rs
@@ -1,15 +1,15 @@
-//! The transaction of a session, as a state machine: none, begun by the client, open at a server, or failed.
+//! The state machine of a session's transaction: none, begun by the client, open at a server, or failed.
 use super::begin::BeginRequest;
 use super::transaction::OpenTransaction;
 use crate::ports::TransactionState;
 
-/// What a session's transaction is in.
+/// The state of a session's transaction.
 pub(super) enum Transaction {
-    /// The client has begun it, and nothing was sent to a server yet.
+    /// The client has begun the transaction, and nothing was sent to a server yet.
     Deferred(BeginRequest),
-    /// It is open at a server.
+    /// The transaction is open at a server.
     Open(Box<OpenTransaction>),
-    /// It failed. Ending it rolls back, and any other command is rejected.
+    /// The transaction failed. A commit or rollback ends it without committing; any other command is rejected.
     Failed,
 }
 
@@ -18,7 +18,7 @@
 pub(super) struct SessionTransaction(Option<Transaction>);
 
 impl SessionTransaction {
-    /// The state as the client sees it.
+    /// Returns the state that is reported to the client.
     pub fn state(&self) -> TransactionState {
         match &self.0 {
             None => TransactionState::Idle,
@@ -27,31 +27,31 @@
         }
     }
 
-    /// Whether it has a server connection checked out.
+    /// Whether the transaction has a server connection checked out.
     pub fn holds_connection(&self) -> bool {
         matches!(self.0, Some(Transaction::Open(_)))
     }
 
-    /// Puts the transaction into this state.
+    /// Replaces the state of the transaction.
     pub fn set(&mut self, transaction: Transaction) {
         self.0 = Some(transaction);
     }
 
-    /// Fails it, if there is one.
+    /// Marks the transaction as failed, if there is one.
     pub fn fail(&mut self) {
         if self.0.is_some() {
             self.0 = Some(Transaction::Failed);
         }
     }
 
-    /// Ends it.
+    /// Ends the transaction and returns its last state.
     pub fn end(&mut self) -> Option<Transaction> {
         self.0.take()
     }
 
-    /// Takes the transaction out for one step of it. Until the step has succeeded the session counts as failed, so that
-    /// after a cancelled step nothing runs outside the transaction.
-    pub fn take_for_step(&mut self) -> Option<Transaction> {
+    /// Takes the transaction out to run one command in it. Until the command has succeeded the transaction counts as
+    /// failed, so that after a cancelled command no later statement runs outside the transaction.
+    pub fn take_for_command(&mut self) -> Option<Transaction> {
         let transaction = self.0.take();
         if transaction.is_some() {
             self.0 = Some(Transaction::Failed);
--- a/crates/proxy/src/direct/single_statement.rs
+++ b/crates/proxy/src/direct/single_statement.rs
@@ -1,13 +1,13 @@
-//! A statement outside a transaction: where it runs, and when it is sent a second time.
+//! Routes a statement outside a transaction to the primary or a replica, and hedges reads.
 use super::primary_statement::run_on_primary;
-use super::replica_read::{TriedServers, run_on_any};
+use super::replica_read::{TriedServers, run_on_any_server};
 use super::response::StatementResponse;
 use super::statement::SingleStatement;
 use quincehatch_runtime::seam;
 use std::pin::pin;
 use std::time::Duration;
 
-/// Runs one statement where its route says. Reads are hedged.
+/// Runs one statement on the servers that its route allows. Reads are hedged.
 pub(super) async fn run_single(run: SingleStatement<'_>) -> StatementResponse {
     run.direct.proxy.retry_budget.earn();
     if run.statement.write {
@@ -17,11 +17,12 @@
         return hedge(run, || run_on_primary(run)).await;
     }
     let tried = TriedServers::default();
-    hedge(run, || run_on_any(run, &tried)).await
+    hedge(run, || run_on_any_server(run, &tried)).await
 }
 
-/// Sends a read that is not answered within half of its latency target a second time, unless the retry budget is spent:
-/// a read of replicas to another server. The first success counts.
+/// Runs a read, and sends it a second time if no response arrives within the hedge delay, the retry budget is not spent
+/// and the tenant's quota allows it. A read that may run on replicas goes to another server the second time. The first
+/// success is returned.
 async fn hedge<F>(run: SingleStatement<'_>, attempt: impl Fn() -> F) -> StatementResponse
 where
     F: Future<Output = StatementResponse>,
@@ -31,7 +32,7 @@
     if let Ok(response) = seam::timeout(delay, first.as_mut()).await {
         return response;
     }
-    if !run.direct.proxy.retry_budget.try_spend() || !run.direct.may_run_twice(run.route) {
+    if !run.direct.proxy.retry_budget.try_spend() || !run.direct.may_hedge(run.route) {
         return first.await;
     }
     let mut second = pin!(attempt());
--- a/crates/proxy/src/direct/statement.rs
+++ b/crates/proxy/src/direct/statement.rs
@@ -1,4 +1,4 @@
-//! One statement on one connection.
+//! Statements, and how one of them runs on one connection.
 use super::DirectProxy;
 use super::connection::{Connection, ConnectionError, SessionSettings};
 use super::monitored_call::CallContext;
@@ -11,7 +11,7 @@
 use quincehatch_core::{Millis, Position};
 use quincehatch_runtime::{now, seam};
 
-/// A read or a write as the client gave it.
+/// A read or write that the client sent.
 #[derive(Clone, Debug)]
 pub(super) struct Statement {
     pub id: Bytes,
@@ -19,11 +19,11 @@
     pub body: StatementBody,
 }
 
-/// The text of a statement.
+/// The content of a statement.
 #[derive(Clone, Debug)]
 pub(super) enum StatementBody {
     Text(Bytes),
-    /// A prepared statement, and what the client gave as its arguments.
+    /// A prepared statement with the client's arguments.
     Prepared {
         prepared: PreparedStatement,
         arguments: Bytes,
@@ -31,7 +31,8 @@
 }
 
 impl Statement {
-    /// The call that runs it. A floor is for reads: the server rejects the call if its log has not reached it.
+    /// Returns the call that runs the statement. `floor` applies only to reads: the server rejects the call if its log
+    /// has not reached that position.
     fn to_call(&self, floor: Option<Position>) -> ServerCall {
         let id = self.id.clone();
         let floor = floor.filter(|_| !self.write && !seam::injected_bug("held-no-floor"));
@@ -44,31 +45,31 @@
     }
 }
 
-/// A statement outside a transaction, with all that its attempts need.
+/// A statement outside a transaction, with the context that all its attempts share.
 #[derive(Clone, Copy)]
 pub(super) struct SingleStatement<'a> {
     pub direct: &'a DirectProxy,
     pub route: &'a ResolvedRoute,
     pub settings: &'a SessionSettings,
     pub statement: &'a Statement,
-    /// Nothing is sent to a server before it is granted.
+    /// The statement is not sent to a server before this is granted.
     pub admission: &'a OperationAdmission<'a>,
 }
 
-/// What is to run on a connection, and in which state of the session.
+/// One execution of a statement on a connection.
 pub(super) struct Execution<'a> {
     pub statement: &'a Statement,
     pub settings: &'a SessionSettings,
-    /// The position that the server's log must have reached.
+    /// The position that the server's log must have reached, if any.
     pub floor: Option<Position>,
-    /// A transaction is open on the connection.
+    /// Whether a transaction is open on the connection.
     pub in_transaction: bool,
-    /// The answer must be there by then.
+    /// The time by which the reply must have arrived.
     pub finish_by: Millis,
 }
 
 impl<'a> Execution<'a> {
-    /// A statement outside a transaction.
+    /// Creates the execution of a statement outside a transaction.
     pub fn single(run: SingleStatement<'a>, floor: Option<Position>, finish_by: Millis) -> Self {
         let SingleStatement { statement, settings, .. } = run;
         Execution { statement, settings, floor, in_transaction: false, finish_by }
@@ -79,18 +80,18 @@
     }
 }
 
-/// How far a statement came on a connection.
+/// The result of an execution.
 pub(super) enum StatementAttempt {
-    /// The server answered.
+    /// The server replied.
     Replied(ServerReply),
-    /// Nothing of the statement itself was sent.
+    /// Setting up the connection failed; the statement itself was not sent.
     NotSent(ConnectionError),
-    /// It was sent, and no answer came.
+    /// The statement was sent, and no reply arrived.
     Unanswered(ConnectionError),
 }
 
 impl Connection {
-    /// Brings the connection into the session's state and runs the statement there.
+    /// Applies the session's settings and prepared statement to the connection, and runs the statement on it.
     pub(super) async fn execute(
         &mut self,
         context: &CallContext<'_>,
@@ -117,7 +118,7 @@
         execution: &Execution<'_>,
     ) -> Result<(), ConnectionError> {
         if execution.in_transaction {
-            // No reset: it would end the transaction.
+            // The connection is not reset here, as that would end the transaction.
             self.set_changed(context, execution.settings, execution.time_left()).await?;
         } else {
             self.apply_settings(context, execution.settings, execution.time_left()).await?;
--- a/crates/proxy/src/direct/statement_counts.rs
+++ b/crates/proxy/src/direct/statement_counts.rs
@@ -1,20 +1,20 @@
-//! How the statements of direct sessions ended, counted for metrics.
+//! Counts the commands of direct sessions by outcome, for metrics.
 use super::response::{StatementError, StatementResponse};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
-/// How a statement ended.
+/// The outcome of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StatementOutcome {
-    /// It succeeded.
+    /// The command succeeded.
     Succeeded,
-    /// The server rejected it, or it was malformed.
+    /// The server rejected the command, or it named a prepared statement that does not exist.
     ServerRejected,
-    /// The proxy rejected it with this error code.
+    /// The proxy reported an error with this code.
     Code(u16),
 }
 
-/// Statements by outcome since the process began.
+/// The number of commands by outcome since the process started.
 #[derive(Debug, Default)]
 pub struct StatementCounts(Mutex<BTreeMap<StatementOutcome, u64>>);
 
@@ -28,7 +28,7 @@
         *self.0.lock().unwrap().entry(outcome).or_default() += 1;
     }
 
-    /// The counts of this moment.
+    /// Returns a snapshot of the counts.
     pub fn counts(&self) -> BTreeMap<StatementOutcome, u64> {
         self.0.lock().unwrap().clone()
     }
--- a/crates/proxy/src/direct/transaction.rs
+++ b/crates/proxy/src/direct/transaction.rs
@@ -1,4 +1,4 @@
-//! A transaction that is open at a server: one connection from its first statement to its end.
+//! A transaction that is open at a server, which uses one connection from its first statement to its end.
 use super::DirectProxy;
 use super::connection::SessionSettings;
 use super::monitored_call::{CallContext, PrimaryTerm};
@@ -26,14 +26,14 @@
     pub(super) route: ResolvedRoute,
     pub(super) wrote: bool,
     pub(super) on_primary: bool,
-    /// The fence under which its server was the primary when it began.
+    /// The fence under which the server was the primary when the transaction began.
     pub(super) fence: FencingToken,
-    /// Held until the transaction has ended; `None` where it only reads on a replica.
+    /// Counts the transaction as in flight until it has ended; `None` if it only reads and may run on a replica.
     pub(super) _in_flight: Option<InFlightGuard>,
 }
 
 impl OpenTransaction {
-    /// Runs one statement. After an error the transaction has failed, unless the server says that it is still open.
+    /// Runs one statement. After an error the transaction has failed, unless the server reports it as still open.
     pub async fn run(
         &mut self,
         direct: &DirectProxy,
@@ -52,16 +52,16 @@
                 finish_by: deadlines.finish_by,
             };
             let context = call_context(direct, &self.server, &self.route, self.primary_fence());
-            let asked_at = now();
+            let sent_at = now();
             let reply = match self.checkout.connection.execute(&context, &execution).await {
                 StatementAttempt::Replied(reply) => reply,
-                // Nothing of it was committed, and closing the connection rolls it back.
+                // Nothing of the transaction was committed, and closing the connection rolls it back.
                 StatementAttempt::NotSent(error) | StatementAttempt::Unanswered(error) => {
                     let error = transaction_lost_by(&error);
                     return StatementResponse::failed(error, TransactionState::Failed);
                 }
             };
-            self.record_position(direct, asked_at, &reply);
+            self.record_position(direct, sent_at, &reply);
             let still_open = reply.transaction_state == TransactionState::Open;
             let retriable =
                 matches!(reject_reason(&reply), Some(RejectReason::Busy | RejectReason::Unprepared));
@@ -69,7 +69,8 @@
                 backoff.pause().await;
                 continue;
             }
-            // What the server rolled back by itself is rolled back; closing the connection makes it certain.
+            // If the server does not report the transaction as open, the connection is closed, so that it is rolled
+            // back.
             let state = if still_open { TransactionState::Open } else { TransactionState::Failed };
             return StatementResponse::from_reply(reply, state);
         }
@@ -82,36 +83,38 @@
         let commit = ServerCall::Commit { id };
         loop {
             let context = call_context(direct, &self.server, &self.route, self.primary_fence());
-            let asked_at = now();
+            let sent_at = now();
             let reply = match self.checkout.connection.call(&context, &commit, deadlines.time_left()).await {
                 Ok(reply) => reply,
                 Err(error) => {
                     let error = if self.wrote {
                         in_doubt_error(&error)
                     } else {
-                        transaction_lost("its connection broke")
+                        transaction_lost("the server did not reply to the commit")
                     };
                     return StatementResponse::failed(error, TransactionState::Idle);
                 }
             };
-            self.record_position(direct, asked_at, &reply);
+            self.record_position(direct, sent_at, &reply);
             let busy = reject_reason(&reply) == Some(RejectReason::Busy);
             let still_open = reply.transaction_state == TransactionState::Open;
             if busy && still_open && !deadlines.start_passed() {
                 backoff.pause().await;
                 continue;
             }
-            return self.committed(direct, reply);
+            return self.commit_reply_response(direct, reply);
         }
     }
 
-    fn committed(self, direct: &DirectProxy, reply: ServerReply) -> StatementResponse {
+    /// Returns the response to a commit that got `reply`.
+    fn commit_reply_response(self, direct: &DirectProxy, reply: ServerReply) -> StatementResponse {
         if leaves_idle(&reply) {
             self.checkout.check_in();
         }
         if reject_reason(&reply).is_some_and(was_not_run) {
-            // The commit was not run, and its connection is rolled back or closed: nothing is committed.
-            let error = transaction_lost("the commit was not run");
+            // The commit was not run, and the transaction is rolled back or its connection closed: nothing is
+            // committed.
+            let error = transaction_lost("the server did not run the commit");
             return StatementResponse::failed(error, TransactionState::Idle);
         }
         if self.wrote {
@@ -120,10 +123,10 @@
         StatementResponse::from_reply(reply, TransactionState::Idle)
     }
 
-    /// Rolls back in the background; the client need not wait for it.
+    /// Rolls the transaction back in a background task, so that the client does not wait for it.
     pub fn roll_back(self: Box<Self>, direct: Arc<DirectProxy>) {
         seam::spawn(async move {
-            // All of it moves into the task, so that the work counts as in flight until it is rolled back.
+            // The task owns the whole transaction, so that it counts as in flight until it is rolled back.
             let mut open = *self;
             let context = CallContext::new(&direct, &open.server, &open.route);
             let within = open.route.timeout;
@@ -138,14 +141,15 @@
         self.on_primary.then_some(self.fence)
     }
 
-    fn record_position(&self, direct: &DirectProxy, asked_at: Millis, reply: &ServerReply) {
+    fn record_position(&self, direct: &DirectProxy, sent_at: Millis, reply: &ServerReply) {
         if self.on_primary {
-            record_primary_position(direct, &self.route, &self.server, asked_at, reply);
+            record_primary_position(direct, &self.route, &self.server, sent_at, reply);
         }
     }
 }
 
-/// The context of a call in a transaction that began on the primary under `fence`, or on a replica.
+/// Returns the context of a call in a transaction that began on the primary under `fence`, or on a replica if that is
+/// `None`.
 fn call_context<'a>(
     direct: &'a DirectProxy,
     server: &'a Arc<ServerEntry>,
--- a/crates/proxy/src/direct/waiters.rs
+++ b/crates/proxy/src/direct/waiters.rs
@@ -1,4 +1,4 @@
-//! Those that wait for a connection to one server.
+//! The queue of requests that wait for a connection to one server.
 use super::connection::Connection;
 use super::pool::Handover;
 use quincehatch_core::{Millis, Name};
@@ -6,27 +6,27 @@
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 
-/// Whoever has waited so long is overtaken no more.
-const MAX_OVERTAKEN: Millis = 30;
+/// A waiter that has been queued for this long is no longer overtaken.
+const MAX_OVERTAKE_WAIT: Millis = 30;
 
-/// Who is served first: by priority, then by age.
+/// The sort key of a waiter: waiters are served by priority, then in order of arrival.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct WaiterKey {
     priority: u64,
     ticket: u64,
 }
 
-/// One that waits.
-pub(super) struct Waiting {
+/// A request in the queue.
+pub(super) struct QueuedWaiter {
     pub tenant: Option<Name>,
     pub sender: oneshot::Sender<Handover>,
-    since: Millis,
+    queued_at: Millis,
 }
 
-/// Those that wait, in the order in which they are served.
+/// The queue, in the order in which waiters are served.
 #[derive(Default)]
 pub(super) struct Waiters {
-    by_key: BTreeMap<WaiterKey, Waiting>,
+    by_key: BTreeMap<WaiterKey, QueuedWaiter>,
     next_ticket: u64,
 }
 
@@ -43,7 +43,7 @@
     ) -> WaiterKey {
         let key = WaiterKey { priority, ticket: self.next_ticket };
         self.next_ticket += 1;
-        self.by_key.insert(key, Waiting { tenant, sender, since: now() });
+        self.by_key.insert(key, QueuedWaiter { tenant, sender, queued_at: now() });
         key
     }
 
@@ -51,27 +51,28 @@
         self.by_key.remove(&key);
     }
 
-    /// Takes the one out that is served next. `connection` is there for it, if it is its tenant's.
+    /// Removes and returns the waiter to serve next. `connection` is the free connection, if there is one; only a
+    /// waiter of its tenant can use it.
     ///
-    /// To open another takes a server longer than a statement does. So one of the connection's tenant goes before others
-    /// of its priority, as long as the first of these has not waited for [`MAX_OVERTAKEN`]. At a congested server nobody
-    /// else is taken for a connection.
+    /// Opening a connection takes a server longer than a statement. Therefore a waiter of the connection's tenant may
+    /// overtake others of its priority, until the first of these has waited for [`MAX_OVERTAKE_WAIT`]. At a congested
+    /// server only a waiter of the connection's tenant is returned when there is a connection.
     pub fn take_next(
         &mut self,
         now: Millis,
         connection: Option<&Connection>,
         is_congested: bool,
-    ) -> Option<Waiting> {
+    ) -> Option<QueuedWaiter> {
         let (first_key, first) = self.by_key.first_key_value()?;
-        let may_be_overtaken = is_congested || now < first.since + MAX_OVERTAKEN;
+        let may_be_overtaken = is_congested || now < first.queued_at + MAX_OVERTAKE_WAIT;
         let same_tenant = |connection: &Connection| {
             let mut of_priority =
                 self.by_key.iter().take_while(|(key, _)| key.priority == first_key.priority);
             of_priority.find(|(_, waiting)| waiting.tenant == connection.tenant).map(|(key, _)| *key)
         };
         let overtaking = connection.filter(|_| may_be_overtaken).and_then(same_tenant);
-        let first_in_turn = (connection.is_none() || !is_congested).then_some(*first_key);
-        let key = overtaking.or(first_in_turn)?;
+        let first_in_queue = (connection.is_none() || !is_congested).then_some(*first_key);
+        let key = overtaking.or(first_in_queue)?;
         self.by_key.remove(&key)
     }
 }
--- a/crates/proxy/src/tenants/admission.rs
+++ b/crates/proxy/src/tenants/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of tenants' operations at this node, and its settlements with the tail.
+//! Admits tenants' operations at this node under their quotas, and settles their tokens with the tail of the chain.
 use quincehatch_core::{Error, ErrorCode, Millis, Name};
 use quincehatch_quota::{Admission, AdmissionTotals, Allowances, Claim, Settlement};
 use quincehatch_runtime::{now, seam};
@@ -7,53 +7,56 @@
 use std::time::Duration;
 use tokio::sync::{Notify, OnceCell};
 
-/// An operation that finds no token waits so long for the tail before it runs on credit, if its tenant has any.
+/// How long an operation without a token waits for the tail before it runs on credit, if its tenant has credit left.
 const CREDIT_AFTER: Millis = 30;
-/// Without credit it waits so long in all; then it is rejected. The tail may be busy with a long configuration.
+/// How long an operation without a token or credit waits in total before it is rejected. The tail may be busy with a
+/// long configuration.
 const MAX_WAIT: Millis = 300;
-/// When a client may come again after its tenant was at its limit.
+/// When a client may retry after a rejection because its tenant is at its limit.
 const RETRY_AFTER_REJECTION: Millis = 1_000;
 
-/// What tenants may run at this node.
+/// Admits the operations of tenants at this node.
 #[derive(Default)]
 pub struct QuotaGate {
     allowances: Mutex<Allowances>,
-    /// An operation waits for a settlement.
+    /// Notified when an operation waits for a settlement.
     wanted: Notify,
-    /// A settlement has ended.
+    /// Notified when a settlement has ended.
     settled: Notify,
 }
 
-/// An operation on its way: it has its token, or waits for one while its connection to a server is made ready.
+/// The admission of one operation, which has its token or waits for one. The caller can check out a server connection
+/// while it waits.
 pub struct OperationAdmission<'a> {
     waiting: Option<WaitingOperation<'a>>,
+    /// The result of the wait, shared by the attempts of the operation.
     result: OnceCell<Result<(), Error>>,
 }
 
-/// An operation that waits. It counts as one until it was admitted or rejected, or this is dropped.
+/// An operation that waits for a token. It counts as waiting until it is admitted or rejected, or this is dropped.
 struct WaitingOperation<'a> {
     gate: &'a QuotaGate,
     tenant: &'a Name,
-    began: Millis,
-    is_over: AtomicBool,
+    started_at: Millis,
+    is_finished: AtomicBool,
 }
 
 impl Drop for WaitingOperation<'_> {
     fn drop(&mut self) {
-        self.stop();
+        self.finish();
     }
 }
 
 impl OperationAdmission<'_> {
-    /// The operation needs no token, or has it.
+    /// Returns the admission of an operation that needs no token or already has one.
     pub fn granted() -> OperationAdmission<'static> {
         OperationAdmission { waiting: None, result: OnceCell::new() }
     }
 
-    /// Waits for the token. Nothing of the operation may run before.
+    /// Waits for the token. Nothing of the operation may run before this returns.
     ///
     /// # Errors
-    /// `QuotaExceeded` where the tenant turns out to be at its limit. Nothing was run.
+    /// `QuotaExceeded` if the tenant is at its limit.
     pub async fn wait(&self) -> Result<(), Error> {
         let Some(waiting) = &self.waiting else { return Ok(()) };
         self.result.get_or_init(|| waiting.wait()).await.clone()
@@ -63,38 +66,38 @@
 impl WaitingOperation<'_> {
     async fn wait(&self) -> Result<(), Error> {
         loop {
-            // Taken before the look, so that no settlement is missed between the look and the wait.
+            // Registered before the check, so that no settlement is missed between the check and the wait.
             let settled = self.gate.settled.notified();
-            let admission = self.look();
+            let admission = self.try_admit();
             if admission != Admission::Wait {
-                self.stop();
+                self.finish();
                 return to_result(admission);
             }
             self.gate.wanted.notify_one();
-            let waited = now() - self.began;
-            let limit = if waited < CREDIT_AFTER { CREDIT_AFTER } else { MAX_WAIT };
-            let left = Duration::from_millis(limit.saturating_sub(waited).max(1));
+            let elapsed = now() - self.started_at;
+            let limit = if elapsed < CREDIT_AFTER { CREDIT_AFTER } else { MAX_WAIT };
+            let left = Duration::from_millis(limit.saturating_sub(elapsed).max(1));
             let _ = seam::timeout(left, settled).await;
         }
     }
 
-    fn stop(&self) {
-        if !self.is_over.swap(true, Ordering::SeqCst) {
+    fn finish(&self) {
+        if !self.is_finished.swap(true, Ordering::SeqCst) {
             self.gate.allowances.lock().unwrap().stop_waiting(self.tenant);
         }
     }
 
-    fn look(&self) -> Admission {
+    fn try_admit(&self) -> Admission {
         let mut allowances = self.gate.allowances.lock().unwrap();
         let admission = allowances.admit_waiting(now(), self.tenant);
-        let waited = now() - self.began;
-        if admission != Admission::Wait || waited < CREDIT_AFTER {
+        let elapsed = now() - self.started_at;
+        if admission != Admission::Wait || elapsed < CREDIT_AFTER {
             return admission;
         }
         if allowances.borrow(now(), self.tenant) {
             return Admission::Admitted;
         }
-        if waited < MAX_WAIT {
+        if elapsed < MAX_WAIT {
             return Admission::Wait;
         }
         allowances.reject(self.tenant);
@@ -103,37 +106,38 @@
 }
 
 impl QuotaGate {
-    /// Begins to admit an operation of a tenant that has a limit.
+    /// Takes a token for an operation of a tenant that has a limit, or starts to wait for one.
     ///
     /// # Errors
-    /// `QuotaExceeded` where the tenant is known to be at its limit. Nothing was run.
+    /// `QuotaExceeded` if this node already knows that the tenant is at its limit.
     pub fn admit<'a>(&'a self, tenant: &'a Name) -> Result<OperationAdmission<'a>, Error> {
         let admission = self.allowances.lock().unwrap().admit(now(), tenant);
         if admission != Admission::Wait {
             return to_result(admission).map(|()| OperationAdmission::granted());
         }
         self.wanted.notify_one();
-        let waiting = WaitingOperation { gate: self, tenant, began: now(), is_over: AtomicBool::new(false) };
+        let waiting =
+            WaitingOperation { gate: self, tenant, started_at: now(), is_finished: AtomicBool::new(false) };
         Ok(OperationAdmission { waiting: Some(waiting), result: OnceCell::new() })
     }
 
-    /// Takes a token for a second copy of a statement, if one is at hand.
+    /// Takes a token for a hedge of a statement, if one is available without waiting.
     pub fn take_spare(&self, tenant: &Name) -> bool {
         self.allowances.lock().unwrap().take_spare(now(), tenant)
     }
 
-    /// Waits until an operation wants a settlement.
+    /// Waits until an operation needs a settlement.
     pub async fn wanted(&self) {
         self.wanted.notified().await;
     }
 
-    /// The claims of a settlement, which is to end with [`QuotaGate::end_settlement`]; empty if there is nothing to
-    /// settle. `interval`: time between settlements.
+    /// Begins a settlement and returns its claims, which are empty if there is nothing to settle. The settlement ends
+    /// with [`QuotaGate::end_settlement`]. `interval` is the time between settlements.
     pub fn begin_settlement(&self, interval: Millis) -> Vec<Claim> {
         self.allowances.lock().unwrap().begin_settlement(now(), interval)
     }
 
-    /// The settlement has ended; `None` if no tail has answered.
+    /// Ends the settlement with the tail's reply; `None` if the tail did not reply.
     pub fn end_settlement(&self, settlement: Option<&Settlement>) {
         let mut allowances = self.allowances.lock().unwrap();
         match settlement {
@@ -144,7 +148,7 @@
         self.settled.notify_waiters();
     }
 
-    /// What became of operations that were settled, or were to be.
+    /// Returns the number of operations by their admission result.
     pub fn totals(&self) -> AdmissionTotals {
         self.allowances.lock().unwrap().totals()
     }
--- a/crates/proxy/src/tenants/client_key.rs
+++ b/crates/proxy/src/tenants/client_key.rs
@@ -1,20 +1,21 @@
-//! The key that a client has given, of which only the digest is held.
+//! The key that a client sent, of which only the digest is stored.
 use quincehatch_config::key_digest::KeyDigest;
 
-/// What a session holds of its client's key.
+/// The digest of a client's key, if it sent one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClientKey(Option<KeyDigest>);
 
 impl ClientKey {
-    /// A client that gave no key.
+    /// The value for a client that sent no key.
     pub const NONE: ClientKey = ClientKey(None);
 
-    /// The key as the client sent it. One that no tenant can have, as it is empty or too long, counts as none.
+    /// Computes the digest of the key that the client sent. An empty or too long key, which no tenant can have, counts
+    /// as none.
     pub fn new(key: &[u8]) -> ClientKey {
         ClientKey(KeyDigest::of(key))
     }
 
-    /// The digest of the key.
+    /// Returns the digest of the key.
     pub fn digest(self) -> Option<KeyDigest> {
         self.0
     }
--- a/crates/proxy/src/tenants/directory.rs
+++ b/crates/proxy/src/tenants/directory.rs
@@ -1,4 +1,4 @@
-//! The tenants of one version of the configuration, by their keys.
+//! Looks up the tenants of one version of the configuration by their keys.
 use super::ClientKey;
 use quincehatch_config::configuration::{Configuration, Route, limits};
 use quincehatch_config::key_digest::KeyDigest;
@@ -6,17 +6,17 @@
 use quincehatch_quota::Limit;
 use std::collections::{BTreeMap, HashMap};
 
-/// Whose key is whose, under one version of the configuration.
+/// Maps keys to tenants, under one version of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct TenantDirectory {
     require_keys: bool,
     tenant_by_key: HashMap<KeyDigest, Name>,
-    /// Those that have a limit.
+    /// The limits of the tenants that have one.
     limits: BTreeMap<Name, Limit>,
 }
 
 impl TenantDirectory {
-    /// The directory of a configuration that was validated.
+    /// Creates the directory of a validated configuration.
     pub fn of(configuration: &Configuration) -> TenantDirectory {
         let mut tenant_by_key = HashMap::new();
         for tenant in &configuration.tenants {
@@ -27,26 +27,26 @@
         TenantDirectory { require_keys: configuration.require_keys, tenant_by_key, limits }
     }
 
-    /// How many keys are in force.
+    /// Returns the number of keys in force.
     pub fn key_count(&self) -> usize {
         self.tenant_by_key.len()
     }
 
-    /// Whether the tenant's operations are counted.
+    /// Whether the tenant has a limit, so that its operations are counted.
     pub fn has_limit(&self, tenant: &Name) -> bool {
         self.limits.contains_key(tenant)
     }
 
-    /// The tenant that has this key.
+    /// Returns the tenant to which the key belongs.
     pub fn tenant_of(&self, key: ClientKey) -> Option<&Name> {
         self.tenant_by_key.get(&key.digest()?)
     }
 
-    /// For whom a client with this key uses the route; `None` where the route needs no key and the client has none that
-    /// is known.
+    /// Returns the tenant for which a client with this key uses the route; `None` if the route needs no key and the key
+    /// is no tenant's.
     ///
     /// # Errors
-    /// `Unauthenticated` where the route needs a key and this one is no tenant's.
+    /// `Unauthenticated` if the route needs a key and this one is no tenant's.
     pub fn authenticate(&self, route: &Route, key: ClientKey) -> Result<Option<Name>, Error> {
         let tenant = self.tenant_of(key).cloned();
         if self.require_keys && !route.public && tenant.is_none() {
--- a/crates/proxy/src/tenants/mod.rs
+++ b/crates/proxy/src/tenants/mod.rs
@@ -1,4 +1,4 @@
-//! Tenants: whose key a client has given, and how much its tenant may run.
+//! Tenants: authentication of clients by key, and admission of operations under the tenants' quotas.
 mod admission;
 mod client_key;
 mod directory;
--- a/crates/proxy/tests/direct_connections.rs
+++ b/crates/proxy/tests/direct_connections.rs
@@ -66,11 +66,11 @@
 }
 
 fn request(settings: &SessionSettings) -> CheckoutRequest<'_> {
-    CheckoutRequest { tenant: None, settings, priority: 1, until: now() + 1_000 }
+    CheckoutRequest { tenant: None, settings, priority: 1, deadline: now() + 1_000 }
 }
 
-/// A waiter may be gone when its connection comes (as that of a read whose hedge was answered): the connection is handed
-/// on, and not counted any more. Once a proxy gave out no connection of one server until it was restarted.
+/// A waiter may be gone when its connection comes (as that of a read whose hedge was answered): the connection is
+/// handed on, and not counted any more. Once a proxy gave out no connection of one server until it was restarted.
 #[tokio::test]
 async fn a_connection_is_not_lost_when_the_waiter_it_was_handed_to_is_gone() {
     let fixture = Fixture::new();
@@ -116,8 +116,8 @@
 }
 
 /// A server whose queue was full stayed overloaded: statements took longer, so each node had more of them at once and
-/// opened more connections for them, and each new one took twice a statement's time of the server. In a fleet of 300 the
-/// busiest server rejected 114,000 of 253,000 arrivals, where nine tenths of its load would have fitted.
+/// opened more connections for them, and each new one took twice a statement's time of the server. In a fleet of 300
+/// the busiest server rejected 114,000 of 253,000 arrivals, where nine tenths of its load would have fitted.
 #[tokio::test]
 async fn a_congested_server_is_asked_for_no_second_connection() {
     let fixture = Fixture::new();
