--- a/crates/proxy/src/direct/check_out.rs
+++ b/crates/proxy/src/direct/check_out.rs
@@ -57,8 +57,8 @@
     }
 }
 
-/// Checks out a connection to `server`. A connection of another tenant is never returned: a server is told the tenant
-/// once, when the connection is opened.
+/// Checks out a connection to `server`. A connection of another tenant is never returned, because the tenant is sent to
+/// the server only once, when the connection is opened.
 ///
 /// # Errors
 /// A [`CheckoutError`]. A failed attempt to open a connection is not retried here, as the caller may prefer another
--- a/crates/proxy/tests/direct_calls.rs
+++ b/crates/proxy/tests/direct_calls.rs
@@ -1,5 +1,5 @@
-//! Every way in which up to two of a session's calls to its server can fail or be cancelled: a write runs once, what the
-//! client is told is true, and no connection is used while a reply is pending on it.
+//! Runs sessions with every combination of up to two failed or cancelled server calls. Checks that a write runs at most
+//! once, that responses report its outcome correctly, and that no connection is used while a reply is pending on it.
 #[allow(dead_code, reason = "each test file uses a part of the fake servers")]
 mod fake_servers;
 mod virtual_time;
@@ -12,48 +12,50 @@
 use std::cell::Cell;
 use virtual_time::VirtualWorld;
 
-/// What becomes of one call; one without a reply may be waited for or cancelled.
+/// The outcome of one call to the server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
-    Answered,
+enum CallOutcome {
+    Succeeded,
     Busy,
     NotPrimary,
     DisconnectBefore,
     DisconnectAfter,
+    /// No reply arrives, and the session waits until its timeout.
     NoReply,
+    /// No reply arrives, and the command is cancelled.
     Cancelled,
 }
 
-const FAULTS: [Fate; 6] = [
-    Fate::Busy,
-    Fate::NotPrimary,
-    Fate::DisconnectBefore,
-    Fate::DisconnectAfter,
-    Fate::NoReply,
-    Fate::Cancelled,
+const FAULTS: [CallOutcome; 6] = [
+    CallOutcome::Busy,
+    CallOutcome::NotPrimary,
+    CallOutcome::DisconnectBefore,
+    CallOutcome::DisconnectAfter,
+    CallOutcome::NoReply,
+    CallOutcome::Cancelled,
 ];
-/// Calls of one run whose fate is chosen.
+/// The number of calls of one run whose outcome is chosen.
 const CALLS: usize = 5;
 
-impl Fate {
+impl CallOutcome {
     fn fault(self) -> Fault {
         match self {
-            Fate::Answered => Fault::None,
-            Fate::Busy => Fault::Reject(RejectReason::Busy),
-            Fate::NotPrimary => Fault::Reject(RejectReason::NotPrimary),
-            Fate::DisconnectBefore => Fault::DisconnectBefore,
-            Fate::DisconnectAfter => Fault::DisconnectAfter,
-            Fate::NoReply | Fate::Cancelled => Fault::NoReply,
+            CallOutcome::Succeeded => Fault::None,
+            CallOutcome::Busy => Fault::Reject(RejectReason::Busy),
+            CallOutcome::NotPrimary => Fault::Reject(RejectReason::NotPrimary),
+            CallOutcome::DisconnectBefore => Fault::DisconnectBefore,
+            CallOutcome::DisconnectAfter => Fault::DisconnectAfter,
+            CallOutcome::NoReply | CallOutcome::Cancelled => Fault::NoReply,
         }
     }
 }
 
-/// All sequences of fates with at most two faults among the first calls.
-fn all_fates() -> Vec<Vec<Fate>> {
-    let mut all = vec![vec![Fate::Answered; CALLS]];
+/// Returns all sequences of [`CALLS`] outcomes with at most two faults.
+fn all_outcome_sequences() -> Vec<Vec<CallOutcome>> {
+    let mut all = vec![vec![CallOutcome::Succeeded; CALLS]];
     for first in 0..CALLS {
         for fault in FAULTS {
-            let mut one = vec![Fate::Answered; CALLS];
+            let mut one = vec![CallOutcome::Succeeded; CALLS];
             one[first] = fault;
             all.push(one.clone());
             for second in first + 1..CALLS {
@@ -77,8 +79,9 @@
     ]
 }
 
-/// The units of work that sessions do; the mark tells the texts of one unit from another's.
-fn units(mark: &str) -> Vec<Vec<SessionCommand>> {
+/// Returns the units of work that sessions run: single statements and transactions. `mark` makes the texts of a unit
+/// unique.
+fn work_units(mark: &str) -> Vec<Vec<SessionCommand>> {
     let begin = || SessionCommand::Begin { read: false };
     vec![
         vec![write(mark)],
@@ -90,45 +93,53 @@
     ]
 }
 
-struct Run<'a> {
+struct Scenario<'a> {
     world: &'a VirtualWorld,
     fixture: &'a Fixture,
-    fates: &'a [Fate],
+    outcomes: &'a [CallOutcome],
 }
 
-impl Run<'_> {
-    /// Calls whose fate was used so far.
-    fn calls(&self) -> usize {
+impl Scenario<'_> {
+    /// Returns the number of calls whose chosen outcome was used so far.
+    fn used_calls(&self) -> usize {
         let left = self.fixture.group.with_server("s1", |server| server.faults.len());
         CALLS - left.min(CALLS)
     }
 
-    /// Carries one command out; `None` where it was cancelled.
-    fn step(&self, session: &mut DirectSession, command: SessionCommand) -> Option<StatementResponse> {
-        let before = Cell::new(self.calls());
+    /// Executes one command. Returns `None` if it was cancelled.
+    fn execute_command(
+        &self,
+        session: &mut DirectSession,
+        command: SessionCommand,
+    ) -> Option<StatementResponse> {
+        let before = Cell::new(self.used_calls());
         let cancelled = || {
-            let used = self.calls();
-            let fates = &self.fates[before.get().min(used)..used];
+            let used = self.used_calls();
+            let outcomes = &self.outcomes[before.get().min(used)..used];
             before.set(used);
-            fates.contains(&Fate::Cancelled)
+            outcomes.contains(&CallOutcome::Cancelled)
         };
         self.world.run(execute(session, command), cancelled)
     }
 
-    fn times_committed(&self, text: &str) -> usize {
+    fn commit_count(&self, text: &str) -> usize {
         self.fixture.committed().iter().filter(|committed| *committed == text).count()
     }
 
-    fn times_run(&self, text: &str) -> usize {
+    fn run_count(&self, text: &str) -> usize {
         let ran = ["s1", "s2", "s3"].iter().flat_map(|server| self.fixture.ran(server));
         ran.filter(|ran| ran.starts_with(text)).count()
     }
 
-    /// Carries the commands out up to the first that fails; the response to the last, unless it was cancelled.
-    fn unit(&self, session: &mut DirectSession, commands: &[SessionCommand]) -> Option<StatementResponse> {
+    /// Executes the commands up to the first that fails. Returns the response to the last one, unless it was cancelled.
+    fn run_unit(
+        &self,
+        session: &mut DirectSession,
+        commands: &[SessionCommand],
+    ) -> Option<StatementResponse> {
         let mut last = None;
         for command in commands {
-            last = self.step(session, command.clone());
+            last = self.execute_command(session, command.clone());
             if last.as_ref().is_none_or(|response| response.result.is_err()) {
                 break;
             }
@@ -136,73 +147,76 @@
         last
     }
 
+    /// Checks that the write of a unit ran at most once, and that the response agrees with what was committed.
     fn check(&self, mark: &str, commands: &[SessionCommand], response: Option<&StatementResponse>) {
         let text = format!("WRITE {mark}");
-        let (committed, ran) = (self.times_committed(&text), self.times_run(&text));
-        let fates = self.fates;
-        let what = || format!("{commands:?}, {fates:?}, {response:?}: ran {ran}, committed {committed}");
-        assert!(ran <= 1 && committed <= 1, "{}", what());
+        let (committed, ran) = (self.commit_count(&text), self.run_count(&text));
+        let outcomes = self.outcomes;
+        let describe =
+            || format!("{commands:?}, {outcomes:?}, {response:?}: ran {ran}, committed {committed}");
+        assert!(ran <= 1 && committed <= 1, "{}", describe());
         let Some(response) = response else { return };
         let writes = commands.contains(&write(mark));
         match (&response.result, commands.last()) {
-            (Ok(_), Some(SessionCommand::Rollback)) => assert_eq!(committed, 0, "{}", what()),
-            (Ok(_), _) if writes => assert_eq!(committed, 1, "{}", what()),
+            (Ok(_), Some(SessionCommand::Rollback)) => assert_eq!(committed, 0, "{}", describe()),
+            (Ok(_), _) if writes => assert_eq!(committed, 1, "{}", describe()),
             (Err(StatementError::Proxy(error)), _) if error.outcome == Outcome::NotApplied => {
-                assert_eq!(committed, 0, "{}", what());
+                assert_eq!(committed, 0, "{}", describe());
             }
             _ => {}
         }
     }
 
-    /// After a failed or cancelled step the client ends its transaction, as it must before it goes on.
+    /// Rolls back the transaction that a failed or cancelled command has left, as a client must before it continues.
     fn end_transaction(&self, session: &mut DirectSession) {
         if session.transaction_state() != TransactionState::Idle {
-            let response = self.step(session, SessionCommand::Rollback);
+            let response = self.execute_command(session, SessionCommand::Rollback);
             assert!(response.is_none_or(|response| response.result.is_ok()));
         }
         assert_eq!(session.transaction_state(), TransactionState::Idle);
     }
 }
 
-fn play(fates: &[Fate], first: &[SessionCommand], second: &[SessionCommand]) {
+/// Runs two units in one session while calls have the given outcomes, then a write in another session.
+fn run_scenario(outcomes: &[CallOutcome], first: &[SessionCommand], second: &[SessionCommand]) {
     let world = VirtualWorld::default();
     let fixture = world.enter(Fixture::new);
-    fates.iter().for_each(|fate| fixture.inject("s1", fate.fault()));
-    let run = Run { world: &world, fixture: &fixture, fates };
+    outcomes.iter().for_each(|call_outcome| fixture.inject("s1", call_outcome.fault()));
+    let scenario = Scenario { world: &world, fixture: &fixture, outcomes };
     let mut session = world.run(fixture.session("orders"), || false).unwrap();
     for (mark, commands) in [("a", first), ("b", second)] {
-        let response = run.unit(&mut session, commands);
+        let response = scenario.run_unit(&mut session, commands);
         let begun = commands.first().is_some_and(|command| matches!(command, SessionCommand::Begin { .. }));
         if response.is_none() && begun && !matches!(commands.last(), Some(SessionCommand::Rollback)) {
             let state = session.transaction_state();
-            assert_ne!(state, TransactionState::Open, "a cancelled step leaves no transaction open");
+            assert_ne!(state, TransactionState::Open, "a cancelled command left a transaction open");
         }
-        run.check(mark, commands, response.as_ref());
-        run.end_transaction(&mut session);
+        scenario.check(mark, commands, response.as_ref());
+        scenario.end_transaction(&mut session);
     }
-    // The connections that are left serve other sessions.
+    // The remaining connections must be usable by other sessions.
     fixture.group.with_server("s1", |server| server.faults.clear());
     let mut other = world.run(fixture.session("orders"), || false).unwrap();
-    let response = run.step(&mut other, write("z")).unwrap();
-    let committed = run.times_committed("WRITE z");
-    assert!(response.result.is_ok() && committed == 1, "fates {fates:?}: {response:?}");
+    let response = scenario.execute_command(&mut other, write("z")).unwrap();
+    let committed = scenario.commit_count("WRITE z");
+    assert!(response.result.is_ok() && committed == 1, "outcomes {outcomes:?}: {response:?}");
     world.enter(|| drop((session, other, fixture)));
 }
 
 #[test]
-fn a_write_runs_once_and_its_response_is_true_when_calls_fail_or_are_cancelled() {
-    for fates in all_fates() {
-        for first in units("a") {
-            for second in units("b") {
-                play(&fates, &first, &second);
+fn a_write_runs_at_most_once_and_its_response_is_correct_when_calls_fail_or_are_cancelled() {
+    for outcomes in all_outcome_sequences() {
+        for first in work_units("a") {
+            for second in work_units("b") {
+                run_scenario(&outcomes, &first, &second);
             }
         }
     }
 }
 
-/// The next statement must not run by itself.
+/// A statement that follows a cancelled one must not run and commit outside the transaction.
 #[test]
-fn nothing_runs_outside_the_transaction_when_one_of_its_steps_was_cancelled() {
+fn no_statement_runs_outside_the_transaction_after_one_in_it_was_cancelled() {
     let world = VirtualWorld::default();
     let fixture = world.enter(Fixture::new);
     fixture.inject("s1", Fault::NoReply);
--- a/crates/proxy/tests/direct_connections.rs
+++ b/crates/proxy/tests/direct_connections.rs
@@ -1,4 +1,4 @@
-//! How many connections a proxy has to a server that many proxies share.
+//! Tests of how many connections a proxy opens to a server that many proxies share.
 #[allow(dead_code, reason = "each test file uses a part of the fake servers")]
 mod fake_servers;
 
@@ -29,7 +29,7 @@
 }
 
 #[tokio::test]
-async fn what_exceeds_the_even_share_is_bounded_by_what_the_server_takes() {
+async fn connections_above_the_even_share_are_bounded_by_an_eighth_of_the_servers_limit() {
     let fixture = Fixture::new();
     for nodes in [1, 2, 9, 40, 400] {
         fixture.direct.live_nodes.store(nodes, Ordering::SeqCst);
@@ -39,21 +39,21 @@
 }
 
 #[tokio::test]
-async fn a_full_server_is_tried_again_when_nobody_hands_a_connection_on() {
+async fn a_full_server_is_retried_when_no_connection_is_handed_over() {
     let fixture = Fixture::new();
     fixture.group.with_server("s1", |server| server.connections_to_reject = 1);
     let mut session = fixture.session("orders").await;
-    let began = Instant::now();
+    let started = Instant::now();
     let response = execute(&mut session, read("x")).await;
     assert!(response.result.is_ok(), "{response:?}");
-    assert!(began.elapsed() < Duration::from_millis(250), "{:?}", began.elapsed());
+    assert!(started.elapsed() < Duration::from_millis(250), "{:?}", started.elapsed());
 }
 
 #[tokio::test]
-async fn no_reply_is_pending_when_a_read_was_answered_by_another_server() {
+async fn no_reply_stays_pending_after_a_hedge_on_another_server_succeeded() {
     let fixture = Fixture::new();
     fixture.direct.proxy.registry.record_primary_position("g1", now(), Default::default());
-    let mut session = fixture.session("looks").await;
+    let mut session = fixture.session("lookups").await;
     for server in ["s2", "s3"] {
         (0..4).for_each(|_| fixture.direct.proxy.retry_budget.earn());
         fixture.inject(server, Fault::NoReply);
@@ -69,10 +69,10 @@
     CheckoutRequest { tenant: None, settings, priority: 1, deadline: now() + 1_000 }
 }
 
-/// A waiter may be gone when its connection comes (as that of a read whose hedge was answered): the connection is
-/// handed on, and not counted any more. Once a proxy gave out no connection of one server until it was restarted.
+/// A waiter may be dropped before a connection is handed over to it, for instance a read whose hedge succeeded. If the
+/// connection stayed counted as checked out, the proxy would run out of connections to the server until a restart.
 #[tokio::test]
-async fn a_connection_is_not_lost_when_the_waiter_it_was_handed_to_is_gone() {
+async fn a_connection_is_not_lost_when_the_waiter_it_was_handed_to_is_dropped() {
     let fixture = Fixture::new();
     let server = fixture.direct.proxy.registry.server("s1").unwrap();
     let max = fixture.direct.connection_share("g1").max;
@@ -91,23 +91,23 @@
     }
 }
 
-/// Users saw a fleet of 300 nodes serve too little: of three connections that each node could hold to a server it kept
-/// none for longer than 750 ms, so each of a client's requests opened one, which took more of the server's slots than
-/// the request itself (249,000 connections for 256,000 requests). Busy servers then rejected the rest.
+/// Guards against closing idle connections too early in a fleet of 300 nodes: each node may have three connections to a
+/// server, and if it closes all of them after 750 ms of idleness, nearly each request opens one (249,000 connections
+/// for 256,000 requests). Opening takes more of the server's slots than the request, so busy servers reject the rest.
 #[tokio::test]
-async fn an_idle_connection_serves_the_next_request_when_each_node_may_hold_a_few() {
+async fn an_idle_connection_is_reused_when_the_even_share_is_a_few_connections() {
     let fixture = Fixture::new();
     const NODES: usize = 6;
     fixture.direct.live_nodes.store(NODES, Ordering::SeqCst);
     assert_eq!(fixture.direct.connection_share("g1").even, 3);
-    let trimming = tokio::spawn(fixture.direct.clone().trim_idle_connections(|| NODES));
+    let trim_task = tokio::spawn(fixture.direct.clone().trim_idle_connections(|| NODES));
     let mut session = fixture.session("orders").await;
     for _ in 0..2 {
         let response = execute(&mut session, read("x")).await;
         assert!(response.result.is_ok(), "{response:?}");
         seam::sleep(Duration::from_millis(1_600)).await;
     }
-    trimming.abort();
+    trim_task.abort();
     let opened: usize = ["s1", "s2", "s3"]
         .map(|name| fixture.group.with_server(name, |server| server.connections_opened))
         .into_iter()
@@ -115,20 +115,21 @@
     assert_eq!(opened, 1);
 }
 
-/// A server whose queue was full stayed overloaded: statements took longer, so each node had more of them at once and
-/// opened more connections for them, and each new one took twice a statement's time of the server. In a fleet of 300
-/// the busiest server rejected 114,000 of 253,000 arrivals, where nine tenths of its load would have fitted.
+/// Guards against a server that stays overloaded after its queue was full: statements take longer, so each node has
+/// more of them in flight and opens more connections, each of which costs the server twice the time of a statement. In
+/// a fleet of 300 nodes the busiest server rejected 114,000 of 253,000 requests, although nine tenths of its load were
+/// within its capacity.
 #[tokio::test]
-async fn a_congested_server_is_asked_for_no_second_connection() {
+async fn no_second_connection_is_opened_to_a_congested_server() {
     let fixture = Fixture::new();
     let mut session = fixture.session("orders").await;
     let server = fixture.direct.proxy.registry.server("s1").unwrap();
-    let began = now();
+    let started = now();
     assert_eq!(server.direct_pool.congested_until(), 0);
-    // The first attempt is rejected, and the second one takes the same connection.
+    // The first attempt is rejected, and the second one uses the same connection.
     fixture.inject("s1", Fault::Reject(RejectReason::Busy));
     let response = execute(&mut session, read("x")).await;
     assert!(response.result.is_ok(), "{response:?}");
-    assert!(server.direct_pool.congested_until() > began);
+    assert!(server.direct_pool.congested_until() > started);
     assert_eq!(fixture.group.with_server("s1", |server| server.connections_opened), 1);
 }
--- a/crates/proxy/tests/direct_transactions.rs
+++ b/crates/proxy/tests/direct_transactions.rs
@@ -1,4 +1,4 @@
-//! Transactions, settings and prepared statements of a session.
+//! Tests of transactions, settings and prepared statements of a session.
 #[allow(dead_code, reason = "each test file uses a part of the fake servers")]
 mod fake_servers;
 
@@ -12,7 +12,7 @@
 const BEGIN: SessionCommand = SessionCommand::Begin { read: false };
 
 #[tokio::test]
-async fn prepared_statements_stay_apart_when_two_clients_use_one_name() {
+async fn prepared_statements_are_independent_when_two_clients_use_the_same_name() {
     let fixture = Fixture::new();
     let (mut first, mut second) = (fixture.session("orders").await, fixture.session("orders").await);
     let name = || Bytes::from_static(b"s1");
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn settings_apply_to_their_own_session_when_sessions_share_a_connection() {
+async fn settings_apply_only_to_their_session_when_sessions_share_a_connection() {
     let fixture = Fixture::new();
     let (mut first, mut second) = (fixture.session("orders").await, fixture.session("orders").await);
     let set = |value: &'static str| SessionCommand::Set {
@@ -71,7 +71,8 @@
 }
 
 #[tokio::test]
-async fn a_commit_is_in_doubt_when_its_reply_is_lost_and_not_applied_when_its_transaction_has_failed() {
+async fn a_commit_has_an_unknown_outcome_when_its_reply_is_lost_and_is_not_applied_when_its_transaction_failed()
+ {
     let fixture = Fixture::new();
     let mut session = fixture.session("orders").await;
     execute(&mut session, BEGIN).await;
--- a/crates/proxy/tests/fake_servers/connection.rs
+++ b/crates/proxy/tests/fake_servers/connection.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::io;
 
-/// What a call is, besides its text.
+/// The kind of a statement or commit.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CallKind {
     Read,
@@ -15,11 +15,12 @@
     Commit,
 }
 
+/// A connection to a server of the fake group, with its session state.
 pub struct FakeConnection {
     group: FakeGroup,
     server: Name,
     settings: BTreeMap<Bytes, Bytes>,
-    /// Templates by the proxy's names.
+    /// The templates of prepared statements by the proxy's names.
     prepared: HashMap<Name, String>,
     in_transaction: bool,
     /// Writes that are not committed yet.
@@ -46,7 +47,7 @@
         }
     }
 
-    /// A reply to what succeeded.
+    /// Returns the reply to a successful call.
     fn reply(&self) -> ServerReply {
         let number = self.group.0.lock().unwrap().committed.len() as u64;
         let transaction_state =
@@ -54,7 +55,7 @@
         ServerReply { transaction_state, log_end: Some(Position { fence: 1, number }), ..Default::default() }
     }
 
-    /// Runs it, unless a fault says otherwise.
+    /// Runs a statement or commit, with the next injected fault of the server.
     async fn run(&mut self, call: String, kind: CallKind) -> io::Result<ServerReply> {
         let fault = self.group.with_server(&self.server, |server| server.faults.pop_front());
         let fault = fault.unwrap_or(Fault::None);
@@ -77,6 +78,7 @@
         }
     }
 
+    /// Records the call as run at the server, and commits its writes if no transaction stays open.
     fn apply(&mut self, call: String, kind: CallKind) {
         let setting = |(name, value): (&Bytes, &Bytes)| format!("{}={}", text(name), text(value));
         let settings: Vec<String> = self.settings.iter().map(setting).collect();
@@ -91,7 +93,7 @@
         }
     }
 
-    async fn answer(&mut self, call: &ServerCall) -> io::Result<ServerReply> {
+    async fn handle_call(&mut self, call: &ServerCall) -> io::Result<ServerReply> {
         match call {
             ServerCall::Begin { .. } => self.in_transaction = true,
             ServerCall::Rollback => {
@@ -131,7 +133,7 @@
         Box::pin(async move {
             assert!(!self.reply_pending, "a call on a connection whose reply is pending");
             self.reply_pending = true;
-            let reply = self.answer(call).await;
+            let reply = self.handle_call(call).await;
             self.reply_pending = reply.is_err();
             reply
         })
--- a/crates/proxy/tests/fake_servers/fixture.rs
+++ b/crates/proxy/tests/fake_servers/fixture.rs
@@ -1,4 +1,4 @@
-//! A proxy in front of the fake group.
+//! A proxy that serves sessions on the fake group.
 use super::{FakeGroup, FakeServer, Fault};
 use bytes::Bytes;
 use quincehatch_config::configuration::Configuration;
@@ -16,17 +16,17 @@
 use std::sync::Arc;
 
 const GROUP: &str = "g1";
-/// `orders` goes to the primary, `looks` to any server that is fresh enough.
+/// Statements of database `orders` go to the primary, reads of `lookups` to any server that is fresh enough.
 const CONFIGURATION: &str = r#"{"placements":[{"name":"g","select":{"group":["g1"]}}],"routes":[
   {"name":"o","class":"order","placement":"g","when":{"db":["orders"]},"timeout_ms":400,"latency_target_ms":300},
-  {"name":"l","class":"lookup","placement":"g","when":{"db":["looks"]},"timeout_ms":400,"latency_target_ms":300}],
+  {"name":"l","class":"lookup","placement":"g","when":{"db":["lookups"]},"timeout_ms":400,"latency_target_ms":300}],
   "groups":[{"name":"g1","connections":20}]}"#;
 
 /// A proxy with a lease, in front of a group of three servers.
 pub struct Fixture {
     pub group: FakeGroup,
     pub direct: Arc<DirectProxy>,
-    /// Changes of the cluster state so far.
+    /// The number of changes of the cluster state so far.
     changes: u64,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Fixture {
-    /// s1 is the primary, s2 and s3 are replicas.
+    /// Creates a group with primary s1 and replicas s2 and s3, and a proxy with a lease.
     pub fn new() -> Fixture {
         let proxy = Proxy::new(settings(), Box::new(LocalOnlyReplicas::default()), Spawner::current());
         let group = FakeGroup::default();
@@ -65,7 +65,7 @@
         fixture
     }
 
-    /// The cluster state names another primary, or none.
+    /// Sets a cluster state with another primary, or none.
     pub fn assign_primary(&mut self, server: Option<&str>) {
         self.changes += 1;
         let fence = self.changes;
@@ -75,7 +75,7 @@
             version: 1,
             configuration: Some(Arc::new(Configuration::parse(CONFIGURATION).unwrap())),
             primaries: [(GROUP.into(), assignment)].into(),
-            route_by_database: Arc::new([("orders".into(), 0), ("looks".into(), 1)].into()),
+            route_by_database: Arc::new([("orders".into(), 0), ("lookups".into(), 1)].into()),
             tenants: Arc::default(),
         });
     }
@@ -85,33 +85,33 @@
         DirectSession::open(&self.direct, db, ClientKey::NONE).await.unwrap()
     }
 
-    /// Orders a fault for a call to come at a server.
+    /// Injects a fault into a later read, write or commit at a server; faults apply in the order of injection.
     pub fn inject(&self, server: &str, fault: Fault) {
         self.group.with_server(server, |server| server.faults.push_back(fault));
     }
 
-    /// What was run at a server.
+    /// Returns the calls that were run at a server.
     pub fn ran(&self, server: &str) -> Vec<String> {
         self.group.with_server(server, |server| server.ran.clone())
     }
 
-    /// What the group has committed.
+    /// Returns the writes that the group has committed.
     pub fn committed(&self) -> Vec<String> {
         self.group.0.lock().unwrap().committed.clone()
     }
 }
 
-/// Carries one command out.
+/// Executes one command.
 pub async fn execute(session: &mut DirectSession, command: SessionCommand) -> StatementResponse {
     session.execute(SessionRequest { id: Bytes::from_static(b"id"), command }).await
 }
 
-/// A statement that reads.
+/// Returns the command of a read.
 pub fn read(text: &str) -> SessionCommand {
     SessionCommand::Read { text: Bytes::from(format!("READ {text}")) }
 }
 
-/// A statement that writes.
+/// Returns the command of a write.
 pub fn write(text: &str) -> SessionCommand {
     SessionCommand::Write { text: Bytes::from(format!("WRITE {text}")) }
 }
--- a/crates/proxy/tests/fake_servers/mod.rs
+++ b/crates/proxy/tests/fake_servers/mod.rs
@@ -1,4 +1,4 @@
-//! A group of servers behind the server port, whose faults come as a test orders them.
+//! A group of fake servers that implements the server port, with faults that tests inject.
 mod connection;
 mod fixture;
 mod responses;
@@ -19,7 +19,7 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
-/// What becomes of the next read, write or commit at a server.
+/// The fault of one read, write or commit at a server.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     /// The server rejects it.
@@ -28,9 +28,9 @@
     DisconnectBefore,
     /// It runs, and the connection breaks before the reply.
     DisconnectAfter,
-    /// It runs, and no reply comes.
+    /// It runs, and no reply arrives.
     NoReply,
-    /// None: it runs and is answered.
+    /// No fault: it runs, and the reply arrives.
     #[allow(dead_code, reason = "only the test of all fault sequences names it")]
     None,
 }
@@ -38,30 +38,30 @@
 /// One server of the group.
 #[derive(Default)]
 pub struct FakeServer {
-    /// What was run there, with the settings it ran under.
+    /// The calls that were run on the server, each with the settings in force.
     pub ran: Vec<String>,
-    /// The faults of the calls to come.
+    /// The faults of the next reads, writes and commits.
     pub faults: VecDeque<Fault>,
-    /// Connections that the server rejects, as it has as many as it takes.
+    /// The number of connections that the server is still to reject as its connection limit is reached.
     pub connections_to_reject: usize,
-    /// Connections that were opened.
+    /// The number of connections that were opened.
     pub connections_opened: usize,
 }
 
-/// The servers, and what the group has committed.
+/// The state of the group.
 #[derive(Default)]
 pub struct GroupState {
     pub servers: BTreeMap<Name, FakeServer>,
-    /// Writes that were committed, at whichever server was the primary.
+    /// The committed writes, regardless of the server on which they ran.
     pub committed: Vec<String>,
 }
 
-/// The group, as the connector that the proxy is given.
+/// The group, which the proxy uses as its server connector.
 #[derive(Clone, Default)]
 pub struct FakeGroup(pub Arc<Mutex<GroupState>>);
 
 impl FakeGroup {
-    /// Works on one server.
+    /// Calls `work` with the state of one server.
     pub fn with_server<T>(&self, name: &str, work: impl FnOnce(&mut FakeServer) -> T) -> T {
         let mut state = self.0.lock().unwrap();
         work(state.servers.get_mut(name).expect("a server of the group"))
--- a/crates/proxy/tests/fake_servers/responses.rs
+++ b/crates/proxy/tests/fake_servers/responses.rs
@@ -1,24 +1,24 @@
-//! What tests expect of responses.
+//! Assertions on responses.
 use assert_matches::assert_matches;
 use quincehatch_core::{ErrorCode, Outcome};
 use quincehatch_proxy::direct::{StatementError, StatementResponse};
 
-/// The proxy's error in a response: its number and its outcome.
+/// Returns the code number and the outcome of the proxy's error in a response.
 #[track_caller]
 pub fn proxy_error(response: &StatementResponse) -> (u16, Outcome) {
     match &response.result {
         Err(StatementError::Proxy(error)) => (error.code, error.outcome),
-        other => panic!("not an error of the proxy: {other:?}"),
+        other => panic!("expected an error of the proxy, got {other:?}"),
     }
 }
 
-/// The response is a success with the server's stamp.
+/// Asserts that the response is a success with the server's stamp.
 #[track_caller]
 pub fn assert_stamped(response: &StatementResponse) {
-    assert_matches!(response.result, Ok(Some(_)), "no success with a stamp");
+    assert_matches!(response.result, Ok(Some(_)), "expected a success with a stamp");
 }
 
-/// An expected error of the proxy, as [`proxy_error`] gives it.
+/// Returns the expected value of [`proxy_error`].
 pub fn error(code: ErrorCode, outcome: Outcome) -> (u16, Outcome) {
     (code.number(), outcome)
 }
--- a/crates/proxy/tests/virtual_time/mod.rs
+++ b/crates/proxy/tests/virtual_time/mod.rs
@@ -1,4 +1,4 @@
-//! A world of virtual time for one test: tasks run in turn, and the clock moves when all of them wait.
+//! A runtime with virtual time for one test: tasks are polled in turn, and the clock advances when all of them wait.
 use quincehatch_core::Millis;
 use quincehatch_runtime::seam::{BoxFuture, OnDisconnect, VirtualConnection, World, with_world};
 use std::collections::BTreeMap;
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll, Waker};
 
-/// Where the clock begins: long after anything that a process begins with.
+/// The clock's initial value, well above any initial timestamp in a process.
 const START: Millis = 100_000;
 
 #[derive(Default)]
@@ -15,12 +15,12 @@
     /// Time since `START`.
     now: Millis,
     last_timer: u64,
-    /// When each timer is due.
+    /// The due time of each timer, by its id.
     timers: BTreeMap<u64, Millis>,
     tasks: Vec<BoxFuture<'static, ()>>,
 }
 
-/// The world; its clones share one clock.
+/// The runtime; its clones share one clock.
 #[derive(Clone, Default)]
 pub struct VirtualWorld(Arc<Mutex<State>>);
 
@@ -34,7 +34,7 @@
     fn incarnation(&self) -> u64 {
         1
     }
-    /// Nothing is woken: all is polled whenever the clock has moved.
+    /// Registers a timer without using its waker: all tasks are polled whenever the clock has advanced.
     fn wake_at(&self, at: Millis, _: Waker) -> u64 {
         let mut state = self.0.lock().unwrap();
         state.last_timer += 1;
@@ -65,12 +65,13 @@
 }
 
 impl VirtualWorld {
-    /// Calls `work` within this world.
+    /// Calls `work` with this runtime installed.
     pub fn enter<T>(&self, work: impl FnOnce() -> T) -> T {
         with_world(Arc::new(self.clone()), work)
     }
 
-    /// Runs the future to its end, or drops it once it waits and `cancel` says so.
+    /// Polls the future until it is ready, or until it is pending and `cancel` returns true; then it is dropped and the
+    /// result is `None`.
     pub fn run<T>(&self, future: impl Future<Output = T>, cancel: impl Fn() -> bool) -> Option<T> {
         self.enter(|| {
             let mut future: Pin<Box<dyn Future<Output = T> + '_>> = Box::pin(future);
@@ -82,7 +83,7 @@
                 if cancel() {
                     return None;
                 }
-                assert!(self.advance(), "all wait and no timer is set");
+                assert!(self.advance(), "all tasks wait, and no timer is set");
             }
         })
     }
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Moves the clock to the next timer; false if there is none.
+    /// Advances the clock to the next timer. Returns false if there is none.
     fn advance(&self) -> bool {
         let mut state = self.0.lock().unwrap();
         let Some((&timer, &at)) = state.timers.iter().min_by_key(|(_, at)| **at) else { return false };
