--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -191,7 +191,7 @@
 }
 
 /// No connection could be had: if the reason lies with the server, that is evidence.
-pub fn note_checkout_error(registry: &Registry, server: &ServerEntry, error: &CheckoutError) {
+pub fn record_checkout_error(registry: &Registry, server: &ServerEntry, error: &CheckoutError) {
     let settings = registry.health_settings();
     let mut health = server.health.lock().unwrap();
     if health.state == HealthState::Ejected {
--- a/crates/proxy/src/health/evidence.rs
+++ b/crates/proxy/src/health/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence against a server's health. Pure functions and types, without I/O.
+//! Evidence against a server's health. These are pure types and functions without I/O.
 use quincehatch_core::{Millis, messages};
 
 messages! {
@@ -12,45 +12,45 @@
         Unresponsive,
         /// A reply is past its query timeout.
         Overdue,
-        /// Replies are late and nobody is answered: storage stalls.
+        /// Replies are late and no request is answered, as when the server's storage stalls.
         Stall,
-        /// More replies were late than in time.
+        /// More replies were late than on time.
         Late
     }
 
     /// One piece of evidence.
     #[derive(Copy, Eq)]
     pub struct Evidence {
-        /// What was found.
+        /// The signal that was observed.
         pub signal: HealthSignal,
-        /// How much it counts towards ejection.
+        /// The weight of the evidence towards ejection.
         pub weight: u64,
-        /// When it was found.
+        /// When the signal was observed.
         pub at: Millis
     }
 }
 
-/// How a connection came to its end, as the kernel or the server told it.
+/// How a connection ended, as reported by the kernel or the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// This side closed it, or the server closed it while idle after it said that it drains.
+    /// This node closed the connection, or the server closed it while it was idle after reporting that it drains.
     Graceful,
-    /// Reset, refused, or closed during a request.
+    /// The connection was reset, refused, or closed during a request.
     Reset,
-    /// Keep-alive or user timeout: the kernel's own finding.
+    /// The kernel reported a keep-alive or user timeout, or that the host or network is unreachable.
     Unresponsive,
 }
 
-/// What was going on when a connection ended.
+/// The state of a connection when it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionUsage {
-    /// A reply was pending.
+    /// Whether a reply was pending.
     pub reply_pending: bool,
-    /// The server had said that it drains.
+    /// Whether the server had reported that it drains.
     pub server_draining: bool,
 }
 
-/// Tells the ends apart. A close with no reply pending by a server that drains is graceful.
+/// Classifies the end of a connection. If the server drains and no reply was pending, a close is graceful.
 pub fn classify_end(error: &std::io::Error, usage: ConnectionUsage) -> ConnectionEnd {
     use std::io::ErrorKind::{HostUnreachable, NetworkUnreachable, TimedOut};
     match error.kind() {
--- a/crates/proxy/src/health/mod.rs
+++ b/crates/proxy/src/health/mod.rs
@@ -1,5 +1,5 @@
-//! Whether a server is fit for requests: evidence is collected by small detectors, weighed into a state, and STATUS is
-//! asked of every server.
+//! Health checks with outlier ejection: detectors collect evidence, which is weighed into a health state, and probes
+//! query the STATUS of every server.
 pub mod evidence;
 pub mod overdue_replies;
 pub mod probe;
--- a/crates/proxy/src/health/overdue_replies.rs
+++ b/crates/proxy/src/health/overdue_replies.rs
@@ -1,17 +1,18 @@
-//! Detects replies that are overdue: sees a stall in a server's storage and tells it from a long query. Without I/O.
+//! Detects overdue replies, and distinguishes a stall in a server's storage from a long query. This module does no I/O.
 use quincehatch_core::Millis;
 use std::collections::BTreeMap;
 
-/// How a pending reply is watched.
+/// How a pending reply is monitored.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingReply {
-    /// After this time the reply is late.
+    /// The time after which the reply is late.
     pub timeout: Millis,
-    /// After this time the reply is overdue.
+    /// The time after which the reply is overdue.
     pub query_timeout: Millis,
-    /// The route's queries are known to take long: the reply is never late.
+    /// Whether the route's queries are expected to take long; such a reply is never late.
     pub long_running: bool,
-    /// The request's first server: a request that was retried from elsewhere is likely a long query and says less.
+    /// Whether this is the first attempt of the request. A request that was retried from another server is likely a
+    /// long query and is weaker evidence.
     pub first_attempt: bool,
 }
 
@@ -26,49 +27,49 @@
     found_stalled: bool,
 }
 
-/// Replies in time, and late ones, since lateness was last weighed.
+/// The numbers of replies on time and of late ones since lateness was last evaluated.
 #[derive(Clone, Copy, Debug, Default)]
-struct Tally {
-    in_time: u64,
+struct LatenessCounts {
+    on_time: u64,
     late: u64,
 }
 
-/// Watches the replies that one server has pending: the only detector that sees a stall in storage.
+/// Monitors the pending replies of one server. This is the only detector of a stall in storage.
 #[derive(Clone, Debug, Default)]
 pub struct OverdueReplies {
     pending: BTreeMap<u64, Pending>,
     last_answer: Millis,
     last_sent: Millis,
-    lateness_weighed_at: Millis,
-    tally: Tally,
+    lateness_evaluated_at: Millis,
+    lateness_counts: LatenessCounts,
 }
 
-/// Lateness is weighed no more often than this.
-const LATE_GAP: Millis = 1_000;
-/// So many first attempts must be unanswered, each for `SILENCE`, before the silence counts as a stall.
-const STALL_WITNESSES: usize = 5;
-/// How long a first attempt must be unanswered to count.
-const SILENCE: Millis = 250;
-/// Canary requests are sent no closer together.
-const CANARY_GAP: Millis = 60;
-/// No canary is sent while so many first attempts are pending.
-const MAX_FIRST_ATTEMPTS: usize = 4 * STALL_WITNESSES;
-/// A reply is getting late after this part of its time.
-const GETTING_LATE_DIVISOR: Millis = 4;
-
-/// What was found.
+/// The shortest time between two evaluations of lateness.
+const LATENESS_EVALUATION_INTERVAL: Millis = 1_000;
+/// The number of first attempts that must be unanswered, each for `MIN_SILENCE`, before a late reply counts as a stall.
+const MIN_UNANSWERED_FOR_STALL: usize = 5;
+/// How long a first attempt must be unanswered to count towards a stall.
+const MIN_SILENCE: Millis = 250;
+/// The shortest time between a request to the server and a canary request.
+const MIN_CANARY_INTERVAL: Millis = 60;
+/// No canary request is sent while this many first attempts are pending.
+const MAX_PENDING_FIRST_ATTEMPTS: usize = 4 * MIN_UNANSWERED_FOR_STALL;
+/// A canary request may be sent once a reply has been pending for its timeout divided by this.
+const CANARY_DELAY_DIVISOR: Millis = 4;
+
+/// What the detector found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverdueFinding {
     /// A reply is past its query timeout.
     Overdue,
-    /// A late reply is due to a stall.
+    /// A reply is late because the server stalls.
     Stall,
-    /// More replies were late than in time.
+    /// More replies were late than on time.
     Late,
 }
 
 impl OverdueReplies {
-    /// Request `id` was sent.
+    /// Records that request `id` was sent.
     pub fn record_sent(&mut self, now: Millis, id: u64, reply: PendingReply) {
         let pending = Pending {
             sent_at: now,
@@ -83,59 +84,63 @@
         self.pending.insert(id, pending);
     }
 
-    /// Any answer, late or in time, shows that the server is alive. Returns how long it took.
+    /// Records an answer to request `id`. Any answer, late or on time, shows that the server is alive. Returns how long
+    /// the answer took.
     pub fn record_answer(&mut self, now: Millis, id: u64) -> Option<Millis> {
         self.last_answer = self.last_answer.max(now);
-        self.tally.in_time += 1;
-        let answered = self.pending.remove(&id)?;
-        Some(now.saturating_sub(answered.sent_at))
+        self.lateness_counts.on_time += 1;
+        let answered_request = self.pending.remove(&id)?;
+        Some(now.saturating_sub(answered_request.sent_at))
     }
 
-    /// The connection is known to be gone: no reply is pending on it any more, and that shows nothing.
+    /// Forgets request `id`, whose connection has ended. This is no evidence of the server's health.
     pub fn forget(&mut self, id: u64) {
         self.pending.remove(&id);
     }
 
-    /// Whether anything was answered within the last `period`.
+    /// Whether any request was answered within the last `period`.
     pub fn answered_within(&self, now: Millis, period: Millis) -> bool {
         self.last_answer > 0 && now < self.last_answer + period
     }
 
-    /// Whether anything was answered since `at`.
+    /// Whether any request was answered after `at`.
     pub fn answered_since(&self, at: Millis) -> bool {
         self.last_answer > at
     }
 
-    /// How many replies are pending.
+    /// Returns the number of pending replies.
     pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether a canary request would help: some reply is getting late and nothing was answered meanwhile, which is a
-    /// long query or a stall. A request that goes there now, with time left to be retried elsewhere, tells them apart.
-    pub fn wants_canary(&self, now: Millis) -> bool {
+    /// Whether a canary request is needed: a reply is getting late and no request was answered meanwhile, so there is a
+    /// long query or a stall. A request sent now, with time left for a retry at another server, shows which of the two
+    /// it is.
+    pub fn needs_canary(&self, now: Millis) -> bool {
         let first_attempts = self.pending.values().filter(|pending| pending.first_attempt).count();
-        now >= self.last_sent + CANARY_GAP
-            && first_attempts < MAX_FIRST_ATTEMPTS
-            && self.pending.values().any(|pending| self.is_getting_late(pending, now))
+        now >= self.last_sent + MIN_CANARY_INTERVAL
+            && first_attempts < MAX_PENDING_FIRST_ATTEMPTS
+            && self.pending.values().any(|pending| self.may_need_canary(pending, now))
     }
 
-    fn is_getting_late(&self, pending: &Pending, now: Millis) -> bool {
-        let part = (pending.late_at - pending.sent_at) / GETTING_LATE_DIVISOR;
-        !pending.long_running && now >= pending.sent_at + part && now >= self.last_answer + part
+    fn may_need_canary(&self, pending: &Pending, now: Millis) -> bool {
+        let canary_delay = (pending.late_at - pending.sent_at) / CANARY_DELAY_DIVISOR;
+        !pending.long_running
+            && now >= pending.sent_at + canary_delay
+            && now >= self.last_answer + canary_delay
     }
 
-    /// Whether a reply is past its query timeout and nothing was answered since it was sent.
+    /// Whether a reply is past its query timeout and no request was answered since it was sent.
     pub fn silent_past_query_timeout(&self, now: Millis) -> bool {
         self.pending.values().any(|pending| now >= pending.overdue_at && self.last_answer <= pending.sent_at)
     }
 
-    /// What is found at `now`; each pending reply is counted late once and overdue once.
+    /// Returns the findings at `now`. Each pending reply is counted late at most once and overdue at most once.
     pub fn tick(&mut self, now: Millis) -> Vec<OverdueFinding> {
         let mut findings = Vec::new();
         self.find_overdue(now, &mut findings);
         self.find_stalls(now, &mut findings);
-        self.weigh_lateness(now, &mut findings);
+        self.evaluate_lateness(now, &mut findings);
         findings
     }
 
@@ -146,46 +151,48 @@
         findings.extend(std::iter::repeat_n(OverdueFinding::Overdue, overdue));
     }
 
-    /// A late reply is due to a stall if nothing was answered since it was sent, or for half its time by now, and enough
-    /// first attempts are unanswered too; with fewer of them it must be unanswered for twice its time.
+    /// A late reply is due to a stall if no request was answered since it was sent or for half its timeout, and enough
+    /// first attempts are unanswered. With fewer unanswered first attempts, the reply must be unanswered for twice its
+    /// timeout.
     fn find_stalls(&mut self, now: Millis, findings: &mut Vec<OverdueFinding>) {
         let last_answer = self.last_answer;
-        let enough_witnesses = self.unanswered_first_attempts(now) >= STALL_WITNESSES;
+        let enough_unanswered = self.unanswered_first_attempts(now) >= MIN_UNANSWERED_FOR_STALL;
         let late =
             self.pending.values_mut().filter(|pending| !pending.long_running && now >= pending.late_at);
         for pending in late {
             let timeout = pending.late_at - pending.sent_at;
             let is_silent = last_answer <= pending.sent_at || now >= last_answer + timeout / 2;
-            let twice_its_time = now >= pending.late_at + timeout && now >= last_answer + timeout;
-            if is_silent && !pending.found_stalled && (enough_witnesses || twice_its_time) {
+            let is_past_double_timeout = now >= pending.late_at + timeout && now >= last_answer + timeout;
+            if is_silent && !pending.found_stalled && (enough_unanswered || is_past_double_timeout) {
                 pending.found_stalled = true;
                 findings.push(OverdueFinding::Stall);
             } else if !is_silent && !pending.counted_late && pending.first_attempt {
                 pending.counted_late = true;
-                self.tally.late += 1;
+                self.lateness_counts.late += 1;
             }
         }
     }
 
-    /// First attempts that were sent since the last answer and have been unanswered for a while.
+    /// Returns the number of first attempts that were sent since the last answer and are unanswered for `MIN_SILENCE`.
     fn unanswered_first_attempts(&self, now: Millis) -> usize {
         let is_unanswered = |pending: &&Pending| {
             pending.first_attempt
                 && !pending.long_running
                 && pending.sent_at >= self.last_answer
-                && now >= pending.sent_at + SILENCE
+                && now >= pending.sent_at + MIN_SILENCE
         };
         self.pending.values().filter(is_unanswered).count()
     }
 
-    /// Many replies that are late at one time are one finding; a few among many in time are long queries.
-    fn weigh_lateness(&mut self, now: Millis, findings: &mut Vec<OverdueFinding>) {
-        if self.tally.late == 0 || now < self.lateness_weighed_at + LATE_GAP {
+    /// Replies that are late at the same time count as one finding, and only if they outnumber the replies on time: a
+    /// few late replies among many on time are long queries.
+    fn evaluate_lateness(&mut self, now: Millis, findings: &mut Vec<OverdueFinding>) {
+        if self.lateness_counts.late == 0 || now < self.lateness_evaluated_at + LATENESS_EVALUATION_INTERVAL {
             return;
         }
-        let tally = std::mem::take(&mut self.tally);
-        self.lateness_weighed_at = now;
-        if tally.late > tally.in_time {
+        let lateness_counts = std::mem::take(&mut self.lateness_counts);
+        self.lateness_evaluated_at = now;
+        if lateness_counts.late > lateness_counts.on_time {
             findings.push(OverdueFinding::Late);
         }
     }
--- a/crates/proxy/src/health/state.rs
+++ b/crates/proxy/src/health/state.rs
@@ -1,4 +1,5 @@
-//! The health state of one server: evidence is weighed into healthy, ejected or on probation. Without I/O.
+//! The health state of one server: healthy, ejected or on probation, as the weighed evidence decides. This module does
+//! no I/O.
 use crate::health::evidence::{ConnectionEnd, Evidence, HealthSignal};
 use crate::health::overdue_replies::{OverdueFinding, OverdueReplies};
 use crate::health::readmission::GroupHealth;
@@ -6,41 +7,41 @@
 use quincehatch_core::{Millis, messages};
 use std::collections::VecDeque;
 
-/// How long a stall is held against a primary after it was last found.
-const STALL_REMEMBERED: Millis = 10_000;
-/// Transitions kept for `quincehatchctl explain`.
+/// How long a stall counts against a primary after it was last detected.
+const STALL_RETENTION: Millis = 10_000;
+/// The number of transitions that are retained for `quincehatchctl explain`.
 const MAX_TRANSITIONS: usize = 64;
-/// Pieces of evidence kept.
+/// The number of pieces of evidence that are retained.
 const MAX_EVIDENCE: usize = 32;
 
 messages! {
-    /// Whether a server is given requests.
+    /// Whether a server receives requests.
     #[derive(Copy, Eq, Hash, Default)]
     pub enum HealthState {
-        /// It is given requests.
+        /// The server receives requests.
         #[default] Healthy,
-        /// It is given none.
+        /// The server receives no requests.
         Ejected,
-        /// It is given one request at a time.
+        /// The server receives one request at a time.
         Probation
     }
 
-    /// A change of state, with the evidence that made it.
+    /// A change of state, with the evidence that caused it.
     #[derive(Eq)]
     pub struct HealthTransition {
-        /// When it was made.
+        /// When the state changed.
         pub at: Millis,
-        /// The state after it.
+        /// The new state.
         pub to: HealthState,
-        /// Why, for operators.
+        /// The reason, as reported to operators.
         pub reason: String,
-        /// The evidence of that moment.
+        /// The evidence at the time of the change.
         pub evidence: Vec<Evidence>
     }
 }
 
 impl HealthState {
-    /// The state's name in reports.
+    /// Returns the name of the state in reports.
     pub fn label(self) -> &'static str {
         match self {
             HealthState::Healthy => "in-rotation",
@@ -50,40 +51,40 @@
     }
 }
 
-/// When replies were first and last found overdue with no answer since.
+/// A period in which replies were overdue and no request was answered.
 #[derive(Clone, Copy, Debug)]
 struct Stall {
-    first_found: Millis,
-    last_found: Millis,
+    first_detected: Millis,
+    last_detected: Millis,
 }
 
-/// All that one node knows of one server's health.
+/// One server's health as one node observes it.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    /// The state of this moment.
+    /// The current state.
     pub state: HealthState,
-    /// The replies it has pending.
+    /// The detector of overdue replies.
     pub overdue: OverdueReplies,
     evidence: VecDeque<Evidence>,
     /// The last transitions, newest last.
     pub transitions: VecDeque<HealthTransition>,
-    /// An ejected server goes on probation no sooner.
+    /// The time before which an ejected server does not go on probation.
     pub ejected_until: Millis,
     pub(super) ejected_for: Millis,
     probation_successes: u64,
     probation_request: Option<u64>,
-    /// How often it was ejected.
+    /// How often the server was ejected.
     pub ejections: u64,
     stall: Option<Stall>,
 }
 
 impl Health {
-    /// Whether it is given requests.
+    /// Whether the server receives requests without restriction.
     pub fn is_healthy(&self) -> bool {
         self.state == HealthState::Healthy
     }
 
-    /// Whether it is on probation and has no request yet: it is given one at a time.
+    /// Whether the server is on probation and has no request in flight. Such a server receives one request at a time.
     pub fn accepts_probation_request(&self) -> bool {
         self.state == HealthState::Probation && self.probation_request.is_none()
     }
@@ -98,7 +99,8 @@
     }
 
     fn eject(&mut self, now: Millis, settings: &HealthSettings, reason: String) {
-        // A failure on probation doubles the time, up to its bound; for a healthy server it starts anew.
+        // A failure on probation doubles the ejection time up to its maximum; for a healthy server the time starts at
+        // its minimum.
         self.ejected_for = match self.state {
             HealthState::Probation => {
                 (self.ejected_for * 2).clamp(settings.probation_after_ms, settings.probation_after_max_ms)
@@ -114,9 +116,9 @@
         self.evidence.clear();
     }
 
-    /// The server became its group's primary: writes go there whatever is held against it, and what was is no reason for
-    /// the next promotion.
-    pub fn note_assigned_primary(&mut self, now: Millis) {
+    /// Records that the server became its group's primary. Writes go there whatever its health, so it counts as
+    /// healthy, and evidence from before is no reason for the next promotion.
+    pub fn record_promotion(&mut self, now: Millis) {
         self.evidence.clear();
         self.probation_request = None;
         self.stall = None;
@@ -125,7 +127,8 @@
         }
     }
 
-    /// Weighs one more piece of evidence.
+    /// Adds a piece of evidence. Ejects the server if the total weight suffices, or if the server was on probation and
+    /// the signal is more than a late reply.
     pub fn add_evidence(&mut self, now: Millis, settings: &HealthSettings, signal: HealthSignal) {
         let weight = match signal {
             HealthSignal::Reset => settings.reset_weight,
@@ -142,14 +145,14 @@
         }
         let sum: u64 = self.evidence.iter().map(|evidence| evidence.weight).sum();
         let failed_probation = self.state == HealthState::Probation && signal != HealthSignal::Late;
-        let is_enough = sum >= settings.eject_at || failed_probation;
-        if self.state != HealthState::Ejected && is_enough {
+        let should_eject = sum >= settings.eject_at || failed_probation;
+        if self.state != HealthState::Ejected && should_eject {
             let reason = format!("{signal:?} brought the evidence to {sum} of {}", settings.eject_at);
             self.eject(now, settings, reason);
         }
     }
 
-    /// A connection came to its end.
+    /// Records the end of a connection.
     pub fn connection_ended(&mut self, now: Millis, settings: &HealthSettings, end: ConnectionEnd) {
         match end {
             ConnectionEnd::Graceful => {}
@@ -158,19 +161,20 @@
         }
     }
 
-    /// For how long it has stalled; any answer ends a stall.
+    /// Returns for how long the server has stalled. Any answer ends a stall.
     pub fn stalled_for(&self, now: Millis) -> Option<Millis> {
         let stall = self.stall?;
-        let is_recent = now < stall.last_found + STALL_REMEMBERED;
-        if !is_recent || self.overdue.answered_since(stall.first_found) {
+        let is_recent = now < stall.last_detected + STALL_RETENTION;
+        if !is_recent || self.overdue.answered_since(stall.first_detected) {
             return None;
         }
-        Some(now - stall.first_found)
+        Some(now - stall.first_detected)
     }
 
-    /// Time passes: replies become overdue.
+    /// Evaluates the pending replies at `now` and adds the evidence that they give.
     pub fn tick(&mut self, now: Millis, settings: &HealthSettings) {
-        // A reply that was lost on the way becomes overdue long after the server answered others: that is no stall.
+        // A reply that was lost on the network becomes overdue long after the server answered other requests; that is
+        // not a stall.
         let is_silent = self.overdue.silent_past_query_timeout(now);
         for finding in self.overdue.tick(now) {
             let is_stall = match finding {
@@ -179,8 +183,8 @@
                 OverdueFinding::Late => false,
             };
             if is_stall {
-                let first_found = self.stalled_for(now).map_or(now, |duration| now - duration);
-                self.stall = Some(Stall { first_found, last_found: now });
+                let first_detected = self.stalled_for(now).map_or(now, |duration| now - duration);
+                self.stall = Some(Stall { first_detected, last_detected: now });
             }
             let signal = match finding {
                 OverdueFinding::Overdue => HealthSignal::Overdue,
@@ -191,7 +195,7 @@
         }
     }
 
-    /// STATUS was answered and the server is fresh: once its time is over, an ejected server goes on probation.
+    /// Records that the server answered STATUS and is fresh. An ejected server whose wait is over goes on probation.
     pub fn status_succeeded(&mut self, now: Millis, group: GroupHealth) {
         if self.state == HealthState::Ejected && now >= self.probation_due_at(group) {
             self.probation_successes = 0;
@@ -200,17 +204,17 @@
         }
     }
 
-    /// A client's read, attempt `id`, goes to a server on probation.
+    /// Records that attempt `id` of a client's read is sent to a server on probation.
     pub fn begin_probation_request(&mut self, id: u64) {
         if self.state == HealthState::Probation {
             self.probation_request = Some(id);
         }
     }
 
-    /// Attempt `id` succeeded.
+    /// Records that attempt `id` succeeded.
     pub fn request_succeeded(&mut self, now: Millis, settings: &HealthSettings, id: u64) {
         self.overdue.record_answer(now, id);
-        if !self.is_on_probation_with(id) {
+        if !self.is_probation_request(id) {
             return;
         }
         self.probation_request = None;
@@ -222,7 +226,7 @@
         }
     }
 
-    /// Attempt `id` was given up for a reason that says nothing of the server's health.
+    /// Records that attempt `id` was abandoned for a reason that says nothing about the server's health.
     pub fn request_inconclusive(&mut self, id: u64) {
         self.overdue.forget(id);
         if self.probation_request == Some(id) {
@@ -230,14 +234,14 @@
         }
     }
 
-    /// Attempt `id` was not answered in its time; on probation that is a failure.
+    /// Records that attempt `id` timed out, which ejects a server on probation.
     pub fn probation_failed(&mut self, now: Millis, settings: &HealthSettings, id: u64) {
-        if self.is_on_probation_with(id) {
+        if self.is_probation_request(id) {
             self.eject(now, settings, "a read on probation was not answered in time".into());
         }
     }
 
-    fn is_on_probation_with(&self, id: u64) -> bool {
+    fn is_probation_request(&self, id: u64) -> bool {
         self.state == HealthState::Probation && self.probation_request == Some(id)
     }
 }
--- a/crates/proxy/src/pool/checkout.rs
+++ b/crates/proxy/src/pool/checkout.rs
@@ -13,24 +13,24 @@
 use std::time::Duration;
 use tokio::sync::futures::Notified;
 
-/// When a request that found no connection may come again.
+/// Suggested wait before a client retries a request that found no connection.
 const RETRY_AFTER: Millis = 200;
-/// Opening a connection is given at least this long.
+/// The shortest timeout for opening a connection.
 const MIN_OPEN_TIME: Millis = 1;
 
-/// Why no connection was had; nothing was sent to the server.
+/// Why no connection could be checked out. Nothing was sent to the server.
 #[derive(Debug)]
 pub enum CheckoutError {
-    /// All are in use, or the server takes no new work.
+    /// All connections are in use, or the server is draining.
     Busy(Error),
-    /// Opening one took all the time there was.
+    /// The deadline passed while a connection was being opened; the field is the timeout that applied.
     TimedOut(Duration),
-    /// It could not be opened.
+    /// The connection could not be opened.
     ConnectFailed(std::io::Error),
 }
 
 impl CheckoutError {
-    /// What a client is told.
+    /// Converts the failure into the error that the client receives.
     pub fn into_error(self) -> Error {
         match self {
             CheckoutError::Busy(error) => error,
@@ -40,21 +40,22 @@
     }
 }
 
-/// What connection is wanted, and until when.
+/// The parameters of one checkout.
 pub struct CheckoutRequest<'a> {
     /// Name of this node.
     pub node: &'a str,
-    /// What the connection is wanted for.
+    /// What the connection will be used for.
     pub usage: ConnectionUse,
     /// The limits in force.
     pub limits: PoolLimits,
-    /// The session that is to be set up; a connection that has it already is taken first.
+    /// The session setup that the request needs; a connection that already has it is preferred.
     pub setup: &'a SessionSetup,
-    /// Nobody waits longer.
+    /// The time at which the request stops waiting for a connection.
     pub deadline: Millis,
 }
 
-/// A connection in use. Dropped without [`Checkout::check_in`] it is closed, which rolls back what is open on it.
+/// A checked-out connection. If it is dropped without [`Checkout::check_in`], it is closed, and the server rolls back
+/// the transaction that is open on it.
 pub struct Checkout<S: PooledServer> {
     connection: Option<Connection>,
     server: Arc<S>,
@@ -64,7 +65,7 @@
     checked_in: bool,
 }
 
-/// Checks out a connection to `server`; while all are in use the request waits in a bounded queue.
+/// Checks out a connection to `server`. While all connections are in use, the request waits in a bounded queue.
 pub async fn check_out<S: PooledServer>(
     server: &Arc<S>,
     request: &CheckoutRequest<'_>,
@@ -72,7 +73,7 @@
     let limits = request.limits;
     loop {
         let pool = server.pool();
-        // Enabled before the slots are looked at, so that a connection freed in between is not missed.
+        // Enabled before the slots are inspected, so that a connection freed in between is not missed.
         let freed = pool.freed.notified();
         tokio::pin!(freed);
         freed.as_mut().enable();
@@ -94,7 +95,7 @@
             Grant::Idle(connection) => return Ok(checkout(Some(connection))),
             Grant::OpenNew => {
                 let mut opened = checkout(None);
-                opened.connection = Some(open(server, request).await?);
+                opened.connection = Some(open_connection(server, request).await?);
                 return Ok(opened);
             }
             Grant::Full => {}
@@ -107,12 +108,12 @@
     }
 }
 
-async fn open<S: PooledServer>(
+async fn open_connection<S: PooledServer>(
     server: &Arc<S>,
     request: &CheckoutRequest<'_>,
 ) -> Result<Connection, CheckoutError> {
-    let left = request.deadline.saturating_sub(now()).max(MIN_OPEN_TIME);
-    let left = Duration::from_millis(left);
+    let timeout_ms = request.deadline.saturating_sub(now()).max(MIN_OPEN_TIME);
+    let open_timeout = Duration::from_millis(timeout_ms);
     let addr = server.addr();
     let target = ConnectTarget {
         node: request.node,
@@ -121,9 +122,9 @@
         keepalive: request.limits.keepalive,
     };
     let opening = Connection::open(target, server.on_disconnect());
-    // This side's own deadline is no finding of the kernel's: it counts as a late reply at most.
-    match seam::timeout(left, opening).await {
-        Err(_) => Err(CheckoutError::TimedOut(left)),
+    // A timeout of this node's own is not a failure reported by the kernel, so it counts at most as a late reply.
+    match seam::timeout(open_timeout, opening).await {
+        Err(_) => Err(CheckoutError::TimedOut(open_timeout)),
         Ok(opened) => opened.map_err(CheckoutError::ConnectFailed),
     }
 }
@@ -137,25 +138,25 @@
     let result = if queued_before >= request.limits.queue {
         Err(ErrorCode::QueueFull)
     } else {
-        let left = Duration::from_millis(request.deadline.saturating_sub(now()));
-        seam::timeout(left, freed).await.map_err(|_| ErrorCode::ConnectionsBusy)
+        let time_left = Duration::from_millis(request.deadline.saturating_sub(now()));
+        seam::timeout(time_left, freed).await.map_err(|_| ErrorCode::ConnectionsBusy)
     };
     pool.queued.fetch_sub(1, Ordering::SeqCst);
     result.map_err(|code| code.without_detail().with_retry_after(RETRY_AFTER))
 }
 
 impl<S: PooledServer> Checkout<S> {
-    /// The connection.
+    /// The checked-out connection.
     pub fn connection(&mut self) -> &mut Connection {
         self.connection.as_mut().expect("a checkout in use has its connection")
     }
 
-    /// The server it leads to.
+    /// The server that the connection leads to.
     pub fn server(&self) -> &Arc<S> {
         &self.server
     }
 
-    /// Hands the connection in for others; nothing may be open on it, and no reply pending.
+    /// Returns the connection to the pool. No transaction may be open on it, and no reply may be pending.
     pub fn check_in(mut self) {
         let Some(connection) = self.connection.take() else { return };
         let pool = self.server.pool();
--- a/crates/proxy/src/pool/connection.rs
+++ b/crates/proxy/src/pool/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to one server, and the session that is set up on it at the server's side.
+//! One connection to one server, and the session setup that is applied on it.
 use crate::server_protocol::{Reply, ServerRequest, call};
 use crate::session::state::{SessionSetup, SessionState};
 use quincehatch_core::{ErrorCode, Millis, Name};
@@ -10,45 +10,45 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Number of the next connection this process opens.
+/// The number of the next connection that this process opens.
 static NEXT_CONNECTION: AtomicU64 = AtomicU64::new(1);
 
 /// A connection to one server.
 pub struct Connection {
     http: HttpConnection,
-    /// Names this connection to the server: node, process and number.
+    /// The id by which the server knows this connection: node name, process id and connection number.
     pub id: Name,
-    /// The server it leads to.
+    /// The server that the connection leads to.
     pub server: Name,
-    /// The address it was opened to.
+    /// The address that the connection was opened to.
     pub addr: Name,
-    /// The session set up at the server's side; `None` while that is not known.
+    /// The session setup that is applied on the server; `None` while that is unknown.
     setup: Option<SessionSetup>,
 }
 
-/// Why a request over a connection brought no reply of the server.
+/// Why a request over a connection got no valid reply from the server.
 #[derive(Debug)]
 pub enum ExchangeError {
-    /// The connection failed; what was sent may have reached the server.
+    /// The connection failed. The request may have reached the server.
     Connection(std::io::Error),
-    /// The reply was not one of the server's own.
+    /// The reply was malformed, or its stamp names another server.
     InvalidReply,
 }
 
-/// What to open a connection to, and for whom.
+/// The target of a new connection.
 pub struct ConnectTarget<'a> {
-    /// Name of this node.
+    /// The name of this node.
     pub node: &'a str,
-    /// Name of the server.
+    /// The name of the server.
     pub server: &'a Name,
-    /// Address of the server.
+    /// The address of the server.
     pub addr: &'a Name,
-    /// How the kernel watches the connection.
+    /// The TCP keep-alive settings of the connection.
     pub keepalive: KeepaliveSettings,
 }
 
 impl Connection {
-    /// Opens a connection; `on_disconnect` hears of an end that comes while it is idle.
+    /// Opens a connection. `on_disconnect` is called if the connection ends while it is idle.
     pub async fn open(target: ConnectTarget<'_>, on_disconnect: OnDisconnect) -> std::io::Result<Connection> {
         let http = HttpConnection::open_watched(target.addr, Some(target.keepalive), on_disconnect).await?;
         let number = NEXT_CONNECTION.fetch_add(1, Ordering::Relaxed);
@@ -62,7 +62,7 @@
         })
     }
 
-    /// A handle by which this side says that it closes the connection itself.
+    /// Returns a handle that marks a coming disconnect as initiated by this node.
     pub fn local_close_marker(&self) -> LocalCloseMarker {
         self.http.local_close_marker()
     }
@@ -72,7 +72,7 @@
         self.http.is_closed()
     }
 
-    /// Whether exactly this session is set up at the server's side.
+    /// Whether exactly this session setup is applied on the server.
     pub fn has_setup(&self, setup: &SessionSetup) -> bool {
         self.setup.as_ref() == Some(setup)
     }
@@ -88,25 +88,25 @@
         Ok(reply)
     }
 
-    /// Sets up exactly the session at the server's side: the client's own statements, verbatim, and nothing else.
+    /// Applies exactly this session on the server: the client's own statements, verbatim, and nothing else.
     ///
-    /// Returns the server's reply if it rejected one of them. A server that does not answer by `deadline` loses the
-    /// connection, as what is set up on it is not known then.
+    /// Returns the server's reply if it rejected one of the statements. If the server does not answer by `deadline`,
+    /// the connection fails, because the setup that is applied on it is then unknown.
     pub async fn apply_session(
         &mut self,
         session: &SessionState,
         deadline: Millis,
     ) -> Result<Option<Reply>, ExchangeError> {
-        let left = Duration::from_millis(deadline.saturating_sub(now()));
-        seam::timeout(left, self.change_setup(session))
+        let time_left = Duration::from_millis(deadline.saturating_sub(now()));
+        seam::timeout(time_left, self.change_setup(session))
             .await
             .unwrap_or_else(|_| Err(ExchangeError::Connection(std::io::ErrorKind::TimedOut.into())))
     }
 
     async fn change_setup(&mut self, session: &SessionState) -> Result<Option<Reply>, ExchangeError> {
-        let wanted = session.setup();
+        let target_setup = session.setup();
         let is_pristine = self.has_setup(&SessionSetup::default());
-        if self.has_setup(&wanted) || (seam::injected_bug("no-reset") && !is_pristine) {
+        if self.has_setup(&target_setup) || (seam::injected_bug("no-reset") && !is_pristine) {
             return Ok(None);
         }
         let requests = self.setup_requests(session, is_pristine);
@@ -117,7 +117,7 @@
                 return Ok(Some(reply));
             }
         }
-        self.setup = Some(wanted);
+        self.setup = Some(target_setup);
         Ok(None)
     }
 
@@ -137,7 +137,7 @@
 }
 
 impl ExchangeError {
-    /// What a client is told.
+    /// Converts the failure into the error that the client receives.
     pub fn to_error(&self) -> quincehatch_core::Error {
         match self {
             ExchangeError::Connection(error) => ErrorCode::ServerFailed.with_detail(error.kind()),
--- a/crates/proxy/src/pool/connection_pool.rs
+++ b/crates/proxy/src/pool/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The connections to one server.
+//! The pool of connections to one server.
 use crate::pool::connection::Connection;
 use crate::pool::slots::ConnectionSlots;
 use quincehatch_core::Name;
@@ -7,49 +7,50 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::sync::Notify;
 
-/// What a pool needs to know of its server.
+/// What a pool needs to know about its server.
 pub trait PooledServer: Send + Sync + 'static {
-    /// Name of the server.
+    /// Returns the name of the server.
     fn name(&self) -> &Name;
-    /// Where it listens at this moment.
+    /// Returns the server's current address.
     fn addr(&self) -> Name;
-    /// Whether it said that it drains: it gets no new work.
+    /// Whether the server reported that it is draining; a draining server gets no new requests.
     fn is_draining(&self) -> bool;
-    /// Its connections.
+    /// Returns the server's connection pool.
     fn pool(&self) -> &ConnectionPool;
-    /// Takes note of idle connections that end.
+    /// Returns the callback that records the end of an idle connection.
     fn on_disconnect(self: &Arc<Self>) -> OnDisconnect;
 }
 
-/// The connections to one server.
+/// The pool of connections to one server.
 #[derive(Default)]
 pub struct ConnectionPool {
-    /// Counts the connections and keeps the idle ones.
+    /// The idle connections and the counts of open ones.
     pub slots: ConnectionSlots<Connection>,
-    /// Requests that wait for a connection.
+    /// The number of requests that wait for a connection.
     pub queued: AtomicUsize,
-    /// Notified when a connection or room for one comes free.
+    /// Notified when a connection is returned or a slot becomes free.
     pub(super) freed: Notify,
-    /// Rises when all connections are to be replaced; one from an earlier epoch is not kept.
+    /// Incremented when all connections are to be replaced; a connection checked out in an earlier epoch is closed on
+    /// check-in.
     pub(super) epoch: AtomicUsize,
 }
 
 impl ConnectionPool {
-    /// Drops idle connections and grants none until [`ConnectionPool::reset`].
+    /// Closes the idle connections and grants no connection until [`ConnectionPool::reset`].
     pub fn close(&self) {
         self.epoch.fetch_add(1, Ordering::SeqCst);
         drop(self.slots.close());
         self.freed.notify_waiters();
     }
 
-    /// Drops idle connections, as those from before are not to be used, and grants new ones.
+    /// Closes the idle connections, which must not be used any more, and grants new ones.
     pub fn reset(&self) {
         self.epoch.fetch_add(1, Ordering::SeqCst);
         drop(self.slots.reset());
         self.freed.notify_waiters();
     }
 
-    /// Drops idle connections that have ended.
+    /// Removes the idle connections that have ended.
     pub fn prune(&self) {
         let dropped = self.slots.prune(|connection| !connection.is_closed());
         if dropped > 0 {
--- a/crates/proxy/src/pool/limits.rs
+++ b/crates/proxy/src/pool/limits.rs
@@ -1,23 +1,23 @@
-//! The limits of a server's connections, as the configuration in force sets them.
+//! The limits on connections to a server, as the configuration in force sets them.
 use quincehatch_config::configuration::{Configuration, HealthSettings};
 use quincehatch_wire::http::KeepaliveSettings;
 use std::time::Duration;
 
-/// The limits that hold for one request.
+/// The limits that apply to one request.
 #[derive(Clone, Copy)]
 pub struct PoolLimits {
-    /// Connections to the server at most.
+    /// The maximum number of connections to the server.
     pub connections: usize,
-    /// Connections that reads may use at most.
+    /// The maximum number of connections that reads may use.
     pub read_share: usize,
-    /// Requests that may wait for a connection at most.
+    /// The maximum number of requests that may wait for a connection.
     pub queue: usize,
-    /// How the kernel watches the connections.
+    /// The TCP keep-alive settings of the connections.
     pub keepalive: KeepaliveSettings,
 }
 
 impl PoolLimits {
-    /// Limits of a group's primary.
+    /// Returns the limits for a group's primary.
     pub fn of_primary(config: &Configuration) -> PoolLimits {
         let connections = config.connections.per_primary as usize;
         let percent = config.connections.primary_lookup_percent as usize;
@@ -25,7 +25,7 @@
         PoolLimits::new(config, connections, read_share)
     }
 
-    /// Limits of a replica: reads may use all its connections.
+    /// Returns the limits for a replica, where reads may use all connections.
     pub fn of_replica(config: &Configuration) -> PoolLimits {
         let connections = config.connections.per_replica as usize;
         PoolLimits::new(config, connections, connections)
@@ -37,7 +37,7 @@
     }
 }
 
-/// How the kernel watches connections to servers under these settings.
+/// Returns the TCP keep-alive settings that these health settings configure.
 pub fn keepalive_settings(health: &HealthSettings) -> KeepaliveSettings {
     KeepaliveSettings {
         idle: Duration::from_millis(health.keepalive_idle_ms),
--- a/crates/proxy/src/pool/mod.rs
+++ b/crates/proxy/src/pool/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to one server, shared between transactions and never inside one.
+//! The connection pool of a server. Connections are shared between transactions, never within one.
 pub mod checkout;
 pub mod connection;
 pub mod connection_pool;
--- a/crates/proxy/src/pool/slots.rs
+++ b/crates/proxy/src/pool/slots.rs
@@ -1,8 +1,8 @@
-//! Counts the open connections to one server under one lock: there are never more than the limit, those included whose
-//! query was abandoned and that may still be busy at the server.
+//! Counts the open connections to one server under one lock, so that the limit is never exceeded. A connection whose
+//! query was abandoned counts as well, as the server may still be busy with it.
 use crate::sync::Mutex;
 
-/// What a connection is wanted for. Reads may take only a share of a primary's connections.
+/// What a connection is used for. Reads may use only a share of a primary's connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionUse {
     /// A write, a transaction, or a read that must run on the primary.
@@ -11,23 +11,23 @@
     Read,
 }
 
-/// What a caller that asks for a connection is given.
+/// The answer to a request for a connection.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Grant<C> {
     /// An idle connection.
     Idle(C),
-    /// Room for one more: the caller opens it and hands it in by `check_in`, or calls `release`.
+    /// A slot for one more connection: the caller opens it and returns it by `check_in`, or calls `release`.
     OpenNew,
-    /// Neither; the caller waits.
+    /// Neither is available; the caller waits.
     Full,
 }
 
-/// How many connections there are.
+/// The number of connections to one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotCounts {
-    /// Connections that are open or being opened, idle ones included.
+    /// The connections that are open or being opened, including idle ones.
     pub open: usize,
-    /// Connections that nobody uses.
+    /// The connections that are not checked out.
     pub idle: usize,
 }
 
@@ -39,7 +39,7 @@
     closed: bool,
 }
 
-/// The connections to one server, counted.
+/// The idle connections to one server and the counts of open ones.
 #[derive(Debug)]
 pub struct ConnectionSlots<C> {
     slots: Mutex<Slots<C>>,
@@ -53,7 +53,7 @@
 }
 
 impl<C> ConnectionSlots<C> {
-    /// Grants an idle connection, one that `fits` if there is any, or room to open one.
+    /// Grants an idle connection, preferably one that `fits`, or a slot to open a new one.
     ///
     /// At most `capacity` connections are open, and at most `read_share` of them are used by reads.
     pub fn check_out(
@@ -67,8 +67,8 @@
         if slots.closed || (usage == ConnectionUse::Read && slots.used_by_reads >= read_share) {
             return Grant::Full;
         }
-        let most_recent = slots.idle.len().checked_sub(1);
-        let position = slots.idle.iter().rposition(&fits).or(most_recent);
+        let last_index = slots.idle.len().checked_sub(1);
+        let position = slots.idle.iter().rposition(&fits).or(last_index);
         let grant = match position {
             Some(i) => Grant::Idle(slots.idle.swap_remove(i)),
             None if slots.open < capacity => {
@@ -83,7 +83,8 @@
         grant
     }
 
-    /// Hands a connection in for others. Over a lowered limit, or after closing, it is given back to be dropped.
+    /// Returns a connection to the pool. If the limit was lowered or the pool was closed meanwhile, the connection is
+    /// handed back for the caller to drop.
     pub fn check_in(&self, usage: ConnectionUse, capacity: usize, connection: C) -> Option<C> {
         let mut slots = self.slots.lock().unwrap();
         if usage == ConnectionUse::Read {
@@ -97,7 +98,7 @@
         None
     }
 
-    /// A connection is gone for good. One whose query was abandoned counts as open until this is called.
+    /// Frees the slot of a connection that is closed. A connection whose query was abandoned counts as open until then.
     pub fn release(&self, usage: ConnectionUse) {
         let mut slots = self.slots.lock().unwrap();
         slots.open -= 1;
@@ -106,12 +107,12 @@
         }
     }
 
-    /// Hands out every idle connection to be dropped; nothing is granted until `reset`.
+    /// Closes the pool: returns every idle connection for the caller to drop, and grants none until `reset`.
     pub fn close(&self) -> Vec<C> {
         self.drain_idle(true)
     }
 
-    /// Hands out every idle connection to be dropped and grants connections again.
+    /// Returns every idle connection for the caller to drop, and grants connections again.
     pub fn reset(&self) -> Vec<C> {
         self.drain_idle(false)
     }
@@ -124,7 +125,7 @@
         drained
     }
 
-    /// Drops the idle connections that `keep` does not want; returns how many.
+    /// Drops the idle connections for which `keep` returns false, and returns their number.
     pub fn prune(&self, keep: impl FnMut(&C) -> bool) -> usize {
         let mut slots = self.slots.lock().unwrap();
         let idle_before = slots.idle.len();
@@ -134,7 +135,7 @@
         dropped
     }
 
-    /// How many connections there are at this moment.
+    /// Returns the current number of connections.
     pub fn count(&self) -> SlotCounts {
         let slots = self.slots.lock().unwrap();
         SlotCounts { open: slots.open, idle: slots.idle.len() }
--- a/crates/proxy/src/primary_connection.rs
+++ b/crates/proxy/src/primary_connection.rs
@@ -1,5 +1,5 @@
 //! A connection to a group's primary, with the request's session set up on it.
-use crate::attempt::note_checkout_error;
+use crate::attempt::record_checkout_error;
 use crate::client_api::reply::SITE_PRIMARY;
 use crate::client_api::request::ClientRequest;
 use crate::pool::slots::ConnectionUse;
@@ -122,8 +122,8 @@
             Ok(checkout) => checkout,
             Err(CheckoutError::Busy(error)) => return Err(error),
             Err(error) => {
-                note_checkout_error(&services.registry, &server, &error);
-                request.note(format!("{} no connection", server.name));
+                record_checkout_error(&services.registry, &server, &error);
+                request.note(format!("no connection to {}", server.name));
                 last_error = ErrorCode::ServerFailed
                     .with_detail("no connection to the primary could be opened")
                     .with_retry_after(CONNECT_RETRY_AFTER);
--- a/crates/proxy/src/read/attempts.rs
+++ b/crates/proxy/src/read/attempts.rs
@@ -1,15 +1,15 @@
-//! The attempts of one read: which servers were asked, and why there is no answer yet.
-use crate::attempt::{Attempt, AttemptOutcome, note_checkout_error, pending_reply, send_with_extension};
+//! The attempts of one read: the servers that were tried, and the last error.
+use crate::attempt::{Attempt, AttemptOutcome, pending_reply, record_checkout_error, send_with_extension};
 use crate::client_api::reply::RequestResult;
 use crate::client_api::request::ClientRequest;
 use crate::health::overdue_replies::PendingReply;
 use crate::pool::slots::ConnectionUse;
 use crate::pool::{CheckoutError, CheckoutRequest, PoolLimits, check_out};
-use crate::read::freshness::{AskedServer, is_fresh};
+use crate::read::freshness::{QueriedServer, is_fresh};
 use crate::read::rounds::{RoundOutcome, Rounds};
 use crate::rejections::rejection_error;
 use crate::routing::registry::{Registry, ServerCheckout};
-use crate::routing::server_choice::{self, ChoiceReason, ReadQuery, ServerChoice};
+use crate::routing::server_choice::{self, ChoiceCriteria, ChoiceReason, ServerChoice};
 use crate::server_protocol::{DRAINING, Reply, STARTING, call};
 use crate::services::Services;
 use crate::session::state::SessionState;
@@ -19,34 +19,34 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two rounds.
+/// The pause between two rounds.
 const ROUND_PAUSE: Duration = Duration::from_millis(40);
-/// When a client may come again after no server could answer.
+/// Suggested wait before a client retries a read that no server could answer.
 const RETRY_AFTER: Millis = 500;
 
-/// A read on its way from server to server.
+/// The attempts of one read at one server after another.
 pub struct ReadAttempts {
     configuration: Arc<Configuration>,
     route: Route,
     session: SessionState,
     pending: PendingReply,
-    /// Servers asked in this round.
+    /// The servers that were tried in this round.
     tried: Vec<Name>,
     rounds: Rounds,
-    /// Why there is no answer yet.
+    /// The reason of the last failed attempt.
     last_error: Error,
 }
 
-/// What came of asking one server.
+/// The result of one attempt.
 pub enum Step {
-    /// The read is over.
+    /// The read is complete.
     Done(RequestResult),
-    /// Another server is asked.
+    /// Another server is to be tried.
     TryNext,
 }
 
 impl ReadAttempts {
-    /// Attempts of a request that has a route; none was made yet.
+    /// Creates the state of a request that has a route and no attempt yet.
     pub fn new(request: &ClientRequest) -> Result<ReadAttempts, Error> {
         let (configuration, route) = request.configuration_and_route()?;
         Ok(ReadAttempts {
@@ -60,14 +60,14 @@
         })
     }
 
-    /// The server to ask next.
+    /// Chooses the server to try next.
     pub fn choose(
         &self,
         services: &Services,
         request: &ClientRequest,
         attempt_id: u64,
     ) -> Option<ServerChoice> {
-        let query = ReadQuery {
+        let criteria = ChoiceCriteria {
             cluster_state: &request.cluster_state,
             placement: &request.site.placement,
             zone: &services.settings.zone,
@@ -76,25 +76,26 @@
             long_running: self.route.long_running,
             attempt_id,
         };
-        server_choice::choose_server(&services.registry, &query)
+        server_choice::choose_server(&services.registry, &criteria)
     }
 
-    /// All servers were asked. A stale or busy one may do better in a moment: a few rounds, no more. While the primary was
-    /// not observed of late nothing can be proved fresh, and soon may be again.
+    /// Waits before all servers are tried again, or returns an error if that is not worthwhile. A stale or busy server
+    /// may answer shortly, so there are several rounds. While the primary has not been observed recently, no answer can
+    /// be proved fresh, which may change soon.
     pub async fn wait_for_next_round(
         &mut self,
         services: &Services,
         request: &ClientRequest,
     ) -> Result<(), Error> {
-        let outcome = match (self.tried.is_empty(), self.may_do_better()) {
-            (true, _) => RoundOutcome::NobodyAsked,
-            (false, true) => RoundOutcome::MayDoBetter,
-            (false, false) => RoundOutcome::Hopeless,
+        let outcome = match (self.tried.is_empty(), self.is_retryable()) {
+            (true, _) => RoundOutcome::NoServerAvailable,
+            (false, true) => RoundOutcome::Retryable,
+            (false, false) => RoundOutcome::NotRetryable,
         };
         if !self.rounds.end(outcome, request.time_left()) {
             return Err(self.last_error.clone().with_retry_after(RETRY_AFTER));
         }
-        // Nobody is asked again before an answer could be proved fresh.
+        // No server is tried again before an answer can be proved fresh.
         let needed = services.registry.needed_position(&request.group, self.route.max_staleness_ms);
         if needed.is_some() {
             self.tried.clear();
@@ -103,21 +104,21 @@
         Ok(())
     }
 
-    fn may_do_better(&self) -> bool {
+    fn is_retryable(&self) -> bool {
         self.last_error.has_code(ErrorCode::Stale) || self.last_error.has_code(ErrorCode::ConnectionsBusy)
     }
 
-    /// The error of a read whose time is over.
+    /// Returns the error of a read whose deadline has passed.
     pub fn deadline_error(self) -> Error {
-        let error = match self.may_do_better() {
+        let error = match self.is_retryable() {
             true => self.last_error,
             false => ErrorCode::DeadlinePassed.without_detail(),
         };
         error.with_retry_after(RETRY_AFTER)
     }
 
-    /// Asks one server.
-    pub async fn ask(
+    /// Sends the read to one server.
+    pub async fn try_server(
         &mut self,
         services: &Arc<Services>,
         request: &mut ClientRequest,
@@ -126,11 +127,11 @@
         self.tried.push(choice.server.name.clone());
         request.group = choice.server.group();
         request.set_site(&choice.server, choice.reason.label());
-        let deadline = server_choice::patience(choice, self.route.long_running, request.deadline);
+        let deadline = server_choice::attempt_deadline(choice, self.route.long_running, request.deadline);
         let mut checkout = match self.check_out(services, choice, deadline).await {
             Ok(checkout) => checkout,
             Err(error) => {
-                self.note_checkout_error(services, request, choice, error);
+                self.record_checkout_error(services, request, choice, error);
                 return Step::TryNext;
             }
         };
@@ -145,24 +146,24 @@
         }
         let connection_id = &checkout.connection().id;
         let server_request = call::run(connection_id, request.text(), &request.body.params);
-        let asked = AskedServer { choice, at: now() };
+        let queried = QueriedServer { choice, sent_at: now() };
         let first_attempt = self.tried.len() == 1 && self.rounds.is_first();
         let pending = PendingReply { first_attempt, ..self.pending };
         let attempt = Attempt { id: choice.attempt_id, checkout, request: server_request, pending };
         let request_deadline = request.deadline;
-        let extend = || server_choice::extend_patience(choice, &services.retry_budget, request_deadline);
+        let extend = || server_choice::extend_deadline(choice, &services.retry_budget, request_deadline);
         match send_with_extension(services, attempt, deadline, extend).await {
             AttemptOutcome::Reply(reply, checkout) => {
                 checkout.check_in();
-                self.read_reply(&services.registry, request, &asked, &reply)
+                self.read_reply(&services.registry, request, &queried, &reply)
             }
             AttemptOutcome::ConnectionFailed(error) => {
-                request.note(format!("{} failed", choice.server.name));
+                request.note(format!("connection to {} failed", choice.server.name));
                 self.last_error = error.to_error();
                 Step::TryNext
             }
             AttemptOutcome::TimedOut => {
-                self.note_timeout(services, request, choice);
+                self.record_timeout(services, request, choice);
                 Step::TryNext
             }
         }
@@ -188,7 +189,7 @@
         check_out(&choice.server, &checkout_request).await
     }
 
-    fn note_checkout_error(
+    fn record_checkout_error(
         &mut self,
         services: &Services,
         request: &mut ClientRequest,
@@ -198,12 +199,12 @@
         if choice.reason == ChoiceReason::Probation {
             choice.server.health.lock().unwrap().request_inconclusive(choice.attempt_id);
         }
-        request.note(format!("{} no connection", choice.server.name));
-        note_checkout_error(&services.registry, &choice.server, &error);
+        request.note(format!("no connection to {}", choice.server.name));
+        record_checkout_error(&services.registry, &choice.server, &error);
         self.last_error = error.into_error();
     }
 
-    fn note_timeout(&mut self, services: &Services, request: &mut ClientRequest, choice: &ServerChoice) {
+    fn record_timeout(&mut self, services: &Services, request: &mut ClientRequest, choice: &ServerChoice) {
         request.note(format!("{} timed out", choice.server.name));
         if choice.reason == ChoiceReason::Probation {
             let settings = services.registry.health_settings();
@@ -217,16 +218,16 @@
         &mut self,
         registry: &Registry,
         request: &mut ClientRequest,
-        asked: &AskedServer<'_>,
+        queried: &QueriedServer<'_>,
         reply: &Reply,
     ) -> Step {
-        let server = &asked.choice.server;
+        let server = &queried.choice.server;
         if reply.has_error_code(DRAINING) {
             server.set_draining(true);
             return Step::TryNext;
         }
         if reply.has_error_code(STARTING) {
-            // It was not run there: others may answer, or this one in a moment.
+            // The statement was not run. Another server may answer, or this one shortly.
             request.note(format!("{} is starting", server.name));
             self.last_error = ErrorCode::Stale.without_detail();
             return Step::TryNext;
@@ -238,11 +239,11 @@
             self.last_error = ErrorCode::InvalidReply.without_detail();
             return Step::TryNext;
         };
-        if is_fresh(registry, asked, &reply.stamp, self.route.max_staleness_ms) {
+        if is_fresh(registry, queried, &reply.stamp, self.route.max_staleness_ms) {
             request.note(format!("{} answered", server.name));
             return Step::Done(Ok(success));
         }
-        request.note(format!("{} was behind", server.name));
+        request.note(format!("{} was too stale", server.name));
         self.last_error = ErrorCode::Stale.without_detail();
         Step::TryNext
     }
--- a/crates/proxy/src/read/mod.rs
+++ b/crates/proxy/src/read/mod.rs
@@ -1,5 +1,5 @@
-//! Reads outside a transaction: at a fresh replica of the same zone if there is one, never outside the placement, and
-//! retried at another server within the request's time.
+//! Reads outside a transaction. A read goes to a fresh replica, preferably of the same zone, never outside the
+//! placement, and is retried at another server before its deadline.
 pub mod attempts;
 pub mod freshness;
 pub mod rounds;
@@ -10,7 +10,7 @@
 use attempts::{ReadAttempts, Step};
 use std::sync::Arc;
 
-/// A read on any server that is fresh enough.
+/// Runs a read on any server that is fresh enough.
 pub async fn read(services: &Arc<Services>, request: &mut ClientRequest) -> RequestResult {
     let mut attempts = ReadAttempts::new(request)?;
     services.retry_budget.earn();
@@ -18,11 +18,11 @@
         let attempt_id = services.next_request_id();
         let Some(choice) = attempts.choose(services, request, attempt_id) else {
             attempts.wait_for_next_round(services, request).await?;
-            // Another primary may be assigned by now.
+            // Another primary may have been assigned meanwhile.
             request.cluster_state = services.registry.cluster_state();
             continue;
         };
-        match attempts.ask(services, request, &choice).await {
+        match attempts.try_server(services, request, &choice).await {
             Step::Done(result) => return result,
             Step::TryNext => {}
         }
--- a/crates/proxy/src/read/rounds.rs
+++ b/crates/proxy/src/read/rounds.rs
@@ -1,22 +1,22 @@
-//! How long a read goes on: the rounds in which all servers are asked anew.
+//! Limits how long a read is retried. In each round every server is tried once.
 use quincehatch_core::Millis;
 
-/// How often all servers are asked anew.
+/// The maximum number of rounds.
 const MAX_ROUNDS: usize = 60;
-/// How often a read looks for a server while there is none to ask, as when the primary is being replaced.
+/// The maximum number of rounds while no server is available, as when the primary is being replaced.
 const MAX_EMPTY_ROUNDS: usize = 20;
-/// With less time left no round is begun.
+/// With less time left, no further round begins.
 const MIN_ROUND_TIME: Millis = 60;
 
-/// What the round that ended came to.
+/// The result of a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoundOutcome {
-    /// There was no server to ask.
-    NobodyAsked,
-    /// A server that was asked may do better in a moment.
-    MayDoBetter,
-    /// No server will do better soon.
-    Hopeless,
+    /// No server was available.
+    NoServerAvailable,
+    /// A server that failed may answer shortly.
+    Retryable,
+    /// No server is expected to answer soon.
+    NotRetryable,
 }
 
 /// The rounds of one read.
@@ -31,13 +31,13 @@
         self.ended == 0
     }
 
-    /// Ends a round. Returns whether another one is worth its time.
+    /// Ends a round. Returns whether another round is to begin.
     pub fn end(&mut self, outcome: RoundOutcome, time_left: Millis) -> bool {
         self.ended += 1;
         let limit = match outcome {
-            RoundOutcome::NobodyAsked => MAX_EMPTY_ROUNDS,
-            RoundOutcome::MayDoBetter => MAX_ROUNDS,
-            RoundOutcome::Hopeless => return false,
+            RoundOutcome::NoServerAvailable => MAX_EMPTY_ROUNDS,
+            RoundOutcome::Retryable => MAX_ROUNDS,
+            RoundOutcome::NotRetryable => return false,
         };
         self.ended < limit && time_left >= MIN_ROUND_TIME
     }
--- a/crates/proxy/src/routing/cluster_state.rs
+++ b/crates/proxy/src/routing/cluster_state.rs
@@ -1,4 +1,4 @@
-//! Configuration and primaries as the keepers' chain has them and this node has applied them.
+//! The configuration and primaries that this node has applied from the keepers' replication chain.
 use crate::latest::Numbered;
 use crate::tenants::TenantDirectory;
 use quincehatch_config::configuration::Configuration;
@@ -6,25 +6,25 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// Configuration and primaries of one moment.
+/// The configuration and primaries at one change number.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterState {
-    /// Number of the last change that is in it.
+    /// The number of the last change that this state includes.
     pub number: ChangeNumber,
-    /// Version of the configuration.
+    /// The version of the configuration.
     pub version: Version,
-    /// The configuration; none before the first is known.
+    /// The configuration; `None` until the first one is received.
     pub configuration: Option<Arc<Configuration>>,
     /// The primary of each group.
     pub primaries: BTreeMap<Name, PrimaryAssignment>,
-    /// For each database that direct sessions name, the index of its route.
+    /// The index of the route for each database that direct sessions name.
     pub route_by_database: Arc<HashMap<Name, usize>>,
-    /// The tenants of the configuration, by their keys.
+    /// The tenants of the configuration, indexed by their client keys.
     pub tenants: Arc<TenantDirectory>,
 }
 
 impl ClusterState {
-    /// The server that is named the group's primary.
+    /// Returns the server that is assigned as the group's primary.
     pub fn primary_of(&self, group: &str) -> Option<&Name> {
         self.primaries.get(group)?.server.as_ref()
     }
--- a/crates/proxy/src/routing/group_health.rs
+++ b/crates/proxy/src/routing/group_health.rs
@@ -1,10 +1,10 @@
-//! Whether reads of a group have a healthy replica to go to.
+//! Whether a group has a healthy replica for its reads.
 use crate::health::readmission::GroupHealth;
 use crate::routing::registry::Registry;
 use crate::routing::server_entry::ServerEntry;
 
 impl Registry {
-    /// Whether some replica of the group is given requests by this node.
+    /// Returns whether this node sends requests to at least one replica of the group.
     pub fn group_health(&self, group: &str) -> GroupHealth {
         let primary = self.primary(group).and_then(|assignment| assignment.server);
         let is_replica =
--- a/crates/proxy/src/routing/in_flight.rs
+++ b/crates/proxy/src/routing/in_flight.rs
@@ -1,4 +1,4 @@
-//! Counts what is in flight for each server group: transactions and writes that may still change its servers, and
+//! Counts, for each server group, the transactions and writes in flight, which may still change its servers, and the
 //! requests that wait for a primary.
 use quincehatch_core::Name;
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
     queued: AtomicUsize,
 }
 
-/// Work that is in flight until this is dropped.
+/// Counts one transaction or write as in flight until the guard is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard(Arc<GroupCounts>);
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// The place of a request that waits until its group has a primary again.
+/// The queue slot of a request that waits until its group has a primary again. Dropping it frees the slot.
 #[derive(Debug)]
 pub struct QueueSlot(Arc<GroupCounts>);
 
@@ -42,19 +42,19 @@
         self.by_group.lock().unwrap().entry(group.into()).or_default().clone()
     }
 
-    /// Counts one more piece of work.
+    /// Counts one more transaction or write as in flight.
     pub fn begin(&self, group: &str) -> InFlightGuard {
         let counts = self.group(group);
         counts.open.fetch_add(1, Ordering::SeqCst);
         InFlightGuard(counts)
     }
 
-    /// How much work is in flight.
+    /// Returns the number of transactions and writes in flight.
     pub fn open_count(&self, group: &str) -> usize {
         self.group(group).open.load(Ordering::SeqCst)
     }
 
-    /// A place in the group's queue, if fewer than `capacity` are taken.
+    /// Returns a slot in the group's queue if fewer than `capacity` slots are taken.
     pub fn enter_queue(&self, group: &str, capacity: usize) -> Option<QueueSlot> {
         let counts = self.group(group);
         let slot = QueueSlot(counts.clone());
@@ -62,7 +62,7 @@
         (queued_before < capacity).then_some(slot)
     }
 
-    /// How many requests wait.
+    /// Returns the number of waiting requests.
     pub fn queued_count(&self, group: &str) -> usize {
         self.group(group).queued.load(Ordering::SeqCst)
     }
--- a/crates/proxy/src/routing/mod.rs
+++ b/crates/proxy/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! What a node knows of servers, configuration and primaries, and which server a read goes to.
+//! The registry of servers, configuration and primaries, and the choice of a server for a read.
 pub mod acknowledged;
 pub mod cluster_state;
 pub mod group_health;
--- a/crates/proxy/src/routing/registry.rs
+++ b/crates/proxy/src/routing/registry.rs
@@ -1,10 +1,10 @@
-//! The registry: what a node knows of servers, configuration and primaries. Whoever learns something writes it here,
-//! everyone reads. Each part is under a lock of its own.
+//! The registry: the servers, configuration and primaries that a node knows of. Every task that receives an update
+//! writes it here, and all others read it. Each part has a lock of its own.
 pub use crate::routing::cluster_state::ClusterState;
 pub use crate::routing::server_entry::{ServerCheckout, ServerEntry, StatusRecord};
 
 use crate::latest::Latest;
-use crate::routing::acknowledged::AcknowledgedEnds;
+use crate::routing::acknowledged::AcknowledgedPositions;
 use crate::routing::in_flight::InFlightCounts;
 use crate::routing::node_lease::NodeLease;
 use crate::staleness::PrimaryPositions;
@@ -19,10 +19,10 @@
 use std::sync::{Arc, Mutex, RwLock};
 use tokio::sync::Notify;
 
-/// Servers that a node keeps account of at most.
+/// The maximum number of servers in the registry.
 const MAX_SERVERS: usize = 1_024;
 
-/// What one node knows.
+/// The servers, configuration, primaries and lease of one node.
 #[derive(Default)]
 pub struct Registry {
     names: RwLock<NameTable>,
@@ -30,54 +30,54 @@
     cluster_state: Latest<ClusterState>,
     primary_positions: Mutex<BTreeMap<Name, PrimaryPositions>>,
     lease: NodeLease,
-    acknowledged: AcknowledgedEnds,
-    /// Work in flight, and requests that wait for a primary.
+    acknowledged: AcknowledgedPositions,
+    /// The transactions and writes in flight, and the requests that wait for a primary.
     pub in_flight: InFlightCounts,
-    /// Notified when a new cluster state is in force.
+    /// Notified when a new cluster state has been applied.
     pub changed: Notify,
-    /// The node stops: it takes no new work.
+    /// Whether the node is shutting down and accepts no new work.
     pub stopping: AtomicBool,
-    /// An operator asked that no more clients be sent here.
+    /// Whether an operator drained the node, so that the platform sends no more clients here.
     pub draining: AtomicBool,
 }
 
-/// Configuration and primaries.
+/// The configuration and primaries.
 impl Registry {
-    /// Configuration and primaries of this moment.
+    /// Returns the current configuration and primaries.
     pub fn cluster_state(&self) -> Arc<ClusterState> {
         self.cluster_state.get()
     }
 
-    /// Puts a cluster state in force unless it is older than the one that is; returns whether it was taken.
+    /// Applies a cluster state unless it is older than the current one. Returns whether it was applied.
     pub fn set_cluster_state(&self, state: ClusterState) -> bool {
-        let taken = self.cluster_state.set(state, |old, new| self.note_new_primaries(old, new));
+        let applied = self.cluster_state.set(state, |old, new| self.record_promotions(old, new));
         self.changed.notify_waiters();
-        taken
+        applied
     }
 
-    fn note_new_primaries(&self, old: &ClusterState, new: &ClusterState) {
+    fn record_promotions(&self, old: &ClusterState, new: &ClusterState) {
         for (group, assignment) in &new.primaries {
             if old.primaries.get(group) == Some(assignment) {
                 continue;
             }
             let server = assignment.server.as_ref().and_then(|name| self.server(name));
             if let Some(server) = server {
-                server.health.lock().unwrap().note_assigned_primary(now());
+                server.health.lock().unwrap().record_promotion(now());
             }
         }
     }
 
-    /// Whether the server is named the group's primary.
+    /// Whether the server is assigned as the group's primary.
     pub fn is_primary(&self, group: &str, server: &str) -> bool {
         self.cluster_state.get().primary_of(group).is_some_and(|primary| primary == server)
     }
 
-    /// Who is named the group's primary, and under which fence.
+    /// Returns the group's assigned primary and its fence.
     pub fn primary(&self, group: &str) -> Option<PrimaryAssignment> {
         self.cluster_state.get().primaries.get(group).cloned()
     }
 
-    /// The health settings in force.
+    /// Returns the health settings in force.
     pub fn health_settings(&self) -> HealthSettings {
         match &self.cluster_state.get().configuration {
             Some(configuration) => configuration.health.clone(),
@@ -88,33 +88,33 @@
 
 /// The node's lease.
 impl Registry {
-    /// The lease holds until then on the local clock.
+    /// Extends the lease to `until` on the local clock.
     pub fn renew_lease(&self, until: Millis) {
         self.lease.renew(until);
     }
 
-    /// The lease is used no more, whatever is left of it.
+    /// Ends the lease at once, whatever time remains.
     pub fn release_lease(&self) {
         self.lease.set(0);
     }
 
-    /// Sets the lease outright, to a lower value too: a test's way to a node whose lease runs out.
+    /// Sets the end of the lease, also to an earlier time, so that a test can let the lease expire.
     #[doc(hidden)]
     pub fn set_lease_for_test(&self, until: Millis) {
         self.lease.set(until);
     }
 
-    /// What is left of the lease, in milliseconds.
+    /// Returns the remaining time of the lease, in milliseconds.
     pub fn lease_remaining(&self) -> Millis {
         self.lease.remaining()
     }
 
-    /// Whether the lease holds.
+    /// Whether the lease is valid.
     pub fn has_lease(&self) -> bool {
         self.lease.is_held()
     }
 
-    /// Whether the node stops.
+    /// Whether the node is shutting down.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
@@ -122,10 +122,10 @@
 
 /// The servers.
 impl Registry {
-    /// Applies a heartbeat, whatever way it came; the newest wins. Returns whether it was new.
+    /// Applies a heartbeat from any source unless a newer one was applied. Returns whether it was applied.
     pub fn apply_heartbeat(&self, heartbeat: ServerHeartbeat) -> bool {
-        let is_known = self.server(&heartbeat.server).is_some();
-        if !is_known && self.servers.read().unwrap().len() >= MAX_SERVERS {
+        let is_registered = self.server(&heartbeat.server).is_some();
+        if !is_registered && self.servers.read().unwrap().len() >= MAX_SERVERS {
             return false;
         }
         let server = self.server_or_insert(&heartbeat);
@@ -133,12 +133,12 @@
         if heartbeat.version() <= current.version() && current.seq != 0 {
             return false;
         }
-        let has_moved = current.addr != heartbeat.addr;
+        let has_new_addr = current.addr != heartbeat.addr;
         let has_restarted = current.boot != heartbeat.boot;
         let is_draining = heartbeat.state == ServerState::Draining;
         *current = heartbeat;
         drop(current);
-        if has_moved || has_restarted {
+        if has_new_addr || has_restarted {
             server.pool.reset();
             server.direct_pool.close();
         }
@@ -153,7 +153,7 @@
         let mut names = self.names.write().unwrap();
         let index = names.intern(&heartbeat.server);
         let mut servers = self.servers.write().unwrap();
-        // Another task may have inserted it since.
+        // Another task may have inserted the server since the check above.
         if let Some(server) = servers.get(index.0 as usize) {
             return server.clone();
         }
@@ -162,18 +162,18 @@
         server
     }
 
-    /// The server of this name.
+    /// Returns the server of this name.
     pub fn server(&self, name: &str) -> Option<Arc<ServerEntry>> {
         let index = self.names.read().unwrap().index_of(name)?;
         self.servers.read().unwrap().get(index.0 as usize).cloned()
     }
 
-    /// All servers.
+    /// Returns all servers.
     pub fn servers(&self) -> Vec<Arc<ServerEntry>> {
         self.servers.read().unwrap().clone()
     }
 
-    /// The servers of a placement, by their labels.
+    /// Returns the servers whose labels match the placement.
     pub fn servers_in_placement(
         &self,
         configuration: &Configuration,
@@ -186,25 +186,26 @@
         servers
     }
 
-    /// The newest heartbeat of each server.
+    /// Returns the newest heartbeat of each server.
     pub fn heartbeats(&self) -> Vec<ServerHeartbeat> {
         self.servers().iter().map(|server| server.heartbeat.read().unwrap().clone()).collect()
     }
 }
 
-/// Positions of primaries, and what was acknowledged.
+/// The observed positions of primaries, and the acknowledged positions.
 impl Registry {
-    /// The group's primary was observed at `position` by a request that left at `asked_at`.
+    /// Records that the group's primary was observed at `position` by a request that was sent at `asked_at`.
     ///
-    /// The observation still proves something when another server is primary by now, as no other acknowledges a commit
-    /// while this node holds its lease and has not heard of the change; without a lease one may.
+    /// The observation stays valid when another server has become primary: no other server acknowledges a commit while
+    /// this node holds its lease and has not applied the change. Without a lease another one may, so the observation is
+    /// ignored.
     pub fn record_primary_position(&self, group: &str, asked_at: Millis, position: Position) {
         if self.has_lease() {
-            self.with_primary_positions(group, |positions| positions.note(asked_at, position));
+            self.with_primary_positions(group, |positions| positions.record(asked_at, position));
         }
     }
 
-    /// The least position that proves a read of the group to be no more than `max_staleness` behind.
+    /// Returns the lowest position that proves a read of the group to be at most `max_staleness` behind.
     pub fn needed_position(&self, group: &str, max_staleness: Millis) -> Option<Position> {
         self.with_primary_positions(group, |positions| positions.needed(now(), max_staleness))
     }
@@ -219,11 +220,12 @@
         access(by_group.entry(group.into()).or_default())
     }
 
-    /// A commit that was sent under `fence` and ends at `end` is to be passed on as acknowledged.
+    /// Records that a commit that was sent under `fence` and ends at `end` is about to be acknowledged.
     ///
-    /// False if it must not be, as whether it stays is not known: the end was reported already to whoever chooses another
-    /// primary, or the primary may be demoted. Servers that are suspended for a demotion may be resumed by a late message
-    /// of an earlier one; what is passed on only before the demotion was on a replica before.
+    /// Returns false if the commit must not be acknowledged because it may be lost: the acknowledged position was
+    /// already reported for the choice of another primary, or the primary may be demoted. A late message of an earlier
+    /// demotion may resume servers that are suspended for a demotion. A commit that is acknowledged before the demotion
+    /// was on a replica before it.
     #[must_use]
     pub fn record_acknowledged(&self, group: &str, fence: FencingToken, end: Position) -> bool {
         self.acknowledged.record(group, fence, end, || {
@@ -232,12 +234,13 @@
         })
     }
 
-    /// The end of all that this process passed on as acknowledged.
+    /// Returns the highest position that this process has acknowledged for the group.
     pub fn acknowledged_end(&self, group: &str) -> Position {
         self.acknowledged.end(group)
     }
 
-    /// The same; and nothing that was sent under a lower fence than `fence` is passed on after this.
+    /// Returns the highest position that this process has acknowledged for the group. From then on, it acknowledges no
+    /// commit that was sent under a lower fence than `fence`.
     pub fn seal_acknowledged(&self, group: &str, fence: FencingToken) -> Position {
         self.acknowledged.seal(group, fence)
     }
--- a/crates/proxy/src/routing/server_entry.rs
+++ b/crates/proxy/src/routing/server_entry.rs
@@ -1,4 +1,4 @@
-//! All that a node knows of one database server.
+//! The registry entry of one database server.
 use crate::direct::pool::DirectPool;
 use crate::health::evidence::ConnectionUsage;
 use crate::health::state::Health;
@@ -9,71 +9,71 @@
 use quincehatch_wire::http::OnDisconnect;
 use std::sync::{Arc, Mutex, RwLock};
 
-/// A server that has not answered STATUS for so long gets no new work: it may be draining.
+/// The time after which a server that has not answered STATUS gets no new work, because it may be draining.
 const ANSWERED_RECENTLY: Millis = 3_000;
 
-/// How long a primary that drains takes new work while another is found. Each node hears of it within its lease (4 s),
-/// and 7 s after the server began to drain no new work may come.
+/// How long a draining primary accepts new work while another one is chosen. Each node learns of the draining within
+/// its lease (4 s), and no new work may arrive 7 s after the server began to drain.
 const DRAIN_GRACE: Millis = 3_000;
 
 /// A connection to a server, checked out of its pool.
 pub type ServerCheckout = Checkout<ServerEntry>;
 
-/// All that this node knows of one server.
+/// The address, state and health of one server as this node knows them, with the connection pools to it.
 pub struct ServerEntry {
-    /// Index of its name.
+    /// The index of the server's name.
     pub index: NameIndex,
-    /// Its name.
+    /// The server's name.
     pub name: Name,
-    /// The newest heartbeat.
+    /// The newest heartbeat of the server.
     pub heartbeat: RwLock<ServerHeartbeat>,
-    /// Its health as this node sees it.
+    /// The server's health as this node observes it.
     pub health: Mutex<Health>,
-    /// Connections for requests over the HTTP contract.
+    /// The connection pool for requests over the HTTP contract.
     pub pool: ConnectionPool,
-    /// Connections of direct sessions.
+    /// The connection pool of direct sessions.
     pub direct_pool: Arc<DirectPool>,
-    /// How idle connections ended since the health was last looked at.
+    /// The errors with which idle connections ended since the health was last updated.
     pub idle_errors: Mutex<Vec<std::io::Error>>,
-    /// What STATUS brought last.
+    /// The results of the last STATUS requests.
     pub status: Mutex<StatusRecord>,
 }
 
-/// What STATUS and other answers say of a server.
+/// The server's state as shown by answers to STATUS and other requests.
 #[derive(Clone, Debug, Default)]
 pub struct StatusRecord {
-    /// When the last request left.
+    /// When the last request was sent.
     pub asked_at: Millis,
-    /// When the last answer came.
+    /// When the last answer was received.
     pub answered_at: Millis,
-    /// STATUS has failed since then.
+    /// The time since which STATUS has failed.
     pub failing_since: Option<Millis>,
-    /// The connection was refused or reset: nobody listens there.
+    /// Whether the connection was refused or reset, as when no process listens at the address.
     pub refused: bool,
-    /// The server drains since then.
+    /// The time since which the server has been draining.
     pub draining_since: Option<Millis>,
-    /// When it last said that it is not the primary.
+    /// When the server last reported that it is not the primary.
     pub denied_primary_at: Option<Millis>,
-    /// The boot and the fence under which it last said that it is primary and shows all of its log.
-    pub complete_under: Option<(u64, FencingToken)>,
+    /// The boot and the fence under which the server last reported that it is primary and shows its complete log.
+    pub complete_log_incarnation: Option<(u64, FencingToken)>,
 }
 
 impl StatusRecord {
-    /// Whether this primary shows all of its log. One that drains does not say whether it is still starting: it must have
-    /// said so before, in this incarnation and under this fence.
+    /// Whether this primary shows its complete log. A draining primary does not report whether it is still starting, so
+    /// it must have shown the complete log before, in the same incarnation and under the same fence.
     pub fn shows_complete_log(&mut self, heartbeat: &ServerHeartbeat) -> bool {
         let incarnation = (heartbeat.boot, heartbeat.fence);
         let is_primary = heartbeat.role == Role::Primary;
         if is_primary && heartbeat.state == ServerState::Up {
-            self.complete_under = Some(incarnation);
+            self.complete_log_incarnation = Some(incarnation);
         }
-        let was_complete = self.complete_under == Some(incarnation);
+        let was_complete = self.complete_log_incarnation == Some(incarnation);
         is_primary && heartbeat.state != ServerState::Starting && was_complete
     }
 }
 
 impl ServerEntry {
-    /// A server that was not known before; its first heartbeat is still to be applied.
+    /// Creates the entry of a new server. Its first heartbeat is still to be applied.
     pub fn new(index: NameIndex, heartbeat: &ServerHeartbeat) -> ServerEntry {
         ServerEntry {
             index,
@@ -87,37 +87,37 @@
         }
     }
 
-    /// Where it listens.
+    /// Returns the server's address.
     pub fn addr(&self) -> Name {
         self.heartbeat.read().unwrap().addr.clone()
     }
 
-    /// Its group.
+    /// Returns the server's group.
     pub fn group(&self) -> Name {
         self.heartbeat.read().unwrap().group().into()
     }
 
-    /// Its zone.
+    /// Returns the server's zone.
     pub fn zone(&self) -> Name {
         self.heartbeat.read().unwrap().zone().into()
     }
 
-    /// Its role as it last told it.
+    /// Returns the role that the server last reported.
     pub fn role(&self) -> Role {
         self.heartbeat.read().unwrap().role
     }
 
-    /// Whether it drains.
+    /// Whether the server is draining.
     pub fn is_draining(&self) -> bool {
         self.status.lock().unwrap().draining_since.is_some()
     }
 
-    /// What is going on with a connection to it that ends at this moment.
+    /// Returns the state of a connection to the server that ends now.
     pub fn connection_usage(&self, reply_pending: bool) -> ConnectionUsage {
         ConnectionUsage { reply_pending, server_draining: self.is_draining() }
     }
 
-    /// The server said that it drains, or that it is back.
+    /// Records whether the server reports that it is draining.
     pub fn set_draining(&self, draining: bool) {
         if seam::injected_bug("work-after-leaving") {
             return;
@@ -129,35 +129,36 @@
                 drop(status);
                 self.pool.close();
                 self.direct_pool.close();
-                log::info!(target: "health", "server {} drains, it gets no new work", self.name);
+                log::info!(target: "health", "server {} is draining and gets no new work", self.name);
             }
             (false, Some(_)) => {
                 status.draining_since = None;
                 drop(status);
                 self.pool.reset();
-                log::info!(target: "health", "server {} is back", self.name);
+                log::info!(target: "health", "server {} is no longer draining", self.name);
             }
             _ => {}
         }
     }
 
-    /// Whether it answered so recently that this node cannot have missed for 7 s that it drains.
+    /// Whether the server answered so recently that this node cannot have missed for 7 s that it drains.
     pub fn answered_recently(&self) -> bool {
         now() < self.status.lock().unwrap().answered_at + ANSWERED_RECENTLY
     }
 
-    /// Whether it has been draining for so long, as heard here, that it takes no new work even as primary.
+    /// Whether this node has known for so long that the server drains that the server gets no new work even as primary.
     pub fn past_drain_grace(&self) -> bool {
         let draining_since = self.status.lock().unwrap().draining_since;
         draining_since.is_some_and(|since| now() >= since + DRAIN_GRACE)
     }
 
-    /// It rejected something as it is not the primary: kept for whoever looks after the group.
+    /// Records that the server rejected a request because it is not the primary. The node that manages the group reads
+    /// this.
     pub fn note_not_primary(&self, at: Millis) {
         self.status.lock().unwrap().denied_primary_at = Some(at);
     }
 
-    /// It answered a request that was sent at `asked_at`.
+    /// Records that the server answered a request that was sent at `asked_at`.
     pub fn note_answer(&self, asked_at: Millis) {
         let mut status = self.status.lock().unwrap();
         status.asked_at = status.asked_at.max(asked_at);
@@ -166,7 +167,8 @@
         status.refused = false;
     }
 
-    /// It did not answer what was sent at `asked_at`, or nobody listens there. A later answer outweighs this.
+    /// Records that the server did not answer a request that was sent at `asked_at`, or that the connection was
+    /// refused. A later answer takes precedence.
     pub fn note_failure(&self, asked_at: Millis, refused: bool) {
         let mut status = self.status.lock().unwrap();
         if asked_at >= status.answered_at {
--- a/crates/proxy/src/staleness/mod.rs
+++ b/crates/proxy/src/staleness/mod.rs
@@ -1,4 +1,4 @@
-//! Bounds on how far behind a read may be, proved without clocks that are shared between machines.
+//! Proves bounds on the staleness of reads without clocks that are shared between machines.
 pub mod primary_positions;
 
 pub use primary_positions::{MARGIN, PrimaryPositions};
--- a/crates/proxy/src/staleness/primary_positions.rs
+++ b/crates/proxy/src/staleness/primary_positions.rs
@@ -1,61 +1,62 @@
-//! Positions that a group's primary was observed at.
+//! The positions at which a group's primary was observed.
 //!
-//! A read is fresh enough if the stamp of its answer has reached what this node observed the primary to hold at the
-//! beginning of the bound. Only this node's clock is used.
+//! A read is fresh enough if the stamp of its answer has reached the position that this node observed at the primary at
+//! the beginning of the staleness bound. Only this node's clock is used.
 use quincehatch_core::{Millis, Position};
 use std::collections::VecDeque;
 
-/// Part of the bound that is left for the way back to the client.
+/// The part of the bound that is reserved for the reply to the client.
 pub const MARGIN: Millis = 300;
-/// Observations closer together say the same; one is kept.
-const MIN_GAP: Millis = 20;
-/// Observations kept of one group.
+/// Of observations closer together than this, only one is retained.
+const MIN_OBSERVATION_INTERVAL: Millis = 20;
+/// The maximum number of observations for one group.
 const MAX_OBSERVATIONS: usize = 128;
-/// An older observation proves nothing under any bound.
+/// The age above which an observation proves nothing under any bound.
 const MAX_AGE: Millis = 3_000;
 
 #[derive(Clone, Copy, Debug)]
 struct Observation {
-    asked_at: Millis,
+    sent_at: Millis,
     position: Position,
 }
 
-/// What a group's primary was observed to hold, newest last.
+/// The observed positions of a group's primary, newest last.
 #[derive(Clone, Debug, Default)]
 pub struct PrimaryPositions {
     observations: VecDeque<Observation>,
 }
 
 impl PrimaryPositions {
-    /// Takes an observation. `asked_at` is when the request left, so that all that was acknowledged before it is in
-    /// `position`.
-    pub fn note(&mut self, asked_at: Millis, position: Position) {
-        let earlier = self.observations.iter().rposition(|earlier| earlier.asked_at <= asked_at);
+    /// Records an observation. `sent_at` is when the request was sent, so that `position` includes all commits that
+    /// were acknowledged before it.
+    pub fn record(&mut self, sent_at: Millis, position: Position) {
+        let earlier = self.observations.iter().rposition(|earlier| earlier.sent_at <= sent_at);
         let index = earlier.map_or(0, |i| i + 1);
         let is_newest = index == self.observations.len();
-        // An earlier request that brought as much makes this one redundant.
+        // An earlier request that observed at least this position makes this observation redundant.
         if index > 0 && self.observations[index - 1].position >= position && !is_newest {
             return;
         }
-        let says_the_same =
-            |last: &Observation| asked_at < last.asked_at + MIN_GAP && last.position <= position;
-        if is_newest && self.observations.back().is_some_and(says_the_same) {
+        let is_redundant = |last: &Observation| {
+            sent_at < last.sent_at + MIN_OBSERVATION_INTERVAL && last.position <= position
+        };
+        if is_newest && self.observations.back().is_some_and(is_redundant) {
             return;
         }
-        self.observations.insert(index, Observation { asked_at, position });
+        self.observations.insert(index, Observation { sent_at, position });
         while self.observations.len() > MAX_OBSERVATIONS {
             self.observations.pop_front();
         }
     }
 
-    /// The least position that proves a read at `now` to be no more than `max_staleness` behind; none if the primary was
-    /// not observed lately enough to prove anything.
+    /// Returns the lowest position that proves a read at `now` to be at most `max_staleness` behind, or `None` if the
+    /// primary was not observed recently enough.
     pub fn needed(&mut self, now: Millis, max_staleness: Millis) -> Option<Position> {
         let oldest = now.saturating_sub(max_staleness.saturating_sub(MARGIN));
-        while self.observations.front().is_some_and(|first| first.asked_at + MAX_AGE < now) {
+        while self.observations.front().is_some_and(|first| first.sent_at + MAX_AGE < now) {
             self.observations.pop_front();
         }
-        let within_bound = self.observations.iter().find(|observation| observation.asked_at >= oldest);
+        let within_bound = self.observations.iter().find(|observation| observation.sent_at >= oldest);
         within_bound.map(|observation| observation.position)
     }
 }
--- a/crates/proxy/tests/staleness.rs
+++ b/crates/proxy/tests/staleness.rs
@@ -1,4 +1,4 @@
-//! What a read must reach to be fresh enough.
+//! Tests the position that a read must reach to be fresh enough.
 use quincehatch_core::Position;
 use quincehatch_proxy::staleness::PrimaryPositions;
 
@@ -7,10 +7,10 @@
 }
 
 #[test]
-fn the_oldest_observation_within_the_bound_must_be_reached_when_there_are_many() {
+fn a_read_must_reach_the_oldest_observation_within_the_bound() {
     let mut positions = PrimaryPositions::default();
     for i in 0..20 {
-        positions.note(i * 100, position(i));
+        positions.record(i * 100, position(i));
     }
     assert_eq!(positions.needed(1_900, 1_500), Some(position(7)));
     assert_eq!(positions.needed(3_099, 1_500), Some(position(19)));
@@ -18,10 +18,10 @@
 }
 
 #[test]
-fn an_answer_does_not_count_as_new_when_its_request_left_early() {
+fn an_observation_dates_from_when_its_request_was_sent() {
     let mut positions = PrimaryPositions::default();
-    positions.note(1_000, position(5));
-    positions.note(400, position(9));
+    positions.record(1_000, position(5));
+    positions.record(400, position(9));
     assert_eq!(positions.needed(1_600, 1_500), Some(position(9)));
     assert_eq!(positions.needed(2_000, 1_500), Some(position(5)));
 }
