--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt: a request sent over one connection, watched by the health detectors, and given up without losing what its
-//! reply would tell them.
+//! One attempt: a request that is sent over one connection and monitored by the health detectors, also after the client
+//! has abandoned it.
 use crate::health::evidence::{HealthSignal, classify_end};
 use crate::health::overdue_replies::PendingReply;
 use crate::health::state::HealthState;
@@ -17,37 +17,37 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// An abandoned connection counts as open this long after its query timeout, at most.
+/// The time after its query timeout for which an abandoned connection counts as open, at most.
 const ABANDONED_EXTRA: Millis = 5_000;
-/// How long a cancel request may take.
+/// The timeout of a cancel request.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection that was not open after this long is evidence against the server.
+/// A connection that was not open after this time is evidence against the server.
 const LATE_CONNECT: Duration = Duration::from_millis(500);
 
-/// What came of an attempt.
+/// The outcome of an attempt.
 pub enum AttemptOutcome {
     /// The server's own reply, and the connection.
     Reply(Reply, ServerCheckout),
-    /// The connection failed; what was sent may have been done.
+    /// The connection failed. The request may have been executed.
     ConnectionFailed(ExchangeError),
-    /// No reply in time; a task of its own waits for the connection's end.
+    /// No reply arrived in time. A separate task waits for the end of the connection.
     TimedOut,
 }
 
 /// A request to a server, ready to be sent.
 pub struct Attempt {
-    /// Number of the attempt.
+    /// The number of the attempt.
     pub id: u64,
-    /// The connection it is sent over.
+    /// The connection that the request is sent over.
     pub checkout: ServerCheckout,
-    /// What is sent.
+    /// The request.
     pub request: ServerRequest,
-    /// How its reply is watched.
+    /// How the reply is monitored.
     pub pending: PendingReply,
 }
 
 impl Attempt {
-    /// A new attempt.
+    /// Creates an attempt with a new number.
     pub fn new(
         services: &Services,
         checkout: ServerCheckout,
@@ -58,7 +58,7 @@
     }
 }
 
-/// How the replies of a route's requests are watched.
+/// Returns how the replies of a route's requests are monitored.
 pub fn pending_reply(configuration: &Configuration, route: &Route) -> PendingReply {
     PendingReply {
         timeout: route.timeout_ms,
@@ -73,10 +73,11 @@
     send_with_extension(services, attempt, deadline, || None).await
 }
 
-/// The same; when the time is over, `extend` may give it more.
+/// Sends the attempt and waits for its reply until `deadline`. When the deadline passes, `extend` may return a later
+/// one.
 ///
-/// The exchange goes on in a task of its own, so that neither a client that hangs up nor a request that gives up loses
-/// what the reply would tell the detectors.
+/// The exchange runs in a task of its own, so that its reply reaches the health detectors even if the client
+/// disconnects or the request abandons the attempt.
 pub async fn send_with_extension(
     services: &Arc<Services>,
     attempt: Attempt,
@@ -98,11 +99,11 @@
     }
 }
 
-/// How an exchange ended, seen from its task.
+/// The result of an exchange in its task.
 struct ExchangeEnd {
-    /// `None`: it did not end in the time that an abandoned connection has.
+    /// The reply or failure; `None` if the exchange did not end within the time for an abandoned connection.
     result: Option<Result<Reply, ExchangeError>>,
-    /// Nobody waited for the reply any more.
+    /// Whether the request had abandoned the attempt.
     was_abandoned: bool,
 }
 
@@ -115,9 +116,9 @@
     server.health.lock().unwrap().overdue.record_sent(now(), attempt.id, attempt.pending);
     let end = exchange(&services, &mut attempt, &mut sender).await;
     match end.result {
-        Some(Ok(reply)) => note_reply(&services.registry, attempt, end.was_abandoned, reply, sender),
+        Some(Ok(reply)) => record_reply(&services.registry, attempt, end.was_abandoned, reply, sender),
         Some(Err(error)) => {
-            note_failure(&services.registry, &attempt, end.was_abandoned, &error);
+            record_failure(&services.registry, &attempt, end.was_abandoned, &error);
             drop(attempt);
             let _ = sender.send(AttemptOutcome::ConnectionFailed(error));
         }
@@ -125,7 +126,8 @@
     }
 }
 
-/// Waits for the reply. Once nobody else waits for it the statement is cancelled, and the end of that is waited for.
+/// Waits for the reply. If the request abandons the attempt, the statement is cancelled, and the exchange waits for the
+/// end of that.
 async fn exchange(
     services: &Arc<Services>,
     attempt: &mut Attempt,
@@ -134,15 +136,15 @@
     let connection = attempt.checkout.connection();
     let (id, addr) = (connection.id.clone(), connection.addr.clone());
     let closed_by_us = connection.local_close_marker();
-    let sending = connection.send(&attempt.request);
-    tokio::pin!(sending);
-    if let Ok(result) = seam::select_first(&mut sending, sender.closed()).await {
+    let reply_future = connection.send(&attempt.request);
+    tokio::pin!(reply_future);
+    if let Ok(result) = seam::select_first(&mut reply_future, sender.closed()).await {
         return ExchangeEnd { result: Some(result), was_abandoned: false };
     }
     closed_by_us.mark();
     services.spawner.spawn(cancel(id, addr));
     let time_left = Duration::from_millis(attempt.pending.query_timeout + ABANDONED_EXTRA);
-    let result = seam::timeout(time_left, &mut sending).await.ok();
+    let result = seam::timeout(time_left, &mut reply_future).await.ok();
     ExchangeEnd { result, was_abandoned: true }
 }
 
@@ -151,7 +153,7 @@
     let _ = post_once(&addr, request.path, &request.body, CANCEL_TIMEOUT).await;
 }
 
-fn note_reply(
+fn record_reply(
     registry: &Registry,
     attempt: Attempt,
     was_abandoned: bool,
@@ -166,15 +168,15 @@
         drop(health);
         let _ = sender.send(AttemptOutcome::Reply(reply, attempt.checkout));
     } else if reply.error.is_none() {
-        // Too late for the client, but the server is alive: a long query, not a stall.
+        // The reply is too late for the client, but it shows that the server is alive: a long query, not a stall.
         health.overdue.record_answer(now(), attempt.id);
     } else {
-        // To end a cancelled query needs no storage, so it proves nothing.
+        // Ending a cancelled query requires no storage access, so it proves nothing.
         health.overdue.forget(attempt.id);
     }
 }
 
-fn note_failure(registry: &Registry, attempt: &Attempt, was_abandoned: bool, error: &ExchangeError) {
+fn record_failure(registry: &Registry, attempt: &Attempt, was_abandoned: bool, error: &ExchangeError) {
     let settings = registry.health_settings();
     let server = attempt.checkout.server();
     let ExchangeError::Connection(io_error) = error else {
@@ -184,13 +186,13 @@
     let end = classify_end(io_error, server.connection_usage(true));
     let mut health = server.health.lock().unwrap();
     health.request_inconclusive(attempt.id);
-    // A cancelled query's connection may be closed by the server: that is what this side asked for.
+    // The server may close the connection of a cancelled query, as this node requested the cancellation.
     if !was_abandoned {
         health.connection_ended(now(), &settings, end);
     }
 }
 
-/// No connection could be had: if the reason lies with the server, that is evidence.
+/// Records a failed checkout. If the cause lies with the server, it is evidence against the server.
 pub fn record_checkout_error(registry: &Registry, server: &ServerEntry, error: &CheckoutError) {
     let settings = registry.health_settings();
     let mut health = server.health.lock().unwrap();
--- a/crates/proxy/src/client_api/body.rs
+++ b/crates/proxy/src/client_api/body.rs
@@ -4,40 +4,41 @@
 use serde_json::Value;
 use std::sync::Once;
 
-/// The body of a request. A field that is not listed here is rejected.
+/// The body of a request. Unknown fields are rejected.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RequestBody {
-    /// The session it belongs to.
+    /// The session that the request belongs to.
     pub session: Option<Name>,
-    /// The version of the session that the client was last told.
+    /// The version of the session that the client last received.
     pub version: Option<Version>,
-    /// Names a write, so that it is committed at most once.
+    /// The idempotency key of a write, which is committed at most once.
     pub idempotency_key: Option<Name>,
     /// The deprecated name of `idempotency_key`.
     #[serde(rename = "try")]
     deprecated_try: Option<Name>,
-    /// Name of a statement that is prepared.
+    /// The name of a statement to be prepared.
     pub name: Option<Name>,
-    /// The statement, as the client gave it.
+    /// The text of the statement, verbatim.
     pub text: Option<String>,
-    /// Its parameters.
+    /// The parameters of the statement.
     pub params: Value,
-    /// What routes are chosen by.
+    /// The labels by which the route is chosen.
     pub labels: Labels,
-    /// How long the client waits, in milliseconds.
+    /// The deadline of the request after it is received, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// A read that must run on the primary.
+    /// Whether a read must run on the primary.
     pub primary_read: bool,
     /// The deprecated name of `primary_read`.
     #[serde(rename = "order_side")]
     deprecated_order_side: Option<bool>,
-    /// With `outcome`: make the write impossible if it was not committed.
+    /// For `outcome` requests: whether to seal the idempotency key if the write was not committed, so that it never can
+    /// be.
     pub seal: bool,
 }
 
 impl RequestBody {
-    /// Takes over the fields that came under their deprecated names; the first time it is logged.
+    /// Adopts the values of fields that came under their deprecated names. The first such request is logged.
     fn adopt_deprecated_fields(&mut self) {
         static LOGGED: Once = Once::new();
         let has_deprecated_field = self.deprecated_try.is_some() || self.deprecated_order_side.is_some();
@@ -57,7 +58,7 @@
     }
 }
 
-/// Reads a body; the error says what is wrong but never repeats a value.
+/// Parses a body. The error describes the fault but never contains a value of the body.
 pub fn parse_body(bytes: &[u8]) -> Result<RequestBody, Error> {
     if bytes.is_empty() {
         return Ok(RequestBody::default());
--- a/crates/proxy/src/client_api/listener.rs
+++ b/crates/proxy/src/client_api/listener.rs
@@ -13,31 +13,31 @@
 use xitca_web::http::{HeaderMap, HeaderValue, StatusCode, WebResponse, header};
 use xitca_web::{App, WebContext, bytes::Bytes};
 
-/// Longest body that is taken, in bytes.
+/// The maximum length of a body, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
-/// A connection without requests is closed after this.
+/// The time after which a connection without requests is closed.
 const KEEP_ALIVE: Duration = Duration::from_secs(120);
-/// Status of a request whose task ended without a reply.
+/// The HTTP status for a request whose task panicked.
 const STATUS_INTERNAL_ERROR: u16 = 500;
 
-/// A request as the listener took it.
+/// A request that the listener received.
 pub struct HttpRequest {
-    /// HTTP method.
+    /// The HTTP method.
     pub method: String,
-    /// Path of the URL.
+    /// The path of the URL.
     pub path: String,
-    /// The bearer token, if one came.
+    /// The bearer token, if the request has one.
     pub token: Option<String>,
     /// The body.
     pub body: Bytes,
 }
 
-/// HTTP status and JSON of a reply that is being made.
+/// A future of the HTTP status and JSON of a reply.
 pub type JsonReply = Pin<Box<dyn Future<Output = (u16, Value)> + Send>>;
-/// Answers requests by status and JSON.
+/// A handler that answers requests with status and JSON.
 pub type JsonHandler = Arc<dyn Fn(HttpRequest) -> JsonReply + Send + Sync>;
 
-/// A reply as it leaves: JSON as text, and when to come again.
+/// A reply to be sent: JSON as text, with the optional headers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HttpResponse {
     /// HTTP status.
@@ -58,7 +58,7 @@
 
 /// A reply that is being made.
 pub type HttpReply = Pin<Box<dyn Future<Output = HttpResponse> + Send>>;
-/// Answers requests.
+/// A handler that answers requests.
 pub type HttpHandler = Arc<dyn Fn(HttpRequest) -> HttpReply + Send + Sync>;
 
 #[derive(Clone)]
@@ -67,14 +67,14 @@
     runtime: tokio::runtime::Handle,
 }
 
-/// The complete body. One that is too long is rejected; one that broke off on its way may be sent again.
+/// Returns the complete body. A body that is too long is rejected; an incomplete one may be sent again.
 fn complete_body<const MAX: usize>(
     headers: &HeaderMap,
     body: Result<(Bytes, Limit<MAX>), WebError>,
 ) -> Result<Bytes, Error> {
-    let incomplete = || ErrorCode::NotReady.with_detail("the body came incomplete");
+    let incomplete = || ErrorCode::NotReady.with_detail("the body is incomplete");
     let (body, _) = body.map_err(|error| match error.upcast().downcast_ref::<BodyOverFlow>() {
-        Some(_) => ErrorCode::TooLarge.with_detail(format_args!("a body may have {MAX} bytes")),
+        Some(_) => ErrorCode::TooLarge.with_detail(format_args!("the body is longer than {MAX} bytes")),
         None => incomplete(),
     })?;
     match content_length(headers) {
@@ -107,10 +107,12 @@
                 token: bearer_token(request.headers()),
                 body,
             };
-            // The request runs in a task of its own: a client that hangs up does not cut it short.
+            // The request runs in a task of its own, so that a client that disconnects does not cancel it.
             let running = state.runtime.spawn((state.handler)(http_request));
             running.await.unwrap_or_else(|_| {
-                let error = ErrorCode::NotReady.with_detail("the request broke off").with_unknown_outcome();
+                let error = ErrorCode::NotReady
+                    .with_detail("the request ended without a reply")
+                    .with_unknown_outcome();
                 HttpResponse::from((STATUS_INTERNAL_ERROR, error_json(&error)))
             })
         }
@@ -132,22 +134,21 @@
     response
 }
 
-/// A listener that is open; dropping this leaves it open until [`ListenerHandle::close`].
+/// A handle of an open listener. Dropping the handle leaves the listener open; see [`ListenerHandle::close`].
 pub struct ListenerHandle {
     stop: Box<dyn Fn() + Send + Sync>,
 }
 
 impl ListenerHandle {
-    /// Takes no more requests; those that run are finished.
+    /// Stops accepting requests. Requests in progress are completed.
     pub fn close(&self) {
         (self.stop)();
     }
 }
 
-/// Listens on `addr`, with so many worker threads.
+/// Listens on `addr` with the given number of worker threads.
 ///
-/// # Errors
-/// `PortInUse`, before anything is served.
+/// `PortInUse` if the listener cannot be opened.
 pub fn listen(
     addr: &str,
     threads: usize,
@@ -161,10 +162,9 @@
     listen_with_body_limit::<MAX_BODY_BYTES>(addr, threads, http_handler, runtime)
 }
 
-/// The same, for bodies of up to `MAX` bytes.
+/// Listens on `addr` as [`listen`] does, with bodies of up to `MAX` bytes.
 ///
-/// # Errors
-/// `PortInUse`, before anything is served.
+/// `PortInUse` if the listener cannot be opened.
 pub fn listen_with_body_limit<const MAX: usize>(
     addr: &str,
     threads: usize,
--- a/crates/proxy/src/client_api/mod.rs
+++ b/crates/proxy/src/client_api/mod.rs
@@ -1,4 +1,4 @@
-//! What clients see: the HTTP listener, their requests and the replies.
+//! The interface to clients: the HTTP listener, requests and replies.
 pub mod body;
 pub mod listener;
 pub mod reply;
--- a/crates/proxy/src/client_api/reply.rs
+++ b/crates/proxy/src/client_api/reply.rs
@@ -4,53 +4,54 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// A success. What a server did has its own stamp and rows, unchanged; without them there is no success of a server's.
+/// A success. A statement that a server executed returns the server's own stamp and rows, unchanged; a reply without
+/// them is not a success.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Success {
-    /// A server did it.
+    /// A server executed the request.
     Committed {
-        /// The rows as the server gave them.
+        /// The rows from the server, unchanged.
         rows: Value,
         /// The server's own stamp.
         stamp: Stamp,
     },
-    /// The nodes alone took it on: the session's state is kept by a majority of its replicas.
+    /// The nodes accepted the request without a server: a majority of the session's replicas stores the state.
     Accepted,
 }
 
-/// How a request ended.
+/// The result of a request.
 pub type RequestResult = Result<Success, Error>;
 
-/// Where a request was executed, as replies tell it.
+/// Where a request was executed, as reported in replies.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ExecutionSite {
-    /// The node that took the request.
+    /// The node that received the request.
     pub node: Name,
-    /// The server it was sent to last.
+    /// The server that the request was last sent to.
     pub server: Name,
-    /// The placement of its route.
+    /// The placement of the request's route.
     pub placement: Name,
     /// The zone of the server.
     pub zone: Name,
-    /// The configuration it was executed under.
+    /// The version of the configuration that applied.
     pub version: Version,
-    /// Why that server was chosen; one of the constants of this module.
+    /// Why that server was chosen: one of the `SITE_` constants.
     pub health: Name,
 }
 
 /// The server is the group's primary, and only it may execute the request.
 pub const SITE_PRIMARY: &str = "primary";
-/// The server is the group's primary; the read went there as no replica could take it.
+/// The server is the group's primary, which got the read because no replica was available.
 pub const SITE_PRIMARY_SHARE: &str = "primary-share";
 /// The server is a healthy replica.
 pub const SITE_HEALTHY: &str = "in-rotation";
 /// The server is a replica on probation.
 pub const SITE_PROBATION: &str = "on-trial";
 
-/// A request whose number this divides gets a wrong stamp under the injected bug `foreign-stamp`.
+/// Under the injected bug `foreign-stamp`, a request whose number is a multiple of this gets a wrong stamp.
 const FOREIGN_STAMP_EVERY: u64 = 50;
 
-/// The status and JSON of a result, before the fields that every reply has.
+/// Returns the JSON of a result without the fields that every reply has.
 pub fn result_json(result: &RequestResult, request_id: u64) -> Value {
     match result {
         Ok(Success::Committed { rows, stamp }) => {
@@ -67,7 +68,7 @@
     }
 }
 
-/// The JSON of an error.
+/// Returns the JSON of an error.
 pub fn error_json(error: &Error) -> Value {
     let outcome = match error.outcome {
         Outcome::Committed => "kept",
--- a/crates/proxy/src/client_api/request.rs
+++ b/crates/proxy/src/client_api/request.rs
@@ -1,4 +1,4 @@
-//! A client's request on its way through the proxy.
+//! A client's request and the state of its execution.
 pub use crate::client_api::body::{RequestBody, parse_body};
 use crate::client_api::reply::result_json;
 pub use crate::client_api::reply::{ExecutionSite, RequestResult, Success, error_json};
@@ -15,12 +15,12 @@
 use std::sync::Arc;
 use tokio::sync::OwnedMutexGuard;
 
-/// Steps of one request that are kept for `quincehatchctl explain`.
+/// The number of steps of one request that are retained for `quincehatchctl explain`.
 const MAX_STEPS: usize = 32;
-/// HTTP status of every success.
+/// The HTTP status of every success.
 const STATUS_OK: u16 = 200;
 
-/// What a request asks for.
+/// The operation of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// Opens a session.
@@ -31,24 +31,24 @@
     Prepare,
     /// Closes a session.
     Close,
-    /// A write that is a transaction of its own.
+    /// Runs a write that is a transaction of its own.
     Order,
-    /// A read outside a transaction.
+    /// Runs a read outside a transaction.
     Lookup,
     /// Begins a transaction.
     Begin,
-    /// A statement of a transaction.
+    /// Runs a statement of a transaction.
     Run,
     /// Commits a transaction.
     Commit,
-    /// Rolls a transaction back.
+    /// Rolls back a transaction.
     Rollback,
-    /// Asks what became of a write.
+    /// Queries the outcome of a write.
     Outcome,
 }
 
 impl Operation {
-    /// The operation of an HTTP path.
+    /// Returns the operation of an HTTP path.
     pub fn from_path(path: &str) -> Option<Operation> {
         Some(match path {
             "/v1/open" => Operation::Open,
@@ -73,97 +73,96 @@
     }
 }
 
-/// A request and what has been found out for it so far.
+/// A request and the state of its execution.
 pub struct ClientRequest {
-    /// Its number at this node.
+    /// The number of the request at this node.
     pub id: u64,
-    /// What it asks for.
+    /// The operation that is requested.
     pub operation: Operation,
-    /// What the client sent.
+    /// The body that the client sent.
     pub body: RequestBody,
-    /// The key that it came with.
+    /// The client key of the request.
     pub key: ClientKey,
-    /// When it came.
+    /// When the request was received.
     pub started_at: Millis,
-    /// When it must be answered.
+    /// When the request must be answered.
     pub deadline: Millis,
-    /// The route it takes.
+    /// The route of the request, once it is chosen.
     pub route: Option<Route>,
-    /// Configuration and primaries as known when it came.
+    /// The configuration and primaries when the request was received.
     pub cluster_state: Arc<ClusterState>,
-    /// Its session, locked for this request alone.
+    /// The session of the request, locked for this request alone.
     pub session: Option<OwnedMutexGuard<Session>>,
-    /// The server group it goes to.
+    /// The server group that the request is sent to.
     pub group: Name,
-    /// Where it was executed.
+    /// Where the request was executed.
     pub site: ExecutionSite,
-    /// The steps it took, for `quincehatchctl explain`.
+    /// The steps of the request, for `quincehatchctl explain`.
     pub steps: Vec<String>,
 }
 
 impl ClientRequest {
-    /// For whom it takes the route, by its key.
+    /// Returns the tenant of the request on this route, as its client key authenticates it.
     ///
-    /// # Errors
-    /// `Unauthenticated` where the route needs a key and this one is no tenant's.
+    /// `Unauthenticated` if the route requires a key and the request's key belongs to no tenant.
     pub fn tenant(&self, route: &Route) -> Result<Option<Name>, Error> {
         self.cluster_state.tenants.authenticate(route, self.key)
     }
 
-    /// Time until the deadline, in milliseconds.
+    /// Returns the time until the deadline, in milliseconds.
     pub fn time_left(&self) -> Millis {
         self.deadline.saturating_sub(now())
     }
 
-    /// The statement.
+    /// Returns the text of the statement.
     pub fn text(&self) -> &str {
         self.body.text.as_deref().unwrap_or_default()
     }
 
-    /// Digest of a write's content: an idempotency key that is used again must bring the same.
+    /// Returns the digest of a write's content, which must be the same whenever its idempotency key is reused.
     pub fn digest(&self) -> Name {
         content_digest("", self.text(), &self.body.params)
     }
 
-    /// The idempotency key, which the operation cannot do without.
+    /// Returns the idempotency key, or an error if the required key is missing.
     pub fn idempotency_key(&self) -> Result<Name, Error> {
         let key = self.body.idempotency_key.clone();
         key.ok_or_else(|| ErrorCode::MissingIdempotencyKey.without_detail())
     }
 
-    /// The configuration it runs under.
+    /// Returns the configuration that applies to the request.
     pub fn configuration(&self) -> Result<Arc<Configuration>, Error> {
         let configuration = self.cluster_state.configuration.clone();
         configuration.ok_or_else(|| ErrorCode::NoConfiguration.without_detail())
     }
 
-    /// The configuration it runs under, and its route.
+    /// Returns the configuration that applies to the request, and its route.
     pub fn configuration_and_route(&self) -> Result<(Arc<Configuration>, Route), Error> {
         let configuration = self.cluster_state.configuration.clone();
         let both = configuration.zip(self.route.clone());
         both.ok_or_else(|| ErrorCode::NoRoute.without_detail())
     }
 
-    /// The state of its session; that of a new one if it belongs to none.
+    /// Returns the state of the request's session, or an empty state if the request belongs to no session.
     pub fn session_state(&self) -> SessionState {
         self.session.as_ref().map(|session| session.state.clone()).unwrap_or_default()
     }
 
-    /// It goes to this server, for the reason that `health` names.
+    /// Records that the request is sent to this server, for the reason `health`.
     pub fn set_site(&mut self, server: &ServerEntry, health: &str) {
         self.site.server = server.name.clone();
         self.site.zone = server.zone();
         self.site.health = health.into();
     }
 
-    /// Takes note of a step.
-    pub fn note(&mut self, step: impl Into<String>) {
+    /// Adds a step, up to the maximum number.
+    pub fn add_step(&mut self, step: impl Into<String>) {
         if self.steps.len() < MAX_STEPS {
             self.steps.push(step.into());
         }
     }
 
-    /// The reply to the client: HTTP status and JSON.
+    /// Returns the reply to the client: HTTP status and JSON.
     pub fn reply(&self, result: &RequestResult) -> (u16, Value) {
         let mut reply = result_json(result, self.id);
         if let Some(fields) = reply.as_object_mut() {
@@ -179,11 +178,12 @@
     }
 }
 
-/// Adds a statement to a digest of what a write does (SHA-256, in hex): equal only for equal content.
+/// Returns the digest (SHA-256, in hex) of a write's earlier statements, whose digest is `so_far`, and one more
+/// statement. Equal digests mean equal content.
 pub fn content_digest(so_far: &str, text: &str, params: &Value) -> Name {
     let mut hasher = Sha256::new();
     for part in [so_far, text, &params.to_string()] {
-        // The length keeps the parts apart.
+        // The length prefix makes the boundaries between the parts unambiguous.
         hasher.update((part.len() as u64).to_le_bytes());
         hasher.update(part.as_bytes());
     }
--- a/crates/proxy/src/latest.rs
+++ b/crates/proxy/src/latest.rs
@@ -1,33 +1,34 @@
 //! A shared cell whose value is never replaced by an older one.
 //!
-//! Several tasks may bring values that carry a rising number; whatever order they come in, the newest stays.
+//! Several tasks may set values that carry a rising number. Whatever the order in which they arrive, the newest is
+//! retained.
 use crate::sync::RwLock;
 use std::sync::Arc;
 
-/// A value with a number that only rises.
+/// A value with a monotonic number.
 pub trait Numbered {
     /// Whether this value is at least as new as `than`.
     fn newer_or_same(&self, than: &Self) -> bool;
 }
 
-/// Holds the newest value it was given.
+/// A cell that holds the newest value it was set to.
 #[derive(Debug, Default)]
 pub struct Latest<T> {
     cell: RwLock<Arc<T>>,
 }
 
 impl<T: Numbered> Latest<T> {
-    /// A cell that holds `value`.
+    /// Creates a cell that holds `value`.
     pub fn new(value: T) -> Self {
         Self { cell: RwLock::new(Arc::new(value)) }
     }
 
-    /// The value of this moment.
+    /// Returns the current value.
     pub fn get(&self) -> Arc<T> {
         self.cell.read().unwrap().clone()
     }
 
-    /// Takes `value` unless it is older than the one held; says whether it was taken.
+    /// Sets `value` unless it is older than the current one. Returns whether it was set.
     ///
     /// `before_publish(old, new)` runs under the same lock, before anyone can read the new value.
     pub fn set(&self, value: T, before_publish: impl FnOnce(&T, &T)) -> bool {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,13 +1,13 @@
-//! The proxy of a node: takes clients' requests, sends them to database servers over pooled connections, watches the
-//! servers' health and retries reads elsewhere.
+//! The proxy of a node: accepts clients' requests, sends them to database servers over pooled connections, monitors the
+//! servers' health and retries reads at other servers.
 //!
 //! Layers, each of which imports only those before it:
 //! 1. types and ports: [`server_protocol`], [`platform_api`], [`ports`], [`latest`], [`sync`], [`retry_budget`];
-//! 2. [`tenants`], [`staleness`], [`health`] (but for its probe), the states of [`session`]s, [`pool`];
+//! 2. [`tenants`], [`staleness`], [`health`] (except its probe), the states of [`session`]s, [`pool`];
 //! 3. [`routing`]: the registry of servers, and which server a read goes to; then [`health::probe`];
 //! 4. sessions with their open transactions, [`client_api`] and [`services`];
 //! 5. the request paths: [`attempt`], [`read`], [`mod@write`], [`primary_read`], [`transaction`], [`session_filter`];
-//! 6. [`pipeline`], and [`proxy`] on top. [`direct`] is the path of sessions that live on their own connections.
+//! 6. [`pipeline`], and [`proxy`] on top. [`direct`] is the path of sessions that have connections of their own.
 #![warn(
     missing_docs,
     clippy::too_many_lines,
--- a/crates/proxy/src/outcome_query.rs
+++ b/crates/proxy/src/outcome_query.rs
@@ -1,4 +1,4 @@
-//! Finds out what became of a write: its outcome is asked of the primary by the idempotency key, and made final by a seal.
+//! Resolves the outcome of a write: the primary is queried by the idempotency key, and a seal makes the outcome final.
 use crate::client_api::reply::{RequestResult, SITE_PRIMARY};
 use crate::client_api::request::ClientRequest;
 use crate::primary_connection::{Primary, REPLY_RESERVE, primary};
@@ -10,33 +10,33 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two questions.
+/// The interval between two queries.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// When a client may ask again after the outcome could not be had.
+/// Suggested wait before a client queries again after the outcome could not be determined.
 const UNKNOWN_RETRY_AFTER: Millis = 500;
 
-/// Whether a write that was not committed is made impossible.
+/// Whether the query seals the key of a write that was not committed, so that it never can be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Seal {
-    /// It is, and only then called not applied.
+    /// The key is sealed; only then the write is reported as not applied.
     IfNotCommitted,
-    /// It is not: the outcome may still change.
+    /// The key is not sealed: the outcome may still change.
     Never,
 }
 
-/// Asks the outcome of whoever is primary, until it is known or the deadline is here.
+/// Queries the current primary for the outcome until it is known or the deadline is reached.
 pub async fn resolve_outcome(
     services: &Arc<Services>,
     request: &mut ClientRequest,
     key: &str,
     seal: Seal,
 ) -> RequestResult {
-    request.note("asks the outcome");
+    request.add_step("queries the outcome");
     while request.time_left() > REPLY_RESERVE {
         let timeout = Duration::from_millis(request.time_left().saturating_sub(REPLY_RESERVE));
         if let Ok(primary) = primary(&services.registry, request) {
             request.set_site(&primary.server, SITE_PRIMARY);
-            let reply = ask_primary(&primary, key, seal, timeout).await;
+            let reply = query_primary(&primary, key, seal, timeout).await;
             let is_valid = |reply: &Reply| {
                 reply.stamp.fence == primary.fence
                     && reply.stamp.role == Role::Primary
@@ -52,10 +52,10 @@
     Err(unknown_outcome())
 }
 
-/// What a reply of the primary says, if it settles the outcome.
+/// Returns the result if the primary's reply determines the outcome.
 fn read_outcome(reply: &Reply, primary: &Primary, seal: Seal) -> Option<RequestResult> {
     match reply.outcome.as_deref() {
-        // It proves nothing of what else is visible at a primary that just took over.
+        // This proves nothing about what else is visible at a primary that just took over.
         Some(OUTCOME_COMMITTED) => {
             let success = reply.success_of(&primary.server.name);
             let invalid = || ErrorCode::InvalidReply.without_detail().with_unknown_outcome();
@@ -73,7 +73,7 @@
     }
 }
 
-async fn ask_primary(primary: &Primary, key: &str, seal: Seal, timeout: Duration) -> Option<Reply> {
+async fn query_primary(primary: &Primary, key: &str, seal: Seal, timeout: Duration) -> Option<Reply> {
     let with_seal = seal == Seal::IfNotCommitted && !seam::injected_bug("no-seal");
     let request = call::outcome(key, with_seal, primary.fence);
     let addr = primary.server.addr();
@@ -83,7 +83,7 @@
     is_own_answer.then_some(reply)
 }
 
-/// The outcome could not be had in time.
+/// Returns the error for an outcome that could not be determined in time.
 pub fn unknown_outcome() -> Error {
     ErrorCode::Unknown.without_detail().with_unknown_outcome().with_retry_after(UNKNOWN_RETRY_AFTER)
 }
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -1,4 +1,5 @@
-//! The filters that every request passes, in order; each may answer it. The last one executes it.
+//! The filters that every request passes through, in order. Each of them may answer the request; the last one executes
+//! it.
 use crate::client_api::reply::RequestResult;
 use crate::client_api::request::{ClientRequest, Operation};
 use crate::outcome_query::{Seal, resolve_outcome};
@@ -14,34 +15,34 @@
 use std::pin::Pin;
 use std::sync::Arc;
 
-/// What a filter does with a request: `None` lets it pass, `Some` answers it.
+/// The result of a filter: `None` passes the request on, and `Some` answers it.
 pub type FilterFuture<'a> = Pin<Box<dyn Future<Output = Option<RequestResult>> + Send + 'a>>;
 
-/// One filter.
+/// A filter of requests.
 pub struct Filter {
-    /// Its name in a request's steps.
+    /// The filter's name in a request's steps.
     pub name: &'static str,
-    /// Looks at the request.
+    /// Applies the filter to a request.
     pub apply: for<'a> fn(&'a Arc<Services>, &'a mut ClientRequest) -> FilterFuture<'a>,
 }
 
 /// Deadlines that a client may set, in milliseconds.
 pub const DEADLINE_RANGE: RangeInclusive<Millis> = 50..=60_000;
-/// Longest text of a statement, in bytes.
+/// The maximum length of a statement's text, in bytes.
 pub const MAX_TEXT_BYTES: usize = 32 << 10;
-/// Longest idempotency key, and longest name, in bytes.
+/// The maximum length of idempotency keys and names, in bytes.
 const MAX_NAME_BYTES: usize = 128;
-/// When a client may come again after the node turned out to be stopping.
+/// Suggested wait before a client retries after the node turned out to be stopping.
 const STOPPING_RETRY_AFTER: Millis = 200;
-/// When it may come again after the node had no lease.
+/// Suggested wait before a client retries after the node had no lease.
 const NO_LEASE_RETRY_AFTER: Millis = 500;
-/// When it may come again after there was no configuration.
+/// Suggested wait before a client retries after the node had no configuration.
 const NO_CONFIGURATION_RETRY_AFTER: Millis = 1_000;
-/// The label of a request that names the zone of the node it came to. The deprecated name of `zone`, which selectors by
-/// either name match, so that a label `zone` of the client's own stays what it is.
+/// The label that names the zone of the node that received the request. It is the deprecated name of `zone`; selectors
+/// match both names, so a label `zone` that the client sets itself is preserved.
 const ZONE_LABEL: &str = "district";
 
-/// All filters.
+/// All filters, in order.
 pub const FILTERS: &[Filter] = &[
     Filter { name: "limits", apply: |_, request| Box::pin(async { check_limits(request).err().map(Err) }) },
     Filter {
@@ -68,10 +69,10 @@
     },
 ];
 
-/// Takes a request through all filters.
+/// Runs a request through all filters.
 pub async fn run(services: &Arc<Services>, request: &mut ClientRequest) -> RequestResult {
     for filter in FILTERS {
-        request.note(filter.name);
+        request.add_step(filter.name);
         if let Some(result) = (filter.apply)(services, request).await {
             return result;
         }
@@ -84,12 +85,12 @@
     let operation = request.operation;
     let malformed = |detail: &str| Err(ErrorCode::Malformed.with_detail(detail));
     if request.text().len() > MAX_TEXT_BYTES {
-        let detail = format_args!("a text may have {MAX_TEXT_BYTES} bytes");
+        let detail = format_args!("the text is longer than {MAX_TEXT_BYTES} bytes");
         return Err(ErrorCode::TooLarge.with_detail(detail));
     }
     let body = &request.body;
     if has_invalid_length(body.idempotency_key.as_deref()) || has_invalid_length(body.name.as_deref()) {
-        return malformed("an idempotency key or name has 1 to 128 bytes");
+        return malformed("an idempotency key or name must have 1 to 128 bytes");
     }
     if matches!(operation, Set | Prepare | Order | Lookup | Run) && request.text().is_empty() {
         return malformed("text is missing");
@@ -112,9 +113,9 @@
 
 fn check_ready(services: &Services, request: &ClientRequest) -> Result<(), Error> {
     use Operation::{Close, Commit, Outcome, Rollback, Run};
-    // A node that stops lets clients finish what they have begun.
-    let finishes_something = matches!(request.operation, Run | Commit | Rollback | Close | Outcome);
-    if services.registry.is_stopping() && !finishes_something {
+    // A stopping node lets clients finish open transactions and sessions.
+    let finishes_open_work = matches!(request.operation, Run | Commit | Rollback | Close | Outcome);
+    if services.registry.is_stopping() && !finishes_open_work {
         return Err(ErrorCode::Stopping.without_detail().with_retry_after(STOPPING_RETRY_AFTER));
     }
     if !services.registry.has_lease() {
@@ -151,15 +152,15 @@
     let mut labels = request.body.labels.clone();
     labels.insert(ZONE_LABEL.into(), services.settings.zone.as_str().into());
     let route = configuration.route_for(class, &labels).ok_or_else(|| ErrorCode::NoRoute.without_detail())?;
-    // A request that waits fails at the route's timeout or at its own deadline, whichever comes first.
+    // A waiting request fails at the route's timeout or at its own deadline, whichever comes first.
     request.deadline = request.deadline.min(request.started_at + route.timeout_ms);
     request.site.placement = route.placement.as_str().into();
     request.route = Some(route.clone());
     Ok(())
 }
 
-/// Authenticates the client, and admits what counts against its tenant's limit. A step of a transaction has no route of
-/// its own; its key is held against that of the transaction's beginning.
+/// Authenticates the client, and admits the request against its tenant's limit if it counts towards it. A step of a
+/// transaction has no route; its key is compared with the one that began the transaction.
 async fn admit_tenant(services: &Services, request: &ClientRequest) -> Result<(), Error> {
     let Some(route) = &request.route else { return Ok(()) };
     let tenant = request.tenant(route)?;
@@ -171,7 +172,7 @@
     }
 }
 
-/// A route that may write names the one group of its placement.
+/// Sets the group of a request whose route may write: the only group of the route's placement.
 fn choose_group(request: &mut ClientRequest) -> Result<(), Error> {
     let Some(route) = &request.route else { return Ok(()) };
     let configuration = request.configuration()?;
--- a/crates/proxy/src/primary_connection.rs
+++ b/crates/proxy/src/primary_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a group's primary, with the request's session set up on it.
+//! Connects to a group's primary and applies the request's session setup to the connection.
 use crate::attempt::record_checkout_error;
 use crate::client_api::reply::SITE_PRIMARY;
 use crate::client_api::request::ClientRequest;
@@ -13,19 +13,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time kept at the end of a deadline for the reply to the client.
+/// The time at the end of a deadline that is reserved for the reply to the client.
 pub const REPLY_RESERVE: Millis = 40;
-/// Longest that a request waits while the primary changes: a change is over in less, or takes seconds.
+/// The longest time that a request waits while the primary changes. A change takes either less than this or several
+/// seconds.
 const MAX_WAIT_FOR_PRIMARY: Millis = 900;
-/// How often a waiting request looks again.
+/// How often a waiting request checks for a primary.
 const PRIMARY_POLL: Duration = Duration::from_millis(5);
-/// Connections to the primary are tried so often.
+/// The maximum number of attempts to connect to the primary.
 const MAX_ATTEMPTS: usize = 3;
-/// When a client may come again after the primary was not there.
+/// Suggested wait before a client retries after no primary was available.
 const NO_PRIMARY_RETRY_AFTER: Millis = 1_000;
-/// When it may come again after no connection was had.
+/// Suggested wait before a client retries after no connection could be opened.
 const CONNECT_RETRY_AFTER: Millis = 500;
-/// When it may come again after the queue was full.
+/// Suggested wait before a client retries after the queue was full.
 const QUEUE_RETRY_AFTER: Millis = 200;
 
 /// A group's primary.
@@ -44,19 +45,20 @@
     pub fence: FencingToken,
 }
 
-/// The primary of the request's group, if the placement contains it and it takes work.
+/// Returns the primary of the request's group if the placement includes it and it accepts work.
 pub fn primary(registry: &Registry, request: &ClientRequest) -> Result<Primary, Error> {
-    let assignment = registry.primary(&request.group).ok_or_else(|| no_primary("none was named yet"))?;
-    let name = assignment.server.ok_or_else(|| no_primary("it is changing"))?;
-    let server = registry.server(&name).ok_or_else(|| no_primary("it has not been heard of here"))?;
+    let assignment =
+        registry.primary(&request.group).ok_or_else(|| no_primary("no primary was assigned yet"))?;
+    let name = assignment.server.ok_or_else(|| no_primary("the primary is changing"))?;
+    let server = registry.server(&name).ok_or_else(|| no_primary("the primary is unknown to this node"))?;
     if !placement_includes(request, &server) {
-        return Err(no_primary("the placement does not include it"));
+        return Err(no_primary("the placement does not include the primary"));
     }
     if server.is_draining() {
-        return Err(no_primary("it is draining"));
+        return Err(no_primary("the primary is draining"));
     }
     if !server.answered_recently() {
-        return Err(no_primary("it has not answered STATUS for 3 s"));
+        return Err(no_primary("the primary has not answered STATUS for 3 s"));
     }
     Ok(Primary { server, fence: assignment.fence })
 }
@@ -71,8 +73,8 @@
     configuration.placement_includes(placement, &server.heartbeat.read().unwrap().labels)
 }
 
-/// The primary; while it changes the request waits for it, within its time and in a bounded queue. Nothing was sent, so
-/// the answer is final and comes at once when the wait is over.
+/// Returns the primary. While the primary changes, the request waits for it, until its deadline and in a bounded queue.
+/// Nothing has been sent, so an error is final and is returned as soon as the wait is over.
 async fn wait_for_primary(registry: &Registry, request: &mut ClientRequest) -> Result<Primary, Error> {
     let until = (now() + MAX_WAIT_FOR_PRIMARY).min(request.deadline.saturating_sub(2 * REPLY_RESERVE));
     let mut queue_slot = None;
@@ -84,7 +86,7 @@
         if queue_slot.is_none() {
             let configuration = request.cluster_state.configuration.as_ref();
             let capacity = configuration.map_or(0, |configuration| configuration.queue.max_waiting as usize);
-            request.note("queued while the primary changes");
+            request.add_step("queued while the primary changes");
             let slot = registry.in_flight.enter_queue(&request.group, capacity);
             let queue_full = || ErrorCode::QueueFull.without_detail().with_retry_after(QUEUE_RETRY_AFTER);
             queue_slot = Some(slot.ok_or_else(queue_full)?);
@@ -93,14 +95,14 @@
     }
 }
 
-/// Whether no server is named, or the one that is drains.
+/// Whether no server is assigned as primary, or the assigned one is draining.
 fn is_changing(registry: &Registry, group: &str) -> bool {
     let Some(assignment) = registry.primary(group) else { return false };
     let Some(name) = &assignment.server else { return true };
     registry.server(name).is_some_and(|server| server.is_draining())
 }
 
-/// A connection to the primary with the request's session set up on it; nothing of the request has been sent yet.
+/// Connects to the primary and applies the request's session setup. Nothing of the request has been sent yet.
 pub async fn connect_to_primary(
     services: &Arc<Services>,
     request: &mut ClientRequest,
@@ -123,7 +125,7 @@
             Err(CheckoutError::Busy(error)) => return Err(error),
             Err(error) => {
                 record_checkout_error(&services.registry, &server, &error);
-                request.note(format!("no connection to {}", server.name));
+                request.add_step(format!("no connection to {}", server.name));
                 last_error = ErrorCode::ServerFailed
                     .with_detail("no connection to the primary could be opened")
                     .with_retry_after(CONNECT_RETRY_AFTER);
--- a/crates/proxy/src/primary_read.rs
+++ b/crates/proxy/src/primary_read.rs
@@ -1,5 +1,5 @@
-//! Reads that must run on the primary: under the node's lease and the primary's fence, so that they miss nothing that was
-//! acknowledged before.
+//! Reads that must run on the primary. They run under the node's lease and the primary's fence, so that they include
+//! everything that was acknowledged before.
 use crate::attempt::{Attempt, AttemptOutcome, pending_reply, send};
 use crate::client_api::reply::RequestResult;
 use crate::client_api::request::ClientRequest;
@@ -13,14 +13,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// When a client may come again after the server failed or did not answer in time.
+/// Suggested wait before a client retries after the server failed or did not answer in time.
 const FAILED_RETRY_AFTER: Millis = 500;
-/// When it may come again after the primary changed.
+/// Suggested wait before a client retries after the primary changed.
 const CHANGED_RETRY_AFTER: Millis = 200;
-/// Time before a server that is starting is asked again.
+/// The pause before a request is sent again to a server that is starting.
 const STARTING_PAUSE: Duration = Duration::from_millis(40);
 
-/// A read on the primary, outside a transaction.
+/// Runs a read on the primary, outside a transaction.
 pub async fn read_on_primary(services: &Arc<Services>, request: &mut ClientRequest) -> RequestResult {
     let (configuration, route) = request.configuration_and_route()?;
     let pending = pending_reply(&configuration, &route);
@@ -48,17 +48,19 @@
     }
 }
 
-/// Whether the server did not run the statement as it is starting, and there is time to ask again; waits a moment then.
+/// Returns whether the request is to be sent again, because the server was starting and time is left. In that case it
+/// waits first.
 pub async fn waits_for_start(request: &mut ClientRequest, reply: &Reply) -> bool {
-    let asks_again = reply.has_error_code(STARTING) && request.time_left() > 2 * REPLY_RESERVE;
-    if asks_again {
-        request.note(format!("{} is starting", request.site.server));
+    let should_retry = reply.has_error_code(STARTING) && request.time_left() > 2 * REPLY_RESERVE;
+    if should_retry {
+        request.add_step(format!("{} is starting", request.site.server));
         seam::sleep(STARTING_PAUSE).await;
     }
-    asks_again
+    should_retry
 }
 
-/// A read on the primary counts only if the node still has its lease and the primary has not changed.
+/// Returns the result of a read on the primary, which is valid only if the node still has its lease and the primary has
+/// not changed.
 pub fn read_reply(
     registry: &Registry,
     request: &ClientRequest,
@@ -73,7 +75,7 @@
     });
     if !registry.has_lease() || !is_still_primary || reply.stamp.fence != fence {
         return Err(ErrorCode::NoPrimary
-            .with_detail("it changed while the read ran")
+            .with_detail("the primary changed during the read")
             .with_retry_after(CHANGED_RETRY_AFTER));
     }
     reply.success_of(&request.site.server).ok_or_else(|| ErrorCode::InvalidReply.without_detail())
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy of one node: takes clients' requests, counts how they end and remembers the way they took.
+//! The proxy of one node: handles clients' requests, counts their outcomes and records their traces.
 use crate::client_api::reply::{ExecutionSite, RequestResult, error_json};
 use crate::client_api::request::{ClientRequest, Operation, RequestBody, parse_body};
 use crate::pipeline;
@@ -22,34 +22,34 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The way one request took, kept for `quincehatchctl explain`.
+/// The trace of one request, for `quincehatchctl explain`.
 #[derive(Clone, Debug)]
 pub struct RequestTrace {
-    /// Number of the request.
+    /// The number of the request.
     pub id: u64,
-    /// What it asked for.
+    /// The requested operation.
     pub operation: String,
-    /// How long it took.
+    /// The duration of the request.
     pub duration_ms: u64,
-    /// Code of its error; 0 is a success.
+    /// The error code; 0 for a success.
     pub code: u16,
-    /// Where it was executed.
+    /// Where the request was executed.
     pub site: ExecutionSite,
-    /// The steps it took.
+    /// The steps of the request.
     pub steps: Vec<String>,
 }
 
-/// Traces kept.
+/// The number of traces that are retained.
 const MAX_TRACES: usize = 4096;
 
-/// How requests ended so far.
+/// Counts of requests by outcome.
 #[derive(Debug, Default)]
 pub struct OutcomeCounts {
-    /// Successes.
+    /// The number of successes.
     pub committed: AtomicU64,
-    /// Errors after which nothing was applied.
+    /// The number of errors after which nothing was applied.
     pub not_applied: AtomicU64,
-    /// Errors after which something may have been applied.
+    /// The number of errors after which a write may have been applied.
     pub unknown: AtomicU64,
 }
 
@@ -59,23 +59,23 @@
     pub settings: Arc<NodeSettings>,
     /// Servers, configuration and primaries.
     pub registry: Arc<Registry>,
-    /// The sessions in use here.
+    /// The sessions in use at this node.
     pub sessions: Arc<Sessions>,
-    /// Bounds retries at other servers.
+    /// Limits retries at other servers.
     pub retry_budget: Arc<RetryBudget>,
-    /// What tenants may run here.
+    /// Admits requests against the rate limits of tenants.
     pub quota: Arc<QuotaGate>,
-    /// The ways that the last requests took.
+    /// The traces of the last requests.
     pub traces: Mutex<VecDeque<RequestTrace>>,
-    /// How requests ended.
+    /// The counts of requests by outcome.
     pub outcome_counts: OutcomeCounts,
-    /// Requests that are being executed.
+    /// The number of requests in flight.
     pub requests_in_flight: AtomicU64,
     services: Arc<Services>,
 }
 
 impl Proxy {
-    /// A proxy that knows no servers and no configuration yet.
+    /// Creates a proxy without servers and configuration.
     pub fn new(
         settings: NodeSettings,
         session_replicas: Box<dyn SessionReplicas>,
@@ -95,39 +95,40 @@
         })
     }
 
-    /// What the request paths share.
+    /// Returns the services that the request paths share.
     pub fn services(&self) -> &Arc<Services> {
         &self.services
     }
 
-    /// Runs tasks that outlive a request.
+    /// Returns the spawner for tasks that outlive a request.
     pub fn spawner(&self) -> &Spawner {
         &self.services.spawner
     }
 
-    /// The number of the next request or attempt.
+    /// Returns a new number for a request or an attempt.
     pub fn next_request_id(&self) -> u64 {
         self.services.next_request_id()
     }
 
-    /// The health settings in force.
+    /// Returns the health settings in force.
     pub fn health_settings(&self) -> HealthSettings {
         self.registry.health_settings()
     }
 
-    /// Sends a request to a server over a connection of its own; `None` if no valid reply came in time.
+    /// Sends a request to a server over a new connection. Returns `None` if no valid reply arrived in time.
     pub async fn call_once(&self, addr: &str, request: &ServerRequest, timeout: Duration) -> Option<Reply> {
         let (_, body) = post_once(addr, request.path, &request.body, timeout).await.ok()?;
         Reply::read(body)
     }
 
-    /// Whether the platform may send clients here, and why not (docs/client-api.md).
+    /// Returns the readiness report if the platform may send clients to this node, and otherwise the reason why not
+    /// (docs/client-api.md).
     pub fn readiness(&self) -> Result<Value, Error> {
         if self.registry.is_stopping() {
             return Err(ErrorCode::Stopping.without_detail());
         }
         if self.registry.draining.load(Ordering::SeqCst) {
-            return Err(ErrorCode::NotReady.with_detail("it is drained; its sessions go on"));
+            return Err(ErrorCode::NotReady.with_detail("the node is drained; its sessions continue"));
         }
         if !self.registry.has_lease() {
             return Err(ErrorCode::NoLease.without_detail());
@@ -140,7 +141,7 @@
         if servers.is_empty() {
             return Err(ErrorCode::NotReady.with_detail("no database server is known yet"));
         }
-        // Without primaries reads still go on, so the node is ready and says what it lacks.
+        // Without primaries reads still work, so the node is ready and lists the groups without a reachable primary.
         let mut reduced: Vec<Name> = Vec::new();
         for server in servers {
             let group = server.group();
@@ -157,17 +158,17 @@
         primary.is_some_and(|server| server.status.lock().unwrap().failing_since.is_none())
     }
 
-    /// Sessions that are idle give up their place here; their replicas stay.
+    /// Evicts idle sessions from this node. Their replicas remain.
     pub fn evict_idle_sessions(&self) {
         session_filter::evict_idle_sessions(&self.services);
     }
 
-    /// Takes one request of a client without a key from the listener to its reply: HTTP status and JSON.
+    /// Handles one request of a client without a key, and returns the HTTP status and JSON of the reply.
     pub async fn handle(&self, path: &str, bytes: &[u8]) -> (u16, Value) {
         self.handle_with_key(path, bytes, ClientKey::NONE).await
     }
 
-    /// The same for a client with a key.
+    /// Handles one request of a client with a key, and returns the HTTP status and JSON of the reply.
     pub async fn handle_with_key(&self, path: &str, bytes: &[u8], key: ClientKey) -> (u16, Value) {
         let Some(operation) = Operation::from_path(path) else {
             let error = ErrorCode::NoSuchCall.without_detail();
@@ -182,13 +183,14 @@
             Err(error) => Err(error),
         };
         let result = result.map_err(|error| match operation {
-            // Whoever asks for an outcome learns that nothing was applied only from the seal.
+            // Only a sealed key proves that nothing was applied, so any other error of an outcome query leaves the
+            // outcome unknown.
             Operation::Outcome if !error.has_code(ErrorCode::Sealed) => error.with_unknown_outcome(),
             _ => error,
         });
         self.requests_in_flight.fetch_sub(1, Ordering::SeqCst);
-        self.count(&result);
-        self.keep_trace(&request, &result);
+        self.count_outcome(&result);
+        self.record_trace(&request, &result);
         request.reply(&result)
     }
 
@@ -215,7 +217,7 @@
         }
     }
 
-    fn count(&self, result: &RequestResult) {
+    fn count_outcome(&self, result: &RequestResult) {
         let counter = match result {
             Ok(_) => &self.outcome_counts.committed,
             Err(error) if error.outcome == Outcome::Unknown => &self.outcome_counts.unknown,
@@ -224,7 +226,7 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn keep_trace(&self, request: &ClientRequest, result: &RequestResult) {
+    fn record_trace(&self, request: &ClientRequest, result: &RequestResult) {
         let trace = RequestTrace {
             id: request.id,
             operation: format!("{:?}", request.operation).to_lowercase(),
--- a/crates/proxy/src/read/attempts.rs
+++ b/crates/proxy/src/read/attempts.rs
@@ -158,7 +158,7 @@
                 self.read_reply(&services.registry, request, &queried, &reply)
             }
             AttemptOutcome::ConnectionFailed(error) => {
-                request.note(format!("connection to {} failed", choice.server.name));
+                request.add_step(format!("connection to {} failed", choice.server.name));
                 self.last_error = error.to_error();
                 Step::TryNext
             }
@@ -199,13 +199,13 @@
         if choice.reason == ChoiceReason::Probation {
             choice.server.health.lock().unwrap().request_inconclusive(choice.attempt_id);
         }
-        request.note(format!("no connection to {}", choice.server.name));
+        request.add_step(format!("no connection to {}", choice.server.name));
         record_checkout_error(&services.registry, &choice.server, &error);
         self.last_error = error.into_error();
     }
 
     fn record_timeout(&mut self, services: &Services, request: &mut ClientRequest, choice: &ServerChoice) {
-        request.note(format!("{} timed out", choice.server.name));
+        request.add_step(format!("{} timed out", choice.server.name));
         if choice.reason == ChoiceReason::Probation {
             let settings = services.registry.health_settings();
             let mut health = choice.server.health.lock().unwrap();
@@ -228,7 +228,7 @@
         }
         if reply.has_error_code(STARTING) {
             // The statement was not run. Another server may answer, or this one shortly.
-            request.note(format!("{} is starting", server.name));
+            request.add_step(format!("{} is starting", server.name));
             self.last_error = ErrorCode::Stale.without_detail();
             return Step::TryNext;
         }
@@ -240,10 +240,10 @@
             return Step::TryNext;
         };
         if is_fresh(registry, queried, &reply.stamp, self.route.max_staleness_ms) {
-            request.note(format!("{} answered", server.name));
+            request.add_step(format!("{} answered", server.name));
             return Step::Done(Ok(success));
         }
-        request.note(format!("{} was too stale", server.name));
+        request.add_step(format!("{} was too stale", server.name));
         self.last_error = ErrorCode::Stale.without_detail();
         Step::TryNext
     }
--- a/crates/proxy/src/retry_budget.rs
+++ b/crates/proxy/src/retry_budget.rs
@@ -1,17 +1,18 @@
-//! Bounds how many requests are retried at another server.
+//! Limits how many requests are retried at another server.
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// How many requests may be retried while their first server is silent: one for each four that come, and a stock for a
-/// stall that has not been found yet. So a load that makes all servers slow does not multiply itself.
+/// The budget for retries of requests whose first server does not answer. Each four requests earn one retry, and a
+/// reserve covers a stall that has not been detected yet. A load that makes all servers slow is therefore not
+/// multiplied by retries.
 ///
 /// The value counts quarters of a retry.
 pub struct RetryBudget(AtomicU64);
 
-/// Retries in stock at most.
+/// The maximum number of retries in the reserve.
 pub const MAX_STOCK: u64 = 512;
-/// Requests that earn one retry.
+/// The number of requests that earn one retry.
 const REQUESTS_PER_RETRY: u64 = 4;
-/// The stock, in quarters of a retry.
+/// The maximum reserve, in quarters of a retry.
 const MAX_CREDIT: u64 = MAX_STOCK * REQUESTS_PER_RETRY;
 
 impl Default for RetryBudget {
@@ -21,19 +22,19 @@
 }
 
 impl RetryBudget {
-    /// A request came.
+    /// Adds the credit for one request.
     pub fn earn(&self) {
         let add_one = |credit: u64| Some((credit + 1).min(MAX_CREDIT));
         let _ = self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, add_one);
     }
 
-    /// Takes one retry out of the budget; false if there is none.
+    /// Spends one retry. Returns false if none is left.
     pub fn try_spend(&self) -> bool {
         let take_one = |credit: u64| credit.checked_sub(REQUESTS_PER_RETRY);
         self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, take_one).is_ok()
     }
 
-    /// Retries that are left.
+    /// Returns the number of retries that are left.
     pub fn left(&self) -> u64 {
         self.0.load(Ordering::Relaxed) / REQUESTS_PER_RETRY
     }
--- a/crates/proxy/src/services.rs
+++ b/crates/proxy/src/services.rs
@@ -1,4 +1,4 @@
-//! What all request paths of a node share.
+//! The services that all request paths of a node share.
 use crate::retry_budget::RetryBudget;
 use crate::routing::registry::Registry;
 use crate::session::replicas::SessionReplicas;
@@ -9,30 +9,30 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The first request number is drawn below this, so that two runs of a node hardly ever give the same one.
+/// The bound of the random first request number, so that two runs of a node are unlikely to use the same numbers.
 const FIRST_REQUEST_ID_BOUND: u64 = 1 << 40;
 
-/// What the request paths of a node need.
+/// The services that the request paths of a node need.
 pub struct Services {
     /// The node's settings.
     pub settings: Arc<NodeSettings>,
     /// Servers, configuration and primaries.
     pub registry: Arc<Registry>,
-    /// The sessions in use here.
+    /// The sessions in use at this node.
     pub sessions: Arc<Sessions>,
-    /// Where session states are kept besides.
+    /// The replicas of session states.
     pub session_replicas: Box<dyn SessionReplicas>,
     /// Runs tasks that outlive a request.
     pub spawner: Spawner,
-    /// Bounds retries at other servers.
+    /// Limits retries at other servers.
     pub retry_budget: Arc<RetryBudget>,
-    /// What tenants may run here.
+    /// Admits requests against the rate limits of tenants.
     pub quota: Arc<QuotaGate>,
     next_request_id: AtomicU64,
 }
 
 impl Services {
-    /// The services of a node that knows nothing yet.
+    /// Creates the services of a node without servers and configuration.
     pub fn new(
         settings: NodeSettings,
         session_replicas: Box<dyn SessionReplicas>,
@@ -50,7 +50,7 @@
         })
     }
 
-    /// The number of the next request or attempt.
+    /// Returns a new number for a request or an attempt.
     pub fn next_request_id(&self) -> u64 {
         self.next_request_id.fetch_add(1, Ordering::Relaxed)
     }
--- a/crates/proxy/src/session/mod.rs
+++ b/crates/proxy/src/session/mod.rs
@@ -1,4 +1,4 @@
-//! Clients' sessions: what was acknowledged to a client, the session as this node has it in use, and its replicas.
+//! Clients' sessions: the acknowledged state, the sessions in use at this node, and the replicas of their state.
 pub mod replicas;
 pub mod sessions;
 pub mod state;
--- a/crates/proxy/src/session/replicas.rs
+++ b/crates/proxy/src/session/replicas.rs
@@ -1,15 +1,15 @@
-//! Where the states of sessions are kept besides the node that uses them.
+//! The replicas of session states at other nodes than the one that uses the session.
 use crate::session::state::SessionState;
 use quincehatch_core::{Error, Name, Version};
 use quincehatch_runtime::seam::BoxFuture;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
-/// The replicas of session states.
+/// Stores and finds replicas of session states.
 pub trait SessionReplicas: Send + Sync {
     /// Stores the state on a majority of the session's replicas.
     fn store(&self, state: SessionState) -> BoxFuture<'_, Result<(), Error>>;
-    /// The newest state that can be had of those that include the version.
+    /// Finds the newest available state that includes the version.
     fn find<'a>(
         &'a self,
         id: &'a str,
@@ -17,7 +17,7 @@
     ) -> BoxFuture<'a, Result<Option<SessionState>, Error>>;
 }
 
-/// Keeps states in this process alone: for tests, and for a node that runs without others.
+/// Stores states in this process only, for tests and for a node that runs alone.
 #[derive(Default)]
 pub struct LocalOnlyReplicas {
     states: Mutex<BTreeMap<Name, SessionState>>,
--- a/crates/proxy/src/session/sessions.rs
+++ b/crates/proxy/src/session/sessions.rs
@@ -1,28 +1,29 @@
-//! The sessions that this node has in use.
+//! The sessions that are in use at this node.
 use crate::session::state::SessionState;
 use crate::transaction::open::OpenTransaction;
 use quincehatch_core::{Millis, Name, Version, hash64};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
-/// Locks that the sessions are spread over.
+/// The number of shards, each with a lock of its own.
 const SHARDS: usize = 16;
 
 /// One session at this node.
 pub struct Session {
-    /// What was acknowledged.
+    /// The acknowledged state.
     pub state: SessionState,
-    /// Its open transaction.
+    /// The open transaction, if any.
     pub transaction: Option<OpenTransaction>,
-    /// When a request last used it.
+    /// When a request last used the session.
     pub last_used: Millis,
-    /// The highest version tried here: replicas of an update that was never acknowledged may exist.
+    /// The highest version that this node attempted to store. Replicas of an update that was never acknowledged may
+    /// exist.
     pub highest_attempted: Version,
-    /// The session came from another node since its last update.
+    /// Whether the state was fetched from the replicas after this node's last update of the session.
     pub adopted: bool,
 }
 
-/// A session, in use by one request at a time.
+/// A session that is locked by one request at a time.
 pub type SharedSession = Arc<tokio::sync::Mutex<Session>>;
 
 /// The sessions of a node.
@@ -41,12 +42,12 @@
         &self.shards[hash64(&[id.as_bytes()]) as usize % SHARDS]
     }
 
-    /// The session of this id.
+    /// Returns the session of this id.
     pub fn get(&self, id: &str) -> Option<SharedSession> {
         self.shard(id).lock().unwrap().get(id).cloned()
     }
 
-    /// Adds a session unless there is one of its id; returns the one that is there then.
+    /// Adds a session unless one with its id exists. Returns the session that is stored then.
     pub fn insert(&self, state: SessionState, now: Millis, adopted: bool) -> SharedSession {
         let mut shard = self.shard(&state.id).lock().unwrap();
         let id = state.id.clone();
@@ -60,17 +61,17 @@
         self.shard(id).lock().unwrap().remove(id);
     }
 
-    /// How many there are.
+    /// Returns the number of sessions.
     pub fn len(&self) -> usize {
         self.shards.iter().map(|shard| shard.lock().unwrap().len()).sum()
     }
 
-    /// Whether there is none.
+    /// Whether there are no sessions.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// All of them.
+    /// Returns all sessions.
     pub fn all(&self) -> Vec<SharedSession> {
         let mut all = Vec::new();
         for shard in &self.shards {
--- a/crates/proxy/src/session/state.rs
+++ b/crates/proxy/src/session/state.rs
@@ -1,59 +1,63 @@
-//! What a session was acknowledged, verbatim, under a rising version.
+//! The acknowledged settings and prepared statements of a session, verbatim, under a rising version.
 use quincehatch_core::{Name, Version, messages};
 
-/// Settings, and prepared statements, that one session may have.
+/// The maximum number of settings, and of prepared statements, in one session.
 pub const MAX_TEXTS: usize = 64;
-/// The low bits of a version are random, so that two nodes never give the same one.
+/// The number of low bits of a version that are random, so that two nodes do not produce the same version.
 const RANDOM_BITS: u32 = 16;
-/// What a version's counter rises by when the session came from another node: more than a node can lose in doubt between
-/// two moves.
+/// The step of a version's counter when the session came from another node. It exceeds the number of unacknowledged
+/// updates that a node can leave between two moves of a session.
 const ADOPTED_STEP: u64 = 64;
-/// What it rises by otherwise.
+/// The step of a version's counter otherwise.
 const STEP: u64 = 1;
-/// Earlier versions that a state remembers.
+/// The number of earlier versions that a state retains.
 const MAX_ANCESTORS: usize = 32;
 
 messages! {
-    /// All that a session was acknowledged. A majority of its replicas has it before the client is told.
+    /// All acknowledged updates of a session. A majority of its replicas stores an update before it is acknowledged to
+    /// the client.
     #[derive(Eq, Default)]
     pub struct SessionState {
-        /// The session.
+        /// The id of the session.
         pub id: Name,
-        /// Number of this state; it only rises.
+        /// The version of this state, which only rises.
         pub version: Version,
-        /// Settings, in the order in which they were made.
+        /// The settings, in the order in which they were made.
         pub settings: Vec<String>,
-        /// Prepared statements: name and text.
+        /// The prepared statements: name and text.
         pub prepared: Vec<(Name, String)>,
-        /// The client closed the session.
+        /// Whether the client closed the session.
         pub closed: bool,
-        /// The versions this one was made from, newest last: it contains all that was acknowledged under them.
+        /// The versions that this one derives from, newest last. The state includes all updates acknowledged under
+        /// them.
         pub ancestors: Vec<Version>
     }
 }
 
-/// What is set up on a connection. Connections are told apart by the texts themselves, not by a digest.
+/// The settings and prepared statements that are applied on a connection. Two setups are compared by their texts, not
+/// by a digest.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionSetup {
-    /// Settings, in the order in which they were made.
+    /// The settings, in the order in which they were made.
     pub settings: Vec<String>,
-    /// Prepared statements: name and text.
+    /// The prepared statements: name and text.
     pub prepared: Vec<(Name, String)>,
 }
 
 impl SessionState {
-    /// What a connection needs for this session.
+    /// Returns the setup that a connection needs for this session.
     pub fn setup(&self) -> SessionSetup {
         SessionSetup { settings: self.settings.clone(), prepared: self.prepared.clone() }
     }
 
-    /// Whether this state contains all that was acknowledged up to `version`. One from an update that was never
-    /// acknowledged may have a higher number and yet lack it.
+    /// Whether this state includes all updates acknowledged up to `version`. A state from an update that was never
+    /// acknowledged may have a higher version and yet lack some of them.
     pub fn includes(&self, version: Version) -> bool {
         version == self.version || self.ancestors.contains(&version)
     }
 
-    /// The state to change next: its version is above `highest_attempted`, whatever became of that attempt.
+    /// Returns a copy for the next update, whose version is above `highest_attempted` whether or not that attempt was
+    /// stored.
     pub fn next_version(&self, highest_attempted: Version, adopted: bool) -> SessionState {
         let step = if adopted { ADOPTED_STEP } else { STEP };
         let counter = (self.version.max(highest_attempted) >> RANDOM_BITS) + step;
--- a/crates/proxy/src/session_filter.rs
+++ b/crates/proxy/src/session_filter.rs
@@ -1,4 +1,4 @@
-//! Requests of sessions: opens, changes and closes them, and locks a session for one request at a time.
+//! Handles the requests that open, change and close sessions, and locks a session for one request at a time.
 use crate::client_api::reply::{RequestResult, Success};
 use crate::client_api::request::{ClientRequest, Operation};
 use crate::services::Services;
@@ -9,21 +9,21 @@
 use std::sync::Arc;
 use tokio::sync::OwnedMutexGuard;
 
-/// When a client may come again after there were too many sessions.
+/// Suggested wait before a client retries after there were too many sessions.
 const SESSIONS_RETRY_AFTER: Millis = 1_000;
-/// When it may come again after another request had the session.
+/// Suggested wait before a client retries after another request had the session locked.
 const BUSY_RETRY_AFTER: Millis = 100;
-/// A session that was idle for so long is kept by its replicas only.
+/// The idle time after which a session is evicted from this node; its replicas remain.
 const IDLE_TIMEOUT: Millis = 60_000;
 
-/// Handles what is to be done with the request's session; `None` if the request goes on to a server.
+/// Locks the request's session and executes session operations. Returns `None` if the request must go on to a server.
 pub async fn handle_session(services: &Arc<Services>, request: &mut ClientRequest) -> Option<RequestResult> {
     if request.operation == Operation::Open {
         return Some(open_session(services, request).await);
     }
     let id = request.body.session.clone()?;
     let Some(version) = request.body.version else {
-        let detail = "a request in a session names the version it was last told";
+        let detail = "a request in a session must give the version from the last reply";
         return Some(Err(ErrorCode::Malformed.with_detail(detail)));
     };
     match lock_session(services, &id, version).await {
@@ -58,13 +58,13 @@
     Ok(Success::Accepted)
 }
 
-/// The session, complete and at least of the version that the client knows, for this request alone.
+/// Locks the session for this request alone, with a state that includes the version that the client names.
 async fn lock_session(
     services: &Services,
     id: &str,
     version: Version,
 ) -> Result<OwnedMutexGuard<Session>, Error> {
-    let closed = || ErrorCode::SessionUnknown.with_detail("it was closed");
+    let closed = || ErrorCode::SessionUnknown.with_detail("the session was closed");
     let shared = match services.sessions.get(id) {
         Some(shared) => shared,
         None => {
@@ -100,7 +100,7 @@
     Ok(Success::Accepted)
 }
 
-/// Adds a setting or a prepared statement; it counts only once a majority of the session's replicas has it.
+/// Adds a setting or a prepared statement. It takes effect only once a majority of the session's replicas stores it.
 async fn change_session(services: &Services, request: &mut ClientRequest) -> RequestResult {
     let text = request.text().to_owned();
     let name = request.body.name.clone();
@@ -116,10 +116,11 @@
         state.prepared.push((name, text));
     }
     if state.settings.len() > MAX_TEXTS || state.prepared.len() > MAX_TEXTS {
-        let detail = format_args!("a session holds {MAX_TEXTS} texts of a kind");
+        let detail =
+            format_args!("a session has at most {MAX_TEXTS} settings and {MAX_TEXTS} prepared statements");
         return Err(ErrorCode::TooLarge.with_detail(detail));
     }
-    // Left in doubt, the update may live on in some replica: the next version outranks it.
+    // An update whose result is unknown may remain on a replica; the next version supersedes it.
     session.highest_attempted = state.version;
     services.session_replicas.store(state.clone()).await?;
     session.adopted = false;
@@ -127,7 +128,7 @@
     Ok(Success::Accepted)
 }
 
-/// Idle sessions give up their place here; their replicas stay.
+/// Evicts idle sessions from this node. Their replicas remain.
 pub fn evict_idle_sessions(services: &Services) {
     for shared in services.sessions.all() {
         let Ok(session) = shared.try_lock() else { continue };
--- a/crates/proxy/src/transaction/expiry.rs
+++ b/crates/proxy/src/transaction/expiry.rs
@@ -1,15 +1,15 @@
-//! Ends transactions that nobody goes on with.
+//! Expires transactions that are idle or whose server drains.
 use crate::routing::registry::Registry;
 use crate::session::sessions::Sessions;
 use crate::transaction::open::OpenTransaction;
 use quincehatch_core::Millis;
 use quincehatch_runtime::now;
 
-/// How long a transaction may go on after its server said that it drains.
+/// How long a transaction may continue after its server reported that it drains.
 pub const DRAIN_TIMEOUT: Millis = 5_000;
 
-/// Ends the transactions that were idle for `idle_timeout` or whose server drains; their connections are dropped and the
-/// servers roll back.
+/// Ends the transactions that were idle for `idle_timeout` or whose server has drained for `DRAIN_TIMEOUT`. Their
+/// connections are dropped, and the servers roll back.
 pub fn expire_transactions(registry: &Registry, sessions: &Sessions, idle_timeout: Millis) {
     for session in sessions.all() {
         // A session that is locked is in use by a request.
@@ -20,7 +20,7 @@
             .is_some_and(|transaction| is_expired(registry, transaction, idle_timeout));
         if is_expired {
             session.transaction = None;
-            log::info!(target: "session", "a transaction was ended: it was idle, or its server drains");
+            log::info!(target: "session", "transaction expired: it was idle, or its server is draining");
         }
     }
 }
--- a/crates/proxy/src/transaction/mod.rs
+++ b/crates/proxy/src/transaction/mod.rs
@@ -1,4 +1,4 @@
-//! Clients' transactions: one connection, one request at a time, ended on the connection they began on.
+//! Clients' transactions. A transaction runs one request at a time, and ends on the connection on which it began.
 pub mod expiry;
 pub mod open;
 pub mod operations;
--- a/crates/proxy/src/transaction/operations.rs
+++ b/crates/proxy/src/transaction/operations.rs
@@ -1,4 +1,4 @@
-//! Begins, continues and ends a client's transaction.
+//! Begins, continues and ends clients' transactions.
 use crate::attempt::{Attempt, AttemptOutcome, pending_reply, send};
 use crate::client_api::reply::{RequestResult, SITE_PRIMARY};
 use crate::client_api::request::{ClientRequest, content_digest};
@@ -19,10 +19,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// When a client may come again after the server failed or did not answer in time.
+/// Suggested wait before a client retries after the server failed or did not answer in time.
 const FAILED_RETRY_AFTER: Millis = 500;
-/// How long the injected bug `lent` leaves the connection to others.
-const LENT_FOR: Duration = Duration::from_millis(2);
+/// How long the injected bug `lent` leaves the connection to other requests.
+const SHARED_CONNECTION_PAUSE: Duration = Duration::from_millis(2);
 
 /// Begins a transaction on the primary.
 pub async fn begin(services: &Arc<Services>, request: &mut ClientRequest) -> RequestResult {
@@ -63,7 +63,8 @@
             session(request)?.transaction = Some(transaction);
             Ok(success)
         }
-        // A success whose stamp or rows are not the server's own is none; its connection is dropped.
+        // A reply without an error that lacks the server's own stamp or rows is no success, so its connection is
+        // dropped.
         _ if reply.error.is_none() => Err(ErrorCode::InvalidReply.without_detail()),
         _ => {
             checkout.check_in();
@@ -76,18 +77,18 @@
     request.session.as_deref_mut().ok_or_else(|| ErrorCode::SessionUnknown.without_detail())
 }
 
-/// A transaction taken out of its session for one step, and its connection.
-struct TakenTransaction {
+/// A transaction that was detached from its session for one step, and its connection.
+struct DetachedTransaction {
     /// The transaction, without its connection.
     transaction: OpenTransaction,
     checkout: ServerCheckout,
 }
 
-/// Takes the open transaction out of its session; whoever puts it back says that it goes on.
-fn take_transaction(request: &mut ClientRequest) -> Result<TakenTransaction, Error> {
-    let taken = session(request)?.transaction.take();
-    let mut transaction = taken.ok_or_else(|| ErrorCode::NoTransaction.without_detail())?;
-    // Dropping it rolls back what ran under a key that was revoked since.
+/// Detaches the open transaction from its session. The transaction ends unless the caller reattaches it.
+fn detach_transaction(request: &mut ClientRequest) -> Result<DetachedTransaction, Error> {
+    let detached = session(request)?.transaction.take();
+    let mut transaction = detached.ok_or_else(|| ErrorCode::NoTransaction.without_detail())?;
+    // Dropping the transaction rolls back what ran under a key that was revoked meanwhile.
     if request.tenant(&transaction.route)? != transaction.tenant {
         return Err(ErrorCode::Unauthenticated.without_detail());
     }
@@ -101,12 +102,12 @@
     if checkout.connection().is_closed() {
         return Err(lost());
     }
-    Ok(TakenTransaction { transaction, checkout })
+    Ok(DetachedTransaction { transaction, checkout })
 }
 
-impl TakenTransaction {
-    /// Puts the transaction back into its session after a step that ran.
-    fn put_back(self, request: &mut ClientRequest, digest: Name) -> Result<(), Error> {
+impl DetachedTransaction {
+    /// Returns the transaction to its session after a successful step.
+    fn reattach(self, request: &mut ClientRequest, digest: Name) -> Result<(), Error> {
         let mut transaction = self.transaction;
         transaction.checkout = Some(self.checkout);
         transaction.digest = digest;
@@ -118,7 +119,7 @@
 
 /// Runs one statement of the open transaction.
 pub async fn run(services: &Arc<Services>, request: &mut ClientRequest) -> RequestResult {
-    let TakenTransaction { transaction, mut checkout } = take_transaction(request)?;
+    let DetachedTransaction { transaction, mut checkout } = detach_transaction(request)?;
     let configuration = request.configuration()?;
     request.site.zone = checkout.server().zone();
     let digest = content_digest(&transaction.digest, request.text(), &request.body.params);
@@ -133,44 +134,44 @@
             outcome => break outcome,
         }
     };
-    // A transaction is never retried elsewhere: a failure ends it, and nothing of it was applied.
+    // A transaction is never retried at another server: a failure ends it, and none of it is applied.
     let (reply, checkout) = match outcome {
         AttemptOutcome::Reply(reply, checkout) => (reply, checkout),
-        AttemptOutcome::ConnectionFailed(_) => return Err(lost("the connection failed")),
-        AttemptOutcome::TimedOut => return Err(lost("a statement was not answered in time")),
+        AttemptOutcome::ConnectionFailed(_) => return Err(transaction_lost("the connection failed")),
+        AttemptOutcome::TimedOut => return Err(transaction_lost("a statement was not answered in time")),
     };
     let result = read_reply(&services.registry, request, transaction.fence, &reply);
     match result {
-        Err(error) if !reply.has_error_code(STATEMENT_FAILED) => Err(lost(error.code)),
+        Err(error) if !reply.has_error_code(STATEMENT_FAILED) => Err(transaction_lost(error.code)),
         result => {
-            let taken = TakenTransaction { transaction, checkout };
+            let detached = DetachedTransaction { transaction, checkout };
             if seam::injected_bug("lent") {
-                lend_between_statements(services, request, taken, digest).await?;
+                share_connection_between_statements(services, request, detached, digest).await?;
             } else {
-                taken.put_back(request, digest)?;
+                detached.reattach(request, digest)?;
             }
             result
         }
     }
 }
 
-fn lost(detail: impl std::fmt::Display) -> Error {
+fn transaction_lost(detail: impl std::fmt::Display) -> Error {
     ErrorCode::TransactionLost.with_detail(detail)
 }
 
-/// The injected bug `lent`: between two statements of a transaction others may have its connection.
-async fn lend_between_statements(
+/// The injected bug `lent`: between two statements of a transaction, other requests may use its connection.
+async fn share_connection_between_statements(
     services: &Arc<Services>,
     request: &mut ClientRequest,
-    taken: TakenTransaction,
+    detached: DetachedTransaction,
     digest: Name,
 ) -> Result<(), Error> {
-    let TakenTransaction { mut transaction, checkout } = taken;
+    let DetachedTransaction { mut transaction, checkout } = detached;
     let configuration = request.configuration()?;
     let server = checkout.server().clone();
     checkout.check_in();
     let setup = request.session_state().setup();
-    seam::sleep(LENT_FOR).await;
+    seam::sleep(SHARED_CONNECTION_PAUSE).await;
     let checkout_request = CheckoutRequest {
         node: &services.settings.name,
         usage: ConnectionUse::Write,
@@ -188,7 +189,7 @@
 /// Commits the open transaction under its idempotency key.
 pub async fn commit(services: &Arc<Services>, request: &mut ClientRequest) -> RequestResult {
     let key = request.idempotency_key()?;
-    let TakenTransaction { transaction, mut checkout } = take_transaction(request)?;
+    let DetachedTransaction { transaction, mut checkout } = detach_transaction(request)?;
     let configuration = request.configuration()?;
     request.site.zone = checkout.server().zone();
     let fence = transaction.fence;
@@ -200,12 +201,12 @@
     finish_commit(services, request, &key, fence, outcome).await
 }
 
-/// Rolls the open transaction back.
+/// Rolls back the open transaction.
 ///
-/// Without the server's own word nothing was applied either, as the connection is dropped and that rolls back too; but it
-/// is no success, for nothing has a stamp.
+/// If the server does not confirm the rollback, nothing is applied either, because dropping the connection rolls back
+/// too. The result is still an error, because there is no stamp of the server.
 pub async fn rollback(services: &Arc<Services>, request: &mut ClientRequest) -> RequestResult {
-    let TakenTransaction { transaction, mut checkout } = take_transaction(request)?;
+    let DetachedTransaction { transaction, mut checkout } = detach_transaction(request)?;
     let configuration = request.configuration()?;
     request.site.zone = checkout.server().zone();
     let server_request = call::rollback(&checkout.connection().id);
--- a/crates/proxy/src/write.rs
+++ b/crates/proxy/src/write.rs
@@ -1,4 +1,5 @@
-//! Writes: never sent twice. When in doubt, the outcome is asked by the idempotency key and made final by a seal.
+//! Writes, which are never sent twice. If the outcome is in doubt, it is queried by the idempotency key and made final
+//! by a seal.
 use crate::attempt::{Attempt, AttemptOutcome, pending_reply, send};
 use crate::client_api::reply::RequestResult;
 use crate::client_api::request::ClientRequest;
@@ -13,14 +14,14 @@
 use quincehatch_runtime::seam;
 use std::sync::Arc;
 
-/// When a client may come again after a reply that was not the server's own.
+/// Suggested wait before a client retries after a reply that was not the server's own.
 const INVALID_REPLY_RETRY_AFTER: Millis = 500;
-/// When it may come again after the server took no work as it drains.
+/// Suggested wait before a client retries after a draining server rejected the write.
 const DRAINING_RETRY_AFTER: Millis = 1_000;
-/// When it may come again after the server turned out not to be the primary.
+/// Suggested wait before a client retries after the server turned out not to be the primary.
 const NOT_PRIMARY_RETRY_AFTER: Millis = 500;
 
-/// A write that is a transaction of its own.
+/// Runs a write that is a transaction of its own.
 pub async fn write(services: &Arc<Services>, request: &mut ClientRequest) -> RequestResult {
     let key = request.idempotency_key()?;
     let (configuration, route) = request.configuration_and_route()?;
@@ -51,7 +52,8 @@
     send(services, attempt, request.deadline.saturating_sub(REPLY_RESERVE)).await
 }
 
-/// What a commit, or a write that is a transaction of its own, came to.
+/// Returns the result of a commit or of a write that is a transaction of its own, and resolves its outcome if that is
+/// in doubt.
 pub async fn finish_commit(
     services: &Arc<Services>,
     request: &mut ClientRequest,
@@ -65,7 +67,7 @@
             read_commit_reply(services, request, key, fence, &reply).await
         }
         AttemptOutcome::ConnectionFailed(error) => {
-            request.note(format!("{} failed after sending", request.site.server));
+            request.add_step(format!("{} failed after sending", request.site.server));
             match error {
                 ExchangeError::InvalidReply => Err(ErrorCode::InvalidReply
                     .without_detail()
@@ -77,7 +79,7 @@
             }
         }
         AttemptOutcome::TimedOut => {
-            request.note(format!("{} timed out after sending", request.site.server));
+            request.add_step(format!("{} timed out after sending", request.site.server));
             Err(unknown_outcome())
         }
     }
@@ -106,20 +108,22 @@
         return Err(invalid_reply());
     }
     let success = reply.success_of(&request.site.server).ok_or_else(invalid_reply)?;
-    // The lease is looked at after the reply: a node that was paused does not speak for the present.
+    // The lease is checked after the reply: a node that was paused must not report an outdated state as current.
     if !services.registry.has_lease() {
-        return Err(ErrorCode::NoLease.with_detail("it ran out before the reply").with_unknown_outcome());
+        return Err(ErrorCode::NoLease
+            .with_detail("the lease expired before the reply")
+            .with_unknown_outcome());
     }
     services.registry.record_primary_position(&request.group, request.started_at, reply.stamp.position);
     Ok(success)
 }
 
-/// The error of a reply that rejects a commit.
+/// Returns the error for a reply that rejects a commit.
 fn commit_error(reply: &Reply) -> Error {
     let has_code = |code| reply.has_error_code(code);
     if has_code(server_protocol::DRAINING) {
         return ErrorCode::ServerFailed
-            .with_detail("the server is draining; it did not take the write")
+            .with_detail("the server is draining and did not apply the write")
             .with_retry_after(DRAINING_RETRY_AFTER);
     }
     if has_code(server_protocol::KEY_REUSED) {
@@ -130,7 +134,7 @@
     }
     if has_code(server_protocol::FENCE_LOW) || has_code(server_protocol::NOT_PRIMARY) {
         return ErrorCode::NoPrimary
-            .with_detail("the server is no longer the primary; it did not take the write")
+            .with_detail("the server is no longer the primary and did not apply the write")
             .with_retry_after(NOT_PRIMARY_RETRY_AFTER);
     }
     rejection_error(reply)
