--- a/crates/proxy/src/platform_api.rs
+++ b/crates/proxy/src/platform_api.rs
@@ -1,4 +1,4 @@
-//! The platform's promotion call: the request and the meaning of its answers (docs/server.md).
+//! The promotion call of the platform: the request and the interpretation of its answers (docs/server.md).
 use crate::server_protocol::ServerRequest;
 use quincehatch_core::{FencingToken, Name};
 use serde_json::json;
@@ -7,15 +7,16 @@
 pub struct PromotionCandidate<'a> {
     /// The group.
     pub group: &'a str,
-    /// Name of the server.
+    /// The name of the server.
     pub server: &'a str,
-    /// Its address.
+    /// The address of the server.
     pub addr: &'a Name,
 }
 
-/// Asks the platform to have the candidate lead its group under `fence`, on behalf of `node`.
+/// Creates the request that asks the platform to make the candidate its group's primary under `fence`, on behalf of
+/// `node`.
 ///
-/// `voters` are the servers that count towards its commits.
+/// `voters` are the servers that count towards the quorum of its commits.
 pub fn promote(
     candidate: &PromotionCandidate<'_>,
     fence: FencingToken,
@@ -29,23 +30,23 @@
     ServerRequest { path: "/v1/promote", body }
 }
 
-/// What the platform's answer to a promotion means.
+/// The outcome of a promotion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PromotionOutcome {
     /// The server is primary.
     Done,
-    /// A higher fence is out, or this one named another server.
+    /// A higher fence was issued, or this fence was used for another server.
     Superseded,
-    /// Not known: the server may have been promoted all the same.
+    /// The outcome is unknown: the server may have been promoted.
     InDoubt,
 }
 
-/// The platform has done as asked.
+/// The HTTP status of a completed promotion.
 const STATUS_DONE: u16 = 200;
-/// Another promotion stands against this one.
+/// The HTTP status of a promotion that conflicts with another one.
 const STATUS_CONFLICT: u16 = 409;
 
-/// What an HTTP status means; `None` is an answer that did not come.
+/// Returns the outcome for an HTTP status; `None` means that no answer was received.
 pub fn promotion_outcome(status: Option<u16>) -> PromotionOutcome {
     match status {
         Some(STATUS_DONE) => PromotionOutcome::Done,
--- a/crates/proxy/src/ports.rs
+++ b/crates/proxy/src/ports.rs
@@ -1,5 +1,5 @@
-//! The ports of the direct path: what a database server can be asked over a connection of its own protocol, and who
-//! promotes servers. The platform's adapter implements them, and so does the simulator; decisions are made above them.
+//! The ports of the direct path: the calls on a database server's own connections, and the promotion of servers. The
+//! platform's adapter and the simulator implement them; all decisions are made above them.
 use bytes::Bytes;
 use quincehatch_core::{FencingToken, Name, Position, Role};
 use quincehatch_runtime::seam::BoxFuture;
@@ -7,32 +7,32 @@
 use std::io;
 use std::sync::Arc;
 
-/// One call on a connection. Texts of statements are passed on as the client gave them.
+/// One call on a connection. The texts of statements are forwarded verbatim.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerCall {
     /// Begins a transaction.
     Begin {
-        /// It reads only.
+        /// Whether the transaction is read-only.
         read: bool,
         /// The server rejects the call if its log lacks this position.
         floor: Option<Position>,
     },
-    /// A client's read or write.
+    /// Runs a client's read or write.
     Run {
         /// The client's id of the statement.
         id: Bytes,
-        /// Its text.
+        /// The text of the statement.
         text: Bytes,
         /// Only on reads: the server rejects the call if its log lacks this position.
         floor: Option<Position>,
     },
-    /// A client's prepared statement, under this side's own name for it.
+    /// Executes a client's prepared statement by the proxy's name for it.
     Execute {
         /// The client's id of the statement.
         id: Bytes,
-        /// This side's name of the prepared statement.
+        /// The proxy's name of the prepared statement.
         name: Name,
-        /// The arguments, as the client gave them.
+        /// The arguments, verbatim.
         arguments: Bytes,
         /// Only on reads: the server rejects the call if its log lacks this position.
         floor: Option<Position>,
@@ -42,109 +42,109 @@
         /// The client's id of the statement.
         id: Bytes,
     },
-    /// Rolls the open transaction back.
+    /// Rolls back the open transaction.
     Rollback,
     /// Sets a value of the session.
     Set {
-        /// Name of the setting.
+        /// The name of the setting.
         name: Bytes,
-        /// Its value.
+        /// The value of the setting.
         value: Bytes,
     },
     /// Prepares a statement.
     Prepare {
-        /// This side's name for it.
+        /// The proxy's name for the statement.
         name: Name,
-        /// It writes.
+        /// Whether the statement writes.
         write: bool,
-        /// Its text.
+        /// The text of the statement.
         template: Bytes,
     },
     /// Drops settings and prepared statements.
     Reset,
-    /// Asks for the server's status.
+    /// Requests the server's status.
     Status,
-    /// A replica stops receiving until it is resumed, another server is promoted, or it starts anew.
+    /// Suspends replication on a replica until it is resumed, another server is promoted, or the replica restarts.
     Suspend {
         /// The term up to which it is suspended.
         term: u64,
     },
-    /// A suspended replica receives again.
+    /// Resumes replication on a suspended replica.
     Resume,
-    /// A primary of a lower term becomes a replica.
+    /// Demotes a primary of a lower term to a replica.
     Demote {
         /// The term.
         term: u64,
     },
 }
 
-/// Why a server rejected a call. After the first six nothing was run.
+/// Why a server rejected a call. For the first six reasons, nothing was run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// Every slot is taken.
+    /// All execution slots of the server are in use.
     Busy,
-    /// Its log lacks the position that was asked for.
+    /// The server's log lacks the required position.
     Behind,
-    /// It is not the primary.
+    /// The server is not the primary.
     NotPrimary,
-    /// It is another server, or another group's.
+    /// The address belongs to another server or another group.
     WrongServer,
-    /// It takes no more connections.
+    /// The server accepts no more connections.
     TooManyConnections,
-    /// It has no such prepared statement.
+    /// The server has no such prepared statement.
     Unprepared,
-    /// The statement ran and failed: what it did is undone only with its transaction.
+    /// The statement ran and failed. Its effects are undone only with its transaction.
     Failed,
-    /// The statement ran out of time; the same goes for what it did.
+    /// The statement timed out. Its effects are undone only with its transaction.
     TimedOut,
-    /// What the server said is none of these.
+    /// The server gave another reason.
     Other,
 }
 
 /// A server's rejection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// Why.
+    /// The reason.
     pub reason: RejectReason,
-    /// The server's text, passed on as it came.
+    /// The server's text, forwarded verbatim.
     pub text: Bytes,
 }
 
 impl Rejection {
-    /// A rejection without a text.
+    /// Creates a rejection without a text.
     pub fn without_text(reason: RejectReason) -> Rejection {
         Rejection { reason, text: Bytes::new() }
     }
 }
 
-/// State of a connection's transaction after a reply.
+/// The state of a connection's transaction after a reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TransactionState {
-    /// There is none.
+    /// No transaction is open.
     #[default]
     Idle,
-    /// One is open.
+    /// A transaction is open.
     Open,
-    /// One is open and failed: it can only be rolled back.
+    /// The open transaction has failed and can only be rolled back.
     Failed,
 }
 
-/// What the calls `Status`, `Suspend`, `Resume` and `Demote` bring.
+/// The server's status, as the calls `Status`, `Suspend`, `Resume` and `Demote` return it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerStatus {
-    /// Its role.
+    /// The role of the server.
     pub role: Role,
-    /// The newest term it has heard of.
+    /// The highest term that the server has received.
     pub term: u64,
-    /// The end of what it has received.
+    /// The end of the log that the server has received.
     pub received: Position,
-    /// The term up to which it is suspended; 0 if it is not.
+    /// The term up to which the server is suspended; 0 if it is not suspended.
     pub suspended_term: u64,
-    /// How far it is behind, in milliseconds.
+    /// The replication lag, in milliseconds.
     pub lag_ms: u64,
-    /// Slots that are taken.
+    /// The number of execution slots in use.
     pub busy_slots: u64,
-    /// Open connections.
+    /// The number of open connections.
     pub connections: u64,
 }
 
@@ -153,73 +153,73 @@
 pub struct ServerReply {
     /// The rows of a success.
     pub rows: Vec<Bytes>,
-    /// The server's own stamp, on success; none on what it answers without running anything.
+    /// The server's own stamp on success; `None` on answers for which the server ran nothing.
     pub stamp: Option<Bytes>,
-    /// Why it was rejected.
+    /// The rejection, if the call was rejected.
     pub rejection: Option<Rejection>,
-    /// State of the connection's transaction.
+    /// The state of the connection's transaction.
     pub transaction_state: TransactionState,
-    /// The end of the server's log, as it said behind the reply.
+    /// The end of the server's log, as reported after the reply.
     pub log_end: Option<Position>,
-    /// What the calls that ask for a status bring.
+    /// The server's status, for the calls that request it.
     pub status: Option<ServerStatus>,
 }
 
-/// A connection to one server with one session on it. After an error of its own it is not used again.
+/// A connection to one server with one session on it. After an I/O error the connection is not used again.
 pub trait ServerConnection: Send {
     /// Makes a call and waits for the complete reply.
     fn call<'a>(&'a mut self, call: &'a ServerCall) -> BoxFuture<'a, io::Result<ServerReply>>;
-    /// An idle connection on which something came, or that has ended, is broken.
+    /// Returns the error if this idle connection has ended or received unexpected data.
     fn broken(&mut self) -> Option<io::Error>;
 }
 
-/// A connection that was opened.
+/// A newly opened connection.
 pub struct OpenedConnection {
     /// The connection.
     pub connection: Box<dyn ServerConnection>,
-    /// The end of the server's log, if it said so.
+    /// The end of the server's log, if the server reported it.
     pub log_end: Option<Position>,
 }
 
-/// How opening a connection ended: the server may reject it.
+/// The result of opening a connection, which the server may reject.
 pub type OpenResult = Result<OpenedConnection, Rejection>;
 
-/// Which connection is to be opened.
+/// The parameters of a connection to be opened.
 #[derive(Clone, Debug)]
 pub struct ConnectRequest {
     /// The server's address.
     pub addr: Name,
-    /// The group that the server is to be of.
+    /// The group that the server must belong to.
     pub group: Name,
-    /// The server that is to have the address.
+    /// The server that is expected at the address.
     pub server: Name,
-    /// The tenant for whom statements run on the connection, as the server is told; `None` for the proxy itself and for
-    /// clients without a tenant.
+    /// The tenant on whose behalf statements run on the connection, as sent to the server; `None` for the proxy itself
+    /// and for clients without a tenant.
     pub tenant: Option<Name>,
-    /// Keep-alive of the connection.
+    /// The TCP keep-alive settings of the connection.
     pub keepalive: KeepaliveSettings,
 }
 
 /// Opens connections to servers.
 pub trait ServerConnector: Send + Sync {
-    /// Opens a connection, or finds out that another server has the address.
+    /// Opens a connection, or rejects it if another server has the address.
     fn connect(&self, request: ConnectRequest) -> BoxFuture<'static, io::Result<OpenResult>>;
 }
 
-/// What the answer to a promotion means.
+/// The outcome of a promotion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PromotionOutcome {
     /// The server is primary.
     Done,
-    /// A higher fence is out, or that server is not running.
+    /// A higher fence was issued, or the server is not running.
     Rejected,
-    /// Not known: the server may be primary all the same.
+    /// The outcome is unknown: the server may have been promoted.
     InDoubt,
 }
 
 /// Promotes servers.
 pub trait Promoter: Send + Sync {
-    /// Asks for `server` to become primary of `group` under `fence`, on behalf of the lease holder `holder`.
+    /// Requests the promotion of `server` to primary of `group` under `fence`, on behalf of the lease holder `holder`.
     fn promote(
         &self,
         group: Name,
--- a/crates/proxy/src/retry_budget.rs
+++ b/crates/proxy/src/retry_budget.rs
@@ -9,11 +9,11 @@
 pub struct RetryBudget(AtomicU64);
 
 /// The maximum number of retries in the reserve.
-pub const MAX_STOCK: u64 = 512;
+pub const MAX_RESERVE: u64 = 512;
 /// The number of requests that earn one retry.
 const REQUESTS_PER_RETRY: u64 = 4;
 /// The maximum reserve, in quarters of a retry.
-const MAX_CREDIT: u64 = MAX_STOCK * REQUESTS_PER_RETRY;
+const MAX_CREDIT: u64 = MAX_RESERVE * REQUESTS_PER_RETRY;
 
 impl Default for RetryBudget {
     fn default() -> Self {
--- a/crates/proxy/src/server_protocol.rs
+++ b/crates/proxy/src/server_protocol.rs
@@ -1,34 +1,34 @@
-//! The requests and replies of database servers that this project's own contract describes (docs/server.md): JSON over
-//! HTTP/1.1. Everything that knows their form is in this module.
+//! The requests and replies of the HTTP contract for database servers (docs/server.md): JSON over HTTP/1.1. All code
+//! that depends on their format is in this module.
 use crate::client_api::reply::Success;
 use quincehatch_core::{FencingToken, Name, Position, ServerHeartbeat, ServerState, Stamp};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// Why a server rejected a request, in its own words.
+/// The error with which a server rejected a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerError {
     /// One of the contract's codes.
     pub code: Name,
-    /// Text for the client; it may hold values that must not be logged.
+    /// The text for the client. It may contain values that must not be logged.
     pub text: String,
 }
 
-/// A server's reply: always its stamp; rows on success; an error otherwise.
+/// A server's reply: its stamp, and the rows of a success or the error.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reply {
-    /// Who answered, under which fence, at which position.
+    /// The server that answered, with its fence and its position.
     pub stamp: Stamp,
     /// The rows of a success.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rows: Option<Value>,
-    /// Why it was not done.
+    /// Why the request was rejected.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub error: Option<ServerError>,
-    /// What became of an idempotency key; one of the `OUTCOME_` values.
+    /// The outcome of an idempotency key: one of the `OUTCOME_` values.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<Name>,
-    /// What the server says of itself, on STATUS.
+    /// The server's heartbeat, in replies to STATUS.
     #[serde(default, skip_serializing_if = "Option::is_none", rename = "beat")]
     pub heartbeat: Option<ServerHeartbeat>,
 }
@@ -41,28 +41,28 @@
 pub const FENCE_LOW: &str = "fence-low";
 /// The server is not its group's primary.
 pub const NOT_PRIMARY: &str = "not-primary";
-/// The server drains and takes no new work.
+/// The server is draining and accepts no new work.
 pub const DRAINING: &str = "leaving";
-/// The server is primary but does not show all of its log yet: the statement was not run.
+/// The server is primary but does not show its complete log yet. The statement was not run.
 pub const STARTING: &str = "starting";
-/// The commit is in the log but not yet on a second server: neither committed nor not.
+/// The commit is in the log but not yet on a second server, so its outcome is undecided.
 pub const IN_DOUBT: &str = "in-doubt";
 /// The statement itself failed; its transaction stays open.
 pub const STATEMENT_FAILED: &str = "statement";
 
 /// Outcome of an idempotency key: the write was committed.
 pub const OUTCOME_COMMITTED: &str = "kept";
-/// Outcome of an idempotency key: nothing was committed, and nothing can be any more.
+/// Outcome of an idempotency key: nothing was committed, and the key is sealed.
 pub const OUTCOME_SEALED: &str = "sealed";
-/// Outcome of an idempotency key: nothing was committed so far.
+/// Outcome of an idempotency key: nothing has been committed so far.
 pub const OUTCOME_NOT_COMMITTED: &str = "not-kept";
 
 /// A request to a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerRequest {
-    /// HTTP path.
+    /// The HTTP path.
     pub path: &'static str,
-    /// JSON body.
+    /// The JSON body.
     pub body: Value,
 }
 
@@ -72,17 +72,17 @@
     }
 }
 
-/// A write as the server tells it from others: it is committed at most once under its key.
+/// The identity of a write, which is committed at most once under its idempotency key.
 pub struct IdempotentWrite<'a> {
     /// The client's idempotency key.
     pub key: &'a str,
-    /// Digest of the content; the same key must bring the same.
+    /// The digest of the content, which must be the same whenever the key is reused.
     pub digest: &'a str,
     /// The fence under which the server must be primary.
     pub fence: FencingToken,
 }
 
-/// The requests of the contract. Texts of statements are the client's own and are never changed.
+/// The requests of the contract. The texts of statements are the client's own and are never changed.
 pub mod call {
     use super::{FencingToken, IdempotentWrite, ServerRequest, Value, json};
 
@@ -98,7 +98,7 @@
         ServerRequest::new("/v1/run", json!({"link": connection, "text": text, "params": params}))
     }
 
-    /// Runs a statement and commits it under its idempotency key, at once or not at all.
+    /// Runs a statement and commits it under its idempotency key, atomically.
     pub fn write(connection: &str, text: &str, params: &Value, write: &IdempotentWrite<'_>) -> ServerRequest {
         let body = json!({
             "link": connection, "text": text, "params": params,
@@ -113,7 +113,7 @@
         ServerRequest::new("/v1/commit", body)
     }
 
-    /// Rolls the open transaction back.
+    /// Rolls back the open transaction.
     pub fn rollback(connection: &str) -> ServerRequest {
         ServerRequest::new("/v1/rollback", json!({"link": connection}))
     }
@@ -138,38 +138,38 @@
         ServerRequest::new("/v1/cancel", json!({"link": connection}))
     }
 
-    /// Asks the server for its heartbeat.
+    /// Requests the server's heartbeat.
     pub fn status() -> ServerRequest {
         ServerRequest::new("/v1/status", json!({}))
     }
 
-    /// Asks what became of an idempotency key; with `seal` it can be used for nothing after this.
+    /// Queries the outcome of an idempotency key. With `seal`, nothing can be committed under the key from then on.
     pub fn outcome(key: &str, seal: bool, fence: FencingToken) -> ServerRequest {
         ServerRequest::new("/v1/outcome", json!({"try": key, "seal": seal, "fence": fence}))
     }
 
-    /// Tells the server of a fence; it takes no writes under a lower one from then on.
+    /// Sends a fence to the server, which then rejects writes under a lower one.
     pub fn fence(fence: FencingToken) -> ServerRequest {
         ServerRequest::new("/v1/fence", json!({"fence": fence}))
     }
 }
 
-/// What a server says on STATUS.
+/// The contents of a reply to STATUS.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Status {
-    /// What it says of itself.
+    /// The server's heartbeat.
     pub heartbeat: ServerHeartbeat,
     /// The stamp of the reply.
     pub stamp: Stamp,
 }
 
 impl Reply {
-    /// Reads a reply; `None` if it is not one of the contract's.
+    /// Parses a reply. Returns `None` if it does not match the contract.
     pub fn read(body: Value) -> Option<Reply> {
         serde_json::from_value(body).ok()
     }
 
-    /// The success with the stamp of the very server that was asked; anything else is no success.
+    /// Returns the success if the reply has rows and the stamp of `server`, to which the request was sent.
     pub fn success_of(&self, server: &str) -> Option<Success> {
         if self.error.is_some() || self.stamp.server != server {
             return None;
@@ -178,7 +178,7 @@
         Some(Success::Committed { rows, stamp: self.stamp.clone() })
     }
 
-    /// What a reply to STATUS says.
+    /// Returns the contents of a reply to STATUS.
     pub fn status(self) -> Option<Status> {
         let stamp = self.stamp;
         self.heartbeat.map(|heartbeat| Status { heartbeat, stamp })
@@ -191,12 +191,12 @@
 }
 
 impl Status {
-    /// Whether the server says that it drains.
+    /// Whether the server reports that it is draining.
     pub fn is_draining(&self) -> bool {
         self.heartbeat.state == ServerState::Draining
     }
 
-    /// The end of the server's log.
+    /// Returns the end of the server's log.
     pub fn log_end(&self) -> Position {
         self.heartbeat.log_end
     }
--- a/crates/proxy/tests/acknowledged.rs
+++ b/crates/proxy/tests/acknowledged.rs
@@ -1,10 +1,10 @@
-//! What a node passed on as acknowledged, as it reports it to whoever chooses a primary.
+//! Tests the acknowledged position that a node reports for the choice of a new primary.
 use quincehatch_core::{Position, PrimaryAssignment};
 use quincehatch_proxy::registry::{ClusterState, Registry};
 use quincehatch_runtime::now;
 
 #[test]
-fn nothing_of_an_older_primary_is_passed_on_when_its_end_was_reported() {
+fn no_commit_under_a_lower_fence_is_acknowledged_after_the_position_was_sealed() {
     let at = |number| Position { fence: 1, number };
     let registry = Registry::default();
     registry.renew_lease(now() + 600_000);
@@ -12,17 +12,17 @@
     assert!(registry.record_acknowledged("g", 4, at(7)) && registry.record_acknowledged("g", 4, at(6)));
     assert_eq!(registry.acknowledged_end("g"), at(7));
     assert_eq!(registry.seal_acknowledged("g", 0), at(7));
-    assert!(registry.record_acknowledged("g", 4, at(8)), "asking without a fence stops nothing");
+    assert!(registry.record_acknowledged("g", 4, at(8)), "sealing at fence 0 rejects nothing");
     assert_eq!(registry.seal_acknowledged("g", 5), at(8));
     assert!(!registry.record_acknowledged("g", 4, at(9)));
     assert_eq!(registry.acknowledged_end("g"), at(8));
     assert!(registry.record_acknowledged("g", 6, at(9)) && registry.record_acknowledged("h", 4, at(1)));
 }
 
-/// Whoever chose another primary may by then have looked at the logs: what comes after the demotion, or without a lease,
-/// under which a demotion may have gone unnoticed, is in doubt.
+/// After the demotion, or without a lease, under which a demotion may have gone unnoticed, the logs may already have
+/// been read for the choice of another primary. A commit is then in doubt and must not be acknowledged.
 #[test]
-fn nothing_is_passed_on_when_the_primary_is_demoted_or_the_lease_is_gone() {
+fn no_commit_is_acknowledged_after_the_primary_is_demoted_or_the_lease_expired() {
     let at = |number| Position { fence: 1, number };
     let registry = Registry::default();
     let demoted = PrimaryAssignment { fence: 5, demoted: Some("s1".into()), ..PrimaryAssignment::default() };
--- a/crates/proxy/tests/deprecated_fields.rs
+++ b/crates/proxy/tests/deprecated_fields.rs
@@ -1,8 +1,8 @@
-//! Fields of requests that have got new names.
+//! Tests the fields of requests that were renamed.
 use quincehatch_proxy::request::parse_body;
 
 #[test]
-fn a_body_is_read_the_same_when_its_fields_have_their_deprecated_names() {
+fn a_body_with_deprecated_field_names_is_parsed_like_one_with_current_names() {
     let deprecated = parse_body(br#"{"try": "t1", "order_side": true}"#).unwrap();
     let current = parse_body(br#"{"idempotency_key": "t1", "primary_read": true}"#).unwrap();
     for body in [deprecated, current] {
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_current_name_counts_when_both_are_given() {
+fn the_current_name_takes_precedence_when_both_are_given() {
     let body = parse_body(br#"{"try": "t1", "idempotency_key": "t2"}"#).unwrap();
     assert_eq!(body.idempotency_key.as_deref(), Some("t2"));
     assert!(!body.primary_read);
--- a/crates/proxy/tests/health_evidence.rs
+++ b/crates/proxy/tests/health_evidence.rs
@@ -1,4 +1,4 @@
-//! How the ends of connections are told apart.
+//! Tests how the ends of connections are classified.
 use quincehatch_proxy::evidence::{ConnectionEnd, ConnectionUsage, classify_end};
 use std::io::{Error, ErrorKind};
 
--- a/crates/proxy/tests/health_state.rs
+++ b/crates/proxy/tests/health_state.rs
@@ -1,4 +1,4 @@
-//! How evidence ejects a server and a probation brings it back.
+//! Tests how evidence ejects a server and how a probation readmits it.
 use quincehatch_config::configuration::{Configuration, HealthSettings};
 use quincehatch_proxy::evidence::{ConnectionEnd, HealthSignal};
 use quincehatch_proxy::readmission::GroupHealth;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_only_replica_left_is_tried_after_a_part_of_the_wait_which_doubles_too() {
+fn a_group_without_healthy_replicas_gets_a_shorter_ejection_wait_that_doubles_too() {
     let settings = health_settings();
     let mut health = Health::default();
     health.connection_ended(100, &settings, ConnectionEnd::Reset);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn late_replies_alone_eject_a_server_only_when_there_are_many_within_the_window() {
+fn late_replies_eject_a_server_only_when_there_are_enough_within_the_window() {
     let settings = health_settings();
     let mut health = Health::default();
     for i in 0..4 {
--- a/crates/proxy/tests/in_flight.rs
+++ b/crates/proxy/tests/in_flight.rs
@@ -1,8 +1,8 @@
-//! Work in flight, and the bounded queue of requests that wait for a primary.
+//! Tests the counts of work in flight and the bounded queue of requests that wait for a primary.
 use quincehatch_proxy::in_flight::InFlightCounts;
 
 #[test]
-fn the_queue_is_bounded_and_places_come_free_when_they_are_dropped() {
+fn the_queue_is_bounded_and_dropped_slots_become_free() {
     let counts = InFlightCounts::default();
     let slot = counts.enter_queue("g", 1);
     assert!(slot.is_some() && counts.enter_queue("g", 1).is_none());
--- a/crates/proxy/tests/loom.rs
+++ b/crates/proxy/tests/loom.rs
@@ -1,4 +1,4 @@
-//! All interleavings of a few threads over the counted connections and the latest-value cell. Run with
+//! Tests all interleavings of a few threads on the connection slots and the latest-value cell. Run with
 //! `RUSTFLAGS="--cfg qh_loom"`.
 #![cfg(qh_loom)]
 use loom::sync::Arc;
@@ -6,7 +6,7 @@
 use quincehatch_proxy::latest::{Latest, Numbered};
 use quincehatch_proxy::slots::{ConnectionSlots, ConnectionUse, Grant, SlotCounts};
 
-/// Number of a connection that a test opens itself.
+/// The number of a connection that a test opens itself.
 const NEW_CONNECTION: u32 = 7;
 
 fn check_out(
--- a/crates/proxy/tests/request_digest.rs
+++ b/crates/proxy/tests/request_digest.rs
@@ -1,4 +1,4 @@
-//! The digest by which the content of a write is known.
+//! Tests the digest that identifies the content of a write.
 use quincehatch_proxy::request::content_digest;
 use serde_json::{Value, json};
 
--- a/crates/proxy/tests/retry_budget.rs
+++ b/crates/proxy/tests/retry_budget.rs
@@ -1,10 +1,10 @@
-//! How many requests are retried elsewhere.
-use quincehatch_proxy::retry_budget::{MAX_STOCK, RetryBudget};
+//! Tests how many requests may be retried at another server.
+use quincehatch_proxy::retry_budget::{MAX_RESERVE, RetryBudget};
 
 #[test]
-fn one_retry_is_earned_for_every_four_requests_when_the_stock_is_gone() {
+fn one_retry_is_earned_for_every_four_requests_when_the_reserve_is_spent() {
     let budget = RetryBudget::default();
-    assert_eq!((0..10_000).filter(|_| budget.try_spend()).count() as u64, MAX_STOCK);
+    assert_eq!((0..10_000).filter(|_| budget.try_spend()).count() as u64, MAX_RESERVE);
     let retried = (0..400).filter(|_| {
         budget.earn();
         budget.try_spend()
--- a/crates/proxy/tests/stall.rs
+++ b/crates/proxy/tests/stall.rs
@@ -1,4 +1,4 @@
-//! What counts as a primary's stall.
+//! Tests what counts as a stall of a primary.
 use quincehatch_config::configuration::{Configuration, HealthSettings};
 use quincehatch_proxy::overdue_replies::PendingReply;
 use quincehatch_proxy::state::{Health, HealthState};
@@ -11,8 +11,8 @@
     PendingReply { timeout: 1_000, query_timeout: 30_000, long_running, first_attempt: true }
 }
 
-/// Drawn seed 2000736: a reply was lost in a network partition; 30 s later, in a quiet hour, the primary was replaced for
-/// it.
+/// Found by drawn seed 2000736: a reply was lost in a network partition, and 30 s later, in a period with few requests,
+/// the primary was replaced because of it.
 #[test]
 fn a_lost_reply_ejects_the_server_but_is_no_stall_when_others_were_answered_since() {
     let settings = health_settings();
--- a/crates/proxy/tests/starting.rs
+++ b/crates/proxy/tests/starting.rs
@@ -1,4 +1,4 @@
-//! Which primaries prove positions.
+//! Tests which primaries' positions count as proof of freshness.
 use quincehatch_core::{Role, ServerHeartbeat, ServerState};
 use quincehatch_proxy::registry::StatusRecord;
 
@@ -6,14 +6,14 @@
     ServerHeartbeat { boot, fence, role, state, ..Default::default() }
 }
 
-/// Drawn seed 5000009 of `--hands`: a server that was draining was promoted, and what it showed proved reads fresh before
-/// it showed all that the primary before it had acknowledged.
+/// Found by drawn seed 5000009 of `--hands`: a draining server was promoted, and its positions proved reads fresh
+/// before it showed everything that the previous primary had acknowledged.
 #[test]
-fn a_draining_primary_proves_nothing_until_it_was_seen_complete_under_its_fence() {
+fn a_draining_primary_proves_no_position_until_it_showed_its_complete_log_under_its_fence() {
     use Role::{Primary, Replica};
     use ServerState::{Draining, Starting, Up};
     let mut status = StatusRecord::default();
-    // Up as a replica that was fenced says nothing of it as a primary.
+    // The state `Up` of a fenced replica says nothing about the server as a primary.
     assert!(!status.shows_complete_log(&heartbeat(1, 5, Replica, Up)));
     assert!(!status.shows_complete_log(&heartbeat(1, 5, Primary, Draining)));
     assert!(!status.shows_complete_log(&heartbeat(1, 5, Primary, Starting)));
--- a/crates/proxy/tests/virtual_time/mod.rs
+++ b/crates/proxy/tests/virtual_time/mod.rs
@@ -1,4 +1,4 @@
-//! A world of virtual time for one test: tasks run in turn, and the clock moves when all of them wait.
+//! A world with virtual time for one test: tasks run in turn, and the clock advances when all of them wait.
 use quincehatch_core::Millis;
 use quincehatch_runtime::seam::{BoxFuture, OnDisconnect, VirtualConnection, World, with_world};
 use std::collections::BTreeMap;
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll, Waker};
 
-/// Where the clock begins: long after anything that a process begins with.
+/// The initial time, which is well above zero, so that it differs from values that a process starts with.
 const START: Millis = 100_000;
 
 #[derive(Default)]
@@ -34,7 +34,7 @@
     fn incarnation(&self) -> u64 {
         1
     }
-    /// Nothing is woken: all is polled whenever the clock has moved.
+    /// No task is woken: all tasks are polled whenever the clock has advanced.
     fn wake_at(&self, at: Millis, _: Waker) -> u64 {
         let mut state = self.0.lock().unwrap();
         state.last_timer += 1;
@@ -65,12 +65,12 @@
 }
 
 impl VirtualWorld {
-    /// Calls `work` within this world.
+    /// Calls `work` in this world.
     pub fn enter<T>(&self, work: impl FnOnce() -> T) -> T {
         with_world(Arc::new(self.clone()), work)
     }
 
-    /// Runs the future to its end, or drops it once it waits and `cancel` says so.
+    /// Runs the future to completion, or drops it once it is pending and `cancel` returns true.
     pub fn run<T>(&self, future: impl Future<Output = T>, cancel: impl Fn() -> bool) -> Option<T> {
         self.enter(|| {
             let mut future: Pin<Box<dyn Future<Output = T> + '_>> = Box::pin(future);
@@ -82,7 +82,7 @@
                 if cancel() {
                     return None;
                 }
-                assert!(self.advance(), "all wait and no timer is set");
+                assert!(self.advance(), "deadlock: all tasks are pending and no timer is set");
             }
         })
     }
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Moves the clock to the next timer; false if there is none.
+    /// Advances the clock to the next timer. Returns false if there is none.
     fn advance(&self) -> bool {
         let mut state = self.0.lock().unwrap();
         let Some((&timer, &at)) = state.timers.iter().min_by_key(|(_, at)| **at) else { return false };
