--- a/crates/proxy/src/transaction/operations.rs
+++ b/crates/proxy/src/transaction/operations.rs
@@ -106,7 +106,7 @@
 }
 
 impl DetachedTransaction {
-    /// Returns the transaction to its session after a successful step.
+    /// Returns the transaction to its session after a step that ran.
     fn reattach(self, request: &mut ClientRequest, digest: Name) -> Result<(), Error> {
         let mut transaction = self.transaction;
         transaction.checkout = Some(self.checkout);
