--- a/crates/node/src/promotion.rs
+++ b/crates/node/src/promotion.rs
@@ -1,9 +1,9 @@
-//! The singleton duty that looks after a group's primary: watches it, confirms its failure with other nodes, and
+//! The promotion duty: the singleton role that monitors a group's primary, has other nodes confirm its failure, and
 //! promotes another server.
 //!
-//! The duty runs the loop over the groups. What is decided by the kind of servers stands in `pooled` and [`direct`];
-//! both share the evidence, the plan's identifiers and the execution of the steps.
-mod attempt;
+//! Each group has one promotion duty, which one live node owns at a time. `duty` runs the loop over the groups. What
+//! depends on the kind of servers is in `pooled` and [`direct`]; both share the failure evidence, the common part of
+//! the promotion plan and the execution of its actions.
 pub mod counts;
 pub mod direct;
 mod duty;
@@ -11,6 +11,7 @@
 mod execution;
 mod fence;
 mod group_state;
+mod plan;
 mod pooled;
 mod state;
 mod suspicion;
--- a/crates/node/src/promotion/counts.rs
+++ b/crates/node/src/promotion/counts.rs
@@ -1,19 +1,19 @@
-//! Promotions of this process, counted for metrics.
+//! Counters of this process's promotions, for metrics.
 use quincehatch_core::Millis;
 use quincehatch_failover::promotion::Phase;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
-/// How often a phase was gone through, and the time it took in all.
+/// How often promotions went through a phase, and the total time that they spent in it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PhaseTotal {
-    /// How often.
+    /// The number of completed passes through the phase.
     pub count: u64,
-    /// The time in all, in milliseconds.
+    /// The total time in the phase, in milliseconds.
     pub total_ms: Millis,
 }
 
-/// Counts of promotions since the process began.
+/// Counts of promotions since the process started.
 #[derive(Debug, Default)]
 pub struct PromotionCounts {
     phases: Mutex<BTreeMap<&'static str, PhaseTotal>>,
@@ -21,7 +21,7 @@
 }
 
 impl PromotionCounts {
-    /// A promotion was in this phase for so long.
+    /// Counts a phase that a promotion completed, and adds the time spent in it.
     pub fn record_phase(&self, phase: Phase, elapsed: Millis) {
         let mut phases = self.phases.lock().unwrap();
         let total = phases.entry(phase.label()).or_default();
@@ -29,17 +29,17 @@
         total.total_ms += elapsed;
     }
 
-    /// A promotion ended: `done` or `failed`; a handover: `handed_over` or `handover_failed`.
+    /// Counts the outcome of a promotion (`done` or `failed`) or of a handover (`handed_over` or `handover_failed`).
     pub fn record_outcome(&self, outcome: &'static str) {
         *self.outcomes.lock().unwrap().entry(outcome).or_default() += 1;
     }
 
-    /// The phases of this moment.
+    /// Returns a copy of the current totals by phase.
     pub fn phases(&self) -> BTreeMap<&'static str, PhaseTotal> {
         self.phases.lock().unwrap().clone()
     }
 
-    /// The outcomes of this moment.
+    /// Returns a copy of the current counts by outcome.
     pub fn outcomes(&self) -> BTreeMap<&'static str, u64> {
         self.outcomes.lock().unwrap().clone()
     }
--- a/crates/node/src/promotion/direct.rs
+++ b/crates/node/src/promotion/direct.rs
@@ -3,9 +3,9 @@
 mod acknowledged_bounds;
 mod actions;
 mod bound_refresh;
+mod commit_holders;
 mod group_state;
 mod handover;
-mod holders;
 mod initial_primary;
 mod launch;
 mod polling;
@@ -14,7 +14,7 @@
 mod repair;
 mod server_calls;
 mod server_statuses;
-mod tending;
+mod supervision;
 
 pub use acknowledged_bounds::{AcknowledgedBound, AcknowledgedBounds, AcknowledgedReport};
 pub use group_state::DirectGroupState;
@@ -26,4 +26,4 @@
     await_caught_up_replica, promote_server, query_acknowledged, suspend_for_promotion,
 };
 pub(super) use probation::probe_ejected_servers;
-pub(super) use tending::tend_group;
+pub(super) use supervision::supervise_group;
--- a/crates/node/src/promotion/direct/acknowledged.rs
+++ b/crates/node/src/promotion/direct/acknowledged.rs
@@ -1,10 +1,10 @@
-//! Finds the acknowledged bound of a group, and the end of everything acknowledged.
+//! Finds a group's acknowledged bound and the end of all acknowledged commits.
 //!
-//! Where too few replicas can be suspended to prove anything, a candidate may still be chosen by what the nodes report:
-//! if every node that may have passed on an acknowledgement reports the end of what it passed on, the highest of these
-//! bounds everything acknowledged.
+//! If too few replicas can be suspended to prove that a candidate has all acknowledged commits, the nodes' reports may
+//! still prove it: if every node that may have passed on an acknowledgement reports the end of what it passed on, no
+//! acknowledged commit is beyond the highest of these ends.
 use super::acknowledged_bounds::{AcknowledgedBound, AcknowledgedReport};
-use super::processes::{acting_processes, lease_holders};
+use super::processes::{active_processes, lease_holders};
 use super::server_calls::query_status;
 use crate::node::Node;
 use quincehatch_core::{FencingToken, Name, Position};
@@ -14,20 +14,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A replica that has not received what the primary had is asked again after this pause,
+/// The pause before replicas are queried again if one has not received what the primary had.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// and so many times in all.
+/// The maximum number of times that the replicas are queried.
 const MAX_ATTEMPTS: usize = 4;
 
-/// The reports of nodes that may act.
+/// The reports of the nodes that may pass on acknowledgements.
 struct GatheredReports {
     reports: BTreeMap<Name, AcknowledgedReport>,
-    /// Every node that may act reported.
+    /// Whether every node that may pass on acknowledgements reported.
     complete: bool,
 }
 
-/// Asks every node that may act: those alive, and those that the tail says may hold leases. After its report a node
-/// passes on no acknowledgement of what was sent under a lower token than `fence`.
+/// Queries every node that may pass on acknowledgements: the live nodes, and those that may hold leases according to
+/// the tail of the store's chain. After its report, a node passes on no acknowledgement of requests sent under a lower
+/// token than `fence`.
 async fn gather_reports(node: &Arc<Node>, group: &Name, fence: FencingToken) -> GatheredReports {
     let holders = lease_holders(node).await;
     let mut complete = holders.is_some();
@@ -48,7 +49,7 @@
     GatheredReports { reports, complete }
 }
 
-/// The primary whose acknowledged bound is looked for.
+/// The primary whose acknowledged bound is to be found.
 pub(super) struct BoundedPrimary {
     pub(super) group: Name,
     pub(super) server: Name,
@@ -57,16 +58,17 @@
     pub(super) replicas: Vec<Name>,
 }
 
-/// Finds that all replicas hold what the primary held a moment ago. Returns whether that was found.
+/// Reads the end of the primary's log and waits until all replicas have received it, which makes it the group's new
+/// acknowledged bound. Returns whether a new bound was found.
 pub(super) async fn refresh_bound(node: &Arc<Node>, primary: &BoundedPrimary) -> bool {
-    // Nodes are counted first, so that whoever acknowledges anything beyond `end` is among them, or began later and is
-    // asked when it matters.
-    let acting = acting_processes(node, &primary.group).await;
+    // The processes are listed before `end` is read. So a node that passes on an acknowledgement beyond `end` is either
+    // among them or started later, and a node that started later is queried when the acknowledged end is gathered.
+    let active = active_processes(node, &primary.group).await;
     let bounds = &node.promotion_state.acknowledged_bounds;
-    // Where no new bound is found, whoever came meanwhile is asked too when it matters. One that comes and is gone
-    // between two of these calls goes unseen.
-    bounds.add_nodes(&primary.group, primary.fence, &acting.incarnations);
-    if !acting.complete {
+    // If no new bound is found, nodes that joined since the last one must report too when the acknowledged end is
+    // gathered. A node that joins and leaves between two of these calls is missed.
+    bounds.add_nodes(&primary.group, primary.fence, &active.incarnations);
+    if !active.complete {
         return false;
     }
     let Some(status) = query_status(node, &primary.server).await else { return false };
@@ -74,7 +76,7 @@
     if !all_receive(node, &primary.replicas, end).await {
         return false;
     }
-    let nodes = acting.incarnations;
+    let nodes = active.incarnations;
     bounds.set(&primary.group, AcknowledgedBound { primary_fence: primary.fence, end, nodes });
     true
 }
@@ -92,8 +94,9 @@
     false
 }
 
-/// The end of all that nodes passed on as acknowledged under the primary of token `primary_fence`; none unless every
-/// process that may have done so reports. They pass on nothing sent under a lower token than `fence` any more.
+/// Returns the end of all commits that nodes passed on as acknowledged under the primary with token `primary_fence`;
+/// `None` unless every process that may have passed on one reports. Nodes that report pass on no further
+/// acknowledgements of requests sent under a lower token than `fence`.
 pub(super) async fn gather_acknowledged_end(
     node: &Arc<Node>,
     group: &Name,
--- a/crates/node/src/promotion/direct/acknowledged_bounds.rs
+++ b/crates/node/src/promotion/direct/acknowledged_bounds.rs
@@ -1,32 +1,33 @@
-//! Up to where all servers of a group hold what was acknowledged, and which nodes may have acknowledged more since.
+//! Acknowledged bounds: the position up to which all servers of a group hold the acknowledged commits, and the nodes
+//! that may have passed on later acknowledgements.
 use quincehatch_core::{FencingToken, Name, Position, PrimaryAssignment};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
-/// Under the primary of this fencing token, all that was acknowledged before some moment is at or below `end`, and
-/// every server that may become the primary has received `end`.
+/// The acknowledged bound of a group: under the primary with this fencing token, all commits acknowledged before some
+/// moment are at or below `end`, and every server that may become the primary has received `end`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AcknowledgedBound {
     /// The primary's fencing token.
     pub primary_fence: FencingToken,
-    /// The end that every server has received.
+    /// The end of the log that every server has received.
     pub end: Position,
-    /// The nodes that may have passed on acknowledgements since, with the incarnation of their processes.
+    /// The nodes that may have passed on acknowledgements since that moment, with the incarnation of their processes.
     pub nodes: BTreeMap<Name, u64>,
 }
 
-/// What a node reports of the acknowledgements it passed on.
+/// A node's report of the acknowledgements that it passed on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AcknowledgedReport {
-    /// The end of what it passed on.
+    /// The end of the acknowledged commits that the node passed on.
     pub end: Position,
-    /// Its process: one that began anew has forgotten what the one before passed on.
+    /// The incarnation of the node's process. A restarted process does not know what the previous one passed on.
     pub incarnation: u64,
 }
 
 impl AcknowledgedBound {
-    /// The end of everything acknowledged, by these reports; none unless every process that may have passed on an
-    /// acknowledgement reported.
+    /// Returns the end of all acknowledged commits according to these reports; `None` unless every process that may
+    /// have passed on an acknowledgement reported.
     pub fn acknowledged_end(&self, reports: &BTreeMap<Name, AcknowledgedReport>) -> Option<Position> {
         let has_reported = |name: &Name, incarnation: u64| {
             reports.get(name).is_some_and(|report| report.incarnation == incarnation)
@@ -39,7 +40,7 @@
     }
 }
 
-/// The acknowledged bounds of groups.
+/// The acknowledged bounds by group.
 #[derive(Default)]
 pub struct AcknowledgedBounds(Mutex<BTreeMap<Name, AcknowledgedBound>>);
 
@@ -49,7 +50,7 @@
         self.0.lock().unwrap().get(group).map(|bound| bound.primary_fence)
     }
 
-    /// Forgets the group's bound unless it was found under this assignment, or the assignment is closed.
+    /// Removes the group's bound unless it was found under this assignment, or the assignment is closed.
     pub(crate) fn retain_under(&self, group: &Name, primary: Option<&PrimaryAssignment>) {
         let holds = |bound: &AcknowledgedBound| {
             primary.is_some_and(|primary| primary.server.is_none() || primary.fence == bound.primary_fence)
@@ -66,7 +67,7 @@
         self.0.lock().unwrap().insert(group.clone(), bound);
     }
 
-    /// Adds nodes that came since the group's bound was found.
+    /// Adds nodes that joined since the group's bound was found.
     pub(super) fn add_nodes(
         &self,
         group: &Name,
--- a/crates/node/src/promotion/direct/actions.rs
+++ b/crates/node/src/promotion/direct/actions.rs
@@ -1,4 +1,4 @@
-//! A promotion's calls to direct servers, to the platform and to nodes.
+//! Actions of a promotion that call direct servers, the platform or other nodes.
 use super::acknowledged::gather_acknowledged_end;
 use super::repair::restore_role;
 use super::server_calls::{query_status, suspend};
@@ -10,11 +10,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A server that was named to the platform is the primary within this time, or is named again.
+/// The time that a server has to become the primary after the request to the platform; then the request is repeated.
 const PROMOTE_TIMEOUT: Millis = 1_200;
 const STATUS_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Suspends a server's log.
+/// Suspends a server's log, so that it receives nothing more.
 pub(crate) async fn suspend_for_promotion(node: &Node, plan: &PromotionPlan, server: Name) -> PromotionEvent {
     match suspend(node, &server, &plan.servers).await {
         Some(end) => PromotionEvent::ServerFenced(server, end),
@@ -22,7 +22,8 @@
     }
 }
 
-/// Names a server to the platform and waits until it is the primary: before that it rejects all work.
+/// Requests the platform to promote a server, and waits until the server is the primary: until then it rejects all
+/// requests.
 pub(crate) async fn promote_server(
     node: &Arc<Node>,
     plan: &PromotionPlan,
@@ -49,8 +50,8 @@
     PromotionEvent::ServerNotPromoted(server)
 }
 
-/// A planned promotion goes on once nothing is in flight, as `counted` says, and some server that stays has all that
-/// the old primary has.
+/// Returns `Drained`, with which a planned promotion proceeds, once no requests are in flight according to `counted`
+/// and a server that is not draining has received all that the old primary has.
 pub(crate) async fn await_caught_up_replica(
     node: &Node,
     plan: &PromotionPlan,
@@ -60,7 +61,7 @@
     if counted != PromotionEvent::Drained {
         return counted;
     }
-    // An old primary that does not answer is not waited for.
+    // The promotion does not wait for an old primary that does not answer.
     let Some(primary_status) = query_status(node, old_primary).await else {
         return PromotionEvent::Drained;
     };
@@ -72,11 +73,11 @@
     if has_all { PromotionEvent::Drained } else { PromotionEvent::Tick }
 }
 
-/// Asks all nodes for the end of what they passed on as acknowledged.
+/// Queries all nodes for the end of the acknowledged commits that they passed on.
 pub(crate) async fn query_acknowledged(node: &Arc<Node>, plan: &PromotionPlan) -> PromotionEvent {
     let gathered_under = plan.sync_group.as_ref().and_then(|group| group.gathered_under);
     let Some(primary_fence) = gathered_under else { return PromotionEvent::Tick };
-    // The closed assignment that is in force by now has a higher token than the primary's.
+    // The closed assignment that is in force by now has a higher token than the primary's assignment.
     let fence = primary_fence + 1;
     match gather_acknowledged_end(node, &plan.group, primary_fence, fence).await {
         Some(end) => PromotionEvent::AcknowledgedUpTo(end),
--- a/crates/node/src/promotion/direct/bound_refresh.rs
+++ b/crates/node/src/promotion/direct/bound_refresh.rs
@@ -1,8 +1,8 @@
-//! When the acknowledged bound of a direct group is found anew.
+//! Periodic refresh of a direct group's acknowledged bound.
 use super::super::group_state::GroupState;
 use super::super::voter_sets::drop_previous_voters;
 use super::acknowledged::{BoundedPrimary, refresh_bound};
-use super::polling::PRIMARY_INTERVAL;
+use super::polling::PRIMARY_POLL_INTERVAL;
 use crate::node::Node;
 use quincehatch_core::{Millis, Name, PrimaryAssignment};
 use quincehatch_failover::observation::GroupObservation;
@@ -10,11 +10,11 @@
 use quincehatch_runtime::{now, seam};
 use std::sync::Arc;
 
-/// How often the acknowledged bound of a group is found anew.
+/// The interval between two refreshes of a group's acknowledged bound.
 const BOUND_INTERVAL: Millis = 3_000;
 
-/// Finds the acknowledged bound anew now and then, while the primary answers. Once it is found, all servers hold what
-/// earlier voter sets acknowledged, and these are dropped.
+/// Starts a refresh of the group's acknowledged bound if one is due and the primary answers. Once the bound is found,
+/// all servers hold what earlier voter sets acknowledged, so these sets are dropped.
 pub(super) fn refresh_acknowledged_bound(
     node: &Arc<Node>,
     group: &Name,
@@ -43,6 +43,6 @@
 fn is_refresh_due(node: &Node, group: &Name, state: &GroupState, assignment: &PrimaryAssignment) -> bool {
     let is_running = state.direct.bound_refresh.as_ref().is_some_and(|task| !task.is_finished());
     let found_under = node.promotion_state.acknowledged_bounds.primary_fence(group);
-    let interval = if found_under == Some(assignment.fence) { BOUND_INTERVAL } else { PRIMARY_INTERVAL };
+    let interval = if found_under == Some(assignment.fence) { BOUND_INTERVAL } else { PRIMARY_POLL_INTERVAL };
     !is_running && now() >= state.direct.bound_refreshed_at + interval
 }
--- a/crates/node/src/promotion/direct/holders.rs
+++ b/crates/node/src/promotion/direct/commit_holders.rs
@@ -1,16 +1,16 @@
-//! Which servers may hold commits that a group acknowledged.
+//! The servers that may hold a group's acknowledged commits.
 use crate::node::Node;
 use quincehatch_core::{Millis, Name, PrimaryAssignment};
 use quincehatch_proxy::registry::ServerEntry;
 use quincehatch_runtime::now;
 use std::sync::Arc;
 
-use super::super::attempt::old_primary;
+use super::super::plan::old_primary;
 
-/// Whoever takes the address of a server that went away is heard of within this time.
+/// A server that takes the address of a departed server registers within this time.
 const ADDRESS_REUSE_WINDOW: Millis = 60_000;
 
-/// The group's servers that the store knows.
+/// Returns the group's servers that are registered in the store.
 pub(super) fn known_servers(node: &Node, group: &Name) -> Vec<Arc<ServerEntry>> {
     let names: Vec<Name> = {
         let state = node.feed_state.lock().unwrap();
@@ -20,22 +20,25 @@
     names.iter().filter_map(|name| node.proxy.registry.server(name)).collect()
 }
 
-/// Servers that went away lately and at whose address nobody is known yet: their log may be with a server that is there
-/// already, and that receives and counts before the store hears of it.
+/// Returns the servers that departed recently and at whose address no other server is registered yet. Their log may
+/// belong to a new server that already runs at that address: it receives commits, and its acknowledgements count,
+/// before it is registered in the store.
 pub(super) fn departed_servers(node: &Node, group: &Name, servers: &[Arc<ServerEntry>]) -> Vec<Name> {
     let in_group: Vec<_> =
         node.proxy.registry.servers().into_iter().filter(|server| server.group() == *group).collect();
-    let departed =
-        in_group.iter().filter(|server| departed_lately(server) && !is_replaced(server, servers, &in_group));
+    let departed = in_group
+        .iter()
+        .filter(|server| departed_recently(server) && !is_replaced(server, servers, &in_group));
     departed.map(|server| server.name.clone()).collect()
 }
 
-fn departed_lately(server: &ServerEntry) -> bool {
+fn departed_recently(server: &ServerEntry) -> bool {
     let draining_since = server.status.lock().unwrap().draining_since;
     draining_since.is_some_and(|since| now() < since + ADDRESS_REUSE_WINDOW)
 }
 
-/// Whether the server is known still, another known server has its address, or one had it that drained later.
+/// Whether the server is still registered, another registered server has its address, or a server that drained later
+/// had its address.
 fn is_replaced(server: &ServerEntry, servers: &[Arc<ServerEntry>], in_group: &[Arc<ServerEntry>]) -> bool {
     let took_address = |other: &ServerEntry| other.name != server.name && other.addr() == server.addr();
     let draining_since = |entry: &ServerEntry| entry.status.lock().unwrap().draining_since;
@@ -44,10 +47,11 @@
         || in_group.iter().any(|other| took_address(other) && draining_since(other) > draining_since(server))
 }
 
-/// Servers beside the old primary that may hold what was acknowledged: all that are known, and those that voted when the
-/// primary was assigned. The store puts successors in the places of voters that left in order; a voter that was pushed
-/// out of its address reported nothing, and took its log with it.
-pub(super) fn holders(
+/// Returns the servers other than the old primary that may hold acknowledged commits: all registered servers, recently
+/// departed ones, and the voters of the primary's assignment. In the assignment, the store replaces voters that
+/// departed gracefully by their successors. A voter that lost its address to another server did not report its
+/// departure and stays a voter; its log is gone with it.
+pub(super) fn possible_commit_holders(
     node: &Node,
     group: &Name,
     servers: &[Arc<ServerEntry>],
--- a/crates/node/src/promotion/direct/group_state.rs
+++ b/crates/node/src/promotion/direct/group_state.rs
@@ -1,21 +1,21 @@
-//! What a node keeps of a direct group whose duty it owns.
+//! The state that a node keeps for a direct group whose promotion duty it owns.
 use quincehatch_core::{Millis, Name};
 use quincehatch_failover::direct::replication::ReplicationWatermark;
 use quincehatch_runtime::seam::TaskHandle;
 use std::collections::BTreeMap;
 
-/// What is under way for one direct group.
+/// The polls, observations and tasks of one direct group.
 #[derive(Default)]
 pub struct DirectGroupState {
     pub(super) polls: BTreeMap<Name, Poll>,
-    /// Since when servers have had a role or a suspension that the primary's term rules out.
+    /// Since when each server has had a role or a suspension that is stale under the primary's term.
     pub(super) stale_since: BTreeMap<Name, Millis>,
     pub(super) watermark: ReplicationWatermark,
-    /// For how long no replica has been seen to receive what the primary had.
+    /// For how long no replica has been observed to receive what the primary had.
     pub(super) replicas_behind_for: Millis,
-    /// When the primary was last to be replaced for that; 0: not yet.
+    /// When a promotion was last begun because the primary is cut off from its replicas; 0 if never.
     pub cut_off_handled_at: Millis,
-    /// When the acknowledged bound was last looked for.
+    /// When the last refresh of the acknowledged bound was started.
     pub(super) bound_refreshed_at: Millis,
     pub(super) bound_refresh: Option<TaskHandle>,
 }
@@ -23,13 +23,13 @@
 /// The last status poll of one server.
 #[derive(Default)]
 pub(super) struct Poll {
-    /// When it was sent; 0: never.
+    /// When the poll was sent; 0 if never.
     pub(super) sent_at: Millis,
     task: Option<TaskHandle>,
 }
 
 impl Poll {
-    pub(super) fn is_under_way(&self) -> bool {
+    pub(super) fn is_in_flight(&self) -> bool {
         self.task.as_ref().is_some_and(|task| !task.is_finished())
     }
 
--- a/crates/node/src/promotion/direct/handover.rs
+++ b/crates/node/src/promotion/direct/handover.rs
@@ -1,5 +1,5 @@
-//! A planned handover in a direct group with sync replicas: the old primary serves until the very moment in which its
-//! successor is promoted, so that nothing is queued meanwhile but for the assignment.
+//! A planned handover in a direct group with sync replicas: the old primary serves until its successor is promoted, so
+//! requests are queued only while the new assignment is written.
 use super::super::fence::{FenceOutcome, FenceRequest, acquire_fence};
 use super::repair::restore_role;
 use super::server_calls::{query_status, suspend};
@@ -13,19 +13,21 @@
 use std::time::Duration;
 
 const WRITE_TIMEOUT: Duration = Duration::from_secs(6);
-/// A successor that has not all the primary had by then is none.
+/// The successor must have received what the primary had within this time, or the handover fails.
 const CATCH_UP_TIMEOUT: Millis = 600;
-/// The successor is the primary within this time of being named to the platform.
+/// The successor must become the primary within this time after the request to the platform, or the handover fails.
 const PROMOTE_TIMEOUT: Millis = 2_000;
 const STATUS_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Hands the group over. False if that could not begin, or did not succeed: the old primary stands as it was, or is the
-/// primary no more and is replaced like one that failed.
+/// Hands the group's primary role over to a successor. Returns false if the handover could not begin or did not
+/// succeed. The old primary is then either unchanged, or no longer the primary, in which case it is replaced like a
+/// failed one.
 ///
 /// All replicas but the successor are suspended first. From then on nothing is acknowledged that the successor has not
-/// received; once it has what the primary had in that moment it has all that is, whenever it takes over. Until it is
-/// assigned no node sends anything there, so nothing is acknowledged that a read at the old primary could miss; and it
-/// is assigned only after the old primary's assignment is closed at every node.
+/// received. So once the successor has received what the primary had at that moment, it has all acknowledged commits,
+/// whenever it takes over. No node sends requests to the successor before it is assigned, so nothing is acknowledged
+/// that a read at the old primary could miss. The successor is assigned only after the old primary's assignment is
+/// closed at every node.
 pub(super) async fn hand_over(node: &Arc<Node>, plan: &PromotionPlan) -> bool {
     let (Some(old_primary), Some(group), Some(ports)) = (&plan.old_primary, &plan.sync_group, &node.ports)
     else {
@@ -34,13 +36,14 @@
     if group.sync_replicas == 0 {
         return false;
     }
-    let began_at = now();
+    let started_at = now();
     let Some(successor) = choose_successor(node, plan, old_primary).await else { return false };
-    let others: Vec<Name> = group.holders.iter().filter(|holder| **holder != successor).cloned().collect();
-    let Some(fence) = take_fence(node, plan).await else { return false };
-    let handover = Handover { node, plan, old_primary, successor, others, fence };
+    let other_replicas: Vec<Name> =
+        group.holders.iter().filter(|holder| **holder != successor).cloned().collect();
+    let Some(fence) = acquire_handover_fence(node, plan).await else { return false };
+    let handover = Handover { node, plan, old_primary, successor, other_replicas, fence };
     if !handover.promote_successor(ports).await {
-        handover.resume_others();
+        handover.resume_other_replicas();
         let line =
             format!("the primary of {} could not be handed over to {}", plan.group, handover.successor);
         node.promotion_state.record_event(line);
@@ -53,14 +56,15 @@
         "the primary of {} was handed over to {} under fence {fence} in {} ms",
         plan.group,
         handover.successor,
-        now() - began_at
+        now() - started_at
     );
     node.promotion_state.record_event(line);
-    handover.resume_others();
+    handover.resume_other_replicas();
     assigned
 }
 
-/// The preferred replica, else the one with the highest log, of those that stay and answer.
+/// Chooses the successor from the replicas that answer and are not draining: the preferred one, or else the one whose
+/// received log has the highest end.
 async fn choose_successor(node: &Node, plan: &PromotionPlan, old_primary: &Name) -> Option<Name> {
     let draining = plan.sync_group.as_ref().map_or(&[][..], |group| &group.draining);
     let eligible: Vec<&Name> =
@@ -77,9 +81,10 @@
     chosen.map(|(server, _)| (*server).clone())
 }
 
-/// Under a key of its own: a promotion that goes on where this did not succeed takes another token, as the platform may
-/// have been told of the successor under this one.
-async fn take_fence(node: &Node, plan: &PromotionPlan) -> Option<FencingToken> {
+/// Acquires the handover's fencing token under an idempotency key of its own. If the handover fails, the promotion that
+/// follows must acquire another token, because the platform may already have been requested to promote the successor
+/// under this one.
+async fn acquire_handover_fence(node: &Node, plan: &PromotionPlan) -> Option<FencingToken> {
     let key = format!("{}/hand", plan.attempt);
     let expected = PrimaryState { fence: plan.expected_fence, primary: plan.primary.clone() };
     let request = FenceRequest { key: &key, group: &plan.group, coordinator: &plan.coordinator, expected };
@@ -89,20 +94,21 @@
     }
 }
 
+/// A handover whose successor is chosen and whose fencing token is acquired.
 struct Handover<'a> {
     node: &'a Arc<Node>,
     plan: &'a PromotionPlan,
     old_primary: &'a Name,
     successor: Name,
-    /// The holders of acknowledged commits beside the old primary and the successor.
-    others: Vec<Name>,
+    /// The servers other than the old primary and the successor that may hold acknowledged commits.
+    other_replicas: Vec<Name>,
     fence: FencingToken,
 }
 
 impl Handover<'_> {
     async fn promote_successor(&self, ports: &ServerPorts) -> bool {
         let (node, plan) = (self.node, self.plan);
-        let suspensions = self.others.iter().map(|other| suspend(node, other, &plan.servers));
+        let suspensions = self.other_replicas.iter().map(|other| suspend(node, other, &plan.servers));
         let suspended = seam::join_all(suspensions).await;
         let ready = suspended.iter().all(Option::is_some) && self.successor_caught_up().await;
         seam::trace_point("handover: other replicas are suspended");
@@ -114,7 +120,7 @@
         outcome != PromotionOutcome::Rejected && self.successor_is_primary().await
     }
 
-    /// Whether the successor receives in time what the old primary has by now.
+    /// Waits until the successor has received what the old primary has now. Returns false if it does not in time.
     async fn successor_caught_up(&self) -> bool {
         let status = query_status(self.node, self.old_primary).await;
         let Some(primary_status) = status.filter(|status| status.role == Role::Primary) else {
@@ -131,6 +137,7 @@
         false
     }
 
+    /// Waits until the successor reports that it is the primary. Returns false if it does not in time.
     async fn successor_is_primary(&self) -> bool {
         let deadline = now() + PROMOTE_TIMEOUT;
         while now() < deadline {
@@ -145,7 +152,8 @@
 
     /// Closes the old assignment at every node, then assigns the successor.
     async fn assign_successor(&self) -> bool {
-        // A close brings no voters: an entry that does is answered once it is committed, not in force everywhere.
+        // The closing write must carry no voters: a write with voters is answered once it is committed, which is before
+        // it is in force at every node.
         let closed = self.write_primary("close", None, Vec::new()).await;
         closed && self.write_primary("name", Some(self.successor.clone()), self.plan.voters.clone()).await
     }
@@ -164,9 +172,9 @@
         self.node.store_client.write(&key, command, WRITE_TIMEOUT).await.is_ok()
     }
 
-    fn resume_others(&self) {
-        for other in &self.others {
-            // No term: only suspended replicas are to be resumed, no primary demoted.
+    fn resume_other_replicas(&self) {
+        for other in &self.other_replicas {
+            // With term 0 only suspended replicas are resumed and no primary is demoted.
             seam::spawn(restore_role(self.node.clone(), other.clone(), 0));
         }
     }
--- a/crates/node/src/promotion/direct/initial_primary.rs
+++ b/crates/node/src/promotion/direct/initial_primary.rs
@@ -1,4 +1,4 @@
-//! The first primary of a direct group.
+//! Assignment of a direct group's first primary.
 use super::super::fence::{FenceOutcome, FenceRequest, acquire_fence};
 use super::super::group_state::GroupState;
 use super::launch::begin_promotion;
@@ -11,12 +11,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Without exactly one server that reports to be the primary, one is promoted after this long.
+/// If not exactly one server reports that it is the primary, a server is promoted after this delay.
 const PROMOTION_DELAY: Millis = 3_000;
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The one server that reports to be the primary is adopted as it is; nobody is suspended or promoted for that.
-pub(super) fn assign_first(
+/// Assigns the first primary. If exactly one server reports that it is the primary, that server is assigned, and no
+/// server is suspended or promoted. Otherwise a promotion begins after a delay.
+pub(super) fn assign_initial_primary(
     node: &Arc<Node>,
     group: &Name,
     servers: &[Arc<ServerEntry>],
@@ -28,7 +29,7 @@
         .map(|server| &server.name)
         .collect();
     if let [server] = claimants[..] {
-        // A heartbeat alone may be out of date: the server itself must have reported it.
+        // A heartbeat may be out of date: the server must also have reported the role in answer to a status query.
         if queried_role(node, server) == Some(Role::Primary) {
             let claim = PrimaryClaim {
                 group: group.clone(),
@@ -52,7 +53,7 @@
     queried_role(node, &server.name).unwrap_or_else(|| server.heartbeat.read().unwrap().role)
 }
 
-/// A server that is the primary of its group already.
+/// A server that already is the primary of its group, although no assignment names it.
 struct PrimaryClaim {
     group: Name,
     server: Name,
@@ -78,7 +79,8 @@
     };
     let command = Command::AssignPrimary { group: group.clone(), primary };
     let assigned = node.store_client.write(&format!("{key}/name"), command, WRITE_TIMEOUT).await.is_ok();
-    let line =
-        format!("server {server} is the primary of {group} and is assigned under fence {fence}: {assigned}");
+    let line = format!(
+        "server {server} already is the primary of {group}; assigned under fence {fence}: {assigned}"
+    );
     node.promotion_state.record_event(line);
 }
--- a/crates/node/src/promotion/direct/launch.rs
+++ b/crates/node/src/promotion/direct/launch.rs
@@ -1,9 +1,9 @@
-//! Plans a promotion of a direct group and starts it.
-use super::super::attempt::{begin_plan, old_primary};
+//! Plans and starts a promotion in a direct group.
 use super::super::execution::run_promotion;
 use super::super::group_state::GroupState;
+use super::super::plan::{new_plan, old_primary};
+use super::commit_holders::{departed_servers, possible_commit_holders};
 use super::handover::hand_over;
-use super::holders::{departed_servers, holders};
 use crate::node::Node;
 use quincehatch_core::Name;
 use quincehatch_failover::direct::candidate::SyncGroup;
@@ -12,7 +12,7 @@
 use quincehatch_runtime::seam;
 use std::sync::Arc;
 
-/// Begins a promotion in a task of its own: a planned one as a handover, if that can be had.
+/// Begins a promotion in a task of its own. A planned promotion is first attempted as a handover.
 pub(super) fn begin_promotion(
     node: &Arc<Node>,
     group: &Name,
@@ -22,7 +22,7 @@
 ) {
     let plan = plan_promotion(node, group, servers, state, planned);
     state.planned_at_fence = state.latest_fence;
-    state.promotion = Some(seam::spawn(promote(node.clone(), plan)));
+    state.promotion = Some(seam::spawn(run_handover_or_promotion(node.clone(), plan)));
 }
 
 fn plan_promotion(
@@ -36,7 +36,7 @@
     let draining = servers.iter().filter(|server| server.is_draining());
     let sync_group = SyncGroup {
         sync_replicas: configured_sync_replicas(node, group),
-        holders: holders(node, group, servers, state.primary.as_ref()),
+        holders: possible_commit_holders(node, group, servers, state.primary.as_ref()),
         draining: draining.map(|server| server.name.clone()).collect(),
         gathered_under: node.promotion_state.acknowledged_bounds.primary_fence(group),
     };
@@ -48,7 +48,7 @@
         preferred: node.promotion_state.take_handover_request(group),
         voters: names().chain(departed_servers(node, group, servers)).collect(),
         sync_group: Some(sync_group),
-        ..begin_plan(node, group, state)
+        ..new_plan(node, group, state)
     }
 }
 
@@ -58,11 +58,12 @@
     group.and_then(|group| group.sync_replicas).unwrap_or(0)
 }
 
-async fn promote(node: Arc<Node>, mut plan: PromotionPlan) {
+async fn run_handover_or_promotion(node: Arc<Node>, mut plan: PromotionPlan) {
     if plan.planned && hand_over(&node, &plan).await {
         return;
     }
-    // A handover that did not succeed took a fencing token, above which the promotion goes on.
+    // A failed handover may have acquired a fencing token. The promotion must expect that token, so that the one that
+    // it acquires is higher.
     plan.expected_fence = plan.expected_fence.max(node.promotion_state.own_fence(&plan.group));
     run_promotion(node, plan).await;
 }
--- a/crates/node/src/promotion/direct/polling.rs
+++ b/crates/node/src/promotion/direct/polling.rs
@@ -1,4 +1,4 @@
-//! Status polls of direct servers, from the node that owns their group's duty.
+//! Status polls of direct servers by the node that owns their group's duty.
 use super::super::group_state::GroupState;
 use super::group_state::Poll;
 use super::server_calls::query_status;
@@ -10,32 +10,32 @@
 use quincehatch_runtime::{now, seam};
 use std::sync::Arc;
 
-/// How often the primary is polled.
-pub(super) const PRIMARY_INTERVAL: Millis = 400;
-/// How often replicas are polled, and a primary that answered anything lately.
-const REPLICA_INTERVAL: Millis = 2_000;
-/// A primary that answered anything within this time need not be polled.
-const RECENT_ANSWER: Millis = 300;
-/// How soon a primary is polled that has denied to be one.
-const DENIAL_INTERVAL: Millis = 100;
-/// Replicas are polled as often as the primary once none was seen to receive anything for this long.
-const BEHIND_LIMIT: Millis = 500;
-/// An answer within this time serves another node's question.
-const RECENT_EVIDENCE: Millis = 500;
-/// A failure that lasts this long needs no other probe.
-const CLEAR_FAILURE: Millis = 250;
+/// The interval at which the primary is polled.
+pub(super) const PRIMARY_POLL_INTERVAL: Millis = 400;
+/// The interval at which replicas are polled, and a primary that recently answered any request.
+const REPLICA_POLL_INTERVAL: Millis = 2_000;
+/// A primary that answered any request within this time is polled only at the interval of replicas.
+const RECENT_ANSWER_WINDOW: Millis = 300;
+/// The interval at which a primary is polled after it rejected a request because it is not the primary.
+const DENIED_PRIMARY_POLL_INTERVAL: Millis = 100;
+/// Replicas are polled as often as the primary once no replica has been observed to make progress for this long.
+const REPLICAS_BEHIND_LIMIT: Millis = 500;
+/// An answer within this time is recent enough for another node's query: the server is not probed again.
+const RECENT_STATUS_WINDOW: Millis = 500;
+/// A server that has been failing for this long is not probed again for another node's query.
+const CLEAR_FAILURE_DURATION: Millis = 250;
 
-/// Probes a server for another node's question, unless this node knows anyway whether it answers.
+/// Probes a server for another node's query, unless this node already knows whether the server answers.
 pub async fn probe_unless_recent(node: &Arc<Node>, server: &Name) {
     let Some(entry) = node.proxy.registry.server(server) else { return };
     let status = entry.status.lock().unwrap().clone();
-    let clearly_failing = status.failing_since.is_some_and(|since| now() >= since + CLEAR_FAILURE);
-    if !clearly_failing && now() >= status.answered_at + RECENT_EVIDENCE {
+    let clearly_failing = status.failing_since.is_some_and(|since| now() >= since + CLEAR_FAILURE_DURATION);
+    if !clearly_failing && now() >= status.answered_at + RECENT_STATUS_WINDOW {
         query_status(node, server).await;
     }
 }
 
-/// Polls those servers that are due, each in a task of its own.
+/// Polls the servers whose poll is due, each in a task of its own.
 pub(super) fn poll_servers(node: &Arc<Node>, servers: &[Arc<ServerEntry>], state: &mut GroupState) {
     let primary = state.primary_server();
     state.direct.polls.retain(|name, _| servers.iter().any(|server| server.name == *name));
@@ -43,10 +43,11 @@
     for server in servers {
         let status = server.status.lock().unwrap().clone();
         let target = PollTarget { is_primary: primary.as_ref() == Some(&server.name), status };
-        let frequent = primary.is_none() || state.direct.replicas_behind_for > BEHIND_LIMIT;
-        let denied_before = state.not_primary_since.is_some();
+        let poll_replicas_often =
+            primary.is_none() || state.direct.replicas_behind_for > REPLICAS_BEHIND_LIMIT;
+        let reported_not_primary = state.not_primary_since.is_some();
         let poll = state.direct.polls.entry(server.name.clone()).or_default();
-        if !target.is_due(poll, frequent, denied_before) {
+        if !target.is_due(poll, poll_replicas_often, reported_not_primary) {
             continue;
         }
         let (node, name) = (node.clone(), server.name.clone());
@@ -57,16 +58,17 @@
     }
 }
 
+/// What decides when a server is polled next.
 struct PollTarget {
     is_primary: bool,
     status: StatusRecord,
 }
 
 impl PollTarget {
-    /// `frequent`: replicas are polled as often as the primary. `denied_before`: the primary has reported that it is
-    /// none.
-    fn is_due(&self, poll: &Poll, frequent: bool, denied_before: bool) -> bool {
-        if poll.is_under_way() {
+    /// `poll_replicas_often`: replicas are polled as often as the primary. `reported_not_primary`: the primary's latest
+    /// status reports that it is not the primary.
+    fn is_due(&self, poll: &Poll, poll_replicas_often: bool, reported_not_primary: bool) -> bool {
+        if poll.is_in_flight() {
             return false;
         }
         if poll.sent_at == 0 {
@@ -74,32 +76,32 @@
         }
         let denied_since = self.status.denied_primary_at.is_some_and(|denied_at| denied_at > poll.sent_at);
         let denies_now = self.is_primary && denied_since;
-        let suspect = denies_now || (self.is_primary && denied_before);
-        if self.answered_recently() && !suspect && now() < poll.sent_at + REPLICA_INTERVAL {
+        let role_in_doubt = denies_now || (self.is_primary && reported_not_primary);
+        if self.answered_recently() && !role_in_doubt && now() < poll.sent_at + REPLICA_POLL_INTERVAL {
             return false;
         }
-        now() >= poll.sent_at + self.interval(frequent, denies_now)
+        now() >= poll.sent_at + self.interval(poll_replicas_often, denies_now)
     }
 
-    /// A primary that answers clients need not be asked for more.
+    /// Whether the server is a primary that recently answered any request, so that it need not be polled frequently.
     fn answered_recently(&self) -> bool {
         self.is_primary
             && self.status.failing_since.is_none()
-            && now() < self.status.answered_at + RECENT_ANSWER
+            && now() < self.status.answered_at + RECENT_ANSWER_WINDOW
     }
 
-    fn interval(&self, frequent: bool, denies_now: bool) -> Millis {
+    fn interval(&self, poll_replicas_often: bool, denies_now: bool) -> Millis {
         if denies_now {
-            DENIAL_INTERVAL
-        } else if self.is_primary || frequent {
-            PRIMARY_INTERVAL
+            DENIED_PRIMARY_POLL_INTERVAL
+        } else if self.is_primary || poll_replicas_often {
+            PRIMARY_POLL_INTERVAL
         } else {
-            REPLICA_INTERVAL
+            REPLICA_POLL_INTERVAL
         }
     }
 }
 
-/// Works out for how long no replica has received what the primary had.
+/// Updates for how long no replica has received what the primary had.
 fn update_replication_lag(
     node: &Node,
     servers: &[Arc<ServerEntry>],
--- a/crates/node/src/promotion/direct/probation.rs
+++ b/crates/node/src/promotion/direct/probation.rs
@@ -1,5 +1,5 @@
-//! Ejected direct servers return to service on probation.
-use super::polling::PRIMARY_INTERVAL;
+//! Return of ejected direct servers to service on probation.
+use super::polling::PRIMARY_POLL_INTERVAL;
 use super::server_calls::query_status;
 use crate::node::Node;
 use quincehatch_core::Millis;
@@ -8,21 +8,21 @@
 use quincehatch_runtime::{now, seam};
 use std::sync::Arc;
 
-/// A server on probation must have what the primary was seen to hold this long ago.
+/// To go on probation, a server must have received what the primary was observed to hold this long ago.
 const MAX_STALENESS: Millis = 1_500;
-/// Nodes that probe as often as one alone.
+/// The number of live nodes up to which each node probes at the full rate; in larger clusters each probes less often.
 const NODES_PER_INTERVAL: u64 = 16;
 
-/// Probes ejected servers whose time is up: one that has what was seen of the primary goes on probation. Forgets
-/// connections and statuses that are of no use any more.
+/// Probes ejected servers that are due for probation; a server that has received the required part of the primary's log
+/// goes on probation. Also removes idle connections and the statuses of servers that no longer exist.
 pub(crate) fn probe_ejected_servers(node: &Arc<Node>) {
     let divisor = probe_divisor(node.gossip.live_nodes().len());
     let exists = |server: &_| node.feed_state.lock().unwrap().servers.contains_key(server);
     node.promotion_state.server_statuses.prune(divisor, exists);
     for server in node.proxy.registry.servers() {
-        let interval = PRIMARY_INTERVAL * divisor;
-        let asked_lately = now() < server.status.lock().unwrap().asked_at + interval;
-        if asked_lately || !is_due_for_probation(node, &server) {
+        let interval = PRIMARY_POLL_INTERVAL * divisor;
+        let queried_recently = now() < server.status.lock().unwrap().asked_at + interval;
+        if queried_recently || !is_due_for_probation(node, &server) {
             continue;
         }
         server.status.lock().unwrap().asked_at = now();
@@ -30,7 +30,7 @@
     }
 }
 
-/// By how much less often each node probes where many do.
+/// Returns the factor by which each node lengthens its probe interval in a large cluster.
 fn probe_divisor(live_nodes: usize) -> u64 {
     (live_nodes as u64 / NODES_PER_INTERVAL).max(1)
 }
--- a/crates/node/src/promotion/direct/processes.rs
+++ b/crates/node/src/promotion/direct/processes.rs
@@ -1,9 +1,9 @@
-//! The processes of nodes that may act, without asking each of them each time.
+//! The active processes: those node processes that may serve clients, and so may pass on acknowledgements.
 //!
-//! A process acts only under a lease, and the tail grants leases to enrolled processes alone; which these are is in the
-//! feed. So a process needs to be asked once which one it is: while its enrollment stays the same it is the same process.
-//! To ask all nodes for each group every three seconds took most of the calls between nodes where there are hundreds of
-//! both.
+//! A process serves clients only under a lease, and the tail of the store's chain grants leases only to enrolled
+//! processes, which the feed lists. So each process is queried for its incarnation only once: while its enrollment
+//! stays the same, it is the same process. With hundreds of nodes and groups, querying all nodes for each group every
+//! three seconds took most of the calls between nodes.
 use crate::node::Node;
 use quincehatch_core::{ChangeNumber, Name};
 use quincehatch_gossip::{NodeQuery, NodeReply};
@@ -12,30 +12,30 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The tail has this long to name the nodes that hold leases.
+/// The timeout of the query to the tail for the nodes that hold leases.
 pub(super) const LEASES_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The process of a node that was asked.
+/// A node's process that has reported its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct KnownProcess {
     enrolled: ChangeNumber,
     incarnation: u64,
 }
 
-/// What the nodes' processes answered, by node.
+/// The processes that have reported their incarnation, by node.
 #[derive(Default)]
 pub struct KnownProcesses(Mutex<BTreeMap<Name, KnownProcess>>);
 
-/// The processes that may act.
-pub(super) struct ActingProcesses {
-    /// Their incarnations, by node.
+/// The processes that may serve clients.
+pub(super) struct ActiveProcesses {
+    /// The incarnations of the processes, by node.
     pub incarnations: BTreeMap<Name, u64>,
-    /// Every process that may act is among them.
+    /// Whether every active process is among them.
     pub complete: bool,
 }
 
 impl KnownProcesses {
-    /// Forgets processes that are enrolled no more, or were enrolled anew.
+    /// Removes processes that are no longer enrolled, or whose node has enrolled again.
     fn retain_enrolled(&self, enrolled: &BTreeMap<Name, ChangeNumber>) {
         let is_enrolled = |name: &Name, process: &KnownProcess| enrolled.get(name) == Some(&process.enrolled);
         self.0.lock().unwrap().retain(|name, process| is_enrolled(name, process));
@@ -50,27 +50,27 @@
     }
 }
 
-/// The processes that may act now: all that are enrolled, but for those that others consider gone and that hold no lease.
-/// Those that are not known yet are asked, with a question about `group`.
-pub(super) async fn acting_processes(node: &Arc<Node>, group: &Name) -> ActingProcesses {
+/// Returns the processes that may serve clients now: all enrolled processes except those of nodes that are not live and
+/// hold no lease. Processes whose incarnation is unknown are queried with a request about `group`.
+pub(super) async fn active_processes(node: &Arc<Node>, group: &Name) -> ActiveProcesses {
     let mut enrolled = node.feed_state.lock().unwrap().nodes.clone();
     let known = &node.promotion_state.known_processes;
     known.retain_enrolled(&enrolled);
     let live: BTreeSet<Name> = node.gossip.live_names().into_iter().collect();
     if enrolled.keys().any(|name| !live.contains(name)) {
         let Some(holders) = lease_holders(node).await else {
-            return ActingProcesses { incarnations: BTreeMap::new(), complete: false };
+            return ActiveProcesses { incarnations: BTreeMap::new(), complete: false };
         };
         enrolled.retain(|name, _| live.contains(name) || holders.contains(name));
     }
-    ask_unknown(node, group, &enrolled).await;
+    query_unknown_processes(node, group, &enrolled).await;
     let incarnation = |name: &Name| known.incarnation(name).map(|incarnation| (name.clone(), incarnation));
     let incarnations: BTreeMap<Name, u64> = enrolled.keys().filter_map(incarnation).collect();
     let complete = incarnations.len() == enrolled.len();
-    ActingProcesses { incarnations, complete }
+    ActiveProcesses { incarnations, complete }
 }
 
-/// The nodes that hold leases; `None` if the tail does not answer.
+/// Returns the nodes that hold leases; `None` if the tail does not answer.
 pub(super) async fn lease_holders(node: &Node) -> Option<BTreeSet<Name>> {
     let tail = node.store_client.tail_address();
     match node.store_client.call(&tail, Request::Status, LEASES_TIMEOUT).await {
@@ -79,11 +79,11 @@
     }
 }
 
-async fn ask_unknown(node: &Arc<Node>, group: &Name, enrolled: &BTreeMap<Name, ChangeNumber>) {
+async fn query_unknown_processes(node: &Arc<Node>, group: &Name, enrolled: &BTreeMap<Name, ChangeNumber>) {
     let known = &node.promotion_state.known_processes;
     let unknown: Vec<Name> =
         enrolled.keys().filter(|name| known.incarnation(name).is_none()).cloned().collect();
-    // A fence of 0 forbids nothing: only who answers is of interest.
+    // A fence of 0 prevents no acknowledgements: only the incarnations in the replies are used.
     let query = NodeQuery::AcknowledgedEnd { group: group.clone(), fence: 0 };
     for (name, reply) in node.gossip.query_all(unknown, query).await {
         let Some(NodeReply::AcknowledgedEnd { incarnation, .. }) = reply else { continue };
--- a/crates/node/src/promotion/direct/repair.rs
+++ b/crates/node/src/promotion/direct/repair.rs
@@ -1,4 +1,4 @@
-//! Servers whose role or suspension is out of date are told so.
+//! Repair of servers whose role or suspension is stale under the primary's term.
 use super::super::group_state::GroupState;
 use super::server_calls::{call, query_status};
 use crate::node::Node;
@@ -9,14 +9,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A server is told once it has been out of date for this long: not at once, as whoever suspended it may be about to
-/// choose among the suspended.
+/// A server is repaired once it has been stale for this long. An earlier repair could disturb the promotion that
+/// suspended the server and is about to choose a candidate among the suspended ones.
 const REPAIR_DELAY: Millis = 5_000;
-/// Attempts to restore a server's role, and the pause after each that was not answered.
+/// The maximum number of attempts to restore a server's role.
 const RESTORE_ATTEMPTS: u32 = 10;
-const RESTORE_PAUSE: Duration = Duration::from_millis(100);
+/// The pause after an attempt that the server did not answer.
+const RESTORE_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Tells an old primary of a lower term that came back, and replicas that someone left suspended.
+/// Demotes an old primary of a lower term that has returned, and resumes replicas that a promotion left suspended.
 pub(super) fn repair_stale_servers(node: &Arc<Node>, servers: &[Arc<ServerEntry>], state: &mut GroupState) {
     let Some(primary) = state.primary_server() else { return };
     let seen_since = state.primary_since;
@@ -48,25 +49,26 @@
     }
 }
 
-/// Resumes a replica that is suspended, and demotes a primary of a lower term than `term`. A server that does not answer
-/// is asked again for a while: one whose log was truncated by the promotion is busy for a moment, and until it is resumed
-/// the new primary may have no replica that receives.
+/// Resumes a replica that is suspended, and demotes a primary of a lower term than `term`. The status query is retried
+/// if the server does not answer: a server whose log was truncated by the promotion is busy for a moment, and until it
+/// is resumed the new primary may have no replica that receives.
 pub(super) async fn restore_role(node: Arc<Node>, server: Name, term: u64) {
     for _ in 0..RESTORE_ATTEMPTS {
         if let Some(status) = query_status(&node, &server).await {
-            return restore_from(&node, &server, status, term).await;
+            return send_restoring_call(&node, &server, status, term).await;
         }
-        seam::sleep(RESTORE_PAUSE).await;
+        seam::sleep(RESTORE_RETRY_PAUSE).await;
     }
 }
 
-async fn restore_from(node: &Node, server: &Name, status: ServerStatus, term: u64) {
+async fn send_restoring_call(node: &Node, server: &Name, status: ServerStatus, term: u64) {
     let request = match status.role {
         Role::Primary if status.term < term => ServerCall::Demote { term },
         Role::Replica if status.suspended_term > 0 => ServerCall::Resume,
         _ => return,
     };
-    let line = format!("server {server} is sent {request:?}, as another is the primary of term {term}");
+    let line =
+        format!("sending {request:?} to server {server}: another server is the primary of term {term}");
     node.promotion_state.record_event(line);
     call(node, server, request).await;
 }
--- a/crates/node/src/promotion/direct/server_calls.rs
+++ b/crates/node/src/promotion/direct/server_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the control plane to direct servers, over one kept connection each.
+//! Control-plane calls to direct servers, over one reused connection to each server.
 use super::server_statuses::StatusSample;
 use crate::node::Node;
 use quincehatch_core::{Name, Position, Role};
@@ -9,15 +9,15 @@
 use std::io;
 use std::time::Duration;
 
-/// A server that has not answered by then is unresponsive.
+/// A server that does not answer within this time counts as unresponsive.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Asks a server for its status.
+/// Queries a server for its status.
 pub(super) async fn query_status(node: &Node, server: &Name) -> Option<ServerStatus> {
     call(node, server, ServerCall::Status).await
 }
 
-/// Calls a server. What it reports of itself is recorded, and so is whether it answered. None if it did not answer, or
+/// Calls a server. Records whether it answered, and the status that it reported. Returns `None` if it did not answer or
 /// rejected the call.
 pub(super) async fn call(node: &Node, server: &Name, call: ServerCall) -> Option<ServerStatus> {
     let entry = node.proxy.registry.server(server)?;
@@ -48,16 +48,16 @@
     node.promotion_state.server_statuses.record(&entry.name, sample);
 }
 
-/// Over the kept connection if it still holds, else over a new one.
+/// Sends a call over the idle connection if that still works, else over a new connection. Returns the reply.
 async fn exchange(node: &Node, entry: &ServerEntry, call: &ServerCall) -> io::Result<ServerReply> {
     let server = &entry.name;
     let (addr, group) = (entry.addr(), entry.group());
     let statuses = &node.promotion_state.server_statuses;
-    if let Some(mut kept) = statuses.take_connection(server).filter(|kept| kept.addr == addr)
-        && kept.connection.broken().is_none()
-        && let Ok(reply) = kept.connection.call(call).await
+    if let Some(mut reused) = statuses.take_connection(server).filter(|reused| reused.addr == addr)
+        && reused.connection.broken().is_none()
+        && let Ok(reply) = reused.connection.call(call).await
     {
-        statuses.keep_connection(server, kept.addr, kept.connection);
+        statuses.return_connection(server, reused.addr, reused.connection);
         return Ok(reply);
     }
     let ports = node.ports.clone().ok_or_else(|| io::Error::from(io::ErrorKind::Unsupported))?;
@@ -71,20 +71,20 @@
     match ports.servers.connect(request).await? {
         Ok(mut opened) => {
             let reply = opened.connection.call(call).await?;
-            statuses.keep_connection(server, addr, opened.connection);
+            statuses.return_connection(server, addr, opened.connection);
             Ok(reply)
         }
-        // Another server is there now, so this one is not.
+        // Another server has this address now, so the called one no longer runs there.
         Err(rejection) if rejection.reason == RejectReason::WrongServer => {
             Err(io::ErrorKind::ConnectionRefused.into())
         }
-        // It runs, and says no more.
+        // The server runs, but reports no status.
         Err(rejection) => Ok(ServerReply { rejection: Some(rejection), ..Default::default() }),
     }
 }
 
 /// Suspends a server's log: a replica stops receiving, a primary of a lower term is demoted. Returns the end of its
-/// log; none if it may still grow. `group`: all servers whose terms the new one must exceed.
+/// log; `None` if the log may still grow. `group`: all servers whose terms the new term must exceed.
 pub(super) async fn suspend(node: &Node, server: &Name, group: &[Name]) -> Option<Position> {
     let before = query_status(node, server).await?;
     let term = node.promotion_state.server_statuses.highest_term(group) + 1;
@@ -93,7 +93,7 @@
         Role::Replica => ServerCall::Suspend { term },
     };
     let after = call(node, server, request).await?;
-    // A primary that was demoted receives nothing more until another is promoted.
+    // A demoted primary receives nothing more until another server is promoted.
     let is_suspended = before.role == Role::Primary || after.suspended_term >= term;
     (after.role == Role::Replica && is_suspended).then_some(after.received)
 }
--- a/crates/node/src/promotion/direct/server_statuses.rs
+++ b/crates/node/src/promotion/direct/server_statuses.rs
@@ -1,4 +1,4 @@
-//! What direct servers last reported of themselves to this node, and the connections they were asked over.
+//! The latest statuses of direct servers, and the connections that are reused for status queries and other calls.
 use quincehatch_core::{Millis, Name};
 use quincehatch_proxy::ports::{ServerConnection, ServerStatus};
 use quincehatch_runtime::now;
@@ -6,46 +6,46 @@
 use std::sync::Mutex;
 
 /// A connection not used for this long is closed.
-const IDLE_LIMIT: Millis = 5_000;
-/// The same where many nodes keep one each.
-const MIN_IDLE_LIMIT: Millis = 600;
+const IDLE_TIMEOUT: Millis = 5_000;
+/// The minimum of this limit in a large cluster, where many nodes hold a connection to each server.
+const MIN_IDLE_TIMEOUT: Millis = 600;
 
-/// A server's status, and when it was asked for.
+/// A server's status, and when it was queried.
 #[derive(Clone, Copy, Debug)]
 pub struct StatusSample {
-    /// When the question was sent.
+    /// When the query was sent.
     pub asked_at: Millis,
-    /// What the server reported.
+    /// The status that the server reported.
     pub status: ServerStatus,
 }
 
-/// A connection that is kept for the next question.
-pub(super) struct KeptConnection {
-    /// Where it leads.
+/// An idle connection that the next call reuses.
+pub(super) struct IdleConnection {
+    /// The server's address when the connection was opened.
     pub(super) addr: Name,
     pub(super) connection: Box<dyn ServerConnection>,
     used_at: Millis,
 }
 
-/// The latest status of each server, and one kept connection to each.
+/// The latest status of each server, and one idle connection to each.
 #[derive(Default)]
 pub struct ServerStatuses {
-    connections: Mutex<BTreeMap<Name, KeptConnection>>,
+    connections: Mutex<BTreeMap<Name, IdleConnection>>,
     samples: Mutex<BTreeMap<Name, StatusSample>>,
 }
 
 impl ServerStatuses {
-    /// The server's latest status.
+    /// Returns the server's latest status.
     pub fn latest(&self, server: &str) -> Option<StatusSample> {
         self.samples.lock().unwrap().get(server).copied()
     }
 
-    /// The server's latest status, if it was asked for at that time or later.
+    /// Returns the server's latest status if it was queried at `since` or later.
     pub(super) fn latest_since(&self, server: &str, since: Millis) -> Option<StatusSample> {
         self.latest(server).filter(|sample| sample.asked_at >= since)
     }
 
-    /// The highest term that any of these servers has reported; 0 if none reported any.
+    /// Returns the highest term that any of these servers has reported; 0 if none has reported one.
     pub(super) fn highest_term(&self, servers: &[Name]) -> u64 {
         let samples = self.samples.lock().unwrap();
         let reported = servers.iter().filter_map(|server| samples.get(server));
@@ -56,7 +56,7 @@
         terms.max().unwrap_or(0)
     }
 
-    /// Records a status unless a later one is known.
+    /// Records a status unless a later one is already recorded.
     pub(super) fn record(&self, server: &Name, sample: StatusSample) {
         let mut samples = self.samples.lock().unwrap();
         if samples.get(server).is_none_or(|latest| latest.asked_at <= sample.asked_at) {
@@ -64,22 +64,22 @@
         }
     }
 
-    pub(super) fn take_connection(&self, server: &Name) -> Option<KeptConnection> {
+    pub(super) fn take_connection(&self, server: &Name) -> Option<IdleConnection> {
         self.connections.lock().unwrap().remove(server)
     }
 
-    pub(super) fn keep_connection(&self, server: &Name, addr: Name, connection: Box<dyn ServerConnection>) {
-        let kept = KeptConnection { addr, connection, used_at: now() };
-        self.connections.lock().unwrap().insert(server.clone(), kept);
+    pub(super) fn return_connection(&self, server: &Name, addr: Name, connection: Box<dyn ServerConnection>) {
+        let idle = IdleConnection { addr, connection, used_at: now() };
+        self.connections.lock().unwrap().insert(server.clone(), idle);
     }
 
-    /// Closes idle connections, and forgets servers that are gone. `divisor`: by how much sooner connections are closed
-    /// than in a small cluster.
+    /// Closes connections that have been idle for too long, and removes servers that no longer exist. `divisor`: by how
+    /// much sooner idle connections are closed than in a small cluster.
     pub(super) fn prune(&self, divisor: u64, exists: impl Fn(&Name) -> bool) {
-        // A connection that each of many nodes keeps is one that no client's work gets.
-        let idle_limit = (IDLE_LIMIT / divisor).max(MIN_IDLE_LIMIT);
-        let is_live = |kept: &KeptConnection| now() < kept.used_at + idle_limit;
-        self.connections.lock().unwrap().retain(|server, kept| exists(server) && is_live(kept));
+        // Idle connections of many nodes use up server connections that client requests need.
+        let idle_timeout = (IDLE_TIMEOUT / divisor).max(MIN_IDLE_TIMEOUT);
+        let is_live = |idle: &IdleConnection| now() < idle.used_at + idle_timeout;
+        self.connections.lock().unwrap().retain(|server, idle| exists(server) && is_live(idle));
         self.samples.lock().unwrap().retain(|server, _| exists(server));
     }
 }
--- a/crates/node/src/promotion/direct/tending.rs
+++ b/crates/node/src/promotion/direct/supervision.rs
@@ -1,10 +1,10 @@
-//! Looks after one direct group whose duty this node owns.
-use super::super::attempt::old_primary;
+//! Supervision of one direct group whose promotion duty this node owns.
 use super::super::evidence::{confirm_need, observe_group, observe_primary};
 use super::super::group_state::GroupState;
+use super::super::plan::old_primary;
 use super::bound_refresh::refresh_acknowledged_bound;
-use super::holders::known_servers;
-use super::initial_primary::assign_first;
+use super::commit_holders::known_servers;
+use super::initial_primary::assign_initial_primary;
 use super::launch::begin_promotion;
 use super::polling::poll_servers;
 use super::repair::repair_stale_servers;
@@ -16,24 +16,26 @@
 use quincehatch_runtime::now;
 use std::sync::Arc;
 
-/// A primary that no replica receives from is replaced no oftener than this.
+/// The minimum time between two promotions because the primary is cut off, which means that no replica receives its
+/// log.
 const CUT_OFF_PAUSE: Millis = 15_000;
 
-/// Polls the group's servers, and begins a promotion if the group needs one.
-pub(crate) async fn tend_group(node: &Arc<Node>, group: &Name, state: &mut GroupState) {
+/// Polls and repairs the group's servers, refreshes its acknowledged bound, and begins a promotion if the group needs
+/// one.
+pub(crate) async fn supervise_group(node: &Arc<Node>, group: &Name, state: &mut GroupState) {
     let servers = known_servers(node, group);
     if servers.is_empty() {
         return;
     }
     poll_servers(node, &servers, state);
     repair_stale_servers(node, &servers, state);
-    if now() < state.pause_until {
+    if now() < state.next_promotion_at {
         return;
     }
     if state.primary.is_none() {
         let other_began = state.other_promotion_for().is_some_and(|elapsed| elapsed < STUCK_AFTER);
         if !other_began {
-            assign_first(node, group, &servers, state);
+            assign_initial_primary(node, group, &servers, state);
         }
         return;
     }
@@ -43,7 +45,7 @@
     let mut need = promotion_need(&observation, has_successor);
     if need == PromotionNeed::Nothing && has_successor && is_cut_off(state) {
         state.direct.cut_off_handled_at = now();
-        let line = format!("no replica in {group} receives what its primary has");
+        let line = format!("no replica in {group} receives the primary's log");
         node.promotion_state.record_event(line);
         need = PromotionNeed::Now { planned: false };
     }
@@ -59,7 +61,7 @@
     state: &mut GroupState,
 ) -> GroupObservation {
     let mut observation = observe_group(node, group, state, servers);
-    // A promotion that this node itself left unfinished is no one else's to finish.
+    // If this node itself left a promotion unfinished, no other node is running it: the next one need not wait for it.
     let left_by_this_node = state.primary.as_ref().is_some_and(|assignment| {
         assignment.server.is_none() && assignment.assigned_by == node.gossip.local_name
     });
@@ -68,17 +70,18 @@
     }
     let Some(name) = state.primary_server() else { return observation };
     observation.unregistered = !node.feed_state.lock().unwrap().servers.contains_key(&name);
-    // A node that began after the server left has never heard of it.
+    // A node that started after the server had left has no registry entry for it.
     let Some(primary) = node.proxy.registry.server(&name) else { return observation };
     observe_primary(node, group, &primary, &mut observation);
     let sample = node.promotion_state.server_statuses.latest_since(&primary.name, state.primary_since);
-    let denies = sample.is_some_and(|sample| sample.status.role != Role::Primary);
-    state.not_primary_since = if denies { state.not_primary_since.or(Some(now())) } else { None };
+    let denies_primary_role = sample.is_some_and(|sample| sample.status.role != Role::Primary);
+    state.not_primary_since =
+        if denies_primary_role { state.not_primary_since.or(Some(now())) } else { None };
     observation.not_primary_for = state.not_primary_since.map(|since| now().saturating_sub(since));
     observation
 }
 
-/// Whether a server that stays and answers could take over.
+/// Whether a server other than the primary answers and is not draining, so that it could take over.
 fn has_successor(servers: &[Arc<ServerEntry>], primary: Option<&PrimaryAssignment>) -> bool {
     let old_primary = old_primary(primary);
     let answers = |server: &ServerEntry| {
@@ -89,9 +92,9 @@
         .any(|server| Some(&server.name) != old_primary.as_ref() && !server.is_draining() && answers(server))
 }
 
-/// Whether the primary's log reaches no replica any more, and that was not acted on lately.
+/// Whether no replica receives the primary's log any more, and no promotion was begun recently because of that.
 fn is_cut_off(state: &GroupState) -> bool {
     let handled_at = state.direct.cut_off_handled_at;
-    let handled_lately = handled_at != 0 && now() < handled_at + CUT_OFF_PAUSE;
-    state.direct.replicas_behind_for >= CUT_OFF_AFTER && !handled_lately
+    let handled_recently = handled_at != 0 && now() < handled_at + CUT_OFF_PAUSE;
+    state.direct.replicas_behind_for >= CUT_OFF_AFTER && !handled_recently
 }
--- a/crates/node/src/promotion/duty.rs
+++ b/crates/node/src/promotion/duty.rs
@@ -1,4 +1,4 @@
-//! The loop over the groups: each is looked after by the live node that owns its duty.
+//! The loop over the groups: each group is supervised by the live node that owns its promotion duty.
 use super::evidence::report_stall;
 use super::group_state::GroupState;
 use super::{direct, pooled};
@@ -11,18 +11,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const INTERVAL: Duration = Duration::from_millis(100);
-/// The interval of a node that owns no duty of direct groups.
-const IDLE_INTERVAL: Duration = Duration::from_millis(250);
+/// The interval between two passes over the groups.
+const SUPERVISION_INTERVAL: Duration = Duration::from_millis(100);
+/// The interval of a node with direct servers that owns no group's duty.
+const IDLE_SUPERVISION_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Looks after the groups whose duty this node owns, while it holds its lease.
+/// Supervises the groups whose promotion duty this node owns, while the node holds its lease.
 pub async fn run(node: Arc<Node>) {
     let mut groups: BTreeMap<Name, GroupState> = BTreeMap::new();
     let mut owners = OwnerTable::default();
     let mut owns_any = true;
     loop {
         let is_idle = !owns_any && node.has_direct_servers();
-        seam::sleep(if is_idle { IDLE_INTERVAL } else { INTERVAL }).await;
+        seam::sleep(if is_idle { IDLE_SUPERVISION_INTERVAL } else { SUPERVISION_INTERVAL }).await;
         if node.has_direct_servers() {
             direct::probe_ejected_servers(&node);
         }
@@ -35,7 +36,7 @@
             let state = groups.entry(group.clone()).or_default();
             let duty_owner = owners.owner(&promotion_duty_key(&group));
             owns_any |= duty_owner == Some(&node.gossip.local_name);
-            tend_group(&node, &group, state, duty_owner).await;
+            supervise_group(&node, &group, state, duty_owner).await;
         }
     }
 }
@@ -45,7 +46,7 @@
     servers.iter().map(|server| server.group()).filter(|group| !group.is_empty()).collect()
 }
 
-async fn tend_group(node: &Arc<Node>, group: &Name, state: &mut GroupState, duty_owner: Option<&Name>) {
+async fn supervise_group(node: &Arc<Node>, group: &Name, state: &mut GroupState, duty_owner: Option<&Name>) {
     let stored = node.feed_state.lock().unwrap().primary_state(group);
     state.update(stored, node.promotion_state.own_fence(group));
     let owns_duty = duty_owner == Some(&node.gossip.local_name);
@@ -60,10 +61,10 @@
     if state.is_promoting() {
         return;
     }
-    state.note_ended_promotion(node.promotion_state.own_fence(group), node.has_direct_servers());
+    state.start_pause_after_promotion(node.promotion_state.own_fence(group), node.has_direct_servers());
     if node.has_direct_servers() {
-        direct::tend_group(node, group, state).await;
+        direct::supervise_group(node, group, state).await;
     } else {
-        pooled::tend_group(node, group, state).await;
+        pooled::supervise_group(node, group, state).await;
     }
 }
--- a/crates/node/src/promotion/evidence.rs
+++ b/crates/node/src/promotion/evidence.rs
@@ -1,4 +1,4 @@
-//! What this node and others see of a group's primary.
+//! Failure evidence: what this node and other nodes observe of a group's primary.
 use super::group_state::GroupState;
 use crate::node::Node;
 use quincehatch_core::{Millis, Name};
@@ -9,14 +9,14 @@
 use quincehatch_runtime::{now, seam};
 use std::sync::Arc;
 
-/// The least time between two reports of one stall.
-const REPORT_INTERVAL: Millis = 500;
-/// Statements answered within this time speak against a stall.
-const ANSWERING_WINDOW: Millis = 2_000;
-/// Nodes asked whether a direct server is unresponsive to them too.
-const MAX_WITNESSES: usize = 15;
+/// The minimum time between two reports of the same stall.
+const STALL_REPORT_INTERVAL: Millis = 500;
+/// A server that answered statements within this time counts as not stalled.
+const RECENT_REPLY_WINDOW: Millis = 2_000;
+/// The maximum number of nodes queried whether a direct server is unresponsive to them too.
+const MAX_QUERIED_PEERS: usize = 15;
 
-/// What this node sees of a server.
+/// Returns what this node observes of a server.
 pub fn observe_server(node: &Node, server: &str) -> PrimaryObservation {
     let Some(server) = node.proxy.registry.server(server) else {
         return PrimaryObservation::default();
@@ -27,11 +27,11 @@
         known_here: true,
         failing,
         stalled: health.stalled_for(now()).is_some(),
-        answering: health.overdue.answered_within(now(), ANSWERING_WINDOW),
+        answering: health.overdue.answered_within(now(), RECENT_REPLY_WINDOW),
     }
 }
 
-/// What is observed of a group whatever its kind, before anything of the primary's server.
+/// Returns the observations common to pooled and direct groups, without those of the primary's server.
 pub(super) fn observe_group(
     node: &Node,
     group: &Name,
@@ -48,7 +48,8 @@
     }
 }
 
-/// Adds what is observed of the primary's server whatever its kind. Returns its status record.
+/// Adds the observations of the primary's server that are common to pooled and direct groups. Returns its status
+/// record.
 pub(super) fn observe_primary(
     node: &Node,
     group: &Name,
@@ -65,14 +66,15 @@
     status
 }
 
-/// Reports a stall of the primary to the owner of the group's duty, which may have no requests there.
+/// Reports a stall of the primary to the owner of the group's duty. The owner may have no requests in flight at the
+/// primary and then cannot observe the stall itself.
 pub(super) fn report_stall(node: &Arc<Node>, group: &Name, duty_owner: &Name, state: &mut GroupState) {
     let Some(server) = state.primary_server() else { return };
-    let reported_lately = now() < state.suspicion_reported_at + REPORT_INTERVAL;
-    if reported_lately || !observe_server(node, &server).stalled {
+    let reported_recently = now() < state.stall_reported_at + STALL_REPORT_INTERVAL;
+    if reported_recently || !observe_server(node, &server).stalled {
         return;
     }
-    state.suspicion_reported_at = now();
+    state.stall_reported_at = now();
     let query = NodeQuery::SuspectPrimary { group: group.clone(), server };
     let (node, duty_owner) = (node.clone(), duty_owner.clone());
     seam::spawn(async move {
@@ -80,22 +82,23 @@
     });
 }
 
-/// Asks other nodes what they see of the primary's server, and whether they confirm its failure.
-async fn others_confirm(
+/// Queries other nodes for what they observe of the primary's server. Returns whether they confirm its failure.
+async fn is_confirmed_by_peers(
     node: &Arc<Node>,
     observation: &GroupObservation,
     suspected: SuspectedFailure,
 ) -> bool {
     let assigned = observation.primary.as_ref().and_then(|assignment| assignment.server.clone());
     let Some(server) = assigned else { return false };
-    let mut others = node.gossip.other_live_names();
-    // Each node probes a direct server anew, over a connection of its own: some of many nodes are enough.
+    let mut peers = node.gossip.other_live_names();
+    // Each queried node probes a direct server again, over a connection of its own, so in a large cluster only a random
+    // subset is queried.
     if suspected == SuspectedFailure::Unresponsive && node.has_direct_servers() {
-        fastrand::shuffle(&mut others);
-        others.truncate(MAX_WITNESSES);
+        fastrand::shuffle(&mut peers);
+        peers.truncate(MAX_QUERIED_PEERS);
     }
-    let mut votes = FailureVotes::begin(suspected, observe_server(node, &server), others.len());
-    for (_, reply) in node.gossip.query_all(others, NodeQuery::ServerEvidence { server }).await {
+    let mut votes = FailureVotes::begin(suspected, observe_server(node, &server), peers.len());
+    for (_, reply) in node.gossip.query_all(peers, NodeQuery::ServerEvidence { server }).await {
         if let Some(NodeReply::ServerEvidence { heard, failing, stalled, answering }) = reply {
             votes.add(PrimaryObservation { known_here: heard, failing, stalled, answering });
         }
@@ -103,8 +106,9 @@
     votes.confirmed()
 }
 
-/// What remains of a need once other nodes were asked, if it is to be confirmed: a promotion now, or nothing.
-/// `primary_failed`: the primary fails its status probes, as opposed to stalling.
+/// Resolves [`PromotionNeed::Confirm`] by querying other nodes: a promotion now if they confirm the failure, else
+/// nothing. Returns any other need unchanged. `primary_failed`: the primary fails its status probes, as opposed to
+/// stalling.
 pub(super) async fn confirm_need(
     node: &Arc<Node>,
     observation: &GroupObservation,
@@ -115,7 +119,7 @@
         return need;
     }
     let suspected = if primary_failed { SuspectedFailure::Unresponsive } else { SuspectedFailure::Stalled };
-    if others_confirm(node, observation, suspected).await {
+    if is_confirmed_by_peers(node, observation, suspected).await {
         PromotionNeed::Now { planned: false }
     } else {
         PromotionNeed::Nothing
--- a/crates/node/src/promotion/execution.rs
+++ b/crates/node/src/promotion/execution.rs
@@ -1,4 +1,4 @@
-//! Carries out one promotion's actions against store, servers and platform.
+//! Executes the actions of one promotion: its calls to the store, the servers and the platform.
 use super::fence::{FenceOutcome, FenceRequest, acquire_fence};
 use super::{direct, pooled};
 use crate::node::Node;
@@ -14,22 +14,22 @@
 use tokio::sync::mpsc;
 
 const WRITE_TIMEOUT: Duration = Duration::from_secs(8);
-/// How often a promotion is stepped while no event comes in.
+/// The interval at which a promotion is stepped while no event arrives.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs a promotion to its end.
+/// Runs a promotion until it has succeeded or failed.
 pub(super) async fn run_promotion(node: Arc<Node>, plan: PromotionPlan) {
-    let began_at = now();
-    let mut phase_since = began_at;
+    let started_at = now();
+    let mut phase_started_at = started_at;
     let group = plan.group.clone();
-    let (mut promotion, actions) = Promotion::new(began_at, plan.clone());
+    let (mut promotion, actions) = Promotion::new(started_at, plan.clone());
     let (completed_sender, mut completed) = mpsc::unbounded_channel();
     let mut executor =
         Executor { node: node.clone(), plan, completed: completed_sender, in_flight: BTreeSet::new() };
     executor.start_actions(actions);
     while !promotion.is_finished() {
         let event = match seam::timeout(TICK_INTERVAL, completed.recv()).await {
-            Ok(Some(Completed { request, event })) => {
+            Ok(Some(CompletedAction { request, event })) => {
                 executor.in_flight.remove(&request);
                 event
             }
@@ -38,28 +38,30 @@
         let phase = promotion.phase;
         let actions = promotion.step(now(), event);
         if promotion.phase != phase {
-            node.promotion_state.counts.record_phase(phase, now() - phase_since);
-            phase_since = now();
+            node.promotion_state.counts.record_phase(phase, now() - phase_started_at);
+            phase_started_at = now();
         }
         executor.start_actions(actions);
     }
-    let (phase, elapsed) = (promotion.phase, now() - began_at);
+    let (phase, elapsed) = (promotion.phase, now() - started_at);
     node.promotion_state.counts.record_outcome(phase.label());
     let line = format!("promotion in {group} ended {phase:?} after {elapsed} ms");
     node.promotion_state.record_event(line);
 }
 
-/// An action that was carried out.
-struct Completed {
+/// An action whose execution has ended.
+struct CompletedAction {
     request: String,
     event: PromotionEvent,
 }
 
+/// Executes each action in a task of its own and sends the resulting event to `completed`.
 struct Executor {
     node: Arc<Node>,
     plan: PromotionPlan,
-    completed: mpsc::UnboundedSender<Completed>,
-    /// Requests that are under way. The promotion asks as often as it likes; each is sent once at a time.
+    completed: mpsc::UnboundedSender<CompletedAction>,
+    /// The names of the requests in flight. The promotion repeats an action until its event arrives; a repetition is
+    /// ignored while the same request is in flight.
     in_flight: BTreeSet<String>,
 }
 
@@ -79,21 +81,22 @@
         }
         let (node, plan, completed) = (self.node.clone(), self.plan.clone(), self.completed.clone());
         seam::spawn(async move {
-            let event = carry_out(&node, &plan, action).await;
-            let _ = completed.send(Completed { request, event });
+            let event = execute_action(&node, &plan, action).await;
+            let _ = completed.send(CompletedAction { request, event });
         });
     }
 
     fn record(&self, action: &PromotionAction) {
         if let PromotionAction::Log(line) = action {
             self.node.promotion_state.record_event(line.clone());
-            // The simulator may have this process die or pause just here.
+            // The simulator may kill or pause this process at this point.
             seam::trace_point(line);
         }
     }
 }
 
-/// What an action asks for: two of the same name are the same request. None if it asks for nothing.
+/// Returns the name of the request that an action makes; actions of the same name make the same request. `None` for an
+/// action that makes no request.
 fn request_name(action: &PromotionAction) -> Option<String> {
     match action {
         PromotionAction::Log(_) => None,
@@ -106,16 +109,17 @@
     }
 }
 
-async fn carry_out(node: &Arc<Node>, plan: &PromotionPlan, action: PromotionAction) -> PromotionEvent {
+async fn execute_action(node: &Arc<Node>, plan: &PromotionPlan, action: PromotionAction) -> PromotionEvent {
     let is_direct = node.has_direct_servers();
     match action {
-        PromotionAction::AcquireFence { key } => acquire(node, plan, &key).await,
+        PromotionAction::AcquireFence { key } => acquire_promotion_fence(node, plan, &key).await,
         PromotionAction::WritePrimary { key, primary } => write_primary(node, plan, &key, primary).await,
         PromotionAction::FenceServer { server, .. } if is_direct => {
             direct::suspend_for_promotion(node, plan, server).await
         }
         PromotionAction::FenceServer { server, fence } => pooled::fence_server(node, server, fence).await,
-        // Whoever took a higher token names another server: a call under this one would only disturb the group.
+        // The promotion that acquired a higher token assigns its own server: a call under this token would only disturb
+        // the group.
         PromotionAction::PromoteServer { fence, .. }
             if node.feed_state.lock().unwrap().fence(&promotion_duty_key(&plan.group)) > fence =>
         {
@@ -136,7 +140,7 @@
     }
 }
 
-async fn acquire(node: &Node, plan: &PromotionPlan, key: &Name) -> PromotionEvent {
+async fn acquire_promotion_fence(node: &Node, plan: &PromotionPlan, key: &Name) -> PromotionEvent {
     let expected = PrimaryState { fence: plan.expected_fence, primary: plan.primary.clone() };
     let request = FenceRequest { key, group: &plan.group, coordinator: &plan.coordinator, expected };
     match acquire_fence(node, request, WRITE_TIMEOUT).await {
@@ -164,11 +168,12 @@
     }
 }
 
-/// Nodes that do not answer may have work in flight; the promotion's own timeout ends the wait for them.
+/// Queries the nodes for the group's requests in flight. Returns `Drained` once all nodes report none. A node that does
+/// not answer may have requests in flight; the promotion's drain timeout ends the wait for it.
 async fn count_in_flight(node: &Node, group: &Name) -> PromotionEvent {
     let query = NodeQuery::InFlight { group: group.clone() };
     let mut names = node.gossip.live_names();
-    // A node that leaves is dismissed once it has no work in flight.
+    // A node that is leaving stays enrolled while it has requests in flight.
     let enrolled = node.feed_state.lock().unwrap().nodes.clone();
     names.extend(node.gossip.leaving_names().into_iter().filter(|name| enrolled.contains_key(name)));
     let replies = node.gossip.query_all(names, query).await;
--- a/crates/node/src/promotion/fence.rs
+++ b/crates/node/src/promotion/fence.rs
@@ -1,41 +1,42 @@
-//! Acquires a fencing token of a group's promotion duty, over the state that was planned for and no other.
+//! Acquires a fencing token of a group's promotion duty, provided that the group's state is still the planned one.
 use crate::node::Node;
 use quincehatch_core::{ErrorCode, FencingToken, Name};
 use quincehatch_store::{Answer, Command, PrimaryState};
 use std::time::Duration;
 
-/// What a promotion asks a fencing token for.
+/// A request for a fencing token.
 pub(super) struct FenceRequest<'a> {
     /// The idempotency key of the write.
     pub key: &'a str,
-    /// The group.
+    /// The group whose primary is to be replaced.
     pub group: &'a Name,
-    /// The node that carries the promotion out.
+    /// The node that runs the promotion.
     pub coordinator: &'a Name,
-    /// The state of the group that the promotion was planned for.
+    /// The group's state for which the promotion was planned.
     pub expected: PrimaryState,
 }
 
-/// What came of the request.
+/// The outcome of a request for a fencing token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FenceOutcome {
     /// The token was granted.
     Granted(FencingToken),
-    /// The state is not the expected one any more: another was first, and nothing was changed.
+    /// The group's state is no longer the expected one: another promotion was first, and this request changed nothing.
     Superseded,
-    /// The store did not answer: the same key may be tried again.
+    /// The store did not answer: the request may be retried with the same key.
     Unknown,
 }
 
-/// Acquires the next token. Of several promotions that plan over one state the store grants it to one; the others
-/// change nothing, so whoever has a token is superseded only by a plan that was made in sight of it.
-pub(super) async fn acquire_fence(node: &Node, request: FenceRequest<'_>, within: Duration) -> FenceOutcome {
+/// Acquires the group's next fencing token. Of several promotions planned for the same state, the store grants the
+/// token to one, and the others change nothing. So a promotion that has a token is superseded only by a promotion whose
+/// plan took that token into account.
+pub(super) async fn acquire_fence(node: &Node, request: FenceRequest<'_>, timeout: Duration) -> FenceOutcome {
     let command = Command::AcquireFenceIfUnchanged {
         group: request.group.clone(),
         by: request.coordinator.clone(),
         expected: request.expected,
     };
-    match node.store_client.write(request.key, command, within).await {
+    match node.store_client.write(request.key, command, timeout).await {
         Ok(Answer::Fence(fence)) => {
             node.promotion_state.record_own_fence(request.group, fence);
             FenceOutcome::Granted(fence)
--- a/crates/node/src/promotion/attempt.rs
+++ b/crates/node/src/promotion/plan.rs
@@ -5,15 +5,15 @@
 use quincehatch_failover::promotion::PromotionPlan;
 use quincehatch_store::store::promotion_duty_key;
 
-/// The server that is or was the primary under an assignment.
+/// Returns the primary of an assignment or, if the assignment is closed, the primary that was demoted.
 pub(super) fn old_primary(assignment: Option<&PrimaryAssignment>) -> Option<Name> {
     let assignment = assignment?;
     assignment.server.clone().or_else(|| assignment.demoted.clone())
 }
 
-/// A plan over the state in which the group was seen, with an attempt identifier drawn at random. Servers, voters and
-/// the rest are for the caller to fill in.
-pub(super) fn begin_plan(node: &Node, group: &Name, state: &GroupState) -> PromotionPlan {
+/// Returns a plan for the group's observed state, with a random attempt identifier. The caller fills in the servers,
+/// the voters and the remaining fields.
+pub(super) fn new_plan(node: &Node, group: &Name, state: &GroupState) -> PromotionPlan {
     let coordinator = node.gossip.local_name.clone();
     let duty = promotion_duty_key(group);
     PromotionPlan {
--- a/crates/node/src/promotion/pooled.rs
+++ b/crates/node/src/promotion/pooled.rs
@@ -2,15 +2,15 @@
 mod actions;
 mod observation;
 mod servers;
-mod stragglers;
+mod stale_servers;
 mod voters;
 
 pub(super) use actions::{fence_server, promote_server};
 
-use super::attempt::{begin_plan, old_primary};
 use super::evidence::confirm_need;
 use super::execution::run_promotion;
 use super::group_state::GroupState;
+use super::plan::{new_plan, old_primary};
 use crate::node::Node;
 use observation::observe;
 use quincehatch_core::Name;
@@ -21,12 +21,13 @@
 use quincehatch_runtime::{now, seam};
 use std::sync::Arc;
 
-/// Looks after one group whose duty this node owns: begins a promotion if the group needs one.
-pub(super) async fn tend_group(node: &Arc<Node>, group: &Name, state: &mut GroupState) {
+/// Supervises one group whose duty this node owns: fences servers with a stale token, drops voter sets that are no
+/// longer needed, and begins a promotion if the group needs one.
+pub(super) async fn supervise_group(node: &Arc<Node>, group: &Name, state: &mut GroupState) {
     let observation = observe(node, group, state);
-    stragglers::fence_stragglers(node, group, state).await;
+    stale_servers::fence_stale_servers(node, group, state).await;
     voters::drop_previous_voters(node, group, &observation);
-    if now() < state.pause_until {
+    if now() < state.next_promotion_at {
         return;
     }
     let need = promotion_need(&observation);
@@ -47,7 +48,7 @@
     let requested = node.promotion_state.take_handover_request(group);
     let assignment = observation.primary.as_ref();
     let old_primary = old_primary(assignment);
-    // Where only the servers changed, the primary stays, under a new fencing token.
+    // If only the group's servers have changed, the same primary is promoted again under a new fencing token.
     let keeps_primary = planned && !observation.draining && !observation.handover_requested;
     let voters = assignment.map_or(&[][..], |assignment| &assignment.voters);
     PromotionPlan {
@@ -57,6 +58,6 @@
         server_count: observation.server_count,
         planned,
         voters: next_voters(observation.server_count, &voters::observe_replicas(node, group), voters),
-        ..begin_plan(node, group, state)
+        ..new_plan(node, group, state)
     }
 }
--- a/crates/node/src/promotion/pooled/actions.rs
+++ b/crates/node/src/promotion/pooled/actions.rs
@@ -1,4 +1,4 @@
-//! A promotion's calls to pooled servers and to the platform.
+//! Actions of a promotion that call pooled servers or the platform.
 use crate::node::Node;
 use quincehatch_core::{FencingToken, Name};
 use quincehatch_failover::promotion::{PromotionEvent, PromotionPlan};
@@ -26,12 +26,12 @@
     let status = reply.status().filter(|status| status.stamp.server == server && status.stamp.fence == fence);
     match status {
         Some(status) => PromotionEvent::ServerFenced(server, status.log_end()),
-        // Another server is at that address, or it is under another token.
+        // Another server is at this address, or the server is under another token.
         None => PromotionEvent::Tick,
     }
 }
 
-/// Has the platform make a server the primary.
+/// Requests the platform to make a server the primary.
 pub(crate) async fn promote_server(
     node: &Node,
     plan: &PromotionPlan,
--- a/crates/node/src/promotion/pooled/observation.rs
+++ b/crates/node/src/promotion/pooled/observation.rs
@@ -1,4 +1,4 @@
-//! What the owner of a pooled group's duty observes of it.
+//! What the owner of a pooled group's duty observes of the group.
 use super::super::evidence::{observe_group, observe_primary};
 use super::super::group_state::GroupState;
 use super::servers::servers_of;
@@ -11,12 +11,12 @@
 use quincehatch_runtime::now;
 use std::sync::Arc;
 
-/// The label by which servers declare how many their group has.
+/// The label with which servers declare how many servers their group has.
 const SERVER_COUNT_LABEL: &str = "copies";
-/// The number of servers of a group none of whose servers declares it.
+/// The number of servers in a group if none of its servers declares it.
 const DEFAULT_SERVER_COUNT: usize = 3;
 
-/// Observes the group, and keeps in `state` since when conditions hold.
+/// Observes the group, and records in `state` since when conditions have held.
 pub(super) fn observe(node: &Node, group: &Name, state: &mut GroupState) -> GroupObservation {
     let servers = servers_of(node, group);
     let mut observation = observe_group(node, group, state, &servers);
@@ -28,8 +28,9 @@
     };
     let status = observe_primary(node, group, primary, &mut observation);
     let answers = status.failing_since.is_none() && status.answered_at > 0;
-    let denies = answers && !reports_primary(primary, state);
-    state.not_primary_since = if denies { state.not_primary_since.or(Some(now())) } else { None };
+    let denies_primary_role = answers && !reports_primary(primary, state);
+    state.not_primary_since =
+        if denies_primary_role { state.not_primary_since.or(Some(now())) } else { None };
     observation.not_primary_for = state.not_primary_since.map(|since| now().saturating_sub(since));
     observation
 }
@@ -51,7 +52,7 @@
     observation.membership_changed_for = state.membership_changed_since.map(|since| now() - since);
 }
 
-/// Whether the server's last heartbeat says that it is the primary under the assignment in force.
+/// Whether the server's last heartbeat reports that it is the primary under the current assignment.
 fn reports_primary(server: &ServerEntry, state: &GroupState) -> bool {
     let assigned_fence = state.primary.as_ref().map(|assignment| assignment.fence);
     let heartbeat = server.heartbeat.read().unwrap();
--- a/crates/node/src/promotion/pooled/stragglers.rs
+++ b/crates/node/src/promotion/pooled/stale_servers.rs
@@ -1,4 +1,4 @@
-//! Servers that have not heard of the fencing token in force.
+//! Fencing of servers that have not received the current fencing token.
 use super::super::group_state::GroupState;
 use super::servers::servers_of;
 use crate::node::Node;
@@ -7,18 +7,19 @@
 use quincehatch_runtime::now;
 use std::time::Duration;
 
-const INTERVAL: Millis = 1_000;
+const FENCE_INTERVAL: Millis = 1_000;
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Tells servers with a lower fencing token the one in force: an old primary that returns is the primary no more.
-pub(super) async fn fence_stragglers(node: &Node, group: &Name, state: &mut GroupState) {
+/// Sends the current fencing token to servers that have a lower one. An old primary that returns thereby learns that it
+/// is no longer the primary.
+pub(super) async fn fence_stale_servers(node: &Node, group: &Name, state: &mut GroupState) {
     let Some(assignment) = state.primary.clone().filter(|assignment| assignment.server.is_some()) else {
         return;
     };
-    if now() < state.stragglers_fenced_at + INTERVAL {
+    if now() < state.stale_servers_fenced_at + FENCE_INTERVAL {
         return;
     }
-    state.stragglers_fenced_at = now();
+    state.stale_servers_fenced_at = now();
     for server in servers_of(node, group) {
         let is_primary = Some(&server.name) == assignment.server.as_ref();
         let has_lower_fence = server.heartbeat.read().unwrap().fence < assignment.fence;
--- a/crates/node/src/promotion/pooled/voters.rs
+++ b/crates/node/src/promotion/pooled/voters.rs
@@ -1,4 +1,4 @@
-//! Which servers vote on a group's commits.
+//! The servers whose acknowledgements count towards a pooled group's commits (its voters).
 use super::super::voter_sets;
 use super::servers::servers_of;
 use crate::node::Node;
@@ -9,7 +9,7 @@
 use quincehatch_runtime::{now, seam};
 use std::sync::Arc;
 
-/// How the group's servers look from here.
+/// Returns what this node observes of each server of the group.
 pub(super) fn observe_replicas(node: &Node, group: &Name) -> Vec<ReplicaObservation> {
     servers_of(node, group).iter().map(|server| observe_replica(server)).collect()
 }
@@ -18,28 +18,29 @@
     let status = server.status.lock().unwrap();
     let failing_for = match status.failing_since {
         Some(since) => Some(now().saturating_sub(since)),
-        // One that has never answered fails from now on.
+        // A server that has never answered counts as failing from now on.
         None if status.answered_at == 0 => Some(0),
         None => None,
     };
     ReplicaObservation { name: server.name.clone(), draining: status.draining_since.is_some(), failing_for }
 }
 
-/// Once the primary shows all of its log, that is on two of the servers that vote now: earlier voter sets are dropped.
+/// Drops earlier voter sets once the primary shows all of its log. The log is then on two of the current voters, so the
+/// earlier sets are no longer needed.
 pub(super) fn drop_previous_voters(node: &Arc<Node>, group: &Name, observation: &GroupObservation) {
     let Some(assignment) = observation.primary.as_ref() else { return };
     if assignment.previous_voters.is_empty() || observation.not_primary_for.is_some() {
         return;
     }
-    if !shows_all_of_its_log(node, assignment) {
+    if !shows_complete_log(node, assignment) {
         return;
     }
     let (node, group, fence) = (node.clone(), group.clone(), assignment.fence);
     seam::spawn(async move { voter_sets::drop_previous_voters(&node, &group, fence).await });
 }
 
-/// A primary is up only once it shows all of its log.
-fn shows_all_of_its_log(node: &Node, assignment: &PrimaryAssignment) -> bool {
+/// Whether the assigned primary shows all of its log: it reports [`ServerState::Up`] only once it does.
+fn shows_complete_log(node: &Node, assignment: &PrimaryAssignment) -> bool {
     let server = assignment.server.as_ref().and_then(|name| node.proxy.registry.server(name));
     let Some(server) = server else { return false };
     let heartbeat = server.heartbeat.read().unwrap();
--- a/crates/node/src/promotion/suspicion.rs
+++ b/crates/node/src/promotion/suspicion.rs
@@ -1,10 +1,10 @@
-//! Stalls of primaries that other nodes report.
+//! Suspicions: reports by other nodes that a group's primary stalls.
 use quincehatch_core::{Millis, Name};
 use quincehatch_runtime::now;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
-/// A suspicion that was not reported again for this long is over.
+/// A suspicion expires if it is not reported again within this time.
 const EXPIRES_AFTER: Millis = 1_200;
 
 struct Suspicion {
@@ -33,7 +33,7 @@
         by_group.insert(group, Suspicion { server, first_reported_at, last_reported_at: now() });
     }
 
-    /// For how long it has been reported; none if it is over.
+    /// For how long the server has been suspected; `None` if there is no suspicion or it has expired.
     pub(super) fn age(&self, group: &Name, server: &Name) -> Option<Millis> {
         let by_group = self.by_group.lock().unwrap();
         let live = by_group.get(group).filter(|suspicion| suspicion.is_live(server))?;
--- a/crates/node/src/promotion/voter_sets.rs
+++ b/crates/node/src/promotion/voter_sets.rs
@@ -1,4 +1,5 @@
-//! Earlier voter sets of a group, which hold beside the current one until the primary's log is known to be on it.
+//! A group's earlier voter sets, which stay valid beside the current one until the current set is known to hold all of
+//! the primary's log.
 use crate::node::Node;
 use quincehatch_core::{FencingToken, Name};
 use quincehatch_store::Command;
@@ -7,7 +8,8 @@
 
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Drops the earlier voter sets of the assignment under this token. If the write fails, a later call tries again.
+/// Removes the earlier voter sets from the assignment under this fencing token. If the write fails, a later call
+/// retries it.
 pub(super) async fn drop_previous_voters(node: &Node, group: &Name, fence: FencingToken) {
     let key = format!("{}/lists/{fence}", promotion_duty_key(group));
     let command = Command::DropPreviousVoters { group: group.clone(), fence };
