--- a/crates/keeper/src/args.rs
+++ b/crates/keeper/src/args.rs
@@ -2,44 +2,44 @@
 use crate::invalid_settings;
 use quincehatch_core::Error;
 
-const HELP: &str = "quincehatch-keeper: a chain keeper of quincehatch
+const HELP: &str = "quincehatch-keeper: a keeper of quincehatch's replicated store
 
 usage: quincehatch-keeper --settings FILE [--init | --join | --check]
 
   --settings FILE   the settings file (TOML)
   --init            first start of the chain: create the data directory
-  --join            first start of a machine that `quincehatchctl members --add` brings in
-  --check           check the settings and end
-  --log SPEC        like info, or debug,chain=trace; wins over the file
-  -h, --help        this text
-  -V, --version     the version";
+  --join            first start of a machine that `quincehatchctl members --add` adds
+  --check           check the settings and exit
+  --log SPEC        log levels, such as info or debug,chain=trace; overrides the file
+  -h, --help        print this help
+  -V, --version     print the version";
 
-/// The first start of a keeper, which creates its data directory.
+/// The kind of a keeper's first start, which creates its data directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FirstStart {
     /// All keepers of the chain start for the first time.
     Init,
-    /// The machine joins a chain that runs.
+    /// The machine joins a running chain.
     Join,
 }
 
-/// The arguments.
+/// The parsed command-line arguments.
 #[derive(Debug, Default)]
 pub struct Args {
-    /// The settings file.
+    /// The path of the settings file.
     pub settings_file: Option<String>,
-    /// Log level, which overrides the one in the settings.
+    /// The log level, which overrides the one in the settings.
     pub log: Option<String>,
-    /// `None` if the data directory exists already.
+    /// The kind of first start; `None` if the data directory already exists.
     pub first_start: Option<FirstStart>,
-    /// Check the settings and end.
+    /// Whether to check the settings and exit.
     pub check: bool,
 }
 
-/// Reads the command line; `None` if it asked for the help or the version, which were printed.
+/// Parses the command line. Returns `None` if it requests the help or the version, after printing that.
 ///
 /// # Errors
-/// If an argument is unknown, lacks its value, or contradicts another.
+/// Fails if an argument is unknown, lacks its value, or contradicts another.
 pub fn parse() -> Result<Option<Args>, Error> {
     use lexopt::prelude::{Long, Short};
     let mut parser = lexopt::Parser::from_env();
@@ -65,7 +65,7 @@
         }
     }
     args.first_start = match (init, join) {
-        (true, true) => return Err(invalid_settings("--init and --join exclude each other")),
+        (true, true) => return Err(invalid_settings("--init and --join are mutually exclusive")),
         (true, false) => Some(FirstStart::Init),
         (false, true) => Some(FirstStart::Join),
         (false, false) => None,
--- a/crates/keeper/src/main.rs
+++ b/crates/keeper/src/main.rs
@@ -1,4 +1,4 @@
-//! `quincehatch-keeper`: a keeper of the replicated store, on a machine with a disk.
+//! `quincehatch-keeper`: the process of a keeper, one replica of the replicated store, on a machine with a disk.
 #![warn(
     missing_docs,
     clippy::too_many_lines,
@@ -23,11 +23,11 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Threads of the runtime: the keeper itself runs on one, connections on the other.
+/// The number of runtime threads: one for the keeper itself, one for its connections.
 const RUNTIME_THREADS: usize = 2;
-/// Exit status where the arguments or the settings are not valid.
+/// The exit status if the arguments or the settings are invalid.
 const EXIT_USAGE: i32 = 2;
-/// Exit status where the keeper could not start or had to stop.
+/// The exit status if the keeper could not start or had to stop because of an error.
 const EXIT_FAILURE: i32 = 1;
 
 fn invalid_settings(reason: impl Display) -> Error {
@@ -58,7 +58,7 @@
     std::process::exit(status)
 }
 
-/// The settings of the file, with the log level of the command line where it gives one.
+/// Reads the settings file. A log level on the command line overrides the one in the file.
 fn read_settings(args: &Args) -> Result<KeeperSettings, Error> {
     let file = args.settings_file.as_ref().ok_or_else(|| invalid_settings("--settings is missing"))?;
     let mut settings: KeeperSettings = read_file(file)?;
@@ -69,8 +69,8 @@
     Ok(settings)
 }
 
-/// The view with which a new data directory begins: all voters on the first start of the chain, none on a machine
-/// that joins one. `None` if the directory is not new.
+/// Returns the initial view of a new data directory: it names all voters on the first start of the chain, and none on a
+/// machine that joins a running chain. `None` if the directory already exists.
 fn first_view(first_start: Option<FirstStart>, settings: &KeeperSettings) -> Option<View> {
     match first_start? {
         FirstStart::Join => Some(View::default()),
@@ -113,13 +113,14 @@
     run_keeper(host, disk, listener, stopped).await
 }
 
-/// Stops the keeper when the process gets SIGTERM or SIGINT. Its settings are read at its start alone.
+/// Stops the keeper when the process receives SIGTERM or SIGINT. Ignores SIGHUP, as the settings are read only at the
+/// start.
 async fn stop_on_signal(mut signals: ProcessSignals, stop: watch::Sender<bool>) {
     while signals.next().await == ProcessSignal::Reload {
-        log::info!(target: "chain", "the settings of a keeper are read when it starts");
+        log::info!(target: "chain", "reload signal ignored: a keeper reads its settings only when it starts");
     }
     log::info!(target: "chain", "stopping");
     let _ = stop.send(true);
-    // A dropped sender would count as a second change.
+    // Keeps the sender alive: dropping it would count as a second change.
     std::future::pending::<()>().await;
 }
--- a/crates/metrics/src/endpoint.rs
+++ b/crates/metrics/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Where a process exposes its metrics: a port and a path.
+//! The endpoint at which a process exposes its metrics.
 use std::fmt;
 use std::str::FromStr;
 
@@ -11,7 +11,7 @@
     pub path: String,
 }
 
-/// The text is no `PORT/PATH`.
+/// The error for a text that is not of the form `PORT/PATH`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointError(String);
 
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,7 +1,7 @@
 //! Metrics of a process, as text in the OpenMetrics format.
 //!
-//! A process keeps no registry: what it reports is read off its state when it is asked, so that metrics cost nothing
-//! between two questions. Labels name kinds and states, never servers, groups or clients, so the number of samples is
+//! A process has no permanent metrics registry: the values are read from its state at each scrape, so metrics cost
+//! nothing between scrapes. Labels name kinds and states, never servers, groups or clients, so the number of samples is
 //! bounded.
 #![warn(
     missing_docs,
--- a/crates/metrics/src/metric.rs
+++ b/crates/metrics/src/metric.rs
@@ -1,4 +1,4 @@
-//! One metric with its samples, and the text of many.
+//! Metrics with their samples, and their rendering as text.
 use prometheus_client::collector::Collector;
 use prometheus_client::encoding::{DescriptorEncoder, EncodeMetric, text};
 use prometheus_client::metrics::MetricType;
@@ -7,15 +7,15 @@
 use prometheus_client::registry::Registry;
 use std::fmt;
 
-/// All names begin with this.
+/// The prefix of all metric names.
 const PREFIX: &str = "quincehatch";
 
 /// How a metric's values change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MetricKind {
-    /// A value of this moment.
+    /// A current value, which may rise and fall.
     Gauge,
-    /// A count that only rises while the process lives.
+    /// A count that never falls while the process runs.
     Counter,
 }
 
@@ -25,7 +25,7 @@
     value: f64,
 }
 
-/// A metric of one moment.
+/// A metric with its samples at one moment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Metric {
     name: &'static str,
@@ -35,30 +35,30 @@
 }
 
 impl Metric {
-    /// A gauge without samples. Its name ends with its unit, if it has one.
+    /// Returns a gauge without samples. `name` ends with the unit, if the gauge has one.
     pub fn gauge(name: &'static str, help: &'static str) -> Metric {
         Metric { name, help, kind: MetricKind::Gauge, samples: Vec::new() }
     }
 
-    /// A counter without samples. Its name is given without the ending `_total`.
+    /// Returns a counter without samples. `name` is given without the suffix `_total`.
     pub fn counter(name: &'static str, help: &'static str) -> Metric {
         Metric { name, help, kind: MetricKind::Counter, samples: Vec::new() }
     }
 
-    /// With its only value.
+    /// Adds the only value of a metric without labels.
     pub fn with(mut self, value: f64) -> Metric {
         self.samples.push(Sample { labels: Vec::new(), value });
         self
     }
 
-    /// With one more value, under a label.
+    /// Adds a value under a label.
     pub fn with_label(mut self, label: &'static str, label_value: &str, value: f64) -> Metric {
         self.samples.push(Sample { labels: vec![(label, label_value.to_owned())], value });
         self
     }
 }
 
-/// Encodes metrics that were read off a process's state.
+/// A collector that encodes metrics read from a process's state.
 #[derive(Debug)]
 struct Snapshot(Vec<Metric>);
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// The metrics as text in the OpenMetrics format.
+/// Renders metrics as text in the OpenMetrics format.
 pub fn render(metrics: Vec<Metric>) -> String {
     let mut registry = Registry::with_prefix(PREFIX);
     registry.register_collector(Box::new(Snapshot(metrics)));
--- a/crates/metrics/src/server.rs
+++ b/crates/metrics/src/server.rs
@@ -1,4 +1,4 @@
-//! Answers who asks for a process's metrics.
+//! The HTTP server that exposes a process's metrics.
 use crate::metric::{Metric, render};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -14,16 +14,16 @@
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
 
-/// The media type of the text.
+/// The media type of the rendered metrics.
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Connections at most; a further one waits.
+/// The maximum number of open connections; further connections wait to be accepted.
 const MAX_CONNECTIONS: usize = 4;
-/// Who has not asked by then is disconnected.
+/// A connection whose request headers have not arrived within this time is closed.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after a failed accept, which mostly means that file descriptors ran out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// The pause after a failed accept, which mostly means that the process has run out of file descriptors.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Answers `GET path` with what `collect` reads off the process's state, until the task is dropped.
+/// Answers `GET path` with the metrics that `collect` reads from the process's state, until the task is dropped.
 pub async fn serve<Collect, Collected>(listener: TcpListener, path: String, collect: Collect)
 where
     Collect: Fn() -> Collected + Clone + Send + Sync + 'static,
@@ -33,26 +33,26 @@
     loop {
         let Ok(permit) = connections.clone().acquire_owned().await else { return };
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             continue;
         };
         let (path, collect) = (path.clone(), collect.clone());
         tokio::spawn(async move {
             let _permit = permit;
-            let service = service_fn(move |request| answer(request, path.clone(), collect.clone()));
+            let service = service_fn(move |request| handle_request(request, path.clone(), collect.clone()));
             let connection = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
                 .header_read_timeout(HEADER_TIMEOUT)
                 .keep_alive(false)
                 .serve_connection(TokioIo::new(stream), service);
             if let Err(error) = connection.await {
-                log::debug!(target: "metrics", "a connection ended: {error}");
+                log::debug!(target: "metrics", "connection failed: {error}");
             }
         });
     }
 }
 
-async fn answer<Collect, Collected>(
+async fn handle_request<Collect, Collected>(
     request: Request<Incoming>,
     path: String,
     collect: Collect,
--- a/crates/metrics/tests/metrics.rs
+++ b/crates/metrics/tests/metrics.rs
@@ -1,9 +1,9 @@
-//! The text of metrics, and the endpoint that exposes it.
+//! Tests of the metrics text and of the HTTP endpoint that exposes it.
 use quincehatch_metrics::{Metric, MetricsEndpoint, render, serve};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-fn sample() -> Vec<Metric> {
+fn sample_metrics() -> Vec<Metric> {
     vec![
         Metric::gauge("lease_remaining_seconds", "Time until the lease ends").with(3.5),
         Metric::counter("frames", "Frames sent")
@@ -24,11 +24,11 @@
 quincehatch_frames_total{kind=\"write\"} 1.0
 # EOF
 ";
-    assert_eq!(render(sample()), expected);
+    assert_eq!(render(sample_metrics()), expected);
 }
 
 #[test]
-fn an_endpoint_is_a_port_and_a_path() {
+fn an_endpoint_is_parsed_from_a_port_and_a_path() {
     let endpoint: MetricsEndpoint = "9464/metrics".parse().unwrap();
     assert_eq!((endpoint.port, endpoint.path.as_str()), (9464, "/metrics"));
     for malformed in ["", "9464", "/metrics", "0/metrics", "70000/metrics", "x/metrics"] {
@@ -45,10 +45,10 @@
 }
 
 #[tokio::test]
-async fn only_a_get_of_the_path_is_answered() {
+async fn get_of_the_path_returns_the_metrics_and_other_requests_return_404() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap().to_string();
-    let server = tokio::spawn(serve(listener, "/metrics".into(), || async { sample() }));
+    let server = tokio::spawn(serve(listener, "/metrics".into(), || async { sample_metrics() }));
     let reply = fetch(&addr, "GET /metrics HTTP/1.1\r\nhost: x\r\n\r\n").await;
     assert!(reply.starts_with("HTTP/1.1 200") && reply.ends_with("# EOF\n"), "{reply}");
     assert!(reply.contains("application/openmetrics-text"), "{reply}");
