--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -1,36 +1,36 @@
-//! The error that every call of the project returns.
+//! The error type of all calls: a code, a message and the outcome of the failed write.
 use crate::{ErrorCode, messages};
 use compact_str::{CompactString, ToCompactString};
 use std::fmt;
 
 messages! {
-    /// What became of a write.
+    /// The outcome of a write.
     #[derive(Copy, Eq)]
     pub enum Outcome {
-        /// It is committed.
+        /// The write is committed.
         Committed,
-        /// Nothing of it was or will be applied.
+        /// No part of the write was or will be applied.
         NotApplied,
-        /// It may or may not be committed: the caller asks again with its idempotency key.
+        /// The write may or may not be committed: the caller asks again with its idempotency key to learn which.
         Unknown
     }
 
-    /// A numbered error with one sentence for people.
+    /// An error with a numeric code and a human-readable message.
     #[derive(Eq)]
     pub struct Error {
-        /// Number of an [`ErrorCode`]; one of a newer version may be unknown here.
+        /// Number of an [`ErrorCode`]; a process of a newer version may send one that this version does not define.
         pub code: u16,
-        /// The sentence.
+        /// The message, one sentence.
         pub text: CompactString,
-        /// What became of the write that failed.
+        /// The outcome of the failed write.
         pub outcome: Outcome,
-        /// When a retry may succeed, in milliseconds from now.
+        /// The delay in milliseconds after which a retry may succeed.
         pub retry_after_ms: Option<u64>
     }
 }
 
 impl ErrorCode {
-    /// An error of this code with `detail` after its description. Nothing was applied.
+    /// Returns an error of this code with `detail` after its description and the outcome [`Outcome::NotApplied`].
     pub fn with_detail(self, detail: impl fmt::Display) -> Error {
         let detail = detail.to_compact_string();
         let text = if detail.is_empty() {
@@ -41,34 +41,34 @@
         Error { code: self.number(), text, outcome: Outcome::NotApplied, retry_after_ms: None }
     }
 
-    /// An error of this code whose text is the description alone. Nothing was applied.
+    /// Returns an error of this code whose text is the description alone, with the outcome [`Outcome::NotApplied`].
     pub fn without_detail(self) -> Error {
         self.with_detail("")
     }
 }
 
-/// Status of a reply whose code this version does not know.
+/// Status of a reply whose code this version does not define.
 const INTERNAL_SERVER_ERROR: u16 = 500;
 
 impl Error {
-    /// The same error where it is not known whether the write was applied.
+    /// Returns the same error with the outcome [`Outcome::Unknown`].
     pub fn with_unknown_outcome(mut self) -> Self {
         self.outcome = Outcome::Unknown;
         self
     }
 
-    /// The same error with advice to retry after `ms` milliseconds.
+    /// Returns the same error with the advice to retry after `ms` milliseconds.
     pub fn with_retry_after(mut self, ms: u64) -> Self {
         self.retry_after_ms = Some(ms);
         self
     }
 
-    /// Is the error of that code?
+    /// Whether the error has the given code.
     pub fn has_code(&self, code: ErrorCode) -> bool {
         self.code == code.number()
     }
 
-    /// Status of the HTTP response that carries the error.
+    /// Returns the status of the HTTP response that carries the error.
     pub fn http_status(&self) -> u16 {
         ErrorCode::from_number(self.code).map_or(INTERNAL_SERVER_ERROR, ErrorCode::http_status)
     }
--- a/crates/core/src/error_code.rs
+++ b/crates/core/src/error_code.rs
@@ -1,33 +1,34 @@
-//! Numbered result codes. docs/codes.md lists them for readers; a test checks that the two are equal.
+//! Numbered result codes. docs/codes.md documents them; a test checks that it lists the same codes.
 
 /// Declares [`ErrorCode`] from rows of name, number, HTTP status and description.
 macro_rules! error_codes {
     ($($name:ident = $number:literal, $http_status:literal, $description:literal;)*) => {
-        /// A numbered result code. The hundreds tell the area: 10 requests, 11 routing, 12 sessions, 13 queueing,
-        /// 14 servers, 15 this node, 16 configuration, 17 the replicated store, 18 the process, 19 calls to others.
+        /// A numbered result code. The first two digits give the area: 10 requests, 11 routing, 12 sessions, 13
+        /// queueing, 14 servers, 15 the node that answers, 16 configuration, 17 the replicated store, 18 the settings
+        /// and resources of the process, 19 calls to other processes.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum ErrorCode { $(#[doc = $description] $name = $number),* }
 
         impl ErrorCode {
-            /// Every code, by number.
+            /// All codes, in ascending order of their numbers.
             pub const ALL: &'static [ErrorCode] = &[$(ErrorCode::$name),*];
 
-            /// The number that callers see.
+            /// Returns the number that callers see.
             pub fn number(self) -> u16 {
                 self as u16
             }
 
-            /// Status of an HTTP response that carries the code.
+            /// Returns the status of an HTTP response that carries the code.
             pub fn http_status(self) -> u16 {
                 match self { $(ErrorCode::$name => $http_status),* }
             }
 
-            /// What the code means, in one sentence.
+            /// Returns the meaning of the code in one sentence.
             pub fn description(self) -> &'static str {
                 match self { $(ErrorCode::$name => $description),* }
             }
 
-            /// The code of that number; `None` if this version does not know it.
+            /// Returns the code with the given number, or `None` if this version does not define it.
             pub fn from_number(number: u16) -> Option<ErrorCode> {
                 match number { $($number => Some(ErrorCode::$name),)* _ => None }
             }
--- a/crates/core/src/hashing.rs
+++ b/crates/core/src/hashing.rs
@@ -1,17 +1,17 @@
-//! Stable hashes, and the choice of an owner by them.
+//! Hashes that are stable across machines and versions, and rendezvous hashing.
 
 /// Offset basis and prime of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 /// Byte hashed after each part, so that ("ab", "c") and ("a", "bc") differ. UTF-8 text never contains it.
-const PART_END: u8 = 0xff;
+const PART_SEPARATOR: u8 = 0xff;
 
-/// A 64-bit hash (FNV-1a with a finishing mix) that is the same on every machine and in every version: it is stored
-/// on disk and decides on owners.
+/// A 64-bit hash (FNV-1a with a finishing mix) that is the same on every machine and in every version: hashes are
+/// stored on disk and decide which node owns a key.
 pub fn hash64(parts: &[&[u8]]) -> u64 {
     let mut hash = FNV_OFFSET_BASIS;
     for part in parts {
-        for byte in part.iter().chain(&[PART_END]) {
+        for byte in part.iter().chain(&[PART_SEPARATOR]) {
             hash = (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
         }
     }
@@ -26,13 +26,13 @@
     mixed ^ (mixed >> 31)
 }
 
-/// The weight of a node for a key in rendezvous hashing; the node with the highest owns the key.
+/// The weight of a node for a key in rendezvous hashing; the node with the highest weight owns the key.
 pub fn rendezvous_weight(key: &str, node: &str) -> u64 {
     hash64(&[key.as_bytes(), node.as_bytes()])
 }
 
-/// Rendezvous hashing: orders `nodes` by their weight for `key`, the owner first. When a node comes or goes, only the
-/// keys that it owns change their owner.
+/// Rendezvous hashing: orders `nodes` by their weight for `key`, the owner first. When a node joins or leaves,
+/// only the keys that it owns change their owner.
 pub fn rendezvous<'a, S: AsRef<str> + 'a>(key: &str, nodes: impl IntoIterator<Item = &'a S>) -> Vec<&'a S> {
     let mut weighted: Vec<(u64, &S)> =
         nodes.into_iter().map(|node| (rendezvous_weight(key, node.as_ref()), node)).collect();
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names, numbers and times that identify things across the project.
+//! Type aliases for the names, numbers and times that all crates share.
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 
@@ -6,8 +6,8 @@
 /// compared across machines: their clocks have no common origin.
 pub type Millis = u64;
 
-/// A fencing token. It rises each time the primary of a group, or the holder of a singleton role, changes; work under
-/// a lower token is rejected.
+/// A fencing token. It increases each time the primary of a group, or the holder of a singleton role, changes; work
+/// under a lower token is rejected.
 pub type FencingToken = u64;
 
 /// Version of a configuration, of a view or of a session's state.
--- a/crates/core/src/message_macro.rs
+++ b/crates/core/src/message_macro.rs
@@ -1,7 +1,7 @@
-//! The macro that declares the records which processes exchange or keep on disk.
+//! The macro that declares the records that processes exchange or store on disk.
 
-/// Declares structs and enums with the derives that a message needs: borsh for the wire between the project's own
-/// processes and for the disk, serde for JSON at its edges.
+/// Declares structs and enums with the derives that a message needs: borsh for messages between the project's
+/// own processes and for stored records, serde for JSON in files and in calls of clients and operators.
 ///
 /// The borsh layout follows the order of fields and variants, so new ones are only ever added at the end.
 #[macro_export]
--- a/crates/core/src/name_table.rs
+++ b/crates/core/src/name_table.rs
@@ -14,7 +14,7 @@
 }
 
 impl NameTable {
-    /// The index of `name`, which is added if it is new.
+    /// Returns the index of `name`, and adds the name if it is new.
     pub fn intern(&mut self, name: &str) -> NameIndex {
         if let Some(index) = self.indices.get(name) {
             return *index;
@@ -25,12 +25,12 @@
         index
     }
 
-    /// The index of `name`, if it was interned.
+    /// Returns the index of `name`, if it was interned.
     pub fn index_of(&self, name: &str) -> Option<NameIndex> {
         self.indices.get(name).copied()
     }
 
-    /// The name at `index`.
+    /// Returns the name at `index`.
     ///
     /// # Panics
     /// If the index comes from another table and is out of range here.
@@ -43,7 +43,7 @@
         self.names.len()
     }
 
-    /// Is the table empty?
+    /// Whether no name is interned.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
--- a/crates/core/src/primary_assignment.rs
+++ b/crates/core/src/primary_assignment.rs
@@ -1,4 +1,4 @@
-//! Which server of a group takes writes.
+//! The assignment of a group's primary, the server that accepts writes.
 use crate::{FencingToken, Name, messages};
 
 messages! {
@@ -9,7 +9,7 @@
         pub fence: FencingToken,
         /// The primary; `None` while a change of primary is under way.
         pub server: Option<Name>,
-        /// The former primary, which this assignment has closed for writes.
+        /// The former primary, which accepts no more writes since this assignment.
         pub demoted: Option<Name>,
         /// The node that wrote the assignment.
         pub assigned_by: Name,
@@ -22,7 +22,7 @@
 }
 
 impl PrimaryAssignment {
-    /// All voter sets that are valid, the newest last.
+    /// Returns all valid voter sets, the newest last.
     pub fn voter_sets(&self) -> Vec<Vec<Name>> {
         let mut sets = self.previous_voters.clone();
         sets.push(self.voters.clone());
--- a/crates/core/src/server.rs
+++ b/crates/core/src/server.rs
@@ -1,13 +1,13 @@
-//! What database servers report of themselves, and what the replicated store records of them.
+//! Heartbeats of database servers, and the records of servers in the replicated store.
 use crate::{FencingToken, Labels, Name, Position, messages};
 
 messages! {
     /// Role of a server in its group.
     #[derive(Copy, Eq, Hash, Default)]
     pub enum Role {
-        /// It takes writes.
+        /// The server accepts writes.
         Primary,
-        /// It follows the primary and answers reads.
+        /// The server replicates from the primary and answers reads.
         #[default]
         Replica
     }
@@ -19,15 +19,15 @@
         /// In regular service.
         #[default]
         Up,
-        /// Shutting down gracefully: it finishes its work and takes no new work. In JSON it is `Leaving`, as the server
-        /// contract (docs/server.md) names it.
+        /// Shutting down gracefully: the server finishes its work and accepts no new work. In JSON it is `Leaving`, as
+        /// the server contract (docs/server.md) names it.
         #[serde(rename = "Leaving")]
         Draining,
-        /// It took over or came back, and does not show all of its log yet.
+        /// The server was promoted or restarted, and not all of its log is visible yet.
         Starting
     }
 
-    /// What a server puts on every reply: where the statement ran.
+    /// The stamp that a server puts on every reply: which server ran the statement, and at which position.
     #[derive(Eq, Default)]
     pub struct Stamp {
         /// Name of the server.
@@ -40,16 +40,16 @@
         pub role: Role
     }
 
-    /// A server's report of itself. The newest by [`ServerHeartbeat::version`] holds.
+    /// A server's report of its own state. The one with the highest [`ServerHeartbeat::version`] supersedes the others.
     #[derive(Eq, Default)]
     pub struct ServerHeartbeat {
         /// Name of the server.
         pub server: Name,
-        /// Rises with every start of the server.
+        /// Increases with every start of the server.
         pub boot: u64,
-        /// Rises with every heartbeat of one start.
+        /// Increases with every heartbeat of one start.
         pub seq: u64,
-        /// Address at which the server takes connections.
+        /// Address at which the server accepts connections.
         pub addr: Name,
         /// Labels of the server; `group` and `district` (its zone) are always set.
         pub labels: Labels,
@@ -67,29 +67,30 @@
 }
 
 messages! {
-    /// A server as the replicated store knows it. It is written when one of its fields changes, not at each heartbeat.
+    /// A server as the replicated store records it. The record is written when one of its fields changes, not at each
+    /// heartbeat.
     #[derive(Eq, Default)]
     pub struct ServerRecord {
         /// Name of the server.
         pub server: Name,
-        /// Group to which it belongs.
+        /// Group to which the server belongs.
         pub group: Name,
-        /// Address at which it takes connections.
+        /// Address at which the server accepts connections.
         pub addr: Name,
-        /// Zone in which it runs.
+        /// Zone in which the server runs.
         pub zone: Name,
-        /// Connections that it admits.
+        /// Number of connections that the server admits.
         pub slots: u32,
-        /// It shuts down gracefully and takes no new work.
+        /// Whether the server shuts down gracefully and accepts no new work.
         pub draining: bool,
-        /// Its role in the group.
+        /// Role of the server in the group.
         pub role: Role,
-        /// Number of the heartbeat that reported it. A record with a lower number changes nothing.
+        /// Number of the heartbeat that reported these values. A record with a lower number changes nothing.
         pub seq: u64
     }
 }
 
-/// Orders the heartbeats of one server: by start, then by their order within it.
+/// The order of the heartbeats of one server: by start, then by number within the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HeartbeatVersion {
     /// Start of the server, as in [`ServerHeartbeat::boot`].
@@ -99,18 +100,19 @@
 }
 
 impl ServerHeartbeat {
-    /// The version of this heartbeat; of two heartbeats the one with the higher version holds.
+    /// Returns the version of this heartbeat; of two heartbeats the one with the higher version is in force.
     pub fn version(&self) -> HeartbeatVersion {
         HeartbeatVersion { boot: self.boot, seq: self.seq }
     }
 
-    /// The group to which the server belongs; empty if the label is missing.
+    /// Returns the group to which the server belongs; empty if the label is missing.
     pub fn group(&self) -> &str {
         self.label("group").unwrap_or("")
     }
 
-    /// The zone in which the server runs; empty if the label is missing. Servers send it as the label `district`, the
-    /// deprecated name, or as `zone`; where both are given, `zone` may be a label of the operator's own.
+    /// Returns the zone in which the server runs; empty if the label is missing. Servers send it as the label
+    /// `district`, the deprecated name, or as `zone`; where both are given, `zone` may be a label of the operator's
+    /// own.
     pub fn zone(&self) -> &str {
         self.label("district").or_else(|| self.label("zone")).unwrap_or("")
     }
--- a/crates/core/tests/error_codes.rs
+++ b/crates/core/tests/error_codes.rs
@@ -1,8 +1,8 @@
-//! The table of result codes in the documentation is the one in the code.
+//! Checks that docs/codes.md lists exactly the declared result codes.
 use quincehatch_core::ErrorCode;
 
 #[test]
-fn documented_codes_equal_the_declared_ones() {
+fn documented_codes_equal_the_declared_codes() {
     let document = include_str!("../../../docs/codes.md");
     for code in ErrorCode::ALL {
         let row = format!("| {} | {} | {} |", code.number(), code.http_status(), code.description());
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,5 +1,5 @@
-//! What runs the protocols: clock, timers, tasks and connections (those of tokio or of a simulator), logging and random
-//! numbers.
+//! The runtime of the protocols: clock, timers, tasks and connections (those of tokio or of a simulator), logging and
+//! random numbers.
 #![warn(
     missing_docs,
     clippy::too_many_lines,
--- a/crates/runtime/src/seam.rs
+++ b/crates/runtime/src/seam.rs
@@ -1,6 +1,6 @@
-//! The seam between the protocols and what runs them. In regular service, time, tasks and connections are those of tokio
-//! and the kernel; inside a [`World`], such as the one that the simulator gives each process, they are virtual. The code
-//! above this module is the same in both.
+//! The interface between the protocols and their execution environment. In production, time, tasks and connections are
+//! those of tokio and the kernel; inside a [`World`], such as the one that the simulator provides for each process,
+//! they are virtual. The code above this module is the same in both.
 
 mod clock;
 mod incarnation;
--- a/crates/runtime/src/seam/select.rs
+++ b/crates/runtime/src/seam/select.rs
@@ -4,8 +4,8 @@
 use std::pin::{Pin, pin};
 use std::task::{Context, Poll};
 
-/// Waits for whichever future completes first, and drops the other: `Ok` with the output of `first`, `Err` with that of
-/// `second`. If both are ready, `first` wins.
+/// Waits for the future that completes first, and drops the other. Returns `Ok` with the output of `first` or `Err`
+/// with the output of `second`. If both are ready, it returns the output of `first`.
 pub async fn select_first<A: Future, B: Future>(first: A, second: B) -> Result<A::Output, B::Output> {
     let mut first = pin!(first);
     let mut second = pin!(second);
@@ -34,7 +34,7 @@
     }
 }
 
-/// Runs all futures side by side; their outputs, in the order of the futures.
+/// Runs all futures concurrently and returns their outputs in the order of the futures.
 pub async fn join_all<T>(futures: impl IntoIterator<Item = impl Future<Output = T>>) -> Vec<T> {
     let mut joined: Vec<_> =
         futures.into_iter().map(|future| Joined { future: Box::pin(future), output: None }).collect();
@@ -46,7 +46,8 @@
     joined.into_iter().filter_map(|entry| entry.output).collect()
 }
 
-/// Runs all futures side by side until one returns `true` (the others are dropped then) or all have completed.
+/// Runs all futures concurrently until one returns `true` (the others are dropped then) or all have completed. Returns
+/// whether one returned `true`.
 pub async fn any_true(futures: impl IntoIterator<Item = impl Future<Output = bool>>) -> bool {
     let mut pending: Vec<_> = futures.into_iter().map(Box::pin).collect();
     poll_fn(|context| {
--- a/crates/runtime/src/seam/task.rs
+++ b/crates/runtime/src/seam/task.rs
@@ -1,4 +1,4 @@
-//! Tasks that run by themselves.
+//! Spawning of tasks that run in the background.
 use super::world::current_world;
 use std::future::Future;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 pub struct TaskHandle(Arc<AtomicBool>);
 
 impl TaskHandle {
-    /// Has the task returned, panicked or been dropped?
+    /// Whether the task has returned, panicked or been dropped.
     pub fn is_finished(&self) -> bool {
         self.0.load(Ordering::SeqCst)
     }
@@ -24,17 +24,17 @@
     }
 }
 
-/// Where tasks are spawned. It may be passed to threads that are outside any runtime.
+/// The runtime on which tasks are spawned. A spawner may be passed to threads that are outside any runtime.
 #[derive(Clone)]
 pub enum Spawner {
     /// A tokio runtime.
     Tokio(tokio::runtime::Handle),
-    /// The world of the thread that spawns.
+    /// The world in which the spawning thread runs.
     World,
 }
 
 impl Spawner {
-    /// The runtime or world of the caller.
+    /// Returns the runtime or world of the caller.
     ///
     /// # Panics
     /// If the caller is in neither.
--- a/crates/runtime/src/seam/timer.rs
+++ b/crates/runtime/src/seam/timer.rs
@@ -1,4 +1,4 @@
-//! Sleeping, and limits on how long something may take.
+//! Sleeping, and time limits for futures.
 use super::world::{World, current_world};
 use quincehatch_core::Millis;
 use std::future::Future;
@@ -7,11 +7,11 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// A timer of a world's clock.
+/// A timer on the clock of a world.
 struct Timer {
     world: Arc<dyn World>,
     deadline: Millis,
-    /// Number of the pending wake-up, once one is registered.
+    /// Number of the registered wake-up; `None` before the first poll.
     registration: Option<u64>,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Sleeps for `duration`; in a world at least one millisecond, so that its time moves on.
+/// Sleeps for `duration`; in a world for at least one millisecond, so that its time advances.
 pub async fn sleep(duration: Duration) {
     match current_world() {
         None => tokio::time::sleep(duration).await,
@@ -49,11 +49,11 @@
     }
 }
 
-/// The time for something was over before it was done.
+/// The error of a [`timeout`]: the time limit passed before the future completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Elapsed;
 
-/// The result of `future`, or [`Elapsed`] if it takes longer than `duration`; it is dropped then.
+/// Returns the output of `future`, or [`Elapsed`] if it takes longer than `duration`; the future is dropped then.
 pub async fn timeout<F: Future>(duration: Duration, future: F) -> Result<F::Output, Elapsed> {
     if current_world().is_none() {
         return tokio::time::timeout(duration, future).await.map_err(|_| Elapsed);
--- a/crates/runtime/src/seam/world.rs
+++ b/crates/runtime/src/seam/world.rs
@@ -1,4 +1,4 @@
-//! The world in which a simulated process runs, in place of tokio and the kernel.
+//! The environment in which a simulated process runs, in place of tokio and the kernel.
 use quincehatch_core::Millis;
 use std::cell::RefCell;
 use std::future::Future;
@@ -10,9 +10,9 @@
 /// A boxed future that may move between threads.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// An HTTP connection in a world of virtual time.
+/// A simulated HTTP connection.
 pub trait VirtualConnection: Send + Sync {
-    /// Sends a `POST` with a JSON body; the status and the body of the response.
+    /// Sends a `POST` with a JSON body; returns the status and the body of the response.
     ///
     /// # Errors
     /// If the connection breaks before the response has arrived.
@@ -23,31 +23,32 @@
         token: Option<String>,
     ) -> BoxFuture<'_, io::Result<(u16, serde_json::Value)>>;
 
-    /// Is the connection closed, by either side?
+    /// Whether either side has closed the connection.
     fn is_closed(&self) -> bool;
 
     /// Closes the connection.
     fn close(&self);
 }
 
-/// Called once if a connection breaks while it is idle, which no request would notice.
+/// Called once if a connection breaks while it is idle, when no request would receive the error.
 pub type OnDisconnect = Box<dyn FnOnce(io::Error) + Send>;
 
-/// What a simulated process has in place of tokio and the kernel.
+/// The environment of a simulated process: its virtual clocks, timers, tasks and connections.
 pub trait World: Send + Sync {
-    /// The process's own monotonic clock.
+    /// Returns the time of the process's own monotonic clock.
     fn now(&self) -> Millis;
 
-    /// The wall clock, in milliseconds since the Unix epoch.
+    /// Returns the wall-clock time in milliseconds since the Unix epoch.
     fn wall_clock_ms(&self) -> u64;
 
-    /// A number that differs from one start of the process to the next, whatever its clocks say.
+    /// Returns a number that differs from one start of the process to the next, whatever the time of its clocks.
     fn incarnation(&self) -> u64;
 
-    /// Wakes the task when the process's clock reaches `at`; the number cancels the timer.
+    /// Registers a timer that wakes the task when the process's clock reaches `at`. Returns the number of the timer,
+    /// for [`World::cancel_timer`].
     fn wake_at(&self, at: Millis, waker: Waker) -> u64;
 
-    /// Cancels the timer of that number.
+    /// Cancels the timer with the given number.
     fn cancel_timer(&self, timer: u64);
 
     /// Starts a task of the process.
@@ -56,7 +57,7 @@
     /// Opens an HTTP connection.
     ///
     /// # Errors
-    /// If nothing at that address accepts it.
+    /// If no process at that address accepts the connection.
     fn connect(
         &self,
         addr: &str,
@@ -69,10 +70,11 @@
     /// If either frame is lost.
     fn exchange_frame(&self, addr: &str, frame: Vec<u8>) -> BoxFuture<'static, io::Result<Vec<u8>>>;
 
-    /// Does this run contain that deliberate bug? Such runs show that the checks notice it.
+    /// Whether the deliberate bug of that name is injected into this run. Such runs show that the checks detect the
+    /// bug.
     fn injected_bug(&self, bug: &str) -> bool;
 
-    /// The process has reached this point of its work; faults may be scheduled at it.
+    /// Records that the process has reached the named point in its work; faults may be scheduled at such points.
     fn trace_point(&self, point: &str);
 }
 
@@ -80,7 +82,7 @@
     static WORLD: RefCell<Option<Arc<dyn World>>> = const { RefCell::new(None) };
 }
 
-/// The world in which this thread runs at the moment; `None` in regular service.
+/// Returns the world in which this thread currently runs; `None` in production.
 pub fn current_world() -> Option<Arc<dyn World>> {
     WORLD.with(|world| world.borrow().clone())
 }
@@ -93,12 +95,12 @@
     result
 }
 
-/// Does this run contain that deliberate bug? Always `false` in regular service.
+/// Whether the deliberate bug of that name is injected into this run; always `false` in production.
 pub fn injected_bug(bug: &str) -> bool {
     WORLD.with(|current| current.borrow().as_ref().is_some_and(|world| world.injected_bug(bug)))
 }
 
-/// Reports to the simulator which point the process has reached. It does nothing in regular service.
+/// Reports to the simulator that the process has reached the named point. It does nothing in production.
 pub fn trace_point(point: &str) {
     WORLD.with(|current| current.borrow().iter().for_each(|world| world.trace_point(point)));
 }
--- a/crates/runtime/src/signals.rs
+++ b/crates/runtime/src/signals.rs
@@ -2,16 +2,16 @@
 use std::io;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// What a signal asks of the process.
+/// The action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessSignal {
-    /// Stop in order: SIGTERM or SIGINT.
+    /// Shut down gracefully: SIGTERM or SIGINT.
     Stop,
-    /// The settings file may have changed: SIGHUP.
+    /// Reload the settings file, which may have changed: SIGHUP.
     Reload,
 }
 
-/// The handled signals. They are to be installed before anything else is done: until then each ends the process.
+/// The handled signals. Programs install the handlers first of all: until then, each signal ends the process.
 pub struct ProcessSignals {
     terminate: Signal,
     interrupt: Signal,
@@ -19,10 +19,10 @@
 }
 
 impl ProcessSignals {
-    /// Handles the signals from now on, for as long as the process runs.
+    /// Installs the handlers, which stay in place for as long as the process runs.
     ///
     /// # Errors
-    /// If the system takes no handlers.
+    /// If the operating system rejects a handler.
     pub fn install() -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -1,12 +1,12 @@
-//! What a request type declares about itself: the type of its answer, and whether it may be sent again.
+//! The [`Call`] trait, by which a request type declares the type of its answer and whether it may be sent again.
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// What a receiver recognizes a repeated request by.
+/// The data by which a receiver recognizes a repeated request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyKey {
     /// The idempotency key of a write, stored with its answer in the replicated store.
     Write,
-    /// A ballot of the view register, synced to disk before it is answered.
+    /// A ballot of the view register, synced to disk before the answer is sent.
     Ballot,
     /// The number of a view or of a change: a lower one changes nothing.
     Number,
@@ -43,13 +43,13 @@
 
 /// A request between processes.
 ///
-/// Implementations match every variant without a wildcard, so that a new variant does not compile until somebody has
-/// decided whether it may be sent again.
+/// Implementations match every variant without a wildcard, so that a new variant does not compile until its retry
+/// safety is declared.
 pub trait Call: BorshSerialize + BorshDeserialize + Send + Sync + 'static {
-    /// What the receiver answers.
+    /// The type of the receiver's answer.
     type Answer: BorshSerialize + BorshDeserialize + Send + Sync + 'static;
-    /// Whether this request may be sent again.
+    /// Returns whether this request may be sent again.
     fn retry_safety(&self) -> RetrySafety;
-    /// What the calls of this process are counted by: a short name of the variant.
+    /// Returns a short name of the variant, under which the calls of this process are counted.
     fn kind(&self) -> &'static str;
 }
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -1,7 +1,7 @@
-//! The calling side: one request at a time on a connection.
+//! The client side of calls: one request at a time on a connection.
 use crate::connection::{Connection, Connector, IdleConnections, Tcp};
 use crate::frame::{
-    AnswerHeader, FrameKind, Incoming, RequestHeader, encode, invalid, read_frame, write_frame,
+    AnswerHeader, FrameKind, Incoming, RequestHeader, encode, invalid_data, read_frame, write_frame,
 };
 use crate::{Call, CallError, Destination, Identity, ProcessId, RetrySafety, traffic};
 use compact_str::format_compact;
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU16, Ordering};
 use std::time::Duration;
 
-/// Calls other processes.
+/// Sends requests to other processes and reuses idle connections.
 pub struct Caller<C: Connector = Tcp> {
     identity: Identity,
     connector: C,
@@ -30,7 +30,7 @@
         self.written.store(written, Ordering::Relaxed);
     }
 
-    /// The error of a call that failed for `cause` at this point.
+    /// Returns the error of a call that failed for `cause` at this point.
     fn error(&self, safety: RetrySafety, cause: impl std::fmt::Display) -> CallError {
         if self.written.load(Ordering::Relaxed) {
             return CallError::unanswered(safety, cause);
@@ -39,22 +39,22 @@
     }
 }
 
-/// One call on its way: where it goes, what is asked, and how far it came.
-struct Outgoing<'a, Q> {
+/// A call in progress: its destination, its request and whether its frame may have been sent.
+struct OutgoingCall<'a, Q> {
     to: Destination<'a>,
     request: &'a Q,
     progress: &'a Progress,
 }
 
-impl<Q> Clone for Outgoing<'_, Q> {
+impl<Q> Clone for OutgoingCall<'_, Q> {
     fn clone(&self) -> Self {
         *self
     }
 }
 
-impl<Q> Copy for Outgoing<'_, Q> {}
+impl<Q> Copy for OutgoingCall<'_, Q> {}
 
-impl<Q: Call> Outgoing<'_, Q> {
+impl<Q: Call> OutgoingCall<'_, Q> {
     fn error(&self, cause: impl std::fmt::Display) -> CallError {
         self.progress.error(self.request.retry_safety(), format_args!("{}: {cause}", self.to.addr))
     }
@@ -66,21 +66,22 @@
     bytes: Vec<u8>,
 }
 
-/// An answer frame to this call; `answer` is `None` where the process rejected the request.
+/// A decoded answer frame to this call; `answer` is `None` where the process rejected the request.
 struct ReceivedAnswer<A> {
     responder: ProcessId,
     answer: Option<A>,
 }
 
 impl Caller {
-    /// Calls over TCP in the name of `identity`; within the simulator, over its network.
+    /// Creates a caller that identifies itself as `identity`. It calls over TCP, or within the simulator over the
+    /// simulated network.
     pub fn new(identity: Identity) -> Arc<Caller> {
         Caller::over(identity, Tcp)
     }
 }
 
 impl<C: Connector> Caller<C> {
-    /// Calls over connections that `connector` opens.
+    /// Creates a caller whose connections are opened by `connector`.
     pub fn over(identity: Identity, connector: C) -> Arc<Caller<C>> {
         let next_call = AtomicU16::new(0);
         Arc::new(Caller { identity, connector, next_call, idle: IdleConnections::default() })
@@ -88,60 +89,61 @@
 
     /// Sends one request and returns the answer to it.
     ///
-    /// The request goes out a second time, on a new connection, only if a kept connection broke and the request
+    /// The request is sent a second time, on a new connection, only if a reused connection call_error and the request
     /// cannot have arrived or may be repeated.
     ///
     /// # Errors
-    /// A [`CallError`] that says what is known of the request's effect; also when `within` has passed.
+    /// A [`CallError`] that says what is known of the request's effect, also when `timeout` has passed.
     pub async fn call<Q: Call>(
         &self,
         to: Destination<'_>,
         request: &Q,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Q::Answer, CallError> {
         let progress = Progress::default();
-        let outgoing = Outgoing { to, request, progress: &progress };
-        let work = async {
+        let outgoing = OutgoingCall { to, request, progress: &progress };
+        let exchange = async {
             match seam::current_world() {
                 Some(world) => self.call_in_world(world, outgoing).await,
                 None => self.call_connected(outgoing).await,
             }
         };
-        let answer = seam::timeout(within, work).await;
+        let answer = seam::timeout(timeout, exchange).await;
         answer.unwrap_or_else(|_| Err(outgoing.error("no answer in time")))
     }
 
-    async fn call_connected<Q: Call>(&self, outgoing: Outgoing<'_, Q>) -> Result<Q::Answer, CallError> {
+    async fn call_connected<Q: Call>(&self, outgoing: OutgoingCall<'_, Q>) -> Result<Q::Answer, CallError> {
         let safety = outgoing.request.retry_safety();
-        // A kept connection may have ended unnoticed, so a request that must not go out twice gets a new one.
-        let kept = if safety.allows_retry() { self.idle.take(&outgoing.to) } else { None };
-        if let Some(connection) = kept {
+        // An idle connection may have ended unnoticed, so a request that must not be sent twice gets a new one.
+        let reused = if safety.allows_retry() { self.idle.take(&outgoing.to) } else { None };
+        if let Some(connection) = reused {
             match self.attempt(connection, outgoing).await {
                 Err(error) if error.allows_retry(safety) => outgoing.progress.set_written(false),
-                ended => return ended,
+                result => return result,
             }
         }
         let addr = outgoing.to.addr;
-        let refused = |error: io::Error| CallError::NotSent(format_compact!("{addr}: {error}"));
-        let stream = self.connector.connect(addr).await.map_err(refused)?;
+        let connect_error = |error: io::Error| CallError::NotSent(format_compact!("{addr}: {error}"));
+        let stream = self.connector.connect(addr).await.map_err(connect_error)?;
         traffic::count(outgoing.request.kind(), |counts| counts.connections += 1);
         self.attempt(Connection { stream, peer: None }, outgoing).await
     }
 
-    /// Sends the request and reads its answer. The connection is kept only after the answer to this very call.
+    /// Sends the request and reads its answer. The connection is reused only after the answer to this call arrived on
+    /// it.
     async fn attempt<Q: Call>(
         &self,
         mut connection: Connection<C::Stream>,
-        outgoing: Outgoing<'_, Q>,
+        outgoing: OutgoingCall<'_, Q>,
     ) -> Result<Q::Answer, CallError> {
         let to = outgoing.to;
-        let broke = |error: io::Error| outgoing.error(error);
+        let call_error = |error: io::Error| outgoing.error(error);
         let kind = outgoing.request.kind();
         let receiver = connection.receiver_tag(&to);
-        let frame = self.encode_request(receiver, outgoing.request).map_err(broke)?;
+        let frame = self.encode_request(receiver, outgoing.request).map_err(call_error)?;
         outgoing.progress.set_written(true);
         if let Err(error) = write_frame(&mut connection.stream, &frame.bytes).await {
-            // The kernel did not take all of the frame, and no receiver acts on a part of one.
+            // The kernel did not accept the whole frame, and no receiver acts on an incomplete frame.
             outgoing.progress.set_written(false);
             return Err(outgoing.error(error));
         }
@@ -149,37 +151,38 @@
             counts.requests += 1;
             counts.request_bytes += frame.bytes.len() as u64;
         });
-        let bytes = read_frame(&mut connection.stream).await.map_err(broke)?;
+        let bytes = read_frame(&mut connection.stream).await.map_err(call_error)?;
         traffic::count(kind, |counts| {
             counts.answers += 1;
             counts.answer_bytes += bytes.len() as u64;
         });
-        let received = decode_answer::<Q>(&bytes, frame.call).map_err(broke)?;
+        let received = decode_answer::<Q>(&bytes, frame.call).map_err(call_error)?;
         let responder = received.responder;
         let answer = received.answer.ok_or(CallError::WrongReceiver { by: responder })?;
         if !connection.accepts(&to, responder) {
-            return Err(outgoing.error(invalid("another process answers")));
+            return Err(outgoing.error(invalid_data("another process answers")));
         }
         self.idle.put(to.addr, Connection { peer: Some(responder), ..connection });
         Ok(answer)
     }
 
-    /// The same over the simulator's network, which has no connections between the project's own processes.
+    /// Sends the request and reads its answer over the simulator's network, which has no connections between the
+    /// project's own processes.
     async fn call_in_world<Q: Call>(
         &self,
         world: Arc<dyn World>,
-        outgoing: Outgoing<'_, Q>,
+        outgoing: OutgoingCall<'_, Q>,
     ) -> Result<Q::Answer, CallError> {
         let to = outgoing.to;
-        let broke = |error: io::Error| outgoing.error(error);
-        let frame = self.encode_request(to.receiver_tag(), outgoing.request).map_err(broke)?;
+        let call_error = |error: io::Error| outgoing.error(error);
+        let frame = self.encode_request(to.receiver_tag(), outgoing.request).map_err(call_error)?;
         outgoing.progress.set_written(true);
-        let bytes = world.exchange_frame(to.addr, frame.bytes).await.map_err(broke)?;
-        let received = decode_answer::<Q>(&bytes, frame.call).map_err(broke)?;
+        let bytes = world.exchange_frame(to.addr, frame.bytes).await.map_err(call_error)?;
+        let received = decode_answer::<Q>(&bytes, frame.call).map_err(call_error)?;
         let responder = received.responder;
         let answer = received.answer.ok_or(CallError::WrongReceiver { by: responder })?;
         if !to.includes(responder) {
-            return Err(outgoing.error(invalid("another process answers")));
+            return Err(outgoing.error(invalid_data("another process answers")));
         }
         Ok(answer)
     }
@@ -198,12 +201,12 @@
     let kind = incoming.kind;
     let (header, message) = incoming.header::<AnswerHeader>()?;
     if header.call != call {
-        return Err(invalid("an answer to another call"));
+        return Err(invalid_data("an answer to another call"));
     }
     let answer = match kind {
         FrameKind::Answer => Some(borsh::from_slice(message)?),
         FrameKind::Rejected => None,
-        FrameKind::Request => return Err(invalid("a request in place of an answer")),
+        FrameKind::Request => return Err(invalid_data("a request in place of an answer")),
     };
     Ok(ReceivedAnswer { responder: header.responder, answer })
 }
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -1,4 +1,4 @@
-//! Connections of the calling side, and the idle ones kept for each address.
+//! Connections of the client side, and the pool of idle connections for each address.
 use crate::{Destination, ProcessId};
 use std::collections::HashMap;
 use std::future::Future;
@@ -9,12 +9,12 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Idle connections kept for each address.
+/// The largest number of idle connections retained for each address.
 const MAX_IDLE_PER_ADDRESS: usize = 8;
 
 /// Opens connections.
 pub trait Connector: Send + Sync {
-    /// A connection.
+    /// The type of the connections.
     type Stream: AsyncRead + AsyncWrite + Unpin + Send;
     /// Connects to an address, `host:port`.
     fn connect(&self, addr: &str) -> impl Future<Output = io::Result<Self::Stream>> + Send;
@@ -41,14 +41,14 @@
 }
 
 impl<S: AsyncRead + Unpin> Connection<S> {
-    /// Whether the connection is open and carries no byte that nobody asked for.
-    fn is_quiet(&mut self) -> bool {
+    /// Whether the connection is open and has no unexpected bytes to read.
+    fn is_reusable(&mut self) -> bool {
         let mut byte = [0; 1];
         let mut context = Context::from_waker(Waker::noop());
         Pin::new(&mut self.stream).poll_read(&mut context, &mut ReadBuf::new(&mut byte)).is_pending()
     }
 
-    /// The receiver tag to send: that of the peer's incarnation once it has answered here.
+    /// The receiver tag of requests on this connection: once the peer has answered, the tag of its incarnation.
     pub(crate) fn receiver_tag(&self, to: &Destination<'_>) -> u32 {
         self.peer.map_or_else(|| to.receiver_tag(), ProcessId::tag)
     }
@@ -69,19 +69,21 @@
 }
 
 impl<S: AsyncRead + Unpin> IdleConnections<S> {
-    /// Removes an idle connection to that very process; those that ended or lead to another process are closed.
+    /// Removes and returns an idle connection to the destination. Connections found to have ended or to lead to another
+    /// process are closed.
     pub(crate) fn take(&self, to: &Destination<'_>) -> Option<Connection<S>> {
         let mut by_address = self.0.lock().unwrap();
         let idle = by_address.get_mut(to.addr)?;
         while let Some(mut connection) = idle.pop() {
-            if connection.is_quiet() && connection.peer.is_some_and(|peer| to.includes(peer)) {
+            if connection.is_reusable() && connection.peer.is_some_and(|peer| to.includes(peer)) {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// Keeps a connection for later calls, or closes it when enough are kept.
+    /// Retains a connection for later calls, or closes it if its address already has the largest number of idle
+    /// connections.
     pub(crate) fn put(&self, addr: &str, connection: Connection<S>) {
         let mut by_address = self.0.lock().unwrap();
         let idle = by_address.entry(addr.to_owned()).or_default();
--- a/crates/wire/src/destination.rs
+++ b/crates/wire/src/destination.rs
@@ -1,8 +1,8 @@
-//! Which process a call is meant for.
+//! The destination of a call.
 use crate::ProcessId;
 use crate::identity::{ANY_RECEIVER, name_tag};
 
-/// Which process a call is meant for, and where it listens.
+/// The process that a call is intended for, and the address at which it listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Destination<'a> {
     /// The address, `host:port`.
@@ -12,12 +12,12 @@
 }
 
 impl<'a> Destination<'a> {
-    /// Whichever process listens at the address.
+    /// The destination of calls to whichever process listens at the address.
     pub fn address(addr: &'a str) -> Self {
         Destination { addr, name: None }
     }
 
-    /// The process of that name, and no other that may have taken over its address.
+    /// The destination of calls to the process of that name, and to no other that may now listen at its address.
     pub fn process(name: &'a str, addr: &'a str) -> Self {
         Destination { addr, name: Some(name) }
     }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,9 +1,9 @@
-//! How a call fails, and what is known of its effect then.
+//! Errors of calls, which tell what is known of the effect of the request.
 use crate::{ProcessId, RetrySafety};
 use compact_str::{CompactString, format_compact};
 use quincehatch_core::{Error, ErrorCode};
 
-/// Why a call brought no answer.
+/// The reason why a call returned no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallError {
     /// There was no connection, or the frame was not written completely: the receiver cannot have acted on it.
@@ -20,7 +20,7 @@
 }
 
 impl CallError {
-    /// The error of a call whose frame may have arrived.
+    /// Returns the error of a call whose frame may have arrived.
     pub(super) fn unanswered(safety: RetrySafety, cause: impl std::fmt::Display) -> CallError {
         let cause = format_compact!("{cause}");
         match safety {
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -18,14 +18,14 @@
 const VERSION_SHIFT: u8 = 4;
 const KIND_MASK: u8 = 0x0f;
 
-/// What a frame is.
+/// The kind of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
     /// A request; its message is the call.
     Request,
     /// The answer to a request.
     Answer,
-    /// The process is not the receiver; there is no message.
+    /// The notice that the process is not the receiver of the request; it has no message.
     Rejected,
 }
 
@@ -47,11 +47,11 @@
 
     fn from_byte(byte: u8) -> io::Result<FrameKind> {
         if byte >> VERSION_SHIFT != PROTOCOL_VERSION {
-            return Err(invalid("another version of the protocol"));
+            return Err(invalid_data("another version of the protocol"));
         }
         let number = byte & KIND_MASK;
         let kind = FrameKind::ALL.into_iter().find(|kind| kind.number() == number);
-        kind.ok_or_else(|| invalid("no such kind of frame"))
+        kind.ok_or_else(|| invalid_data("no such kind of frame"))
     }
 }
 
@@ -62,14 +62,14 @@
     pub call: u16,
     /// The tag of the calling incarnation.
     pub sender: u32,
-    /// The tag of the intended process: a name, one incarnation, or anyone.
+    /// The tag of the intended receiver: every incarnation of a name, one incarnation, or any process.
     pub receiver: u32,
 }
 
 /// The header of every answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct AnswerHeader {
-    /// The number of the call that is answered.
+    /// The number of the answered call.
     pub call: u16,
     /// The process that answers.
     pub responder: ProcessId,
@@ -78,7 +78,7 @@
 /// A received frame whose header and message are not decoded yet.
 #[derive(Debug)]
 pub struct Incoming<'a> {
-    /// What the frame is.
+    /// The kind of the frame.
     pub kind: FrameKind,
     rest: &'a [u8],
 }
@@ -89,7 +89,7 @@
     /// # Errors
     /// `InvalidData` for an empty frame, another protocol version or an unknown kind.
     pub fn parse(frame: &'a [u8]) -> io::Result<Incoming<'a>> {
-        let (first, rest) = frame.split_first().ok_or_else(|| invalid("an empty frame"))?;
+        let (first, rest) = frame.split_first().ok_or_else(|| invalid_data("an empty frame"))?;
         Ok(Incoming { kind: FrameKind::from_byte(*first)?, rest })
     }
 
@@ -116,7 +116,7 @@
     header.serialize(&mut frame)?;
     message.serialize(&mut frame)?;
     if frame.len() > FRAME_MAX {
-        return Err(invalid("the frame is too long"));
+        return Err(invalid_data("the frame is too long"));
     }
     Ok(frame)
 }
@@ -130,19 +130,20 @@
     stream.write_all(&bytes).await
 }
 
-/// Reads the next frame. When this future is cancelled, the stream must not be used again: it may stand within a frame.
+/// Reads the next frame. When this future is cancelled, the stream must not be used again, as part of a frame
+/// may have been read.
 pub async fn read_frame<S: AsyncRead + Unpin>(stream: &mut S) -> io::Result<Vec<u8>> {
     let mut length = [0; 4];
     stream.read_exact(&mut length[..LENGTH_BYTES]).await?;
     let length = u32::from_le_bytes(length) as usize;
     if length > FRAME_MAX {
-        return Err(invalid("the frame is too long"));
+        return Err(invalid_data("the frame is too long"));
     }
     let mut frame = vec![0; length];
     stream.read_exact(&mut frame).await?;
     Ok(frame)
 }
 
-pub(super) fn invalid(cause: &str) -> io::Error {
+pub(super) fn invalid_data(cause: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, cause)
 }
--- a/crates/wire/src/http/connection.rs
+++ b/crates/wire/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection, real or the simulator's.
+//! One HTTP/1.1 connection, over TCP or in the simulator.
 use super::error::{io_error, other};
 use super::keepalive::{KeepaliveExt, KeepaliveSettings};
 use bytes::Bytes;
@@ -39,12 +39,12 @@
     Virtual(Arc<dyn VirtualConnection>),
 }
 
-/// Tells a disconnect that is evidence about the peer from one that is not.
+/// Distinguishes a disconnect that is evidence about the peer's health from one that is not.
 #[derive(Default)]
 struct CloseState {
     /// This side closes the connection, or asked the peer to.
     closed_locally: AtomicBool,
-    /// A request is in flight: whoever sent it gets the error, so it is not reported a second time.
+    /// A request is in flight: its caller receives the error, so the disconnect is not reported a second time.
     in_flight: AtomicBool,
 }
 
@@ -55,12 +55,12 @@
     }
 }
 
-/// Marks a connection whose end will be of this side's making.
+/// Marks a connection as closed by this side.
 #[derive(Clone)]
 pub struct LocalCloseMarker(Arc<CloseState>);
 
 impl LocalCloseMarker {
-    /// From now on the end of the connection is no evidence about the peer.
+    /// Marks the connection: from now on its end is no evidence about the peer.
     pub fn mark(&self) {
         self.0.closed_locally.store(true, Ordering::SeqCst);
     }
@@ -79,25 +79,25 @@
     /// Opens a connection to `addr`, `host:port`.
     ///
     /// # Errors
-    /// What the kernel gave, or the HTTP handshake.
+    /// The error of the kernel or of the HTTP handshake.
     pub async fn open(addr: &str, keepalive: Option<KeepaliveSettings>) -> io::Result<Self> {
         Self::open_watched(addr, keepalive, Box::new(|_| ())).await
     }
 
     /// Opens a connection whose unexpected end is reported.
     ///
-    /// `on_disconnect` is called when the idle connection breaks with an error of the kernel's: a reset, or a time-out
-    /// of its own keep-alive probes. An orderly close is not reported.
+    /// `on_disconnect` is called when the idle connection breaks with an error of the kernel: a reset, or a time-out of
+    /// the keep-alive probes. An orderly close is not reported.
     ///
     /// # Errors
-    /// What the kernel gave, or the HTTP handshake.
+    /// The error of the kernel or of the HTTP handshake.
     pub async fn open_watched(
         addr: &str,
         keepalive: Option<KeepaliveSettings>,
         on_disconnect: OnDisconnect,
     ) -> io::Result<Self> {
         let close_state = Arc::new(CloseState::default());
-        let on_disconnect = if_unexpected(close_state.clone(), on_disconnect);
+        let on_disconnect = report_if_unexpected(close_state.clone(), on_disconnect);
         let transport = match seam::current_world() {
             Some(world) => Transport::Virtual(world.connect(addr, on_disconnect).await?),
             None => open_tcp(addr, keepalive, on_disconnect).await?,
@@ -105,7 +105,7 @@
         Ok(Self { transport, close_state })
     }
 
-    /// A marker that outlives the borrow of this connection.
+    /// Returns a marker that outlives the borrow of this connection.
     pub fn local_close_marker(&self) -> LocalCloseMarker {
         LocalCloseMarker(self.close_state.clone())
     }
@@ -122,7 +122,7 @@
     /// used again.
     ///
     /// # Errors
-    /// What the kernel gave, or a reply that is not HTTP, not JSON or longer than [`REPLY_MAX`].
+    /// The kernel's error, or an error for a reply that is not HTTP, not JSON or longer than [`REPLY_MAX`].
     pub async fn call(&mut self, request: &JsonRequest<'_>) -> io::Result<(u16, Value)> {
         self.close_state.in_flight.store(true, Ordering::SeqCst);
         let reply = self.exchange(request).await;
@@ -168,13 +168,13 @@
     }
 }
 
-/// A reply whose body is not decoded.
+/// A reply whose body is not decoded yet.
 struct RawReply {
     status: u16,
     body: Bytes,
 }
 
-fn if_unexpected(state: Arc<CloseState>, on_disconnect: OnDisconnect) -> OnDisconnect {
+fn report_if_unexpected(state: Arc<CloseState>, on_disconnect: OnDisconnect) -> OnDisconnect {
     Box::new(move |error| {
         if state.is_unexpected() {
             on_disconnect(error);
--- a/crates/wire/src/http/error.rs
+++ b/crates/wire/src/http/error.rs
@@ -1,14 +1,15 @@
-//! Errors of the HTTP client as `io::Error`.
+//! Conversion of the HTTP client's errors to `io::Error`.
 use std::error::Error;
 use std::fmt::Display;
 use std::io;
 
-/// An error that only has a text.
+/// Converts an error to an `io::Error` that only has its text.
 pub(super) fn other(error: impl Display) -> io::Error {
     io::Error::other(error.to_string())
 }
 
-/// The kernel's own error beneath a hyper error, so that health checks can tell a reset from a time-out.
+/// Converts a hyper error to the kernel's error that caused it, so that health checks can tell a reset from a time-out.
+/// The early end of a connection without such a cause counts as a reset.
 pub(super) fn io_error(error: hyper::Error) -> io::Error {
     if let Some(cause) = find_io_cause(&error) {
         return match cause.raw_os_error() {
--- a/crates/wire/src/http/keepalive.rs
+++ b/crates/wire/src/http/keepalive.rs
@@ -1,4 +1,4 @@
-//! How a TCP connection to a server detects a peer that has gone.
+//! Detection of dead peers on TCP connections to servers.
 use socket2::{SockRef, TcpKeepalive};
 use std::io;
 use std::time::Duration;
@@ -7,12 +7,13 @@
 /// Keep-alive probes that may go unanswered before the kernel resets the connection.
 const KEEPALIVE_RETRIES: u32 = 3;
 
-/// The kernel's two ways of noticing a dead peer: keep-alive probes while idle, and a limit for unacknowledged data.
+/// Settings of the kernel's two means to detect a dead peer: keep-alive probes while the connection is idle, and a time
+/// limit for unacknowledged data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeepaliveSettings {
     /// Idle time before the first keep-alive probe.
     pub idle: Duration,
-    /// How long sent data may stay unacknowledged (`TCP_USER_TIMEOUT`).
+    /// Longest time for which sent data may stay unacknowledged (`TCP_USER_TIMEOUT`).
     pub user_timeout: Duration,
 }
 
--- a/crates/wire/src/http/mod.rs
+++ b/crates/wire/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 calls with JSON bodies at the level of one connection, so that each server connection has its own identity.
+//! HTTP/1.1 calls with JSON bodies over single connections, so that each connection to a server has its own identity.
 mod connection;
 mod error;
 mod keepalive;
--- a/crates/wire/src/http/one_shot.rs
+++ b/crates/wire/src/http/one_shot.rs
@@ -1,4 +1,4 @@
-//! Calls over a connection of their own.
+//! HTTP calls that each open a new connection.
 use super::connection::{HttpConnection, JsonRequest};
 use quincehatch_runtime::seam;
 use serde_json::Value;
@@ -8,10 +8,10 @@
 /// Sends one request over a new connection; returns the status and the JSON body of the reply.
 ///
 /// # Errors
-/// `TimedOut` after `within`; else what opening or using the connection gave.
-pub async fn call_once(addr: &str, request: &JsonRequest<'_>, within: Duration) -> io::Result<(u16, Value)> {
-    let work = async { HttpConnection::open(addr, None).await?.call(request).await };
-    match seam::timeout(within, work).await {
+/// `TimedOut` after `timeout`; otherwise the error of opening or using the connection.
+pub async fn call_once(addr: &str, request: &JsonRequest<'_>, timeout: Duration) -> io::Result<(u16, Value)> {
+    let exchange = async { HttpConnection::open(addr, None).await?.call(request).await };
+    match seam::timeout(timeout, exchange).await {
         Ok(reply) => reply,
         Err(_) => Err(io::Error::new(io::ErrorKind::TimedOut, "no answer in time")),
     }
@@ -20,15 +20,15 @@
 /// Sends one request with additional headers over a new connection; returns the status of the reply alone.
 ///
 /// # Errors
-/// `TimedOut` after `within`; else what opening or using the connection gave.
+/// `TimedOut` after `timeout`; otherwise the error of opening or using the connection.
 pub async fn call_for_status(
     addr: &str,
     request: &JsonRequest<'_>,
     headers: &[(&str, &str)],
-    within: Duration,
+    timeout: Duration,
 ) -> io::Result<u16> {
-    let work = async { HttpConnection::open(addr, None).await?.call_for_status(request, headers).await };
-    match seam::timeout(within, work).await {
+    let exchange = async { HttpConnection::open(addr, None).await?.call_for_status(request, headers).await };
+    match seam::timeout(timeout, exchange).await {
         Ok(reply) => reply,
         Err(_) => Err(io::ErrorKind::TimedOut.into()),
     }
@@ -38,6 +38,6 @@
 ///
 /// # Errors
 /// As [`call_once`].
-pub async fn post_once(addr: &str, path: &str, body: &Value, within: Duration) -> io::Result<(u16, Value)> {
-    call_once(addr, &JsonRequest { method: "POST", path, body, token: None }, within).await
+pub async fn post_once(addr: &str, path: &str, body: &Value, timeout: Duration) -> io::Result<(u16, Value)> {
+    call_once(addr, &JsonRequest { method: "POST", path, body, token: None }, timeout).await
 }
--- a/crates/wire/src/identity.rs
+++ b/crates/wire/src/identity.rs
@@ -1,4 +1,4 @@
-//! Which process is at one end of a call: its name and its incarnation, as short numbers.
+//! Identities of the processes at the two ends of a call: name and incarnation, as short numbers.
 use borsh::{BorshDeserialize, BorshSerialize};
 use quincehatch_core::{Name, hash64};
 use quincehatch_runtime::seam;
@@ -6,7 +6,8 @@
 /// The receiver tag of requests to whichever process listens at the address.
 pub const ANY_RECEIVER: u32 = 0;
 
-/// A process as frames name it: hashes, because its name would be longer than most messages.
+/// The identity of a process in frames. It has a hash of the name, because the name itself would be longer than most
+/// messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub struct ProcessId {
     /// Hash of the name, the same across restarts.
@@ -17,24 +18,24 @@
 }
 
 impl ProcessId {
-    /// The receiver tag of this one incarnation.
+    /// Returns the receiver tag of this incarnation alone.
     pub fn tag(self) -> u32 {
         fold(hash64(&[&self.name.to_le_bytes(), &self.incarnation.to_le_bytes()]))
     }
 }
 
-/// The receiver tag of every incarnation of the process with that name.
+/// Returns the receiver tag of every incarnation of the process with that name.
 pub fn name_tag(name: &str) -> u32 {
     fold(hash64(&[name.as_bytes()]))
 }
 
-/// 32 bits of a hash, never [`ANY_RECEIVER`].
+/// Folds a hash to 32 bits. The result is never [`ANY_RECEIVER`].
 fn fold(hash: u64) -> u32 {
     let half = (hash ^ (hash >> 32)) as u32;
     half.max(ANY_RECEIVER + 1)
 }
 
-/// The process that calls or answers.
+/// The name and the identity in frames of a process that calls or answers.
 #[derive(Clone, Debug)]
 pub struct Identity {
     name: Name,
@@ -42,12 +43,12 @@
 }
 
 impl Identity {
-    /// This process under that name, in its present incarnation.
+    /// Returns the identity of this process under that name, in its current incarnation.
     pub fn new(name: &str) -> Identity {
         Identity::with_incarnation(name, seam::incarnation())
     }
 
-    /// A process of that name in a given incarnation.
+    /// Returns the identity of a process of that name in a given incarnation.
     pub fn with_incarnation(name: &str, incarnation: u64) -> Identity {
         let id = ProcessId { name: name_tag(name), incarnation: fold(incarnation) as u16 };
         Identity { name: name.into(), id }
@@ -58,7 +59,7 @@
         &self.name
     }
 
-    /// The process as frames name it.
+    /// The identity of the process in frames.
     pub fn id(&self) -> ProcessId {
         self.id
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,8 @@
-//! Calls between the project's own processes: one framed request, one framed answer; and HTTP calls to servers.
+//! Calls between the project's own processes, each with one framed request and one framed answer; and HTTP calls to
+//! servers.
 //!
 //! Every request names its sender, its receiver and its call number; every answer repeats the number and names the
-//! process that gave it. A process rejects a request that is not meant for it, and a caller accepts only the answer to
+//! process that answers. A process rejects a request that is not meant for it, and a caller accepts only the answer to
 //! its own call. The [`Call`] type of a request says whether it may be sent a second time.
 #![warn(
     missing_docs,
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -1,6 +1,6 @@
-//! The answering side.
+//! The server side of calls.
 use crate::frame::{
-    AnswerHeader, FrameKind, Incoming, RequestHeader, encode, invalid, read_frame, write_frame,
+    AnswerHeader, FrameKind, Incoming, RequestHeader, encode, invalid_data, read_frame, write_frame,
 };
 use crate::{Call, Identity};
 use std::future::Future;
@@ -12,7 +12,7 @@
 /// Pause after a failed accept, which mostly means that file descriptors ran out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Answers requests on `listener` until the task is dropped; at most `max_connections` connections at once.
+/// Answers requests on `listener` until the future is dropped. At most `max_connections` connections are open at once.
 pub async fn serve<Q, F, Fut>(listener: TcpListener, max_connections: usize, identity: Identity, answer: F)
 where
     Q: Call,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Answers one caller until its connection ends or a frame of another sender comes on it.
+/// Answers the requests of one caller until its connection ends or a frame of another sender arrives on it.
 async fn serve_connection<Q, F, Fut>(mut stream: TcpStream, identity: &Identity, answer: F) -> io::Result<()>
 where
     Q: Call,
@@ -47,24 +47,24 @@
         let request = read_frame(&mut stream).await?;
         let (header, _) = Incoming::parse(&request)?.header::<RequestHeader>()?;
         if *sender.get_or_insert(header.sender) != header.sender {
-            return Err(invalid("another sender on the same connection"));
+            return Err(invalid_data("another sender on the same connection"));
         }
         let reply = respond(identity, &request, &answer).await?;
         write_frame(&mut stream, &reply).await?;
     }
 }
 
-/// A request frame that was read.
+/// A decoded request frame.
 #[derive(Debug)]
 pub enum Received<Q> {
-    /// The request is for this process, which answers it under that number.
+    /// A request for this process, to be answered under the number of the call.
     Request {
         /// The caller's number for the call.
         call: u16,
-        /// What is asked.
+        /// The decoded request.
         request: Q,
     },
-    /// The request is for another process; the frame tells the caller so.
+    /// The request was for another process; this frame is the rejection to send to the caller.
     Rejected(Vec<u8>),
 }
 
@@ -75,7 +75,7 @@
 pub fn receive<Q: Call>(identity: &Identity, frame: &[u8]) -> io::Result<Received<Q>> {
     let incoming = Incoming::parse(frame)?;
     if incoming.kind != FrameKind::Request {
-        return Err(invalid("not a request"));
+        return Err(invalid_data("not a request"));
     }
     let (header, message) = incoming.header::<RequestHeader>()?;
     if !identity.is_receiver(header.receiver) {
@@ -85,7 +85,7 @@
     Ok(Received::Request { call: header.call, request: borsh::from_slice(message)? })
 }
 
-/// The frame that answers a call.
+/// Encodes the frame that answers a call.
 ///
 /// # Errors
 /// `InvalidData` when the answer is too long for a frame.
@@ -98,7 +98,7 @@
     encode(FrameKind::Answer, &header, answer)
 }
 
-/// The answer to one request frame, as a frame. A request for another process is rejected without being run.
+/// Returns the answer to one request frame, as a frame. A request for another process is rejected and not executed.
 ///
 /// # Errors
 /// `InvalidData` when the frame is not a request of type `Q`, or the answer is too long for a frame.
--- a/crates/wire/tests/wire/keepalive.rs
+++ b/crates/wire/tests/wire/keepalive.rs
@@ -1,4 +1,4 @@
-//! The kernel's two ways of noticing a dead peer, read back from the socket.
+//! Checks the keep-alive settings of a socket by reading them back from the kernel.
 use quincehatch_wire::http::{KeepaliveExt, KeepaliveSettings};
 use tokio::net::{TcpListener, TcpStream};
 
--- a/crates/wire/tests/wire/layout.rs
+++ b/crates/wire/tests/wire/layout.rs
@@ -1,11 +1,11 @@
-//! Bytes before each message: they are priced, and the capacity page reckons with them.
+//! Checks the sizes of the frame headers, on which the traffic costs in the capacity page are based.
 use crate::TestRequest;
 use quincehatch_wire::{
     ANSWER_HEADER_BYTES, AnswerHeader, FrameKind, Identity, REQUEST_HEADER_BYTES, RequestHeader, encode,
 };
 
 #[test]
-fn headers_are_as_long_as_said() {
+fn encoded_headers_have_the_declared_lengths() {
     let message = borsh::to_vec(&TestRequest::Read(1)).unwrap().len();
     let header = RequestHeader { call: 1, sender: 2, receiver: 3 };
     let request = encode(FrameKind::Request, &header, &TestRequest::Read(1)).unwrap();
--- a/crates/wire/tests/wire/main.rs
+++ b/crates/wire/tests/wire/main.rs
@@ -1,4 +1,5 @@
-//! Calls between processes: an answer reaches only its call, and what may not be repeated arrives once.
+//! Tests of calls between processes: an answer reaches only its own call, and a request that may not be repeated
+//! arrives at most once.
 mod keepalive;
 mod layout;
 mod model;
@@ -8,7 +9,7 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use quincehatch_wire::{Call, IdempotencyKey, RetrySafety};
 
-/// One request of each retry safety; the answer to each is its own number.
+/// A request of each kind of retry safety. The answer to each request is its own number.
 #[derive(Clone, Copy, Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum TestRequest {
     Read(u32),
--- a/crates/wire/tests/wire/model.rs
+++ b/crates/wire/tests/wire/model.rs
@@ -1,5 +1,5 @@
-//! Every order of answers, breaks, restarts and replacements for two callers that share connections, with up to three
-//! faults in a run.
+//! A model check of two clients that share connections: it explores every order of answers, disconnects, restarts and
+//! replacements, with up to three faults in a run.
 use crate::TestRequest;
 use crate::network::{Event, Network};
 use quincehatch_wire::{CallError, Caller, Destination, Identity};
@@ -8,19 +8,19 @@
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
 
-/// Longer than any run.
+/// Longer than any run, so that no call times out.
 const TIMEOUT: Duration = Duration::from_secs(36_000);
-/// Events of a run that are not plain answers.
+/// The largest number of events in a run that are not plain answers.
 const MAX_FAULTS: usize = 3;
 
-/// A decision of a run.
+/// One decision of a run among several options.
 struct Decision {
-    taken: usize,
-    /// How many there were to choose from.
+    chosen: usize,
+    /// The number of options.
     options: usize,
 }
 
-/// The decisions of one run. The next run differs in the last one that has an option left.
+/// The decisions of one run. The next run differs in the last decision that has an option left.
 #[derive(Default)]
 struct Choices {
     decisions: Vec<Decision>,
@@ -28,21 +28,21 @@
 }
 
 impl Choices {
-    /// The decision of this run among `options`.
+    /// Returns the option that this run chooses among `options`.
     fn choose(&mut self, options: usize) -> usize {
         if self.next == self.decisions.len() {
-            self.decisions.push(Decision { taken: 0, options });
+            self.decisions.push(Decision { chosen: 0, options });
         }
         self.next += 1;
-        self.decisions[self.next - 1].taken
+        self.decisions[self.next - 1].chosen
     }
 
-    /// Goes on to the next run; false when all were made.
+    /// Advances to the next run. Returns `false` when all runs were made.
     fn advance(&mut self) -> bool {
         self.next = 0;
-        while let Some(Decision { taken, options }) = self.decisions.pop() {
-            if taken + 1 < options {
-                self.decisions.push(Decision { taken: taken + 1, options });
+        while let Some(Decision { chosen, options }) = self.decisions.pop() {
+            if chosen + 1 < options {
+                self.decisions.push(Decision { chosen: chosen + 1, options });
                 return true;
             }
         }
@@ -50,7 +50,7 @@
     }
 }
 
-/// The requests that have ended, and how.
+/// The completed requests and their results.
 type Results = Arc<Mutex<Vec<(TestRequest, Result<u32, CallError>)>>>;
 type Client = Pin<Box<dyn Future<Output = ()>>>;
 
@@ -58,20 +58,20 @@
     let (caller, results) = (caller.clone(), results.clone());
     Box::pin(async move {
         for request in requests {
-            let result = caller.call(Destination::process("a", "there"), &request, TIMEOUT).await;
+            let result = caller.call(Destination::process("a", "host:1"), &request, TIMEOUT).await;
             results.lock().unwrap().push((request, result));
         }
     })
 }
 
-/// What happened in one run.
+/// The record of one run.
 struct Run {
     events: Vec<Event>,
     network: Network,
     results: Results,
 }
 
-/// Makes the run that the choices say.
+/// Makes the run that `choices` selects.
 fn run(choices: &mut Choices, requests: [[TestRequest; 2]; 2]) -> Run {
     let (network, results) = (Network::new(), Results::default());
     let caller = Caller::over(Identity::with_incarnation("caller", 1), network.clone());
@@ -84,12 +84,15 @@
                 *slot = None;
             }
         }
-        let waiting = network.waiting();
-        if waiting.is_empty() {
-            assert!(clients.iter().all(Option::is_none), "a call waits for nothing after {events:?}");
+        let pending = network.pending_connections();
+        if pending.is_empty() {
+            assert!(
+                clients.iter().all(Option::is_none),
+                "a call is pending but no request is, after {events:?}"
+            );
             return Run { events, network, results };
         }
-        let connection = waiting[choices.choose(waiting.len())];
+        let connection = pending[choices.choose(pending.len())];
         let faults = events.iter().filter(|event| **event != Event::Answer).count();
         let options = if faults < MAX_FAULTS { Event::ALL.len() } else { 1 };
         let event = Event::ALL[choices.choose(options)];
@@ -102,28 +105,32 @@
     let Run { events, network, results } = run;
     let state = network.0.lock().unwrap();
     for (request, result) in results.lock().unwrap().iter() {
-        let runs = state.ran.iter().filter(|ran| ran.request == *request).count();
-        let message = format!("{request:?} ended with {result:?} and ran {runs} times, after {events:?}");
+        let execution_count =
+            state.executions.iter().filter(|execution| execution.request == *request).count();
+        let message = format!(
+            "{request:?} ended with {result:?} and was executed {execution_count} times, after {events:?}"
+        );
         match result {
-            Ok(number) => assert!(*number == request.number() && runs > 0, "{message}"),
+            Ok(number) => assert!(*number == request.number() && execution_count > 0, "{message}"),
             Err(CallError::NotSent(_) | CallError::WrongReceiver { .. }) => {
-                assert!(runs == 0 || !matches!(request, TestRequest::Once(_)), "{message}");
+                assert!(execution_count == 0 || !matches!(request, TestRequest::Once(_)), "{message}");
             }
             Err(CallError::NoAnswer(_)) => assert!(matches!(request, TestRequest::Read(_)), "{message}"),
             Err(CallError::OutcomeUnknown(_)) => {
                 assert!(!matches!(request, TestRequest::Read(_)), "{message}")
             }
         }
-        assert!(runs <= 1 || !matches!(request, TestRequest::Once(_)), "{message}");
-        assert!(runs <= 2, "{message}");
+        assert!(execution_count <= 1 || !matches!(request, TestRequest::Once(_)), "{message}");
+        assert!(execution_count <= 2, "{message}");
     }
     assert!(
-        state.ran.iter().all(|ran| ran.process == "a"),
-        "run by another process: {events:?} {:?}",
-        state.ran
+        state.executions.iter().all(|execution| execution.process == "a"),
+        "executed by another process: {events:?} {:?}",
+        state.executions
     );
 }
 
+/// Checks every run with these requests and returns the number of runs.
 fn explore(requests: [[TestRequest; 2]; 2]) -> usize {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
     let _context = runtime.enter();
@@ -139,7 +146,7 @@
 }
 
 #[test]
-fn under_every_order_an_answer_reaches_only_its_call() {
+fn an_answer_reaches_only_its_own_call_in_every_order_of_events() {
     let runs = explore([
         [TestRequest::Read(1), TestRequest::Once(2)],
         [TestRequest::Write(3), TestRequest::Read(4)],
--- a/crates/wire/tests/wire/network.rs
+++ b/crates/wire/tests/wire/network.rs
@@ -1,4 +1,4 @@
-//! A network of the model: connections whose requests are answered only as the explorer chooses.
+//! The network of the model check: its requests are answered only as the explorer chooses.
 use crate::TestRequest;
 use quincehatch_wire::{
     AnswerHeader, Connector, FrameKind, Identity, Incoming, LENGTH_BYTES, RequestHeader, encode, respond,
@@ -10,23 +10,23 @@
 use std::task::{Context, Poll, Waker};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// What may become of a request that has arrived.
+/// An event that the explorer may choose for a request that has arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     Answer,
-    /// It is run, and the connection breaks.
+    /// The request is executed, and the connection breaks.
     LoseAnswer,
-    /// It is not run, and the connection breaks.
+    /// The request is not executed, and the connection breaks.
     LoseRequest,
-    /// It is run and answered under the number of the call before.
+    /// The request is executed and answered under the number of the previous call.
     AnswerPrevious,
-    /// It is run and answered twice.
+    /// The request is executed and answered twice.
     AnswerTwice,
-    /// Another process answers: on a connection that was answered before, another incarnation of the same name.
+    /// Another process answers; on a connection with an earlier answer it is another incarnation of the same name.
     AnswerFromOther,
-    /// Another incarnation of the process is there; connections break.
+    /// Another incarnation of the process listens from now on; all connections break.
     Restart,
-    /// Another process is there; connections break.
+    /// Another process listens from now on; all connections break.
     Replace,
 }
 
@@ -45,18 +45,18 @@
 
 #[derive(Default)]
 struct ModelConnection {
-    /// From the caller, not yet taken.
+    /// Bytes from the caller that the process has not read yet.
     sent: Vec<u8>,
-    /// For the caller.
+    /// Bytes that the caller has not read yet.
     reply: VecDeque<u8>,
     answered: bool,
     broken: bool,
     closed: bool,
 }
 
-/// A request that a process ran.
+/// A request that a process executed.
 #[derive(Debug)]
-pub struct Ran {
+pub struct Execution {
     /// The name of the process.
     pub process: String,
     pub request: TestRequest,
@@ -67,8 +67,8 @@
     connections: Vec<ModelConnection>,
     listener: Identity,
     incarnation: u64,
-    /// What was run.
-    pub ran: Vec<Ran>,
+    /// The requests that were executed.
+    pub executions: Vec<Execution>,
 }
 
 #[derive(Clone)]
@@ -82,16 +82,16 @@
 impl Network {
     pub fn new() -> Network {
         let listener = Identity::with_incarnation("a", 1);
-        let state = State { connections: Vec::new(), listener, incarnation: 1, ran: Vec::new() };
+        let state = State { connections: Vec::new(), listener, incarnation: 1, executions: Vec::new() };
         Network(Arc::new(Mutex::new(state)))
     }
-    /// Connections on which a request waits.
-    pub fn waiting(&self) -> Vec<usize> {
+    /// Connections on which a request is pending.
+    pub fn pending_connections(&self) -> Vec<usize> {
         let state = self.0.lock().unwrap();
-        let waits = |connection: &ModelConnection| {
+        let has_pending_request = |connection: &ModelConnection| {
             !connection.sent.is_empty() && !connection.broken && !connection.closed
         };
-        (0..state.connections.len()).filter(|i| waits(&state.connections[*i])).collect()
+        (0..state.connections.len()).filter(|i| has_pending_request(&state.connections[*i])).collect()
     }
     pub fn apply(&self, connection: usize, event: Event) {
         let mut state = self.0.lock().unwrap();
@@ -104,7 +104,7 @@
 }
 
 impl State {
-    /// The process is replaced by another incarnation, or by another process.
+    /// Replaces the process by another incarnation, or by another process.
     fn replace_process(&mut self, event: Event) {
         self.incarnation += 1;
         let name = if event == Event::Replace { "b" } else { self.listener.name().as_str() };
@@ -115,49 +115,49 @@
     fn serve(&mut self, connection: usize, event: Event) {
         let bytes = std::mem::take(&mut self.connections[connection].sent);
         let frame = &bytes[LENGTH_BYTES..];
-        let (ran, identity) = (&mut self.ran, &self.listener);
-        let run = |request: TestRequest| {
-            ran.push(Ran { process: identity.name().to_string(), request });
+        let (executions, identity) = (&mut self.executions, &self.listener);
+        let execute = |request: TestRequest| {
+            executions.push(Execution { process: identity.name().to_string(), request });
             std::future::ready(request.number())
         };
-        let reply = now(respond(identity, frame, run_once(run))).unwrap();
+        let reply = poll_ready(respond(identity, frame, as_shared_fn(execute))).unwrap();
         let (header, _) = Incoming::parse(frame).unwrap().header::<RequestHeader>().unwrap();
-        let other =
+        let forged_answer =
             |call, responder| encode(FrameKind::Answer, &AnswerHeader { call, responder }, &999u32).unwrap();
         let answers = match event {
             Event::Answer => vec![reply],
             Event::AnswerTwice => vec![reply.clone(), reply],
-            Event::AnswerPrevious => vec![other(header.call.wrapping_sub(1), identity.id())],
+            Event::AnswerPrevious => vec![forged_answer(header.call.wrapping_sub(1), identity.id())],
             Event::AnswerFromOther => {
                 let name = if self.connections[connection].answered { identity.name().as_str() } else { "b" };
-                vec![other(header.call, Identity::with_incarnation(name, 77).id())]
+                vec![forged_answer(header.call, Identity::with_incarnation(name, 77).id())]
             }
             _ => vec![],
         };
-        let to = &mut self.connections[connection];
-        to.broken = answers.is_empty();
-        to.answered = true;
+        let target = &mut self.connections[connection];
+        target.broken = answers.is_empty();
+        target.answered = true;
         for answer in answers {
             let length = (answer.len() as u32).to_le_bytes();
-            to.reply.extend(&length[..LENGTH_BYTES]);
-            to.reply.extend(answer);
+            target.reply.extend(&length[..LENGTH_BYTES]);
+            target.reply.extend(answer);
         }
     }
 }
 
-/// `respond` takes what may be called often; here it is called once.
-fn run_once<F: FnMut(TestRequest) -> std::future::Ready<u32>>(
-    run: F,
+/// Wraps a closure that has state of its own for `respond`, which accepts only an `Fn`.
+fn as_shared_fn<F: FnMut(TestRequest) -> std::future::Ready<u32>>(
+    execute: F,
 ) -> impl Fn(TestRequest) -> std::future::Ready<u32> {
-    let run = std::cell::RefCell::new(run);
-    move |request| (run.borrow_mut())(request)
+    let execute = std::cell::RefCell::new(execute);
+    move |request| (execute.borrow_mut())(request)
 }
 
-/// The result of a future that does not wait.
-fn now<T>(future: impl Future<Output = T>) -> T {
+/// Returns the output of a future that is ready at the first poll.
+fn poll_ready<T>(future: impl Future<Output = T>) -> T {
     match std::pin::pin!(future).poll(&mut Context::from_waker(Waker::noop())) {
         Poll::Ready(value) => value,
-        Poll::Pending => panic!("it waits"),
+        Poll::Pending => panic!("the future is pending"),
     }
 }
 
@@ -188,7 +188,7 @@
 }
 
 impl AsyncWrite for Stream {
-    /// A broken connection takes bytes all the same, as a kernel does before the reset has come.
+    /// A broken connection accepts bytes too, as a kernel does until the reset arrives.
     fn poll_write(self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.network.0.lock().unwrap().connections[self.connection].sent.extend_from_slice(bytes);
         Poll::Ready(Ok(bytes.len()))
--- a/crates/wire/tests/wire/sockets.rs
+++ b/crates/wire/tests/wire/sockets.rs
@@ -1,4 +1,5 @@
-//! Stand-in servers over loopback sockets; what they do with each frame is a list, and no step waits for a clock.
+//! Tests over loopback sockets against scripted servers: a list gives the action for each frame, and no step waits for
+//! a clock.
 use crate::TestRequest;
 use quincehatch_wire::{
     AnswerHeader, CallError, Caller, Destination, FrameKind, Identity, Incoming, RequestHeader, encode,
@@ -10,26 +11,27 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 
-/// No test waits for it.
+/// Longer than any test takes, so that no call times out.
 const TIMEOUT: Duration = Duration::from_secs(600);
 
-/// What the stand-in does with a frame.
+/// The action of a scripted server on a frame.
 enum Action {
     Answer,
     /// Closes the connection without an answer.
-    Break,
-    /// Answers under the number of the call before.
+    Disconnect,
+    /// Answers under the number of the previous call.
     AnswerPrevious,
     /// Answers once it is released.
     AnswerAfter(oneshot::Receiver<()>),
-    /// Answers as another incarnation.
+    /// Answers in the name of another process or incarnation.
     AnswerAs(Identity),
 }
 
-struct StandIn {
+/// A server that answers frames by a list of actions, and records the requests.
+struct ScriptedServer {
     addr: String,
     arrived: Arc<Mutex<Vec<TestRequest>>>,
-    /// Each arrival, as it happens.
+    /// Notifies the test of each request when it arrives.
     arrivals: mpsc::UnboundedReceiver<TestRequest>,
 }
 
@@ -37,21 +39,22 @@
     encode(FrameKind::Answer, &AnswerHeader { call, responder: identity.id() }, &number).unwrap()
 }
 
-async fn stand_in(actions: Vec<Action>) -> StandIn {
+async fn start_scripted_server(actions: Vec<Action>) -> ScriptedServer {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap().to_string();
     let arrived = Arc::new(Mutex::new(Vec::new()));
-    let (actions, seen) = (Arc::new(Mutex::new(VecDeque::from(actions))), arrived.clone());
+    let (actions, recorded) = (Arc::new(Mutex::new(VecDeque::from(actions))), arrived.clone());
     let (arrival_sender, arrivals) = mpsc::unbounded_channel();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(play(stream, actions.clone(), seen.clone(), arrival_sender.clone()));
+            tokio::spawn(serve_script(stream, actions.clone(), recorded.clone(), arrival_sender.clone()));
         }
     });
-    StandIn { addr, arrived, arrivals }
+    ScriptedServer { addr, arrived, arrivals }
 }
 
-async fn play(
+/// Serves one connection by the list of actions; after its end every request is answered.
+async fn serve_script(
     mut stream: TcpStream,
     actions: Arc<Mutex<VecDeque<Action>>>,
     arrived: Arc<Mutex<Vec<TestRequest>>>,
@@ -66,7 +69,7 @@
         let _ = arrival_sender.send(request);
         let (responder, call) = match action {
             Action::Answer => (identity.clone(), header.call),
-            Action::Break => return,
+            Action::Disconnect => return,
             Action::AnswerPrevious => (identity.clone(), header.call.wrapping_sub(1)),
             Action::AnswerAfter(released) => {
                 let _ = released.await;
@@ -84,7 +87,7 @@
     Caller::new(Identity::with_incarnation("caller", 1))
 }
 
-impl StandIn {
+impl ScriptedServer {
     async fn send(&self, caller: &Caller, request: TestRequest) -> Result<u32, CallError> {
         caller.call(Destination::process("a", &self.addr), &request, TIMEOUT).await
     }
@@ -95,7 +98,7 @@
 
 #[tokio::test]
 async fn a_call_that_may_not_be_repeated_arrives_once_when_its_connection_breaks() {
-    let server = stand_in(vec![Action::Answer, Action::Break, Action::Answer]).await;
+    let server = start_scripted_server(vec![Action::Answer, Action::Disconnect, Action::Answer]).await;
     let caller = caller();
     assert_eq!(server.send(&caller, TestRequest::Read(1)).await, Ok(1));
     let result = server.send(&caller, TestRequest::Once(2)).await;
@@ -104,9 +107,9 @@
 }
 
 #[tokio::test]
-async fn a_call_that_may_be_repeated_is_sent_again_when_a_kept_connection_breaks() {
+async fn a_call_that_may_be_repeated_is_sent_again_when_a_reused_connection_breaks() {
     for request in [TestRequest::Read(2), TestRequest::Write(2)] {
-        let server = stand_in(vec![Action::Answer, Action::Break, Action::Answer]).await;
+        let server = start_scripted_server(vec![Action::Answer, Action::Disconnect, Action::Answer]).await;
         let caller = caller();
         assert_eq!(server.send(&caller, TestRequest::Read(1)).await, Ok(1));
         assert_eq!(server.send(&caller, request).await, Ok(2));
@@ -115,9 +118,9 @@
 }
 
 #[tokio::test]
-async fn an_answer_reaches_no_other_call_when_it_comes_late() {
+async fn an_answer_reaches_no_other_call_when_it_arrives_late() {
     let (release, released) = oneshot::channel();
-    let mut server = stand_in(vec![Action::AnswerAfter(released), Action::Answer]).await;
+    let mut server = start_scripted_server(vec![Action::AnswerAfter(released), Action::Answer]).await;
     let caller = caller();
     let addr = server.addr.clone();
     tokio::select! {
@@ -129,12 +132,12 @@
 }
 
 #[tokio::test]
-async fn an_answer_is_not_accepted_when_its_number_is_another_calls() {
-    let server = stand_in(vec![Action::AnswerPrevious]).await;
+async fn an_answer_is_not_accepted_when_it_has_the_number_of_another_call() {
+    let server = start_scripted_server(vec![Action::AnswerPrevious]).await;
     let result = server.send(&caller(), TestRequest::Once(1)).await;
     assert!(matches!(result, Err(CallError::OutcomeUnknown(_))), "{result:?}");
-    // On a kept connection a read goes out again, on a new one.
-    let server = stand_in(vec![Action::Answer, Action::AnswerPrevious, Action::Answer]).await;
+    // A read over a reused connection is sent again over a new one.
+    let server = start_scripted_server(vec![Action::Answer, Action::AnswerPrevious, Action::Answer]).await;
     let caller = caller();
     assert_eq!(server.send(&caller, TestRequest::Read(1)).await, Ok(1));
     assert_eq!(server.send(&caller, TestRequest::Read(2)).await, Ok(2));
@@ -143,39 +146,40 @@
 
 #[tokio::test]
 async fn an_answer_is_not_accepted_when_another_process_gives_it() {
-    let server = stand_in(vec![Action::AnswerAs(Identity::with_incarnation("b", 1))]).await;
+    let server = start_scripted_server(vec![Action::AnswerAs(Identity::with_incarnation("b", 1))]).await;
     let result = server.send(&caller(), TestRequest::Once(1)).await;
     assert!(matches!(result, Err(CallError::OutcomeUnknown(_))), "{result:?}");
-    // Nor one of another incarnation on a connection that has its first one at its end.
+    // On a connection on which one incarnation has answered, an answer of another incarnation is not accepted.
     let restarted = Identity::with_incarnation("a", 2);
-    let server = stand_in(vec![Action::Answer, Action::AnswerAs(restarted), Action::Answer]).await;
+    let server =
+        start_scripted_server(vec![Action::Answer, Action::AnswerAs(restarted), Action::Answer]).await;
     let caller = caller();
     assert_eq!(server.send(&caller, TestRequest::Read(1)).await, Ok(1));
     assert_eq!(server.send(&caller, TestRequest::Read(2)).await, Ok(2));
     assert_eq!(server.arrived().len(), 3);
 }
 
-/// A process that serves at an address until it is dropped, with all its connections.
+/// A process that serves at an address until it is stopped; its connections end with it.
 struct Process {
     runtime: Option<tokio::runtime::Runtime>,
-    ran: Arc<Mutex<Vec<TestRequest>>>,
+    executed: Arc<Mutex<Vec<TestRequest>>>,
 }
 
 impl Process {
     fn start(listener: std::net::TcpListener, identity: Identity) -> Process {
         let runtime =
             tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap();
-        let ran = Arc::new(Mutex::new(Vec::new()));
-        let seen = ran.clone();
+        let executed = Arc::new(Mutex::new(Vec::new()));
+        let recorded = executed.clone();
         listener.set_nonblocking(true).unwrap();
         runtime.spawn(async move {
             let answer = move |request: TestRequest| {
-                seen.lock().unwrap().push(request);
+                recorded.lock().unwrap().push(request);
                 std::future::ready(request.number())
             };
             serve(TcpListener::from_std(listener).unwrap(), 8, identity, answer).await;
         });
-        Process { runtime: Some(runtime), ran }
+        Process { runtime: Some(runtime), executed }
     }
     fn stop(mut self) {
         let runtime = self.runtime.take().unwrap();
@@ -184,10 +188,10 @@
 }
 
 #[tokio::test]
-async fn a_process_does_not_run_calls_for_another_when_it_starts_at_its_address() {
+async fn a_process_does_not_execute_calls_for_another_whose_address_it_took_over() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap().to_string();
-    // The address stays bound, as if the next process had started at once.
+    // The listener stays bound, as if the next process had started immediately.
     let (second, third) = (listener.try_clone().unwrap(), listener.try_clone().unwrap());
     let caller = caller();
     let to = Destination::process("a", &addr);
@@ -202,23 +206,23 @@
         assert_eq!(result, Err(CallError::WrongReceiver { by }));
     }
     assert_eq!(caller.call(Destination::address(&addr), &TestRequest::Read(5), TIMEOUT).await, Ok(5));
-    assert_eq!(*other.ran.lock().unwrap(), [TestRequest::Read(5)]);
+    assert_eq!(*other.executed.lock().unwrap(), [TestRequest::Read(5)]);
     other.stop();
 
-    let again = Process::start(third, Identity::with_incarnation("a", 2));
+    let restarted = Process::start(third, Identity::with_incarnation("a", 2));
     assert_eq!(caller.call(to, &TestRequest::Write(6), TIMEOUT).await, Ok(6));
-    again.stop();
+    restarted.stop();
 }
 
 #[tokio::test]
-async fn a_frame_is_not_run_when_it_is_of_another_version_or_for_another_process() {
+async fn a_request_is_not_executed_when_its_frame_has_another_version_or_receiver() {
     let identity = Identity::with_incarnation("a", 1);
-    let ran = |_: TestRequest| async { panic!("it was run") };
+    let execute = |_: TestRequest| async { panic!("the request was executed") };
     for receiver in ["b", "A", ""] {
         let receiver = Identity::with_incarnation(receiver, 7).id().name;
         let header = RequestHeader { call: 9, sender: 1, receiver };
         let frame = encode(FrameKind::Request, &header, &TestRequest::Once(1)).unwrap();
-        let reply = respond(&identity, &frame, ran).await.unwrap();
+        let reply = respond(&identity, &frame, execute).await.unwrap();
         let incoming = Incoming::parse(&reply).unwrap();
         assert_eq!(incoming.kind, FrameKind::Rejected);
         assert_eq!(
@@ -226,15 +230,15 @@
             AnswerHeader { call: 9, responder: identity.id() }
         );
     }
-    let earlier = Identity::with_incarnation("a", 2).id().tag();
-    let header = RequestHeader { call: 9, sender: 1, receiver: earlier };
+    let other_incarnation = Identity::with_incarnation("a", 2).id().tag();
+    let header = RequestHeader { call: 9, sender: 1, receiver: other_incarnation };
     let frame = encode(FrameKind::Request, &header, &TestRequest::Once(1)).unwrap();
     assert_eq!(
-        Incoming::parse(&respond(&identity, &frame, ran).await.unwrap()).unwrap().kind,
+        Incoming::parse(&respond(&identity, &frame, execute).await.unwrap()).unwrap().kind,
         FrameKind::Rejected
     );
     let mut frame =
         encode(FrameKind::Request, &RequestHeader { receiver: 0, ..header }, &TestRequest::Once(1)).unwrap();
     frame[0] ^= 0x10;
-    assert!(respond(&identity, &frame, ran).await.is_err());
+    assert!(respond(&identity, &frame, execute).await.is_err());
 }
