--- a/crates/config/src/configuration/connections.rs
+++ b/crates/config/src/configuration/connections.rs
@@ -2,16 +2,16 @@
 use schematic::Config;
 use serde::{Deserialize, Serialize};
 
-/// How many connections a node opens to a server.
+/// The largest numbers of connections from one node to one server.
 #[derive(Config, Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConnectionLimits {
-    /// To a replica.
+    /// Connections to a replica.
     #[setting(default = 16)]
     pub per_replica: u64,
-    /// To a primary.
+    /// Connections to a primary.
     #[setting(default = 64)]
     pub per_primary: u64,
-    /// Share of the primary's connections, in percent, that lookups may take while every replica is ejected.
+    /// Share of the primary's connections, in percent, that lookups may use while every replica is ejected.
     #[setting(default = 25, rename = "primary_lookup_percent")]
     #[serde(rename = "lookup_share")]
     pub primary_lookup_percent: u64,
--- a/crates/config/src/configuration/group.rs
+++ b/crates/config/src/configuration/group.rs
@@ -7,10 +7,10 @@
 pub struct Group {
     /// The group's name, as its servers give it in their label `group`.
     pub name: String,
-    /// Connections that each of its servers takes from all nodes together.
+    /// Connections that each server of the group admits from all nodes together.
     #[setting(default = 64, rename = "connections")]
     #[serde(rename = "links")]
     pub connections: u64,
-    /// A commit is acknowledged once this many replicas have received it; none: once a majority has.
+    /// Number of replicas that must have received a commit before it is acknowledged; `None` stands for a majority.
     pub sync_replicas: Option<u64>,
 }
--- a/crates/config/src/configuration/health.rs
+++ b/crates/config/src/configuration/health.rs
@@ -1,14 +1,15 @@
-//! Health settings: the evidence at which a server is ejected, and its way back.
+//! Health settings: when a server is ejected, and how it returns to service.
 use schematic::{Config, ConfigLoader};
 use serde::{Deserialize, Serialize};
 use std::sync::OnceLock;
 
-/// How evidence against a server is weighed, and how long an ejected server waits.
+/// The weights of evidence against a server, the threshold of ejection and the waiting times before a probation.
 ///
 /// Each kind of evidence has a weight; a server is ejected once the weights of the last `evidence_ms` reach `eject_at`.
 #[derive(Config, Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HealthSettings {
-    /// After this time in milliseconds a pending reply alone ejects its server, unless the route has its own.
+    /// After this time in milliseconds a pending reply alone ejects its server, unless the route has a timeout of
+    /// its own.
     #[setting(default = 30000)]
     pub query_timeout_ms: u64,
     /// Idle time in milliseconds before the first keep-alive on a connection to a server.
@@ -21,18 +22,18 @@
     #[setting(default = 30000, rename = "probation_after_ms")]
     #[serde(rename = "return_after_ms")]
     pub probation_after_ms: u64,
-    /// Longest wait in milliseconds after failed probations.
+    /// Longest time in milliseconds before the next probation after failed ones.
     #[setting(default = 240000, rename = "probation_after_max_ms")]
     #[serde(rename = "return_most_ms")]
     pub probation_after_max_ms: u64,
-    /// Successful client lookups that end a probation.
+    /// Number of successful client lookups that end a probation.
     #[setting(default = 3, rename = "probation_successes")]
     #[serde(rename = "trial_good")]
     pub probation_successes: u64,
     /// Weight of a connection reset.
     #[setting(default = 100)]
     pub reset_weight: u64,
-    /// Weight of a time-out of the kernel's own on a connection.
+    /// Weight of a connection time-out that the kernel reports.
     #[setting(default = 100)]
     pub silent_weight: u64,
     /// Weight of an overdue reply or a stall.
@@ -50,7 +51,7 @@
     pub evidence_ms: u64,
 }
 
-/// The default health settings, for a node that has no configuration yet.
+/// Returns the default health settings, for a node that has no configuration yet.
 pub fn default_health_settings() -> &'static HealthSettings {
     static DEFAULTS: OnceLock<HealthSettings> = OnceLock::new();
     DEFAULTS.get_or_init(|| match ConfigLoader::<HealthSettings>::new().load() {
--- a/crates/config/src/configuration/labels.rs
+++ b/crates/config/src/configuration/labels.rs
@@ -1,16 +1,16 @@
-//! The labels that selectors are matched against: a server's or a request's own, then those of its zone.
+//! The labels that selectors are matched against: those of the server or the request, then those of its zone.
 use super::{Selector, Zone};
 use quincehatch_core::Labels;
 
 /// The label that names the zone of a server or of the node that took a request.
 pub const ZONE_LABEL: &str = "zone";
-/// The name that this label had in earlier releases. Each of the two stands in for the other where only one is given.
+/// The name that this label had in earlier releases. Where only one of the two labels is given, it is used for both.
 pub const DEPRECATED_ZONE_LABEL: &str = "district";
 
-/// The name of the zone, from the labels of a server or a request.
+/// Returns the name of the zone from the labels of a server or a request.
 ///
-/// The deprecated label comes first: where both are given, `zone` may be a label of the operator's own from the time
-/// when it had no meaning here.
+/// The deprecated label has precedence: where both are given, `zone` may be the operator's own label, from releases in
+/// which it had no special meaning.
 pub(super) fn zone_name(own: &Labels) -> Option<&str> {
     let label = own.get(DEPRECATED_ZONE_LABEL).or_else(|| own.get(ZONE_LABEL))?;
     Some(label.as_str())
@@ -24,7 +24,7 @@
     }
 }
 
-/// The labels of a server or a request; its own win over those of its zone.
+/// The labels of a server or a request. Its own labels have precedence over those of its zone.
 pub(super) struct EffectiveLabels<'labels> {
     own: &'labels Labels,
     zone: Option<&'labels Zone>,
@@ -51,7 +51,7 @@
     pub(super) fn matches(&self, selector: &Selector) -> bool {
         selector.iter().all(|(key, allowed)| {
             let value = self.get(key);
-            value.is_some_and(|value| allowed.iter().any(|one| one == value))
+            value.is_some_and(|value| allowed.iter().any(|allowed_value| allowed_value == value))
         })
     }
 }
--- a/crates/config/src/configuration/mod.rs
+++ b/crates/config/src/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration that an operator pushes: which servers there are, which requests go to them, and the limits.
+//! The configuration that an operator pushes: sets of servers, the routes of requests to them, and limits.
 mod connections;
 mod group;
 mod health;
@@ -20,7 +20,7 @@
 pub use zone::Zone;
 
 use crate::{deprecated_keys, document, schema_error};
-// The derive of `Config` refers to the partial form of each section that is no list.
+// The derive of `Config` refers to the partial type of each section that is not a list.
 use connections::PartialConnectionLimits;
 use health::PartialHealthSettings;
 use labels::EffectiveLabels;
@@ -29,7 +29,7 @@
 use schematic::{Config, ConfigLoader};
 use serde::{Deserialize, Serialize};
 
-/// A whole configuration.
+/// A complete configuration.
 ///
 /// Operators write it with the names of the fields as keys. Its serde form is the stored one
 /// ([`Configuration::to_stored_json`]), which keeps the keys of the first release.
@@ -38,7 +38,7 @@
     /// Named sets of servers.
     #[setting(nested)]
     pub placements: Vec<Placement>,
-    /// Which requests go to which placement; the first route that matches is used.
+    /// The routes of requests to placements; the first route that matches a request is used.
     #[setting(nested, rename = "routes")]
     #[serde(rename = "rules")]
     pub routes: Vec<Route>,
@@ -49,19 +49,19 @@
     /// Limits and replication of single server groups.
     #[setting(nested)]
     pub groups: Vec<Group>,
-    /// How servers are found unhealthy and taken back.
+    /// When servers are ejected and how they return to service.
     #[setting(nested, rename = "health")]
     #[serde(rename = "judges")]
     pub health: HealthSettings,
-    /// How many connections a node opens to a server.
+    /// The largest numbers of connections from one node to one server.
     #[setting(nested, rename = "connections")]
     #[serde(rename = "links")]
     pub connections: ConnectionLimits,
-    /// How many requests and sessions a node holds.
+    /// Limits on the queued requests and the sessions of a node.
     #[setting(nested, rename = "queue")]
     #[serde(rename = "holding")]
     pub queue: QueueLimits,
-    /// Who may use the routes. Their keys are needed where `require_keys` says so.
+    /// The tenants that may use the routes. Clients need their keys if `require_keys` is set.
     #[setting(nested)]
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub tenants: Vec<Tenant>,
@@ -70,21 +70,22 @@
     pub require_keys: bool,
 }
 
-/// What is at its default is left out of the stored form, which earlier releases read.
+/// Whether a flag has its default value. Such a flag is left out of the stored form, which earlier releases read.
 fn is_false(value: &bool) -> bool {
     !value
 }
 
 impl Configuration {
-    /// Reads TOML, JSON or Kubernetes-style objects and validates the whole; the error lists every mistake.
+    /// Reads TOML, JSON or Kubernetes-style objects and validates the configuration. The error lists everything
+    /// invalid.
     pub fn parse(text: &str) -> Result<Configuration, Error> {
         let document = document::load(text)?;
         document.deprecated_keys.log("the configuration");
         Configuration::parse_document(&document.text, document.format)
     }
 
-    /// Reads what was validated before it was stored: as [`Configuration::to_stored_json`] wrote it, or as an
-    /// operator did.
+    /// Reads a configuration that was validated before it was stored: in the form that
+    /// [`Configuration::to_stored_json`] writes, or as an operator wrote it.
     pub fn parse_stored(text: &str) -> Result<Configuration, Error> {
         serde_json::from_str(text).or_else(|_| Configuration::parse(text))
     }
@@ -94,23 +95,23 @@
             .code(text, format.source_name())
             .and_then(|loader| loader.load())
             .map_err(|error| ErrorCode::ConfigurationInvalid.with_detail(schema_error::describe(&error)))?;
-        let mistakes = loaded.config.validate();
-        if mistakes.is_empty() {
+        let errors = loaded.config.validate();
+        if errors.is_empty() {
             Ok(loaded.config)
         } else {
-            Err(ErrorCode::ConfigurationInvalid.with_detail(mistakes.join("; ")))
+            Err(ErrorCode::ConfigurationInvalid.with_detail(errors.join("; ")))
         }
     }
 
-    /// The JSON in which keepers store a configuration and send it to nodes.
+    /// Returns the JSON in which keepers store a configuration and send it to nodes.
     ///
-    /// Its keys are those of the first release, byte for byte: nodes of an earlier release in the same cluster read
-    /// it, and a push that is repeated through another node must carry the same bytes to be taken as the same push.
+    /// Its keys are those of the first release, byte for byte: nodes of an earlier release in the same cluster read it,
+    /// and a push that is repeated through another node must carry the same bytes to be recognized as the same push.
     pub fn to_stored_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// The configuration as JSON with the keys that operators write.
+    /// Returns the configuration as JSON with the keys that operators write.
     pub fn to_json(&self) -> String {
         let mut tree = serde_json::to_value(self).unwrap_or_default();
         // The stored form never has a key under both names, so there is nothing to report.
@@ -123,17 +124,17 @@
         EffectiveLabels::new(own, zone)
     }
 
-    /// The zone of that name, if it is listed.
+    /// Returns the zone of that name, if it is listed.
     pub fn zone(&self, name: &str) -> Option<&Zone> {
         self.zones.iter().find(|zone| zone.name == name)
     }
 
-    /// The settings of the server group of that name, if it is listed.
+    /// Returns the settings of the server group of that name, if it is listed.
     pub fn group(&self, name: &str) -> Option<&Group> {
         self.groups.iter().find(|group| group.name == name)
     }
 
-    /// The placement of that name.
+    /// Returns the placement of that name, if it is listed.
     pub fn placement(&self, name: &str) -> Option<&Placement> {
         self.placements.iter().find(|placement| placement.name == name)
     }
@@ -148,7 +149,7 @@
         placement.except.is_empty() || !labels.matches(&placement.except)
     }
 
-    /// The first route for requests of this class with these labels.
+    /// Returns the first route for requests of this class with these labels.
     pub fn route_for(&self, class: &str, labels: &Labels) -> Option<&Route> {
         let labels = self.effective_labels(labels);
         self.routes.iter().find(|route| route.class == class && labels.matches(&route.when))
--- a/crates/config/src/configuration/placement.rs
+++ b/crates/config/src/configuration/placement.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Which labels must have which values: the value of each key must be one of those listed.
+/// The required values of labels: the value of each key must be one of those listed.
 pub type Selector = BTreeMap<String, Vec<String>>;
 
 /// A named set of servers, chosen by labels.
@@ -13,6 +13,6 @@
     pub name: String,
     /// Servers with these labels belong to the placement.
     pub select: Selector,
-    /// Servers with these labels are left out of it.
+    /// Servers with these labels are excluded from the placement.
     pub except: Selector,
 }
--- a/crates/config/src/configuration/zone.rs
+++ b/crates/config/src/configuration/zone.rs
@@ -1,9 +1,9 @@
-//! Zones: the failure domains that servers and nodes stand in.
+//! Zones: the failure domains in which servers and nodes run.
 use schematic::Config;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A zone and its labels, which servers and requests there have beside their own.
+/// A zone, and the labels that servers and requests in it have in addition to their own.
 #[derive(Config, Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Zone {
     /// The name that servers and nodes give as their zone.
--- a/crates/config/src/deprecated_keys.rs
+++ b/crates/config/src/deprecated_keys.rs
@@ -1,6 +1,6 @@
-//! Keys of earlier releases: each is renamed to today's on the parsed document, before it is read.
+//! Keys of earlier releases: they are renamed to the current ones in the parsed document, before it is read.
 //!
-//! Selectors may still use the label `district` for `zone`; it is reported but stays as written, because a stored
+//! Selectors may still use the label `district` for `zone`; it is reported but not renamed, because a stored
 //! configuration must keep its bytes (see [`crate::configuration::Configuration::to_stored_json`]).
 use crate::configuration::DEPRECATED_ZONE_LABEL;
 use serde_json::{Map, Value};
@@ -61,7 +61,7 @@
     renamed("Holding", "Queue"),
 ];
 
-/// The deprecated keys that a document uses, each once, with what to write in their place.
+/// The deprecated keys that a document uses, each once, with the current name of each.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DeprecatedKeys {
     /// Entries like `routes[].fresh_ms (now max_staleness_ms)`.
@@ -69,7 +69,7 @@
 }
 
 impl DeprecatedKeys {
-    /// True when the document uses today's keys alone.
+    /// True when the document uses no deprecated key.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -89,7 +89,7 @@
         }
     }
 
-    /// One sentence that names the keys of `document`; none where there are none.
+    /// Returns one sentence that names the deprecated keys of `document`; `None` if there are none.
     pub fn notice(&self, document: &str) -> Option<String> {
         if self.is_empty() {
             return None;
@@ -105,12 +105,12 @@
     }
 }
 
-/// A document gives a key under both of its names.
+/// The error for a document that has a key under both of its names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyConflict {
-    /// The deprecated key with the table it stands in.
+    /// The path of the deprecated key, as in `routes[].fresh_ms`.
     pub old_path: String,
-    /// Today's name.
+    /// The current name.
     pub new: &'static str,
 }
 
@@ -151,12 +151,12 @@
     Ok(found)
 }
 
-/// Today's name of a node's command-line flag (without dashes), if `flag` is a deprecated one.
+/// Returns the current name of a node's command-line flag (without dashes), if `flag` is deprecated.
 pub fn renamed_node_flag(flag: &str) -> Option<RenamedKey> {
     NODE_FLAGS.iter().copied().find(|key| key.old == flag)
 }
 
-/// Today's name of a kind of configuration object, if `kind` is a deprecated one.
+/// Returns the current name of a kind of configuration object, if `kind` is deprecated.
 pub(crate) fn renamed_object_kind(kind: &str) -> Option<RenamedKey> {
     OBJECT_KINDS.iter().copied().find(|key| key.old == kind)
 }
@@ -186,7 +186,7 @@
     }
 }
 
-/// Renames the keys of one table; anything else is left for the reader to reject.
+/// Renames the keys of one table. A value that is not a table is left for the reader to reject.
 fn rename_in_table(
     table: &mut Value,
     path: &str,
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,10 +1,10 @@
-//! The text of a configuration or a settings file, brought to today's keys before `schematic` reads it.
+//! The text of a configuration or a settings file, converted to the current keys before `schematic` reads it.
 use crate::deprecated_keys::{self, DeprecatedKeys, KeyConflict};
 use crate::objects;
 use quincehatch_core::{Error, ErrorCode};
 use serde_json::Value;
 
-/// The formats that `schematic` is given.
+/// The formats in which `schematic` receives a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Format {
     Json,
@@ -12,7 +12,7 @@
 }
 
 impl Format {
-    /// A file name by which `schematic` knows the format; it stands in its error texts.
+    /// Returns a file name from which `schematic` derives the format. The name appears in its error texts.
     pub(crate) fn source_name(self) -> &'static str {
         match self {
             Format::Json => "configuration.json",
@@ -20,13 +20,13 @@
         }
     }
 
-    /// A document is JSON if it begins with a brace, else TOML.
+    /// Returns JSON for a text that begins with a brace, TOML for any other.
     fn of(text: &str) -> Format {
         if text.trim_start().starts_with('{') { Format::Json } else { Format::Toml }
     }
 }
 
-/// A document with today's keys, and which deprecated ones it had.
+/// A document with the current keys, and the deprecated keys that it had.
 pub(crate) struct Document {
     pub(crate) text: String,
     pub(crate) format: Format,
@@ -49,8 +49,8 @@
     Ok(Document { text: tree.to_string(), format: Format::Json, deprecated_keys })
 }
 
-/// Reads TOML or JSON. A text without deprecated keys, or that cannot be parsed, stays as it is, so that errors name
-/// the places in it.
+/// Reads TOML or JSON. A text without deprecated keys, or that cannot be parsed, is not changed, so that errors
+/// refer to its lines.
 pub(crate) fn load_plain(
     text: &str,
     format: Format,
--- a/crates/config/src/key_digest.rs
+++ b/crates/config/src/key_digest.rs
@@ -1,34 +1,35 @@
-//! Digests of tenants' keys. Configurations, nodes and keepers hold digests; a key itself is held nowhere.
+//! Digests of tenants' keys. Configurations, nodes and keepers store digests; the keys themselves are stored nowhere.
 use sha2::{Digest, Sha256};
 use std::fmt;
 use std::str::FromStr;
 
-/// Longest key in bytes. Longer ones are of no tenant, and are not hashed.
+/// Longest key in bytes. A longer one belongs to no tenant and is not hashed.
 pub const MAX_KEY_BYTES: usize = 256;
 /// Bytes of a digest.
 const DIGEST_BYTES: usize = 16;
-/// What is hashed before the key, so that a digest is of no use where the same key has another purpose.
-const PURPOSE: &[u8] = b"quincehatch tenant key 1\0";
+/// Prefix that is hashed before the key, so that a digest is of no use where the same key has another purpose.
+const DOMAIN_SEPARATOR: &[u8] = b"quincehatch tenant key 1\0";
 
 /// The first 16 bytes of the SHA-256 of a key.
 ///
-/// Keys are random tokens, so a fast hash is enough: nobody can try 2^128 of them. Looking a digest up takes a time that
-/// tells nothing of the keys, as what an attacker chooses is hashed first.
+/// Keys are random tokens, so a fast hash is enough: nobody can try 2^128 of them. The duration of a lookup by
+/// digest reveals nothing about the keys, because the input that an attacker chooses is hashed first.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
-/// Why a text is no digest.
+/// The error for a text that is not a digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidDigest;
 
 impl KeyDigest {
-    /// The digest of a key; `None` if it is empty or longer than [`MAX_KEY_BYTES`], as no tenant has such a key.
+    /// Returns the digest of a key; `None` if it is empty or longer than [`MAX_KEY_BYTES`], as no tenant has such a
+    /// key.
     pub fn of(key: &[u8]) -> Option<KeyDigest> {
         if key.is_empty() || key.len() > MAX_KEY_BYTES {
             return None;
         }
         let mut hasher = Sha256::new();
-        hasher.update(PURPOSE);
+        hasher.update(DOMAIN_SEPARATOR);
         hasher.update(key);
         let mut digest = [0; DIGEST_BYTES];
         digest.copy_from_slice(&hasher.finalize()[..DIGEST_BYTES]);
@@ -42,7 +43,7 @@
     }
 }
 
-/// Neither logs nor panics show digests.
+/// Hides the digest, so that neither logs nor panics show it.
 impl fmt::Debug for KeyDigest {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("KeyDigest(..)")
--- a/crates/config/src/objects.rs
+++ b/crates/config/src/objects.rs
@@ -1,4 +1,5 @@
-//! Kubernetes-style objects as a configuration: converted to the plain form, then read and validated like any other.
+//! Kubernetes-style objects: they are converted to a plain configuration, which is then read and validated like any
+//! other.
 use crate::deprecated_keys::{self, DeprecatedKeys};
 use quincehatch_core::{Error, ErrorCode};
 use serde::{Deserialize, Serialize};
@@ -49,13 +50,13 @@
 
 /// A label selector in the configuration's own form.
 struct SplitSelector {
-    /// Labels that must have one of some values.
+    /// Labels that must have one of the listed values.
     required: Map<String, Value>,
-    /// Labels that must not.
+    /// Labels that must have none of the listed values.
     excluded: Map<String, Value>,
 }
 
-/// Where in the configuration an object's `spec` goes.
+/// The part of the configuration that an object's `spec` is added to.
 enum Target {
     /// Appended to a list of named entries.
     List(&'static str),
@@ -63,7 +64,7 @@
     Section(&'static str),
 }
 
-/// The objects as one configuration.
+/// One configuration of all objects, and the deprecated kinds among them.
 pub(crate) struct Converted {
     pub(crate) configuration: Value,
     pub(crate) deprecated_kinds: DeprecatedKeys,
@@ -73,7 +74,7 @@
     ErrorCode::ConfigurationInvalid.with_detail(why)
 }
 
-/// True when the text looks like such objects.
+/// True when the text looks like Kubernetes-style objects: one of its lines begins with `apiVersion`.
 pub fn are_objects(text: &str) -> bool {
     text.lines().any(|line| {
         let line = line.trim_start().trim_start_matches(['-', '{', ' ', '"']);
@@ -81,44 +82,47 @@
     })
 }
 
-/// Converts YAML documents, each an object or a `List` of objects. Keys of a `spec` may still be deprecated ones.
+/// Converts YAML documents, each an object or a `List` of objects. Deprecated keys of a `spec` are not
+/// renamed yet.
 pub(crate) fn to_configuration(text: &str) -> Result<Converted, Error> {
     let mut converted = Converted {
         configuration: json!({"placements": [], "routes": [], "zones": []}),
         deprecated_kinds: DeprecatedKeys::default(),
     };
     for (index, document) in serde_norway::Deserializer::from_str(text).enumerate() {
-        let place = format!("document {}", index + 1);
+        let location = format!("document {}", index + 1);
         let value =
-            Value::deserialize(document).map_err(|error| invalid(format_args!("{place}: {error}")))?;
+            Value::deserialize(document).map_err(|error| invalid(format_args!("{location}: {error}")))?;
         if !value.is_null() {
-            converted.add(value, &place)?;
+            converted.add(value, &location)?;
         }
     }
     Ok(converted)
 }
 
 impl Converted {
-    fn add(&mut self, value: Value, place: &str) -> Result<(), Error> {
+    fn add(&mut self, value: Value, location: &str) -> Result<(), Error> {
         let object: Object =
-            serde_json::from_value(value).map_err(|error| invalid(format_args!("{place}: {error}")))?;
+            serde_json::from_value(value).map_err(|error| invalid(format_args!("{location}: {error}")))?;
         if object.kind == LIST_KIND {
             for (index, item) in object.items.into_iter().enumerate() {
-                self.add(item, &format!("{place}, item {}", index + 1))?;
+                self.add(item, &format!("{location}, item {}", index + 1))?;
             }
             return Ok(());
         }
         if object.api_version != API_VERSION {
             let given = object.api_version;
-            return Err(invalid(format_args!("{place}: apiVersion is {given:?}, known is {API_VERSION:?}")));
+            return Err(invalid(format_args!(
+                "{location}: apiVersion is {given:?}, known is {API_VERSION:?}"
+            )));
         }
-        match self.target(&object.kind, place)? {
-            Target::Section(section) => self.add_section(section, object, place),
-            Target::List(list) => self.add_entry(list, object, place),
+        match self.target(&object.kind, location)? {
+            Target::Section(section) => self.add_section(section, object, location),
+            Target::List(list) => self.add_entry(list, object, location),
         }
     }
 
-    fn target(&mut self, kind: &str, place: &str) -> Result<Target, Error> {
+    fn target(&mut self, kind: &str, location: &str) -> Result<Target, Error> {
         let renamed = deprecated_keys::renamed_object_kind(kind);
         if let Some(key) = renamed {
             self.deprecated_kinds.add(&format!("kind {}", key.old), key.new);
@@ -130,24 +134,24 @@
             "Health" => Ok(Target::Section("health")),
             "Connections" => Ok(Target::Section("connections")),
             "Queue" => Ok(Target::Section("queue")),
-            _ => Err(invalid(format_args!("{place}: no kind is called {kind:?}"))),
+            _ => Err(invalid(format_args!("{location}: no kind is called {kind:?}"))),
         }
     }
 
-    fn add_section(&mut self, section: &str, object: Object, place: &str) -> Result<(), Error> {
+    fn add_section(&mut self, section: &str, object: Object, location: &str) -> Result<(), Error> {
         if self.configuration.get(section).is_some() {
-            return Err(invalid(format_args!("{place}: {} is given twice", object.kind)));
+            return Err(invalid(format_args!("{location}: {} is given twice", object.kind)));
         }
         self.configuration[section] = Value::Object(snake_case_keys(object.spec));
         Ok(())
     }
 
-    fn add_entry(&mut self, list: &str, object: Object, place: &str) -> Result<(), Error> {
+    fn add_entry(&mut self, list: &str, object: Object, location: &str) -> Result<(), Error> {
         let mut spec = snake_case_keys(object.spec);
         if let Some(selector) = spec.remove("selector") {
             let selector = split_selector(selector)
-                .map_err(|error| invalid(format_args!("{place}: spec.selector: {error}")))?;
-            insert_selector(&mut spec, list, selector, place)?;
+                .map_err(|error| invalid(format_args!("{location}: spec.selector: {error}")))?;
+            insert_selector(&mut spec, list, selector, location)?;
         }
         spec.insert("name".into(), object.metadata.name.into());
         if let Some(entries) = self.configuration[list].as_array_mut() {
@@ -161,7 +165,7 @@
     spec: &mut Map<String, Value>,
     list: &str,
     selector: SplitSelector,
-    place: &str,
+    location: &str,
 ) -> Result<(), Error> {
     if list != "routes" {
         spec.insert("select".into(), Value::Object(selector.required));
@@ -169,13 +173,13 @@
         return Ok(());
     }
     if !selector.excluded.is_empty() {
-        return Err(invalid(format_args!("{place}: spec.selector: a route takes no NotIn")));
+        return Err(invalid(format_args!("{location}: spec.selector: a route takes no NotIn")));
     }
     spec.insert("when".into(), Value::Object(selector.required));
     Ok(())
 }
 
-/// Object keys are in camel case, those of the configuration in snake case: `timeoutMs` is `timeout_ms`.
+/// Converts the keys of an object, which are in camel case, to those of the configuration: `timeoutMs` to `timeout_ms`.
 fn snake_case_keys(map: Map<String, Value>) -> Map<String, Value> {
     map.into_iter().map(|(key, value)| (snake_case(&key), value)).collect()
 }
--- a/crates/config/src/schema_error.rs
+++ b/crates/config/src/schema_error.rs
@@ -1,7 +1,7 @@
-//! Errors of `schematic` as one plain sentence.
+//! Conversion of `schematic`'s errors to one plain sentence.
 use schematic::ConfigError;
 
-/// The error with its whole chain of causes, on one line and without colours.
+/// Returns the error with its whole chain of causes, on one line and without colours.
 pub(crate) fn describe(error: &ConfigError) -> String {
     let mut text = match error {
         ConfigError::Validator { error, .. } => error.to_string(),
@@ -18,7 +18,7 @@
     without_escapes(&text)
 }
 
-/// Drops the terminal's escape sequences for colours and joins the lines.
+/// Removes the terminal's escape sequences for colours and joins the lines.
 fn without_escapes(text: &str) -> String {
     let mut plain = String::new();
     let mut in_escape = false;
--- a/crates/config/src/settings/file.rs
+++ b/crates/config/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! Reading a settings file.
+//! Reading of settings files.
 use super::{KeeperSettings, NodeSettings};
 use crate::deprecated_keys::{self, DeprecatedKeys};
 use crate::document::{self, Format, RenameKeys};
@@ -7,9 +7,9 @@
 use schematic::{Config, ConfigLoader};
 use std::fmt::Display;
 
-/// Settings that have a file of their own.
+/// Settings that a program reads from a file.
 pub trait SettingsFile: Config {
-    /// Renames the keys that earlier releases had in this file.
+    /// The function that renames the deprecated keys of this file.
     const RENAME_KEYS: RenameKeys;
 }
 
@@ -23,26 +23,26 @@
 
 /// Reads a TOML settings file. The caller validates the settings, once flags have been applied to them.
 pub fn read_file<S: SettingsFile>(path: &str) -> Result<S, Error> {
-    let text = std::fs::read_to_string(path).map_err(|error| invalid(path, error))?;
+    let text = std::fs::read_to_string(path).map_err(|error| invalid_settings(path, error))?;
     let document = document::load_plain(&text, Format::Toml, S::RENAME_KEYS)
-        .map_err(|conflict| invalid(path, conflict))?;
-    report(&document.deprecated_keys, path);
+        .map_err(|conflict| invalid_settings(path, conflict))?;
+    report_deprecated_keys(&document.deprecated_keys, path);
     let loaded = ConfigLoader::<S>::new()
         .code(document.text, document.format.source_name())
         .and_then(|loader| loader.load());
     match loaded {
         Ok(loaded) => Ok(loaded.config),
-        Err(error) => Err(invalid(path, schema_error::describe(&error))),
+        Err(error) => Err(invalid_settings(path, schema_error::describe(&error))),
     }
 }
 
-fn invalid(path: &str, why: impl Display) -> Error {
+fn invalid_settings(path: &str, why: impl Display) -> Error {
     ErrorCode::InvalidSettings.with_detail(format_args!("{path}: {why}"))
 }
 
-/// Settings are read before the log is started, as they name its level: until then the notice goes straight to where
-/// the log goes, standard error.
-fn report(deprecated_keys: &DeprecatedKeys, path: &str) {
+/// Reports deprecated keys in the log. Settings are read before the log is started, because they contain its level;
+/// until then the notice goes directly to standard error, where the log goes too.
+fn report_deprecated_keys(deprecated_keys: &DeprecatedKeys, path: &str) {
     if log::max_level() != log::LevelFilter::Off {
         deprecated_keys.log(path);
     } else if let Some(notice) = deprecated_keys.notice(path) {
--- a/crates/config/src/settings/keeper.rs
+++ b/crates/config/src/settings/keeper.rs
@@ -4,16 +4,16 @@
 use schematic::Config;
 use serde::{Deserialize, Serialize};
 
-/// What a keeper needs to know at its start.
+/// The settings that a keeper reads at its start.
 #[derive(Config, Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeeperSettings {
     /// The keeper's name, unique among the keepers.
     pub name: String,
-    /// Its own address, `ip:port`.
+    /// The keeper's own address, `ip:port`.
     pub addr: String,
-    /// Names and addresses of all voters, this one too: `name=ip:port`.
+    /// Names and addresses of all voters, including this keeper: `name=ip:port`.
     pub keepers: Vec<String>,
-    /// The folder for its data.
+    /// The directory for the keeper's data.
     pub data_dir: String,
     /// The log level, as in `info` or `debug,chain=trace`.
     #[setting(default = "info")]
@@ -25,38 +25,39 @@
 pub struct NamedAddress {
     /// The keeper's name.
     pub name: String,
-    /// Its address, `ip:port`.
+    /// The keeper's address, `ip:port`.
     pub addr: String,
 }
 
 impl KeeperSettings {
-    /// The voters that are listed in the form `name=ip:port`; [`KeeperSettings::validate`] rejects any other.
+    /// Returns the voters that are listed in the form `name=ip:port`; [`KeeperSettings::validate`] rejects any other
+    /// form.
     pub fn voters(&self) -> Vec<NamedAddress> {
         let pairs = self.keepers.iter().filter_map(|keeper| keeper.split_once('='));
         pairs.map(|(name, addr)| NamedAddress { name: name.into(), addr: addr.into() }).collect()
     }
 
-    /// Checks the settings as a whole; the error lists every mistake.
+    /// Checks the settings; the error lists everything invalid.
     pub fn validate(&self) -> Result<(), Error> {
-        let mut mistakes = Vec::new();
-        check_address(&mut mistakes, "addr", &self.addr);
+        let mut errors = Vec::new();
+        check_address(&mut errors, "addr", &self.addr);
         if self.data_dir.is_empty() {
-            mistakes.push("data_dir: a folder must be given".into());
+            errors.push("data_dir: a folder must be given".into());
         }
         for keeper in &self.keepers {
-            check_voter(&mut mistakes, keeper);
+            check_voter(&mut errors, keeper);
         }
         let own_entry = self.voters().into_iter().find(|voter| voter.name == self.name);
         if own_entry.is_none_or(|voter| voter.addr != self.addr) {
-            mistakes.push(format!("keepers: does not list {}={}", self.name, self.addr));
+            errors.push(format!("keepers: does not list {}={}", self.name, self.addr));
         }
-        to_result(mistakes)
+        to_result(errors)
     }
 }
 
-fn check_voter(mistakes: &mut Vec<String>, keeper: &str) {
+fn check_voter(errors: &mut Vec<String>, keeper: &str) {
     match keeper.split_once('=') {
-        Some((name, addr)) if !name.is_empty() => check_address(mistakes, "keepers", addr),
-        _ => mistakes.push(format!("keepers: {keeper:?} is not name=ip:port")),
+        Some((name, addr)) if !name.is_empty() => check_address(errors, "keepers", addr),
+        _ => errors.push(format!("keepers: {keeper:?} is not name=ip:port")),
     }
 }
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -1,4 +1,5 @@
-//! Settings files of the programs: TOML, read once at start; every mistake is listed before anything serves.
+//! Settings files of the programs, in TOML. A program reads its file at start, and reports all errors in it before it
+//! serves any request.
 mod file;
 mod keeper;
 mod node;
@@ -10,18 +11,14 @@
 use quincehatch_core::{Error, ErrorCode};
 use std::net::SocketAddr;
 
-/// Adds a mistake unless `address` is an IP address with a port.
-fn check_address(mistakes: &mut Vec<String>, key: &str, address: &str) {
+/// Adds an error unless `address` is an IP address with a port.
+fn check_address(errors: &mut Vec<String>, key: &str, address: &str) {
     if address.parse::<SocketAddr>().is_err() {
-        mistakes.push(format!("{key}: {address:?} is not an ip:port"));
+        errors.push(format!("{key}: {address:?} is not an ip:port"));
     }
 }
 
-/// An error that lists the mistakes, if there are any.
-fn to_result(mistakes: Vec<String>) -> Result<(), Error> {
-    if mistakes.is_empty() {
-        Ok(())
-    } else {
-        Err(ErrorCode::InvalidSettings.with_detail(mistakes.join("; ")))
-    }
+/// Returns an error that lists the given errors, if there are any.
+fn to_result(errors: Vec<String>) -> Result<(), Error> {
+    if errors.is_empty() { Ok(()) } else { Err(ErrorCode::InvalidSettings.with_detail(errors.join("; "))) }
 }
--- a/crates/config/src/validation/mod.rs
+++ b/crates/config/src/validation/mod.rs
@@ -1,26 +1,26 @@
-//! Whole checks of a configuration; they refer to nothing but the configuration itself.
+//! Validation of a whole configuration. The checks refer to nothing but the configuration itself.
 mod limits;
-mod mistakes;
 mod placements;
 mod routes;
 mod tenants;
 mod unreachable_routes;
+mod validation_errors;
 mod zones;
 
 use crate::configuration::Configuration;
-use mistakes::Mistakes;
+use validation_errors::ValidationErrors;
 
 impl Configuration {
-    /// All that is wrong, each mistake with the path of the key.
+    /// Returns all validation errors, each with the path of its key.
     pub fn validate(&self) -> Vec<String> {
-        let mut mistakes = Mistakes::default();
-        placements::check(self, &mut mistakes);
-        zones::check(self, &mut mistakes);
-        routes::check(self, &mut mistakes);
-        limits::check_groups(self, &mut mistakes);
-        zones::check_selectors(self, &mut mistakes);
-        tenants::check(self, &mut mistakes);
-        limits::check_sections(self, &mut mistakes);
-        mistakes.into_list()
+        let mut errors = ValidationErrors::default();
+        placements::check(self, &mut errors);
+        zones::check(self, &mut errors);
+        routes::check(self, &mut errors);
+        limits::check_groups(self, &mut errors);
+        zones::check_selectors(self, &mut errors);
+        tenants::check(self, &mut errors);
+        limits::check_sections(self, &mut errors);
+        errors.into_list()
     }
 }
--- a/crates/config/src/validation/placements.rs
+++ b/crates/config/src/validation/placements.rs
@@ -1,23 +1,23 @@
 //! Checks of placements.
-use super::mistakes::Mistakes;
+use super::validation_errors::ValidationErrors;
 use crate::configuration::{Configuration, Placement};
 use std::collections::BTreeSet;
 
-pub(super) fn check(configuration: &Configuration, mistakes: &mut Mistakes) {
+pub(super) fn check(configuration: &Configuration, errors: &mut ValidationErrors) {
     if configuration.placements.is_empty() {
-        mistakes.add("placements: at least one is needed");
+        errors.add("placements: at least one is needed");
     }
     let mut names = BTreeSet::new();
     for (index, placement) in configuration.placements.iter().enumerate() {
         let path = format!("placements[{index}]");
-        mistakes.check_name(&format!("{path}.name"), &placement.name, &mut names);
+        errors.check_name(&format!("{path}.name"), &placement.name, &mut names);
         if placement.select.is_empty() {
-            mistakes.add(format!("{path}.select: at least one label is needed"));
+            errors.add(format!("{path}.select: at least one label is needed"));
         }
-        mistakes.check_selector(&format!("{path}.select"), &placement.select);
-        mistakes.check_selector(&format!("{path}.except"), &placement.except);
+        errors.check_selector(&format!("{path}.select"), &placement.select);
+        errors.check_selector(&format!("{path}.except"), &placement.except);
         if excludes_everything(placement) {
-            mistakes.add(format!("{path}.except: excludes everything that select chooses"));
+            errors.add(format!("{path}.except: excludes everything that select chooses"));
         }
     }
 }
--- a/crates/config/src/validation/unreachable_routes.rs
+++ b/crates/config/src/validation/unreachable_routes.rs
@@ -1,6 +1,7 @@
-//! Whether an earlier route takes all requests of a later one.
+//! Detection of unreachable routes: an earlier route matches all of their requests.
 //!
-//! Configurations have thousands of routes, so earlier ones are found by a label instead of being compared with each.
+//! Configurations have thousands of routes, so earlier ones are looked up by a label: comparing each route with every
+//! other would take too long.
 use crate::configuration::Route;
 use std::collections::HashMap;
 
@@ -15,9 +16,9 @@
 /// The routes before the one that is checked, by their positions in the configuration.
 #[derive(Default)]
 pub(super) struct EarlierRoutes<'routes> {
-    /// By class and by each value of the first label they ask for.
+    /// Positions by class and by each value of the first label that the route requires.
     by_first_label: HashMap<RouteKey<'routes>, Vec<usize>>,
-    /// Those that ask for no label and so take every request of their class.
+    /// Positions of the routes that require no label, and so match every request of their class.
     without_labels: Vec<usize>,
 }
 
@@ -33,10 +34,10 @@
         }
     }
 
-    /// True when one of the earlier routes takes all requests of `route`.
+    /// True when one of the earlier routes matches all requests of `route`.
     ///
-    /// A route that covers another lists, for each of its own labels, every value that the other asks for. So its
-    /// first label is among the other's labels, and the other's first value for it among its own.
+    /// A route that covers another lists, for each of its own labels, every value that the other accepts. So its
+    /// first label is among the other's labels, and the other's first value for that label is among its own.
     pub(super) fn cover(&self, routes: &[Route], route: &'routes Route) -> bool {
         let covers_route = |index: &usize| covers(&routes[*index], route);
         if self.without_labels.iter().any(covers_route) {
@@ -56,7 +57,7 @@
 fn covers(earlier: &Route, later: &Route) -> bool {
     earlier.class == later.class
         && earlier.when.iter().all(|(label, allowed)| {
-            let asked = later.when.get(label);
-            asked.is_some_and(|asked| asked.iter().all(|value| allowed.contains(value)))
+            let required = later.when.get(label);
+            required.is_some_and(|required| required.iter().all(|value| allowed.contains(value)))
         })
 }
--- a/crates/config/src/validation/validation_errors.rs
+++ b/crates/config/src/validation/validation_errors.rs
@@ -1,4 +1,4 @@
-//! The list of mistakes, and the checks that several sections share.
+//! The list of validation errors, and the checks that several sections share.
 use crate::configuration::Selector;
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -7,16 +7,16 @@
 /// Longest name, label or label value, in bytes.
 pub(super) const MAX_NAME_BYTES: usize = 64;
 
-/// Labels that would name a single host.
+/// Labels that would identify a single host.
 const HOST_LABELS: [&str; 5] = ["host", "addr", "address", "ip", "server"];
 
-/// The mistakes found so far.
+/// The errors found so far.
 #[derive(Default)]
-pub(super) struct Mistakes(Vec<String>);
+pub(super) struct ValidationErrors(Vec<String>);
 
-impl Mistakes {
-    pub(super) fn add(&mut self, mistake: impl Into<String>) {
-        self.0.push(mistake.into());
+impl ValidationErrors {
+    pub(super) fn add(&mut self, error: impl Into<String>) {
+        self.0.push(error.into());
     }
 
     pub(super) fn into_list(self) -> Vec<String> {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Checks the name of an entry in a list; `seen` has the names of those before it.
+    /// Checks the name of an entry in a list; `seen` contains the names of the entries before it.
     pub(super) fn check_name<'names>(
         &mut self,
         path: &str,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Checks the labels of a selector: hosts cannot be chosen by name or address.
+    /// Checks the labels of a selector, which cannot select hosts by name or address.
     pub(super) fn check_selector(&mut self, path: &str, selector: &Selector) {
         for (key, values) in selector {
             if HOST_LABELS.contains(&key.as_str()) {
--- a/crates/config/tests/deprecated_keys.rs
+++ b/crates/config/tests/deprecated_keys.rs
@@ -1,4 +1,4 @@
-//! Every key of version 8d4197c is still read, and named once in one notice.
+//! Checks that every key of version 8d4197c is still read, and that one notice names each of them once.
 use quincehatch_config::configuration::Configuration;
 use quincehatch_config::deprecated_keys::{
     rename_in_configuration, rename_in_keeper_settings, rename_in_node_settings, renamed_node_flag,
@@ -7,8 +7,8 @@
 use quincehatch_core::{ErrorCode, Labels};
 use serde_json::{Value, json};
 
-/// Every renamed key, none at its default.
-const OLD: &str = r#"
+/// A configuration with every renamed key, none of them with its default value.
+const DEPRECATED_CONFIGURATION: &str = r#"
 placements = [{ name = "p", select = { group = ["g"], district = ["d1"] }, except = { district = ["d2"] } }]
 [[rules]]
 name = "r"
@@ -38,7 +38,7 @@
 sessions = 8
 "#;
 
-const NEW: &str = r#"
+const CURRENT_CONFIGURATION: &str = r#"
 placements = [{ name = "p", select = { group = ["g"], zone = ["d1"] }, except = { zone = ["d2"] } }]
 [[routes]]
 name = "r"
@@ -68,12 +68,12 @@
 max_sessions = 8
 "#;
 
-const OLD_NODE_SETTINGS: &str = "name = \"n1\"\ndistrict = \"d1\"\ndoor = \"127.0.0.1:1\"\ndesk = \"127.0.0.1:2\"\n\
+const DEPRECATED_NODE_FILE: &str = "name = \"n1\"\ndistrict = \"d1\"\ndoor = \"127.0.0.1:1\"\ndesk = \"127.0.0.1:2\"\n\
      mesh = \"127.0.0.1:3\"\nseeds = []\nkeepers = [\"127.0.0.1:4\"]\nplatform = \"127.0.0.1:5\"\ntoken = \"t\"\n";
-const OLD_KEEPER_SETTINGS: &str =
+const DEPRECATED_KEEPER_FILE: &str =
     "name = \"k1\"\naddr = \"127.0.0.1:1\"\nkeepers = [\"k1=127.0.0.1:1\"]\ndata = \"/d\"\n";
 
-/// Selectors keep the label as it was written; all else is equal.
+/// Renames the zone label in the selectors, which are read as written, so that the rest can be compared.
 fn with_zone_selectors(mut configuration: Configuration) -> Configuration {
     for placement in &mut configuration.placements {
         rename_label(&mut placement.select);
@@ -91,7 +91,7 @@
     }
 }
 
-fn tree(text: &str) -> Value {
+fn parse_toml(text: &str) -> Value {
     toml::from_str(text).unwrap()
 }
 
@@ -101,14 +101,17 @@
 
 #[test]
 fn a_configuration_is_the_same_when_written_with_the_keys_of_8d4197c_in_toml_or_json() {
-    let expected = Configuration::parse(NEW).unwrap();
-    assert_eq!(with_zone_selectors(Configuration::parse(OLD).unwrap()), expected);
-    assert_eq!(with_zone_selectors(Configuration::parse(&tree(OLD).to_string()).unwrap()), expected);
+    let expected = Configuration::parse(CURRENT_CONFIGURATION).unwrap();
+    assert_eq!(with_zone_selectors(Configuration::parse(DEPRECATED_CONFIGURATION).unwrap()), expected);
+    assert_eq!(
+        with_zone_selectors(Configuration::parse(&parse_toml(DEPRECATED_CONFIGURATION).to_string()).unwrap()),
+        expected
+    );
 }
 
 #[test]
-fn every_deprecated_key_is_named_once_when_a_configuration_uses_them() {
-    let found = rename_in_configuration(&mut tree(OLD)).unwrap();
+fn a_notice_names_every_deprecated_key_of_a_configuration_once() {
+    let found = rename_in_configuration(&mut parse_toml(DEPRECATED_CONFIGURATION)).unwrap();
     let notice = found.notice("the configuration").unwrap();
     for (old, new) in [
         ("rules", "routes"),
@@ -139,10 +142,10 @@
 
 #[test]
 fn nothing_is_reported_or_changed_when_a_document_has_no_deprecated_key() {
-    let mut renamed = tree(NEW);
+    let mut renamed = parse_toml(CURRENT_CONFIGURATION);
     let found = rename_in_configuration(&mut renamed).unwrap();
     assert_eq!(found.notice("the configuration"), None);
-    assert_eq!(renamed, tree(NEW));
+    assert_eq!(renamed, parse_toml(CURRENT_CONFIGURATION));
     let mut empty = json!({});
     assert!(rename_in_configuration(&mut empty).unwrap().is_empty());
     assert_eq!(empty, json!({}));
@@ -151,14 +154,15 @@
 #[test]
 fn a_configuration_is_rejected_when_a_key_is_given_under_both_names() {
     let error =
-        Configuration::parse(&NEW.replace("eject_at = 90", "eject_at = 90\naside_at = 90")).unwrap_err();
+        Configuration::parse(&CURRENT_CONFIGURATION.replace("eject_at = 90", "eject_at = 90\naside_at = 90"))
+            .unwrap_err();
     assert!(error.has_code(ErrorCode::ConfigurationInvalid), "{error}");
     assert!(error.text.contains("health.aside_at: is the deprecated name of eject_at"), "{error}");
 }
 
 #[test]
 fn servers_belong_to_a_placement_when_their_zone_label_has_its_old_name_or_its_new_one() {
-    for text in [OLD, NEW] {
+    for text in [DEPRECATED_CONFIGURATION, CURRENT_CONFIGURATION] {
         let configuration = Configuration::parse(text).unwrap();
         let placement = &configuration.placements[0];
         for label in ["district", "zone"] {
@@ -173,27 +177,28 @@
 
 #[test]
 fn settings_are_the_same_when_written_with_the_keys_of_8d4197c() {
-    let node: NodeSettings = read_text("node", OLD_NODE_SETTINGS);
+    let node: NodeSettings = read_text("node", DEPRECATED_NODE_FILE);
     assert_eq!((node.zone.as_str(), node.client_listener.as_str()), ("d1", "127.0.0.1:1"));
     assert_eq!(
         (node.operator_listener.as_str(), node.gossip_listener.as_str()),
         ("127.0.0.1:2", "127.0.0.1:3")
     );
     node.validate().unwrap();
-    let keeper: KeeperSettings = read_text("keeper", OLD_KEEPER_SETTINGS);
+    let keeper: KeeperSettings = read_text("keeper", DEPRECATED_KEEPER_FILE);
     assert_eq!(keeper.data_dir, "/d");
     keeper.validate().unwrap();
-    let node_keys = rename_in_node_settings(&mut tree(OLD_NODE_SETTINGS)).unwrap().notice("f").unwrap();
+    let node_keys =
+        rename_in_node_settings(&mut parse_toml(DEPRECATED_NODE_FILE)).unwrap().notice("f").unwrap();
     let expected = "f uses deprecated keys: district (now zone), door (now client_listener), \
                     desk (now operator_listener), mesh (now gossip_listener)";
     assert_eq!(node_keys, expected);
-    let keeper_keys = rename_in_keeper_settings(&mut tree(OLD_KEEPER_SETTINGS)).unwrap();
+    let keeper_keys = rename_in_keeper_settings(&mut parse_toml(DEPRECATED_KEEPER_FILE)).unwrap();
     assert_eq!(keeper_keys.notice("f").unwrap(), "f uses deprecated keys: data (now data_dir)");
 }
 
 #[test]
 fn a_settings_file_is_rejected_when_a_key_is_given_under_both_names() {
-    let both = format!("{OLD_KEEPER_SETTINGS}data_dir = \"/e\"\n");
+    let both = format!("{DEPRECATED_KEEPER_FILE}data_dir = \"/e\"\n");
     let path = write_file("both", &both);
     let error = read_file::<KeeperSettings>(&path).unwrap_err();
     std::fs::remove_file(&path).unwrap();
--- a/crates/config/tests/objects.rs
+++ b/crates/config/tests/objects.rs
@@ -1,4 +1,4 @@
-//! Kubernetes-style objects are read and checked like any other configuration.
+//! Checks that Kubernetes-style objects are read and validated like any other configuration.
 use quincehatch_config::configuration::Configuration;
 use quincehatch_core::ErrorCode;
 
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn the_document_is_named_when_an_object_has_a_mistake_and_the_same_checks_hold() {
+fn invalid_objects_are_rejected_with_an_error_that_names_the_document_or_the_key() {
     for (from, to, expected) in [
         ("quincehatch/v1\nkind: Route", "apps/v1\nkind: Route", "document 2: apiVersion"),
         ("kind: Health", "kind: Pod", "no kind is called \"Pod\""),
--- a/crates/config/tests/tenants.rs
+++ b/crates/config/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants in a configuration, and digests of their keys.
+//! Tests of tenants in a configuration, and of the digests of their keys.
 use quincehatch_config::configuration::Configuration;
 use quincehatch_config::key_digest::{KeyDigest, MAX_KEY_BYTES};
 use quincehatch_core::ErrorCode;
@@ -16,7 +16,8 @@
 }
 
 fn assert_rejected(tenants: &str, expected: &str) {
-    let error = Configuration::parse(&format!("{BASE}{tenants}")).expect_err("it was accepted");
+    let error =
+        Configuration::parse(&format!("{BASE}{tenants}")).expect_err("the configuration was accepted");
     let matches = error.has_code(ErrorCode::ConfigurationInvalid) && error.text.contains(expected);
     assert!(matches, "{error} lacks {expected:?}");
     assert!(!error.text.contains(&digest("a")), "digests are not shown: {error}");
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn each_mistake_of_a_tenant_is_named() {
+fn every_kind_of_invalid_tenant_is_reported_with_its_path() {
     assert_rejected(&format!("{}{}", tenant("rowan", &["a"]), tenant("rowan", &["b"])), "tenants[1].name");
     assert_rejected(
         &format!("{}{}", tenant("rowan", &["a"]), tenant("hazel", &["b", "a"])),
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn a_digest_is_of_one_key_and_tells_nothing_when_it_is_debugged() {
+fn a_digest_identifies_one_key_and_is_hidden_in_debug_output() {
     assert_ne!(digest("a"), digest("b"));
     assert_eq!(digest("a").parse::<KeyDigest>().unwrap(), KeyDigest::of(b"a").unwrap());
     assert_eq!(format!("{:?}", KeyDigest::of(b"a")), "Some(KeyDigest(..))");
--- a/crates/config/tests/validation.rs
+++ b/crates/config/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Every kind of mistake in a configuration is named with its path.
+//! Checks that every kind of invalid value in a configuration is reported with its path.
 use quincehatch_config::configuration::Configuration;
 use quincehatch_core::{ErrorCode, Labels};
 
@@ -13,7 +13,7 @@
 const ZONE_KEYS: [&str; 2] = ["zone", "district"];
 
 fn assert_rejected(text: &str, expected: &str) {
-    let error = Configuration::parse(text).expect_err("it was accepted");
+    let error = Configuration::parse(text).expect_err("the configuration was accepted");
     let matches = error.has_code(ErrorCode::ConfigurationInvalid) && error.text.contains(expected);
     assert!(matches, "{error} lacks {expected:?}");
 }
@@ -38,14 +38,17 @@
     for key in ZONE_KEYS {
         assert!(includes(&[("group", "g"), (key, "d1")]), "{key}");
         assert!(!includes(&[("group", "g"), (key, "d2")]), "{key}");
-        assert!(includes(&[("group", "g"), (key, "d2"), ("coast", "west")]), "{key}: its own label wins");
+        assert!(
+            includes(&[("group", "g"), (key, "d2"), ("coast", "west")]),
+            "{key}: the server's own label has precedence"
+        );
         assert!(configuration.route_for("lookup", &labels(&[(key, "d1")])).is_some(), "{key}");
         assert!(configuration.route_for("lookup", &labels(&[(key, "d2")])).is_none(), "{key}");
     }
 }
 
 #[test]
-fn mistakes_in_zones_are_rejected_when_selectors_name_them_or_they_have_a_servers_label() {
+fn invalid_zones_and_selectors_that_name_the_wrong_zones_are_rejected() {
     assert_rejected(&ZONED.replace("name=\"d2\"", "name=\"d1\""), "zones[1].name: \"d1\" is used twice");
     assert_rejected(
         &ZONED.replace("coast=\"east\"", "group=\"east\""),
@@ -62,7 +65,7 @@
 }
 
 #[test]
-fn every_kind_of_mistake_is_named_with_its_path_when_a_configuration_is_rejected() {
+fn every_kind_of_invalid_value_is_reported_with_its_path() {
     assert_rejected("nonsense", "");
     assert_rejected(&format!("{VALID}colour = 1\n"), "colour");
     assert_rejected(
@@ -77,9 +80,9 @@
     assert_rejected(&format!("{VALID}timeout_ms = 5\n"), "routes[0].timeout_ms: 5 is outside");
     assert_rejected(&format!("{VALID}query_timeout_ms = 200\n"), "shorter than the route's");
     assert_rejected(&format!("{VALID}[health]\nreset_weight = 1\n"), "it must suffice by itself");
-    let twice = format!("{VALID}[[routes]]\nname=\"r\"\nclass=\"order\"\nplacement=\"p\"\n");
-    assert_rejected(&twice, "used twice");
-    assert_rejected(&twice, "an earlier route takes all");
+    let duplicate_route = format!("{VALID}[[routes]]\nname=\"r\"\nclass=\"order\"\nplacement=\"p\"\n");
+    assert_rejected(&duplicate_route, "used twice");
+    assert_rejected(&duplicate_route, "an earlier route takes all");
     let selected = "select={group=[\"g\"]}";
     let excluded = VALID.replace(selected, &format!("{selected}\nexcept={{group=[\"g\"]}}"));
     assert_rejected(&excluded, "excludes everything");
--- a/crates/config/tests/written_by_8d4197c.rs
+++ b/crates/config/tests/written_by_8d4197c.rs
@@ -1,4 +1,5 @@
-//! What version 8d4197c stored, was configured with and was started with is still read.
+//! Checks that the files of version 8d4197c are still read: its stored configuration, the configuration that was pushed
+//! to it, and its settings files.
 use quincehatch_config::configuration::{Configuration, Route};
 use quincehatch_config::settings::{KeeperSettings, NodeSettings, read_file};
 
@@ -13,7 +14,7 @@
     configuration.routes.iter().find(|route| route.name == name).unwrap()
 }
 
-/// Every value in the file that has a key of another name today.
+/// Checks every value in the file whose key was renamed since.
 fn assert_renamed_values_are_read(configuration: &Configuration) {
     let orders = route(configuration, "orders");
     assert_eq!(
@@ -48,13 +49,13 @@
     assert_eq!(stored, Configuration::parse(PUSHED).unwrap());
 }
 
-/// Nodes of both versions may store the same push: its bytes must be the same.
+/// Nodes of both versions may store the same push, so both must store the same bytes.
 #[test]
 fn a_configuration_is_stored_with_the_bytes_of_8d4197c_when_it_is_pushed_today() {
     let configuration = Configuration::parse(PUSHED).unwrap();
     assert_eq!(configuration.to_stored_json(), STORED);
-    let in_todays_keys = Configuration::parse(&configuration.to_json()).unwrap();
-    assert_eq!(in_todays_keys.to_stored_json(), STORED);
+    let with_current_keys = Configuration::parse(&configuration.to_json()).unwrap();
+    assert_eq!(with_current_keys.to_stored_json(), STORED);
     for deprecated in ["rules", "districts", "judges", "links", "holding", "aside_at", "fresh_ms"] {
         let key = format!("\"{deprecated}\":");
         assert!(!configuration.to_json().contains(&key), "{key}");
