--- a/crates/config/src/configuration/health.rs
+++ b/crates/config/src/configuration/health.rs
@@ -8,11 +8,11 @@
 /// Each kind of evidence has a weight; a server is ejected once the weights of the last `evidence_ms` reach `eject_at`.
 #[derive(Config, Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HealthSettings {
-    /// After this time in milliseconds a pending reply alone ejects its server, unless the route has a timeout of
-    /// its own.
+    /// After this time in milliseconds a pending reply alone ejects its server, unless the route has its own
+    /// timeout.
     #[setting(default = 30000)]
     pub query_timeout_ms: u64,
-    /// Idle time in milliseconds before the first keep-alive on a connection to a server.
+    /// Idle time in milliseconds before the first keep-alive probe on a connection to a server.
     #[setting(default = 30000)]
     pub keepalive_idle_ms: u64,
     /// `TCP_USER_TIMEOUT` of connections to servers, in milliseconds.
--- a/crates/config/src/configuration/route.rs
+++ b/crates/config/src/configuration/route.rs
@@ -33,8 +33,7 @@
     #[setting(default = 1500, rename = "max_staleness_ms")]
     #[serde(rename = "fresh_ms")]
     pub max_staleness_ms: u64,
-    /// Latency target in milliseconds: a request that cannot be started well within it is rejected
-    /// immediately.
+    /// Latency target in milliseconds: a request that cannot be started well within it is rejected immediately.
     #[setting(rename = "latency_target_ms")]
     #[serde(rename = "aim_ms")]
     pub latency_target_ms: Option<u64>,
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -89,7 +89,7 @@
 
     /// Sends one request and returns the answer to it.
     ///
-    /// The request is sent a second time, on a new connection, only if a reused connection call_error and the request
+    /// The request is sent a second time, on a new connection, only if a reused connection broke and the request
     /// cannot have arrived or may be repeated.
     ///
     /// # Errors
