--- a/crates/capacity/src/components/gossip.rs
+++ b/crates/capacity/src/components/gossip.rs
@@ -81,7 +81,7 @@
         for now in (from_ms..until_ms).step_by(TICK_MS as usize) {
             self.tick(now);
             if now % LIVE_QUERY_MS == 0 {
-                self.membership.live();
+                self.membership.live_members();
             }
         }
     }
--- a/crates/capacity/src/components/singletons.rs
+++ b/crates/capacity/src/components/singletons.rs
@@ -3,12 +3,12 @@
 use crate::samples::{group_name, node_names};
 use quincehatch_core::Name;
 use quincehatch_gossip::ownership;
-use quincehatch_store::store::promotion_duty_key;
+use quincehatch_store::store::promotion_role_key;
 
 /// Processor time, in milliseconds, of finding the owner of the promotion duty of each of `groups` once.
 pub fn find_owners_ms(nodes: usize, groups: usize) -> f64 {
     let live = node_names(nodes);
-    let keys: Vec<Name> = (0..groups).map(|group| promotion_duty_key(&group_name(group))).collect();
+    let keys: Vec<Name> = (0..groups).map(|group| promotion_role_key(&group_name(group))).collect();
     let own_duties = || keys.iter().filter(|key| ownership::owner(key, &live) == live.first()).count();
     timed(own_duties).cpu_ms
 }
--- a/crates/capacity/src/components/store.rs
+++ b/crates/capacity/src/components/store.rs
@@ -1,7 +1,7 @@
 //! The replicated store of a cluster in service.
 use crate::samples::{SERVERS_PER_GROUP, configuration_text, group_name, node_name, server_record};
 use quincehatch_core::{FencingToken, PrimaryAssignment};
-use quincehatch_store::store::{MAX_ANSWERED_WRITES, promotion_duty_key};
+use quincehatch_store::store::{MAX_ANSWERED_WRITES, promotion_role_key};
 use quincehatch_store::{Answer, Change, Command, Entry, Store};
 
 /// A store with `adopted` configurations of `groups` databases, and three servers for each.
@@ -34,7 +34,7 @@
 fn assign_primary(store: &mut Store, group: usize) {
     let name = group_name(group);
     let node = node_name(1);
-    let acquire = Command::AcquireFence { duty: promotion_duty_key(&name), by: node.clone() };
+    let acquire = Command::AcquireFence { duty: promotion_role_key(&name), by: node.clone() };
     let Some(Answer::Fence(fence)) = apply(store, format!("f{group}"), acquire) else {
         return;
     };
--- a/crates/capacity/src/stub_servers.rs
+++ b/crates/capacity/src/stub_servers.rs
@@ -61,7 +61,7 @@
         Box::pin(async move { Ok(reply) })
     }
 
-    fn broken(&mut self) -> Option<io::Error> {
+    fn idle_error(&mut self) -> Option<io::Error> {
         None
     }
 }
--- a/crates/failover/src/direct.rs
+++ b/crates/failover/src/direct.rs
@@ -15,7 +15,7 @@
 /// The assigned server is replaced once it has reported for this long that it is not the primary.
 pub const NOT_PRIMARY_LIMIT: Millis = 600;
 /// A primary counts as cut off once no answering replica has reached the primary's replication watermark for this long.
-pub const CUT_OFF_AFTER: Millis = 2_000;
+pub const REPLICATION_TIMEOUT: Millis = 2_000;
 
 /// Whether the primary's status probes have failed for at least the limit. A stall is detected separately.
 pub fn primary_failed(observation: &GroupObservation) -> bool {
--- a/crates/failover/src/direct/candidate.rs
+++ b/crates/failover/src/direct/candidate.rs
@@ -29,7 +29,7 @@
     /// Servers that are draining. One of these is promoted only if no other server is eligible.
     pub draining: Vec<Name>,
     /// The primary's fencing token when the nodes' acknowledged positions were last gathered.
-    pub gathered_under: Option<FencingToken>,
+    pub gathered_fence: Option<FencingToken>,
 }
 
 /// A server that may be promoted.
@@ -53,7 +53,7 @@
     /// The highest position that any node acknowledged to clients; `None` until every node has reported its own.
     pub acknowledged_end: Option<Position>,
     /// Whether the delay for servers that do not answer has passed.
-    pub waited: bool,
+    pub delay_elapsed: bool,
 }
 
 impl CandidateSelection<'_> {
@@ -74,7 +74,7 @@
     /// Returns the highest suspended end once the delay has passed. Without sync replicas no number of suspended
     /// replicas proves that a log is complete.
     fn highest_end_after_waiting(&self) -> Option<Position> {
-        if !self.waited {
+        if !self.delay_elapsed {
             return None;
         }
         self.suspended.values().max().copied()
--- a/crates/failover/src/direct/replication.rs
+++ b/crates/failover/src/direct/replication.rs
@@ -5,7 +5,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReceivedSample {
     /// The time at which the query was sent.
-    pub asked_at: Millis,
+    pub queried_at: Millis,
     /// The end of the log entries that it had received.
     pub received: Position,
 }
@@ -26,9 +26,9 @@
         let log_shrank = primary.received < self.end;
         let reached = replicas.iter().any(|replica| replica.received >= self.end);
         if never_set || log_shrank || reached {
-            *self = Self { end: primary.received, set_at: primary.asked_at };
+            *self = Self { end: primary.received, set_at: primary.queried_at };
         }
         let behind = replicas.iter().filter(|replica| replica.received < self.end);
-        behind.map(|replica| replica.asked_at.saturating_sub(self.set_at)).max().unwrap_or(0)
+        behind.map(|replica| replica.queried_at.saturating_sub(self.set_at)).max().unwrap_or(0)
     }
 }
--- a/crates/failover/src/observation.rs
+++ b/crates/failover/src/observation.rs
@@ -2,7 +2,7 @@
 use quincehatch_core::{Millis, Name, PrimaryAssignment};
 
 /// Another node's promotion counts as stuck once it has written nothing for this long, in milliseconds.
-pub const STUCK_AFTER: Millis = 4_000;
+pub const STUCK_PROMOTION_TIMEOUT: Millis = 4_000;
 
 /// One observation of a group, made by the node that owns the group's promotion duty.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -13,7 +13,7 @@
     pub primary_unchanged_for: Millis,
     /// The time since another node's promotion acquired a fencing token above the assignment's; `None` if there is no
     /// such promotion. That promotion has written nothing since.
-    pub other_promotion_for: Option<Millis>,
+    pub since_other_promotion: Option<Millis>,
     /// Servers of the group that are known to this node.
     pub servers: Vec<Name>,
     /// The number of servers that the group is declared to have.
@@ -40,7 +40,7 @@
     /// Whether another node's promotion has priority because it started recently. Of two promotions that replace the
     /// same assignment only one can succeed.
     pub fn yields_to_other_promotion(&self) -> bool {
-        self.other_promotion_for.is_some_and(|elapsed| elapsed < STUCK_AFTER)
+        self.since_other_promotion.is_some_and(|elapsed| elapsed < STUCK_PROMOTION_TIMEOUT)
     }
 }
 
--- a/crates/failover/src/pooled.rs
+++ b/crates/failover/src/pooled.rs
@@ -1,5 +1,7 @@
 //! The decision when a pooled group needs a promotion.
-use crate::observation::{GroupObservation, ProbeFailureLimits, PromotionNeed, STUCK_AFTER, lasts_at_least};
+use crate::observation::{
+    GroupObservation, ProbeFailureLimits, PromotionNeed, STUCK_PROMOTION_TIMEOUT, lasts_at_least,
+};
 use quincehatch_core::Millis;
 
 /// The primary counts as failed once its probes have failed for this long, if other nodes confirm it.
@@ -46,7 +48,7 @@
 /// Returns which promotion a group needs while its assignment names no server: the promotion that closed the assignment
 /// is in progress, or it is stuck.
 pub(crate) fn need_without_server(observation: &GroupObservation) -> PromotionNeed {
-    if observation.primary_unchanged_for >= STUCK_AFTER {
+    if observation.primary_unchanged_for >= STUCK_PROMOTION_TIMEOUT {
         PromotionNeed::Now { planned: false }
     } else {
         PromotionNeed::Nothing
--- a/crates/failover/src/promotion/candidate.rs
+++ b/crates/failover/src/promotion/candidate.rs
@@ -30,7 +30,7 @@
             suspended: &self.fenced,
             old_primary: self.plan.old_primary.as_ref(),
             acknowledged_end: self.acknowledged_end,
-            waited: now >= self.phase_started_at + HIGHEST_LOG_DELAY,
+            delay_elapsed: now >= self.phase_started_at + HIGHEST_LOG_DELAY,
         };
         let Some(candidate) = selection.choose(self.plan.preferred.as_ref()) else { return };
         let is_old_primary = self.plan.old_primary.as_ref() == Some(&candidate.server);
--- a/crates/failover/src/votes.rs
+++ b/crates/failover/src/votes.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PrimaryObservation {
     /// Whether the node knows the server.
-    pub known_here: bool,
+    pub server_known: bool,
     /// Whether the server's status probes fail.
     pub failing: bool,
     /// Whether the server's replies are overdue.
@@ -24,7 +24,7 @@
 
 impl PrimaryObservation {
     fn vote(&self, suspected: SuspectedFailure) -> Vote {
-        if !self.known_here {
+        if !self.server_known {
             return Vote::Abstain;
         }
         match suspected {
@@ -58,7 +58,7 @@
     ///
     /// The own observation counts only for a stall, which nodes without requests to the server cannot observe. Every
     /// node probes every server's status, so other nodes must also observe a server that does not answer.
-    pub fn begin(suspected: SuspectedFailure, own: PrimaryObservation, queried: usize) -> Self {
+    pub fn new(suspected: SuspectedFailure, own: PrimaryObservation, queried: usize) -> Self {
         let own_stall = suspected == SuspectedFailure::Stalled && own.stalled;
         Self { suspected, confirming: usize::from(own_stall), denying: 0, queried }
     }
@@ -74,7 +74,7 @@
 
     /// Whether the failure is confirmed. Nodes that did not answer count for neither side. A node without other nodes
     /// to query decides alone.
-    pub fn confirmed(&self) -> bool {
+    pub fn is_confirmed(&self) -> bool {
         self.queried == 0 || (self.confirming >= 1 && self.confirming > self.denying)
     }
 }
--- a/crates/failover/tests/direct_candidate.rs
+++ b/crates/failover/tests/direct_candidate.rs
@@ -46,7 +46,7 @@
         let holders = names(self.ends.len());
         let draining = holders.iter().zip(&self.draining).filter(|(_, draining)| **draining);
         let draining = draining.map(|(name, _)| name.clone()).collect();
-        SyncGroup { sync_replicas: self.sync_replicas, holders, draining, gathered_under: None }
+        SyncGroup { sync_replicas: self.sync_replicas, holders, draining, gathered_fence: None }
     }
 
     fn suspended_ends(&self) -> BTreeMap<Name, Position> {
@@ -114,7 +114,7 @@
                 suspended: &suspended,
                 old_primary: Some(&old_primary),
                 acknowledged_end: reported.map(at),
-                waited: true,
+                delay_elapsed: true,
             };
             tally.scenarios += 1;
             match choose(&selection) {
@@ -163,7 +163,7 @@
             suspended: &suspended,
             old_primary: Some(&old_primary),
             acknowledged_end: None,
-            waited: false,
+            delay_elapsed: false,
         };
         let chosen = selection.choose(None);
         if !scenario.primary_suspended && !scenario.suspended.iter().all(|suspended| *suspended) {
@@ -191,7 +191,7 @@
         suspended: &suspended,
         old_primary: Some(&old_primary),
         acknowledged_end: None,
-        waited: false,
+        delay_elapsed: false,
     };
     assert_eq!(selection.choose(None), Some(candidate("r0", at(4))));
     let preferred = selection.choose(Some(&"r1".into()));
@@ -216,7 +216,7 @@
         suspended: &suspended,
         old_primary: None,
         acknowledged_end: None,
-        waited: false,
+        delay_elapsed: false,
     };
     assert_eq!(selection.choose(None), Some(candidate("r1", newer)));
 }
@@ -230,9 +230,9 @@
         suspended: &suspended,
         old_primary: None,
         acknowledged_end: None,
-        waited: false,
+        delay_elapsed: false,
     };
     assert_eq!(selection.choose(None), None);
-    let waited = CandidateSelection { waited: true, ..selection };
+    let waited = CandidateSelection { delay_elapsed: true, ..selection };
     assert_eq!(waited.choose(None), Some(candidate("r0", at(2))));
 }
--- a/crates/failover/tests/direct_need.rs
+++ b/crates/failover/tests/direct_need.rs
@@ -4,8 +4,8 @@
 use quincehatch_failover::direct::{primary_failed, promotion_need};
 use quincehatch_failover::observation::{GroupObservation, PromotionNeed};
 
-fn sample(asked_at: u64, number: u64) -> ReceivedSample {
-    ReceivedSample { asked_at, received: Position { fence: 1, number } }
+fn sample(queried_at: u64, number: u64) -> ReceivedSample {
+    ReceivedSample { queried_at, received: Position { fence: 1, number } }
 }
 
 #[test]
--- a/crates/failover/tests/pooled_need.rs
+++ b/crates/failover/tests/pooled_need.rs
@@ -1,6 +1,6 @@
 //! Tests of the decision when a pooled group needs a promotion.
 use quincehatch_core::{Millis, PrimaryAssignment};
-use quincehatch_failover::observation::{GroupObservation, PromotionNeed, STUCK_AFTER};
+use quincehatch_failover::observation::{GroupObservation, PromotionNeed, STUCK_PROMOTION_TIMEOUT};
 use quincehatch_failover::pooled::{PROBE_FAILURE_LIMITS, STALL_LIMIT, primary_failed, promotion_need};
 use quincehatch_failover::{direct, pooled};
 
@@ -45,19 +45,20 @@
 
 #[test]
 fn another_nodes_promotion_has_priority_until_it_is_stuck() {
-    let started = |elapsed| GroupObservation { other_promotion_for: Some(elapsed), ..unresponsive_primary() };
+    let started =
+        |elapsed| GroupObservation { since_other_promotion: Some(elapsed), ..unresponsive_primary() };
     assert!(primary_failed(&unresponsive_primary()) && direct::primary_failed(&unresponsive_primary()));
     assert_eq!(promotion_need(&unresponsive_primary()), PromotionNeed::Confirm);
-    assert_eq!(promotion_need(&started(STUCK_AFTER - 1)), PromotionNeed::Nothing);
-    assert_eq!(promotion_need(&started(STUCK_AFTER)), PromotionNeed::Confirm);
-    assert_eq!(direct::promotion_need(&started(STUCK_AFTER - 1), true), PromotionNeed::Nothing);
-    assert_eq!(direct::promotion_need(&started(STUCK_AFTER), true), PromotionNeed::Confirm);
+    assert_eq!(promotion_need(&started(STUCK_PROMOTION_TIMEOUT - 1)), PromotionNeed::Nothing);
+    assert_eq!(promotion_need(&started(STUCK_PROMOTION_TIMEOUT)), PromotionNeed::Confirm);
+    assert_eq!(direct::promotion_need(&started(STUCK_PROMOTION_TIMEOUT - 1), true), PromotionNeed::Nothing);
+    assert_eq!(direct::promotion_need(&started(STUCK_PROMOTION_TIMEOUT), true), PromotionNeed::Confirm);
 }
 
 #[test]
 fn a_first_assignment_waits_when_another_node_started_one() {
     let unassigned = GroupObservation { primary: None, failing_for: None, ..unresponsive_primary() };
     assert_eq!(pooled::promotion_need(&unassigned), PromotionNeed::Now { planned: false });
-    let started = GroupObservation { other_promotion_for: Some(0), ..unassigned };
+    let started = GroupObservation { since_other_promotion: Some(0), ..unassigned };
     assert_eq!(pooled::promotion_need(&started), PromotionNeed::Nothing);
 }
--- a/crates/failover/tests/votes.rs
+++ b/crates/failover/tests/votes.rs
@@ -5,15 +5,15 @@
 use quincehatch_failover::votes::{FailureVotes, PrimaryObservation, SuspectedFailure};
 
 fn unresponsive(failing: bool) -> PrimaryObservation {
-    PrimaryObservation { known_here: true, failing, ..Default::default() }
+    PrimaryObservation { server_known: true, failing, ..Default::default() }
 }
 
 fn confirmed_unresponsive(others: &[bool]) -> bool {
-    let mut votes = FailureVotes::begin(SuspectedFailure::Unresponsive, unresponsive(true), others.len());
+    let mut votes = FailureVotes::new(SuspectedFailure::Unresponsive, unresponsive(true), others.len());
     for failing in others {
         votes.add(unresponsive(*failing));
     }
-    votes.confirmed()
+    votes.is_confirmed()
 }
 
 #[test]
@@ -36,15 +36,15 @@
 /// The clients of a group may all be in one zone; nodes in other zones then cannot observe a stall.
 #[test]
 fn a_stall_is_not_denied_when_nodes_have_no_requests_to_the_server() {
-    let idle = PrimaryObservation { known_here: true, ..Default::default() };
+    let idle = PrimaryObservation { server_known: true, ..Default::default() };
     let stalled = PrimaryObservation { stalled: true, ..idle };
     let busy = PrimaryObservation { answering: true, ..idle };
-    let mut votes = FailureVotes::begin(SuspectedFailure::Stalled, idle, 5);
+    let mut votes = FailureVotes::new(SuspectedFailure::Stalled, idle, 5);
     for observation in [stalled, idle, idle, idle] {
         votes.add(observation);
     }
-    assert!(votes.confirmed());
+    assert!(votes.is_confirmed());
     votes.add(busy);
-    assert!(!votes.confirmed());
-    assert!(FailureVotes::begin(SuspectedFailure::Stalled, stalled, 3).confirmed());
+    assert!(!votes.is_confirmed());
+    assert!(FailureVotes::new(SuspectedFailure::Stalled, stalled, 3).is_confirmed());
 }
--- a/crates/gossip/src/membership/dissemination.rs
+++ b/crates/gossip/src/membership/dissemination.rs
@@ -77,7 +77,7 @@
 
     /// Disseminates a server's heartbeat that this node received, unless it already disseminates that one or a newer
     /// one.
-    pub fn spread_heartbeat(&mut self, heartbeat: ServerHeartbeat) {
+    pub fn disseminate_heartbeat(&mut self, heartbeat: ServerHeartbeat) {
         let known = self.heartbeats.get(&heartbeat.server);
         if known.is_none_or(|known| known.heartbeat.version() < heartbeat.version()) {
             let server = heartbeat.server.clone();
--- a/crates/gossip/src/membership/state.rs
+++ b/crates/gossip/src/membership/state.rs
@@ -131,7 +131,7 @@
     }
 
     /// Returns the nodes that count as live, including this one, ordered by name. Suspects still count as live.
-    pub fn live(&self) -> Vec<LiveMember> {
+    pub fn live_members(&self) -> Vec<LiveMember> {
         let peers = self.members.values().map(|member| &member.record);
         let records = peers.filter(|record| record.status.is_live()).chain([&self.local]);
         let mut live: Vec<LiveMember> = records
--- a/crates/gossip/tests/network/mod.rs
+++ b/crates/gossip/tests/network/mod.rs
@@ -83,7 +83,7 @@
     }
 
     pub fn live(&self, at: &str) -> Vec<Name> {
-        self.nodes[at].live().into_iter().map(|member| member.name).collect()
+        self.nodes[at].live_members().into_iter().map(|member| member.name).collect()
     }
 
     /// Returns the distinct lists of live nodes over all nodes.
--- a/crates/node/src/feed/cluster_state.rs
+++ b/crates/node/src/feed/cluster_state.rs
@@ -33,7 +33,7 @@
         .map_err(|error| log::error!(target: "feed", "version {version} cannot be read: {error}"))
         .ok();
     let route_by_database = configuration.as_ref().map(route_by_database).unwrap_or_default();
-    let tenants = configuration.as_ref().map(TenantDirectory::of).unwrap_or_default();
+    let tenants = configuration.as_ref().map(TenantDirectory::from_configuration).unwrap_or_default();
     let (tenant_count, key_count) =
         (configuration.as_ref().map_or(0, |configuration| configuration.tenants.len()), tenants.key_count());
     log::info!(
--- a/crates/node/src/feed/follower.rs
+++ b/crates/node/src/feed/follower.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use quincehatch_core::{ChangeNumber, ErrorCode, Millis, Name, ServerRecord};
 use quincehatch_runtime::{now, seam};
-use quincehatch_store::timing::{FEED_POLL_WAIT, feed_poll_wait, minus_clock_drift};
+use quincehatch_store::timing::{MIN_FEED_POLL_WAIT, feed_poll_wait, minus_clock_drift};
 use quincehatch_store::{Change, FeedSnapshot, FeedState, Reply, Request};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -102,7 +102,7 @@
     /// wants to learn soon that its tail is gone.
     fn poll_timeout_ms(&self) -> u64 {
         let timeout_ms = self.usual_poll_ms();
-        if self.last_change() > 0 && timeout_ms > FEED_POLL_WAIT + POLL_GRACE_MS {
+        if self.last_change() > 0 && timeout_ms > MIN_FEED_POLL_WAIT + POLL_GRACE_MS {
             return MAX_POLL_MS;
         }
         let doublings = if self.last_change() == 0 { self.unanswered_polls } else { 0 };
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -54,7 +54,7 @@
 
     /// The live nodes, this one too.
     pub fn live_nodes(&self) -> Vec<LiveMember> {
-        self.membership.lock().unwrap().live()
+        self.membership.lock().unwrap().live_members()
     }
 
     /// The names of the live nodes, this one too.
--- a/crates/node/src/metrics/servers.rs
+++ b/crates/node/src/metrics/servers.rs
@@ -46,7 +46,7 @@
         let direct = server.direct_pool.counts();
         totals.idle += pooled.idle + direct.idle;
         totals.checked_out += pooled.open.saturating_sub(pooled.idle) + direct.checked_out;
-        totals.queued += server.pool.queued.load(Ordering::Relaxed) + server.direct_pool.waiting();
+        totals.queued += server.pool.queued.load(Ordering::Relaxed) + server.direct_pool.waiter_count();
         let health = server.health.lock().unwrap();
         totals.ejections += health.ejections;
         totals.pending_replies += health.overdue.pending_count();
--- a/crates/node/src/operator/maintenance.rs
+++ b/crates/node/src/operator/maintenance.rs
@@ -6,7 +6,7 @@
 use quincehatch_operator_api::maintenance::{
     DrainReply, DrainRequest, DrainState, PromoteReply, PromoteRequest,
 };
-use quincehatch_store::store::promotion_duty_key;
+use quincehatch_store::store::promotion_role_key;
 use std::sync::atomic::Ordering;
 
 /// Asks the node that is responsible for the group's promotions to hand its primary over.
@@ -16,7 +16,7 @@
         return Err(ErrorCode::NoSuchServer.with_detail(format_args!("no group is called {group:?}")));
     }
     let live: Vec<Name> = node.gossip.live_nodes().into_iter().map(|member| member.name).collect();
-    let responsible = ownership::owner(&promotion_duty_key(group), &live);
+    let responsible = ownership::owner(&promotion_role_key(group), &live);
     let responsible = responsible.cloned().ok_or_else(|| ErrorCode::NoMajority.without_detail())?;
     let to = if request.to.is_empty() { None } else { Some(request.to.clone()) };
     let query = ReportQuery::Handover { group: group.clone(), to };
--- a/crates/node/src/operator/node_report.rs
+++ b/crates/node/src/operator/node_report.rs
@@ -30,7 +30,7 @@
         committed: counts.committed.load(Ordering::Relaxed),
         not_applied: counts.not_applied.load(Ordering::Relaxed),
         unknown: counts.unknown.load(Ordering::Relaxed),
-        live: membership.live().len(),
+        live: membership.live_members().len(),
         view: membership.view().to_vec(),
         gossip_messages_sent: membership.messages_sent,
     }
--- a/crates/node/src/peer_service.rs
+++ b/crates/node/src/peer_service.rs
@@ -54,7 +54,7 @@
 pub fn record_heartbeat(node: &Node, heartbeat: ServerHeartbeat) -> bool {
     let is_newer = node.proxy.registry.apply_heartbeat(heartbeat.clone());
     if is_newer {
-        node.gossip.membership.lock().unwrap().spread_heartbeat(heartbeat);
+        node.gossip.membership.lock().unwrap().disseminate_heartbeat(heartbeat);
     }
     is_newer
 }
--- a/crates/node/src/peer_service/queries.rs
+++ b/crates/node/src/peer_service/queries.rs
@@ -66,7 +66,7 @@
 fn server_evidence(node: &Node, server: &Name) -> NodeReply {
     let seen = observe_server(node, server);
     NodeReply::ServerEvidence {
-        heard: seen.known_here,
+        heard: seen.server_known,
         failing: seen.failing,
         stalled: seen.stalled,
         answering: seen.answering,
--- a/crates/node/src/promotion/attempt.rs
+++ b/crates/node/src/promotion/attempt.rs
@@ -3,7 +3,7 @@
 use crate::node::Node;
 use quincehatch_core::{Name, PrimaryAssignment};
 use quincehatch_failover::promotion::PromotionPlan;
-use quincehatch_store::store::promotion_duty_key;
+use quincehatch_store::store::promotion_role_key;
 
 /// The server that is or was the primary under an assignment.
 pub(super) fn old_primary(assignment: Option<&PrimaryAssignment>) -> Option<Name> {
@@ -15,7 +15,7 @@
 /// the rest are for the caller to fill in.
 pub(super) fn begin_plan(node: &Node, group: &Name, state: &GroupState) -> PromotionPlan {
     let coordinator = node.gossip.local_name.clone();
-    let duty = promotion_duty_key(group);
+    let duty = promotion_role_key(group);
     PromotionPlan {
         group: group.clone(),
         attempt: format!("{duty}/{coordinator}/{:x}", fastrand::u64(..)).into(),
--- a/crates/node/src/promotion/direct/actions.rs
+++ b/crates/node/src/promotion/direct/actions.rs
@@ -74,8 +74,8 @@
 
 /// Asks all nodes for the end of what they passed on as acknowledged.
 pub(crate) async fn query_acknowledged(node: &Arc<Node>, plan: &PromotionPlan) -> PromotionEvent {
-    let gathered_under = plan.sync_group.as_ref().and_then(|group| group.gathered_under);
-    let Some(primary_fence) = gathered_under else { return PromotionEvent::Tick };
+    let gathered_fence = plan.sync_group.as_ref().and_then(|group| group.gathered_fence);
+    let Some(primary_fence) = gathered_fence else { return PromotionEvent::Tick };
     // The closed assignment that is in force by now has a higher token than the primary's.
     let fence = primary_fence + 1;
     match gather_acknowledged_end(node, &plan.group, primary_fence, fence).await {
--- a/crates/node/src/promotion/direct/initial_primary.rs
+++ b/crates/node/src/promotion/direct/initial_primary.rs
@@ -6,7 +6,7 @@
 use quincehatch_core::{FencingToken, Millis, Name, PrimaryAssignment, Role};
 use quincehatch_proxy::registry::ServerEntry;
 use quincehatch_runtime::{now, seam};
-use quincehatch_store::store::promotion_duty_key;
+use quincehatch_store::store::promotion_role_key;
 use quincehatch_store::{Command, PrimaryState};
 use std::sync::Arc;
 use std::time::Duration;
@@ -63,7 +63,7 @@
 
 async fn adopt_primary(node: Arc<Node>, claim: PrimaryClaim) {
     let coordinator = node.gossip.local_name.clone();
-    let duty = promotion_duty_key(&claim.group);
+    let duty = promotion_role_key(&claim.group);
     let key = format!("{duty}/{coordinator}/first/{:x}", fastrand::u64(..));
     let expected = PrimaryState { fence: claim.expected_fence, primary: None };
     let request = FenceRequest { key: &key, group: &claim.group, coordinator: &coordinator, expected };
--- a/crates/node/src/promotion/direct/launch.rs
+++ b/crates/node/src/promotion/direct/launch.rs
@@ -38,7 +38,7 @@
         sync_replicas: configured_sync_replicas(node, group),
         holders: holders(node, group, servers, state.primary.as_ref()),
         draining: draining.map(|server| server.name.clone()).collect(),
-        gathered_under: node.promotion_state.acknowledged_bounds.primary_fence(group),
+        gathered_fence: node.promotion_state.acknowledged_bounds.primary_fence(group),
     };
     PromotionPlan {
         old_primary: old_primary(state.primary.as_ref()),
--- a/crates/node/src/promotion/direct/polling.rs
+++ b/crates/node/src/promotion/direct/polling.rs
@@ -122,5 +122,5 @@
 }
 
 fn received(sample: StatusSample) -> ReceivedSample {
-    ReceivedSample { asked_at: sample.asked_at, received: sample.status.received }
+    ReceivedSample { queried_at: sample.asked_at, received: sample.status.received }
 }
--- a/crates/node/src/promotion/direct/server_calls.rs
+++ b/crates/node/src/promotion/direct/server_calls.rs
@@ -54,7 +54,7 @@
     let (addr, group) = (entry.addr(), entry.group());
     let statuses = &node.promotion_state.server_statuses;
     if let Some(mut kept) = statuses.take_connection(server).filter(|kept| kept.addr == addr)
-        && kept.connection.broken().is_none()
+        && kept.connection.idle_error().is_none()
         && let Ok(reply) = kept.connection.call(call).await
     {
         statuses.keep_connection(server, kept.addr, kept.connection);
--- a/crates/node/src/promotion/direct/tending.rs
+++ b/crates/node/src/promotion/direct/tending.rs
@@ -10,8 +10,8 @@
 use super::repair::repair_stale_servers;
 use crate::node::Node;
 use quincehatch_core::{Millis, Name, PrimaryAssignment, Role};
-use quincehatch_failover::direct::{CUT_OFF_AFTER, primary_failed, promotion_need};
-use quincehatch_failover::observation::{GroupObservation, PromotionNeed, STUCK_AFTER};
+use quincehatch_failover::direct::{REPLICATION_TIMEOUT, primary_failed, promotion_need};
+use quincehatch_failover::observation::{GroupObservation, PromotionNeed, STUCK_PROMOTION_TIMEOUT};
 use quincehatch_proxy::registry::ServerEntry;
 use quincehatch_runtime::now;
 use std::sync::Arc;
@@ -31,7 +31,8 @@
         return;
     }
     if state.primary.is_none() {
-        let other_began = state.other_promotion_for().is_some_and(|elapsed| elapsed < STUCK_AFTER);
+        let other_began =
+            state.since_other_promotion().is_some_and(|elapsed| elapsed < STUCK_PROMOTION_TIMEOUT);
         if !other_began {
             assign_first(node, group, &servers, state);
         }
@@ -64,7 +65,7 @@
         assignment.server.is_none() && assignment.assigned_by == node.gossip.local_name
     });
     if left_by_this_node {
-        observation.primary_unchanged_for = observation.primary_unchanged_for.max(STUCK_AFTER);
+        observation.primary_unchanged_for = observation.primary_unchanged_for.max(STUCK_PROMOTION_TIMEOUT);
     }
     let Some(name) = state.primary_server() else { return observation };
     observation.unregistered = !node.feed_state.lock().unwrap().servers.contains_key(&name);
@@ -93,5 +94,5 @@
 fn is_cut_off(state: &GroupState) -> bool {
     let handled_at = state.direct.cut_off_handled_at;
     let handled_lately = handled_at != 0 && now() < handled_at + CUT_OFF_PAUSE;
-    state.direct.replicas_behind_for >= CUT_OFF_AFTER && !handled_lately
+    state.direct.replicas_behind_for >= REPLICATION_TIMEOUT && !handled_lately
 }
--- a/crates/node/src/promotion/duty.rs
+++ b/crates/node/src/promotion/duty.rs
@@ -6,7 +6,7 @@
 use quincehatch_core::Name;
 use quincehatch_gossip::OwnerTable;
 use quincehatch_runtime::seam;
-use quincehatch_store::store::promotion_duty_key;
+use quincehatch_store::store::promotion_role_key;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,7 +33,7 @@
         owns_any = false;
         for group in known_groups(&node) {
             let state = groups.entry(group.clone()).or_default();
-            let duty_owner = owners.owner(&promotion_duty_key(&group));
+            let duty_owner = owners.owner(&promotion_role_key(&group));
             owns_any |= duty_owner == Some(&node.gossip.local_name);
             tend_group(&node, &group, state, duty_owner).await;
         }
--- a/crates/node/src/promotion/evidence.rs
+++ b/crates/node/src/promotion/evidence.rs
@@ -24,7 +24,7 @@
     let failing = server.status.lock().unwrap().failing_since.is_some();
     let health = server.health.lock().unwrap();
     PrimaryObservation {
-        known_here: true,
+        server_known: true,
         failing,
         stalled: health.stalled_for(now()).is_some(),
         answering: health.overdue.answered_within(now(), ANSWERING_WINDOW),
@@ -41,7 +41,7 @@
     GroupObservation {
         primary: state.primary.clone(),
         primary_unchanged_for: now().saturating_sub(state.primary_since),
-        other_promotion_for: state.other_promotion_for(),
+        since_other_promotion: state.since_other_promotion(),
         servers: servers.iter().map(|server| server.name.clone()).collect(),
         handover_requested: node.promotion_state.is_handover_requested(group),
         ..Default::default()
@@ -94,13 +94,13 @@
         fastrand::shuffle(&mut others);
         others.truncate(MAX_WITNESSES);
     }
-    let mut votes = FailureVotes::begin(suspected, observe_server(node, &server), others.len());
+    let mut votes = FailureVotes::new(suspected, observe_server(node, &server), others.len());
     for (_, reply) in node.gossip.query_all(others, NodeQuery::ServerEvidence { server }).await {
         if let Some(NodeReply::ServerEvidence { heard, failing, stalled, answering }) = reply {
-            votes.add(PrimaryObservation { known_here: heard, failing, stalled, answering });
+            votes.add(PrimaryObservation { server_known: heard, failing, stalled, answering });
         }
     }
-    votes.confirmed()
+    votes.is_confirmed()
 }
 
 /// What remains of a need once other nodes were asked, if it is to be confirmed: a promotion now, or nothing.
--- a/crates/node/src/promotion/execution.rs
+++ b/crates/node/src/promotion/execution.rs
@@ -6,7 +6,7 @@
 use quincehatch_failover::promotion::{Promotion, PromotionAction, PromotionEvent, PromotionPlan};
 use quincehatch_gossip::{NodeQuery, NodeReply};
 use quincehatch_runtime::{now, seam};
-use quincehatch_store::store::promotion_duty_key;
+use quincehatch_store::store::promotion_role_key;
 use quincehatch_store::{Answer, Command, PrimaryState};
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -117,7 +117,7 @@
         PromotionAction::FenceServer { server, fence } => pooled::fence_server(node, server, fence).await,
         // Whoever took a higher token names another server: a call under this one would only disturb the group.
         PromotionAction::PromoteServer { fence, .. }
-            if node.feed_state.lock().unwrap().fence(&promotion_duty_key(&plan.group)) > fence =>
+            if node.feed_state.lock().unwrap().fence(&promotion_role_key(&plan.group)) > fence =>
         {
             PromotionEvent::Superseded
         }
--- a/crates/node/src/promotion/group_state.rs
+++ b/crates/node/src/promotion/group_state.rs
@@ -64,7 +64,7 @@
     }
 
     /// For how long another process's promotion has been begun and has written nothing.
-    pub fn other_promotion_for(&self) -> Option<Millis> {
+    pub fn since_other_promotion(&self) -> Option<Millis> {
         self.other_promotion.as_ref().map(|other| now() - other.seen_since)
     }
 
--- a/crates/node/src/settlement.rs
+++ b/crates/node/src/settlement.rs
@@ -22,8 +22,8 @@
     loop {
         let interval = interval(&node);
         let quota = &node.proxy.quota;
-        if !quota.has_waiting() {
-            let _ = seam::timeout(Duration::from_millis(interval), quota.wanted()).await;
+        if !quota.has_waiting_operations() {
+            let _ = seam::timeout(Duration::from_millis(interval), quota.settlement_requested()).await;
         }
         let began = now();
         settle(&node, interval).await;
--- a/crates/node/tests/stopping.rs
+++ b/crates/node/tests/stopping.rs
@@ -39,7 +39,7 @@
     let from = node.gossip.membership.lock().unwrap().local.clone();
     let message = GossipMessage::Ping { seq: 1 };
     other.handle_message(0, GossipEnvelope { from, records: Vec::new(), message });
-    other.live().into_iter().map(|member| member.name).collect()
+    other.live_members().into_iter().map(|member| member.name).collect()
 }
 
 #[tokio::test]
--- a/crates/proxy/src/direct/begin.rs
+++ b/crates/proxy/src/direct/begin.rs
@@ -92,7 +92,7 @@
                 tried.clear();
             }
             drop(in_flight);
-            if deadlines.start_passed() {
+            if deadlines.start_deadline_passed() {
                 return Err(last_error.with_retry_after(RETRY_AFTER_REJECTION));
             }
             backoff.pause().await;
@@ -137,7 +137,7 @@
         }
         let context = CallContext::new(direct, server, route);
         let fence = fence_if_primary(direct, &route.group, server).unwrap_or_default();
-        let begin = ServerCall::Begin { read: self.read_only, floor: target.floor };
+        let begin = ServerCall::Begin { read_only: self.read_only, floor: target.floor };
         let reply = match send_begin(&mut checkout.connection, &context, settings, &begin, deadlines).await {
             Ok(reply) => reply,
             Err(error) => return BeginAttempt::Retry(unanswered_error(&error)),
--- a/crates/proxy/src/direct/command.rs
+++ b/crates/proxy/src/direct/command.rs
@@ -7,7 +7,7 @@
     /// Begin a transaction.
     Begin {
         /// Whether the transaction only reads.
-        read: bool,
+        read_only: bool,
     },
     /// Commit the open transaction.
     Commit,
--- a/crates/proxy/src/direct/connection.rs
+++ b/crates/proxy/src/direct/connection.rs
@@ -50,8 +50,8 @@
     }
 
     /// Returns the reason why an idle connection must not be used, if it was closed or received unsolicited data.
-    pub fn broken(&mut self) -> Option<io::Error> {
-        self.server.broken()
+    pub fn idle_error(&mut self) -> Option<io::Error> {
+        self.server.idle_error()
     }
 
     /// Whether another call may be sent on it.
--- a/crates/proxy/src/direct/pool.rs
+++ b/crates/proxy/src/direct/pool.rs
@@ -126,7 +126,7 @@
     }
 
     /// Returns the number of requests that wait for a connection.
-    pub fn waiting(&self) -> usize {
+    pub fn waiter_count(&self) -> usize {
         self.state.lock().unwrap().waiters.len()
     }
 
@@ -184,7 +184,7 @@
         let last_used = || state.idle.iter().rposition(is_tenants);
         let Some(index) = matching.or_else(last_used) else { return IdleConnection::None };
         let mut connection = state.idle.remove(index);
-        if let Some(error) = connection.broken() {
+        if let Some(error) = connection.idle_error() {
             drop(state);
             return IdleConnection::Broken(error);
         }
--- a/crates/proxy/src/direct/primary_statement.rs
+++ b/crates/proxy/src/direct/primary_statement.rs
@@ -54,7 +54,7 @@
             }
         }
         drop(in_flight);
-        if deadlines.start_passed() {
+        if deadlines.start_deadline_passed() {
             let error = last_error.with_retry_after(RETRY_AFTER_REJECTION);
             return StatementResponse::failed(error, TransactionState::Idle);
         }
--- a/crates/proxy/src/direct/proxy.rs
+++ b/crates/proxy/src/direct/proxy.rs
@@ -134,7 +134,7 @@
     /// Whether a statement on the route may be hedged. If its tenant has a limit, the hedge needs a token, which is
     /// taken here.
     pub(super) fn may_hedge(&self, route: &ResolvedRoute) -> bool {
-        self.limited_tenant(route).is_none_or(|tenant| self.proxy.quota.take_spare(tenant))
+        self.limited_tenant(route).is_none_or(|tenant| self.proxy.quota.try_take_token(tenant))
     }
 
     /// Returns the route's tenant if it has a limit.
--- a/crates/proxy/src/direct/replica_read.rs
+++ b/crates/proxy/src/direct/replica_read.rs
@@ -61,7 +61,7 @@
             return StatementResponse::failed(error, TransactionState::Idle);
         }
         let Some(target) = tried.choose_next(run, backoff.is_first_attempt()) else {
-            if deadlines.start_passed() || tried.count() > MAX_SERVERS {
+            if deadlines.start_deadline_passed() || tried.count() > MAX_SERVERS {
                 return retries_exhausted(last_error);
             }
             tried.clear();
@@ -73,7 +73,7 @@
             Attempt::NotStarted => {}
             Attempt::Retry(error) => last_error = error,
         }
-        if deadlines.start_passed() {
+        if deadlines.start_deadline_passed() {
             return retries_exhausted(last_error);
         }
     }
@@ -126,7 +126,7 @@
     match reject_reason(&reply) {
         Some(reason) if was_not_run(reason) => Attempt::Retry(rejection_error(reason)),
         // A failed read changed nothing, so another server may run it.
-        Some(RejectReason::Failed) if !deadlines.start_passed() => {
+        Some(RejectReason::Failed) if !deadlines.start_deadline_passed() => {
             Attempt::Retry(ErrorCode::ServerRejected.without_detail())
         }
         _ => Attempt::Finished(StatementResponse::from_reply(reply, TransactionState::Idle)),
--- a/crates/proxy/src/direct/route.rs
+++ b/crates/proxy/src/direct/route.rs
@@ -50,7 +50,7 @@
     }
 
     /// Whether no further attempt may be started.
-    pub fn start_passed(&self) -> bool {
+    pub fn start_deadline_passed(&self) -> bool {
         now() >= self.start_by
     }
 }
--- a/crates/proxy/src/direct/server_choice.rs
+++ b/crates/proxy/src/direct/server_choice.rs
@@ -169,7 +169,7 @@
 fn load(direct: &DirectProxy, server: &ServerEntry) -> usize {
     let pool = &server.direct_pool;
     let in_other_zone = server.zone() != direct.proxy.settings.zone;
-    (pool.checked_out() + pool.waiting() * WAITER_WEIGHT) * 2 + usize::from(in_other_zone)
+    (pool.checked_out() + pool.waiter_count() * WAITER_WEIGHT) * 2 + usize::from(in_other_zone)
 }
 
 fn was_tried(tried: &[Arc<ServerEntry>], server: &Arc<ServerEntry>) -> bool {
--- a/crates/proxy/src/direct/session.rs
+++ b/crates/proxy/src/direct/session.rs
@@ -99,7 +99,7 @@
             SessionCommand::Commit => self.commit(id).await,
             // A failed transaction accepts only a commit or rollback.
             _ if state == TransactionState::Failed => StatementResponse::malformed(state),
-            SessionCommand::Begin { read } => self.begin(read),
+            SessionCommand::Begin { read_only } => self.begin(read_only),
             SessionCommand::Set { name, value } => {
                 let result = self.setup.set(name, value);
                 self.respond(result)
--- a/crates/proxy/src/direct/transaction.rs
+++ b/crates/proxy/src/direct/transaction.rs
@@ -65,7 +65,7 @@
             let still_open = reply.transaction_state == TransactionState::Open;
             let retriable =
                 matches!(reject_reason(&reply), Some(RejectReason::Busy | RejectReason::Unprepared));
-            if retriable && still_open && !deadlines.start_passed() {
+            if retriable && still_open && !deadlines.start_deadline_passed() {
                 backoff.pause().await;
                 continue;
             }
@@ -98,7 +98,7 @@
             self.record_position(direct, sent_at, &reply);
             let busy = reject_reason(&reply) == Some(RejectReason::Busy);
             let still_open = reply.transaction_state == TransactionState::Open;
-            if busy && still_open && !deadlines.start_passed() {
+            if busy && still_open && !deadlines.start_deadline_passed() {
                 backoff.pause().await;
                 continue;
             }
--- a/crates/proxy/src/ports.rs
+++ b/crates/proxy/src/ports.rs
@@ -13,7 +13,7 @@
     /// Begins a transaction.
     Begin {
         /// It reads only.
-        read: bool,
+        read_only: bool,
         /// The server rejects the call if its log lacks this position.
         floor: Option<Position>,
     },
@@ -170,7 +170,7 @@
     /// Makes a call and waits for the complete reply.
     fn call<'a>(&'a mut self, call: &'a ServerCall) -> BoxFuture<'a, io::Result<ServerReply>>;
     /// An idle connection on which something came, or that has ended, is broken.
-    fn broken(&mut self) -> Option<io::Error>;
+    fn idle_error(&mut self) -> Option<io::Error>;
 }
 
 /// A connection that was opened.
--- a/crates/proxy/src/tenants/admission.rs
+++ b/crates/proxy/src/tenants/admission.rs
@@ -20,7 +20,7 @@
 pub struct QuotaGate {
     allowances: Mutex<Allowances>,
     /// Notified when an operation waits for a settlement.
-    wanted: Notify,
+    settlement_requested: Notify,
     /// Notified when a settlement has ended.
     settled: Notify,
 }
@@ -73,7 +73,7 @@
                 self.finish();
                 return to_result(admission);
             }
-            self.gate.wanted.notify_one();
+            self.gate.settlement_requested.notify_one();
             let elapsed = now() - self.started_at;
             let limit = if elapsed < CREDIT_AFTER { CREDIT_AFTER } else { MAX_WAIT };
             let left = Duration::from_millis(limit.saturating_sub(elapsed).max(1));
@@ -94,7 +94,7 @@
         if admission != Admission::Wait || elapsed < CREDIT_AFTER {
             return admission;
         }
-        if allowances.borrow(now(), self.tenant) {
+        if allowances.try_run_on_credit(now(), self.tenant) {
             return Admission::Admitted;
         }
         if elapsed < MAX_WAIT {
@@ -115,20 +115,20 @@
         if admission != Admission::Wait {
             return to_result(admission).map(|()| OperationAdmission::granted());
         }
-        self.wanted.notify_one();
+        self.settlement_requested.notify_one();
         let waiting =
             WaitingOperation { gate: self, tenant, started_at: now(), is_finished: AtomicBool::new(false) };
         Ok(OperationAdmission { waiting: Some(waiting), result: OnceCell::new() })
     }
 
     /// Takes a token for a hedge of a statement, if one is available without waiting.
-    pub fn take_spare(&self, tenant: &Name) -> bool {
-        self.allowances.lock().unwrap().take_spare(now(), tenant)
+    pub fn try_take_token(&self, tenant: &Name) -> bool {
+        self.allowances.lock().unwrap().try_take_token(now(), tenant)
     }
 
     /// Waits until an operation needs a settlement.
-    pub async fn wanted(&self) {
-        self.wanted.notified().await;
+    pub async fn settlement_requested(&self) {
+        self.settlement_requested.notified().await;
     }
 
     /// Begins a settlement and returns its claims, which are empty if there is nothing to settle. The settlement ends
@@ -141,8 +141,8 @@
     pub fn end_settlement(&self, settlement: Option<&Settlement>) {
         let mut allowances = self.allowances.lock().unwrap();
         match settlement {
-            Some(settlement) => allowances.settled(now(), settlement),
-            None => allowances.not_settled(now()),
+            Some(settlement) => allowances.settlement_completed(now(), settlement),
+            None => allowances.settlement_failed(now()),
         }
         drop(allowances);
         self.settled.notify_waiters();
@@ -154,8 +154,8 @@
     }
 
     /// Whether an operation waits for a settlement.
-    pub fn has_waiting(&self) -> bool {
-        self.allowances.lock().unwrap().has_waiting()
+    pub fn has_waiting_operations(&self) -> bool {
+        self.allowances.lock().unwrap().has_waiting_operations()
     }
 }
 
--- a/crates/proxy/src/tenants/directory.rs
+++ b/crates/proxy/src/tenants/directory.rs
@@ -17,7 +17,7 @@
 
 impl TenantDirectory {
     /// Creates the directory of a validated configuration.
-    pub fn of(configuration: &Configuration) -> TenantDirectory {
+    pub fn from_configuration(configuration: &Configuration) -> TenantDirectory {
         let mut tenant_by_key = HashMap::new();
         for tenant in &configuration.tenants {
             let digests = tenant.keys.iter().filter_map(|key| key.parse().ok());
--- a/crates/proxy/tests/direct_calls.rs
+++ b/crates/proxy/tests/direct_calls.rs
@@ -82,7 +82,7 @@
 /// Returns the units of work that sessions run: single statements and transactions. `mark` makes the texts of a unit
 /// unique.
 fn work_units(mark: &str) -> Vec<Vec<SessionCommand>> {
-    let begin = || SessionCommand::Begin { read: false };
+    let begin = || SessionCommand::Begin { read_only: false };
     vec![
         vec![write(mark)],
         vec![read(mark)],
@@ -221,7 +221,7 @@
     let fixture = world.enter(Fixture::new);
     fixture.inject("s1", Fault::NoReply);
     let mut session = world.run(fixture.session("orders"), || false).unwrap();
-    let begin = SessionCommand::Begin { read: false };
+    let begin = SessionCommand::Begin { read_only: false };
     assert!(world.run(execute(&mut session, begin), || false).is_some());
     assert!(world.run(execute(&mut session, write("a")), || true).is_none());
     assert_eq!(session.transaction_state(), TransactionState::Failed);
--- a/crates/proxy/tests/direct_connections.rs
+++ b/crates/proxy/tests/direct_connections.rs
@@ -18,7 +18,7 @@
     assert_eq!(fixture.direct.connection_share("g1").even, 1);
     let (mut first, mut second) = (fixture.session("orders").await, fixture.session("orders").await);
     for session in [&mut first, &mut second] {
-        execute(session, SessionCommand::Begin { read: false }).await;
+        execute(session, SessionCommand::Begin { read_only: false }).await;
         let response = execute(session, write("x")).await;
         assert!(response.result.is_ok(), "{response:?}");
     }
--- a/crates/proxy/tests/direct_sessions.rs
+++ b/crates/proxy/tests/direct_sessions.rs
@@ -156,7 +156,7 @@
     let started = now();
     assert_stamped(&execute(&mut on_primary, read("b")).await);
     assert!(now() - started < 300);
-    execute(&mut on_primary, SessionCommand::Begin { read: false }).await;
+    execute(&mut on_primary, SessionCommand::Begin { read_only: false }).await;
     assert_stamped(&execute(&mut on_primary, write("c")).await);
     fixture.inject("s1", Fault::NoReply);
     let response = execute(&mut on_primary, write("d")).await;
--- a/crates/proxy/tests/direct_transactions.rs
+++ b/crates/proxy/tests/direct_transactions.rs
@@ -9,7 +9,7 @@
 use quincehatch_proxy::direct::{SessionCommand, StatementError};
 use quincehatch_proxy::ports::{RejectReason, TransactionState};
 
-const BEGIN: SessionCommand = SessionCommand::Begin { read: false };
+const BEGIN: SessionCommand = SessionCommand::Begin { read_only: false };
 
 #[tokio::test]
 async fn prepared_statements_are_independent_when_two_clients_use_the_same_name() {
--- a/crates/proxy/tests/fake_servers/connection.rs
+++ b/crates/proxy/tests/fake_servers/connection.rs
@@ -139,7 +139,7 @@
         })
     }
 
-    fn broken(&mut self) -> Option<io::Error> {
+    fn idle_error(&mut self) -> Option<io::Error> {
         self.broken.then(|| io::ErrorKind::ConnectionReset.into())
     }
 }
--- a/crates/quota/src/allowance.rs
+++ b/crates/quota/src/allowance.rs
@@ -1,5 +1,5 @@
 //! The operations that one node may run for one tenant.
-use crate::allowances::{Admission, MAX_IDLE_HOLD};
+use crate::allowances::{Admission, IDLE_TOKEN_RETENTION};
 use crate::average_rate::{AdmittedRate, ArrivalRate};
 use crate::messages::{Claim, Grant};
 use quincehatch_core::{Millis, Name};
@@ -54,7 +54,11 @@
             return self.admitted(now);
         }
         if let Some(since) = unsettled_since {
-            return if self.borrow(now, since, may_use_credit) { Admission::Admitted } else { self.reject() };
+            return if self.try_run_on_credit(now, since, may_use_credit) {
+                Admission::Admitted
+            } else {
+                self.reject()
+            };
         }
         if now < self.exhausted_until {
             return self.reject();
@@ -76,7 +80,7 @@
     /// whether it runs. The node's share of the tenant's rate is the share of operations that it ran before.
     /// `had_credit` says whether the tenant was allowed to use credit before; its first operation then runs in any
     /// case.
-    pub fn borrow(&mut self, now: Millis, since: Millis, had_credit: bool) -> bool {
+    pub fn try_run_on_credit(&mut self, now: Millis, since: Millis, had_credit: bool) -> bool {
         if self.borrowed == 0 {
             self.rounding = fastrand::f64();
         }
@@ -108,7 +112,7 @@
     }
 
     /// Spends a token on an optional operation. Returns false if no token is held.
-    pub fn take_spare(&mut self, now: Millis) -> bool {
+    pub fn try_take_token(&mut self, now: Millis) -> bool {
         let has_token = self.tokens > 0;
         if has_token {
             self.tokens -= 1;
@@ -126,7 +130,7 @@
         interval: Millis,
         may_use_credit: bool,
     ) -> Option<Claim> {
-        let is_idle = now.saturating_sub(self.last_request_at) > MAX_IDLE_HOLD;
+        let is_idle = now.saturating_sub(self.last_request_at) > IDLE_TOKEN_RETENTION;
         let target = if is_idle { 0 } else { self.target(now, interval, may_use_credit) };
         let returned = self.tokens.saturating_sub(target);
         // Tokens above the target are returned only once the excess is larger than the target, so that the node does
@@ -159,7 +163,7 @@
     }
 
     /// Applies the tail's answer to the claim.
-    pub fn settled(&mut self, now: Millis, grant: &Grant) {
+    pub fn settlement_completed(&mut self, now: Millis, grant: &Grant) {
         self.tokens += u64::from(grant.tokens);
         self.exhausted_until = match grant.exhausted_ms {
             0 => 0,
@@ -172,7 +176,7 @@
     /// Restores the state after a claim that was not answered. Tokens that the claim returned are lost; operations that
     /// it reported are reported again. The tail may have received the claim and count them twice, which can only lower
     /// the balance of the tenant's account.
-    pub fn not_settled(&mut self, claim: &Claim) {
+    pub fn settlement_failed(&mut self, claim: &Claim) {
         self.overdrawn += u64::from(claim.overdrawn);
         self.used += u64::from(claim.used);
         self.rejected += u64::from(claim.rejected);
--- a/crates/quota/src/allowances.rs
+++ b/crates/quota/src/allowances.rs
@@ -6,7 +6,7 @@
 
 /// A node returns the tokens of a tenant without operations for this long. This is shorter than a node's lease, so the
 /// tail may discard its record of a node's tokens once the lease has expired.
-pub const MAX_IDLE_HOLD: Millis = 3_000;
+pub const IDLE_TOKEN_RETENTION: Millis = 3_000;
 
 /// For how long the answer to a settlement determines which tenants may use credit.
 const CREDIT_VALIDITY: Millis = 1_500;
@@ -84,10 +84,10 @@
     }
 
     /// Whether an operation that has waited long, because the tail is slow, may run on credit.
-    pub fn borrow(&mut self, now: Millis, tenant: &Name) -> bool {
+    pub fn try_run_on_credit(&mut self, now: Millis, tenant: &Name) -> bool {
         let since = self.unsettled_since.unwrap_or(now);
         let had_credit = self.may_use_credit(now, tenant);
-        self.allowance_mut(tenant).borrow(now, since, had_credit)
+        self.allowance_mut(tenant).try_run_on_credit(now, since, had_credit)
     }
 
     /// Rejects an operation that has waited too long.
@@ -102,8 +102,8 @@
     }
 
     /// Spends a token on an optional operation. Returns false if none is held.
-    pub fn take_spare(&mut self, now: Millis, tenant: &Name) -> bool {
-        self.by_tenant.get_mut(tenant).is_some_and(|allowance| allowance.take_spare(now))
+    pub fn try_take_token(&mut self, now: Millis, tenant: &Name) -> bool {
+        self.by_tenant.get_mut(tenant).is_some_and(|allowance| allowance.try_take_token(now))
     }
 
     /// Returns the totals of all operations that were settled so far.
@@ -112,8 +112,8 @@
     }
 
     /// Starts a settlement and returns its claims, which are empty if there is nothing to settle. The caller must
-    /// finish the settlement with [`Allowances::settled`] or [`Allowances::not_settled`]. `interval` is the time
-    /// between regular settlements; an earlier one contains only tenants whose operations wait.
+    /// finish the settlement with [`Allowances::settlement_completed`] or [`Allowances::settlement_failed`]. `interval`
+    /// is the time between regular settlements; an earlier one contains only tenants whose operations wait.
     pub fn begin_settlement(&mut self, now: Millis, interval: Millis) -> Vec<Claim> {
         let is_due = now >= self.due_at;
         if is_due {
@@ -137,26 +137,26 @@
     }
 
     /// Finishes a settlement with the tail's answer.
-    pub fn settled(&mut self, now: Millis, settlement: &Settlement) {
+    pub fn settlement_completed(&mut self, now: Millis, settlement: &Settlement) {
         self.unsettled_since = None;
         self.pending_claims.clear();
         self.settled_at = Some(now);
         self.without_credit = settlement.pressed.iter().cloned().collect();
         for grant in &settlement.grants {
-            self.allowance_mut(&grant.tenant).settled(now, grant);
+            self.allowance_mut(&grant.tenant).settlement_completed(now, grant);
         }
     }
 
     /// Finishes a settlement that no tail has answered.
-    pub fn not_settled(&mut self, now: Millis) {
+    pub fn settlement_failed(&mut self, now: Millis) {
         self.unsettled_since = self.unsettled_since.or(Some(now));
         for claim in std::mem::take(&mut self.pending_claims) {
-            self.allowance_mut(&claim.tenant).not_settled(&claim);
+            self.allowance_mut(&claim.tenant).settlement_failed(&claim);
         }
     }
 
     /// Whether an operation waits for a settlement.
-    pub fn has_waiting(&self) -> bool {
+    pub fn has_waiting_operations(&self) -> bool {
         self.by_tenant.values().any(|allowance| allowance.waiting > 0)
     }
 }
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -68,7 +68,7 @@
     }
 
     /// Records a contact of a node, which is a poll or a settlement.
-    pub fn note_contact(&mut self, now: Millis, node: &Name) {
+    pub fn record_contact(&mut self, now: Millis, node: &Name) {
         match self.last_contacts.get_mut(node) {
             Some(last_contact_at) => *last_contact_at = now,
             None => drop(self.last_contacts.insert(node.clone(), now)),
@@ -78,7 +78,7 @@
 
     /// Settles with a node. A tenant without an account is granted no tokens, as the node's configuration is older.
     pub fn settle(&mut self, now: Millis, node: &Name, claims: &[Claim]) -> Settlement {
-        self.note_contact(now, node);
+        self.record_contact(now, node);
         let mut grants = Vec::with_capacity(claims.len());
         for claim in claims {
             grants.push(match self.accounts.get_mut(&claim.tenant) {
--- a/crates/quota/tests/fleet/mod.rs
+++ b/crates/quota/tests/fleet/mod.rs
@@ -159,7 +159,7 @@
             let node = &mut self.nodes[index];
             if node.in_flight.is_some_and(|(_, until)| until <= now) {
                 node.in_flight = None;
-                node.allowances.not_settled(now);
+                node.allowances.settlement_failed(now);
             }
             if now < node.down_until || node.in_flight.is_some() || now < node.next_settlement_at {
                 continue;
@@ -171,7 +171,7 @@
                 if reaches_tail {
                     node.answered_at = now;
                     let tail = index % self.tails.len();
-                    self.tails[tail].note_contact(now, &node.name);
+                    self.tails[tail].record_contact(now, &node.name);
                 }
                 continue;
             }
@@ -231,9 +231,9 @@
         }
         node.in_flight = None;
         node.answered_at = now;
-        node.allowances.settled(now, answer);
+        node.allowances.settlement_completed(now, answer);
         if self.bug == Bug::GrantAppliedTwice {
-            node.allowances.settled(now, answer);
+            node.allowances.settlement_completed(now, answer);
         }
         for (tenant, until) in std::mem::take(&mut self.nodes[index].waiting) {
             let admission = self.nodes[index].allowances.admit_waiting(now, &tenant);
--- a/crates/quota/tests/fleet/node.rs
+++ b/crates/quota/tests/fleet/node.rs
@@ -33,7 +33,7 @@
 
     /// Decides on an operation that has waited too long: it runs on credit or is rejected.
     pub fn end_wait(&mut self, now: Millis, tenant: &Name) -> Admission {
-        if self.allowances.borrow(now, tenant) {
+        if self.allowances.try_run_on_credit(now, tenant) {
             return Admission::Admitted;
         }
         self.allowances.reject(tenant);
--- a/crates/simulator/src/control/leave.rs
+++ b/crates/simulator/src/control/leave.rs
@@ -8,7 +8,7 @@
 /// How often an orderly stop that has to wait is tried again.
 const RETRY: Millis = 20;
 /// A keeper that has left the chain stays so long, for its last messages to go out.
-const LINGER_AFTER_LEAVE: Millis = 100;
+const SHUTDOWN_DELAY_AFTER_LEAVE: Millis = 100;
 /// Time after the end of a leave in which a keeper that hangs is stopped all the same.
 const STOP_MARGIN: Millis = 500;
 
@@ -46,13 +46,15 @@
 fn end_once_left(cluster: Arc<Cluster>, machine: usize, latest: Millis) {
     let now = cluster.core.now();
     let process = cluster.state.lock().unwrap().machines[machine].process.clone();
-    let has_left = process.as_ref().is_none_or(has_left);
-    if !has_left && now < latest {
+    let is_ready_to_stop = process.as_ref().is_none_or(is_ready_to_stop);
+    if !is_ready_to_stop && now < latest {
         let core = cluster.core.clone();
         return core.schedule_action(now + RETRY, move |_| end_once_left(cluster, machine, latest));
     }
-    if has_left && process.is_none_or(|process| !has_vote(&process)) {
-        schedule_at(&cluster, now + LINGER_AFTER_LEAVE, move |cluster| remove_machine(cluster, machine));
+    if is_ready_to_stop && process.is_none_or(|process| !has_vote(&process)) {
+        schedule_at(&cluster, now + SHUTDOWN_DELAY_AFTER_LEAVE, move |cluster| {
+            remove_machine(cluster, machine)
+        });
     } else {
         remove_without_notice(cluster, machine);
     }
@@ -75,8 +77,8 @@
     cluster.budget.lock().unwrap().mark_lost_until(slot, until);
 }
 
-fn has_left(process: &Process) -> bool {
-    process.lock().unwrap().host.has_left()
+fn is_ready_to_stop(process: &Process) -> bool {
+    process.lock().unwrap().host.is_ready_to_stop()
 }
 
 /// Whether the keeper still votes, as far as it knows; one that is suspended may.
--- a/crates/simulator/src/control/machine.rs
+++ b/crates/simulator/src/control/machine.rs
@@ -27,7 +27,7 @@
 /// Inputs that wait at most; more are dropped, as with the daemon's full channel.
 const INBOX_CAPACITY: usize = 1_024;
 /// A write that lasts longer is a stall, as for the daemon's driver: requests are rejected until it ends.
-const STALL: Millis = 500;
+const STALL_TIMEOUT: Millis = 500;
 /// A peer that does not take a message in this time is given up.
 const SEND_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -141,7 +141,7 @@
     let sync = disk.lock().unwrap().sync_ms;
     seam::sleep(Duration::from_millis(sync + cost)).await;
     while disk.lock().unwrap().stalled_until > core.now() {
-        if core.now() >= began + STALL {
+        if core.now() >= began + STALL_TIMEOUT {
             reject_while_stalled(&shared);
         }
         seam::sleep(TICK).await;
@@ -154,7 +154,7 @@
     let mut process = shared.lock().unwrap();
     if !process.stalled {
         process.stalled = true;
-        let rejected = process.host.reject_pending();
+        let rejected = process.host.reject_pending_requests();
         process.send_outputs(rejected);
     }
 }
--- a/crates/simulator/src/control/recovery.rs
+++ b/crates/simulator/src/control/recovery.rs
@@ -20,9 +20,9 @@
     };
     let name = if forgotten { address.clone() } else { Name::from(disk.name.as_str()) };
     let settings = DiscoverySettings {
-        at: address.clone(),
+        own_addr: address.clone(),
         seeds: seeds.to_vec(),
-        replace_after: timing::replace_after(cluster.parameters.catch_up_time),
+        voter_replacement_delay: timing::voter_replacement_delay(cluster.parameters.catch_up_time),
         voter_count: shape.voters,
     };
     let disks = (shape.tolerated + 1).min(seeds.len());
--- a/crates/simulator/src/direct/call_execution.rs
+++ b/crates/simulator/src/direct/call_execution.rs
@@ -102,11 +102,11 @@
         let visible = server.visible_entries(now);
         let context = CallContext { now, fails, visible, visible_end: server.visible_end(now) };
         match call {
-            ServerCall::Begin { read, floor } => {
+            ServerCall::Begin { read_only, floor } => {
                 if context.is_behind(*floor) {
                     return connection.reject(RejectReason::Behind);
                 }
-                self.begin(connection, *read, context)
+                self.begin(connection, *read_only, context)
             }
             ServerCall::Run { floor, .. } | ServerCall::Execute { floor, .. } => {
                 if context.is_behind(*floor) {
--- a/crates/simulator/src/direct/client.rs
+++ b/crates/simulator/src/direct/client.rs
@@ -59,7 +59,7 @@
     async fn run_transaction(&mut self) -> AttemptEnd {
         let transaction = ClientTransaction { id: self.next_statement_id(), read_only: one_in(3) };
         let began = self.now();
-        let begin = SessionCommand::Begin { read: transaction.read_only };
+        let begin = SessionCommand::Begin { read_only: transaction.read_only };
         let Some(response) = self.request(transaction.id, begin).await else { return AttemptEnd::Failed };
         if response.result.is_err() {
             return AttemptEnd::Retry;
--- a/crates/simulator/src/direct/server_ports.rs
+++ b/crates/simulator/src/direct/server_ports.rs
@@ -66,7 +66,7 @@
         })
     }
 
-    fn broken(&mut self) -> Option<io::Error> {
+    fn idle_error(&mut self) -> Option<io::Error> {
         self.broken.load(Ordering::SeqCst).then(connection_reset)
     }
 }
--- a/crates/simulator/tests/held/group.rs
+++ b/crates/simulator/tests/held/group.rs
@@ -166,7 +166,7 @@
             Ok(ServerReply { status: look, ..ServerReply::default() })
         })
     }
-    fn broken(&mut self) -> Option<io::Error> {
+    fn idle_error(&mut self) -> Option<io::Error> {
         None
     }
 }
--- a/crates/store/src/disk_usage.rs
+++ b/crates/store/src/disk_usage.rs
@@ -15,7 +15,7 @@
 impl DiskUsage {
     /// Whether the reserve is in use. The last quarter of the allowed size is reserved for votes, views and leases,
     /// which are small; configurations, which are large, are rejected while the reserve is in use.
-    pub fn is_reserve_touched(self) -> bool {
+    pub fn is_reserve_in_use(self) -> bool {
         self.allowed > 0 && self.used > self.allowed / 4 * 3
     }
 }
--- a/crates/store/src/driver.rs
+++ b/crates/store/src/driver.rs
@@ -71,7 +71,9 @@
         driver.handle_queued_messages(&mut incoming, &mut batch);
         driver.commit(batch, &mut incoming).await?;
         driver.probe(&mut incoming).await?;
-        if driver.host.has_left() && now() >= *left_at.get_or_insert_with(now) + SHUTDOWN_DELAY_AFTER_LEAVE {
+        if driver.host.is_ready_to_stop()
+            && now() >= *left_at.get_or_insert_with(now) + SHUTDOWN_DELAY_AFTER_LEAVE
+        {
             break;
         }
     }
--- a/crates/store/src/driver/storage_thread.rs
+++ b/crates/store/src/driver/storage_thread.rs
@@ -49,7 +49,7 @@
             "disk operation still running after {} ms; rejecting requests",
             STALL_TIMEOUT.as_millis()
         );
-        let rejections = self.host.reject_pending();
+        let rejections = self.host.reject_pending_requests();
         self.deliver(rejections);
     }
 
--- a/crates/store/src/feed/entry_events.rs
+++ b/crates/store/src/feed/entry_events.rs
@@ -2,7 +2,7 @@
 //! store, and not the reverse.
 use crate::command::{Answer, Command, Entry};
 use crate::feed::{FeedEvent, Patch};
-use crate::store::{Store, promotion_duty_key};
+use crate::store::{Store, promotion_role_key};
 use quincehatch_core::{Name, PrimaryAssignment};
 use std::collections::BTreeMap;
 
@@ -54,7 +54,7 @@
                 FeedEvent::NodeEnrollment { node: node.clone(), enrolled: self.nodes.get(node).copied() }
             }
             Command::AcquireFence { duty, .. } => self.fence_event(duty.clone()),
-            Command::AcquireFenceIfUnchanged { group, .. } => self.fence_event(promotion_duty_key(group)),
+            Command::AcquireFenceIfUnchanged { group, .. } => self.fence_event(promotion_role_key(group)),
             _ => FeedEvent::Other,
         }
     }
--- a/crates/store/src/feed/state.rs
+++ b/crates/store/src/feed/state.rs
@@ -2,7 +2,7 @@
 use crate::command::PrimaryState;
 use crate::compression::PackedText;
 use crate::feed::{Change, FeedEvent};
-use crate::store::{Store, promotion_duty_key, upsert_server};
+use crate::store::{Store, promotion_role_key, upsert_server};
 use quincehatch_core::{
     ChangeNumber, FencingToken, Name, PrimaryAssignment, ServerRecord, Version, messages,
 };
@@ -134,7 +134,7 @@
     /// Returns the primary of a group, and the newest fencing token that was issued for changing it.
     pub fn primary_state(&self, group: &Name) -> PrimaryState {
         PrimaryState {
-            fence: self.fence(&promotion_duty_key(group)),
+            fence: self.fence(&promotion_role_key(group)),
             primary: self.primaries.get(group).cloned(),
         }
     }
--- a/crates/store/src/host.rs
+++ b/crates/store/src/host.rs
@@ -75,9 +75,9 @@
 
     /// Whether the keeper has left the chain, so that the process may end. A suspended keeper takes no part in the
     /// chain.
-    pub fn has_left(&self) -> bool {
+    pub fn is_ready_to_stop(&self) -> bool {
         match &self.state {
-            HostState::Running(keeper) => keeper.has_left(),
+            HostState::Running(keeper) => keeper.is_ready_to_stop(),
             HostState::Suspended(_) => self.is_leaving,
         }
     }
@@ -132,7 +132,7 @@
 
     /// Returns rejections of all pending requests, to be called when a disk operation stalls. Their clients are to
     /// retry, because the other keepers may continue without this one.
-    pub fn reject_pending(&mut self) -> Vec<Output> {
+    pub fn reject_pending_requests(&mut self) -> Vec<Output> {
         self.is_stalled = true;
         let rejections = self.pending.rejections();
         self.pending.clear();
@@ -194,7 +194,7 @@
         if !has_lost_lease {
             return outputs;
         }
-        outputs.into_iter().map(|output| without_lease(output, &keeper.view)).collect()
+        outputs.into_iter().map(|output| replace_lease_dependent_reply(output, &keeper.view)).collect()
     }
 
     fn suspend(&mut self, now: Millis, error: Error) -> Vec<Output> {
@@ -231,9 +231,11 @@
     }
 }
 
-fn without_lease(output: Output, view: &View) -> Output {
+fn replace_lease_dependent_reply(output: Output, view: &View) -> Output {
     match output {
-        Output::Reply(token, reply) => Output::Reply(token, stale_reply::without_lease(reply, view)),
+        Output::Reply(token, reply) => {
+            Output::Reply(token, stale_reply::replace_lease_dependent_reply(reply, view))
+        }
         other => other,
     }
 }
--- a/crates/store/src/keeper/membership/discovery.rs
+++ b/crates/store/src/keeper/membership/discovery.rs
@@ -37,7 +37,7 @@
             return;
         }
         let receivers = discovery.begin_announcement(now, &self.view.voters);
-        let at = discovery.settings.at.clone();
+        let at = discovery.settings.own_addr.clone();
         for receiver in receivers {
             self.send(&receiver, PeerMessage::Discover { at: at.clone() });
         }
--- a/crates/store/src/keeper/membership/invitation.rs
+++ b/crates/store/src/keeper/membership/invitation.rs
@@ -114,11 +114,11 @@
         None
     }
 
-    /// Returns the replacement of a voter that has been unresponsive for `replace_after`, by any keeper outside the
-    /// view.
+    /// Returns the replacement of a voter that has been unresponsive for `voter_replacement_delay`, by any keeper outside
+    /// the view.
     fn replace_lost_voter(&self, rank_delay: Millis) -> Option<Replacement> {
-        let replace_after = self.discovery.as_ref()?.settings.replace_after;
-        let is_lost = |voter: &&Voter| self.is_absent(&voter.name, replace_after + rank_delay);
+        let voter_replacement_delay = self.discovery.as_ref()?.settings.voter_replacement_delay;
+        let is_lost = |voter: &&Voter| self.is_absent(&voter.name, voter_replacement_delay + rank_delay);
         let lost = self.view.voters.iter().find(is_lost)?;
         let new_voter = self.candidates().into_iter().next()?;
         Some(Replacement { lost: lost.name.clone(), new_voter })
--- a/crates/store/src/keeper/membership/known_keepers.rs
+++ b/crates/store/src/keeper/membership/known_keepers.rs
@@ -19,12 +19,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct DiscoverySettings {
     /// The address of this keeper.
-    pub at: Name,
+    pub own_addr: Name,
     /// Addresses at which other keepers may be reached.
     pub seeds: Vec<Name>,
     /// A voter that has been unresponsive for this long is replaced by a keeper outside the view, see
-    /// [`replace_after`](crate::timing::replace_after).
-    pub replace_after: Millis,
+    /// [`voter_replacement_delay`](crate::timing::voter_replacement_delay).
+    pub voter_replacement_delay: Millis,
     /// Wanted number of voters. While the view has fewer, keepers outside the view are added.
     pub voter_count: usize,
 }
@@ -93,7 +93,7 @@
             true => self.settings.seeds.clone(),
             false => voters.iter().map(|voter| voter.name.clone()).collect(),
         };
-        receivers.retain(|receiver| *receiver != self.settings.at);
+        receivers.retain(|receiver| *receiver != self.settings.own_addr);
         receivers
     }
 
--- a/crates/store/src/keeper/membership/leave.rs
+++ b/crates/store/src/keeper/membership/leave.rs
@@ -36,7 +36,7 @@
     pub(in crate::keeper) fn continue_leave(&mut self) {
         let Some(leaving) = &self.leaving else { return };
         let may_hand_over_vote = leaving.may_hand_over_vote(self.now);
-        if self.has_left() {
+        if self.is_ready_to_stop() {
             return self.hand_over_leases();
         }
         let is_too_soon = self.now < self.last_proposal_at + PROPOSAL_INTERVAL;
@@ -56,7 +56,7 @@
 
     /// Returns whether the process of a leaving keeper may end: the keeper is outside the chain and, if there is a
     /// keeper to take over its vote, no longer a voter; or the deadline has passed.
-    pub fn has_left(&self) -> bool {
+    pub fn is_ready_to_stop(&self) -> bool {
         let Some(leaving) = &self.leaving else { return false };
         if self.now >= leaving.deadline {
             return true;
--- a/crates/store/src/keeper/proposals.rs
+++ b/crates/store/src/keeper/proposals.rs
@@ -11,7 +11,7 @@
     /// Answers a proposal, whose base view this keeper has adopted before the call.
     pub(super) fn handle_proposal(&mut self, proposer: &Name, message: &PeerMessage) {
         let Some(reply) = self.acceptor.step(self.view.version, message) else { return };
-        if reply.is_changed {
+        if reply.state_changed {
             self.outputs.push(Output::Persist(Record::Acceptor { acceptor: self.acceptor.clone() }));
         }
         self.send(proposer, reply.message);
@@ -34,7 +34,7 @@
         // The ballot must be higher than any that this voter has promised to other proposers.
         self.proposer.observe_ballot(self.acceptor.promised.number);
         let base = self.view.clone();
-        let actions = self.proposer.begin(self.now, &base, wanted);
+        let actions = self.proposer.start_proposal(self.now, &base, wanted);
         self.perform(actions);
     }
 
--- a/crates/store/src/keeper/requests/ack_level.rs
+++ b/crates/store/src/keeper/requests/ack_level.rs
@@ -8,7 +8,7 @@
     Committed,
     /// The entry is in force: every node that holds a lease has applied it.
     InForce,
-    /// The entry is in force, or it has been committed for [`ADOPT_ACK_DELAY`](crate::timing::ADOPT_ACK_DELAY).
+    /// The entry is in force, or it has been committed for [`MAX_ADOPT_ACK_DELAY`](crate::timing::MAX_ADOPT_ACK_DELAY).
     InForceOrDelayed,
 }
 
--- a/crates/store/src/keeper/requests/commit_times.rs
+++ b/crates/store/src/keeper/requests/commit_times.rs
@@ -30,7 +30,7 @@
 
     /// Returns a lower bound of the time for which this keeper has known that the entry is committed; `None` if it does
     /// not know it.
-    pub fn committed_for(&self, number: ChangeNumber, now: Millis) -> Option<Millis> {
+    pub fn time_since_commit(&self, number: ChangeNumber, now: Millis) -> Option<Millis> {
         let commit = self.0.iter().find(|commit| commit.number >= number)?;
         Some(now - commit.at)
     }
--- a/crates/store/src/keeper/requests/quota.rs
+++ b/crates/store/src/keeper/requests/quota.rs
@@ -37,7 +37,7 @@
     /// poll and not with the first settlement, as the accounts are refilled from then on.
     pub(super) fn record_quota_contact(&mut self, node: &Name) {
         let now = self.now;
-        self.quota_ledger().note_contact(now, node);
+        self.quota_ledger().record_contact(now, node);
     }
 
     /// Returns the ledger of this tail, with the limits of the configuration in force.
--- a/crates/store/src/keeper/requests/writes.rs
+++ b/crates/store/src/keeper/requests/writes.rs
@@ -5,7 +5,7 @@
 use crate::keeper::{Keeper, Output};
 use crate::messages::Reply;
 use crate::store::RecordedAnswer;
-use crate::timing::{ADOPT_ACK_DELAY, RETRY_PENDING_AFTER};
+use crate::timing::{MAX_ADOPT_ACK_DELAY, RETRY_PENDING_AFTER};
 use quincehatch_core::{ChangeNumber, Error, ErrorCode, Millis, Name};
 
 /// Maximum number of writes that wait for their acknowledgement; further writes are rejected.
@@ -42,7 +42,7 @@
         let pending = match self.recorded_answer(&key, &command) {
             Some(recorded) => self.await_quorum_contact(token, recorded, &command),
             // The rest of the disk is reserved for small records without which the chain cannot operate.
-            None if self.disk_usage.is_reserve_touched() && command.is_document() => {
+            None if self.disk_usage.is_reserve_in_use() && command.is_document() => {
                 return Some(Reply::Rejected { error: overloaded("the disk is nearly full") });
             }
             None => self.append_write(token, key, command)?,
@@ -118,8 +118,8 @@
             AckLevel::Committed => write.number <= self.committed,
             AckLevel::InForce => is_in_force,
             AckLevel::InForceOrDelayed => {
-                let committed_for = self.commit_times.committed_for(write.number, self.now);
-                is_in_force || committed_for.is_some_and(|time| time >= ADOPT_ACK_DELAY)
+                let time_since_commit = self.commit_times.time_since_commit(write.number, self.now);
+                is_in_force || time_since_commit.is_some_and(|time| time >= MAX_ADOPT_ACK_DELAY)
             }
         }
     }
--- a/crates/store/src/register/acceptor.rs
+++ b/crates/store/src/register/acceptor.rs
@@ -20,7 +20,7 @@
     /// The answer.
     pub message: PeerMessage,
     /// Whether the acceptor's state has changed and must be durable before the answer leaves the keeper.
-    pub is_changed: bool,
+    pub state_changed: bool,
 }
 
 impl Acceptor {
@@ -44,13 +44,13 @@
         // The same ballot may be prepared twice and gets the same answer: a keeper that runs at the address of a voter
         // that it replaces receives the messages for both names.
         let ok = self.may_vote(decided, ballot, base);
-        let is_changed = ok && ballot > self.promised;
+        let state_changed = ok && ballot > self.promised;
         if ok {
             self.promised = ballot;
         }
         let accepted = if ok { self.accepted_after(base) } else { None };
         let message = PeerMessage::Promise { ballot, ok, highest_promised: self.promised, accepted };
-        AcceptorReply { message, is_changed }
+        AcceptorReply { message, state_changed }
     }
 
     fn accept(&mut self, decided: Version, ballot: Ballot, base: &View, view: &View) -> AcceptorReply {
@@ -60,7 +60,7 @@
             self.accepted = Some(AcceptedView { ballot, view: view.clone() });
         }
         let message = PeerMessage::Accepted { ballot, ok, highest_promised: self.promised };
-        AcceptorReply { message, is_changed: ok }
+        AcceptorReply { message, state_changed: ok }
     }
 
     /// Returns the accepted view if it belongs to the instance that decides the view after `base`.
--- a/crates/store/src/register/proposer.rs
+++ b/crates/store/src/register/proposer.rs
@@ -80,7 +80,7 @@
     }
 
     /// Starts a proposal to change the register from the decided view `base` to `wanted`, which has the next version.
-    pub fn begin(&mut self, now: Millis, base: &View, wanted: View) -> Vec<ProposerAction> {
+    pub fn start_proposal(&mut self, now: Millis, base: &View, wanted: View) -> Vec<ProposerAction> {
         self.highest_ballot += 1;
         let ballot = Ballot { number: self.highest_ballot, proposer: self.id };
         let voters = voters_of_both(base, &wanted);
--- a/crates/store/src/stale_reply.rs
+++ b/crates/store/src/stale_reply.rs
@@ -6,7 +6,7 @@
 
 /// Returns the reply that a tail whose lease has ended may send in place of `reply`. Reads and polls are redirected.
 /// The outcome of a write that was committed under that lease is unknown, so the client must retry the write.
-pub(crate) fn without_lease(reply: Reply, view: &View) -> Reply {
+pub(crate) fn replace_lease_dependent_reply(reply: Reply, view: &View) -> Reply {
     match reply {
         Reply::Changes { .. }
         | Reply::Snapshot { .. }
--- a/crates/store/src/stale_reply/tests.rs
+++ b/crates/store/src/stale_reply/tests.rs
@@ -1,5 +1,5 @@
 //! Replies of a tail whose view lease has ended.
-use super::without_lease;
+use super::replace_lease_dependent_reply;
 use crate::feed::{FeedSnapshot, PackedSnapshot};
 use crate::messages::Reply;
 use crate::timing::NODE_LEASE;
@@ -14,7 +14,7 @@
         Reply::PackedSnapshot { snapshot, lease_ms: NODE_LEASE },
     ];
     for reply in replies {
-        let replaced = without_lease(reply, &View::default());
+        let replaced = replace_lease_dependent_reply(reply, &View::default());
         assert!(matches!(replaced, Reply::Redirect { .. }), "{replaced:?}");
     }
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -10,10 +10,10 @@
 
 pub use departures::{Departure, MAX_DEPARTURES};
 pub use documents::{
-    DocumentOutcome, DocumentRegister, MAX_REMEMBERED_DOCUMENTS, TakenNumber, document_digest,
+    DocumentOutcome, DocumentRegister, MAX_RECORDED_DOCUMENTS, RecordedDocument, document_digest,
 };
 pub use history::HistoryEntry;
-pub use primaries::promotion_duty_key;
+pub use primaries::promotion_role_key;
 pub(crate) use servers::upsert_server;
 
 use crate::command::{Answer, Command, Entry, PrimaryState};
@@ -146,7 +146,7 @@
     /// Returns the primary of a group, and the newest fencing token that was issued for changing it.
     pub fn primary_state(&self, group: &Name) -> PrimaryState {
         PrimaryState {
-            fence: self.fence(&promotion_duty_key(group)),
+            fence: self.fence(&promotion_role_key(group)),
             primary: self.primaries.get(group).cloned(),
         }
     }
--- a/crates/store/src/store/commands.rs
+++ b/crates/store/src/store/commands.rs
@@ -1,8 +1,8 @@
 //! Execution of commands on the store.
 use crate::command::{Answer, Command};
-use crate::store::documents::{DocumentOutcome, TakenNumber, document_digest};
+use crate::store::documents::{DocumentOutcome, RecordedDocument, document_digest};
 use crate::store::servers::{is_redundant, upsert_server};
-use crate::store::{AdoptedDocument, HistoryEntry, RecordedAnswer, Store, promotion_duty_key};
+use crate::store::{AdoptedDocument, HistoryEntry, RecordedAnswer, Store, promotion_role_key};
 use quincehatch_core::{ChangeNumber, ErrorCode, Name, ServerRecord, Version};
 
 impl Store {
@@ -26,7 +26,7 @@
     /// Returns the answer to a document that would not be recorded under its number; `None` if it would be.
     fn known_document_answer(&self, number: u64, source: &str) -> Option<RecordedAnswer> {
         let outcome = self.documents.classify(number, document_digest(source));
-        if outcome.takes_number() {
+        if outcome.should_record() {
             return None;
         }
         let entry = outcome.entry().unwrap_or(self.last_change);
@@ -56,7 +56,7 @@
                     let detail = "the primary has changed since this was planned";
                     return Answer::Rejected(ErrorCode::StaleFence.with_detail(detail));
                 }
-                self.advance_fence(&promotion_duty_key(group), by)
+                self.advance_fence(&promotion_role_key(group), by)
             }
             Command::AssignPrimary { group, primary } => self.assign_primary(group, primary),
             Command::DropPreviousVoters { group, fence } => self.drop_previous_voters(group, *fence),
@@ -79,8 +79,8 @@
     fn adopt_document(&mut self, number: u64, text: &str, source: &str, author: &Name) -> Answer {
         let digest = document_digest(source);
         let outcome = self.documents.classify(number, digest);
-        if outcome.takes_number() {
-            self.documents.record(number, TakenNumber { digest, entry: self.last_change });
+        if outcome.should_record() {
+            self.documents.record(number, RecordedDocument { digest, entry: self.last_change });
         }
         if outcome == DocumentOutcome::Newest {
             self.adopted = Some(AdoptedDocument { number, source: source.to_owned() });
--- a/crates/store/src/store/documents.rs
+++ b/crates/store/src/store/documents.rs
@@ -5,12 +5,12 @@
 use std::collections::BTreeMap;
 
 /// Number of documents whose digests are retained. Beyond it, those with the lowest numbers are dropped.
-pub const MAX_REMEMBERED_DOCUMENTS: usize = 4_096;
+pub const MAX_RECORDED_DOCUMENTS: usize = 4_096;
 
 messages! {
     /// The document to which a number belongs.
     #[derive(Copy, Eq)]
-    pub struct TakenNumber {
+    pub struct RecordedDocument {
         /// Digest of the document's text.
         pub digest: u64,
         /// Number of the log entry that recorded the document.
@@ -22,7 +22,7 @@
     #[derive(Eq, Default)]
     pub struct DocumentRegister {
         /// The document to which each number belongs.
-        pub taken: BTreeMap<u64, TakenNumber>,
+        pub taken: BTreeMap<u64, RecordedDocument>,
         /// The highest number that was dropped. For this and all lower numbers without an entry, it is unknown which
         /// document was recorded.
         pub forgotten: Option<u64>
@@ -70,9 +70,9 @@
     }
 
     /// Records a document under a number, and drops the lowest numbers beyond the limit.
-    pub fn record(&mut self, number: u64, document: TakenNumber) {
+    pub fn record(&mut self, number: u64, document: RecordedDocument) {
         self.taken.insert(number, document);
-        while self.taken.len() > MAX_REMEMBERED_DOCUMENTS {
+        while self.taken.len() > MAX_RECORDED_DOCUMENTS {
             let Some((lowest, _)) = self.taken.pop_first() else { return };
             self.forgotten = self.forgotten.max(Some(lowest));
         }
@@ -89,7 +89,7 @@
 
 impl DocumentOutcome {
     /// Whether the document is to be recorded under its number. With any other outcome the store does not change.
-    pub fn takes_number(self) -> bool {
+    pub fn should_record(self) -> bool {
         matches!(self, DocumentOutcome::Newest | DocumentOutcome::Superseded)
     }
 
--- a/crates/store/src/store/primaries.rs
+++ b/crates/store/src/store/primaries.rs
@@ -5,7 +5,7 @@
 use quincehatch_runtime::seam::injected_bug;
 
 /// Returns the key of the singleton role that assigns a group's primary. The key is part of the data on disk.
-pub fn promotion_duty_key(group: &str) -> Name {
+pub fn promotion_role_key(group: &str) -> Name {
     Name::from(format!("lead/{group}"))
 }
 
@@ -32,7 +32,7 @@
     /// Rejects an assignment if a newer token was issued or used, or if another server was assigned under the same
     /// token: a primary that was closed is never opened again under its token.
     fn check_assignment(&self, group: &Name, primary: &PrimaryAssignment) -> Result<(), Error> {
-        let newest = self.fence(&promotion_duty_key(group));
+        let newest = self.fence(&promotion_role_key(group));
         if primary.fence < newest {
             let detail = format!("{} is under {newest}", primary.fence);
             return Err(ErrorCode::StaleFence.with_detail(detail));
--- a/crates/store/tests/cluster/mod.rs
+++ b/crates/store/tests/cluster/mod.rs
@@ -90,9 +90,9 @@
         let recovered = self.disks.entry(name.into()).or_insert(empty).clone();
         let tolerated_losses = self.tolerated_losses.unwrap_or(1);
         let settings = DiscoverySettings {
-            at: addr.into(),
+            own_addr: addr.into(),
             seeds: seeds.iter().map(|seed| Name::from(*seed)).collect(),
-            replace_after: timing::replace_after(CATCH_UP_TIME),
+            voter_replacement_delay: timing::voter_replacement_delay(CATCH_UP_TIME),
             voter_count: 2 * tolerated_losses + 1,
         };
         let keeper = Keeper::new(name.into(), self.now, recovered)
--- a/crates/store/tests/cluster/three_keepers.rs
+++ b/crates/store/tests/cluster/three_keepers.rs
@@ -72,7 +72,7 @@
 /// Runs until the keeper has left the chain, stops it, and returns how long that took.
 pub fn run_until_left(cluster: &mut Cluster, name: &str) -> Millis {
     let started_at = cluster.now;
-    while !cluster.keepers[name].has_left() {
+    while !cluster.keepers[name].is_ready_to_stop() {
         cluster.run_for(20);
         assert!(cluster.now < started_at + LEAVE_TIMEOUT + 500, "{name} does not leave the chain");
     }
--- a/crates/store/tests/departures.rs
+++ b/crates/store/tests/departures.rs
@@ -1,7 +1,7 @@
 //! Departed servers: the successors that have their logs, and heartbeats that arrive after the departure.
 use quincehatch_core::{Name, PrimaryAssignment, Role, ServerRecord};
 use quincehatch_store::feed::FeedEvent;
-use quincehatch_store::store::{MAX_DEPARTURES, promotion_duty_key};
+use quincehatch_store::store::{MAX_DEPARTURES, promotion_role_key};
 use quincehatch_store::{Answer, Change, Command, Entry, FeedSnapshot, FeedState, Store};
 
 const GROUP: &str = "g";
@@ -51,7 +51,7 @@
 
     /// Assigns `server` as the primary in place of `demoted`, as a promotion planned with these voters does.
     fn assign(&mut self, server: &str, demoted: Option<&str>, voters: &[&str]) {
-        let command = Command::AcquireFence { duty: promotion_duty_key(GROUP), by: "n".into() };
+        let command = Command::AcquireFence { duty: promotion_role_key(GROUP), by: "n".into() };
         let Answer::Fence(fence) = self.write(command) else { panic!("no fence") };
         let primary = PrimaryAssignment {
             fence,
--- a/crates/store/tests/discovery.rs
+++ b/crates/store/tests/discovery.rs
@@ -66,10 +66,10 @@
     cluster.run_for(12_000);
     assert_eq!(cluster.view("d:1#s").voters, first_view().voters, "it knows the view and remains outside");
     cluster.down = vec!["c:1".into()];
-    let replace_after = timing::replace_after(CATCH_UP_TIME);
-    cluster.run_for(replace_after - 20);
+    let voter_replacement_delay = timing::voter_replacement_delay(CATCH_UP_TIME);
+    cluster.run_for(voter_replacement_delay - 20);
     assert!(!cluster.view("a:1").is_voter("d:1#s"), "too soon");
-    cluster.run_for(CATCH_UP_TIME - replace_after);
+    cluster.run_for(CATCH_UP_TIME - voter_replacement_delay);
     let view = cluster.view("a:1").clone();
     assert!(view.is_member("d:1#s") && !view.is_voter("c:1"), "{view:?}");
     // The lost keeper returns with its disk, learns that it is outside the view, and remains outside.
--- a/crates/store/tests/disk_failure.rs
+++ b/crates/store/tests/disk_failure.rs
@@ -166,7 +166,7 @@
     let host = cluster.hosts.get_mut(HEAD).unwrap();
     let mut batch = Batch::default();
     host.step(now, Input::Request { token: 1, request: acquire_fence_request(1) }, &mut batch);
-    let rejections = host.reject_pending();
+    let rejections = host.reject_pending_requests();
     assert_eq!(rejections.len(), 1);
     assert!(host.status().reason.contains("stalls"));
     let late = host.complete_save(now + 500, Ok(()), batch);
--- a/crates/store/tests/disk_space.rs
+++ b/crates/store/tests/disk_space.rs
@@ -57,7 +57,7 @@
         // Documents that are barely compressible are the worst case.
         save_change(&mut disk, &mut store, if number % 2 == 0 { noise(number) } else { document(number) });
         largest = largest.max(disk.usage().used);
-        assert!(!disk.usage().is_reserve_touched(), "change {number}: {:?}", disk.usage());
+        assert!(!disk.usage().is_reserve_in_use(), "change {number}: {:?}", disk.usage());
     }
     println!("largest {largest} of {allowed}");
     drop(disk);
@@ -76,7 +76,7 @@
         let OpenedDisk { mut disk, state, .. } = directory.open(allowed);
         assert_eq!(state.store, expected, "before change {number}");
         save_change(&mut disk, &mut expected, noise(number));
-        assert!(!disk.usage().is_reserve_touched(), "change {number}: {:?}", disk.usage());
+        assert!(!disk.usage().is_reserve_in_use(), "change {number}: {:?}", disk.usage());
     }
 }
 
--- a/crates/store/tests/documents.rs
+++ b/crates/store/tests/documents.rs
@@ -7,7 +7,7 @@
 use quincehatch_core::{ErrorCode, Name};
 use quincehatch_store::limits::LOG_MAX_ENTRIES;
 use quincehatch_store::store::MAX_ANSWERED_WRITES;
-use quincehatch_store::store::MAX_REMEMBERED_DOCUMENTS;
+use quincehatch_store::store::MAX_RECORDED_DOCUMENTS;
 use quincehatch_store::{Answer, Command, Entry, Reply, Request, Store, View, Voter};
 
 const THREE: [&str; 3] = ["k1", "k2", "k3"];
@@ -229,10 +229,10 @@
 #[test]
 fn the_lowest_numbers_are_neither_confirmed_nor_rejected_when_too_many_were_taken() {
     let mut store = Store::default();
-    for number in 1..=MAX_REMEMBERED_DOCUMENTS as u64 + 2 {
+    for number in 1..=MAX_RECORDED_DOCUMENTS as u64 + 2 {
         assert_matches!(apply(&mut store, number, "a"), Answer::Version(_));
     }
-    assert_eq!(store.documents.taken.len(), MAX_REMEMBERED_DOCUMENTS);
+    assert_eq!(store.documents.taken.len(), MAX_RECORDED_DOCUMENTS);
     for (number, content) in [(1, "a"), (2, "b")] {
         let answer = apply(&mut store, number, content);
         assert_matches!(answer, Answer::Rejected(error) if error.has_code(ErrorCode::NumberForgotten) && error.http_status() == 503);
--- a/crates/store/tests/explorer/mod.rs
+++ b/crates/store/tests/explorer/mod.rs
@@ -90,11 +90,11 @@
         Some(view)
     }
 
-    fn begin(&mut self, number: usize, base: &View, proposed: &View, quorum: &[Name]) {
+    fn start_proposal(&mut self, number: usize, base: &View, proposed: &View, quorum: &[Name]) {
         let mut proposer = Proposer::new(number as u64);
         proposer.observe_ballot(number as u64);
         let mut prepares = BTreeMap::new();
-        for action in proposer.begin(0, base, proposed.clone()) {
+        for action in proposer.start_proposal(0, base, proposed.clone()) {
             if let ProposerAction::Send(to, message) = action {
                 prepares.insert(to, message);
             }
@@ -193,7 +193,7 @@
             let Some(proposed) = self.changed(base, self.changes[number]) else { continue };
             for quorum in subsets(&names, names.len() / 2 + 1) {
                 let mut next = self.clone();
-                next.begin(number, base, &proposed, &quorum);
+                next.start_proposal(number, base, &proposed, &quorum);
                 found.push(next);
             }
         }
--- a/crates/store/tests/orderly_leave.rs
+++ b/crates/store/tests/orderly_leave.rs
@@ -87,7 +87,7 @@
     assert_eq!(cluster.view("c:1").members, ["c:1"]);
     leave(&mut cluster, "c:1");
     cluster.run_for(500);
-    assert!(!cluster.keepers["c:1"].has_left());
+    assert!(!cluster.keepers["c:1"].is_ready_to_stop());
     cluster.down.retain(|name| name != "a:1");
     cluster.start("a:1", "a:1", &SEEDS, View::default());
     run_until_left(&mut cluster, "c:1");
--- a/crates/store/tests/primaries.rs
+++ b/crates/store/tests/primaries.rs
@@ -1,7 +1,7 @@
 //! Assignments of primaries: the store decides which voter sets of a group are valid, whichever node writes an
 //! assignment.
 use quincehatch_core::{ErrorCode, FencingToken, Name, PrimaryAssignment};
-use quincehatch_store::store::promotion_duty_key;
+use quincehatch_store::store::promotion_role_key;
 use quincehatch_store::{Answer, Command, Entry, PrimaryState, Store};
 
 const GROUP: &str = "g";
@@ -16,7 +16,7 @@
     }
 
     fn acquire_fence(&mut self) -> FencingToken {
-        let command = Command::AcquireFence { duty: promotion_duty_key(GROUP), by: "n".into() };
+        let command = Command::AcquireFence { duty: promotion_role_key(GROUP), by: "n".into() };
         match self.write(command) {
             Answer::Fence(fence) => fence,
             other => panic!("{other:?}"),
@@ -125,7 +125,7 @@
     let expected = PrimaryState { fence: first, primary: None };
     assert_eq!(store.acquire_fence_if_unchanged(&expected), Answer::Fence(first + 1));
     assert_stale(&store.acquire_fence_if_unchanged(&expected));
-    assert_eq!(store.0.fence(&promotion_duty_key(GROUP)), first + 1);
+    assert_eq!(store.0.fence(&promotion_role_key(GROUP)), first + 1);
 }
 
 /// Simulator seed 154: a node that had seen another node's token, but planned before that node closed the primary,
--- a/crates/testbed/tests/choice/net.rs
+++ b/crates/testbed/tests/choice/net.rs
@@ -7,7 +7,7 @@
 use quincehatch_core::{FencingToken, Name, Position, PrimaryAssignment, Role};
 use quincehatch_failover::promotion::{Phase, Promotion, PromotionAction, PromotionEvent, PromotionPlan};
 use quincehatch_runtime::seam;
-use quincehatch_store::store::promotion_duty_key;
+use quincehatch_store::store::promotion_role_key;
 use quincehatch_store::{Answer, Command, Entry, Store};
 use quincehatch_testbed::database::{Database, PullRequest, PullResponse};
 use serde_json::Value;
@@ -56,7 +56,7 @@
             named: vec![(1, 0)],
             orders: 0,
         };
-        n.write(Command::AcquireFence { duty: promotion_duty_key("g"), by: "n".into() });
+        n.write(Command::AcquireFence { duty: promotion_role_key("g"), by: "n".into() });
         n.write(set_lead(PrimaryAssignment {
             fence: 1,
             server: Some("a".into()),
@@ -145,7 +145,7 @@
             Act::Begin(list) => {
                 let by: Name = format!("n{}", n.all.len()).into();
                 let Answer::Fence(f) =
-                    n.write(Command::AcquireFence { duty: promotion_duty_key("g"), by: by.clone() })?
+                    n.write(Command::AcquireFence { duty: promotion_role_key("g"), by: by.clone() })?
                 else {
                     return None;
                 };
