--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -54,7 +54,7 @@
 
     /// Returns the live nodes, including this one.
     pub fn live_nodes(&self) -> Vec<LiveMember> {
-        self.membership.lock().unwrap().live()
+        self.membership.lock().unwrap().live_members()
     }
 
     /// Returns the names of the live nodes, including this one.
--- a/crates/node/src/peer_service/queries.rs
+++ b/crates/node/src/peer_service/queries.rs
@@ -66,7 +66,7 @@
 fn server_evidence(node: &Node, server: &Name) -> NodeReply {
     let observation = observe_server(node, server);
     NodeReply::ServerEvidence {
-        heard: observation.known_here,
+        heard: observation.server_known,
         failing: observation.failing,
         stalled: observation.stalled,
         answering: observation.answering,
--- a/crates/node/src/promotion/direct/server_calls.rs
+++ b/crates/node/src/promotion/direct/server_calls.rs
@@ -54,7 +54,7 @@
     let (addr, group) = (entry.addr(), entry.group());
     let statuses = &node.promotion_state.server_statuses;
     if let Some(mut reused) = statuses.take_connection(server).filter(|reused| reused.addr == addr)
-        && reused.connection.broken().is_none()
+        && reused.connection.idle_error().is_none()
         && let Ok(reply) = reused.connection.call(call).await
     {
         statuses.return_connection(server, reused.addr, reused.connection);
--- a/crates/node/src/promotion/group_state.rs
+++ b/crates/node/src/promotion/group_state.rs
@@ -65,7 +65,7 @@
 
     /// How long ago this node first saw another process's promotion that has written no assignment yet; `None` if there
     /// is no such promotion.
-    pub fn other_promotion_for(&self) -> Option<Millis> {
+    pub fn since_other_promotion(&self) -> Option<Millis> {
         self.other_promotion.as_ref().map(|other| now() - other.seen_since)
     }
 
--- a/crates/node/tests/stopping.rs
+++ b/crates/node/tests/stopping.rs
@@ -38,7 +38,7 @@
     let from = node.gossip.membership.lock().unwrap().local.clone();
     let message = GossipMessage::Ping { seq: 1 };
     peer.handle_message(0, GossipEnvelope { from, records: Vec::new(), message });
-    peer.live().into_iter().map(|member| member.name).collect()
+    peer.live_members().into_iter().map(|member| member.name).collect()
 }
 
 #[tokio::test]
--- a/crates/proxy/src/ports.rs
+++ b/crates/proxy/src/ports.rs
@@ -12,8 +12,8 @@
 pub enum ServerCall {
     /// Begins a transaction.
     Begin {
-        /// Whether the transaction is read-only.
-        read: bool,
+        /// Whether the transaction is read_only-only.
+        read_only: bool,
         /// The server rejects the call if its log lacks this position.
         floor: Option<Position>,
     },
@@ -170,7 +170,7 @@
     /// Makes a call and waits for the complete reply.
     fn call<'a>(&'a mut self, call: &'a ServerCall) -> BoxFuture<'a, io::Result<ServerReply>>;
     /// Returns the error if this idle connection has ended or received unexpected data.
-    fn broken(&mut self) -> Option<io::Error>;
+    fn idle_error(&mut self) -> Option<io::Error>;
 }
 
 /// A newly opened connection.
