--- a/crates/node/src/operator/maintenance.rs
+++ b/crates/node/src/operator/maintenance.rs
@@ -16,7 +16,7 @@
         return Err(ErrorCode::NoSuchServer.with_detail(format_args!("no group is called {group:?}")));
     }
     let live: Vec<Name> = node.gossip.live_nodes().into_iter().map(|member| member.name).collect();
-    let duty_owner = ownership::owner(&promotion_role_key(group), &live_members);
+    let duty_owner = ownership::owner(&promotion_role_key(group), &live);
     let duty_owner = duty_owner.cloned().ok_or_else(|| ErrorCode::NoMajority.without_detail())?;
     let to = if request.to.is_empty() { None } else { Some(request.to.clone()) };
     let query = ReportQuery::Handover { group: group.clone(), to };
--- a/crates/proxy/src/ports.rs
+++ b/crates/proxy/src/ports.rs
@@ -12,7 +12,7 @@
 pub enum ServerCall {
     /// Begins a transaction.
     Begin {
-        /// Whether the transaction is read_only-only.
+        /// Whether the transaction is read-only.
         read_only: bool,
         /// The server rejects the call if its log lacks this position.
         floor: Option<Position>,
