--- a/crates/ctl/src/arguments.rs
+++ b/crates/ctl/src/arguments.rs
@@ -1,66 +1,66 @@
-//! The command line of `quincehatchctl`.
+//! Parses the command line of `quincehatchctl`.
 use crate::command::Command;
 use crate::flags::{Flags, FlagsOutcome};
 use derive_more::{Display, Error};
 use quincehatch_config::key_digest::{KeyDigest, MAX_KEY_BYTES};
 use std::net::SocketAddr;
 
-/// The command that calls no node.
+/// Name of the only command that does not call a node.
 const KEY_DIGEST_COMMAND: &str = "key-digest";
 
-/// What the command line asks for.
+/// The action that the command line requests.
 pub enum Invocation {
-    /// A call to a node.
+    /// Call a node.
     Run(Arguments),
-    /// Help or version, which are printed already.
-    Answered,
+    /// Nothing is left to do: the help, the version or a key digest has been printed.
+    Completed,
 }
 
 /// A call to a node.
 pub struct Arguments {
     /// The node to call.
     pub endpoint: Endpoint,
-    /// How the reply is printed.
+    /// Output format of the reply.
     pub output: OutputFormat,
-    /// The call.
+    /// The command to send.
     pub command: Command,
 }
 
 /// A node's operator listener.
 pub struct Endpoint {
-    /// Its address, `ip:port`.
+    /// Address of the listener, `ip:port`.
     pub address: String,
     /// The operators' token.
     pub token: String,
 }
 
-/// How a reply is printed.
+/// The output format of a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutputFormat {
-    /// Tables and sentences for people.
+    /// Human-readable tables and sentences.
     Table,
     /// JSON as the node sent it.
     Json,
 }
 
-/// What is wrong with a command line.
+/// An error in the command line.
 #[derive(Debug, Display, Error)]
 pub enum UsageError {
     /// An unknown flag, or a flag without its value.
     #[display("{_0}")]
     Flag(lexopt::Error),
-    /// A flag that takes a version number got something else.
+    /// The value of a flag that takes a version number is not a number.
     #[display("--{flag}: {value:?} is not a version")]
     FlagNotAVersion {
         /// Name of the flag.
         flag: &'static str,
-        /// What it got.
+        /// The value that was given.
         value: String,
     },
-    /// A word that should be a version number is something else.
+    /// A positional argument that must be a version number is not a number.
     #[display("{word:?} is not a version")]
     NotAVersion {
-        /// The word.
+        /// The argument that was given.
         word: String,
     },
     /// The configuration file cannot be read.
@@ -68,25 +68,25 @@
     File {
         /// Path of the file.
         path: String,
-        /// Why it cannot be read.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// What should be a tenant's key is empty or too long.
+    /// The tenant key on standard input is empty or too long.
     #[display("a key has 1 to {MAX_KEY_BYTES} bytes")]
     NotAKey,
     /// No command was given.
     #[display("a command is missing")]
     MissingCommand,
-    /// The words are no command.
+    /// The positional arguments form no known command.
     #[display("`{words}` is not a command")]
     UnknownCommand {
-        /// The words, joined by blanks.
+        /// The positional arguments, joined by spaces.
         words: String,
     },
     /// The node's address is not an `ip:port`.
     #[display("--node: {address:?} is not an ip:port")]
     NotAnAddress {
-        /// What was given.
+        /// The address that was given.
         address: String,
     },
 }
@@ -97,11 +97,11 @@
     }
 }
 
-/// Reads the command line and the environment variables `QH_NODE` and `QH_TOKEN`.
+/// Parses the command line and the environment variables `QH_NODE` and `QH_TOKEN`.
 pub fn read() -> Result<Invocation, UsageError> {
     let flags = match Flags::read(lexopt::Parser::from_env())? {
         FlagsOutcome::Flags(flags) => flags,
-        FlagsOutcome::Answered => return Ok(Invocation::Answered),
+        FlagsOutcome::Completed => return Ok(Invocation::Completed),
     };
     if flags.words == [KEY_DIGEST_COMMAND] {
         return print_key_digest();
@@ -115,12 +115,13 @@
     Ok(Invocation::Run(Arguments { endpoint, output, command }))
 }
 
-/// Prints the digest of the key on standard input. A key on the command line would stand in the shell's history.
+/// Prints the digest of the key on standard input. The key is not a command-line argument because it would end up in
+/// the shell history.
 fn print_key_digest() -> Result<Invocation, UsageError> {
     let mut line = String::new();
-    let read = std::io::stdin().read_line(&mut line);
-    read.map_err(|source| UsageError::File { path: "standard input".into(), source })?;
+    let read_result = std::io::stdin().read_line(&mut line);
+    read_result.map_err(|source| UsageError::File { path: "standard input".into(), source })?;
     let digest = KeyDigest::of(line.trim_end_matches(['\r', '\n']).as_bytes()).ok_or(UsageError::NotAKey)?;
     println!("{digest}");
-    Ok(Invocation::Answered)
+    Ok(Invocation::Completed)
 }
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands of `quincehatchctl` as typed requests.
+//! Converts the commands of `quincehatchctl` into typed requests.
 use crate::arguments::UsageError;
 use crate::flags::Flags;
 use quincehatch_operator_api::configuration::{HistoryRequest, PushRequest, RollbackRequest, WriteOptions};
@@ -42,7 +42,7 @@
 }
 
 impl Command {
-    /// The command that the words name, with its flags. Flags of other commands are ignored.
+    /// Returns the command that the positional arguments name, with its flags. Flags of other commands are ignored.
     pub fn from_flags(flags: Flags) -> Result<Command, UsageError> {
         let words: Vec<&str> = flags.words.iter().map(String::as_str).collect();
         let command = match words.as_slice() {
@@ -86,14 +86,14 @@
 fn write_options(flags: &Flags) -> WriteOptions {
     WriteOptions {
         base: flags.base,
-        idempotency_key: Some(flags.key.clone().unwrap_or_else(key_of_this_run)),
+        idempotency_key: Some(flags.key.clone().unwrap_or_else(generate_idempotency_key)),
         by: None,
         dry_run: flags.dry_run.then_some(true),
     }
 }
 
-/// An idempotency key that no other run uses.
-fn key_of_this_run() -> String {
+/// Returns an idempotency key that is unique to this run of the program.
+fn generate_idempotency_key() -> String {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     format!("quincehatchctl-{}-{:x}", std::process::id(), since_epoch.as_nanos())
 }
@@ -102,7 +102,7 @@
     let mut request = ExplainRequest::default();
     match subject {
         ["server", name] => request.server = (*name).to_owned(),
-        // `visit` is the older word.
+        // `visit` is the former name of `request`.
         ["request" | "visit", id] => request.request = (*id).to_owned(),
         ["promotions"] => request.promotions = "all".to_owned(),
         _ => return Err(unknown_command(words)),
--- a/crates/ctl/src/flags.rs
+++ b/crates/ctl/src/flags.rs
@@ -1,49 +1,49 @@
-//! Flags and words of the command line, before they are put together to a command.
+//! Parses flags and positional arguments, from which the command is built.
 use crate::arguments::UsageError;
 use lexopt::prelude::*;
 
-const HELP: &str = "quincehatchctl: looks after a quincehatch cluster
+const HELP: &str = "quincehatchctl: operates a quincehatch cluster
 
 usage: quincehatchctl [--node IP:PORT] [--token WORD] [--json] COMMAND ...
 
-  status                       the cluster at a glance: keepers, primaries, nodes
+  status                       state of the cluster: keepers, primaries, nodes
   nodes                        every node's report on itself
-  servers                      database servers as the asked node sees them
+  servers                      database servers as the called node sees them
   placements                   placements, their servers and routes
-  tenants                      what each tenant runs of what it may, by node
-  key-digest                   reads a tenant's key from standard input and prints its digest for a configuration
+  tenants                      rate limit and usage of each tenant, by node
+  key-digest                   read a tenant's key from standard input and print its digest for a configuration
   push FILE [--dry-run] [--base N] [--key WORD]
-                               push a configuration (TOML or JSON); --dry-run only checks and shows the difference
+                               push a configuration (TOML or JSON); --dry-run only validates and shows the difference
   history                      configuration versions that are retained
-  rollback VERSION             a new version with an old one's content
-  explain server NAME          why each node sees a server's health as it does
-  explain request ID           the path one request took
-  explain promotions           what promotions were done and why
-  drain NODE [--undo]          no new clients are sent to the node; its sessions go on
-  promote GROUP [--to SERVER]  hand a group's primary over, drained first
+  rollback VERSION             write a new version with the content of an older one
+  explain server NAME          each node's health state of a server and the reasons
+  explain request ID           the processing steps of one request
+  explain promotions           the last promotions and their progress
+  drain NODE [--undo]          stop sending new clients to the node; its sessions continue
+  promote GROUP [--to SERVER]  drain a group's primary, then promote another server
   members [--add NAME=IP:PORT | --remove NAME]
                                the voting keepers; one is added or removed at a time
 
-  --node IP:PORT   operator listener of any node; else $QH_NODE
-  --token WORD     the operators' token; else $QH_TOKEN
-  --json           the reply as JSON
-  -h, --help       this text
-  -V, --version    the version
+  --node IP:PORT   operator listener of any node (default: $QH_NODE)
+  --token WORD     the operators' token (default: $QH_TOKEN)
+  --json           print the reply as JSON
+  -h, --help       print this help
+  -V, --version    print the version
 
-Exit: 0 done; 2 wrong usage; else the result code's hundreds (1601 gives 16), see docs/codes.md.";
+Exit status: 0 success; 2 usage error; otherwise the result code divided by 100 (1601 gives 16), see docs/codes.md.";
 
-/// Everything that stands on the command line.
+/// All flags and positional arguments of the command line.
 #[derive(Debug, Default)]
 pub struct Flags {
     /// Address of the node.
     pub node: String,
     /// The operators' token.
     pub token: String,
-    /// Print the reply as JSON.
+    /// Whether to print the reply as JSON.
     pub json: bool,
-    /// `drain`: take new clients again.
+    /// `drain`: whether to end draining instead of starting it.
     pub undo: bool,
-    /// `push`, `rollback`: only validate.
+    /// `push`, `rollback`: whether to only validate.
     pub dry_run: bool,
     /// `push`, `rollback`: the version to build on.
     pub base: Option<u64>,
@@ -55,20 +55,20 @@
     pub add: Option<String>,
     /// `members`: the keeper to remove.
     pub remove: Option<String>,
-    /// What is no flag, in order.
+    /// Positional arguments in order: the command and its operands.
     pub words: Vec<String>,
 }
 
-/// What reading the flags led to.
+/// The outcome of parsing the command line.
 pub enum FlagsOutcome {
-    /// All flags and words.
+    /// The flags and positional arguments.
     Flags(Flags),
-    /// Help or version was asked for and is printed.
-    Answered,
+    /// Nothing is left to do: the help or the version has been printed.
+    Completed,
 }
 
 impl Flags {
-    /// Reads all flags; `QH_NODE` and `QH_TOKEN` stand in for `--node` and `--token`.
+    /// Parses the command line. `QH_NODE` and `QH_TOKEN` are the defaults of `--node` and `--token`.
     pub fn read(mut parser: lexopt::Parser) -> Result<FlagsOutcome, UsageError> {
         let mut flags = Flags {
             node: std::env::var("QH_NODE").unwrap_or_default(),
@@ -79,11 +79,11 @@
             match argument {
                 Short('h') | Long("help") => {
                     println!("{HELP}");
-                    return Ok(FlagsOutcome::Answered);
+                    return Ok(FlagsOutcome::Completed);
                 }
                 Short('V') | Long("version") => {
                     println!("quincehatchctl {}", env!("CARGO_PKG_VERSION"));
-                    return Ok(FlagsOutcome::Answered);
+                    return Ok(FlagsOutcome::Completed);
                 }
                 Long("json") => flags.json = true,
                 Long("undo") => flags.undo = true,
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `quincehatchctl`: the operators' command line for the whole cluster.
+//! `quincehatchctl`: the command-line client of the operator API.
 #![warn(
     missing_docs,
     clippy::too_many_lines,
@@ -20,15 +20,15 @@
 use std::process::exit;
 use tables::Table;
 
-/// Exit status of a wrong command line.
+/// Exit status for an invalid command line.
 const EXIT_USAGE: i32 = 2;
-/// A result code divided by this gives the exit status.
+/// The exit status of a failed call is its result code divided by this number.
 const CODES_PER_EXIT_STATUS: u16 = 100;
 
 fn main() {
     let arguments = match arguments::read() {
         Ok(Invocation::Run(arguments)) => arguments,
-        Ok(Invocation::Answered) => return,
+        Ok(Invocation::Completed) => return,
         Err(error) => {
             eprintln!("quincehatchctl: {error}\ntry `quincehatchctl --help`");
             exit(EXIT_USAGE);
@@ -57,7 +57,8 @@
     }
 }
 
-/// Sends one request and prints its reply. JSON is printed as the node sent it, with fields unknown here.
+/// Sends one request and prints its reply. JSON is printed as the node sent it, including fields that this program does
+/// not know.
 fn send<Request>(arguments: &Arguments, request: &Request) -> Result<(), Error>
 where
     Request: OperatorCall,
--- a/crates/ctl/src/tables/configuration.rs
+++ b/crates/ctl/src/tables/configuration.rs
@@ -1,4 +1,4 @@
-//! `push`, `rollback` and `history`.
+//! Renders the replies to `push`, `rollback` and `history`.
 use super::Table;
 use super::layout::{cell, table};
 use quincehatch_operator_api::configuration::{Difference, HistoryReply, PushReply, RetainedVersion};
--- a/crates/ctl/src/tables/explain.rs
+++ b/crates/ctl/src/tables/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`.
+//! Renders the reply to `explain`.
 use super::Table;
 use super::layout::cell;
 use quincehatch_core::Name;
--- a/crates/ctl/src/tables/layout.rs
+++ b/crates/ctl/src/tables/layout.rs
@@ -1,10 +1,10 @@
 //! Layout of text tables.
 use std::fmt::Display;
 
-/// What stands in a cell without a value.
+/// Text of a cell without a value.
 const NO_VALUE: &str = "-";
 
-/// A table with a heading; every column is as wide as its widest cell.
+/// Renders a table with a heading line. Every column is as wide as its widest cell.
 pub fn table(headings: &[&str], rows: Vec<Vec<String>>) -> String {
     let heading = headings.iter().map(|cell| (*cell).to_owned()).collect();
     let mut lines: Vec<Vec<String>> = vec![heading];
@@ -25,13 +25,13 @@
     cells.map(|cell| cell.chars().count()).max().unwrap_or(0)
 }
 
-/// A value as a cell; a dash if its text is empty.
+/// Formats a value as a cell, or as [`NO_VALUE`] if its text is empty.
 pub fn cell(value: impl Display) -> String {
     let text = value.to_string();
     if text.is_empty() { NO_VALUE.to_owned() } else { text }
 }
 
-/// An optional value as a cell.
+/// Formats an optional value as a cell, or as [`NO_VALUE`] if it is `None`.
 pub fn optional_cell(value: Option<impl Display>) -> String {
     value.map_or_else(|| NO_VALUE.to_owned(), cell)
 }
--- a/crates/ctl/src/tables/maintenance.rs
+++ b/crates/ctl/src/tables/maintenance.rs
@@ -1,4 +1,4 @@
-//! `promote` and `drain`.
+//! Renders the replies to `promote` and `drain`.
 use super::Table;
 use quincehatch_operator_api::maintenance::{DrainReply, PromoteReply};
 
@@ -14,7 +14,7 @@
 impl Table for DrainReply {
     fn to_table(&self) -> String {
         let Some(state) = &self.answer else {
-            return format!("node {} gave no answer that is understood\n", self.node);
+            return format!("node {} sent an answer that could not be parsed\n", self.node);
         };
         let what = if state.draining { "is draining" } else { "takes new clients again" };
         format!(
--- a/crates/ctl/src/tables/members.rs
+++ b/crates/ctl/src/tables/members.rs
@@ -1,4 +1,4 @@
-//! `members`.
+//! Renders the reply to `members`.
 use super::Table;
 use super::layout::{cell, table};
 use quincehatch_operator_api::members::{MembersReply, ViewReport, VoterReport};
--- a/crates/ctl/src/tables/mod.rs
+++ b/crates/ctl/src/tables/mod.rs
@@ -1,4 +1,4 @@
-//! Replies as tables and sentences for people.
+//! Renders replies as human-readable tables and sentences.
 mod configuration;
 mod explain;
 mod layout;
@@ -12,8 +12,8 @@
 #[cfg(test)]
 mod tests;
 
-/// A reply that can be shown to people.
+/// A reply that can be rendered as human-readable text.
 pub trait Table {
-    /// The reply as lines of text, each ended.
+    /// Renders the reply as lines of text, each terminated by a newline.
     fn to_table(&self) -> String;
 }
--- a/crates/ctl/src/tables/nodes.rs
+++ b/crates/ctl/src/tables/nodes.rs
@@ -1,4 +1,4 @@
-//! `nodes`.
+//! Renders the reply to `nodes`.
 use super::Table;
 use super::layout::{cell, table};
 use quincehatch_operator_api::fan_out::NodeAnswer;
@@ -24,7 +24,7 @@
     }
 }
 
-/// A row for each node; `status` shows the same.
+/// Renders a table with a row for each node. The output of `status` includes the same table.
 pub fn nodes_table(nodes: &[NodeAnswer<NodeReport>]) -> String {
     table(&HEADINGS, nodes.iter().map(row).collect())
 }
--- a/crates/ctl/src/tables/placements.rs
+++ b/crates/ctl/src/tables/placements.rs
@@ -1,4 +1,4 @@
-//! `placements`.
+//! Renders the reply to `placements`.
 use super::Table;
 use super::layout::{cell, table};
 use quincehatch_operator_api::placements::{PlacementReport, PlacementsReply};
--- a/crates/ctl/src/tables/servers.rs
+++ b/crates/ctl/src/tables/servers.rs
@@ -1,4 +1,4 @@
-//! `servers`.
+//! Renders the reply to `servers`.
 use super::Table;
 use super::layout::{cell, optional_cell, table};
 use quincehatch_operator_api::servers::{ServerReport, ServersReply};
@@ -28,7 +28,7 @@
 }
 
 fn row(report: &ServerReport) -> Vec<String> {
-    // Heartbeats may still carry the older label `district`.
+    // Heartbeats of older servers carry the zone under its former label `district`.
     let zone = report.labels.get("zone").or_else(|| report.labels.get("district"));
     let role = if report.is_primary { "primary".to_owned() } else { lowercase(&report.role) };
     vec![
--- a/crates/ctl/src/tables/status.rs
+++ b/crates/ctl/src/tables/status.rs
@@ -1,4 +1,4 @@
-//! `status`.
+//! Renders the reply to `status`.
 use super::Table;
 use super::layout::{cell, optional_cell, table};
 use super::nodes::nodes_table;
@@ -58,7 +58,7 @@
     }
 }
 
-/// Whether a keeper votes on views, and whether it is in the chain.
+/// Returns whether a keeper is in the chain, only votes on views, or does neither.
 fn chain_role(view: &ViewReport, keeper: &Name) -> &'static str {
     if view.chain_position(keeper).is_some() {
         "member"
@@ -69,7 +69,7 @@
     }
 }
 
-/// How many changes a keeper lacks of what the furthest one holds.
+/// Returns how many changes a keeper lags behind the most advanced keeper.
 fn changes_behind(status: &StatusReply, keeper: &KeeperReport) -> u64 {
     let newest = status.keepers.iter().filter_map(newest_change).max().unwrap_or(keeper.change);
     newest - keeper.change
@@ -82,7 +82,7 @@
     }
 }
 
-/// Size of a keeper's data folder, and the size it may have.
+/// Formats the size of a keeper's data directory and its limit.
 fn disk_usage(disk: &DiskReport) -> String {
     let used = disk.used as f64 / BYTES_PER_MEGABYTE;
     let allowed = disk.allowed as f64 / BYTES_PER_MEGABYTE;
--- a/crates/ctl/src/tables/tenants.rs
+++ b/crates/ctl/src/tables/tenants.rs
@@ -1,4 +1,4 @@
-//! `tenants`.
+//! Renders the reply to `tenants`.
 use super::Table;
 use super::layout::table;
 use quincehatch_operator_api::tenants::{TenantNodeReport, TenantReport, TenantsReply};
@@ -7,7 +7,7 @@
     ["TENANT", "NODE", "RATE/S", "BURST", "FREE", "HELD", "USED", "BORROWED", "REJECTED"];
 
 impl Table for TenantsReply {
-    /// A line for the sum of each tenant, and one for each node.
+    /// Renders one line with the totals of each tenant, followed by one line per node.
     fn to_table(&self) -> String {
         let rows = self.tenants.iter().flat_map(tenant_rows).collect();
         table(&HEADINGS, rows)
--- a/crates/operator-api/src/call.rs
+++ b/crates/operator-api/src/call.rs
@@ -9,36 +9,36 @@
 pub trait OperatorCall: Serialize + DeserializeOwned {
     /// The call that this request is sent with.
     const NAME: CallName;
-    /// What a node answers to it.
+    /// The reply that a node sends to this request.
     type Reply: Serialize + DeserializeOwned;
 }
 
 /// The name of an operator call, the last segment of its path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallName {
-    /// State of the whole cluster.
+    /// Shows the state of the whole cluster.
     Status,
-    /// Every node's report on itself.
+    /// Shows every node's report on itself.
     Nodes,
-    /// Database servers as one node sees them.
+    /// Shows one node's view of the database servers.
     Servers,
-    /// Placements with their servers and routes.
+    /// Shows the placements with their servers and routes.
     Placements,
-    /// A new configuration.
+    /// Writes a new configuration version.
     Push,
-    /// Configuration versions that are retained.
+    /// Lists the retained configuration versions.
     History,
-    /// A new version with the content of an older one.
+    /// Writes a new configuration version with the content of an older one.
     Rollback,
-    /// Why a server was ejected, how a request was routed, what promotions were done.
+    /// Explains why a server was ejected, how a request was routed or which promotions took place.
     Explain,
-    /// Hand a group's primary over.
+    /// Promotes another server of a group to primary.
     Promote,
-    /// Stop or resume new clients at a node.
+    /// Starts or ends draining a node.
     Drain,
-    /// List or change the voting keepers.
+    /// Lists or changes the voting keepers.
     Members,
-    /// What tenants run, as the tail counts it.
+    /// Shows the rate limits of the tenants and their usage, as counted by the tail of the chain.
     Tenants,
 }
 
@@ -59,7 +59,7 @@
         CallName::Tenants,
     ];
 
-    /// The name as it stands in the path.
+    /// Returns the name used in the path.
     pub fn as_str(self) -> &'static str {
         match self {
             CallName::Status => "status",
@@ -77,18 +77,19 @@
         }
     }
 
-    /// The HTTP path of the call.
+    /// Returns the HTTP path of the call.
     pub fn path(self) -> String {
         format!("{PATH_PREFIX}{}", self.as_str())
     }
 
-    /// The call at an HTTP path; `None` if the path names no operator call.
+    /// Returns the call at an HTTP path, or `None` if the path names no operator call.
     pub fn from_path(path: &str) -> Option<CallName> {
         let name = path.strip_prefix(PATH_PREFIX)?;
         CallName::ALL.into_iter().find(|call| call.as_str() == name)
     }
 
-    /// Whether a path lies within the operator API, known call or not: such a path needs the operators' token.
+    /// Returns whether a path belongs to the operator API, even if it names no known call. Every such path requires the
+    /// operators' token.
     pub fn is_operator_path(path: &str) -> bool {
         path.starts_with(PATH_PREFIX)
     }
--- a/crates/operator-api/src/configuration.rs
+++ b/crates/operator-api/src/configuration.rs
@@ -7,21 +7,21 @@
 /// Longest idempotency key of a push, in bytes.
 pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
 
-/// How a new configuration version is to be written; part of `push` and `rollback`.
+/// Options for writing a new configuration version, shared by `push` and `rollback`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WriteOptions {
-    /// Version that the new one builds on; `None`: the one that the asked node has in force.
+    /// Version that the new one builds on. `None` stands for the version in force at the node that serves the request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub base: Option<Version>,
-    /// A request sent again under the same key is applied once. Required unless `dry_run` is set; 1 to
-    /// [`MAX_IDEMPOTENCY_KEY_BYTES`] bytes.
+    /// Idempotency key: a request that is retried with the same key is applied once. Required unless `dry_run` is set;
+    /// 1 to [`MAX_IDEMPOTENCY_KEY_BYTES`] bytes.
     #[serde(rename = "key", alias = "idempotency_key", skip_serializing_if = "Option::is_none")]
     pub idempotency_key: Option<String>,
-    /// Who makes the change, for the history; `None`: `operator`.
+    /// Author of the change, recorded in the history. `None` stands for `operator`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub by: Option<Name>,
-    /// Only validate the configuration and show the difference.
+    /// Whether to only validate the configuration and report the difference.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub dry_run: Option<bool>,
 }
@@ -30,9 +30,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PushRequest {
-    /// The configuration, TOML or JSON.
+    /// The configuration as TOML or JSON.
     pub text: String,
-    /// How it is to be written.
+    /// Options for the new version.
     #[serde(flatten)]
     pub options: WriteOptions,
 }
@@ -47,13 +47,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum PushReply {
-    /// Nothing was written.
+    /// The configuration was only validated; nothing was written.
     DryRun {
         /// Always true: an invalid configuration is an error reply.
         valid: bool,
         /// Version that the new one would build on.
         builds_on: Version,
-        /// What it would change.
+        /// What the new version would change.
         #[serde(flatten)]
         difference: Difference,
     },
@@ -61,7 +61,7 @@
     Applied {
         /// The new version.
         version: Version,
-        /// What it changed.
+        /// What the new version changed.
         #[serde(flatten)]
         difference: Difference,
     },
@@ -72,7 +72,7 @@
 pub struct Difference {
     /// Settings removed (`- name = value`) and added (`+ name = value`).
     pub diff: Vec<String>,
-    /// Placements without a known server.
+    /// Placements that no known server matches.
     pub no_server_yet: Vec<String>,
 }
 
@@ -88,20 +88,20 @@
 /// The retained versions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HistoryReply {
-    /// Oldest first.
+    /// The versions, oldest first.
     pub history: Vec<RetainedVersion>,
 }
 
 /// A configuration version that is retained.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RetainedVersion {
-    /// Its number.
+    /// Version number.
     pub version: Version,
-    /// Who pushed it.
+    /// Author of the change.
     pub by: Name,
-    /// Size of its text in bytes.
+    /// Size of the configuration text in bytes.
     pub bytes: usize,
-    /// Its content.
+    /// The parsed configuration.
     pub configuration: Value,
 }
 
@@ -109,9 +109,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RollbackRequest {
-    /// The older version.
+    /// Number of the older version.
     pub version: Version,
-    /// How it is to be written.
+    /// Options for the new version.
     #[serde(flatten)]
     pub options: WriteOptions,
 }
--- a/crates/operator-api/src/error.rs
+++ b/crates/operator-api/src/error.rs
@@ -4,15 +4,15 @@
 /// Body of a reply whose HTTP status is not 200.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ErrorReply {
-    /// What went wrong.
+    /// The error that made the call fail.
     pub error: ErrorDetail,
 }
 
-/// A numbered result code (`docs/codes.md`) with one sentence for people.
+/// A numeric result code (see `docs/codes.md`) with a human-readable description.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ErrorDetail {
-    /// Number of the result code.
+    /// The result code.
     pub code: u16,
-    /// What failed, in one sentence.
+    /// Describes the failure in one sentence.
     pub text: String,
 }
--- a/crates/operator-api/src/explain.rs
+++ b/crates/operator-api/src/explain.rs
@@ -1,25 +1,25 @@
-//! `explain`: why something happened, as every node has recorded it.
+//! `explain`: the recorded reasons for health changes, routing decisions and promotions, collected from every node.
 use crate::fan_out::NodeAnswer;
 use crate::{CallName, OperatorCall};
 use quincehatch_core::{Name, Version};
 use serde::{Deserialize, Serialize};
 
-/// Asks every node about one subject. Exactly one of the fields is expected; of several the first counts.
+/// Asks every node about one subject. Exactly one field is expected to be set; if several are set, the first one is used.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ExplainRequest {
-    /// Name of a server: its health transitions.
+    /// Name of a server whose health transitions are requested.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub server: String,
-    /// Id of a request, in decimal: the path that it took.
+    /// Decimal id of a request whose path is requested.
     #[serde(alias = "visit", skip_serializing_if = "String::is_empty")]
     pub request: String,
-    /// Any word: the last promotions.
+    /// Any non-empty text requests the last promotions.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub promotions: String,
 }
 
-/// What is to be explained.
+/// The subject of an `explain` call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ExplainSubject {
     /// The health transitions of a server.
@@ -31,7 +31,7 @@
 }
 
 impl ExplainRequest {
-    /// The subject; `None` if every field is empty.
+    /// Returns the subject, or `None` if every field is empty.
     pub fn subject(self) -> Option<ExplainSubject> {
         if !self.server.is_empty() {
             Some(ExplainSubject::Server(self.server))
@@ -50,14 +50,14 @@
     type Reply = ExplainReply;
 }
 
-/// What each node has recorded.
+/// The records of every node about the subject.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExplainReply {
-    /// One part for each node of the cluster.
+    /// One answer per node of the cluster.
     pub nodes: Vec<NodeAnswer<Explanation>>,
 }
 
-/// What one node has recorded about the subject.
+/// The records of one node about the subject.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Explanation {
@@ -69,7 +69,7 @@
     Promotions(Vec<String>),
 }
 
-/// How one node sees the health of a server.
+/// The health of a server as one node sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HealthReport {
     /// Name of the node.
@@ -82,7 +82,7 @@
     /// Time until an ejected server goes on probation, in milliseconds; `None` while it is healthy.
     #[serde(alias = "trial_in_ms")]
     pub probation_in_ms: Option<u64>,
-    /// The last changes of its health state, oldest first.
+    /// The last changes of the health state, oldest first.
     #[serde(alias = "turns")]
     pub transitions: Vec<TransitionReport>,
 }
@@ -90,53 +90,53 @@
 /// A change of a server's health state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TransitionReport {
-    /// How long ago, in milliseconds.
+    /// How long ago the change took place, in milliseconds.
     pub ago_ms: u64,
-    /// The state from then on.
+    /// The new health state.
     pub to: String,
-    /// The reason in one sentence.
+    /// The reason for the change in one sentence.
     pub why: String,
-    /// The evidence that was weighed.
+    /// The evidence on which the change is based.
     pub evidence: Vec<EvidenceReport>,
 }
 
 /// One piece of evidence against a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EvidenceReport {
-    /// What was seen.
+    /// The observed failure signal.
     #[serde(alias = "sign")]
     pub signal: String,
-    /// How much it weighs.
+    /// The weight of the signal.
     pub weight: u64,
-    /// How long ago, in milliseconds.
+    /// How long ago the signal was observed, in milliseconds.
     pub ago_ms: u64,
 }
 
 /// The path of one request through a node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestTrace {
-    /// Id of the request, as in its reply.
+    /// Id of the request, which the client finds in the reply.
     #[serde(alias = "visit")]
     pub request_id: u64,
-    /// The client API call.
+    /// Name of the client API call.
     pub what: String,
-    /// How long it took, in milliseconds.
+    /// Duration of the request in milliseconds.
     pub ms: u64,
-    /// Result code; 0 for success.
+    /// Result code, 0 for success.
     pub code: u16,
-    /// Where it ran.
+    /// Node, server and route that served the request.
     #[serde(rename = "where")]
     pub location: RequestLocation,
-    /// The steps it took.
+    /// Processing steps in order.
     pub path: Vec<String>,
 }
 
-/// Where a request ran.
+/// The node, server and route that served a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestLocation {
     /// Name of the node.
     pub node: Name,
-    /// Name of the server; empty if none was reached.
+    /// Name of the server, empty if none was reached.
     pub server: Name,
     /// Placement of the route.
     pub placement: Name,
@@ -145,7 +145,7 @@
     pub zone: Name,
     /// Version of the configuration.
     pub version: Version,
-    /// Health state of the server at that time.
+    /// Health state of the server at the time of the request.
     #[serde(alias = "verdict")]
     pub health: Name,
 }
--- a/crates/operator-api/src/fan_out.rs
+++ b/crates/operator-api/src/fan_out.rs
@@ -1,8 +1,8 @@
-//! Replies that are put together from the answers of several nodes.
+//! Replies that combine the answers of several nodes.
 use quincehatch_core::Name;
 use serde::{Deserialize, Serialize};
 
-/// One node's part of a reply.
+/// The answer of one node within a combined reply.
 // The order of the variants matters: serde tries `Unresponsive` first, whose field no answer has.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
@@ -19,13 +19,13 @@
     Answered {
         /// Name of the node.
         node: Name,
-        /// What it reported; `None` if it knows nothing of the subject.
+        /// The report, or `None` if the node has none on the subject.
         answer: Option<Report>,
     },
 }
 
 impl<Report> NodeAnswer<Report> {
-    /// The part of a node that did not answer in time.
+    /// Creates the entry of a node that did not answer in time.
     pub fn unresponsive(node: Name) -> Self {
         NodeAnswer::Unresponsive { node, unresponsive: true }
     }
--- a/crates/operator-api/src/lib.rs
+++ b/crates/operator-api/src/lib.rs
@@ -1,9 +1,10 @@
 //! Requests and replies of the operator API, as JSON over HTTP.
 //!
 //! Every operator call is a `POST /op/<name>` with a request object and a reply object. A node serves the calls,
-//! `quincehatchctl` sends them; both use the types of this crate. It does no I/O.
+//! `quincehatchctl` sends them; both use the types of this crate. This crate does no I/O.
 //!
-//! Older names of request fields and of fields that nodes report to each other are still read (serde aliases).
+//! Former names of request fields, and of fields in the reports that nodes send each other, are still accepted as serde
+//! aliases.
 #![warn(
     missing_docs,
     clippy::too_many_lines,
--- a/crates/operator-api/src/maintenance.rs
+++ b/crates/operator-api/src/maintenance.rs
@@ -1,4 +1,4 @@
-//! `promote` and `drain`: planned changes.
+//! `promote` and `drain`: planned maintenance.
 use crate::{CallName, OperatorCall};
 use quincehatch_core::Name;
 use serde::{Deserialize, Serialize};
@@ -7,9 +7,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PromoteRequest {
-    /// The group.
+    /// Name of the group.
     pub group: Name,
-    /// The server to promote; empty: the best candidate.
+    /// Name of the server to promote. If empty, the best candidate is promoted.
     #[serde(skip_serializing_if = "Name::is_empty")]
     pub to: Name,
 }
@@ -19,22 +19,22 @@
     type Reply = PromoteReply;
 }
 
-/// The promotion was requested; `explain` tells how it went.
+/// Confirms that the promotion was requested. Its outcome is reported by `explain`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PromoteReply {
-    /// The node that was asked to carry the promotion out.
+    /// Name of the node that was asked to perform the promotion.
     pub asked: Name,
-    /// The group.
+    /// Name of the group.
     pub group: Name,
 }
 
-/// Asks that a node take no new clients, or take them again. Its sessions go on either way.
+/// Starts or ends draining a node: no new clients are routed to a draining node, and its existing sessions continue.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DrainRequest {
     /// Name of the node.
     pub name: Name,
-    /// Take new clients again.
+    /// Whether to end draining, so that new clients are routed to the node again.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub undo: bool,
 }
@@ -44,23 +44,23 @@
     type Reply = DrainReply;
 }
 
-/// What the node answered.
+/// The answer of the node that was asked to drain or to end draining.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DrainReply {
     /// Name of the node.
     pub node: Name,
-    /// Its state from now on; `None` if its answer could not be read.
+    /// The node's state after the change, or `None` if its answer could not be parsed.
     pub answer: Option<DrainState>,
 }
 
-/// Whether a node is draining, and what still runs there.
+/// Whether a node is draining, with its remaining sessions and requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DrainState {
-    /// Whether new clients are kept away.
+    /// Whether the node is draining: it reports itself as not ready, so that the platform routes no new clients to it.
     pub draining: bool,
-    /// Sessions open.
+    /// Number of open sessions.
     pub sessions: usize,
-    /// Requests in flight.
+    /// Number of requests in flight.
     #[serde(alias = "in_hand")]
     pub in_flight: u64,
 }
--- a/crates/operator-api/src/members.rs
+++ b/crates/operator-api/src/members.rs
@@ -1,16 +1,16 @@
-//! `members`: the voting keepers.
+//! `members`: lists and changes the voting keepers.
 use crate::{CallName, OperatorCall};
 use quincehatch_core::{Name, Version};
 use serde::{Deserialize, Serialize};
 
-/// Lists the voting keepers; with `add` or `remove` changes them first.
+/// Lists the voting keepers, after adding or removing one if `add` or `remove` is set.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MembersRequest {
-    /// A keeper to add, `name=ip:port`.
+    /// The keeper to add, as `name=ip:port`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub add: Option<String>,
-    /// Name of a keeper to remove.
+    /// Name of the keeper to remove.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub remove: Option<String>,
 }
@@ -23,18 +23,18 @@
 /// The view in force after the call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MembersReply {
-    /// The view.
+    /// The view of the replication chain.
     pub view: ViewReport,
 }
 
-/// A view of the replication chain: who votes, and who is in the chain.
+/// A view of the replication chain: its members and the keepers that vote on the next view.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ViewReport {
-    /// Its version; rises with every change.
+    /// Version of the view, which increases with every change.
     pub version: Version,
-    /// Names of the chain's members, from head to tail.
+    /// Names of the chain members from head to tail.
     pub members: Vec<Name>,
-    /// Keepers with a vote on the next view.
+    /// Keepers that vote on the next view.
     pub voters: Vec<VoterReport>,
 }
 
@@ -43,17 +43,17 @@
 pub struct VoterReport {
     /// Name of the keeper.
     pub name: Name,
-    /// Its address, `ip:port`.
+    /// Address of the keeper, `ip:port`.
     pub addr: Name,
 }
 
 impl ViewReport {
-    /// Whether a keeper votes on views.
+    /// Returns whether a keeper votes on views.
     pub fn is_voter(&self, keeper: &Name) -> bool {
         self.voters.iter().any(|voter| voter.name == *keeper)
     }
 
-    /// Position of a keeper in the chain, counted from 0 at the head; `None` outside the chain.
+    /// Returns the position of a keeper in the chain, counted from 0 at the head, or `None` if it is not in the chain.
     pub fn chain_position(&self, keeper: &Name) -> Option<usize> {
         self.members.iter().position(|member| member == keeper)
     }
--- a/crates/operator-api/src/nodes.rs
+++ b/crates/operator-api/src/nodes.rs
@@ -16,7 +16,7 @@
 /// The reports, ordered by node name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodesReply {
-    /// One part for each node of the cluster.
+    /// One answer per node of the cluster.
     pub nodes: Vec<NodeAnswer<NodeReport>>,
 }
 
@@ -25,46 +25,46 @@
 pub struct NodeReport {
     /// Name of the node.
     pub name: Name,
-    /// Zone in which it runs.
+    /// Zone of the node.
     #[serde(alias = "district")]
     pub zone: Name,
-    /// Address for clients and the platform, `ip:port`.
+    /// Address of the listener for clients and the platform, `ip:port`.
     #[serde(alias = "door")]
     pub client_listener: String,
-    /// Address for server heartbeats and operators, `ip:port`.
+    /// Address of the listener for server heartbeats and operators, `ip:port`.
     #[serde(alias = "desk")]
     pub operator_listener: String,
-    /// Whether clients may be sent to it.
+    /// Whether clients may be routed to the node.
     pub ready: bool,
-    /// Why it is not ready, or in what its service is reduced; empty if all is well.
+    /// Why the node is not ready or which part of its service is degraded; empty if it is fully healthy.
     pub why: String,
-    /// What is left of its lease, in milliseconds.
+    /// Remaining time of the node's lease in milliseconds.
     pub lease_ms: u64,
-    /// Version of the configuration it has applied.
+    /// Version of the configuration that the node has applied.
     pub version: Version,
-    /// Number of the last change it has applied.
+    /// Number of the last change that the node has applied.
     pub change: u64,
-    /// Client sessions open here.
+    /// Number of open client sessions on the node.
     pub sessions: usize,
-    /// Session replicas kept for other nodes.
+    /// Number of session replicas stored for other nodes.
     #[serde(alias = "copies")]
     pub session_replicas: usize,
-    /// Requests in flight.
+    /// Number of requests in flight.
     #[serde(alias = "in_hand")]
     pub in_flight: u64,
-    /// Requests committed since the start.
+    /// Number of requests committed since the node started.
     #[serde(alias = "kept")]
     pub committed: u64,
-    /// Requests that were not applied, since the start.
+    /// Number of requests that were not applied, since the node started.
     #[serde(alias = "nothing")]
     pub not_applied: u64,
-    /// Requests whose outcome is unknown, since the start.
+    /// Number of requests with an unknown outcome since the node started.
     pub unknown: u64,
-    /// Nodes that it takes for alive.
+    /// Number of nodes that this node considers alive.
     pub live: usize,
-    /// Nodes in its partial view of the gossip membership.
+    /// Names of the nodes in its partial view of the gossip membership.
     pub view: Vec<Name>,
-    /// Gossip messages sent since the start.
+    /// Number of gossip messages sent since the node started.
     #[serde(alias = "letters")]
     pub gossip_messages_sent: u64,
 }
--- a/crates/operator-api/src/placements.rs
+++ b/crates/operator-api/src/placements.rs
@@ -1,10 +1,10 @@
-//! `placements`: which servers and routes each placement has.
+//! `placements`: the servers and routes of each placement.
 use crate::{CallName, OperatorCall};
 use quincehatch_core::{Name, Version};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// For each label, the values of which a server must have one.
+/// Maps each label name to the accepted values; a server matches if its label has one of them.
 pub type Selector = BTreeMap<String, Vec<String>>;
 
 /// Asks for the placements of the configuration in force.
@@ -25,7 +25,7 @@
     pub placements: Vec<PlacementReport>,
     /// Zones that the configuration lists.
     pub zones: Vec<ZoneReport>,
-    /// Zones of known servers and nodes that the configuration does not list, so that they have no labels there.
+    /// Zones of known servers and nodes that are missing in the configuration and so contribute no labels.
     pub unknown_zones: Vec<Name>,
 }
 
@@ -38,17 +38,17 @@
     pub select: Selector,
     /// Labels that exclude a server.
     pub except: Selector,
-    /// Known servers that match.
+    /// Known servers that match the placement.
     pub servers: Vec<Name>,
     /// Routes that use the placement.
     pub routes: Vec<String>,
 }
 
-/// A zone with the labels of everything in it.
+/// A zone and the labels that it contributes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZoneReport {
     /// Name of the zone.
     pub name: String,
-    /// Labels that servers and requests there have beside their own.
+    /// Labels that servers and requests in the zone have in addition to their own.
     pub labels: BTreeMap<String, String>,
 }
--- a/crates/operator-api/src/servers.rs
+++ b/crates/operator-api/src/servers.rs
@@ -1,4 +1,4 @@
-//! `servers`: database servers as the asked node sees them.
+//! `servers`: one node's view of the database servers.
 use crate::{CallName, OperatorCall};
 use quincehatch_core::{Labels, Name, Position, Role, ServerState};
 use serde::{Deserialize, Serialize};
@@ -12,12 +12,12 @@
     type Reply = ServersReply;
 }
 
-/// The servers that the asked node knows.
+/// The servers known to the node that served the call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServersReply {
-    /// Name of the asked node.
+    /// Name of the node that served the call.
     pub node: Name,
-    /// Its view of each server.
+    /// The node's view of each server.
     pub servers: Vec<ServerReport>,
 }
 
@@ -26,41 +26,41 @@
 pub struct ServerReport {
     /// Name of the server.
     pub server: Name,
-    /// Its address, `ip:port`.
+    /// Address of the server, `ip:port`.
     pub addr: Name,
-    /// Labels of its last heartbeat.
+    /// Labels from the server's last heartbeat.
     pub labels: Labels,
-    /// Role of its last heartbeat.
+    /// Role from the server's last heartbeat.
     pub role: Role,
-    /// Whether the cluster state names it the primary of its group.
+    /// Whether the server is the primary of its group according to the cluster state.
     #[serde(alias = "leads")]
     pub is_primary: bool,
-    /// State of its last heartbeat.
+    /// State from the server's last heartbeat.
     pub state: ServerState,
-    /// Highest fencing token that it reported.
+    /// Highest fencing token that the server has reported.
     pub fence: u64,
-    /// End of its log, as it reported.
+    /// End of the server's log, as reported by the server.
     pub position: Position,
     /// Health state: `in-rotation`, `set-aside` or `on-trial`.
     #[serde(alias = "verdict")]
     pub health: String,
-    /// Times it was ejected since the start of the node.
+    /// Number of times the server was ejected since the node started.
     #[serde(alias = "asides")]
     pub ejections: u64,
-    /// Replies that it has not sent yet.
+    /// Number of replies that the server has not sent yet.
     #[serde(alias = "owing")]
     pub pending_replies: usize,
-    /// Age of its last status reply, in milliseconds.
+    /// Age of the server's last status reply in milliseconds.
     pub status_age_ms: u64,
-    /// For how long status requests have failed, in milliseconds; `None` while they succeed.
+    /// How long status requests to the server have been failing, in milliseconds; `None` while they succeed.
     pub failing_ms: Option<u64>,
-    /// Pooled connections open.
+    /// Number of open pooled connections.
     #[serde(alias = "links")]
     pub connections: usize,
-    /// Pooled connections open and not checked out.
+    /// Number of open pooled connections that are not checked out.
     #[serde(rename = "idle")]
     pub idle_connections: usize,
-    /// Requests waiting for a connection.
+    /// Number of requests waiting for a connection.
     #[serde(alias = "held")]
     pub queued: usize,
 }
--- a/crates/operator-api/src/status.rs
+++ b/crates/operator-api/src/status.rs
@@ -15,14 +15,14 @@
     type Reply = StatusReply;
 }
 
-/// The state of the whole cluster, as the asked node has gathered it.
+/// The state of the whole cluster, as collected by the node that served the call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatusReply {
-    /// Version of the configuration that the asked node has applied.
+    /// Version of the configuration that this node has applied.
     pub version: Version,
-    /// Number of the last change that it has applied.
+    /// Number of the last change that this node has applied.
     pub change: u64,
-    /// The newest view of the replication chain that it knows.
+    /// The newest view of the replication chain that this node knows.
     pub view: ViewReport,
     /// The voting keepers of that view.
     pub keepers: Vec<KeeperAnswer>,
@@ -32,7 +32,7 @@
     pub nodes: Vec<NodeAnswer<NodeReport>>,
 }
 
-/// One keeper's part of the status.
+/// The answer of one keeper within the status.
 // The order of the variants matters: serde tries `Unresponsive` first, whose field no report has.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
@@ -41,7 +41,7 @@
     Unresponsive {
         /// Name of the keeper.
         name: Name,
-        /// Its address, `ip:port`.
+        /// Address of the keeper, `ip:port`.
         addr: Name,
         /// Always true.
         unresponsive: bool,
@@ -55,41 +55,41 @@
 pub struct KeeperReport {
     /// Name of the keeper.
     pub name: Name,
-    /// Its address, `ip:port`.
+    /// Address of the keeper, `ip:port`.
     pub addr: Name,
-    /// Its state in words: why it does or does not serve.
+    /// Describes the keeper's state: why it does or does not serve requests.
     pub why: String,
-    /// Version of the view that it is in.
+    /// Version of the keeper's current view.
     pub view: Version,
-    /// Number of the last change that it holds.
+    /// Number of the last change that the keeper has stored.
     pub change: u64,
-    /// Number of the last change that it knows to be committed.
+    /// Number of the last change that the keeper knows to be committed.
     pub committed: u64,
     /// Number of the last change that is in force on every node.
     pub in_force: u64,
-    /// Node leases that it has granted.
+    /// Number of node leases that the keeper has granted.
     pub leases: usize,
-    /// Size of its data folder.
+    /// Size of the keeper's data directory.
     pub disk: DiskReport,
-    /// Log entries that it keeps for members that lag behind.
+    /// Size of the log that the keeper retains for lagging members.
     pub log: LogReport,
 }
 
-/// Size of a keeper's data folder.
+/// Size of a keeper's data directory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DiskReport {
-    /// Bytes used.
+    /// Bytes in use.
     pub used: u64,
-    /// Bytes that it may use.
+    /// Limit in bytes.
     pub allowed: u64,
 }
 
-/// Size of a keeper's log in memory.
+/// Size of a keeper's in-memory log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LogReport {
-    /// Entries.
+    /// Number of entries.
     pub entries: u64,
-    /// Bytes that they take.
+    /// Size of the entries in bytes.
     pub bytes: u64,
 }
 
@@ -100,8 +100,8 @@
     pub group: Name,
     /// Name of the primary; `None` during a promotion.
     pub server: Option<Name>,
-    /// Fencing token of its assignment.
+    /// Fencing token of the assignment.
     pub fence: u64,
-    /// Node that assigned it.
+    /// Name of the node that made the assignment.
     pub assigned_by: Name,
 }
--- a/crates/operator-api/src/tenants.rs
+++ b/crates/operator-api/src/tenants.rs
@@ -1,9 +1,9 @@
-//! `tenants`: what each tenant runs of what it may, as the tail of the chain counts it.
+//! `tenants`: rate limit and usage of each tenant, as counted by the tail of the chain.
 use crate::{CallName, OperatorCall};
 use quincehatch_core::{Millis, Name};
 use serde::{Deserialize, Serialize};
 
-/// Asks for the tenants that have a limit.
+/// Asks for the tenants that have a rate limit.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TenantsRequest {}
 
@@ -12,43 +12,43 @@
     type Reply = TenantsReply;
 }
 
-/// The tenants that have a limit. All counts are since the present tail became it.
+/// The tenants that have a rate limit. All counts start at the time when the current tail became the tail.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TenantsReply {
-    /// By name.
+    /// The tenants, ordered by name.
     pub tenants: Vec<TenantReport>,
 }
 
-/// One tenant.
+/// Rate limit and usage of one tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TenantReport {
-    /// Its name.
+    /// Name of the tenant.
     pub tenant: Name,
-    /// Operations a second that it may run.
+    /// Rate limit in operations per second.
     pub rate_per_s: u64,
-    /// Operations beyond the rate.
+    /// Number of operations allowed in a burst beyond the rate.
     pub burst: u64,
-    /// Tokens that no node holds.
+    /// Number of tokens that are available for granting to nodes.
     pub available: u64,
-    /// Tokens that were granted to nodes.
+    /// Number of tokens that were granted to nodes.
     pub granted: u64,
-    /// Each node that has settled for it lately.
+    /// The nodes that have recently settled usage for this tenant.
     pub nodes: Vec<TenantNodeReport>,
 }
 
-/// One tenant at one node.
+/// Usage of one tenant at one node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TenantNodeReport {
-    /// The node.
+    /// Name of the node.
     pub node: Name,
-    /// Unspent tokens that it holds.
+    /// Number of unspent tokens at the node.
     pub held: u64,
-    /// Operations that it ran.
+    /// Number of operations that the node ran.
     pub used: u64,
-    /// Of these, operations that it ran on credit.
+    /// Number of these operations that the node ran on credit.
     pub borrowed: u64,
-    /// Operations that it rejected.
+    /// Number of operations that the node rejected.
     pub rejected: u64,
-    /// Age of these figures.
+    /// Age of these figures in milliseconds.
     pub age_ms: Millis,
 }
--- a/crates/operator-api/tests/json.rs
+++ b/crates/operator-api/tests/json.rs
@@ -1,4 +1,4 @@
-//! The JSON of requests and replies: what is written, and what older programs wrote.
+//! The JSON format of requests and replies, including the former field names that older programs write.
 use quincehatch_operator_api::configuration::{Difference, PushReply, PushRequest, RollbackRequest};
 use quincehatch_operator_api::explain::{ExplainReply, ExplainRequest, ExplainSubject, Explanation};
 use quincehatch_operator_api::fan_out::NodeAnswer;
@@ -14,7 +14,7 @@
     serde_json::from_value(value).unwrap()
 }
 
-/// Parses a value and writes it again.
+/// Parses a value and serializes it again.
 fn round_trip<T: DeserializeOwned + Serialize>(value: Value) -> Value {
     serde_json::to_value(parse::<T>(value)).unwrap()
 }
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn an_empty_object_is_a_request_of_each_call_that_needs_no_field() {
+fn omitted_request_fields_take_their_defaults() {
     let push: PushRequest = parse(json!({}));
     assert_eq!(push, PushRequest::default());
     assert_eq!(parse::<ExplainRequest>(json!({})).subject(), None);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_push_is_read_with_all_its_options() {
+fn push_and_rollback_options_are_parsed() {
     let request = json!({"text": "t", "base": 3, "key": "k1", "by": "me", "dry_run": true});
     let push: PushRequest = parse(request.clone());
     assert_eq!(push.text, "t");
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_dry_run_and_an_applied_push_are_told_apart() {
+fn dry_run_and_applied_push_replies_are_distinguished() {
     let dry_run = json!({"valid": true, "builds_on": 3, "diff": ["+ a = 1"], "no_server_yet": []});
     let applied = json!({"version": 4, "diff": [], "no_server_yet": ["p1"]});
     let difference = Difference { diff: vec![], no_server_yet: vec!["p1".into()] };
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn the_older_key_of_a_request_id_is_still_read() {
+fn former_field_name_of_a_request_id_is_accepted() {
     for key in ["request", "visit"] {
         let request: ExplainRequest = parse(json!({key: "17"}));
         assert_eq!(request.subject(), Some(ExplainSubject::Request("17".into())));
@@ -95,14 +95,14 @@
 }
 
 #[test]
-fn a_report_of_an_older_node_is_read_under_its_older_keys() {
+fn former_field_names_in_a_node_report_are_accepted() {
     let report: NodeReport = parse(old_node_report());
     assert_eq!(report, parse(new_node_report()));
     assert_eq!(round_trip::<NodeReport>(old_node_report()), new_node_report());
 }
 
 #[test]
-fn a_node_that_did_not_answer_is_told_apart_from_one_that_knows_nothing() {
+fn unresponsive_nodes_are_distinguished_from_nodes_without_a_report() {
     let nodes: NodesReply = parse(json!({"nodes": [
         {"node": "n1", "answer": new_node_report()},
         {"node": "n2", "unresponsive": true},
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_status_is_written_as_it_is_read() {
+fn status_reply_round_trips() {
     let status = json!({"version": 4, "change": 9,
         "view": {"version": 2, "members": ["k1"], "voters": [{"name": "k1", "addr": "127.0.0.1:3"}]},
         "keepers": [
@@ -134,17 +134,17 @@
 }
 
 #[test]
-fn each_kind_of_explanation_is_told_from_the_others() {
+fn kinds_of_explanation_are_distinguished() {
     let health = json!({"node": "n1", "server": "s1", "health": "set-aside", "probation_in_ms": 5,
         "transitions": [{"ago_ms": 1, "to": "set-aside", "why": "w",
                          "evidence": [{"signal": "Reset", "weight": 100, "ago_ms": 1}]}]});
     let old_health = json!({"node": "n1", "server": "s1", "verdict": "set-aside", "trial_in_ms": 5,
         "turns": [{"ago_ms": 1, "to": "set-aside", "why": "w",
                    "evidence": [{"sign": "Reset", "weight": 100, "ago_ms": 1}]}]});
-    let site =
+    let location =
         json!({"node": "n1", "server": "s1", "placement": "p", "zone": "z", "version": 1, "health": "h"});
     let trace =
-        json!({"request_id": 17, "what": "order", "ms": 3, "code": 0, "where": site, "path": ["route"]});
+        json!({"request_id": 17, "what": "order", "ms": 3, "code": 0, "where": location, "path": ["route"]});
     let answers = [health.clone(), trace, json!(["promoted"]), json!(null)];
     let nodes = answers.clone().map(|answer| json!({"node": "n1", "answer": answer}));
     let reply = json!({"nodes": nodes});
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn further_fields_of_an_error_or_a_drained_node_are_ignored() {
+fn unknown_fields_of_error_and_drain_replies_are_ignored() {
     let body = json!({"end": "nothing", "error": {"code": 1602, "text": "t"}, "retry_after_ms": 500});
     assert_eq!(parse::<ErrorReply>(body).error.code, 1602);
     let drained =
