--- a/tools/newest_days.py
+++ b/tools/newest_days.py
@@ -1,6 +1,6 @@
 """Point 6: the fault kinds most recently added to the bench, drawn close together in time.
 
-The core is partitioned into halves or a minority is left behind; the disks with the longest uptime are
+The core is partitioned into halves or a minority is left behind; the oldest disks are
 lost one after the other; all machines lose power right after a write was accepted; machines stop while
 they answer requests.
 """
