--- a/crates/simulator/src/direct/attempt.rs
+++ b/crates/simulator/src/direct/attempt.rs
@@ -1,4 +1,4 @@
-//! How an attempt of an operation ended for its client.
+//! The result of one attempt at an operation, as its client sees it.
 use quincehatch_core::{ErrorCode, Outcome};
 use quincehatch_proxy::direct::StatementError;
 use quincehatch_proxy::ports::RejectReason;
@@ -6,15 +6,16 @@
 /// How an attempt of an operation ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptEnd {
-    /// It succeeded.
+    /// The attempt succeeded.
     Succeeded,
-    /// It is not applied, or only reads and failed, or was abandoned before its commit: it is tried again.
+    /// The operation can be retried: it was not applied, it only read and failed, or it was abandoned before its
+    /// commit.
     Retry,
-    /// It failed, or whether it is applied is unknown.
+    /// The attempt failed for good, or it is unknown whether it was applied.
     Failed,
 }
 
-/// True if the error guarantees that nothing of the attempt is applied.
+/// Whether the error guarantees that no part of the attempt is applied.
 pub fn guarantees_not_applied(error: &StatementError) -> bool {
     match error {
         StatementError::Server(reason, _) => matches!(
--- a/crates/simulator/src/direct/call_execution.rs
+++ b/crates/simulator/src/direct/call_execution.rs
@@ -1,4 +1,4 @@
-//! What a simulated server does with one call on a direct connection.
+//! Execution of one call on a direct connection by a simulated server.
 use super::connection::{Connection, OpenTransaction, PreparedStatement};
 use super::ledger::Execution;
 use super::server_group::GroupState;
@@ -6,7 +6,7 @@
 use quincehatch_core::{Millis, Position, Role};
 use quincehatch_proxy::ports::{RejectReason, Rejection, ServerCall, ServerReply};
 
-/// Writes that a server is to commit.
+/// Writes that a server has to commit.
 pub struct Commit {
     /// Id of the single write or of the COMMIT.
     pub id: u64,
@@ -14,11 +14,11 @@
     pub writes: Vec<u64>,
 }
 
-/// What an executed call comes to.
+/// The result of an executed call.
 pub enum CallResult {
-    /// It is answered at once.
+    /// The reply is sent immediately.
     Reply(ServerReply),
-    /// It is answered once a replica has received the commit.
+    /// The writes are committed, and the reply is sent once a replica has received the commit.
     Commit(Commit),
 }
 
@@ -33,11 +33,11 @@
 #[derive(Clone, Copy)]
 struct CallContext {
     now: Millis,
-    /// A statement fails in the server.
+    /// Whether the statement fails with an error of the server.
     fails: bool,
-    /// How many entries the server's reads see.
+    /// Number of log entries that the server's reads see.
     visible: usize,
-    /// The end of what they see.
+    /// The position of the last of these entries.
     visible_end: Position,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Connection {
-    /// Rejects a call; an open transaction fails with it unless nothing was executed.
+    /// Rejects a call. An open transaction fails with it, unless the rejection means that the call was not executed.
     fn reject(&mut self, reason: RejectReason) -> CallResult {
         let was_executed = !matches!(reason, RejectReason::Busy | RejectReason::Unprepared);
         if let Some(transaction) = self.transaction.as_mut().filter(|_| was_executed) {
@@ -65,7 +65,7 @@
         CallResult::Reply(ServerReply { transaction_state: self.transaction_state(), ..reply })
     }
 
-    /// The statement of a call; none if its prepared statement is unknown.
+    /// Returns the statement of a call, or `None` if the connection does not know its prepared statement.
     fn statement_call(&self, call: &ServerCall) -> Option<StatementCall> {
         match call {
             ServerCall::Run { id, text, .. } => {
@@ -84,13 +84,13 @@
     }
 }
 
-/// The number that clients put into the id of a statement.
+/// Parses the number that clients send as the id of a statement.
 pub fn statement_id(id: &Bytes) -> u64 {
     std::str::from_utf8(id).ok().and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
 impl GroupState {
-    /// Executes a call; `fails`: a statement fails in the server.
+    /// Executes a call. If `fails` is true, a statement fails with an error of the server.
     pub fn execute_call(
         &mut self,
         now: Millis,
@@ -123,7 +123,7 @@
                 connection.succeed()
             }
             ServerCall::Set { name, value } => {
-                connection.values.insert(name.clone(), value.clone());
+                connection.session_settings.insert(name.clone(), value.clone());
                 connection.succeed()
             }
             ServerCall::Prepare { name, write, template } => {
@@ -132,7 +132,7 @@
                 connection.succeed()
             }
             ServerCall::Reset => {
-                connection.values.clear();
+                connection.session_settings.clear();
                 connection.prepared.clear();
                 connection.succeed()
             }
@@ -204,7 +204,8 @@
         connection.reply(ServerReply { rows, ..ServerReply::default() })
     }
 
-    /// A transaction is lost once it failed, and a writing one when its server is no longer the primary it began at.
+    /// Whether the connection's transaction can no longer commit: it has failed, or it writes and its server is no
+    /// longer the primary of the term in which the transaction began.
     fn has_lost_transaction(&self, connection: &Connection) -> bool {
         let server = &self.servers[connection.server];
         connection.transaction.as_ref().is_some_and(|open| {
--- a/crates/simulator/src/direct/client.rs
+++ b/crates/simulator/src/direct/client.rs
@@ -1,5 +1,5 @@
-//! Clients: operations one after the other on a session, and a whole operation again, under new ids, where the first
-//! attempt is certainly not applied.
+//! Clients. A client runs operations one after the other on a session, and retries a whole operation under new ids if
+//! the previous attempt is guaranteed not to be applied.
 use super::attempt::AttemptEnd;
 use super::client_connection::{ClientConnection, StatementRun, open_connection};
 use super::connection::ClientTransaction;
@@ -13,9 +13,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// An operation is tried again until then.
+/// An operation is retried until this much time has passed since its first attempt.
 const RETRY_PERIOD: Millis = 2_500;
-/// Pauses before another connection, an operation, a retry and a statement of a transaction, in milliseconds.
+/// Ranges in milliseconds from which clients draw their pauses before they reconnect, start an operation, retry it, and
+/// send a statement of a transaction.
 const RECONNECT_PAUSE: Range<u64> = 50..300;
 const OPERATION_PAUSE: Range<u64> = 5..150;
 const RETRY_PAUSE: Range<u64> = 20..120;
@@ -25,12 +26,12 @@
     seam::sleep(Duration::from_millis(fastrand::u64(range))).await;
 }
 
-/// True once in `draws` draws on average.
+/// Returns true once in `draws` draws on average.
 fn one_in(draws: u64) -> bool {
     fastrand::u64(0..draws) == 0
 }
 
-/// How a client ends a transaction that went well.
+/// How a client ends a transaction whose statements all succeeded.
 enum TransactionEnd {
     Abandon,
     Rollback,
@@ -58,7 +59,7 @@
 
     async fn run_transaction(&mut self) -> AttemptEnd {
         let transaction = ClientTransaction { id: self.next_statement_id(), read_only: one_in(3) };
-        let began = self.now();
+        let started_at = self.now();
         let begin = SessionCommand::Begin { read: transaction.read_only };
         let Some(response) = self.request(transaction.id, begin).await else { return AttemptEnd::Failed };
         if response.result.is_err() {
@@ -73,13 +74,13 @@
                     return AttemptEnd::Failed;
                 }
             }
-            let run = self.run_statement(Some(transaction), Some(began)).await;
+            let run = self.run_statement(Some(transaction), Some(started_at)).await;
             writes.extend(run.write.then_some(run.id));
             if self.record_outcome(&run, false, &writes) != AttemptEnd::Succeeded {
                 if run.leaves_transaction() {
                     self.rollback(transaction.id).await;
                 }
-                // Its commit was not sent, so that nothing of it is applied.
+                // The client has not sent a commit, so none of the transaction's writes are applied.
                 return AttemptEnd::Retry;
             }
         }
@@ -92,17 +93,22 @@
                 self.rollback(transaction.id).await;
                 AttemptEnd::Succeeded
             }
-            TransactionEnd::Commit => self.commit(transaction, began, &writes).await,
+            TransactionEnd::Commit => self.commit(transaction, started_at, &writes).await,
         }
     }
 
-    async fn commit(&mut self, transaction: ClientTransaction, began: Millis, writes: &[u64]) -> AttemptEnd {
+    async fn commit(
+        &mut self,
+        transaction: ClientTransaction,
+        started_at: Millis,
+        writes: &[u64],
+    ) -> AttemptEnd {
         let id = self.next_statement_id();
         let statement = SentStatement {
             transaction: Some(transaction),
             commit: true,
             at_primary: self.at_primary,
-            sent_at: began,
+            sent_at: started_at,
             ..SentStatement::default()
         };
         self.record_sent(id, statement);
@@ -112,13 +118,13 @@
         self.record_outcome(&run, run.write, writes)
     }
 
-    /// One operation, tried again while that is safe and its time is not over.
+    /// Runs one operation, and retries it for [`RETRY_PERIOD`] as long as that is safe.
     async fn run_operation(&mut self) {
         let is_single = fastrand::u64(0..3) > 0;
-        let began = now();
+        let started_at = now();
         while !self.closed {
             let end = if is_single { self.run_single().await } else { self.run_transaction().await };
-            if end != AttemptEnd::Retry || now() > began + RETRY_PERIOD {
+            if end != AttemptEnd::Retry || now() > started_at + RETRY_PERIOD {
                 return;
             }
             pause(RETRY_PAUSE).await;
@@ -126,7 +132,7 @@
     }
 }
 
-/// One client, until it is told to stop.
+/// Runs one client until `stop` is set.
 pub async fn run_client(fleet: Arc<DirectFleet>, stop: Arc<AtomicBool>) {
     let is_stopped = || stop.load(Ordering::SeqCst);
     while !is_stopped() {
--- a/crates/simulator/src/direct/client_connection.rs
+++ b/crates/simulator/src/direct/client_connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection to a node, and what it sends and learns on it.
+//! A client's connection to a node, the statements sent on it, and their outcomes.
 use super::attempt::{AttemptEnd, guarantees_not_applied};
 use super::connection::{ClientTransaction, PreparedStatement};
 use super::sent_statement::SentStatement;
@@ -14,32 +14,32 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// A client gives its session up when no answer comes for so long.
+/// A client abandons its session if a request is not answered within this time.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(3);
-/// A client gives a connection up that is not opened within this time.
+/// A client abandons a connection that is not opened within this time.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
-/// Names of settings and prepared statements, templates, and values that clients choose among.
+/// How many names (of settings and of prepared statements), statement templates and values clients choose from.
 const NAMES: u64 = 3;
 const TEMPLATES: u64 = 9;
 const VALUES: u64 = 5;
-/// Share of statements that write, at the primary and elsewhere, in percent.
+/// Percentage of statements that write, on sessions at the primary and on other sessions.
 const PRIMARY_WRITE_PERCENT: u64 = 60;
 const OTHER_WRITE_PERCENT: u64 = 8;
-/// Tables that statements name.
+/// Number of tables that statements refer to.
 const TABLES: u64 = 7;
 
-/// A statement that was sent, and what came of it.
+/// A statement that was sent, with its response.
 pub struct StatementRun {
-    /// Its id.
+    /// The statement's id.
     pub id: u64,
-    /// It writes.
+    /// Whether the statement writes.
     pub write: bool,
-    /// The answer; none if none came.
+    /// The response, if one arrived in time.
     pub response: Option<StatementResponse>,
 }
 
 impl StatementRun {
-    /// True if the answer shows a transaction that is not over.
+    /// Whether the response reports a transaction that has not ended.
     pub fn leaves_transaction(&self) -> bool {
         self.response.as_ref().is_some_and(|response| response.transaction_state != TransactionState::Idle)
     }
@@ -47,14 +47,14 @@
 
 /// A client's connection to a node.
 pub struct ClientConnection {
-    /// The fleet that it reaches.
+    /// The fleet that the client connects to.
     pub fleet: Arc<DirectFleet>,
     calls: mpsc::UnboundedSender<SessionCall>,
-    /// Its statements go to the primary.
+    /// Whether the session's statements are routed to the primary.
     pub at_primary: bool,
     settings: BTreeMap<Bytes, Bytes>,
     prepared: BTreeMap<Bytes, PreparedStatement>,
-    /// Its client gave it up.
+    /// Whether the client has abandoned the connection.
     pub closed: bool,
 }
 
@@ -62,7 +62,7 @@
     seam::sleep(Duration::from_millis(fastrand::u64(1..5))).await;
 }
 
-/// A connection to a node; none where nobody answers in time, or no route takes the database.
+/// Opens a connection to a node. Returns `None` if the node does not answer in time or no route matches the database.
 pub async fn open_connection(
     fleet: &Arc<DirectFleet>,
     node: &SimulatedNode,
@@ -92,12 +92,12 @@
 }
 
 impl ClientConnection {
-    /// The id of a new statement.
+    /// Returns the id for a new statement.
     pub fn next_statement_id(&self) -> u64 {
         self.fleet.group.with(|state| state.ledger.next_statement_id())
     }
 
-    /// Sends a command; without an answer the session is given up.
+    /// Sends a command. If no response arrives in time, the session is abandoned.
     pub async fn request(&mut self, id: u64, command: SessionCommand) -> Option<StatementResponse> {
         network_delay().await;
         let (reply_to, reply) = oneshot::channel();
@@ -112,24 +112,24 @@
         response
     }
 
-    /// Rolls the transaction back; the session is given up unless that leaves it idle.
+    /// Rolls the transaction back. The session is abandoned unless the response reports that it is idle.
     pub async fn rollback(&mut self, transaction: u64) {
         let response = self.request(transaction, SessionCommand::Rollback).await;
         let idle = response.is_some_and(|response| response.transaction_state == TransactionState::Idle);
         self.closed |= !idle;
     }
 
-    /// Notes a statement before it is sent.
+    /// Records a statement in the ledger before it is sent.
     pub fn record_sent(&self, id: u64, statement: SentStatement) {
         self.fleet.group.with(|state| state.ledger.sent.insert(id, statement));
     }
 
-    /// True time.
+    /// Returns the true time of the simulation.
     pub fn now(&self) -> Millis {
         self.fleet.simulation.now()
     }
 
-    /// Changes a setting or prepares a statement; a failure gives the session up.
+    /// Changes a setting or prepares a statement. If that fails, the session is abandoned.
     pub async fn change_session_state(&mut self) {
         let name = Bytes::from(format!("x{}", fastrand::u64(0..NAMES)));
         let id = self.next_statement_id();
@@ -152,7 +152,7 @@
         }
     }
 
-    /// One of the prepared statements, or none, as for a third of the draws.
+    /// Draws one of the usable prepared statements in a third of the cases, and `None` otherwise.
     fn choose_prepared(&self, read_only: bool) -> Option<(Bytes, PreparedStatement)> {
         let usable = self.prepared.iter().filter(|(_, prepared)| !(read_only && prepared.write));
         let usable: Vec<(&Bytes, &PreparedStatement)> = usable.collect();
@@ -160,7 +160,7 @@
         usable.get(drawn).map(|(name, prepared)| ((*name).clone(), (*prepared).clone()))
     }
 
-    /// Sends one statement; `sent_at` is that of its transaction.
+    /// Sends one statement. `sent_at` is the start of the statement's transaction, if it belongs to one.
     pub async fn run_statement(
         &mut self,
         transaction: Option<ClientTransaction>,
@@ -183,7 +183,7 @@
         let statement = SentStatement {
             text: text.clone(),
             prepared: chosen.as_ref().map(|(_, prepared)| prepared.clone()),
-            values: self.settings.clone(),
+            session_settings: self.settings.clone(),
             transaction,
             write,
             commit: false,
@@ -199,7 +199,8 @@
         StatementRun { id, write, response: self.request(id, command).await }
     }
 
-    /// What the answer to a read, write or commit means; `commits`: a success acknowledges `writes`.
+    /// Records the outcome of a read, write or commit in the ledger, and returns how the attempt ended. If `commits` is
+    /// true, a success acknowledges `writes`.
     pub fn record_outcome(&mut self, run: &StatementRun, commits: bool, writes: &[u64]) -> AttemptEnd {
         let now = self.now();
         let Some(response) = &run.response else { return AttemptEnd::Failed };
--- a/crates/simulator/src/direct/connection.rs
+++ b/crates/simulator/src/direct/connection.rs
@@ -1,4 +1,4 @@
-//! A server's end of a direct connection: session state and the open transaction.
+//! The server's end of a direct connection: its session state and open transaction.
 use crate::fleet::simulation::ProcessId;
 use bytes::Bytes;
 use quincehatch_core::{Name, Position};
@@ -10,65 +10,65 @@
 /// A prepared statement.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PreparedStatement {
-    /// It writes.
+    /// Whether the statement writes.
     pub write: bool,
-    /// Its text.
+    /// The statement's text.
     pub template: Bytes,
 }
 
 /// A transaction as its client began it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientTransaction {
-    /// Id of its BEGIN.
+    /// Id of the transaction's BEGIN.
     pub id: u64,
-    /// It only reads.
+    /// Whether the transaction is read-only.
     pub read_only: bool,
 }
 
 /// A transaction that is open on a connection.
 #[derive(Debug)]
 pub struct OpenTransaction {
-    /// It only reads.
+    /// Whether the transaction is read-only.
     pub read_only: bool,
-    /// The term it began under.
+    /// The server's term when the transaction began.
     pub term: u64,
-    /// Id of the client's BEGIN, known once a statement of it ran.
+    /// Id of the client's BEGIN, which the server learns from the transaction's first statement.
     pub client_transaction: Option<u64>,
-    /// Ids of its writes.
+    /// Ids of the transaction's writes.
     pub writes: Vec<u64>,
-    /// Entries that a read-only one sees.
+    /// Number of log entries that a read-only transaction sees.
     pub visible: usize,
-    /// A statement of it failed: only a rollback is left.
+    /// Whether a statement of the transaction failed, so that it can only be rolled back.
     pub failed: bool,
 }
 
-/// A connection as its server has it.
+/// A connection as its server sees it.
 pub struct Connection {
     /// The node at the other end.
     pub node: ProcessId,
     /// Index of the server.
     pub server: usize,
     /// Settings of the session.
-    pub values: BTreeMap<Bytes, Bytes>,
+    pub session_settings: BTreeMap<Bytes, Bytes>,
     /// Prepared statements of the session.
     pub prepared: BTreeMap<Name, PreparedStatement>,
     /// The open transaction.
     pub transaction: Option<OpenTransaction>,
-    /// Requests on their way or in execution.
+    /// Number of requests that are on the network or in execution.
     pub requests_in_flight: usize,
-    /// The node's end is closed.
+    /// Whether the node has closed its end.
     pub closed: bool,
-    /// Shared with the node's end.
+    /// Set once the server's end is gone; the node's end shares this flag.
     pub broken: Arc<AtomicBool>,
 }
 
 impl Connection {
-    /// A new connection without session state.
+    /// Creates a connection without session state.
     pub fn new(node: ProcessId, server: usize) -> Connection {
         Connection {
             node,
             server,
-            values: BTreeMap::new(),
+            session_settings: BTreeMap::new(),
             prepared: BTreeMap::new(),
             transaction: None,
             requests_in_flight: 0,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The state of its transaction, as replies tell it.
+    /// Returns the transaction state that replies report.
     pub fn transaction_state(&self) -> TransactionState {
         match &self.transaction {
             None => TransactionState::Idle,
@@ -87,12 +87,12 @@
     }
 }
 
-/// What a node learns of a connection that it opened.
+/// The result of opening a connection, as the server reports it to the node.
 pub struct OpenedConnection {
-    /// Its id.
+    /// The connection's id.
     pub id: u64,
     /// Set once the server's end is gone.
     pub broken: Arc<AtomicBool>,
-    /// The end of what the server's reads see.
+    /// The log position up to which the server's reads see commits.
     pub log_end: Position,
 }
--- a/crates/simulator/src/direct/delivery.rs
+++ b/crates/simulator/src/direct/delivery.rs
@@ -1,7 +1,7 @@
 //! Delivery of one message between two simulated processes, for protocols that are not simulated as streams.
 //!
-//! A partition delays the message, a suspended receiver takes it late, and after [`TCP_USER_TIMEOUT`] without an
-//! acknowledgement the kernel gives it up.
+//! A partition delays the message, and a suspended process receives it once it resumes. After [`TCP_USER_TIMEOUT`]
+//! without an acknowledgement the kernel abandons the message.
 use crate::fleet::network::{RETRANSMIT_AFTER, TCP_USER_TIMEOUT};
 use crate::fleet::simulation::{ProcessId, Simulation};
 use quincehatch_core::Millis;
@@ -10,25 +10,25 @@
 /// How a delivery ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// The receiver has the message.
+    /// The message reached the receiver.
     Arrived,
-    /// The machine is there, and nobody listens.
+    /// The machine is reachable, but no process listens there.
     Refused,
-    /// It was given up without an acknowledgement.
+    /// The message was abandoned because no acknowledgement arrived in time.
     TimedOut,
 }
 
 type OnEnd = Box<dyn FnOnce(&Arc<Simulation>, Delivery) + Send>;
 
-/// A message that is not delivered yet.
-struct Attempt {
+/// A message that is not yet delivered.
+struct PendingMessage {
     from: ProcessId,
     to: ProcessId,
     sent_at: Millis,
     on_end: OnEnd,
 }
 
-/// Sends a message, and tells at its end how that went.
+/// Sends a message, and calls `on_end` with the result of its delivery.
 pub fn deliver(
     simulation: &Arc<Simulation>,
     from: ProcessId,
@@ -45,11 +45,11 @@
         }
         (state.now, at)
     };
-    let attempt = Attempt { from, to, sent_at, on_end: Box::new(on_end) };
-    simulation.schedule_action(arrives_at, move |simulation| attempt.arrive(simulation));
+    let message = PendingMessage { from, to, sent_at, on_end: Box::new(on_end) };
+    simulation.schedule_action(arrives_at, move |simulation| message.arrive(simulation));
 }
 
-impl Attempt {
+impl PendingMessage {
     fn arrive(self, simulation: &Arc<Simulation>) {
         let state = simulation.lock();
         let now = state.now;
--- a/crates/simulator/src/direct/fault_injection.rs
+++ b/crates/simulator/src/direct/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Begins drawn faults, and schedules their ends.
+//! Injects the drawn faults and schedules their ends.
 use super::faults::{Fault, ReplicaFault};
 use super::operator::drain_and_replace;
 use super::process_control::HEALTHY_LAG;
@@ -9,11 +9,12 @@
 use quincehatch_runtime::seam;
 use std::sync::Arc;
 
-/// Lag of a lagging replica, and latency of a slowed server and of a slowed primary that few reach.
+/// Lag of a lagging replica, added latency of a slowed server, and added latency of a primary that only one node
+/// reaches.
 const LAG: Millis = 900;
 const SLOW_LATENCY: Millis = 300;
 const ISOLATED_LATENCY: Millis = 150;
-/// A replica that crashes beside its primary is down for so long.
+/// How long a replica is down that crashes together with its primary.
 const SHORT_CRASH: Millis = 400;
 
 impl DirectFleet {
@@ -22,7 +23,7 @@
         self.simulation.schedule_action(self.simulation.now() + time, move |_| act(&fleet));
     }
 
-    /// Notes that a fault touches a process and its connections for so long.
+    /// Records that a fault affects a process and its connections for the given time.
     fn mark_disturbed(&self, pid: ProcessId, time: Millis) {
         let until = self.simulation.now() + time;
         self.group.with(|state| {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Changes a server for so long.
+    /// Applies `begin` to a server, and `end` after the given time.
     fn change_server_for(
         self: &Arc<Self>,
         server: usize,
@@ -66,7 +67,7 @@
         self.schedule_after(time, move |fleet| fleet.start_process(pid));
     }
 
-    /// Index of the primary; of the first server where there is none.
+    /// Returns the index of the primary, or of the first server if there is no primary.
     fn current_primary(&self) -> usize {
         self.group.with(|state| state.primary().unwrap_or(0))
     }
@@ -75,7 +76,7 @@
         self.group.with(|state| state.servers[server].pid)
     }
 
-    /// Crashes the primary for so long; its index.
+    /// Crashes the primary for the given time. Returns its index.
     fn crash_primary(self: &Arc<Self>, power_loss: bool, time: Millis) -> usize {
         let primary = self.current_primary();
         self.crash_for(self.server_process(primary), power_loss, time);
@@ -93,7 +94,7 @@
         });
     }
 
-    /// Cuts a part off from all but itself and the processes that it still reaches.
+    /// Cuts the processes of `part` off from all others except those of `still_reached`.
     fn split_for(
         self: &Arc<Self>,
         part: &[ProcessId],
@@ -108,7 +109,7 @@
         self.partition_for(pairs, !one_way, time);
     }
 
-    /// Begins a fault and schedules its end.
+    /// Injects a fault and schedules its end.
     pub(super) fn inject(self: &Arc<Self>, fault: Fault) {
         let now = self.simulation.now();
         self.simulation.log(&format!("fault {fault:?}"));
@@ -149,15 +150,15 @@
             }
             Fault::PrimaryAndReplicaReachOneNode { node, time } => {
                 let primary = self.current_primary();
-                let behind = |offset: usize| self.server_process((primary + offset) % SERVERS);
+                let server_after = |offset: usize| self.server_process((primary + offset) % SERVERS);
                 self.change_server_for(
                     primary,
                     time,
                     |server| server.extra_latency = ISOLATED_LATENCY,
                     |server| server.extra_latency = 0,
                 );
-                let part = [behind(0), behind(1)];
-                self.split_for(&part, &[self.nodes[node].pid, behind(2)], false, time);
+                let part = [server_after(0), server_after(1)];
+                self.split_for(&part, &[self.nodes[node].pid, server_after(2)], false, time);
             }
             Fault::PacketLoss { per_mille, time } => {
                 self.mark_all_disturbed(time);
@@ -187,8 +188,9 @@
                 self.group.with(|state| state.servers[server].replies_to_lose = count);
             }
             Fault::Drain { server } => {
-                let one_drains = self.group.with(|state| state.servers.iter().any(|server| server.draining));
-                if !one_drains {
+                let any_draining =
+                    self.group.with(|state| state.servers.iter().any(|server| server.draining));
+                if !any_draining {
                     let drain = drain_and_replace(self.clone(), server);
                     self.simulation.run_in(self.clients, || seam::spawn(drain));
                 }
--- a/crates/simulator/src/direct/faults.rs
+++ b/crates/simulator/src/direct/faults.rs
@@ -4,25 +4,25 @@
 use quincehatch_core::Millis;
 use std::sync::Arc;
 
-/// Shortest fault, and how much longer one may be.
+/// Shortest duration of a fault, and the range of the random addition to it.
 const MIN_FAULT_TIME: Millis = 200;
 const FAULT_TIME_SPREAD: Millis = 6_500;
-/// Partitions of several processes last this much longer than other faults.
+/// Additional durations of faults that cut several processes off.
 const EXTRA_SPLIT_TIME: Millis = 2_500;
 const EXTRA_ISOLATION_TIME: Millis = 5_000;
-/// Least time between two faults, and how much more it may be.
+/// Shortest time between the starts of two faults, and the range of the random addition to it.
 const MIN_FAULT_GAP: Millis = 300;
 const FAULT_GAP_SPREAD: Millis = 4_000;
-/// Least share of packets that a lossy network loses, and how much more it may be.
+/// Smallest share of packets that a lossy network loses, and the range of the random addition to it.
 const MIN_LOSS_PER_MILLE: u64 = 20;
 const LOSS_SPREAD: u64 = 150;
-/// Least time between the crashes of two primaries, and how much more it may be.
+/// Shortest time between the crashes of two primaries, and the range of the random addition to it.
 const MIN_CRASH_GAP: Millis = 100;
 const CRASH_GAP_SPREAD: Millis = 2_500;
-/// Sum of the weights of all faults.
+/// Sum of the weights of all kinds of faults.
 const FAULT_WEIGHTS: u64 = 126;
 
-/// What happens to a replica while its primary crashes.
+/// A fault of a replica that coincides with the crash of its primary.
 #[derive(Clone, Copy, Debug)]
 pub enum ReplicaFault {
     ReplicationStopped,
@@ -34,7 +34,7 @@
 const REPLICA_FAULTS: [ReplicaFault; 4] =
     [ReplicaFault::ReplicationStopped, ReplicaFault::PowerLoss, ReplicaFault::Crash, ReplicaFault::Pause];
 
-/// A fault; servers and nodes are given by index.
+/// A fault. `server` and `node` are indexes.
 #[derive(Clone, Debug)]
 pub enum Fault {
     Crash {
@@ -52,13 +52,13 @@
         both_ways: bool,
         time: Millis,
     },
-    /// Cut off from all others; `one_way`: only what it sends is lost.
+    /// A process is cut off from all others. If `one_way` is true, only the messages that it sends are lost.
     Isolate {
         pid: ProcessId,
         one_way: bool,
         time: Millis,
     },
-    /// Some are cut off from the rest; `one_way`: only what they send is lost.
+    /// Some processes are cut off from the rest. If `one_way` is true, only the messages that they send are lost.
     Split {
         part: Vec<ProcessId>,
         one_way: bool,
@@ -69,12 +69,12 @@
         node: usize,
         time: Millis,
     },
-    /// The primary, slowed, and a replica are reached by one node only.
+    /// Of all nodes and keepers, only one node reaches the primary and one replica. The primary is slowed as well.
     PrimaryAndReplicaReachOneNode {
         node: usize,
         time: Millis,
     },
-    /// Every keeper crashes in the same moment.
+    /// All keepers crash at the same time.
     AllKeepersCrash {
         time: Millis,
     },
@@ -99,14 +99,15 @@
         server: usize,
         count: u32,
     },
-    /// The primary crashes while something happens to the replica that many places behind it.
+    /// The primary crashes, and at the same time a fault affects the replica whose index is that of the primary plus
+    /// `replica_offset`.
     PrimaryAndReplica {
         power_loss: bool,
         replica_offset: usize,
         replica_fault: ReplicaFault,
         time: Millis,
     },
-    /// Two primaries crash one shortly after the other.
+    /// The primary crashes, and `gap` later the server that is primary by then crashes too.
     TwoPrimaries {
         gap: Millis,
         time: Millis,
@@ -114,21 +115,22 @@
     Drain {
         server: usize,
     },
-    /// The next process that reaches this point of a promotion is suspended for so long, or crashes.
+    /// The next process that reaches this trace point of a promotion is suspended for the given time, or crashes if no
+    /// time is given.
     Trap {
         phase: &'static str,
         pause: Option<Millis>,
     },
-    /// An operator asks for a hand-over.
+    /// An operator requests a planned hand-over of the primary role.
     RequestHandover,
 }
 
-/// Trace points of a promotion at which the promoting node is stopped.
+/// Trace points of a promotion at which the promoting node is suspended or crashes.
 const PROMOTION_PHASES: &[&str] =
     &["is begun", "is closing", "is fencing", "chose", "is promoting", "is naming"];
 
 impl DirectFleet {
-    /// Keepers, nodes and servers.
+    /// Returns the processes of all keepers, nodes and servers.
     pub(super) fn faultable_processes(&self) -> Vec<ProcessId> {
         let mut all = self.keepers.clone();
         all.extend(self.nodes.iter().map(|node| node.pid));
@@ -136,14 +138,14 @@
         all
     }
 
-    /// The same, and the promoter.
+    /// Returns the processes of all keepers, nodes and servers, and that of the promoter.
     pub(super) fn partitionable_processes(&self) -> Vec<ProcessId> {
         let mut all = self.faultable_processes();
         all.push(self.group.with(|state| state.promoter));
         all
     }
 
-    /// Draws one fault. The order of draws is part of what a seed means.
+    /// Draws one fault. The order of the draws must not change, because seeds would then give other runs.
     fn draw_fault(&self) -> Fault {
         let faultable = self.faultable_processes();
         let partitionable = self.partitionable_processes();
@@ -193,7 +195,7 @@
         }
     }
 
-    /// Draws faults for a stretch of time; some overlap.
+    /// Schedules random faults from `from` on for `period`. Faults can overlap.
     pub fn schedule_faults(self: &Arc<Self>, from: Millis, period: Millis) {
         let mut at = from;
         loop {
--- a/crates/simulator/src/direct/ledger.rs
+++ b/crates/simulator/src/direct/ledger.rs
@@ -1,6 +1,8 @@
-//! What clients sent and learned, and what servers executed: violations are found call by call, or at the end.
+//! The record of what clients sent, what servers executed and committed, and what responses clients received. The
+//! checks compare them at each call and at the end of the run.
 //!
-//! Each violation is a line that begins with the name of its check: TWICE, REFUSED, LOST, UNASKED, PINNED, STALE, MIXED.
+//! Each violation is a line that begins with the name of its check: TWICE, REFUSED, LOST, UNASKED, PINNED, STALE,
+//! MIXED.
 use super::connection::Connection;
 use super::sent_statement::{SentStatement, StampedAnswer};
 use super::server::{LogEntry, Server};
@@ -9,82 +11,83 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A lookup may miss what was acknowledged no longer ago than that.
+/// A lookup may miss commits that were acknowledged less than this before it was sent.
 pub const STALENESS_BOUND: Millis = 1_500;
-/// Violations that are kept at most.
+/// Maximum number of violations that are retained.
 const MAX_REPORTED: usize = 20;
 
-/// A commit whose client learned of it.
+/// A commit that was acknowledged to its client.
 struct Acknowledgement {
     at: Millis,
     entry: Arc<LogEntry>,
 }
 
-/// A version of the configuration that was acknowledged.
+/// An acknowledged version of the configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct AcknowledgedVersion {
-    /// Its number.
+    /// The version's number.
     pub number: u64,
-    /// When it was acknowledged.
+    /// When the version was acknowledged.
     pub at: Millis,
 }
 
 /// A statement that is about to be executed.
 pub struct Execution<'state> {
-    /// Now.
+    /// The current time.
     pub now: Millis,
     /// Id of the statement.
     pub id: u64,
-    /// The connection it came on.
+    /// The connection on which the statement arrived.
     pub connection: &'state Connection,
-    /// The server that executes it.
+    /// The server that executes the statement.
     pub server: &'state Server,
-    /// Entries of the server's log that it sees.
+    /// Number of entries of the server's log that the statement sees.
     pub visible: usize,
 }
 
-/// What is known of a run's statements.
+/// The statements of a run, their commits and answers, and the violations found.
 #[derive(Default)]
 pub struct Ledger {
     /// Statements by id.
     pub sent: BTreeMap<u64, SentStatement>,
-    /// What each stamp was given for.
+    /// The answer that each stamp marks.
     answers_by_stamp: BTreeMap<Bytes, StampedAnswer>,
     /// Commits by the id of the single write or of the COMMIT.
     commit_by_id: BTreeMap<u64, Arc<LogEntry>>,
     committed_writes: BTreeSet<u64>,
     acknowledged: Vec<Acknowledgement>,
-    /// Acknowledgements of a commit above all before.
+    /// The acknowledgements whose commit is at a higher position than all acknowledged before it.
     highest_acknowledged: Vec<Acknowledgement>,
-    /// Writes whose client was told that they are not applied.
+    /// Writes that were reported to their client as not applied.
     rejected_writes: BTreeSet<u64>,
     /// Violations found so far.
     pub violations: Vec<String>,
-    /// Reads that servers executed.
+    /// Number of reads that servers executed.
     pub reads: usize,
-    /// Statements sent so far; the last one's id.
+    /// Number of statements so far, which is the id of the last one.
     pub statements: usize,
     /// Acknowledged versions of the configuration.
     pub config_versions: Vec<AcknowledgedVersion>,
-    /// What happened, for the report of a violation.
+    /// Log of events, for the report of a violation.
     pub event_log: Vec<String>,
 }
 
 impl Ledger {
-    /// Keeps a violation, up to a limit.
+    /// Records a violation, up to [`MAX_REPORTED`].
     pub fn record_violation(&mut self, violation: String) {
         if self.violations.len() < MAX_REPORTED {
             self.violations.push(violation);
         }
     }
 
-    /// The id of a new statement.
+    /// Returns the id for a new statement.
     pub fn next_statement_id(&mut self) -> u64 {
         self.statements += 1;
         self.statements as u64
     }
 
-    /// Writes took effect, in the commit of that id.
+    /// Records a log entry as the commit with this id, and checks that none of its writes was committed or rejected
+    /// before.
     pub fn record_commit(&mut self, now: Millis, id: u64, entry: &Arc<LogEntry>) {
         let position = entry.position;
         for write in &entry.writes {
@@ -100,7 +103,7 @@
         self.commit_by_id.insert(id, entry.clone());
     }
 
-    /// A client learned that its commit succeeded.
+    /// Records that a client received the acknowledgement of its commit.
     pub fn record_acknowledgement(&mut self, now: Millis, id: u64) {
         let Some(entry) = self.commit_by_id.get(&id).cloned() else {
             let violation = format!("LOST at {now}: {id} was acknowledged and never committed");
@@ -113,12 +116,12 @@
         self.acknowledged.push(Acknowledgement { at: now, entry });
     }
 
-    /// Times of all acknowledgements.
+    /// Returns the times of all acknowledgements.
     pub fn acknowledgement_times(&self) -> impl ExactSizeIterator<Item = Millis> + '_ {
         self.acknowledged.iter().map(|acknowledgement| acknowledgement.at)
     }
 
-    /// The highest commit acknowledged before `at`.
+    /// Returns the commit with the highest position among those acknowledged before `at`.
     fn highest_acknowledged_before(&self, at: Millis) -> Option<&Arc<LogEntry>> {
         let count = self.highest_acknowledged.partition_point(|acknowledged| acknowledged.at < at);
         count.checked_sub(1).map(|last| &self.highest_acknowledged[last].entry)
@@ -137,31 +140,32 @@
         }
     }
 
-    /// The connection wears the client's session and is in the client's transaction.
+    /// Checks that the connection has the settings of the client's session and is in the client's transaction.
     fn check_session(&mut self, execution: &Execution<'_>, sent: &SentStatement) {
         let Execution { now, id, connection, server, .. } = *execution;
         let name = &server.name;
-        if connection.values != sent.values {
-            let (worn, wanted) = (&connection.values, &sent.values);
+        if connection.session_settings != sent.session_settings {
+            let (actual, expected) = (&connection.session_settings, &sent.session_settings);
             self.record_violation(format!(
-                "PINNED at {now}: {id} on {name} with {worn:?} instead of {wanted:?}"
+                "PINNED at {now}: {id} on {name} with {actual:?} instead of {expected:?}"
             ));
         }
         let open = &connection.transaction;
-        let fits = match (open, sent.transaction) {
+        let is_expected = match (open, sent.transaction) {
             (None, None) => true,
             (Some(open), Some(own)) => {
                 open.client_transaction.is_none_or(|id| id == own.id) && open.read_only == own.read_only
             }
             _ => false,
         };
-        if !fits {
+        if !is_expected {
             let own = sent.transaction;
             self.record_violation(format!("PINNED at {now}: {id} of {own:?} in {open:?} on {name}"));
         }
     }
 
-    /// A read misses nothing that was acknowledged before it; at a replica, nothing older than the bound.
+    /// Checks that a read at the primary sees every commit acknowledged before it was sent, and a lookup every commit
+    /// acknowledged more than [`STALENESS_BOUND`] before.
     fn check_freshness(&mut self, execution: &Execution<'_>, sent: &SentStatement) {
         let Execution { now, id, server, visible, .. } = *execution;
         let needed_from =
@@ -177,14 +181,14 @@
         self.record_violation(violation);
     }
 
-    /// Notes a success under a new stamp.
+    /// Records a successful answer under a new stamp.
     pub fn stamp(&mut self, server: &str, answer: StampedAnswer) -> Bytes {
         let stamp = Bytes::from(format!("{server}.{:x}", self.answers_by_stamp.len()));
         self.answers_by_stamp.insert(stamp.clone(), answer);
         stamp
     }
 
-    /// A client was told that this succeeded: some server said so, of this very statement.
+    /// Checks that a success reported to a client is a server's answer to the same statement.
     pub fn check_success(&mut self, now: Millis, id: u64, stamp: Option<&Bytes>, rows: &[Bytes]) {
         let given = stamp.and_then(|stamp| self.answers_by_stamp.get(stamp));
         if given.is_none_or(|given| given.statement != id || given.rows != rows) {
@@ -192,7 +196,7 @@
         }
     }
 
-    /// A client was told that these writes are not applied.
+    /// Records that a client was told that these writes are not applied, and checks that they are not committed.
     pub fn record_rejection(&mut self, now: Millis, writes: &[u64]) {
         for write in writes {
             self.rejected_writes.insert(*write);
@@ -204,7 +208,7 @@
         }
     }
 
-    /// A server's log holds all that was acknowledged.
+    /// Checks that a server's log contains every acknowledged commit.
     pub fn check_log_complete(&mut self, now: Millis, server: &Server, when: &str) {
         let is_missing =
             |acknowledged: &&Acknowledgement| !server.holds(&acknowledged.entry, server.log.len());
--- a/crates/simulator/src/direct/mod.rs
+++ b/crates/simulator/src/direct/mod.rs
@@ -1,6 +1,6 @@
-//! Simulated fleets on direct connections: keepers and nodes as they ship, over a group of servers that speak their own
-//! protocol and know neither idempotency keys nor fences, with a promoter, clients on sessions, faults drawn from the
-//! seed, and a check of every call.
+//! Simulated fleets on direct connections. Keepers and nodes run their production code over a group of simulated
+//! servers, which speak their own protocol and know neither idempotency keys nor fencing tokens. A promoter, clients
+//! with sessions and faults drawn from the seed complete the world, and every call is checked.
 mod attempt;
 mod call_execution;
 mod client;
--- a/crates/simulator/src/direct/operator.rs
+++ b/crates/simulator/src/direct/operator.rs
@@ -1,4 +1,5 @@
-//! What reaches the chain from outside: registrations of servers, and versions of the configuration.
+//! The simulated operator and servers as writers of the replicated store: registrations of servers and versions of the
+//! configuration.
 use super::ledger::AcknowledgedVersion;
 use super::server::{MAX_CONNECTIONS, Registration, SLOTS};
 use super::server_group::GroupState;
@@ -13,16 +14,16 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// A write to the chain is given up after so long.
+/// Timeout of one write to the replicated store, and the pause before the write is retried.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(900);
-const WRITE_RETRY: Duration = Duration::from_millis(200);
-/// A server waits so long for the acknowledgement of its drain, and looks for it so often.
-const DRAIN_PATIENCE: Millis = 10_000;
+const WRITE_RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// How long a server waits for the acknowledgement of its drain, and how often it checks for it.
+const DRAIN_ACKNOWLEDGEMENT_TIMEOUT: Millis = 10_000;
 const DRAIN_POLL: Duration = Duration::from_millis(50);
-/// A draining server stops so long after the acknowledgement.
+/// A draining server stops this long after the acknowledgement of its drain.
 const DRAIN_TIME: Millis = 7_600;
-/// Attempts to take a stopped server off the chain.
-const DEREGISTRATIONS: u64 = 5;
+/// Maximum number of attempts to deregister a server.
+const DEREGISTRATION_ATTEMPTS: u64 = 5;
 
 fn millis(count: u64) -> Duration {
     Duration::from_millis(count)
@@ -32,7 +33,8 @@
     StoreClient::new("operator", &fleet.keeper_addresses)
 }
 
-/// A configuration that shows its number by a route of its own.
+/// Returns a configuration with a route that is named after the configuration's number, so that the number in force can
+/// be found by looking the route up.
 fn configuration_text(number: u64) -> String {
     let rule = |name: &str, class: &str| {
         format!(
@@ -49,7 +51,7 @@
     )
 }
 
-/// Adopts configurations one after the other, each until it is acknowledged.
+/// Adopts configurations one after the other. Each one is retried until it is acknowledged.
 async fn adopt_configurations(fleet: Arc<DirectFleet>, stop: Arc<AtomicBool>) {
     let client = operator_client(&fleet);
     let mut number = 1;
@@ -58,7 +60,7 @@
         let command = Command::AdoptDocument { number, source: text.clone(), text, by: "operator".into() };
         let key = format!("adopt/{number}");
         while client.write(&key, command.clone(), WRITE_TIMEOUT).await.is_err() {
-            seam::sleep(WRITE_RETRY).await;
+            seam::sleep(WRITE_RETRY_PAUSE).await;
         }
         let acknowledged = AcknowledgedVersion { number, at: fleet.simulation.now() };
         fleet.group.with(|state| state.ledger.config_versions.push(acknowledged));
@@ -68,7 +70,8 @@
 }
 
 impl GroupState {
-    /// The registration that a server has to send, with its record; none if the chain has it.
+    /// Returns the registration that a server has to send, with its record, or `None` if its current registration is
+    /// acknowledged.
     fn next_registration(&mut self, index: usize) -> Option<(Registration, ServerRecord)> {
         let server = &mut self.servers[index];
         let registration = server.registration();
@@ -89,7 +92,7 @@
         Some((registration, record))
     }
 
-    /// The chain acknowledged a registration; one of a predecessor means nothing.
+    /// Records the acknowledgement of a registration. That of a server which has been replaced since is ignored.
     fn registered(&mut self, index: usize, registration: Registration, now: Millis) {
         let server = &mut self.servers[index];
         if server.name != registration.name {
@@ -101,11 +104,11 @@
         server.registered_as = Some(registration);
     }
 
-    /// Another server takes the address and the log of one that stopped.
+    /// Replaces a stopped server by another one with a new name at the same address and with the same log.
     fn replace_server(&mut self, index: usize, old_name: &str) {
-        let salt = self.last_connection_id;
+        let suffix = self.last_connection_id;
         let server = &mut self.servers[index];
-        server.name = format!("{}x{salt}", &old_name[..2]).into();
+        server.name = format!("{}x{suffix}", &old_name[..2]).into();
         server.role = Role::Replica;
         server.draining = false;
         server.drain_acknowledged_at = None;
@@ -114,7 +117,7 @@
     }
 }
 
-/// Registers a server whenever something of it changes.
+/// Registers a server again whenever its name, role or draining state changes.
 async fn register_server_changes(fleet: Arc<DirectFleet>, index: usize) {
     let client = operator_client(&fleet);
     loop {
@@ -133,23 +136,24 @@
     }
 }
 
-/// When the server's drain was acknowledged; when it began if that takes too long.
+/// Waits for the acknowledgement of a server's drain and returns its time. If that takes longer than
+/// [`DRAIN_ACKNOWLEDGEMENT_TIMEOUT`], returns the time at which the wait began.
 async fn drain_start(fleet: &DirectFleet, index: usize) -> Millis {
-    let began = fleet.simulation.now();
+    let started_at = fleet.simulation.now();
     loop {
         seam::sleep(DRAIN_POLL).await;
         if let Some(at) = fleet.group.with(|state| state.servers[index].drain_acknowledged_at) {
             return at;
         }
-        if fleet.simulation.now() > began + DRAIN_PATIENCE {
-            return began;
+        if fleet.simulation.now() > started_at + DRAIN_ACKNOWLEDGEMENT_TIMEOUT {
+            return started_at;
         }
     }
 }
 
 async fn deregister_server(fleet: &DirectFleet, name: &Name) {
     let client = operator_client(fleet);
-    for attempt in 0..DEREGISTRATIONS {
+    for attempt in 0..DEREGISTRATION_ATTEMPTS {
         let command = Command::DeregisterServer { server: name.clone() };
         if client.write(&format!("depart/{name}"), command, WRITE_TIMEOUT).await.is_ok() {
             return;
@@ -158,15 +162,15 @@
     }
 }
 
-/// A server drains for as long as the contract has it, stops, and another takes its address and log.
+/// Drains a server for [`DRAIN_TIME`], deregisters and stops it, and starts a replacement with its address and log.
 pub async fn drain_and_replace(fleet: Arc<DirectFleet>, index: usize) {
     let name = fleet.group.with(|state| {
         state.servers[index].draining = true;
         state.servers[index].name.clone()
     });
     let stop_at = drain_start(&fleet, index).await + DRAIN_TIME;
-    let rest = stop_at.saturating_sub(fleet.simulation.now()).max(1);
-    seam::sleep(millis(rest)).await;
+    let remaining = stop_at.saturating_sub(fleet.simulation.now()).max(1);
+    seam::sleep(millis(remaining)).await;
     deregister_server(&fleet, &name).await;
     fleet.crash_server(index, false);
     seam::sleep(millis(fastrand::u64(300..1_500))).await;
@@ -174,7 +178,8 @@
     fleet.start_server(index);
 }
 
-/// Starts all of it, in the clients' process.
+/// Starts the tasks that register servers, adopt configurations and check the versions in force. The caller runs this
+/// in the clients' process.
 pub fn start(fleet: &Arc<DirectFleet>, stop: &Arc<AtomicBool>) {
     for index in 0..SERVERS {
         seam::spawn(register_server_changes(fleet.clone(), index));
--- a/crates/simulator/src/direct/process_control.rs
+++ b/crates/simulator/src/direct/process_control.rs
@@ -1,18 +1,18 @@
-//! Crashes and starts the processes of a fleet on direct connections, and heals it.
+//! Crashes and starts the processes of a fleet on direct connections, and ends all faults.
 use super::setup::{DirectFleet, SERVERS};
 use crate::fleet::simulation::ProcessId;
 use quincehatch_core::Millis;
 use std::sync::Arc;
 
-/// A server drops a connection whose node lost power after so long.
+/// A server drops its connections to a node this long after the node lost power.
 const DEAD_NODE_TIMEOUT: Millis = 3_000;
-/// Clients learn that a server lost power after so long.
+/// Pending commits of a server fail this long after the server lost power.
 const DEAD_SERVER_TIMEOUT: Millis = 4_000;
 /// Lag of a healthy replica.
 pub(super) const HEALTHY_LAG: Millis = 5;
 
 impl DirectFleet {
-    /// Crashes a server that is up.
+    /// Crashes a server if it is up.
     pub fn crash_server(self: &Arc<Self>, server: usize, power_loss: bool) {
         let pid = self.group.with(|state| state.servers[server].pid);
         if !self.simulation.lock().processes[pid].is_up {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Starts a server that is down.
+    /// Starts a server if it is down.
     pub fn start_server(self: &Arc<Self>, server: usize) {
         let pid = self.group.with(|state| state.servers[server].pid);
         if self.simulation.lock().processes[pid].is_up {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Crashes a server, a node, or another process.
+    /// Crashes a process. If it is a server or a node, its connections end as well.
     pub fn crash_process(self: &Arc<Self>, pid: ProcessId, power_loss: bool) {
         let server = self.group.with(|state| state.server_of_process(pid));
         let is_node = self.nodes.iter().any(|node| node.pid == pid);
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Starts a process that is down.
+    /// Starts a process if it is down.
     pub fn start_process(self: &Arc<Self>, pid: ProcessId) {
         match self.group.with(|state| state.server_of_process(pid)) {
             Some(server) => self.start_server(server),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Ends all faults.
+    /// Ends all faults and starts all processes that are down.
     pub fn heal_all(self: &Arc<Self>) {
         self.simulation.log("all is healed");
         self.simulation.lock().clear_faults();
--- a/crates/simulator/src/direct/promotion.rs
+++ b/crates/simulator/src/direct/promotion.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the platform's promoter, and what servers do when they stop and start.
+//! The simulated promoter of the platform, and the changes of a server's state when it stops and starts.
 use super::server::PendingCommit;
 use super::server_group::{GroupState, ServerGroup};
 use crate::fleet::simulation::Simulation;
@@ -6,14 +6,15 @@
 use quincehatch_proxy::ports::PromotionOutcome;
 use std::sync::Arc;
 
-/// A replica whose log was truncated rejects everything as busy for so long.
+/// A replica whose log was truncated rejects all requests as busy for this long.
 const TRUNCATION_TIME: Millis = 120;
-/// Least time from a promotion's acceptance to its effect, and how much longer it may be.
+/// Shortest time from a promotion's acceptance to its effect, and the range of the random addition to it.
 const MIN_PROMOTION_TIME: Millis = 150;
 const PROMOTION_TIME_SPREAD: Millis = 400;
 
 impl ServerGroup {
-    /// Accepts a promotion: the server becomes primary a little later, with what it has received by then.
+    /// Accepts or rejects a promotion. An accepted server becomes primary after a random delay, with the log that it
+    /// has received by then.
     pub fn accept_promotion(
         self: &Arc<Self>,
         simulation: &Arc<Simulation>,
@@ -37,7 +38,7 @@
         });
         let (group, name) = (self.clone(), name.to_owned());
         simulation.schedule_action(effective, move |simulation| {
-            let failed = group.with(|state| state.take_promotion(simulation, server, &name));
+            let failed = group.with(|state| state.apply_promotion(simulation, server, &name));
             group.fail_commits(simulation, failed);
         });
         PromotionOutcome::Done
@@ -45,7 +46,7 @@
 }
 
 impl GroupState {
-    /// The server to promote, unless the fence is below one that was seen.
+    /// Returns the server to promote, unless the fencing token is lower than one that the promoter has seen.
     fn promotion_target(&mut self, now: Millis, name: &str, fence: FencingToken) -> Option<usize> {
         let seen = self.fence;
         self.ledger.event_log.push(format!("{now} {name} is to be promoted under {fence}, seen {seen}"));
@@ -53,17 +54,18 @@
         self.server_named(name).filter(|_| fence >= seen)
     }
 
-    /// A promotion takes effect, unless its server was replaced, stopped or promoted meanwhile.
-    fn take_promotion(&mut self, simulation: &Simulation, server: usize, name: &str) -> Vec<PendingCommit> {
+    /// Applies an accepted promotion, unless its server has been replaced, stopped or promoted since. Returns the
+    /// commits that are lost with it.
+    fn apply_promotion(&mut self, simulation: &Simulation, server: usize, name: &str) -> Vec<PendingCommit> {
         let target = &self.servers[server];
-        let still_wanted = target.name == name && simulation.lock().processes[target.pid].is_up;
-        if !still_wanted || self.primary() == Some(server) {
+        let still_valid = target.name == name && simulation.lock().processes[target.pid].is_up;
+        if !still_valid || self.primary() == Some(server) {
             return Vec::new();
         }
         self.make_primary(simulation, server)
     }
 
-    /// Makes a server the primary of a new term; the commits of others that are lost with it.
+    /// Makes a server the primary of a new term. Returns the pending commits of other servers that this truncates.
     fn make_primary(&mut self, simulation: &Simulation, promoted: usize) -> Vec<PendingCommit> {
         let now = simulation.now();
         let highest_term = self.servers.iter().map(|server| server.term.max(server.suspended_term)).max();
@@ -83,22 +85,22 @@
                 continue;
             }
             server.role = Role::Replica;
-            // One that is down learns of it when it starts.
+            // A server that is down truncates its log when it starts.
             let is_up = simulation.lock().processes[server.pid].is_up;
             if is_up && server.truncate_to(&log) {
                 server.busy_until = now + TRUNCATION_TIME;
                 let end = server.log.len();
                 let is_lost = |commit: &PendingCommit| commit.entry.position.number as usize > end;
                 let pending = std::mem::take(&mut server.pending_commits);
-                let (lost, kept): (Vec<_>, Vec<_>) = pending.into_iter().partition(is_lost);
-                server.pending_commits = kept;
+                let (lost, retained): (Vec<_>, Vec<_>) = pending.into_iter().partition(is_lost);
+                server.pending_commits = retained;
                 failed.extend(lost);
             }
         }
         failed
     }
 
-    /// A server's process is gone, and with it its connections and the commits that it was to answer.
+    /// Closes a stopped server's connections. Returns its pending commits, which it can no longer answer.
     pub fn server_stopped(&mut self, server: usize, power_loss: bool) -> Vec<PendingCommit> {
         for id in self.connections_of_server(server) {
             if power_loss {
@@ -112,7 +114,7 @@
         std::mem::take(&mut server.pending_commits)
     }
 
-    /// A server is back with its log: as a replica if another was promoted meanwhile.
+    /// Restores a started server with its log. It becomes a replica if another server has been promoted meanwhile.
     pub fn server_started(&mut self, index: usize, now: Millis) {
         let other_primary = self.primary().filter(|primary| *primary != index);
         let primary_log = other_primary.map(|primary| self.servers[primary].log.clone());
--- a/crates/simulator/src/direct/replication.rs
+++ b/crates/simulator/src/direct/replication.rs
@@ -1,4 +1,4 @@
-//! Commits at a simulated primary, their replication, and the calls that change a server's role.
+//! Commits at a simulated primary, their replication, and the control calls that change a server's role.
 use super::call_execution::Commit;
 use super::delivery::{Delivery, deliver};
 use super::server::{LogEntry, PendingCommit, ReplyTarget, Server};
@@ -8,24 +8,24 @@
 use quincehatch_proxy::ports::{RejectReason, Rejection, ServerCall, ServerReply, ServerStatus};
 use std::sync::Arc;
 
-/// How often a primary sends its replicas what they lack.
+/// How often a primary sends its replicas the log entries that they lack.
 const REPLICATION_INTERVAL: Millis = 60;
-/// A replica's reads see what it received after this time and its lag.
+/// A replica's reads see a received entry after this time plus the replica's lag.
 const APPLY_TIME: Millis = 2;
 
-/// Entries on their way from a primary to one replica.
+/// Log entries that a primary sends to one replica.
 struct Append {
     primary: usize,
     /// The primary's term.
     term: u64,
     replica: usize,
-    /// Entries of the log before these.
+    /// Number of log entries that precede `entries`.
     after: usize,
     entries: Vec<Arc<LogEntry>>,
 }
 
 impl ServerGroup {
-    /// Appends a commit to the primary's log; it is answered once a replica has received it.
+    /// Appends a commit to the primary's log. The commit is answered once a replica has received it.
     pub fn append_commit(
         self: &Arc<Self>,
         simulation: &Arc<Simulation>,
@@ -49,7 +49,7 @@
         self.send_missing_entries(simulation, server);
     }
 
-    /// Sends each replica what it lacks.
+    /// Sends each replica the log entries that it lacks.
     fn send_missing_entries(self: &Arc<Self>, simulation: &Arc<Simulation>, primary: usize) {
         let (appends, pid) = self.with(|state| (state.missing_entries(primary), state.servers[primary].pid));
         for append in appends {
@@ -75,15 +75,15 @@
         });
     }
 
-    /// A replica has received the log up to an entry: commits that waited for it are answered.
+    /// Answers the pending commits up to `end`, once a replica has received the log up to there.
     fn complete_commits(self: &Arc<Self>, simulation: &Arc<Simulation>, primary: usize, end: &Arc<LogEntry>) {
-        let completed = self.with(|state| state.servers[primary].take_commits_until(end));
+        let completed = self.with(|state| state.servers[primary].take_commits_up_to(end));
         for commit in completed {
             self.send_reply(simulation, commit.reply, commit.target);
         }
     }
 
-    /// Primaries send what replicas lack, again and again, all the run long.
+    /// Lets each running primary send its replicas the entries that they lack, and schedules the next round.
     pub fn replicate_periodically(self: &Arc<Self>, simulation: &Arc<Simulation>) {
         let primaries: Vec<(usize, ProcessId)> = self.with(|state| {
             let servers = state.servers.iter().enumerate();
@@ -100,7 +100,8 @@
         simulation.schedule_action(next, move |simulation| group.replicate_periodically(simulation));
     }
 
-    /// Answers commits that no replica will receive any more: whether they stand is not told.
+    /// Answers commits that no replica will receive any more with a timeout, which leaves open whether they are
+    /// applied.
     pub fn fail_commits(self: &Arc<Self>, simulation: &Arc<Simulation>, pending: Vec<PendingCommit>) {
         for commit in pending {
             let rejection = Some(Rejection::without_text(RejectReason::TimedOut));
@@ -111,8 +112,8 @@
 }
 
 impl Server {
-    /// Takes the pending commits up to an entry, if that is in the log.
-    fn take_commits_until(&mut self, end: &Arc<LogEntry>) -> Vec<PendingCommit> {
+    /// Removes and returns the pending commits up to an entry, if the log contains that entry.
+    fn take_commits_up_to(&mut self, end: &Arc<LogEntry>) -> Vec<PendingCommit> {
         if !self.holds(end, self.log.len()) {
             return Vec::new();
         }
@@ -125,7 +126,7 @@
 }
 
 impl GroupState {
-    /// For each replica that lacks entries of a primary's log, those entries.
+    /// Returns, for each replica that lacks entries of a primary's log, those entries.
     fn missing_entries(&self, primary: usize) -> Vec<Append> {
         let log = &self.servers[primary].log;
         let term = self.servers[primary].term;
@@ -139,32 +140,33 @@
         appends
     }
 
-    /// A replica takes entries of a primary; the newest that it has by then, none if it does not take them.
+    /// Appends entries of a primary to a replica's log. Returns the last of them, or `None` if the replica rejects
+    /// them.
     fn append_entries(&mut self, now: Millis, append: &Append) -> Option<Arc<LogEntry>> {
-        // What a primary sent before another was promoted comes too late.
+        // The replica rejects entries that their primary sent before another server was promoted.
         let superseded = self.primary().is_some_and(|primary| self.servers[primary].term > append.term);
         let replica = &mut self.servers[append.replica];
-        let takes_entries = replica.role == Role::Replica
+        let accepts_entries = replica.role == Role::Replica
             && replica.suspended_term == 0
             && !replica.replication_stopped
             && append.term >= replica.term
             && replica.log.len() >= append.after;
-        if superseded || !takes_entries {
+        if superseded || !accepts_entries {
             return None;
         }
-        let held = &replica.log[append.after..];
-        if !held.iter().zip(&append.entries).all(|(held, sent)| Arc::ptr_eq(held, sent)) {
+        let existing = &replica.log[append.after..];
+        if !existing.iter().zip(&append.entries).all(|(existing, sent)| Arc::ptr_eq(existing, sent)) {
             return None;
         }
-        let held = held.len();
+        let existing = existing.len();
         replica.term = append.term;
-        replica.log.extend(append.entries.iter().skip(held).cloned());
+        replica.log.extend(append.entries.iter().skip(existing).cloned());
         let visible_at = now + APPLY_TIME + replica.replication_lag;
         replica.pending_visibility.push_back((visible_at, replica.log.len()));
         append.entries.last().cloned()
     }
 
-    /// STATUS and the calls that change how a server stands; its status after it.
+    /// Executes a status call or a call that changes the server's role or suspension. Returns the server's new status.
     pub fn apply_control_call(
         &mut self,
         now: Millis,
--- a/crates/simulator/src/direct/replies.rs
+++ b/crates/simulator/src/direct/replies.rs
@@ -1,4 +1,4 @@
-//! Replies that leave a simulated server, and the loss of them.
+//! Sending and losing the replies of a simulated server.
 use super::delivery::{Delivery, deliver};
 use super::sent_statement::StampedAnswer;
 use super::server::ReplyTarget;
@@ -8,25 +8,26 @@
 use quincehatch_proxy::ports::ServerReply;
 use std::sync::Arc;
 
-/// A node gives a request up that an unresponsive server does not answer for so long.
+/// A node abandons a request that an unresponsive server does not answer within this time.
 pub(super) const UNRESPONSIVE_TIMEOUT: Millis = 4_000;
-/// Share of lost replies whose connection is reset; the others are never answered.
+/// Share of lost replies whose connection is reset. The other requests stay unanswered on a connection that looks
+/// healthy.
 const RESETS_PER_MILLE: u64 = 500;
 
-/// What becomes of a reply that leaves a server.
+/// What happens to a reply of a server.
 enum ReplyFate {
     Sent {
         node: ProcessId,
         server: ProcessId,
     },
-    /// It is lost, and the connection seems well.
-    Swallowed,
-    /// Its connection is gone.
-    Dropped,
+    /// The reply is lost, while the connection looks healthy.
+    ReplyLost,
+    /// The connection no longer exists.
+    ConnectionLost,
 }
 
 impl ServerGroup {
-    /// A reply leaves a server, unless it is lost, with or without its connection.
+    /// Sends a server's reply to its node, unless a fault loses the reply alone or together with its connection.
     pub fn send_reply(
         self: &Arc<Self>,
         simulation: &Arc<Simulation>,
@@ -36,10 +37,10 @@
         let ReplyTarget { connection, reply_to } = target;
         let resets = simulation.lock().rng.chance(RESETS_PER_MILLE);
         match self.with(|state| state.reply_fate(connection, resets)) {
-            ReplyFate::Dropped => drop(reply_to),
-            ReplyFate::Swallowed => {
-                let give_up_at = simulation.now() + UNRESPONSIVE_TIMEOUT;
-                simulation.schedule_action(give_up_at, move |_| drop(reply_to));
+            ReplyFate::ConnectionLost => drop(reply_to),
+            ReplyFate::ReplyLost => {
+                let abandoned_at = simulation.now() + UNRESPONSIVE_TIMEOUT;
+                simulation.schedule_action(abandoned_at, move |_| drop(reply_to));
             }
             ReplyFate::Sent { node, server } => {
                 deliver(simulation, server, node, move |_, delivery| {
@@ -54,7 +55,7 @@
 
 impl GroupState {
     fn reply_fate(&mut self, id: u64, resets: bool) -> ReplyFate {
-        let Some(connection) = self.connections.get(&id) else { return ReplyFate::Dropped };
+        let Some(connection) = self.connections.get(&id) else { return ReplyFate::ConnectionLost };
         let node = connection.node;
         let server = &mut self.servers[connection.server];
         if server.replies_to_lose == 0 {
@@ -63,12 +64,12 @@
         server.replies_to_lose -= 1;
         if resets {
             self.break_connection(id);
-            return ReplyFate::Dropped;
+            return ReplyFate::ConnectionLost;
         }
-        ReplyFate::Swallowed
+        ReplyFate::ReplyLost
     }
 
-    /// Stamps a success, so that it can be told from any other.
+    /// Marks a successful reply with a unique stamp, so that the ledger can tell which statement it answers.
     pub fn add_stamp(&mut self, statement: u64, server: usize, reply: &mut ServerReply) {
         if reply.rejection.is_none() {
             let answer = StampedAnswer { statement, rows: reply.rows.clone() };
--- a/crates/simulator/src/direct/request_execution.rs
+++ b/crates/simulator/src/direct/request_execution.rs
@@ -1,4 +1,4 @@
-//! How a request on a direct connection reaches a simulated server, takes a slot there, and is answered.
+//! The path of a request on a direct connection: delivery to a simulated server, admission to a slot, execution, reply.
 use super::call_execution::{CallResult, statement_id};
 use super::delivery::{Delivery, deliver};
 use super::replies::UNRESPONSIVE_TIMEOUT;
@@ -10,14 +10,14 @@
 use std::io;
 use std::sync::Arc;
 
-/// New work that is sent so long after a server's drain was acknowledged is a violation.
+/// Sending new work to a server is a violation once its drain has been acknowledged for this long.
 const DRAIN_LIMIT: Millis = 7_000;
-/// Least time of a request that takes a slot, and how much longer it may take.
+/// Shortest execution time of a request that takes a slot, and the range of the random addition to it.
 const MIN_EXECUTION_TIME: Millis = 2;
 const EXECUTION_TIME_SPREAD: Millis = 7;
-/// Share of statements that fail in the server.
+/// Share of statements that fail with an error of the server.
 const FAILURES_PER_MILLE: u64 = 3;
-/// A request on its way.
+/// A request that is being delivered to its server.
 struct Request {
     connection: u64,
     call: ServerCall,
@@ -25,10 +25,10 @@
     reply_to: ReplySender,
 }
 
-/// What a server does with a request that arrives.
+/// A server's decision on an arriving request.
 enum Admission {
     Busy,
-    /// It is executed, this much later than usual.
+    /// The server executes the request, with this much added to its execution time.
     Admitted {
         extra_latency: Millis,
     },
@@ -40,12 +40,12 @@
     call: ServerCall,
     reply_to: ReplySender,
     server: usize,
-    /// The server's incarnation that admitted it.
+    /// The incarnation of the server that admitted the request.
     incarnation: u64,
     takes_slot: bool,
 }
 
-/// True if the call takes one of the server's slots.
+/// Whether the call occupies one of the server's slots.
 fn takes_slot(call: &ServerCall) -> bool {
     !matches!(
         call,
@@ -54,15 +54,15 @@
 }
 
 impl ServerGroup {
-    /// A node sends a request.
+    /// Sends a node's request to its server.
     pub fn send_request(self: &Arc<Self>, id: u64, call: ServerCall, reply_to: ReplySender) {
         let Some(simulation) = self.simulation() else { return };
-        let ends = self.with(|state| {
+        let endpoints = self.with(|state| {
             let connection = state.connections.get_mut(&id)?;
             connection.requests_in_flight += 1;
             Some((connection.node, state.servers[connection.server].pid))
         });
-        let Some((node, server)) = ends else { return };
+        let Some((node, server)) = endpoints else { return };
         let group = self.clone();
         let request = Request { connection: id, call, sent_at: simulation.now(), reply_to };
         deliver(&simulation, node, server, move |simulation, delivery| match delivery {
@@ -74,14 +74,14 @@
         });
     }
 
-    /// A node closes its end of a connection: what is open on it is rolled back.
+    /// Closes a node's end of a connection. The server rolls back the transaction that is open on it.
     pub fn close(self: &Arc<Self>, id: u64) {
         let Some(simulation) = self.simulation() else { return };
-        let ends = self.with(|state| {
+        let endpoints = self.with(|state| {
             let connection = state.connections.get(&id)?;
             Some((connection.node, state.servers[connection.server].pid))
         });
-        let Some((node, server)) = ends else { return };
+        let Some((node, server)) = endpoints else { return };
         let group = self.clone();
         deliver(&simulation, node, server, move |_, _| group.with(|state| state.close_at_server(id)));
     }
@@ -152,7 +152,7 @@
 }
 
 impl GroupState {
-    /// Whether the request's server executes it; none if its connection is gone.
+    /// Decides whether the server executes a request. Returns `None` if the connection is gone.
     fn admit(&mut self, now: Millis, request: &Request) -> Option<(usize, Admission)> {
         let server = self.connections.get(&request.connection)?.server;
         self.check_drain(now, request);
@@ -165,7 +165,7 @@
         Some((server, Admission::Admitted { extra_latency: target.extra_latency }))
     }
 
-    /// No new work is sent to a server whose drain every undisturbed node knows of.
+    /// Checks that no undisturbed node sends new work to a server that has been draining for [`DRAIN_LIMIT`].
     fn check_drain(&mut self, now: Millis, request: &Request) {
         let Some(connection) = self.connections.get(&request.connection) else { return };
         let unused = connection.transaction.as_ref().is_none_or(|transaction| {
@@ -195,7 +195,7 @@
         Some(ServerReply { rejection, transaction_state, log_end, ..ServerReply::default() })
     }
 
-    /// Executes a request whose time is over; none if its connection was closed meanwhile.
+    /// Executes a request at the end of its execution time. Returns `None` if its connection is gone by then.
     fn finish_execution(&mut self, now: Millis, execution: &Execution, fails: bool) -> Option<CallResult> {
         let Execution { connection: id, call, server, .. } = execution;
         self.servers[*server].slots_in_use -= usize::from(execution.takes_slot);
@@ -216,7 +216,7 @@
         Some(result)
     }
 
-    /// The node's end is closed; requests in execution keep the connection until they are done.
+    /// Handles the close of the node's end. The connection exists until its requests in execution have finished.
     fn close_at_server(&mut self, id: u64) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         if connection.requests_in_flight == 0 {
--- a/crates/simulator/src/direct/run.rs
+++ b/crates/simulator/src/direct/run.rs
@@ -1,4 +1,5 @@
-//! One seed of a fleet on direct connections from start to end: a quiet start, a time of faults, healing, and the checks.
+//! The run of one seed of a fleet on direct connections: a start without faults, a period of faults, healing, recovery
+//! and the final checks.
 use super::ledger::Ledger;
 use super::setup::{DirectFleet, FleetSize, build_fleet};
 use super::{client, operator};
@@ -7,32 +8,32 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// What a run came to.
+/// The results of a run.
 #[derive(Debug, Default)]
 pub struct DirectReport {
     /// Seed of the run.
     pub seed: u64,
-    /// Every violation, as a line that names its check.
+    /// The violations found, each as a line that names its check.
     pub violations: Vec<String>,
-    /// Commits that were acknowledged.
+    /// Number of acknowledged commits.
     pub acknowledged: usize,
-    /// Reads that servers executed.
+    /// Number of reads that servers executed.
     pub reads: usize,
-    /// Statements that clients sent.
+    /// Number of statements that clients sent.
     pub statements: usize,
-    /// Versions of the configuration that were acknowledged.
+    /// Number of acknowledged configuration versions.
     pub config_versions: usize,
-    /// Promotions that took effect.
+    /// Number of promotions that took effect.
     pub promotions: usize,
-    /// Hash of all that happened: two runs of one seed have the same.
+    /// Hash of the run's trace, which is the same for all runs of a seed.
     pub trace: u64,
-    /// The longest time without an acknowledged commit after all was healed.
+    /// The longest time without an acknowledged commit after all faults were healed.
     pub longest_outage_ms: Millis,
-    /// What happened, in the words of servers and nodes.
+    /// The logged events of the servers, followed by the promotion events of the nodes.
     pub event_log: Vec<String>,
 }
 
-/// What is simulated.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub struct DirectSimOptions {
     /// Seed of the run.
@@ -41,24 +42,24 @@
     pub keepers: usize,
     /// Number of nodes.
     pub nodes: usize,
-    /// A deliberate bug that is switched on.
+    /// Name of a deliberate bug to enable.
     pub bug: Option<String>,
-    /// Prints what happens.
+    /// Whether to print the trace.
     pub verbose: bool,
 }
 
-/// Faults begin at this time, and no new one does once the period is over.
-const FAULTS_FROM: Millis = 6_000;
+/// Time of the run at which faults begin, and the period within which new faults start.
+const FAULTS_START: Millis = 6_000;
 const FAULT_PERIOD: Millis = 30_000;
-/// Clients go on for so long after all is healed.
+/// How long clients continue after all faults are healed.
 const RECOVERY_PERIOD: Millis = 16_000;
-/// Clients end what they are doing within this time.
-const CLIENTS_END: Millis = 4_000;
-const CLIENTS: usize = 9;
-/// Commits are acknowledged again within this time after all is healed.
+/// Time for clients to finish their operations after they are stopped.
+const CLIENT_STOP_PERIOD: Millis = 4_000;
+const CLIENT_COUNT: usize = 9;
+/// Longest time allowed without an acknowledged commit after all faults are healed.
 const MAX_OUTAGE: Millis = 10_000;
 
-/// Runs one seed.
+/// Runs one seed and returns its results.
 pub fn run_seed(options: &DirectSimOptions) -> DirectReport {
     let size = FleetSize { keepers: options.keepers, nodes: options.nodes };
     let fleet = build_fleet(options.seed, &size, options.bug.as_deref(), options.verbose);
@@ -66,33 +67,33 @@
     let stop = Arc::new(AtomicBool::new(false));
     simulation.run_in(fleet.clients, || {
         operator::start(&fleet, &stop);
-        for _ in 0..CLIENTS {
+        for _ in 0..CLIENT_COUNT {
             seam::spawn(client::run_client(fleet.clone(), stop.clone()));
         }
     });
-    simulation.run_until(FAULTS_FROM);
-    fleet.schedule_faults(FAULTS_FROM, FAULT_PERIOD);
-    simulation.run_until(FAULTS_FROM + FAULT_PERIOD);
+    simulation.run_until(FAULTS_START);
+    fleet.schedule_faults(FAULTS_START, FAULT_PERIOD);
+    simulation.run_until(FAULTS_START + FAULT_PERIOD);
     fleet.heal_all();
-    let healed = simulation.now();
-    simulation.run_until(healed + RECOVERY_PERIOD);
+    let healed_at = simulation.now();
+    simulation.run_until(healed_at + RECOVERY_PERIOD);
     stop.store(true, Ordering::SeqCst);
-    simulation.run_until(healed + RECOVERY_PERIOD + CLIENTS_END);
-    let report = report(options.seed, &fleet, healed);
+    simulation.run_until(healed_at + RECOVERY_PERIOD + CLIENT_STOP_PERIOD);
+    let report = report(options.seed, &fleet, healed_at);
     fleet.shut_down();
     report
 }
 
-/// The longest time without an acknowledgement from `healed` to the end of the load.
-fn longest_outage(ledger: &Ledger, healed: Millis) -> Millis {
-    let mut times: Vec<Millis> = vec![healed];
-    times.extend(ledger.acknowledgement_times().filter(|at| *at > healed));
-    times.push(healed + RECOVERY_PERIOD);
+/// Returns the longest time without an acknowledgement between `healed_at` and the end of the load.
+fn longest_outage(ledger: &Ledger, healed_at: Millis) -> Millis {
+    let mut times: Vec<Millis> = vec![healed_at];
+    times.extend(ledger.acknowledgement_times().filter(|at| *at > healed_at));
+    times.push(healed_at + RECOVERY_PERIOD);
     times.sort_unstable();
     times.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap_or(Millis::MAX)
 }
 
-fn report(seed: u64, fleet: &Arc<DirectFleet>, healed: Millis) -> DirectReport {
+fn report(seed: u64, fleet: &Arc<DirectFleet>, healed_at: Millis) -> DirectReport {
     let now = fleet.simulation.now();
     let trace = fleet.simulation.lock().trace;
     fleet.group.with(|state| {
@@ -100,7 +101,7 @@
             state.ledger.check_log_complete(now, &state.servers[primary], "is primary at the end");
         }
         let ledger = &mut state.ledger;
-        let longest_outage_ms = longest_outage(ledger, healed);
+        let longest_outage_ms = longest_outage(ledger, healed_at);
         if longest_outage_ms > MAX_OUTAGE {
             ledger.record_violation(format!(
                 "BACK: nothing was acknowledged for {longest_outage_ms} ms after all was healed"
--- a/crates/simulator/src/direct/server.rs
+++ b/crates/simulator/src/direct/server.rs
@@ -1,4 +1,4 @@
-//! A simulated database server: its role, its log, and what of the log its reads see.
+//! A simulated database server: its role, its log, and the part of the log that its reads see.
 use crate::fleet::simulation::ProcessId;
 use quincehatch_core::{Millis, Name, Position, Role};
 use quincehatch_proxy::ports::{ServerReply, ServerStatus};
@@ -7,106 +7,106 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// Requests that a server executes at a time.
+/// Number of requests that a server executes concurrently.
 pub const SLOTS: usize = 5;
-/// Connections that a server takes.
+/// Number of connections that a server accepts.
 pub const MAX_CONNECTIONS: usize = 24;
-/// Position before the first commit.
+/// The end of a log that has no commits.
 const EMPTY_LOG: Position = Position { fence: 1, number: 0 };
 
-/// Where the reply to a call goes.
+/// The channel for the reply to a call.
 pub type ReplySender = oneshot::Sender<io::Result<ServerReply>>;
 
-/// Where the reply to a request goes, and on which connection.
+/// The connection and the channel on which a request is answered.
 pub struct ReplyTarget {
-    /// The connection that the request came on.
+    /// The connection on which the request arrived.
     pub connection: u64,
-    /// Where the reply goes.
+    /// The channel for the reply.
     pub reply_to: ReplySender,
 }
 
 /// A commit in a server's log.
 #[derive(Debug, PartialEq)]
 pub struct LogEntry {
-    /// Where in the log it is.
+    /// The entry's position in the log.
     pub position: Position,
-    /// Ids of the writes in it.
+    /// Ids of the writes in the commit.
     pub writes: Vec<u64>,
 }
 
-/// A commit whose reply waits for a replica to receive it.
+/// A commit that is not answered before a replica has received it.
 pub struct PendingCommit {
-    /// The commit.
+    /// The log entry of the commit.
     pub entry: Arc<LogEntry>,
-    /// What is replied.
+    /// The reply to send.
     pub reply: ServerReply,
-    /// Where it goes.
+    /// Where the reply is sent.
     pub target: ReplyTarget,
 }
 
-/// What the chain holds of a server.
+/// The data about a server that the replicated store has.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Registration {
-    /// Its name.
+    /// The server's name.
     pub name: Name,
-    /// Its role.
+    /// The server's role.
     pub role: Role,
-    /// It announced that it drains.
+    /// Whether the server announced that it is draining.
     pub draining: bool,
 }
 
 /// A server of the group.
 #[derive(Default)]
 pub struct Server {
-    /// Its name; a successor at the same address has another.
+    /// The server's name. A replacement at the same address has another name.
     pub name: Name,
-    /// Its process.
+    /// The server's process.
     pub pid: ProcessId,
-    /// Its address.
+    /// The server's address.
     pub addr: Name,
-    /// Its role.
+    /// The server's role.
     pub role: Role,
-    /// The newest term it has heard of.
+    /// The newest term that the server has learned of.
     pub term: u64,
-    /// The term up to which it is suspended; none: 0.
+    /// The term up to which the server is suspended, or 0 if it is not.
     pub suspended_term: u64,
-    /// All commits it has received.
+    /// All commits that the server has received.
     pub log: Vec<Arc<LogEntry>>,
-    /// Entries of the log that reads see.
+    /// Number of log entries that reads see.
     pub visible: usize,
-    /// When reads see how many entries.
+    /// Times from which reads see the given number of entries.
     pub pending_visibility: VecDeque<(Millis, usize)>,
-    /// Requests in execution.
+    /// Number of requests in execution.
     pub slots_in_use: usize,
-    /// It rejects all requests as busy before that time.
+    /// The server rejects all requests as busy before this time.
     pub busy_until: Millis,
-    /// Commits that wait for a replica.
+    /// Commits that no replica has acknowledged yet.
     pub pending_commits: Vec<PendingCommit>,
-    /// It receives nothing of its primary.
+    /// Whether the server receives no log entries from its primary.
     pub replication_stopped: bool,
-    /// How much later its reads see what it received.
+    /// Additional delay until reads see received entries.
     pub replication_lag: Millis,
-    /// How much longer each request takes.
+    /// Additional execution time of each request.
     pub extra_latency: Millis,
-    /// So many replies to come are lost.
+    /// Number of upcoming replies to lose.
     pub replies_to_lose: u32,
-    /// It drains.
+    /// Whether the server is draining.
     pub draining: bool,
-    /// When the chain acknowledged that it drains.
+    /// When the replicated store acknowledged that the server is draining.
     pub drain_acknowledged_at: Option<Millis>,
-    /// Rises with each registration.
+    /// Sequence number of the newest registration.
     pub registration_sequence: u64,
-    /// Its last acknowledged registration.
+    /// The last acknowledged registration.
     pub registered_as: Option<Registration>,
 }
 
 impl Server {
-    /// The end of its log.
+    /// Returns the end of the log.
     pub fn log_end(&self) -> Position {
         self.log.last().map_or(EMPTY_LOG, |entry| entry.position)
     }
 
-    /// How many entries reads see by now.
+    /// Returns how many log entries reads see at `now`.
     pub fn visible_entries(&mut self, now: Millis) -> usize {
         while let Some((_, count)) = self.pending_visibility.front().copied().filter(|(at, _)| *at <= now) {
             self.pending_visibility.pop_front();
@@ -118,24 +118,24 @@
         self.visible
     }
 
-    /// The end of what reads see by now.
+    /// Returns the log position up to which reads see commits at `now`.
     pub fn visible_end(&mut self, now: Millis) -> Position {
         let visible = self.visible_entries(now);
         visible.checked_sub(1).map_or(EMPTY_LOG, |last| self.log[last].position)
     }
 
-    /// True if the entry is among the first `within` of the log.
+    /// Whether the entry is among the first `within` entries of the log.
     pub fn holds(&self, entry: &Arc<LogEntry>, within: usize) -> bool {
         let number = entry.position.number as usize;
-        number <= within && self.log.get(number - 1).is_some_and(|held| Arc::ptr_eq(held, entry))
+        number <= within && self.log.get(number - 1).is_some_and(|stored| Arc::ptr_eq(stored, entry))
     }
 
-    /// How many entries its log and another begin with alike.
+    /// Returns the number of entries at the start of the log that `log` has too.
     pub fn common_prefix(&self, log: &[Arc<LogEntry>]) -> usize {
         self.log.iter().zip(log).take_while(|(own, other)| Arc::ptr_eq(own, other)).count()
     }
 
-    /// Drops what a primary's log does not begin with; true if there was anything.
+    /// Truncates the log to the entries that it shares with a primary's log. Returns whether any entry was removed.
     pub fn truncate_to(&mut self, log: &[Arc<LogEntry>]) -> bool {
         let common = self.common_prefix(log);
         let truncated = self.log.len() > common;
@@ -148,7 +148,7 @@
         truncated
     }
 
-    /// What it tells of itself.
+    /// Returns the status that the server reports.
     pub fn status(&self, connections: u64) -> ServerStatus {
         ServerStatus {
             role: self.role,
@@ -161,7 +161,7 @@
         }
     }
 
-    /// What the chain should hold of it.
+    /// Returns the registration that the replicated store should have.
     pub fn registration(&self) -> Registration {
         Registration { name: self.name.clone(), role: self.role, draining: self.draining }
     }
--- a/crates/simulator/src/direct/server_group.rs
+++ b/crates/simulator/src/direct/server_group.rs
@@ -1,4 +1,4 @@
-//! A simulated group of servers: one state that events change in the order of time.
+//! The state of a simulated group of servers, which events change in the order of their times.
 use super::connection::Connection;
 use super::ledger::Ledger;
 use super::server::Server;
@@ -8,10 +8,10 @@
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex, Weak};
 
-/// Nodes are in touch with the keepers this long after the last disturbance.
+/// Nodes have reconnected to the keepers this long after the last disturbance.
 const RECONNECT_PERIOD: Millis = 4_000;
 
-/// All servers, their connections, and what the checks know.
+/// All servers, their connections, and the data that the checks need.
 pub struct GroupState {
     /// The servers.
     pub servers: Vec<Server>,
@@ -19,69 +19,70 @@
     pub connections: BTreeMap<u64, Connection>,
     /// Id of the newest connection.
     pub last_connection_id: u64,
-    /// The highest fence the promoter has seen.
+    /// The highest fencing token that the promoter has seen.
     pub fence: FencingToken,
     /// The promoter's process.
     pub promoter: ProcessId,
-    /// What clients sent and learned.
+    /// The record of statements, commits and responses that the checks compare.
     pub ledger: Ledger,
-    /// Until when faults touch a process or its connections.
+    /// The time until which faults affect a process or its connections, by process.
     pub disturbed_until: BTreeMap<ProcessId, Millis>,
-    /// Until when faults touch any keeper.
+    /// The time until which faults affect any keeper.
     pub keepers_disturbed_until: Millis,
-    /// Promotions that took effect.
+    /// Number of promotions that took effect.
     pub promotions: usize,
     /// When the newest accepted promotion takes effect.
     pub last_promotion_effective: Millis,
 }
 
-/// The group, shared by all that reach it.
+/// The group's state, shared by the simulated processes and the checks.
 pub struct ServerGroup {
     simulation: Weak<Simulation>,
     state: Mutex<GroupState>,
 }
 
 impl GroupState {
-    /// True if no fault touched the node or the keepers for long enough before `at`.
+    /// Whether the last fault that affected the node or the keepers ended more than [`RECONNECT_PERIOD`] before `at`.
     pub fn is_undisturbed(&self, node: ProcessId, at: Millis) -> bool {
-        let node_calm_from = self.disturbed_until.get(&node).map_or(0, |until| until + RECONNECT_PERIOD);
-        at > node_calm_from && at > self.keepers_disturbed_until + RECONNECT_PERIOD
+        let node_undisturbed_from =
+            self.disturbed_until.get(&node).map_or(0, |until| until + RECONNECT_PERIOD);
+        at > node_undisturbed_from && at > self.keepers_disturbed_until + RECONNECT_PERIOD
     }
 
-    /// Notes that faults touch a process until then.
+    /// Records that faults affect a process until the given time.
     pub fn mark_disturbed(&mut self, pid: ProcessId, until: Millis) {
         let disturbed_until = self.disturbed_until.entry(pid).or_default();
         *disturbed_until = until.max(*disturbed_until);
     }
 
-    /// Notes that faults touch the keepers until then.
+    /// Records that faults affect the keepers until the given time.
     pub fn mark_keepers_disturbed(&mut self, until: Millis) {
         self.keepers_disturbed_until = self.keepers_disturbed_until.max(until);
     }
 
-    /// The primary of the highest term.
+    /// Returns the index of the primary with the highest term.
     pub fn primary(&self) -> Option<usize> {
         let primaries = self.servers.iter().enumerate().filter(|(_, server)| server.role == Role::Primary);
         primaries.max_by_key(|(_, server)| server.term).map(|(index, _)| index)
     }
 
-    /// The server of that name.
+    /// Returns the index of the server with this name.
     pub fn server_named(&self, name: &str) -> Option<usize> {
         self.servers.iter().position(|server| server.name == name)
     }
 
-    /// The server whose process this is.
+    /// Returns the index of the server that runs in this process.
     pub fn server_of_process(&self, pid: ProcessId) -> Option<usize> {
         self.servers.iter().position(|server| server.pid == pid)
     }
 
-    /// Ids of all connections of a server.
+    /// Returns the ids of all connections of a server.
     pub fn connections_of_server(&self, server: usize) -> Vec<u64> {
         let own = self.connections.iter().filter(|(_, connection)| connection.server == server);
         own.map(|(id, _)| *id).collect()
     }
 
-    /// The server's end of a connection is gone, and its node learns it.
+    /// Removes the server's end of a connection and marks the node's end as broken.
     pub fn break_connection(&mut self, id: u64) {
         if let Some(connection) = self.connections.remove(&id) {
             connection.broken.store(true, Ordering::SeqCst);
@@ -90,7 +91,7 @@
 }
 
 impl ServerGroup {
-    /// A group without servers.
+    /// Creates a group without servers.
     pub fn new(simulation: &Arc<Simulation>, promoter: ProcessId) -> Arc<ServerGroup> {
         let state = GroupState {
             servers: Vec::new(),
@@ -107,12 +108,12 @@
         Arc::new(ServerGroup { simulation: Arc::downgrade(simulation), state: Mutex::new(state) })
     }
 
-    /// The simulation; none once the run has ended.
+    /// Returns the simulation, or `None` once the run has ended.
     pub fn simulation(&self) -> Option<Arc<Simulation>> {
         self.simulation.upgrade()
     }
 
-    /// Works on the state.
+    /// Locks the state and passes it to `work`.
     pub fn with<T>(&self, work: impl FnOnce(&mut GroupState) -> T) -> T {
         work(&mut self.state.lock().unwrap())
     }
--- a/crates/simulator/src/direct/server_ports.rs
+++ b/crates/simulator/src/direct/server_ports.rs
@@ -1,4 +1,4 @@
-//! The servers and the promoter, as a simulated node reaches them.
+//! The ports through which a simulated node calls the servers and the promoter.
 use super::connection::{Connection, OpenedConnection};
 use super::delivery::{Delivery, deliver};
 use super::server::MAX_CONNECTIONS;
@@ -16,22 +16,22 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// A node waits so long for the promoter's answer.
+/// How long a node waits for the promoter's answer.
 const PROMOTE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// The group as one node reaches it.
+/// The group as one node sees it.
 struct NodeView {
     group: Arc<ServerGroup>,
     node: ProcessId,
 }
 
-/// Servers and promoter as a node reaches them.
+/// Returns the ports through which a node calls the servers and the promoter.
 pub fn server_ports(group: &Arc<ServerGroup>, node: ProcessId) -> ServerPorts {
     let view = || NodeView { group: group.clone(), node };
     ServerPorts { servers: Arc::new(view()), promoter: Arc::new(view()) }
 }
 
-/// Servers as a node reaches them.
+/// Returns the connector through which a node connects to the servers.
 pub fn server_connector(group: &Arc<ServerGroup>, node: ProcessId) -> Arc<dyn ServerConnector> {
     Arc::new(NodeView { group: group.clone(), node })
 }
@@ -71,11 +71,12 @@
     }
 }
 
-/// What a server says to a new connection.
+/// A server's answer to a connection request.
 type Opened = io::Result<Result<OpenedConnection, RejectReason>>;
 
 impl NodeView {
-    /// Asks a server for a connection; its answer goes to `tx`, and no connection is left if nobody waits for it.
+    /// Requests a connection from a server and sends the answer to `tx`. If the receiver is gone by then, the
+    /// connection is closed.
     fn request_connection(&self, request: ConnectRequest, tx: oneshot::Sender<Opened>) {
         let Some(simulation) = self.group.simulation() else { return };
         let Some(index) = self.group.with(|state| state.server_at(&request.addr)) else { return };
@@ -125,7 +126,7 @@
         self.servers.iter().position(|server| server.addr == addr)
     }
 
-    /// Opens a connection at a server that still has the expected name, and room.
+    /// Opens a connection at a server, unless the server's name is not the expected one or it has too many connections.
     fn open_connection(
         &mut self,
         now: Millis,
--- a/crates/simulator/src/direct/session_task.rs
+++ b/crates/simulator/src/direct/session_task.rs
@@ -1,4 +1,4 @@
-//! A session's task at its node, as the node's listener runs it.
+//! The task that serves one client session at a node, as the node's listener runs it.
 use quincehatch_core::Millis;
 use quincehatch_proxy::direct::{DirectProxy, DirectSession, SessionRequest, StatementResponse};
 use quincehatch_proxy::tenants::ClientKey;
@@ -7,18 +7,18 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// A node aborts a transaction that is idle for so long.
+/// A node aborts a transaction that has been idle for this long.
 pub const TRANSACTION_IDLE_MS: Millis = 3_000;
 
-/// A request on its way to the session's task at its node.
+/// A request to the session's task at its node.
 pub struct SessionCall {
     /// The request.
     pub request: SessionRequest,
-    /// Where the answer goes.
+    /// The channel for the response.
     pub reply_to: oneshot::Sender<StatementResponse>,
 }
 
-/// Runs a session at its node, as the node's listener does.
+/// Opens a session at its node and serves its calls, as the node's listener does.
 pub async fn serve_session(
     proxy: Arc<DirectProxy>,
     database: &'static str,
--- a/crates/simulator/src/direct/setup.rs
+++ b/crates/simulator/src/direct/setup.rs
@@ -1,4 +1,5 @@
-//! Builds a fleet on direct connections: keepers, nodes, a group's servers, the promoter, and the clients' process.
+//! Setup of a fleet on direct connections: keepers, nodes, the servers of a group, the promoter, and the clients'
+//! process.
 use super::server::Server;
 use super::server_group::ServerGroup;
 use super::server_ports;
@@ -16,13 +17,13 @@
 
 /// Name of the only group.
 pub const GROUP: &str = "g";
-/// Servers of the group.
+/// Number of servers in the group.
 pub const SERVERS: usize = 3;
-/// Nodes that every node knows from its settings.
+/// Number of gossip seed nodes in each node's settings.
 const SEED_NODES: usize = 3;
 const ZONES: usize = 3;
 
-/// How large a fleet is.
+/// The size of a fleet.
 pub struct FleetSize {
     /// Number of keepers.
     pub keepers: usize,
@@ -30,11 +31,11 @@
     pub nodes: usize,
 }
 
-/// What runs in one incarnation of a node's process.
+/// The running parts of one incarnation of a node's process.
 pub struct RunningNode {
     /// The node.
     pub node: Arc<Node>,
-    /// Its sessions on direct connections.
+    /// The proxy for the node's sessions on direct connections.
     pub direct_proxy: Arc<DirectProxy>,
 }
 
@@ -51,7 +52,7 @@
 }
 
 impl SimulatedNode {
-    /// What runs in its newest incarnation.
+    /// Returns the running parts of the newest incarnation, or `None` before the first start.
     pub fn running(&self) -> Option<Arc<RunningNode>> {
         self.running.lock().unwrap().clone()
     }
@@ -59,19 +60,19 @@
 
 /// A fleet in a simulation.
 pub struct DirectFleet {
-    /// The simulation it runs in.
+    /// The simulation that the fleet runs in.
     pub simulation: Arc<Simulation>,
     /// The group's servers.
     pub group: Arc<ServerGroup>,
     /// Processes of the keepers.
     pub keepers: Vec<ProcessId>,
-    /// Where the keepers listen.
+    /// Addresses of the keepers.
     pub keeper_addresses: Vec<String>,
-    /// What the keepers share.
+    /// The registry that the simulated keepers share.
     pub keeper_registry: Arc<KeeperRegistry>,
     /// The nodes.
     pub nodes: Vec<SimulatedNode>,
-    /// The process of all clients.
+    /// The process in which all clients run.
     pub clients: ProcessId,
 }
 
@@ -118,7 +119,7 @@
     Arc::new(RunningNode { node, direct_proxy })
 }
 
-/// A server before the first commit; the first is the primary.
+/// Returns a server with an empty log. The server with index 0 is the primary.
 fn new_server(index: usize, pid: ProcessId) -> Server {
     Server {
         name: format!("s{index}").into(),
@@ -153,12 +154,12 @@
     SimulatedNode { pid, name, running }
 }
 
-/// Builds a fleet and starts its processes, in an order that is part of what a seed means.
+/// Builds a fleet and starts its processes. Their order must not change, because seeds would then give other runs.
 pub fn build_fleet(seed: u64, size: &FleetSize, bug: Option<&str>, verbose: bool) -> Arc<DirectFleet> {
     fastrand::seed(seed);
     let simulation = Simulation::new(seed, bug, verbose);
     let keepers = start_keepers(&simulation, size.keepers);
-    // Servers, promoter and clients are no processes of their own code: their state is in this crate.
+    // Processes of servers, promoter and clients start no tasks of their own: this module's types hold their state.
     let passive: StartProcess = Arc::new(|_, _| ());
     let group = add_group(&simulation, &passive);
     let mut nodes = Vec::new();
@@ -179,7 +180,7 @@
 }
 
 impl DirectFleet {
-    /// Releases what the processes hold.
+    /// Ends the simulation and releases the nodes and the pending commits.
     pub fn shut_down(&self) {
         self.simulation.shut_down();
         for node in &self.nodes {
--- a/crates/simulator/src/direct/version_check.rs
+++ b/crates/simulator/src/direct/version_check.rs
@@ -1,4 +1,4 @@
-//! The check of which configuration nodes have in force.
+//! The check of the configuration version that each node has in force.
 use super::ledger::AcknowledgedVersion;
 use super::setup::{DirectFleet, RunningNode, SimulatedNode};
 use quincehatch_core::Millis;
@@ -8,29 +8,30 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An undisturbed node has a configuration in force so long after its acknowledgement.
+/// An undisturbed node must have a configuration in force this long after the acknowledgement.
 const CONFIG_APPLY_TIME: Millis = 3_000;
-/// How often nodes are asked what they have in force.
+/// How often the nodes' versions are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Nodes are asked for so many of the newest acknowledged versions, and for numbers so far above them.
+/// How many of the newest acknowledged versions are looked up at a node, and how many numbers above the newest one.
 const VERSIONS_CHECKED: usize = 6;
 const NUMBERS_AHEAD: u64 = 4;
 
-/// The version that an incarnation of a node had in force.
+/// The version that a node's incarnation had in force at the previous check.
 #[derive(Clone, Copy)]
 struct ObservedVersion {
     incarnation: u64,
     number: u64,
 }
 
-/// Checks which version each node has in force: never an older one than before, and acknowledged ones in time.
+/// Checks periodically that no node's version decreases within an incarnation, and that each undisturbed node applies
+/// acknowledged versions within [`CONFIG_APPLY_TIME`].
 pub async fn check_config_versions(fleet: Arc<DirectFleet>) {
     let mut observed: BTreeMap<usize, ObservedVersion> = BTreeMap::new();
     loop {
         seam::sleep(CHECK_INTERVAL).await;
         let now = fleet.simulation.now();
         let acknowledged = fleet.group.with(|state| state.ledger.config_versions.clone());
-        // A keeper that crashed in the middle of a step disturbs all keepers.
+        // A keeper can also crash in the middle of a step, outside the scheduled faults, which disturbs all keepers.
         let keeper_down = fleet.keepers.iter().any(|pid| !fleet.simulation.lock().processes[*pid].is_up);
         if keeper_down {
             fleet.group.with(|state| state.mark_keepers_disturbed(now));
@@ -76,11 +77,11 @@
     });
 }
 
-/// The highest version that the node has a route of.
+/// Returns the highest version number for which the node has a route.
 fn version_in_force(running: &RunningNode, acknowledged: &[AcknowledgedVersion]) -> u64 {
     let newest = acknowledged.last().map_or(1, |version| version.number) + NUMBERS_AHEAD;
     let oldest = acknowledged.iter().rev().nth(VERSIONS_CHECKED).map_or(1, |version| version.number);
-    let has =
+    let has_route =
         |number: &u64| running.direct_proxy.resolve_route(&format!("v{number}"), ClientKey::NONE).is_ok();
-    (oldest..=newest).rev().find(has).unwrap_or(0)
+    (oldest..=newest).rev().find(has_route).unwrap_or(0)
 }
