--- a/crates/simulator/tests/direct_sim.rs
+++ b/crates/simulator/tests/direct_sim.rs
@@ -1,8 +1,8 @@
-//! The simulator of fleets on direct connections, on fixed seeds (§9.1): the same result every run, and each check seen
-//! to catch a bug in the product's own code.
+//! The simulator of fleets on direct connections with fixed seeds (§9.1): runs are reproducible, and each check detects
+//! a deliberate bug in the production code.
 use quincehatch_simulator::direct::{DirectReport, DirectSimOptions, run_seed};
 
-/// A bug must be seen within so many seeds.
+/// Number of seeds within which each bug must be detected.
 const SEEDS: u64 = 300;
 
 fn run_one(seed: u64, bug: Option<&str>) -> DirectReport {
@@ -15,22 +15,23 @@
 }
 
 #[test]
-fn direct_fleets_withstand_what_the_seeds_draw() {
+fn fleets_have_no_violation_under_randomly_drawn_faults() {
     (1..=24).for_each(assert_clean);
 }
 
-/// Seeds on which a violation was found and fixed: work at a primary that left long ago while no other could be had, a
-/// promotion by a plan from before another one, an acknowledgement that came behind a close, three promoters at once, a
-/// successor that received before the chain knew it, an assigned server that a restarted node had never heard of
-/// (9410330, 311000176), a departed voter whose successor nobody remembered (9410978), a write whose answer was lost and
-/// replicas that were busy when they were to be resumed (9400442, 311001462).
+/// Seeds with which a violation was found and fixed: work at a primary that had left long before while no other primary
+/// was available, a promotion by a plan that predated another promotion, an acknowledgement that arrived after a close,
+/// three concurrent promoters, a successor that received log entries before it was registered in the replicated store,
+/// an assigned server that was unknown to a restarted node (9410330, 311000176), a removed voter whose successor no
+/// process remembered (9410978), a write whose response was lost and replicas that were busy when they were to be
+/// resumed (9400442, 311001462).
 const FIXED_SEEDS: [u64; 18] = [
     151, 220, 298, 463, 544, 1358, 1641, 1928, 2430, 23, 247, 31255, 31447, 9410330, 9410978, 9400442,
     311000176, 311001462,
 ];
 
 #[test]
-fn seeds_that_found_something_stay_clean() {
+fn seeds_of_fixed_faults_have_no_violation() {
     FIXED_SEEDS.into_iter().for_each(assert_clean);
 }
 
@@ -44,7 +45,7 @@
     assert_ne!(first.trace, run_one(4, None).trace);
 }
 
-/// Each bug with the checks of which one has to see it.
+/// Each bug, with the checks of which at least one must detect it.
 const BUGS: &[(&str, &[&str])] = &[
     ("held-resend", &["TWICE", "REFUSED"]),
     ("held-no-reset", &["PINNED"]),
@@ -56,16 +57,18 @@
     ("unsynced", &["CONFIG", "N10"]),
 ];
 
-/// The first seed on which the bug is seen; without the bug the same seed has no violation.
+/// Asserts that one of the checks detects the bug on some seed, and that the same seed has no violation without the
+/// bug.
 fn assert_caught(bug: &str, checks: &[&str]) {
     let sees = |violation: &String| checks.iter().any(|check| violation.starts_with(check));
     let seen = (1..=SEEDS).find(|seed| run_one(*seed, Some(bug)).violations.iter().any(sees));
-    let seed = seen.unwrap_or_else(|| panic!("the bug {bug} went unseen by {checks:?} on {SEEDS} seeds"));
+    let seed =
+        seen.unwrap_or_else(|| panic!("the bug {bug} was not detected by {checks:?} on {SEEDS} seeds"));
     assert_clean(seed);
 }
 
 #[test]
-fn each_bug_is_caught_by_the_check_made_for_it() {
+fn each_bug_is_detected_by_one_of_its_checks() {
     std::thread::scope(|scope| {
         for (bug, checks) in BUGS {
             scope.spawn(move || assert_caught(bug, checks));
--- a/crates/simulator/tests/held/fleet.rs
+++ b/crates/simulator/tests/held/fleet.rs
@@ -1,4 +1,4 @@
-//! Keepers and nodes in virtual time, over a group behind held links.
+//! A fleet in virtual time: keepers and nodes over a simulated group of servers on direct connections.
 use crate::group::Group;
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_core::{Name, PrimaryAssignment, Role, ServerRecord};
@@ -12,13 +12,13 @@
 use std::time::Duration;
 
 pub struct World {
-    pub core: Arc<Simulation>,
+    pub simulation: Arc<Simulation>,
     pub group: Group,
-    pub fleets: Vec<Arc<Node>>,
+    pub nodes: Vec<Arc<Node>>,
     pub pids: Vec<ProcessId>,
 }
 
-const PLAN: &str = "[[placements]]\nname = \"p\"\nselect = { group = [\"g\"] }\n[[rules]]\nname = \"o\"\n\
+const CONFIGURATION: &str = "[[placements]]\nname = \"p\"\nselect = { group = [\"g\"] }\n[[rules]]\nname = \"o\"\n\
     class = \"order\"\nplacement = \"p\"\n[[groups]]\nname = \"g\"\nsync_replicas = 1\n";
 
 fn start_keepers(simulation: &Arc<Simulation>, count: usize) {
@@ -28,14 +28,14 @@
 }
 
 impl World {
-    /// Three keepers and `nodes` nodes; the servers are not known yet.
-    pub fn new(seed: u64, nodes: usize, group: Group) -> World {
+    /// Starts three keepers and `node_count` nodes. The servers are not registered yet.
+    pub fn new(seed: u64, node_count: usize, group: Group) -> World {
         fastrand::seed(seed);
-        let core = Simulation::new(seed, None, false);
-        start_keepers(&core, 3);
-        let (mut fleets, mut pids) = (Vec::new(), Vec::new());
-        for i in 0..nodes {
-            let set = NodeSettings {
+        let simulation = Simulation::new(seed, None, false);
+        start_keepers(&simulation, 3);
+        let (mut nodes, mut pids) = (Vec::new(), Vec::new());
+        for i in 0..node_count {
+            let settings = NodeSettings {
                 name: format!("n{i}"),
                 zone: format!("d{i}"),
                 client_listener: addresses::client_listener(i),
@@ -49,111 +49,114 @@
                 threads: 1,
             };
             let live: Arc<Mutex<Option<Arc<Node>>>> = Arc::default();
-            let (l, name, g) = (live.clone(), set.name.clone(), group.clone());
-            let start = move |c: &Arc<Simulation>, pid| {
-                let f = Node::with_ports(&set, Some(g.ports(&set.name)));
-                let to = f.clone();
-                let on_frame = move |b: Vec<u8>| {
-                    let f = to.clone();
-                    Box::pin(async move { peer_service::respond_to_frame(&f, &b).await })
+            let (slot, name, node_group) = (live.clone(), settings.name.clone(), group.clone());
+            let start = move |simulation_handle: &Arc<Simulation>, pid| {
+                let node = Node::with_ports(&settings, Some(node_group.ports(&settings.name)));
+                let shared = node.clone();
+                let on_frame = move |bytes: Vec<u8>| {
+                    let node = shared.clone();
+                    Box::pin(async move { peer_service::respond_to_frame(&node, &bytes).await })
                         as seam::BoxFuture<'_, _>
                 };
-                c.listen_frames(&set.gossip_listener, pid, Arc::new(on_frame));
-                f.start();
-                *l.lock().unwrap() = Some(f);
+                simulation_handle.listen_frames(&settings.gossip_listener, pid, Arc::new(on_frame));
+                node.start();
+                *slot.lock().unwrap() = Some(node);
             };
-            pids.push(core.add_process(&name, Arc::new(start), false));
-            fleets.push(live.lock().unwrap().clone().unwrap());
+            pids.push(simulation.add_process(&name, Arc::new(start), false));
+            nodes.push(live.lock().unwrap().clone().unwrap());
         }
-        World { core, group, fleets, pids }
+        World { simulation, group, nodes, pids }
     }
-    pub fn run(&self, ms: u64) {
-        self.core.run_until(self.core.now() + ms);
+    pub fn run_for(&self, ms: u64) {
+        self.simulation.run_until(self.simulation.now() + ms);
     }
-    /// Runs until it is so; how long that took.
-    pub fn until(&self, most: u64, so: impl Fn(&World) -> bool) -> u64 {
-        let began = self.core.now();
-        while !so(self) {
-            assert!(self.core.now() < began + most, "not within {most} ms: {:#?}", self.story());
-            self.run(10);
+    /// Runs until `condition` is true, and returns how long that took. Panics after `limit_ms`.
+    pub fn wait_until(&self, limit_ms: u64, condition: impl Fn(&World) -> bool) -> u64 {
+        let started_at = self.simulation.now();
+        while !condition(self) {
+            assert!(
+                self.simulation.now() < started_at + limit_ms,
+                "condition not met within {limit_ms} ms: {:#?}",
+                self.event_log()
+            );
+            self.run_for(10);
         }
-        self.core.now() - began
+        self.simulation.now() - started_at
     }
-    pub fn story(&self) -> Vec<String> {
-        let told = self.group.with(|s| s.told.clone());
-        let words = self.fleets.iter().flat_map(|f| f.promotion_state.events.lock().unwrap().clone());
-        told.into_iter().chain(words).collect()
+    /// Returns the events of the group, followed by the promotion events of the nodes.
+    pub fn event_log(&self) -> Vec<String> {
+        let group_events = self.group.with(|s| s.events.clone());
+        let node_events =
+            self.nodes.iter().flat_map(|node| node.promotion_state.events.lock().unwrap().clone());
+        group_events.into_iter().chain(node_events).collect()
     }
-    /// The chain has the blueprint and the servers.
-    pub fn known(&self) {
+    /// Writes the configuration and the registrations of all servers to the replicated store.
+    pub fn register_servers(&self) {
         let names: Vec<Name> = self.group.with(|s| s.servers.keys().cloned().collect());
-        for (i, n) in names.iter().enumerate() {
-            self.stand(n, i, false, 1);
+        for (i, name) in names.iter().enumerate() {
+            self.register_server(name, i, false, 1);
         }
-        let f = self.fleets[0].clone();
-        self.core.run_in(self.pids[0], || {
+        let node = self.nodes[0].clone();
+        self.simulation.run_in(self.pids[0], || {
             seam::spawn(async move {
-                let cmd = Command::PushConfiguration { base: 0, text: PLAN.into(), by: "test".into() };
-                f.store_client.write("plan", cmd, Duration::from_secs(5)).await.unwrap();
+                let command =
+                    Command::PushConfiguration { base: 0, text: CONFIGURATION.into(), by: "test".into() };
+                node.store_client.write("plan", command, Duration::from_secs(5)).await.unwrap();
             })
         });
     }
-    pub fn stand(&self, n: &Name, i: usize, leaving: bool, seq: u64) {
+    /// Registers one server. The server with index 0 is the primary.
+    pub fn register_server(&self, server: &Name, i: usize, draining: bool, seq: u64) {
         let role = if i == 0 { Role::Primary } else { Role::Replica };
         let addr: Name = addresses::server(i).into();
-        let (group, district) = ("g".into(), "d0".into());
-        let at = ServerRecord {
-            server: n.clone(),
-            group,
-            addr,
-            zone: district,
-            slots: 5,
-            draining: leaving,
-            role,
-            seq,
-        };
-        let f = self.fleets[0].clone();
-        self.core.run_in(self.pids[0], || {
+        let (group, zone) = ("g".into(), "d0".into());
+        let record =
+            ServerRecord { server: server.clone(), group, addr, zone, slots: 5, draining, role, seq };
+        let node = self.nodes[0].clone();
+        self.simulation.run_in(self.pids[0], || {
             seam::spawn(async move {
-                let key = format!("stand/{}/{}", at.server, at.seq);
-                f.store_client
-                    .write(&key, Command::RegisterServer { at }, Duration::from_secs(5))
+                let key = format!("stand/{}/{}", record.server, record.seq);
+                node.store_client
+                    .write(&key, Command::RegisterServer { at: record }, Duration::from_secs(5))
                     .await
                     .unwrap();
             })
         });
     }
-    pub fn lead(&self) -> Option<PrimaryAssignment> {
-        self.fleets[0].proxy.registry.primary("g").filter(|l| l.server.is_some())
+    /// Returns the primary that the first node knows, if one is assigned.
+    pub fn assigned_primary(&self) -> Option<PrimaryAssignment> {
+        self.nodes[0].proxy.registry.primary("g").filter(|assignment| assignment.server.is_some())
     }
-    pub fn led_by(&self, server: &str) -> bool {
-        self.lead().is_some_and(|l| l.server.as_deref() == Some(server))
+    pub fn is_primary(&self, server: &str) -> bool {
+        self.assigned_primary().is_some_and(|assignment| assignment.server.as_deref() == Some(server))
     }
-    /// Each node commits every 20 ms at the lead it knows, and passes on what it may.
-    pub fn load(&self) {
-        for (f, pid) in self.fleets.iter().zip(&self.pids) {
-            let (f, group) = (f.clone(), self.group.clone());
-            self.core.run_in(*pid, || {
+    /// Lets each node commit every 20 ms at the primary that it knows, and record the commit as acknowledged if its
+    /// registry permits that.
+    pub fn start_load(&self) {
+        for (node, pid) in self.nodes.iter().zip(&self.pids) {
+            let (node, group) = (node.clone(), self.group.clone());
+            self.simulation.run_in(*pid, || {
                 seam::spawn(async move {
                     loop {
                         seam::sleep(Duration::from_millis(20)).await;
-                        let Some(l) = f.proxy.registry.primary("g") else { continue };
-                        let Some(server) = l.server else { continue };
-                        let _work = f.proxy.registry.in_flight.begin("g");
+                        let Some(assignment) = node.proxy.registry.primary("g") else { continue };
+                        let Some(server) = assignment.server else { continue };
+                        let _work = node.proxy.registry.in_flight.begin("g");
                         let Some(end) = group.with(|s| s.commit(&server)) else { continue };
-                        // The answer is a while on its way.
+                        // The acknowledgement reaches the node with a delay.
                         seam::sleep(Duration::from_millis(5)).await;
-                        if f.proxy.registry.record_acknowledged("g", l.fence, end) {
-                            group.with(|s| s.acked = s.acked.max(end));
+                        if node.proxy.registry.record_acknowledged("g", assignment.fence, end) {
+                            group.with(|s| s.acknowledged = s.acknowledged.max(end));
                         }
                     }
                 })
             });
         }
     }
-    pub fn end(self) {
-        let breaches = self.group.with(|s| s.breaches.clone());
-        assert!(breaches.is_empty(), "{breaches:#?} {:#?}", self.story());
-        self.core.shut_down();
+    /// Asserts that no violation was recorded, and ends the simulation.
+    pub fn finish(self) {
+        let violations = self.group.with(|s| s.violations.clone());
+        assert!(violations.is_empty(), "{violations:#?} {:#?}", self.event_log());
+        self.simulation.shut_down();
     }
 }
--- a/crates/simulator/tests/held/group.rs
+++ b/crates/simulator/tests/held/group.rs
@@ -1,4 +1,4 @@
-//! A group of servers behind held links, and who promotes them, as the ports show them (§3.6).
+//! A simulated group of servers and its promoter, behind the ports for direct connections (§3.6).
 use quincehatch_core::{FencingToken, Name, Position, Role};
 use quincehatch_proxy::ports::{
     ConnectRequest, OpenResult, OpenedConnection, Promoter, PromotionOutcome, ServerCall, ServerConnection,
@@ -11,104 +11,108 @@
 use std::time::Duration;
 
 #[derive(Clone, Debug, Default)]
-pub struct One {
-    pub look: ServerStatus,
+pub struct SimulatedServer {
+    pub status: ServerStatus,
     pub up: bool,
-    /// It answers but receives nothing.
-    pub deaf: bool,
+    /// The server answers calls but receives no log entries.
+    pub replication_stopped: bool,
 }
 
 #[derive(Default)]
 pub struct State {
-    pub servers: BTreeMap<Name, One>,
-    /// Nodes that a server cannot be reached from.
-    pub cut: BTreeSet<(Name, Name)>,
-    /// It reaches no other server.
-    pub alone: Option<Name>,
-    /// The end of what was acknowledged to origins.
-    pub acked: Position,
+    pub servers: BTreeMap<Name, SimulatedServer>,
+    /// Pairs of a node and a server that the node cannot reach.
+    pub unreachable: BTreeSet<(Name, Name)>,
+    /// The server that is cut off from all other servers.
+    pub isolated_server: Option<Name>,
+    /// The position of the last commit that was acknowledged to clients.
+    pub acknowledged: Position,
     pub fence: FencingToken,
     /// Calls that change a server, and promotions, in order.
-    pub told: Vec<String>,
-    pub breaches: Vec<String>,
+    pub events: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 #[derive(Clone, Default)]
 pub struct Group(pub Arc<Mutex<State>>);
 
-/// The group as one node reaches it.
-struct From {
+/// The group as one node sees it.
+struct NodeView {
     group: Group,
     node: Name,
 }
 
-struct Link {
+struct NodeConnection {
     group: Group,
     node: Name,
     server: Name,
 }
 
-const HOP: Duration = Duration::from_millis(2);
-const TAKES: Duration = Duration::from_millis(300);
+const NETWORK_DELAY: Duration = Duration::from_millis(2);
+const PROMOTION_TIME: Duration = Duration::from_millis(300);
 
 impl State {
-    fn reached(&self, node: &Name, server: &Name) -> bool {
-        self.servers.get(server).is_some_and(|s| s.up) && !self.cut.contains(&(node.clone(), server.clone()))
+    fn is_reachable(&self, node: &Name, server: &Name) -> bool {
+        self.servers.get(server).is_some_and(|s| s.up)
+            && !self.unreachable.contains(&(node.clone(), server.clone()))
     }
-    /// A commit at the primary: its end, if one replica received it.
+    /// Appends a commit at the primary. Returns its position if at least one replica received it.
     pub fn commit(&mut self, server: &Name) -> Option<Position> {
-        let lead = self.servers.get_mut(server).filter(|s| s.up && s.look.role == Role::Primary)?;
-        let end = Position { fence: lead.look.term, number: lead.look.received.number + 1 };
-        lead.look.received = end;
-        let (mut got, alone) = (false, self.alone.as_ref());
-        for (n, s) in &mut self.servers {
-            let l = &mut s.look;
-            if alone != Some(server)
-                && alone != Some(n)
+        let primary = self.servers.get_mut(server).filter(|s| s.up && s.status.role == Role::Primary)?;
+        let end = Position { fence: primary.status.term, number: primary.status.received.number + 1 };
+        primary.status.received = end;
+        let (mut replicated, isolated) = (false, self.isolated_server.as_ref());
+        for (name, s) in &mut self.servers {
+            let status = &mut s.status;
+            if isolated != Some(server)
+                && isolated != Some(name)
                 && s.up
-                && !s.deaf
-                && l.role == Role::Replica
-                && l.suspended_term == 0
-                && l.term <= end.fence
+                && !s.replication_stopped
+                && status.role == Role::Replica
+                && status.suspended_term == 0
+                && status.term <= end.fence
             {
-                (l.received, l.term, got) = (end, end.fence, true);
+                (status.received, status.term, replicated) = (end, end.fence, true);
             }
         }
-        got.then_some(end)
+        replicated.then_some(end)
     }
-    fn call(&mut self, server: &Name, c: &ServerCall) -> ServerStatus {
+    fn call(&mut self, server: &Name, call: &ServerCall) -> ServerStatus {
         let Some(s) = self.servers.get_mut(server) else { return ServerStatus::default() };
-        let l = &mut s.look;
-        match c {
+        let status = &mut s.status;
+        match call {
             ServerCall::Suspend { term }
-                if l.role == Role::Replica && *term > l.term.max(l.suspended_term) =>
+                if status.role == Role::Replica && *term > status.term.max(status.suspended_term) =>
             {
-                l.suspended_term = *term
+                status.suspended_term = *term
             }
-            ServerCall::Resume => l.suspended_term = 0,
-            ServerCall::Demote { term } if l.role == Role::Primary && *term > l.term => {
-                (l.role, l.term) = (Role::Replica, *term);
+            ServerCall::Resume => status.suspended_term = 0,
+            ServerCall::Demote { term } if status.role == Role::Primary && *term > status.term => {
+                (status.role, status.term) = (Role::Replica, *term);
             }
             _ => {}
         }
-        let look = *l;
-        if !matches!(c, ServerCall::Status) {
-            self.told.push(format!("{server} {c:?}"));
+        let new_status = *status;
+        if !matches!(call, ServerCall::Status) {
+            self.events.push(format!("{server} {call:?}"));
         }
-        look
+        new_status
     }
-    fn lead(&mut self, server: &Name) {
-        let term = self.servers.values().map(|s| s.look.term).max().unwrap_or(0) + 1;
-        let end = self.servers[server].look.received;
-        if end < self.acked {
-            self.breaches.push(format!("{server} leads from {end:?}, acknowledged was {:?}", self.acked));
+    fn make_primary(&mut self, server: &Name) {
+        let term = self.servers.values().map(|s| s.status.term).max().unwrap_or(0) + 1;
+        let end = self.servers[server].status.received;
+        if end < self.acknowledged {
+            self.violations.push(format!(
+                "{server} became primary at {end:?}, but {:?} was acknowledged",
+                self.acknowledged
+            ));
         }
-        for (n, s) in &mut self.servers {
-            let l = &mut s.look;
-            if n == server {
-                (l.role, l.term, l.suspended_term) = (Role::Primary, term, 0);
+        for (name, s) in &mut self.servers {
+            let status = &mut s.status;
+            if name == server {
+                (status.role, status.term, status.suspended_term) = (Role::Primary, term, 0);
             } else if s.up {
-                (l.role, l.received) = (Role::Replica, l.received.min(end));
+                (status.role, status.received) = (Role::Replica, status.received.min(end));
             }
         }
     }
@@ -119,13 +123,16 @@
         let g = Group::default();
         for (i, s) in servers.iter().enumerate() {
             let role = if i == 0 { Role::Primary } else { Role::Replica };
-            let look = ServerStatus {
+            let status = ServerStatus {
                 role,
                 term: 1,
                 received: Position { fence: 1, number: 0 },
                 ..ServerStatus::default()
             };
-            g.with(|st| st.servers.insert((*s).into(), One { look, up: true, deaf: false }));
+            g.with(|st| {
+                st.servers
+                    .insert((*s).into(), SimulatedServer { status, up: true, replication_stopped: false })
+            });
         }
         g
     }
@@ -133,37 +140,37 @@
         f(&mut self.0.lock().unwrap())
     }
     pub fn ports(&self, node: &str) -> ServerPorts {
-        let from = || From { group: self.clone(), node: node.into() };
-        ServerPorts { servers: Arc::new(from()), promoter: Arc::new(from()) }
+        let view = || NodeView { group: self.clone(), node: node.into() };
+        ServerPorts { servers: Arc::new(view()), promoter: Arc::new(view()) }
     }
-    pub fn change(&self, server: &str, f: impl FnOnce(&mut One)) {
+    pub fn change(&self, server: &str, f: impl FnOnce(&mut SimulatedServer)) {
         self.with(|s| f(s.servers.get_mut(server).unwrap()));
     }
 }
 
-impl ServerConnector for From {
+impl ServerConnector for NodeView {
     fn connect(&self, request: ConnectRequest) -> BoxFuture<'static, io::Result<OpenResult>> {
         let (group, node, server) = (self.group.clone(), self.node.clone(), request.server);
         Box::pin(async move {
-            seam::sleep(HOP).await;
-            if !group.with(|s| s.reached(&node, &server)) {
+            seam::sleep(NETWORK_DELAY).await;
+            if !group.with(|s| s.is_reachable(&node, &server)) {
                 return std::future::pending().await;
             }
-            let connection = Box::new(Link { group, node, server });
+            let connection = Box::new(NodeConnection { group, node, server });
             Ok(Ok(OpenedConnection { connection, log_end: None }))
         })
     }
 }
 
-impl ServerConnection for Link {
-    fn call<'a>(&'a mut self, c: &'a ServerCall) -> BoxFuture<'a, io::Result<ServerReply>> {
+impl ServerConnection for NodeConnection {
+    fn call<'a>(&'a mut self, call: &'a ServerCall) -> BoxFuture<'a, io::Result<ServerReply>> {
         Box::pin(async move {
-            seam::sleep(HOP).await;
-            if !self.group.with(|s| s.reached(&self.node, &self.server)) {
+            seam::sleep(NETWORK_DELAY).await;
+            if !self.group.with(|s| s.is_reachable(&self.node, &self.server)) {
                 return std::future::pending().await;
             }
-            let look = Some(self.group.with(|s| s.call(&self.server, c)));
-            Ok(ServerReply { status: look, ..ServerReply::default() })
+            let status = Some(self.group.with(|s| s.call(&self.server, call)));
+            Ok(ServerReply { status, ..ServerReply::default() })
         })
     }
     fn broken(&mut self) -> Option<io::Error> {
@@ -171,7 +178,7 @@
     }
 }
 
-impl Promoter for From {
+impl Promoter for NodeView {
     fn promote(
         &self,
         _: Name,
@@ -181,20 +188,20 @@
     ) -> BoxFuture<'static, PromotionOutcome> {
         let group = self.group.clone();
         Box::pin(async move {
-            seam::sleep(HOP).await;
-            let good = group.with(|s| {
-                s.told.push(format!("{server} promoted"));
-                let good = fence >= s.fence && s.servers.get(&server).is_some_and(|x| x.up);
+            seam::sleep(NETWORK_DELAY).await;
+            let accepted = group.with(|s| {
+                s.events.push(format!("{server} promoted"));
+                let accepted = fence >= s.fence && s.servers.get(&server).is_some_and(|x| x.up);
                 s.fence = s.fence.max(fence);
-                good
+                accepted
             });
-            if !good {
+            if !accepted {
                 return PromotionOutcome::Rejected;
             }
             let g = group.clone();
             seam::spawn(async move {
-                seam::sleep(TAKES).await;
-                g.with(|s| s.lead(&server));
+                seam::sleep(PROMOTION_TIME).await;
+                g.with(|s| s.make_primary(&server));
             });
             PromotionOutcome::Done
         })
--- a/crates/simulator/tests/held_handing.rs
+++ b/crates/simulator/tests/held_handing.rs
@@ -1,4 +1,4 @@
-//! A planned hand-over among servers with sync replicas (§5.5), in virtual time.
+//! Planned hand-overs of the primary role among servers with synchronous replicas (§5.5), in virtual time.
 #[allow(dead_code)]
 #[path = "held/fleet.rs"]
 mod fleet;
@@ -9,69 +9,75 @@
 use fleet::World;
 use group::Group;
 
-/// Three nodes under load; `a` leads and says that it leaves.
-fn leaving(seed: u64) -> World {
-    let w = World::new(seed, 3, Group::new(&["a", "b", "c"]));
-    w.run(3_000);
-    w.known();
-    w.until(1_500, |w| w.led_by("a"));
-    w.load();
-    w.run(5_000);
-    w.stand(&"a".into(), 0, true, 2);
-    w
+/// Starts three nodes under load. The primary `a` announces that it is draining.
+fn world_with_draining_primary(seed: u64) -> World {
+    let world = World::new(seed, 3, Group::new(&["a", "b", "c"]));
+    world.run_for(3_000);
+    world.register_servers();
+    world.wait_until(1_500, |world| world.is_primary("a"));
+    world.start_load();
+    world.run_for(5_000);
+    world.register_server(&"a".into(), 0, true, 2);
+    world
 }
 
-/// The longest time without a commit that was passed on, until `until` leads and a second beyond.
-fn gap(w: &World, until: impl Fn(&World) -> bool) -> u64 {
-    let (mut acked, mut since, mut most, mut led) = (w.group.with(|s| s.acked), 0, 0, None);
+/// Returns the longest time without an acknowledged commit, measured until one second after `is_done` is first true.
+fn longest_gap(world: &World, is_done: impl Fn(&World) -> bool) -> u64 {
+    let (mut acknowledged, mut since, mut longest, mut done_at) =
+        (world.group.with(|s| s.acknowledged), 0, 0, None);
     for ms in (0..8_000).step_by(5) {
-        w.run(5);
-        let now = w.group.with(|s| s.acked);
-        (acked, since) = if now > acked { (now, 0) } else { (acked, since + 5) };
-        most = most.max(since);
-        if led.is_none() && until(w) {
-            led = Some(ms);
+        world.run_for(5);
+        let now = world.group.with(|s| s.acknowledged);
+        (acknowledged, since) = if now > acknowledged { (now, 0) } else { (acknowledged, since + 5) };
+        longest = longest.max(since);
+        if done_at.is_none() && is_done(world) {
+            done_at = Some(ms);
         }
-        if led.is_some_and(|l| ms > l + 1_000) {
-            return most;
+        if done_at.is_some_and(|at| ms > at + 1_000) {
+            return longest;
         }
     }
-    panic!("no hand-over: {:#?}", w.story())
+    panic!("no hand-over: {:#?}", world.event_log())
 }
 
-/// The platform takes 300 ms to promote; work goes on meanwhile and stands still for the naming alone.
+/// The platform needs 300 ms for a promotion. Meanwhile the old primary continues to commit, and commits pause only
+/// while the new primary is assigned.
 #[test]
-fn the_old_lead_serves_until_the_heir_leads() {
+fn the_old_primary_commits_until_its_successor_is_promoted() {
     for seed in 40..48 {
-        let w = leaving(seed);
-        let gap = gap(&w, |w| w.lead().is_some_and(|l| l.server.as_deref() != Some("a")));
-        assert!(gap <= 150, "{gap} ms without a commit: {:#?}", w.story());
-        w.end();
+        let world = world_with_draining_primary(seed);
+        let gap = longest_gap(&world, |world| {
+            world.assigned_primary().is_some_and(|assignment| assignment.server.as_deref() != Some("a"))
+        });
+        assert!(gap <= 150, "{gap} ms without a commit: {:#?}", world.event_log());
+        world.finish();
     }
 }
 
-/// Where another replica cannot be made to stand still, it may be the one that commits wait for: the lead is closed
-/// before anyone is named.
+/// A replica that cannot be suspended may be the one whose acknowledgement completes commits, so the old primary is
+/// closed before its successor is assigned.
 #[test]
-fn a_dark_replica_keeps_the_lead_from_being_handed_over_while_it_serves() {
+fn the_old_primary_is_closed_before_the_hand_over_if_a_replica_is_unreachable() {
     for seed in 50..54 {
-        let w = leaving(seed);
-        w.group.change("c", |s| s.up = false);
-        w.until(8_000, |w| w.led_by("b"));
-        assert!(w.story().iter().any(|s| s.contains("is closing")), "{:#?}", w.story());
-        w.end();
+        let world = world_with_draining_primary(seed);
+        world.group.change("c", |s| s.up = false);
+        world.wait_until(8_000, |world| world.is_primary("b"));
+        assert!(world.event_log().iter().any(|s| s.contains("is closing")), "{:#?}", world.event_log());
+        world.finish();
     }
 }
 
-/// The lead dies amid its hand-over: the heir has all that was acknowledged.
+/// The old primary crashes during its hand-over: its successor must have every acknowledged commit.
 #[test]
-fn a_lead_that_dies_while_it_is_handed_over_takes_nothing_along() {
+fn no_acknowledged_commit_is_lost_when_the_primary_crashes_during_its_hand_over() {
     for seed in 60..76 {
-        let w = leaving(seed);
-        w.run(10 * (seed - 59));
-        w.group.change("a", |s| s.up = false);
-        w.until(12_000, |w| w.lead().is_some_and(|l| l.server.as_deref() != Some("a")));
-        w.run(1_000);
-        w.end();
+        let world = world_with_draining_primary(seed);
+        world.run_for(10 * (seed - 59));
+        world.group.change("a", |s| s.up = false);
+        world.wait_until(12_000, |world| {
+            world.assigned_primary().is_some_and(|assignment| assignment.server.as_deref() != Some("a"))
+        });
+        world.run_for(1_000);
+        world.finish();
     }
 }
--- a/crates/simulator/tests/held_lead.rs
+++ b/crates/simulator/tests/held_lead.rs
@@ -1,4 +1,4 @@
-//! The lead of a group whose servers are met over held links (§5.5), in virtual time.
+//! The primary of a group of servers on direct connections (§5.5), in virtual time.
 #[allow(dead_code)]
 #[path = "held/fleet.rs"]
 mod fleet;
@@ -9,112 +9,123 @@
 use fleet::World;
 use group::Group;
 
-/// Three nodes, and servers a (leads), b and c, adopted and under load.
-fn begun(seed: u64) -> World {
-    let w = World::new(seed, 3, Group::new(&["a", "b", "c"]));
-    w.run(3_000);
-    w.known();
-    w.until(1_500, |w| w.led_by("a"));
-    w.load();
-    w.run(5_000);
-    w
+/// Starts three nodes and servers `a` (the primary), `b` and `c`, with the configuration in force and under load.
+fn world_under_load(seed: u64) -> World {
+    let world = World::new(seed, 3, Group::new(&["a", "b", "c"]));
+    world.run_for(3_000);
+    world.register_servers();
+    world.wait_until(1_500, |world| world.is_primary("a"));
+    world.start_load();
+    world.run_for(5_000);
+    world
 }
-fn told(w: &World) -> Vec<String> {
-    w.group.with(|s| s.told.clone())
+fn events(world: &World) -> Vec<String> {
+    world.group.with(|s| s.events.clone())
 }
 
 #[test]
-fn a_first_lead_is_taken_as_it_is_and_soon() {
-    let w = World::new(1, 3, Group::new(&["a", "b", "c"]));
-    w.run(3_000);
-    w.known();
-    let took = w.until(3_000, |w| w.led_by("a"));
+fn the_initial_primary_is_assigned_within_a_second_without_a_promotion() {
+    let world = World::new(1, 3, Group::new(&["a", "b", "c"]));
+    world.run_for(3_000);
+    world.register_servers();
+    let took = world.wait_until(3_000, |world| world.is_primary("a"));
     assert!(took <= 1_000, "{took} ms");
-    w.run(10_000);
-    assert!(told(&w).is_empty(), "{:?}", told(&w));
-    w.end();
+    world.run_for(10_000);
+    assert!(events(&world).is_empty(), "{:?}", events(&world));
+    world.finish();
 }
 
 #[test]
-fn after_a_crash_the_replica_that_has_all_leads_and_the_other_receives_again() {
+fn after_a_crash_the_most_recent_replica_is_promoted_and_the_other_is_resumed() {
     for seed in 0..8 {
-        let w = begun(seed);
-        w.group.change("a", |s| s.up = false);
-        let took = w.until(6_000, |w| w.lead().is_some_and(|l| l.server.as_deref() != Some("a")));
-        assert!(took <= 3_000, "{took} ms {:#?}", w.story());
-        let acked = w.group.with(|s| s.acked);
-        w.run(1_000);
+        let world = world_under_load(seed);
+        world.group.change("a", |s| s.up = false);
+        let took = world.wait_until(6_000, |world| {
+            world.assigned_primary().is_some_and(|assignment| assignment.server.as_deref() != Some("a"))
+        });
+        assert!(took <= 3_000, "{took} ms {:#?}", world.event_log());
+        let acknowledged = world.group.with(|s| s.acknowledged);
+        world.run_for(1_000);
         assert!(
-            w.group.with(|s| s.acked > acked && s.servers.values().all(|x| x.look.suspended_term == 0)),
+            world
+                .group
+                .with(|s| s.acknowledged > acknowledged
+                    && s.servers.values().all(|x| x.status.suspended_term == 0)),
             "{:#?}",
-            w.story()
+            world.event_log()
         );
-        w.end();
+        world.finish();
     }
 }
 
 #[test]
-fn one_node_that_is_cut_off_deposes_nobody() {
+fn a_primary_that_only_one_node_cannot_reach_is_not_replaced() {
     for node in ["n0", "n1", "n2"] {
-        let w = begun(3);
-        w.group.with(|s| s.cut.insert((node.into(), "a".into())));
-        w.run(10_000);
-        assert!(w.led_by("a") && told(&w).is_empty(), "{:#?}", w.story());
-        w.end();
+        let world = world_under_load(3);
+        world.group.with(|s| s.unreachable.insert((node.into(), "a".into())));
+        world.run_for(10_000);
+        assert!(world.is_primary("a") && events(&world).is_empty(), "{:#?}", world.event_log());
+        world.finish();
     }
 }
 
 #[test]
-fn nobody_leads_who_lacks_what_only_a_dark_server_has() {
-    let w = begun(5);
-    // Only b receives; then both are gone.
-    w.group.change("c", |s| s.deaf = true);
-    w.run(4_000);
-    w.group.change("a", |s| s.up = false);
-    w.group.change("b", |s| s.up = false);
-    w.run(15_000);
-    assert!(w.lead().is_none_or(|l| l.server.as_deref() == Some("a")), "{:#?}", w.story());
-    w.group.change("b", |s| s.up = true);
-    w.until(6_000, |w| w.led_by("b"));
-    w.end();
+fn a_replica_that_lacks_commits_of_an_unreachable_server_is_not_promoted() {
+    let world = world_under_load(5);
+    // Only b receives commits; then a and b are down.
+    world.group.change("c", |s| s.replication_stopped = true);
+    world.run_for(4_000);
+    world.group.change("a", |s| s.up = false);
+    world.group.change("b", |s| s.up = false);
+    world.run_for(15_000);
+    assert!(
+        world.assigned_primary().is_none_or(|assignment| assignment.server.as_deref() == Some("a")),
+        "{:#?}",
+        world.event_log()
+    );
+    world.group.change("b", |s| s.up = true);
+    world.wait_until(6_000, |world| world.is_primary("b"));
+    world.finish();
 }
 
 #[test]
-fn a_replica_that_has_all_that_nodes_passed_on_leads_though_another_is_dark() {
-    let w = begun(6);
-    w.group.change("b", |s| s.up = false);
-    w.run(4_000);
-    w.group.change("a", |s| s.up = false);
-    w.until(6_000, |w| w.led_by("c"));
-    w.end();
+fn a_replica_with_all_acknowledged_commits_is_promoted_while_another_is_unreachable() {
+    let world = world_under_load(6);
+    world.group.change("b", |s| s.up = false);
+    world.run_for(4_000);
+    world.group.change("a", |s| s.up = false);
+    world.wait_until(6_000, |world| world.is_primary("c"));
+    world.finish();
 }
 
 #[test]
-fn a_lead_that_leaves_hands_over_to_one_that_stays() {
+fn a_draining_primary_hands_over_to_a_replica_that_is_not_draining() {
     for seed in 10..16 {
-        let w = begun(seed);
-        w.stand(&"b".into(), 1, true, 2);
-        w.stand(&"a".into(), 0, true, 2);
-        let took = w.until(4_000, |w| w.led_by("c"));
-        assert!(took <= 2_000, "{took} ms {:#?}", w.story());
-        w.end();
+        let world = world_under_load(seed);
+        world.register_server(&"b".into(), 1, true, 2);
+        world.register_server(&"a".into(), 0, true, 2);
+        let took = world.wait_until(4_000, |world| world.is_primary("c"));
+        assert!(took <= 2_000, "{took} ms {:#?}", world.event_log());
+        world.finish();
     }
 }
 
 #[test]
-fn a_lead_that_no_replica_hears_is_replaced_and_one_that_waits_is_not() {
-    let w = begun(20);
-    w.group.with(|s| s.alone = Some("a".into()));
-    w.until(8_000, |w| w.lead().is_some_and(|l| l.server.as_deref() != Some("a")));
-    let acked = w.group.with(|s| s.acked);
-    w.run(2_000);
-    assert!(w.group.with(|s| s.acked > acked), "{:#?}", w.story());
-    w.end();
-    // Nobody writes: nothing is to be received.
-    let w = World::new(21, 3, Group::new(&["a", "b", "c"]));
-    w.run(3_000);
-    w.known();
-    w.run(20_000);
-    assert!(w.led_by("a") && told(&w).is_empty(), "{:#?}", w.story());
-    w.end();
+fn a_primary_cut_off_from_its_replicas_is_replaced_and_an_idle_one_is_not() {
+    let world = world_under_load(20);
+    world.group.with(|s| s.isolated_server = Some("a".into()));
+    world.wait_until(8_000, |world| {
+        world.assigned_primary().is_some_and(|assignment| assignment.server.as_deref() != Some("a"))
+    });
+    let acknowledged = world.group.with(|s| s.acknowledged);
+    world.run_for(2_000);
+    assert!(world.group.with(|s| s.acknowledged > acknowledged), "{:#?}", world.event_log());
+    world.finish();
+    // Without writes, the replicas have nothing to receive.
+    let world = World::new(21, 3, Group::new(&["a", "b", "c"]));
+    world.run_for(3_000);
+    world.register_servers();
+    world.run_for(20_000);
+    assert!(world.is_primary("a") && events(&world).is_empty(), "{:#?}", world.event_log());
+    world.finish();
 }
