--- a/crates/capacity/src/cpu.rs
+++ b/crates/capacity/src/cpu.rs
@@ -1,4 +1,4 @@
-//! Processor time and memory by the kernel's account.
+//! Processor time and memory, as the kernel accounts for them.
 use rustix::time::{ClockId, clock_gettime};
 use std::path::{Path, PathBuf};
 
@@ -7,20 +7,21 @@
 /// `/proc/self/statm` counts pages of this size.
 const PAGE_KIB: f64 = 4.0;
 
-/// Processor time that a thread has used so far, in milliseconds; `thread` is its folder in `/proc`.
+/// Returns the processor time that a thread has used so far, in milliseconds. `thread` is the thread's directory in
+/// `/proc`.
 pub fn thread_cpu_ms(thread: &Path) -> f64 {
     let account = std::fs::read_to_string(thread.join("schedstat")).unwrap_or_default();
     let nanoseconds = account.split(' ').next().and_then(|field| field.parse::<f64>().ok());
     nanoseconds.unwrap_or(0.0) / NANOSECONDS_PER_MS
 }
 
-/// The folder of this thread in `/proc`, where other threads can read its account.
+/// Returns the directory of the current thread in `/proc`, where other threads can read its processor time.
 pub fn current_thread() -> PathBuf {
     let link = std::fs::read_link("/proc/thread-self");
     link.map(|path| PathBuf::from("/proc").join(path)).unwrap_or_default()
 }
 
-/// What a function returned, and the processor time it took on its thread.
+/// A function's result, and the processor time that it used on its thread.
 #[derive(Clone, Copy, Debug)]
 pub struct Timed<T> {
     /// Processor time in milliseconds.
@@ -41,7 +42,7 @@
     time.tv_sec as f64 * MS_PER_SECOND + time.tv_nsec as f64 / NANOSECONDS_PER_MS
 }
 
-/// Memory of this process that is in use, in KiB.
+/// Returns the resident memory of this process, in KiB.
 pub fn resident_kib() -> f64 {
     let account = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = account.split(' ').nth(1).and_then(|field| field.parse::<f64>().ok());
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,30 +1,31 @@
-//! Least squares over a few terms, and summaries of repeated measurements.
+//! Least-squares fits of a few terms, and summaries of repeated measurements.
 
-/// Below this a pivot counts as zero: the measurements do not tell the terms apart.
+/// A smaller pivot counts as zero, because the terms are then linearly dependent on the given samples.
 const SMALLEST_PIVOT: f64 = 1e-12;
 
-/// One measurement: the value of each term at that size, and the figure there.
+/// One measurement: the values of the terms and the measured figure.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sample {
-    /// The terms' values.
+    /// The values of the terms.
     pub terms: Vec<f64>,
-    /// The figure.
+    /// The measured figure.
     pub value: f64,
 }
 
-/// A sum of terms that was fitted to measurements.
+/// A linear combination of terms, fitted to measurements.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fit {
     /// The coefficient of each term.
     pub coefficients: Vec<f64>,
-    /// The largest residual as a share of the largest figure.
+    /// The largest absolute residual, relative to the largest figure.
     pub max_residual: f64,
 }
 
-/// Fits the figures to a sum of the terms by the normal equations; `None` where the samples do not tell the terms apart.
+/// Fits a linear combination of the terms to the figures with the normal equations. Returns `None` if the terms are
+/// linearly dependent on these samples.
 pub fn fit(samples: &[Sample]) -> Option<Fit> {
     let count = samples.first()?.terms.len();
-    // Each term in its own scale, so that the elimination's sums are of like size.
+    // Each term is divided by its largest value, so that the sums in the elimination have similar magnitudes.
     let scales: Vec<f64> =
         (0..count).map(|term| largest(samples.iter().map(|sample| sample.terms[term]))).collect();
     let mut matrix = normal_equations(samples, &scales);
@@ -39,7 +40,7 @@
     values.fold(0.0, |largest: f64, value| largest.max(value.abs()))
 }
 
-/// One row a term: the products of the terms, and in the last column those with the figures.
+/// Returns one row for each term: the products of the term with all terms, and in the last column with the figures.
 fn normal_equations(samples: &[Sample], scales: &[f64]) -> Vec<Vec<f64>> {
     let count = scales.len();
     let mut matrix = vec![vec![0.0; count + 1]; count];
@@ -55,7 +56,7 @@
     matrix
 }
 
-/// Gauss-Jordan elimination with the largest pivot of each column; `None` where there is none.
+/// Runs Gauss-Jordan elimination with the largest pivot of each column. Returns `None` if a column has no usable pivot.
 fn eliminate(matrix: &mut [Vec<f64>]) -> Option<()> {
     let count = matrix.len();
     for column in 0..count {
@@ -92,17 +93,17 @@
 /// Median and spread of repeated measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Summary {
-    /// The figure in the middle.
+    /// The median.
     pub median: f64,
-    /// The least figure.
+    /// The smallest figure.
     pub min: f64,
-    /// The greatest figure.
+    /// The largest figure.
     pub max: f64,
-    /// How many figures there are.
+    /// Number of figures.
     pub count: usize,
 }
 
-/// Summarizes the figures; all zero where there are none.
+/// Summarizes the figures. Without figures, all values are zero.
 pub fn summarize(mut figures: Vec<f64>) -> Summary {
     figures.sort_by(f64::total_cmp);
     match (figures.first(), figures.last()) {
--- a/crates/capacity/src/idle_sessions.rs
+++ b/crates/capacity/src/idle_sessions.rs
@@ -1,4 +1,4 @@
-//! Direct sessions of clients that rest, and statements through one, without sockets to servers.
+//! Costs of idle direct sessions and of statements on them, without sockets to servers.
 use crate::components::first_heartbeat;
 use crate::cpu::{resident_kib, thread_cpu_ms};
 use crate::samples::{SERVERS_PER_GROUP, configuration_text, group_name, lone_node_settings, server_record};
@@ -21,16 +21,16 @@
 use tokio::net::{TcpListener, TcpStream};
 
 const DATABASE: &str = "db0000";
-/// The lease outlasts every measurement.
+/// Lease of the node, which is longer than any measurement.
 const LEASE_MS: u64 = 3_600_000;
-/// Room that a connection's task keeps for the next statement, in bytes.
+/// Free buffer space that a connection's task reserves for the next statement, in bytes.
 const READ_BUFFER_BYTES: usize = 256;
-/// Time for the sessions' tasks to come to rest.
+/// Time for the sessions' tasks to become idle.
 const SETTLE: Duration = Duration::from_millis(200);
 const STATEMENT: &[u8] = b"put x 1\n";
 const STATEMENTS_PER_FIGURE: f64 = 1_000.0;
 
-/// What sessions hold and what statements take, with the clients' sockets and without the servers'.
+/// Memory of sessions and processor time of statements, including the clients' sockets and without those of servers.
 #[derive(Clone, Copy, Debug)]
 pub struct SessionCost {
     /// Memory of one idle session, in KiB.
@@ -39,8 +39,8 @@
     pub thousand_statements_ms: f64,
 }
 
-/// Opens `sessions`, lets them rest, then sends `statements` through them in turn. `thread` is the folder in `/proc` of
-/// the thread that runs this.
+/// Opens `sessions`, waits until they are idle, then sends `statements` on them in turn. `thread` is the directory in
+/// `/proc` of the thread that runs this function.
 pub async fn measure(sessions: usize, statements: usize, thread: &Path) -> io::Result<SessionCost> {
     let proxy = direct_proxy();
     let resident_before = resident_kib();
@@ -58,7 +58,7 @@
     })
 }
 
-/// The direct path of a node with one group in service.
+/// Returns the proxy for direct connections of a node with one group in service.
 fn direct_proxy() -> Arc<DirectProxy> {
     let proxy = Proxy::new(lone_node_settings(), Box::new(LocalOnlyReplicas::default()), Spawner::current());
     for index in 0..SERVERS_PER_GROUP {
@@ -79,7 +79,7 @@
     DirectProxy::new(proxy, Arc::new(StubServers::default()))
 }
 
-/// The clients' ends of new sessions.
+/// Opens sessions and returns the clients' sockets.
 async fn open_sessions(proxy: &Arc<DirectProxy>, count: usize) -> io::Result<Vec<TcpStream>> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?;
@@ -95,7 +95,8 @@
     Ok(clients)
 }
 
-/// One client's connection as the node's client listener keeps it: a task, a socket, a buffer, a session.
+/// Serves one client's connection with the same resources as the node's client listener: a task, a socket, a buffer and
+/// a session.
 async fn serve_client(mut socket: TcpStream, mut session: DirectSession) {
     let mut input = BytesMut::new();
     let mut output: Vec<u8> = Vec::new();
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,5 +1,6 @@
-//! What `quincehatch-lab bench capacity` measures with (docs/CAPACITY.md): hollow nodes, which run the real control code
-//! and take no traffic, and single components at sizes that no one machine holds as a cluster.
+//! Measurements of `quincehatch-lab bench capacity` (docs/CAPACITY.md). They use hollow nodes, which run the production
+//! control code without client traffic, and single components at sizes for which one machine cannot run a whole
+//! cluster.
 #![warn(
     missing_docs,
     clippy::too_many_lines,
--- a/crates/capacity/src/samples.rs
+++ b/crates/capacity/src/samples.rs
@@ -8,21 +8,22 @@
 /// An address that nothing listens on.
 pub const UNUSED_ADDRESS: &str = "127.0.0.1:1";
 
-/// Hosts that one byte of an address counts.
+/// Number of hosts that are numbered with one byte of an address.
 const HOSTS_PER_SUBNET: usize = 250;
 const NODE_ZONES: usize = 5;
-/// Requests that a sample server runs at a time.
+/// Number of requests that a sample server executes concurrently.
 const SERVER_SLOTS: u32 = 5;
 
-/// A configuration with one route, one placement and one group for each database; `revision` changes one of the routes.
+/// Returns a configuration with one route, one placement and one group for each database. `revision` changes one of the
+/// routes.
 ///
-/// Its keys are those of the stored form, as keepers and nodes hold it: the sizes in docs/CAPACITY.md rest on them.
+/// Its keys are those of the form that keepers and nodes store, which the sizes in docs/CAPACITY.md depend on.
 pub fn configuration_text(groups: usize, revision: u64) -> String {
     let mut placements = Vec::new();
     let mut routes = Vec::new();
     let mut group_limits = Vec::new();
     for group in 0..groups.max(1) {
-        // Names that do not compress too well.
+        // Hashed names prevent the text from compressing unrealistically well.
         let tag = hash64(&[&group.to_le_bytes()]) >> 20;
         placements.push(format!(r#"{{"name":"p{tag:x}","select":{{"group":["g{group:04}"]}}}}"#));
         let timeout_ms = if group == groups / 2 { 2_000 + revision } else { 2_000 };
@@ -40,13 +41,13 @@
     )
 }
 
-/// The name of a group.
+/// Returns the name of a group.
 pub fn group_name(group: usize) -> Name {
     format!("g{group:04}").into()
 }
 
-/// The record of a server, counted through all groups; the first of each group is its primary. `seq` is the number of
-/// the heartbeat that it came with.
+/// Returns the record of a server. `index` counts the servers of all groups, and the first one of each group is its
+/// primary. `seq` is the sequence number of the heartbeat that carries the record.
 pub fn server_record(index: usize, seq: u64) -> ServerRecord {
     let group = index / SERVERS_PER_GROUP;
     let member = index % SERVERS_PER_GROUP;
@@ -62,7 +63,7 @@
     }
 }
 
-/// The settings of a node that only other processes of the cluster can reach.
+/// Returns the settings of a node that only other processes of the cluster can reach.
 pub fn node_settings(
     index: usize,
     gossip_listener: String,
@@ -84,22 +85,22 @@
     }
 }
 
-/// The settings of a node that is alone in its process and reaches nothing.
+/// Returns the settings of a node without a cluster, whose addresses are all unused.
 pub fn lone_node_settings() -> NodeSettings {
     node_settings(0, UNUSED_ADDRESS.into(), vec![], vec![UNUSED_ADDRESS.into()])
 }
 
-/// The name of a node.
+/// Returns the name of a node.
 pub fn node_name(index: usize) -> Name {
     format!("n{index:04}").into()
 }
 
-/// The zone of a node.
+/// Returns the zone of a node.
 pub fn node_zone(index: usize) -> String {
     format!("d{}", index % NODE_ZONES)
 }
 
-/// The names of the first `count` nodes.
+/// Returns the names of the first `count` nodes.
 pub fn node_names(count: usize) -> Vec<Name> {
     (0..count).map(node_name).collect()
 }
--- a/crates/capacity/src/stub_servers.rs
+++ b/crates/capacity/src/stub_servers.rs
@@ -1,4 +1,4 @@
-//! Servers that answer at once and take no work: what a hollow node meets in place of database servers.
+//! Stub servers, which hollow nodes use in place of database servers. They answer each call immediately without work.
 use bytes::Bytes;
 use quincehatch_core::{FencingToken, Name, Position, Role};
 use quincehatch_proxy::ports::{
@@ -10,13 +10,13 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Names of primaries end so (see [`crate::samples::server_record`]).
+/// Suffix of the names of primaries (see [`crate::samples::server_record`]).
 const PRIMARY_SUFFIX: &str = "-0";
 /// The position that every server reports, and its stamp in the servers' own protocol.
 const POSITION: Position = Position { fence: 1, number: 1 };
 const STAMP: &[u8] = b"1.1";
 
-/// All servers; clones share one counter.
+/// All stub servers. Clones share one counter of calls.
 #[derive(Clone, Default)]
 pub struct StubServers {
     calls: Arc<AtomicU64>,
@@ -28,12 +28,12 @@
 }
 
 impl StubServers {
-    /// Ports through which a node meets these servers.
+    /// Returns the ports through which a node uses these servers.
     pub fn ports(&self) -> ServerPorts {
         ServerPorts { servers: Arc::new(self.clone()), promoter: Arc::new(self.clone()) }
     }
 
-    /// How often any server was called.
+    /// Returns how many calls all servers have received.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
--- a/crates/capacity/src/tail_keeper/adoption.rs
+++ b/crates/capacity/src/tail_keeper/adoption.rs
@@ -1,4 +1,4 @@
-//! One adopted configuration on its way down the chain and to the nodes.
+//! Costs of sending an adopted configuration down the chain and to the nodes.
 use super::{reply_frame_bytes, start_tail};
 use crate::components::adoption;
 use crate::cpu::timed;
@@ -8,15 +8,15 @@
 use quincehatch_store::{Entry, Keeper, KeeperRequest, PeerMessage, Request};
 use quincehatch_wire::{LENGTH_BYTES, REQUEST_HEADER_BYTES};
 
-/// The token of the write itself; polls have others.
+/// The token of the write. Polls have other tokens.
 const WRITE_TOKEN: u64 = 0;
 
-/// What telling an adopted configuration costs the tail.
+/// Costs at the tail of sending an adopted configuration to the nodes.
 #[derive(Clone, Copy, Debug)]
 pub struct AdoptionCost {
     /// Processor time in milliseconds.
     pub cpu_ms: f64,
-    /// Bytes of the answers to all polls.
+    /// Size of the replies to all polls, in bytes.
     pub bytes: usize,
 }
 
@@ -35,7 +35,7 @@
     AdoptionCost { cpu_ms: adopted.cpu_ms, bytes: adopted.result }
 }
 
-/// Writes an adoption; the bytes of the answers to polls that waited for it.
+/// Writes an adoption. Returns the size of the replies to the pending polls, in bytes.
 fn adopt(keeper: &mut Keeper, now: u64, groups: usize, number: u64) -> usize {
     let command = adoption(groups, number);
     let request = Request::Write { key: format!("adopt/{number}").into(), command };
@@ -47,7 +47,8 @@
     poll_replies.map(reply_frame_bytes).sum()
 }
 
-/// Bytes of the first message in which adopted configurations of `groups` databases go from one keeper to the next.
+/// Returns the size in bytes of the first message in which a keeper sends adopted configurations of `groups` databases
+/// to the next keeper.
 pub fn first_transfer_bytes(groups: usize, adoptions: u64) -> usize {
     let mut log = EntryLog::default();
     for number in 1..=adoptions {
--- a/crates/capacity/src/tail_keeper/mod.rs
+++ b/crates/capacity/src/tail_keeper/mod.rs
@@ -1,4 +1,4 @@
-//! The tail keeper alone before the polls of many nodes, in virtual time.
+//! Costs of a single tail keeper that answers the polls of many nodes, in virtual time.
 mod adoption;
 mod load;
 
@@ -11,20 +11,20 @@
 use quincehatch_store::record::RecoveredState;
 use quincehatch_store::{Answer, Command, Keeper, KeeperResponse, Reply, Request, View, Voter};
 
-/// How often a keeper's driver lets time pass, in milliseconds.
+/// Interval of a keeper's ticks, in milliseconds.
 const TICK_MS: u64 = 20;
-/// What is counted for the frame of each reply. Frames have had longer headers since, but the slopes of the tail in
-/// docs/CAPACITY.md were measured with these: whoever corrects it measures them again.
+/// Frame overhead that is added to each reply's size. Frames have longer headers today, but the slopes of the tail in
+/// docs/CAPACITY.md were measured with this value and have to be measured again if it changes.
 const COUNTED_FRAME_BYTES: usize = 4;
-/// Where every node says it listens; the keeper does not call it.
+/// Address that every node reports. The keeper does not connect to it.
 const NODE_ADDRESS: &str = "127.0.0.1:20000";
 
 /// A node that polls the tail.
 struct PollingNode {
     name: Name,
-    /// The number of the entry that enrolled it.
+    /// The number of the log entry that enrolled the node.
     enrolled: u64,
-    /// The last change that it was sent.
+    /// The last change that was sent to the node.
     last_change: u64,
 }
 
@@ -40,11 +40,11 @@
     }
 }
 
-/// A keeper that is the whole chain, with enrolled nodes.
+/// A keeper that is the only member of its chain, with its enrolled nodes.
 struct ServingTail {
     keeper: Keeper,
     nodes: Vec<PollingNode>,
-    /// Virtual time when it began to serve, in milliseconds.
+    /// Virtual time at which the keeper began to serve, in milliseconds.
     serving_from: u64,
 }
 
@@ -71,11 +71,11 @@
     Keeper::new(name, 0, RecoveredState { view, ..Default::default() })
 }
 
-/// Enrolls a node; the number of the entry that did.
+/// Enrolls a node. Returns the number of the log entry.
 fn enroll(keeper: &mut Keeper, now: u64, index: usize, node: &Name) -> u64 {
     let command = Command::EnrollNode { node: node.clone(), incarnation: 1 };
     let request = Request::Write { key: format!("enroll/{index}").into(), command };
-    // Counted down from the top, so that no poll has the same token.
+    // Tokens are counted down from the maximum, so that no poll has the same token.
     let token = u64::MAX - index as u64;
     let outputs = keeper.step(now, Input::Request { token, request });
     let entry = outputs.into_iter().find_map(|output| match output {
@@ -85,7 +85,7 @@
     entry.expect("the node is enrolled")
 }
 
-/// Bytes of a reply with what is counted for its frame.
+/// Returns the size of a reply in bytes, including [`COUNTED_FRAME_BYTES`].
 fn reply_frame_bytes(reply: Reply) -> usize {
     let message = borsh::to_vec(&KeeperResponse::Reply { reply });
     message.map_or(0, |message| message.len() + COUNTED_FRAME_BYTES)
