--- a/crates/capacity/src/hollow_fleet/keepers.rs
+++ b/crates/capacity/src/hollow_fleet/keepers.rs
@@ -1,4 +1,4 @@
-//! The keepers, each on a thread of its own.
+//! The keepers of the cluster, each on its own thread.
 use super::{Bound, single_thread_runtime};
 use crate::cpu::current_thread;
 use quincehatch_core::Name;
@@ -12,7 +12,7 @@
 use std::thread;
 use tokio::sync::watch;
 
-/// Starts a keeper for each address; the threads' folders in `/proc`.
+/// Starts a keeper for each address. Returns the directories of the threads in `/proc`.
 pub(super) fn start(dir: &Path, bound: Vec<Bound>) -> Vec<PathBuf> {
     let voters: Vec<Voter> = bound
         .iter()
@@ -47,7 +47,7 @@
     let Ok(opened) = Disk::open(&data_dir, &name, Some(view)) else { return };
     let OpenedDisk { disk, state, .. } = opened;
     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
-    // The keeper is never stopped: it ends with the process.
+    // The keeper is never stopped. It ends with the process.
     let (_stop, stopped) = watch::channel(false);
     let start = Box::new(move |state, now| Keeper::new(name.clone(), now, state));
     let host = KeeperHost::new(state, now(), start);
--- a/crates/capacity/src/hollow_fleet/mod.rs
+++ b/crates/capacity/src/hollow_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A cluster of hollow nodes in one process over real loopback sockets: one thread for each keeper and one for all
-//! nodes, so that the kernel accounts for each role apart.
+//! A cluster of hollow nodes in one process over real loopback sockets. Each keeper has a thread and all nodes share
+//! one, so that the kernel accounts for the processor time of each role separately.
 mod keepers;
 mod nodes;
 mod service;
@@ -22,30 +22,30 @@
 
 /// Time for the keepers to start before memory is measured.
 const KEEPER_START: Duration = Duration::from_millis(1_500);
-/// Time for the cluster to come to rest before it is measured.
+/// Time for the cluster to become idle before it is measured.
 const SETTLE: Duration = Duration::from_secs(4);
-/// How often the end of an idle measurement is looked for.
+/// How often a measurement without load checks whether its time has passed.
 const IDLE_POLL: Duration = Duration::from_millis(50);
 const MS_PER_SECOND: u64 = 1_000;
-/// Servers whose records change.
+/// Number of servers whose records change.
 const CHANGING_SERVERS: usize = 3;
 
-/// Which cluster is measured, and under which load.
+/// The cluster to measure and its load.
 #[derive(Clone, Debug)]
 pub struct FleetSpec {
-    /// Hollow nodes.
+    /// Number of hollow nodes.
     pub nodes: usize,
-    /// Server groups; the servers are stubs.
+    /// Number of server groups. The servers are stubs.
     pub groups: usize,
-    /// Keepers.
+    /// Number of keepers.
     pub keepers: usize,
-    /// Changed server records written a second while it is measured.
+    /// Changed server records that are written per second during the measurement.
     pub changes: usize,
-    /// Length of the measurement.
+    /// Duration of the measurement, in seconds.
     pub seconds: u64,
 }
 
-/// An address of loopback that is listened on.
+/// A loopback address with its listener.
 struct Bound {
     addr: String,
     listener: TcpListener,
@@ -65,7 +65,7 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime")
 }
 
-/// Runs one cluster and returns, as JSON, what each role used; the keepers' data goes into `dir`.
+/// Runs one cluster and returns the resource usage of each role as JSON. The keepers store their data in `dir`.
 pub fn measure(spec: &FleetSpec, dir: &Path) -> Result<Value, String> {
     let bound = bind_many(spec.keepers).map_err(|error| error.to_string())?;
     let addrs: Vec<String> = bound.iter().map(|keeper| keeper.addr.clone()).collect();
@@ -93,7 +93,7 @@
     servers: StubServers,
 }
 
-/// What has been used up to a moment.
+/// Cumulative resource usage at one point in time.
 struct Usage {
     at_ms: u64,
     node_thread_ms: f64,
@@ -113,10 +113,10 @@
         }
     }
 
-    /// Writes changes at an even pace for the time of the measurement; how many there were.
+    /// Writes changes at a constant rate for the duration of the measurement. Returns their number.
     async fn apply_load(&self, client: &StoreClient) -> Result<u64, String> {
-        let began = now();
-        let end = began + self.spec.seconds * MS_PER_SECOND;
+        let started_at = now();
+        let end = started_at + self.spec.seconds * MS_PER_SECOND;
         let mut changes = 0u64;
         while now() < end {
             if self.spec.changes == 0 {
@@ -124,7 +124,7 @@
                 continue;
             }
             changes += 1;
-            let due = began + changes * MS_PER_SECOND / self.spec.changes as u64;
+            let due = started_at + changes * MS_PER_SECOND / self.spec.changes as u64;
             tokio::time::sleep(Duration::from_millis(due.saturating_sub(now()))).await;
             let command = Command::RegisterServer { at: changed_record(changes) };
             write(client, format!("beat/c/{changes}"), command).await?;
@@ -156,7 +156,7 @@
     }
 }
 
-/// The record of a server of which something changed beside its number.
+/// Returns a server's record in which another field than its sequence number has changed.
 fn changed_record(change: u64) -> ServerRecord {
     let record = server_record(change as usize % CHANGING_SERVERS, 10 + change);
     ServerRecord { slots: 5 + (change % 2) as u32, ..record }
--- a/crates/capacity/src/hollow_fleet/nodes.rs
+++ b/crates/capacity/src/hollow_fleet/nodes.rs
@@ -11,26 +11,26 @@
 use std::thread;
 use tokio::net::TcpListener;
 
-/// Nodes whose addresses all others are given.
+/// Number of seed nodes, whose addresses all nodes have in their settings.
 const SEEDS: usize = 3;
 
-/// The nodes, and their thread's folder in `/proc`.
+/// The nodes, and the directory of their thread in `/proc`.
 pub(super) struct NodeThread {
     pub(super) thread: PathBuf,
     nodes: Arc<Mutex<Vec<Arc<Node>>>>,
 }
 
-/// What one node is known to have heard.
+/// The part of the cluster that one node knows.
 #[derive(Debug)]
 pub(super) struct NodeView {
-    /// Groups whose primary it knows.
+    /// Number of groups whose primary the node knows.
     pub(super) primaries: usize,
-    /// Live nodes it knows, itself included.
+    /// Number of live nodes that the node knows, including itself.
     pub(super) live: usize,
 }
 
 impl NodeThread {
-    /// What each node knows at this moment.
+    /// Returns the current view of each node.
     pub(super) fn views(&self) -> Vec<NodeView> {
         let nodes = self.nodes.lock().unwrap();
         let view = |node: &Arc<Node>| NodeView {
@@ -40,12 +40,12 @@
         nodes.iter().map(view).collect()
     }
 
-    /// How many live nodes that node knows which knows the fewest.
+    /// Returns the smallest number of live nodes that any node knows.
     pub(super) fn fewest_live(&self) -> Option<usize> {
         self.views().iter().map(|view| view.live).min()
     }
 
-    /// Gossip messages that all nodes have sent so far.
+    /// Returns the number of gossip messages that all nodes have sent so far.
     pub(super) fn gossip_messages(&self) -> u64 {
         let nodes = self.nodes.lock().unwrap();
         nodes.iter().map(|node| node.gossip.membership.lock().unwrap().messages_sent).sum()
--- a/crates/capacity/src/hollow_fleet/service.rs
+++ b/crates/capacity/src/hollow_fleet/service.rs
@@ -1,4 +1,5 @@
-//! Bringing a cluster into service: a configuration in force, servers known, primaries assigned, nodes known to all.
+//! Bringing a cluster into service: a configuration is in force, servers are registered, primaries are assigned, and
+//! nodes have discovered each other.
 use super::FleetSpec;
 use super::nodes::NodeThread;
 use crate::samples::{SERVERS_PER_GROUP, configuration_text, server_record};
@@ -8,13 +9,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A cluster that is not in service by then has failed.
+/// A cluster that is not in service within this time has failed.
 const START_TIMEOUT: Duration = Duration::from_secs(120);
-/// How long nodes are given to hear of each other once the primaries are assigned.
+/// How long to wait for the nodes to discover each other, including the time until the primaries are assigned.
 const MEMBERSHIP_TIMEOUT: Duration = Duration::from_secs(25);
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 const POLL: Duration = Duration::from_millis(100);
-/// Servers that are registered at a time.
+/// Number of servers that are registered concurrently.
 const CONCURRENT_WRITES: usize = 16;
 
 pub(super) async fn bring_into_service(
@@ -50,17 +51,18 @@
     write(&client, format!("beat/{index}/1"), command).await
 }
 
-/// Not every cluster comes to know all of itself: how far it came is among the figures.
+/// Waits until every node knows all primaries, and either all nodes or [`MEMBERSHIP_TIMEOUT`] has passed. Not every
+/// cluster reaches full membership, so the report contains how many nodes are known.
 async fn wait_until_ready(spec: &FleetSpec, nodes: &NodeThread) -> Result<(), String> {
-    let began = Instant::now();
+    let started_at = Instant::now();
     loop {
         let views = nodes.views();
-        let led = views.iter().all(|view| view.primaries >= spec.groups);
-        let met = views.iter().all(|view| view.live == spec.nodes);
-        if led && (met || began.elapsed() > MEMBERSHIP_TIMEOUT) {
+        let primaries_known = views.iter().all(|view| view.primaries >= spec.groups);
+        let nodes_known = views.iter().all(|view| view.live == spec.nodes);
+        if primaries_known && (nodes_known || started_at.elapsed() > MEMBERSHIP_TIMEOUT) {
             return Ok(());
         }
-        if began.elapsed() > START_TIMEOUT {
+        if started_at.elapsed() > START_TIMEOUT {
             return Err(format!("not in service; what each node knows: {views:?}"));
         }
         tokio::time::sleep(POLL).await;
--- a/crates/capacity/src/tail_keeper/load.rs
+++ b/crates/capacity/src/tail_keeper/load.rs
@@ -1,4 +1,4 @@
-//! A second of service at the tail: polls, changes and heartbeats with nothing new.
+//! Costs of a second of service at the tail: polls, changes, and heartbeats without changes.
 use super::{ServingTail, TICK_MS, reply_frame_bytes, start_tail};
 use crate::cpu::timed;
 use crate::samples::server_record;
@@ -7,44 +7,45 @@
 use quincehatch_store::{Command, Reply, Request};
 use std::collections::BTreeMap;
 
-/// A node polls again this long after an answer, in milliseconds.
+/// Pause of a node between a reply and its next poll, in milliseconds.
 const POLL_GAP_MS: u64 = 5;
-/// The nodes' first polls are spread over a time of this length, from this moment on, in milliseconds.
+/// Start and length of the period over which the nodes' first polls are spread, in milliseconds.
 const FIRST_POLLS_FROM_MS: u64 = 2_500;
 const FIRST_POLLS_WITHIN_MS: u64 = 200;
-/// Coprime to the time above, so that the first polls are spread evenly.
+/// Offset between the first polls of two nodes, in milliseconds. It is coprime to the length of the period, so that the
+/// polls are spread evenly.
 const FIRST_POLLS_STEP_MS: u64 = 197;
-/// Writes begin here, in milliseconds.
+/// Start of the writes, in milliseconds.
 const WRITES_FROM_MS: u64 = 2_400;
-/// The measurement begins here, in milliseconds.
+/// Start of the measurement, in milliseconds.
 const MEASURED_FROM_MS: u64 = 6_000;
 const MS_PER_SECOND: u64 = 1_000;
-/// Servers whose records change.
+/// Number of servers whose records change.
 const CHANGING_SERVERS: u64 = 30;
 
-/// What the tail has to do.
+/// The load on the tail.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TailLoad {
-    /// Nodes that poll.
+    /// Number of nodes that poll.
     pub nodes: usize,
-    /// Changed server records written a second.
+    /// Changed server records that are written per second.
     pub changes: u64,
-    /// Heartbeats a second with nothing new.
+    /// Heartbeats per second that change nothing.
     pub idle_heartbeats: u64,
 }
 
-/// What a second at a tail costs, without the kernel's part.
+/// Costs of one second at the tail, without the processor time of the kernel.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TailSecond {
     /// Processor time in milliseconds.
     pub cpu_ms: f64,
-    /// Polls answered.
+    /// Number of answered polls.
     pub polls: f64,
-    /// Bytes of the answers.
+    /// Size of the replies, in bytes.
     pub bytes: f64,
 }
 
-/// The mean second over `seconds` of virtual time.
+/// Measures the load over `seconds` of virtual time. Returns the mean costs of one second.
 pub fn measure(load: TailLoad, seconds: u64) -> TailSecond {
     let tail = start_tail(load.nodes);
     let from = tail.serving_from;
@@ -62,22 +63,22 @@
     TailSecond { cpu_ms: total.cpu_ms / seconds, polls: total.polls / seconds, bytes: total.bytes / seconds }
 }
 
-/// The answer to one poll.
+/// The reply to one poll.
 struct PollReply {
     node: usize,
     bytes: usize,
-    /// The newest change in the answer.
+    /// The newest change in the reply.
     last_change: u64,
 }
 
 struct LoadRun {
     tail: ServingTail,
-    /// Nodes that poll, by the millisecond in which they do.
+    /// The nodes whose next poll is due, by millisecond.
     due: BTreeMap<u64, Vec<usize>>,
-    /// Polls in flight: the node of each request's token.
-    waiting: BTreeMap<u64, usize>,
+    /// The polls in flight: the node of each request's token.
+    in_flight: BTreeMap<u64, usize>,
     last_token: u64,
-    /// The number of the last heartbeat with something new.
+    /// The sequence number of the last heartbeat with a change.
     last_seq: u64,
 }
 
@@ -88,10 +89,11 @@
             let offset = (node as u64 * FIRST_POLLS_STEP_MS) % FIRST_POLLS_WITHIN_MS;
             due.entry(FIRST_POLLS_FROM_MS + offset).or_default().push(node);
         }
-        LoadRun { tail, due, waiting: BTreeMap::new(), last_token: 0, last_seq: 1 }
+        LoadRun { tail, due, in_flight: BTreeMap::new(), last_token: 0, last_seq: 1 }
     }
 
-    /// One millisecond: its inputs, their cost, and the polls that follow the answers.
+    /// Runs one millisecond: feeds its inputs to the tail, measures them, and schedules the polls that follow the
+    /// replies.
     fn step(&mut self, now: u64, load: TailLoad) -> TailSecond {
         let mut inputs = Vec::new();
         if now.is_multiple_of(TICK_MS) {
@@ -100,7 +102,7 @@
         for node in self.due.remove(&now).unwrap_or_default() {
             let request = self.tail.nodes[node].poll();
             let token = self.next_token();
-            self.waiting.insert(token, node);
+            self.in_flight.insert(token, node);
             inputs.push(Input::Request { token, request });
         }
         if now >= WRITES_FROM_MS {
@@ -134,7 +136,7 @@
     fn write_change(&mut self) -> Input {
         self.last_seq += 1;
         let record = server_record((self.last_seq % CHANGING_SERVERS) as usize, self.last_seq);
-        // A record is news if it differs in something beside its number.
+        // A record counts as changed if any field other than its sequence number differs.
         self.write(ServerRecord { slots: self.last_seq as u32, ..record })
     }
 
@@ -154,7 +156,7 @@
         for input in inputs {
             for output in self.tail.keeper.step(now, input) {
                 let Output::Reply(token, reply) = output else { continue };
-                let Some(node) = self.waiting.remove(&token) else { continue };
+                let Some(node) = self.in_flight.remove(&token) else { continue };
                 let last_change = newest_change(&reply);
                 let bytes = reply_frame_bytes(reply);
                 replies.push(PollReply { node, bytes, last_change });
@@ -164,7 +166,7 @@
     }
 }
 
-/// How many of `per_second` events fall into the millisecond `now`.
+/// Returns how many of `per_second` events fall into the millisecond `now`.
 fn due_in_millisecond(now: u64, per_second: u64) -> u64 {
     now * per_second / MS_PER_SECOND - (now - 1) * per_second / MS_PER_SECOND
 }
