--- a/crates/capacity/src/components/configuration.rs
+++ b/crates/capacity/src/components/configuration.rs
@@ -1,18 +1,18 @@
-//! Reading and validating a configuration.
+//! Costs of parsing and validating a configuration.
 use crate::cpu::timed;
 use crate::samples::configuration_text;
 use quincehatch_config::configuration::Configuration;
 
-/// A configuration's size, and what reading it takes.
+/// The size of a configuration, and the cost of parsing it.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigurationCost {
-    /// Processor time of reading and validating it, in milliseconds.
+    /// Processor time of parsing and validating it, in milliseconds.
     pub cpu_ms: f64,
     /// Length of the text in bytes.
     pub bytes: usize,
 }
 
-/// Reads a configuration of `groups` databases.
+/// Parses a configuration of `groups` databases and measures the cost.
 pub fn parse_configuration(groups: usize) -> ConfigurationCost {
     let text = configuration_text(groups, 0);
     let parsed = timed(|| Configuration::parse(&text));
--- a/crates/capacity/src/components/feed.rs
+++ b/crates/capacity/src/components/feed.rs
@@ -1,4 +1,4 @@
-//! What a node does with the changes that the tail sends it.
+//! Costs at a node of applying the changes that the tail sends.
 use super::frames::{ADOPTED, NEXT_ADOPTED, feed_snapshot};
 use super::store::{adopt, populated_store};
 use crate::cpu::timed;
@@ -10,13 +10,14 @@
 /// Processor time of one change, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct ChangeCosts {
-    /// A configuration of which one route changed.
+    /// Cost of a configuration in which one route changed.
     pub configuration_ms: f64,
-    /// A server's record.
+    /// Cost of a server's record.
     pub server_ms: f64,
 }
 
-/// Applies one change of each kind to the feed state of a node in a cluster with `groups` databases.
+/// Measures the application of one change of each kind to the feed state of a node, in a cluster with `groups`
+/// databases.
 pub fn apply_changes(groups: usize) -> ChangeCosts {
     let mut store = populated_store(groups, ADOPTED);
     let mut feed = FeedState::from_snapshot(feed_snapshot(&store)).expect("what was packed");
--- a/crates/capacity/src/components/frames.rs
+++ b/crates/capacity/src/components/frames.rs
@@ -1,28 +1,28 @@
-//! Sizes of the frames in which keepers tell what they store.
+//! Sizes of the frames in which keepers send the store, snapshots and changes.
 use super::store::{adopt, populated_store};
 use quincehatch_store::compression::PackedText;
 use quincehatch_store::{FeedSnapshot, KeeperResponse, PackedSnapshot, Reply, Store};
 use quincehatch_wire::{ANSWER_HEADER_BYTES, LENGTH_BYTES};
 
-/// The lease in the replies; its size does not depend on it.
+/// The lease in the replies, whose size does not depend on its value.
 const LEASE_MS: u64 = 4_000;
-/// Configurations that were adopted before.
+/// Number of configurations that were adopted before the measured one.
 pub(super) const ADOPTED: u64 = 2;
-/// The number of the configuration that is adopted last.
+/// The number of the measured configuration.
 pub(super) const NEXT_ADOPTED: u64 = 9;
 
-/// Bytes of whole frames, with the length before them.
+/// Sizes of whole frames in bytes, including the length prefix.
 #[derive(Clone, Copy, Debug)]
 pub struct FrameSizes {
     /// The whole store, as keepers send it to each other.
     pub store: usize,
-    /// The snapshot for a node that starts.
+    /// The snapshot that is sent to a starting node.
     pub snapshot: usize,
-    /// One adopted configuration of which a route changed, as the tail sends it to a node.
+    /// One adopted configuration in which a route changed, as the tail sends it to a node.
     pub change: usize,
 }
 
-/// Sizes of the frames of a cluster with `groups` databases.
+/// Returns the sizes of the frames of a cluster with `groups` databases.
 pub fn frame_sizes(groups: usize) -> FrameSizes {
     let mut store = populated_store(groups, ADOPTED);
     let snapshot = PackedSnapshot::pack(&feed_snapshot(&store));
--- a/crates/capacity/src/components/gossip.rs
+++ b/crates/capacity/src/components/gossip.rs
@@ -1,4 +1,4 @@
-//! A node's gossip membership.
+//! Costs of a node's gossip membership.
 use crate::cpu::timed;
 use crate::samples::{node_name, node_zone};
 use quincehatch_core::Name;
@@ -7,26 +7,26 @@
 };
 use std::collections::BTreeMap;
 
-/// Hosts that one byte of an address counts.
+/// Number of hosts that are numbered with one byte of an address.
 const HOSTS_PER_SUBNET: usize = 250;
 const SEED: u64 = 7;
-/// How often the driver lets time pass, in milliseconds.
+/// Interval of the driver's ticks, in milliseconds.
 const TICK_MS: u64 = 50;
-/// How often each node's loop over duties asks who is alive, in milliseconds.
+/// How often each node's loop over its singleton roles queries the live members, in milliseconds.
 const LIVE_QUERY_MS: u64 = 250;
-/// Time for the first probes and shuffles to settle, in milliseconds; it is not measured.
+/// Warm-up time for the first probes and shuffles, which is not measured, in milliseconds.
 const WARM_UP_MS: u64 = 3_000;
 
-/// What a second of gossip costs one node.
+/// Costs of one second of gossip at one node.
 #[derive(Clone, Copy, Debug)]
 pub struct GossipCost {
     /// Processor time in milliseconds.
     pub cpu_ms: f64,
-    /// Messages sent.
+    /// Number of messages sent.
     pub messages: f64,
 }
 
-/// A node that knows `nodes`, each of whose probes is answered; the mean over `seconds`.
+/// Measures a node that knows `nodes` and whose probes are all answered. Returns the mean costs of one of `seconds`.
 pub fn gossip_second(nodes: usize, seconds: u64) -> GossipCost {
     let peers = (1..nodes).map(member_record).map(|record| (record.addr.clone(), record)).collect();
     let mut driver = AnsweredProbes { membership: join(&peers), peers };
@@ -50,7 +50,7 @@
     }
 }
 
-/// A membership that has heard of every peer.
+/// Returns a membership that knows every peer.
 fn join(peers: &BTreeMap<Name, MemberRecord>) -> GossipMembership {
     let mut membership = GossipMembership::new(member_record(0), vec![member_record(1).addr], SEED, 0);
     for peer in peers.values() {
@@ -63,7 +63,7 @@
     GossipEnvelope { from, records: vec![], message: GossipMessage::Pong { seq } }
 }
 
-/// A membership whose probes are answered at once.
+/// A membership whose probes are answered immediately.
 struct AnsweredProbes {
     membership: GossipMembership,
     /// All peers by address.
--- a/crates/capacity/src/components/health.rs
+++ b/crates/capacity/src/components/health.rs
@@ -1,4 +1,4 @@
-//! A node's health checks over its servers.
+//! Costs of a node's health checks of its servers.
 use crate::cpu::timed;
 use crate::samples::{lone_node_settings, server_record};
 use quincehatch_core::{Labels, ServerHeartbeat, ServerRecord};
@@ -7,19 +7,20 @@
 use quincehatch_proxy::session::replicas::LocalOnlyReplicas;
 use quincehatch_runtime::seam::Spawner;
 
-/// A second of the health checks; the loop over duties looks at each server's state four times in it.
+/// Number of rounds of health checks per second. In the same time, the loop over the singleton roles reads each
+/// server's state four times.
 const CHECKS_PER_SECOND: usize = 10;
 
-/// What the health checks of one node take.
+/// Costs of the health checks of one node.
 #[derive(Clone, Copy, Debug)]
 pub struct HealthCheckCost {
-    /// Servers that the registry has room for.
+    /// Number of servers that the registry accepted.
     pub servers: usize,
-    /// Processor time of a second of checks, in milliseconds.
+    /// Processor time of one second of checks, in milliseconds.
     pub cpu_ms: f64,
 }
 
-/// Registers `servers` at one node and checks those it has room for.
+/// Registers `servers` at one node and checks those that its registry accepted.
 pub fn health_checks(servers: usize) -> HealthCheckCost {
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     let _entered = runtime.enter();
@@ -35,7 +36,7 @@
     HealthCheckCost { servers: proxy.registry.servers().len(), cpu_ms: checks.cpu_ms }
 }
 
-/// The first heartbeat of a server, as its record has it.
+/// Returns the first heartbeat of a server with the data of its record.
 pub(crate) fn first_heartbeat(record: ServerRecord) -> ServerHeartbeat {
     let labels: Labels = [("group".into(), record.group), ("zone".into(), record.zone)].into();
     ServerHeartbeat {
--- a/crates/capacity/src/components/mod.rs
+++ b/crates/capacity/src/components/mod.rs
@@ -1,4 +1,4 @@
-//! Components of a node alone, at the planned size itself: one pass of each, without a cluster around it.
+//! Measurements of single components at the planned size, without a cluster. Each one measures one pass.
 mod configuration;
 mod feed;
 mod frames;
--- a/crates/capacity/src/components/store.rs
+++ b/crates/capacity/src/components/store.rs
@@ -1,10 +1,10 @@
-//! The replicated store of a cluster in service.
+//! The replicated store of a cluster that is in service.
 use crate::samples::{SERVERS_PER_GROUP, configuration_text, group_name, node_name, server_record};
 use quincehatch_core::{FencingToken, PrimaryAssignment};
 use quincehatch_store::store::{MAX_ANSWERED_WRITES, promotion_duty_key};
 use quincehatch_store::{Answer, Change, Command, Entry, Store};
 
-/// A store with `adopted` configurations of `groups` databases, and three servers for each.
+/// Returns a store with `adopted` configurations of `groups` databases, and with three servers for each database.
 pub fn populated_store(groups: usize, adopted: u64) -> Store {
     let mut store = Store::default();
     for index in 0..groups * SERVERS_PER_GROUP {
@@ -16,7 +16,7 @@
     for number in 1..=adopted {
         apply(&mut store, format!("adopt/{number}/{number:016x}"), adoption(groups, number));
     }
-    // As many answered writes as a store keeps.
+    // The store has the maximum number of answered writes.
     for seq in 2..MAX_ANSWERED_WRITES as u64 + 2 {
         apply(
             &mut store,
@@ -49,7 +49,7 @@
     PrimaryAssignment { fence, server: voters.first().cloned(), voters, ..Default::default() }
 }
 
-/// The command that adopts revision `number` of the sample configuration.
+/// Returns the command that adopts revision `number` of the sample configuration.
 pub(crate) fn adoption(groups: usize, number: u64) -> Command {
     Command::AdoptDocument {
         number,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Adopts a configuration of which one route changed; the change as the tail sends it to nodes.
+/// Adopts a configuration in which one route changed. Returns the change as the tail sends it to nodes.
 pub(super) fn adopt(store: &mut Store, groups: usize, number: u64) -> Change {
     let entry = Entry {
         number: store.last_change + 1,
--- a/crates/capacity/src/frame_counts/fleet.rs
+++ b/crates/capacity/src/frame_counts/fleet.rs
@@ -1,4 +1,4 @@
-//! The cluster's processes in the simulator.
+//! The keepers and nodes of the simulated cluster.
 use super::kinds::{SharedFrameCounts, count_frames, keeper_request_kind, node_request_kind};
 use super::{KEEPERS, keeper_address};
 use crate::samples::node_settings;
@@ -13,9 +13,9 @@
 use std::fmt;
 use std::sync::{Arc, Mutex};
 
-/// Hosts that one byte of an address counts.
+/// Number of hosts that are numbered with one byte of an address.
 const HOSTS_PER_SUBNET: usize = 250;
-/// Nodes whose addresses all others are given.
+/// Number of seed nodes, whose addresses all nodes have in their settings.
 const SEEDS: usize = 3;
 
 /// A virtual address.
--- a/crates/capacity/src/frame_counts/kinds.rs
+++ b/crates/capacity/src/frame_counts/kinds.rs
@@ -8,25 +8,25 @@
 use std::fmt;
 use std::sync::{Arc, Mutex};
 
-/// Requests of one kind and their responses; each frame with the length before it.
+/// Requests of one kind and their responses. The size of each frame includes its length prefix.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FrameCount {
-    /// How many requests there were.
+    /// Number of requests.
     pub requests: u64,
-    /// Their bytes.
+    /// Size of the requests, in bytes.
     pub request_bytes: u64,
-    /// The bytes of the responses.
+    /// Size of the responses, in bytes.
     pub response_bytes: u64,
 }
 
-/// What a frame asks for.
+/// The kind of request that a frame contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FrameKind {
-    /// A node polls the tail for changes.
+    /// Polls of nodes for changes at the tail.
     Feed,
-    /// A command for the replicated store.
+    /// Commands for the replicated store.
     Write,
-    /// A keeper's status.
+    /// Queries for a keeper's status.
     Status,
     /// Any other request of a node to a keeper.
     OtherStoreRequest,
@@ -34,9 +34,9 @@
     GossipProbe,
     /// Exchanges of partial views between members.
     GossipView,
-    /// Servers' heartbeats passed on between members.
+    /// Heartbeats of servers that members forward to each other.
     GossipHeartbeat,
-    /// Where what a node passed on as acknowledged ends.
+    /// Queries for the position up to which a node has acknowledged commits to clients.
     AcknowledgedEnd,
     /// Comparisons of session replicas.
     SessionReplicas,
@@ -68,7 +68,7 @@
 pub type FrameCounts = BTreeMap<FrameKind, FrameCount>;
 pub(super) type SharedFrameCounts = Arc<Mutex<FrameCounts>>;
 
-/// The kind of a frame, from its bytes.
+/// A function that determines the kind of a frame from its bytes.
 pub(super) type Classify = fn(&[u8]) -> FrameKind;
 
 /// Counts the frames that arrive at an address.
@@ -103,13 +103,13 @@
     (bytes + LENGTH_BYTES) as u64
 }
 
-/// The request in a frame.
+/// Decodes the request in a frame.
 fn decode<Request: Call>(frame: &[u8]) -> Option<Request> {
     let (_header, message) = Incoming::parse(frame).ok()?.header::<RequestHeader>().ok()?;
     borsh::from_slice(message).ok()
 }
 
-/// The kind of a frame to a keeper.
+/// Returns the kind of a frame that is sent to a keeper.
 pub(super) fn keeper_request_kind(frame: &[u8]) -> FrameKind {
     match decode(frame) {
         Some(KeeperRequest::Node { request: Request::Feed { .. } }) => FrameKind::Feed,
@@ -120,7 +120,7 @@
     }
 }
 
-/// The kind of a frame to a node.
+/// Returns the kind of a frame that is sent to a node.
 pub(super) fn node_request_kind(frame: &[u8]) -> FrameKind {
     match decode(frame) {
         Some(NodeRequest::Gossip { message }) => gossip_kind(&message.message),
--- a/crates/capacity/src/frame_counts/mod.rs
+++ b/crates/capacity/src/frame_counts/mod.rs
@@ -1,5 +1,5 @@
-//! A cluster of hollow nodes over the simulator's network, where every frame is counted by role and kind: its numbers
-//! do not depend on the machine.
+//! A cluster of hollow nodes on the simulator's network, where every frame is counted by its kind. The results do not
+//! depend on the machine.
 mod fleet;
 mod kinds;
 
@@ -17,37 +17,38 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Keepers of the cluster.
+/// Number of keepers in the cluster.
 pub const KEEPERS: usize = 5;
 
 const SEED: u64 = 9;
 const WRITE_TIMEOUT: Duration = Duration::from_secs(8);
-/// A push that is not acknowledged by then, in virtual milliseconds, is given up.
+/// Timeout of a push, in virtual milliseconds.
 const PUSH_TIMEOUT_MS: u64 = 9_000;
 const KEEPER_START_MS: u64 = 3_000;
-/// A cluster that is not in service by then, in virtual milliseconds, has failed.
+/// A cluster that is not in service by this time has failed, in virtual milliseconds.
 const START_TIMEOUT_MS: u64 = 180_000;
 const READY_POLL_MS: u64 = 500;
 const SETTLE_MS: u64 = 4_000;
 const MS_PER_SECOND: u64 = 1_000;
 const PUSHES: u64 = 10;
-/// Most members hear of all others at once; the last few pairs meet as probes happen to bring them together.
+/// Share of the nodes that every node must know. Most members discover all others quickly, but the last few pairs only
+/// discover each other through random probes.
 const KNOWN_NODES_PERCENT: usize = 97;
 
-/// What a cluster in service sends, and how long its pushes take.
+/// The frames of a cluster in service, and the durations of its pushes.
 #[derive(Clone, Debug, Default)]
 pub struct FleetTraffic {
     /// Frames by kind.
     pub frames: FrameCounts,
-    /// How many nodes that node knows which knows the fewest.
+    /// The smallest number of live nodes that any node knows.
     pub fewest_known: usize,
-    /// Ten pushes until they are in force, in virtual milliseconds.
+    /// Durations of ten pushes until their acknowledgement, in virtual milliseconds.
     pub push_ms: Vec<u64>,
-    /// One push after a node died, in virtual milliseconds.
+    /// Duration of one push after the crash of a node, in virtual milliseconds.
     pub push_ms_after_node_loss: u64,
 }
 
-/// Counts the frames of `seconds` in service; `None` where the cluster does not come into service.
+/// Counts the frames of `seconds` in service. Returns `None` if the cluster does not come into service.
 pub fn measure(nodes: usize, groups: usize, seconds: u64) -> Option<FleetTraffic> {
     fastrand::seed(SEED);
     let simulation = Simulation::new(SEED, None, false);
@@ -71,7 +72,7 @@
     Some(FleetTraffic { frames, fewest_known, push_ms, push_ms_after_node_loss })
 }
 
-/// Pushes a configuration and registers the servers, from one of the nodes.
+/// Pushes a configuration and registers the servers through one of the nodes.
 fn begin_service(simulation: &Arc<Simulation>, from: &SimulatedNode, groups: usize) {
     let node = from.node.clone();
     simulation.run_in(from.process, || {
@@ -89,7 +90,8 @@
     Command::PushConfiguration { base, text: configuration_text(groups, base), by: "operator".into() }
 }
 
-/// What failed shows as a cluster that is not in service, or as a push that takes too long.
+/// Writes a command and ignores failures, which become visible as a cluster that does not come into service or as a
+/// push that takes too long.
 async fn write(node: &Node, key: &str, command: Command) {
     let _ = node.store_client.write(key, command, WRITE_TIMEOUT).await;
 }
@@ -110,9 +112,9 @@
     primaries >= groups && node.gossip.live_nodes().len() * 100 >= nodes * KNOWN_NODES_PERCENT
 }
 
-/// Pushes a configuration; virtual milliseconds until it is acknowledged.
+/// Pushes a configuration. Returns the time until its acknowledgement, in virtual milliseconds.
 fn push(simulation: &Arc<Simulation>, from: &SimulatedNode, base: u64) -> u64 {
-    let began = simulation.now();
+    let started_at = simulation.now();
     let acknowledged = Arc::new(AtomicBool::new(false));
     let node = from.node.clone();
     let done = acknowledged.clone();
@@ -122,13 +124,13 @@
             done.store(true, Ordering::SeqCst);
         })
     });
-    while !acknowledged.load(Ordering::SeqCst) && simulation.now() < began + PUSH_TIMEOUT_MS {
+    while !acknowledged.load(Ordering::SeqCst) && simulation.now() < started_at + PUSH_TIMEOUT_MS {
         simulation.run_until(simulation.now() + 1);
     }
-    simulation.now() - began
+    simulation.now() - started_at
 }
 
-/// The address of a keeper.
+/// Returns the address of a keeper.
 fn keeper_address(index: usize) -> Address {
     Address { subnet: 1, index }
 }
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -1,5 +1,5 @@
-//! docs/CAPACITY.md does not drift (§9.6): its sums follow from its slopes and sizes, what it says of bytes and bounds is
-//! what the code has, and its last table says what its sums say.
+//! Consistency of docs/CAPACITY.md (§9.6): its sums follow from its slopes and sizes, its byte counts and limits are
+//! those of the code, and its last table agrees with its sums.
 use quincehatch_capacity::fit::{Sample, fit};
 use quincehatch_capacity::samples::SERVERS_PER_GROUP;
 use quincehatch_capacity::{components, tail_keeper};
@@ -7,9 +7,9 @@
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 
-type Named = BTreeMap<String, f64>;
+type NamedFigures = BTreeMap<String, f64>;
 
-/// The rows of the table under a heading, cell by cell, without its head.
+/// Returns the cells of the table under a heading, row by row, without the header.
 fn table(under: &str) -> Vec<Vec<String>> {
     let after = PAGE.split_once(&format!("\n## {under}\n")).unwrap_or_else(|| panic!("no {under}")).1;
     let section = after.split("\n## ").next().unwrap_or("");
@@ -27,15 +27,15 @@
     n.parse().unwrap_or_else(|_| panic!("{cell:?} does not begin with a number"))
 }
 
-fn given() -> Named {
+fn sizes_and_slopes() -> NamedFigures {
     let of = |t: &str| table(t).into_iter().map(|r| (name(&r[0]), number(&r[1]))).collect::<Vec<_>>();
     of("Sizes").into_iter().chain(of("Slopes")).collect()
 }
 
-/// Sums, products and brackets over names and numbers.
-struct Sum<'a> {
+/// A parser that evaluates expressions of names, numbers, the four basic operators and parentheses.
+struct Expression<'a> {
     left: std::iter::Peekable<std::vec::IntoIter<&'a str>>,
-    known: &'a Named,
+    known: &'a NamedFigures,
 }
 
 fn tokens(s: &str) -> Vec<&str> {
@@ -50,55 +50,58 @@
     out
 }
 
-impl Sum<'_> {
-    fn of(text: &str, known: &Named) -> f64 {
-        let mut s = Sum { left: tokens(text).into_iter().peekable(), known };
-        let v = s.add();
-        assert!(s.left.peek().is_none(), "{text}: ends early");
+impl Expression<'_> {
+    fn evaluate(text: &str, known: &NamedFigures) -> f64 {
+        let mut s = Expression { left: tokens(text).into_iter().peekable(), known };
+        let v = s.sum();
+        assert!(s.left.peek().is_none(), "{text}: unexpected text after the expression");
         v
     }
-    fn add(&mut self) -> f64 {
-        let mut v = self.times();
+    fn sum(&mut self) -> f64 {
+        let mut v = self.product();
         while let Some(op) = self.left.next_if(|t| matches!(*t, "+" | "-")) {
-            let w = self.times();
+            let w = self.product();
             v = if op == "+" { v + w } else { v - w };
         }
         v
     }
-    fn times(&mut self) -> f64 {
-        let mut v = self.one();
+    fn product(&mut self) -> f64 {
+        let mut v = self.factor();
         while let Some(op) = self.left.next_if(|t| matches!(*t, "*" | "/")) {
-            let w = self.one();
+            let w = self.factor();
             v = if op == "*" { v * w } else { v / w };
         }
         v
     }
-    fn one(&mut self) -> f64 {
+    fn factor(&mut self) -> f64 {
         match self.left.next() {
             Some("(") => {
-                let v = self.add();
+                let v = self.sum();
                 assert_eq!(self.left.next(), Some(")"));
                 v
             }
             Some(t) => match t.parse() {
                 Ok(v) => v,
-                Err(_) => *self.known.get(t).unwrap_or_else(|| panic!("{t} stands in no table above")),
+                Err(_) => *self.known.get(t).unwrap_or_else(|| panic!("{t} is not defined in a table above")),
             },
-            None => panic!("a sum ends early"),
+            None => panic!("unexpected end of the expression"),
         }
     }
 }
 
-/// As near as the page's digits go.
-fn same(what: &str, said: f64, is: f64) {
-    assert!((said - is).abs() <= is.abs() * 0.006 + 1e-9, "{what}: the page says {said}, it is {is}");
+/// Asserts that a figure of the page equals the actual value, within the precision of the page's digits.
+fn assert_same(what: &str, said: f64, is: f64) {
+    assert!(
+        (said - is).abs() <= is.abs() * 0.006 + 1e-9,
+        "{what}: the page has {said}, the actual value is {is}"
+    );
 }
 
-fn sums() -> Named {
-    let mut known = given();
+fn sums() -> NamedFigures {
+    let mut known = sizes_and_slopes();
     for r in table("Sums") {
-        let v = Sum::of(&name(&r[1]), &known);
-        same(&r[0], number(&r[2]), v);
+        let v = Expression::evaluate(&name(&r[1]), &known);
+        assert_same(&r[0], number(&r[2]), v);
         known.insert(name(&r[0]), v);
     }
     known
@@ -111,38 +114,38 @@
 }
 
 #[test]
-fn the_last_table_says_what_the_sums_say() {
+fn the_last_table_agrees_with_the_sums() {
     let known = sums();
     let mut seen = 0;
     for r in table("Roles at the size") {
         for cell in &r {
             let Some((before, after)) = cell.split_once(" (`") else { continue };
             let of = after.split('`').next().unwrap_or("");
-            let is = *known.get(of).unwrap_or_else(|| panic!("{of} is no sum"));
-            same(of, number(before), is);
+            let is = *known.get(of).unwrap_or_else(|| panic!("{of} is not among the sums"));
+            assert_same(of, number(before), is);
             seen += 1;
         }
     }
     assert!(seen > 10, "{seen}");
 }
 
-/// Bytes and bounds hang on the code alone, and so are looked at again here.
+/// Byte counts and limits depend only on the code, so this test computes them again.
 #[test]
-fn bytes_and_bounds_are_what_the_code_has() {
-    let k = given();
+fn byte_counts_and_limits_match_the_code() {
+    let k = sizes_and_slopes();
     let dbs = k["databases"] as usize;
     let frames = components::frame_sizes(dbs);
-    same("store_bytes", k["store_bytes"], frames.store as f64);
-    same("begin_bytes", k["begin_bytes"], frames.snapshot as f64);
-    same("news_bytes", k["news_bytes"], frames.change as f64);
-    same("pass_bytes", k["pass_bytes"], tail_keeper::first_transfer_bytes(dbs, 1) as f64);
-    same("text_bytes", k["text_bytes"], components::parse_configuration(dbs).bytes as f64);
+    assert_same("store_bytes", k["store_bytes"], frames.store as f64);
+    assert_same("begin_bytes", k["begin_bytes"], frames.snapshot as f64);
+    assert_same("news_bytes", k["news_bytes"], frames.change as f64);
+    assert_same("pass_bytes", k["pass_bytes"], tail_keeper::first_transfer_bytes(dbs, 1) as f64);
+    assert_same("text_bytes", k["text_bytes"], components::parse_configuration(dbs).bytes as f64);
     let registered = components::health_checks(dbs * SERVERS_PER_GROUP).servers;
-    same("board_rows", k["board_rows"], registered as f64);
-    same("frame_max", k["frame_max"], quincehatch_wire::FRAME_MAX as f64);
-    same("node_lease_ms", k["node_lease_ms"], quincehatch_store::timing::NODE_LEASE as f64);
+    assert_same("board_rows", k["board_rows"], registered as f64);
+    assert_same("frame_max", k["frame_max"], quincehatch_wire::FRAME_MAX as f64);
+    assert_same("node_lease_ms", k["node_lease_ms"], quincehatch_store::timing::NODE_LEASE as f64);
     assert_eq!(quincehatch_store::limits::LOG_MAX_ENTRIES, 512, "as the page says");
-    same("transfer_max", k["transfer_max"], quincehatch_store::limits::TRANSFER_MAX_BYTES as f64);
+    assert_same("transfer_max", k["transfer_max"], quincehatch_store::limits::TRANSFER_MAX_BYTES as f64);
     for adoptions in [10, 11, 100] {
         let passed = tail_keeper::first_transfer_bytes(dbs, adoptions) as f64;
         assert!(passed < k["transfer_max"] + k["pass_bytes"], "{adoptions} adoptions in {passed} bytes");
@@ -150,7 +153,7 @@
 }
 
 #[test]
-fn a_fit_finds_its_terms_and_tells_what_is_left() {
+fn a_fit_finds_the_coefficients_and_reports_the_residual() {
     let rows = |f: fn(f64, f64) -> f64| {
         let at = [(6.0, 40.0), (12.0, 40.0), (24.0, 80.0), (48.0, 20.0), (6.0, 160.0)];
         at.map(|(n, g)| Sample { terms: vec![1.0, n, g, n * g], value: f(n, g) }).to_vec()
