--- a/crates/simulator/src/control/budget.rs
+++ b/crates/simulator/src/control/budget.rs
@@ -1,36 +1,41 @@
-//! Which machines count as lost, and when the core was troubled.
+//! Tracks which machines count as lost, and when the core was disturbed.
 use quincehatch_core::Millis;
 use std::collections::BTreeMap;
 
-/// Until when a place of the deployment counts as lost.
+/// The time for which a slot of the deployment counts as lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Loss {
+    /// The fault is in effect; its end is open.
     Now,
+    /// The fault is over; the slot counts as lost until this time.
     Until(Millis),
 }
 
 #[derive(Debug, Default)]
 pub struct FaultBudget {
     lost: BTreeMap<usize, Loss>,
-    /// Spans of trouble with the core; an event is an empty span.
+    /// Spans in which the core was disturbed; a single event is an empty span.
     disturbances: Vec<(Millis, Millis)>,
-    /// Spans in which halves of the core do not reach each other, and in which they catch up after that: a machine that
-    /// was lost before cannot be made up for meanwhile.
-    halves: Vec<(Millis, Millis)>,
+    /// Spans in which the core is cut into halves or catches up after that. A machine that was lost before cannot be
+    /// replaced meanwhile, so it counts as lost until the span ends.
+    bisections: Vec<(Millis, Millis)>,
 }
 
 impl FaultBudget {
-    /// True when losing the machine in `slot` as well stays within what is tolerated.
+    /// Whether the machine in `slot` may be lost in addition without exceeding what is tolerated.
     pub fn allows(&self, slot: usize, now: Millis, tolerated: usize) -> bool {
-        let others =
-            self.lost.iter().filter(|(other, lost)| **other != slot && self.holds(**lost, now)).count();
+        let others = self
+            .lost
+            .iter()
+            .filter(|(other, lost)| **other != slot && self.counts_as_lost(**lost, now))
+            .count();
         others < tolerated
     }
-    /// True when no machine counts as lost.
+    /// Whether no machine counts as lost.
     pub fn none_lost(&self, now: Millis) -> bool {
-        !self.lost.values().any(|lost| self.holds(*lost, now))
+        !self.lost.values().any(|lost| self.counts_as_lost(*lost, now))
     }
-    /// True while the machine in `slot` is down or in trouble.
+    /// Whether the fault of the machine in `slot` is still in effect.
     pub fn is_lost_now(&self, slot: usize) -> bool {
         self.lost.get(&slot) == Some(&Loss::Now)
     }
@@ -38,20 +43,21 @@
         self.lost.insert(slot, Loss::Now);
     }
     pub fn mark_lost_until(&mut self, slot: usize, until: Millis) {
-        let had = match self.lost.get(&slot) {
-            Some(Loss::Until(had)) => *had,
+        let previous = match self.lost.get(&slot) {
+            Some(Loss::Until(previous)) => *previous,
             _ => 0,
         };
-        self.lost.insert(slot, Loss::Until(until.max(had)));
+        self.lost.insert(slot, Loss::Until(until.max(previous)));
     }
-    pub fn record_halves(&mut self, from: Millis, to: Millis) {
-        self.halves.push((from, to));
+    pub fn record_bisection(&mut self, from: Millis, to: Millis) {
+        self.bisections.push((from, to));
     }
-    fn holds(&self, loss: Loss, now: Millis) -> bool {
+    /// Whether the slot counts as lost at `now`.
+    fn counts_as_lost(&self, loss: Loss, now: Millis) -> bool {
         match loss {
             Loss::Now => true,
             Loss::Until(until) => {
-                now < until || self.halves.iter().any(|(from, to)| until > *from && now < *to)
+                now < until || self.bisections.iter().any(|(from, to)| until > *from && now < *to)
             }
         }
     }
@@ -59,17 +65,18 @@
         self.disturbances.push((from, to));
     }
 
-    /// Spans until `end` without trouble, each from `contact` after the last.
-    pub fn settled_spans(&self, contact: Millis, end: Millis) -> Vec<(Millis, Millis)> {
-        let mut troubles = self.disturbances.clone();
-        troubles.sort_unstable();
+    /// Returns the spans until `end` in which the core was settled: without a disturbance, and beginning `settle_time`
+    /// after the last one.
+    pub fn settled_spans(&self, settle_time: Millis, end: Millis) -> Vec<(Millis, Millis)> {
+        let mut ordered = self.disturbances.clone();
+        ordered.sort_unstable();
         let mut spans = Vec::new();
-        let mut calm_since = 0;
-        for (from, to) in troubles.into_iter().chain([(end, end)]) {
-            if from > calm_since + contact {
-                spans.push((calm_since + contact, from));
+        let mut quiet_since = 0;
+        for (from, to) in ordered.into_iter().chain([(end, end)]) {
+            if from > quiet_since + settle_time {
+                spans.push((quiet_since + settle_time, from));
             }
-            calm_since = calm_since.max(to);
+            quiet_since = quiet_since.max(to);
         }
         spans
     }
--- a/crates/simulator/src/control/call_kind.rs
+++ b/crates/simulator/src/control/call_kind.rs
@@ -1,7 +1,7 @@
-//! Which kind of reply a keeper's caller expects (C5).
+//! The kind of reply that a client of a keeper expects (check C5).
 use quincehatch_store::{Reply, Request};
 
-/// Which kind of answer a call expects.
+/// The kind of reply that a request expects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
     Status,
@@ -16,8 +16,8 @@
 }
 
 impl CallKind {
-    pub fn from_request(ask: &Request) -> CallKind {
-        match ask {
+    pub fn from_request(request: &Request) -> CallKind {
+        match request {
             Request::Status => CallKind::Status,
             Request::CurrentView => CallKind::View,
             Request::ChangeVoters { .. } => CallKind::Machines,
@@ -29,7 +29,7 @@
             Request::ReadQuota => CallKind::Quota,
         }
     }
-    /// True if the reply is one that such a call may get.
+    /// Whether a request of this kind may get this reply.
     pub fn accepts(self, reply: &Reply) -> bool {
         match reply {
             Reply::Status { .. } => self == CallKind::Status,
--- a/crates/simulator/src/control/cluster.rs
+++ b/crates/simulator/src/control/cluster.rs
@@ -1,4 +1,4 @@
-//! The simulated machines and all that a run's parts share.
+//! The simulated machines, and the state that all parts of a run share.
 use super::budget::FaultBudget;
 use super::disk::Disk;
 use super::history::{Document, History};
@@ -12,37 +12,41 @@
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
 
-/// Machines that are named to all others at the first start.
+/// Number of machines that are the seeds of all machines at the first start.
 const INITIAL_SEEDS: usize = 3;
 
+/// A machine of the core.
 pub struct Machine {
     pub pid: ProcessId,
     pub address: Name,
     pub disk: Arc<Mutex<Disk>>,
     pub process: Option<Process>,
-    /// Time that each step takes on a machine that is slowed.
+    /// Extra time of each step while the machine is slowed.
     pub step_delay: Millis,
-    /// False once it was removed for good.
+    /// False once the machine was removed for good.
     pub present: bool,
-    /// Its place in the deployment; a successor takes its predecessor's.
+    /// Its place in the deployment; a successor takes over its predecessor's slot.
     pub slot: usize,
 }
 
 #[derive(Default)]
 pub struct ClusterState {
     pub machines: Vec<Machine>,
-    /// The seeds that the operators' list names, known to processes that start from now on.
+    /// The operators' list of seeds, with which processes start.
     pub seeds: Vec<Name>,
-    /// Answers to operators are lost until that time.
+    /// Most replies to operators are lost until this time.
     pub replies_lost_until: Millis,
+    /// Whether the machines are still in their first start, in which the seeds begin with the initial view.
     pub first_start: bool,
     next_address: u64,
+    /// The highest document number submitted so far.
     pub next_number: u64,
+    /// Operators, readers and nodes end their work.
     pub stopped: bool,
 }
 
 pub struct Cluster {
-    pub core: Arc<Simulation>,
+    pub simulation: Arc<Simulation>,
     pub parameters: Parameters,
     pub state: Mutex<ClusterState>,
     pub history: Mutex<History>,
@@ -51,9 +55,9 @@
 }
 
 impl Cluster {
-    pub fn new(core: Arc<Simulation>, parameters: Parameters) -> Arc<Cluster> {
+    pub fn new(simulation: Arc<Simulation>, parameters: Parameters) -> Arc<Cluster> {
         Arc::new(Cluster {
-            core,
+            simulation,
             parameters,
             state: Mutex::new(ClusterState { first_start: true, ..Default::default() }),
             history: Mutex::default(),
@@ -62,7 +66,7 @@
         })
     }
 
-    /// All machines of the first start, which begin within 0.3 s of each other.
+    /// Schedules the first start of all machines, within 0.3 s of each other.
     pub fn start_all(self: &Arc<Self>) {
         let count = self.parameters.shape.machines;
         self.state.lock().unwrap().seeds = (1..=INITIAL_SEEDS.min(count)).map(address).collect();
@@ -70,12 +74,12 @@
             let cluster = self.clone();
             let at = self.below(300);
             let address = self.fresh_address();
-            self.core.schedule_action(at, move |_| {
+            self.simulation.schedule_action(at, move |_| {
                 cluster.add_machine(slot, address);
             });
         }
         let cluster = self.clone();
-        self.core.schedule_action(1_000, move |_| cluster.state.lock().unwrap().first_start = false);
+        self.simulation.schedule_action(1_000, move |_| cluster.state.lock().unwrap().first_start = false);
     }
 
     pub fn fresh_address(&self) -> Name {
@@ -84,7 +88,7 @@
         address(state.next_address as usize)
     }
 
-    /// A new machine with an empty disk; its index.
+    /// Adds and starts a machine with an empty disk; returns its index.
     pub fn add_machine(self: &Arc<Self>, slot: usize, address: Name) -> usize {
         let disk = Arc::new(Mutex::new(self.empty_disk(&address)));
         let index = {
@@ -104,37 +108,37 @@
         };
         let cluster = self.clone();
         let start = move |_: &Arc<Simulation>, pid: ProcessId| machine::start(&cluster, index, pid);
-        self.core.add_process(&address, Arc::new(start), false);
+        self.simulation.add_process(&address, Arc::new(start), false);
         index
     }
 
-    /// The folder of a keeper that was never there before: named by its address at the first start of a seed, under a
-    /// fresh name otherwise.
+    /// Returns the disk of a new keeper. A seed in the first start is named by its address and holds the initial view;
+    /// any other keeper has a fresh name and no state.
     pub fn empty_disk(&self, address: &Name) -> Disk {
-        let (first, seeds) = {
+        let (is_first_seed, seeds) = {
             let state = self.state.lock().unwrap();
             (state.first_start && state.seeds.contains(address), state.seeds.clone())
         };
         let sync_ms = 2 + self.below(4);
-        if first {
-            let found = RecoveredState { view: View::initial(&seeds), ..Default::default() };
-            return Disk::new(address.to_string(), found, sync_ms);
+        if is_first_seed {
+            let initial_state = RecoveredState { view: View::initial(&seeds), ..Default::default() };
+            return Disk::new(address.to_string(), initial_state, sync_ms);
         }
-        let salt = self.core.lock().rng.next_u64() as u32;
+        let salt = self.simulation.lock().rng.next_u64() as u32;
         let mut disk = Disk::new(format!("{address}#{salt:08x}"), RecoveredState::default(), sync_ms);
-        disk.born_at = self.core.now();
+        disk.created_at = self.simulation.now();
         disk
     }
 
     pub fn below(&self, limit: u64) -> u64 {
-        self.core.lock().rng.below(limit)
+        self.simulation.lock().rng.below(limit)
     }
 
     pub fn chance(&self, per_mille: u64) -> bool {
-        self.core.lock().rng.chance(per_mille)
+        self.simulation.lock().rng.chance(per_mille)
     }
 
-    /// Addresses of the machines that are there, up or not.
+    /// Addresses of the machines that were not removed, up or down.
     pub fn addresses(&self) -> Vec<Name> {
         let state = self.state.lock().unwrap();
         state
@@ -145,7 +149,7 @@
             .collect()
     }
 
-    /// Indices of the machines that are there.
+    /// Indices of the machines that were not removed, up or down.
     pub fn present(&self) -> Vec<usize> {
         let state = self.state.lock().unwrap();
         (0..state.machines.len()).filter(|index| state.machines[*index].present).collect()
@@ -159,7 +163,7 @@
         self.state.lock().unwrap().machines[index].slot
     }
 
-    /// A place for one more machine.
+    /// Returns an unused slot for an additional machine.
     pub fn fresh_slot(&self) -> usize {
         self.parameters.shape.machines + self.state.lock().unwrap().machines.len()
     }
@@ -172,7 +176,7 @@
         self.state.lock().unwrap().stopped
     }
 
-    /// A number above all that were sent.
+    /// Returns a new document, numbered above all earlier ones.
     pub fn next_document(&self) -> Document {
         let mut state = self.state.lock().unwrap();
         state.next_number += 1;
@@ -182,9 +186,9 @@
     /// Processes that are not core machines: operators, readers and nodes.
     pub fn non_machine_processes(&self) -> Vec<ProcessId> {
         let state = self.state.lock().unwrap();
-        let core: BTreeSet<ProcessId> = state.machines.iter().map(|machine| machine.pid).collect();
+        let machine_pids: BTreeSet<ProcessId> = state.machines.iter().map(|machine| machine.pid).collect();
         drop(state);
-        (0..self.core.lock().processes.len()).filter(|pid| !core.contains(pid)).collect()
+        (0..self.simulation.lock().processes.len()).filter(|pid| !machine_pids.contains(pid)).collect()
     }
 }
 
--- a/crates/simulator/src/control/disk.rs
+++ b/crates/simulator/src/control/disk.rs
@@ -1,4 +1,4 @@
-//! A simulated disk: what is synced outlives the process, what waits for its sync may not.
+//! A simulated disk: synced records outlive the process, records that wait for their sync may be lost.
 use quincehatch_core::{Error, ErrorCode, Millis};
 use quincehatch_store::limits::SNAPSHOT_INTERVAL_ENTRIES;
 use quincehatch_store::record::{Record, RecoveredState};
@@ -8,30 +8,31 @@
     /// The keeper's name, written when its folder is made.
     pub name: String,
     synced: RecoveredState,
-    /// As it was when the log was last cut.
+    /// The synced state as of the last snapshot, after which the log was truncated.
     snapshot: RecoveredState,
-    since_snapshot: usize,
-    /// Handed over, not synced yet.
+    /// Entries since that snapshot.
+    entries_since_snapshot: usize,
+    /// Records that were written but are not synced yet.
     pending: Vec<Record>,
-    /// When it was put in, empty.
-    pub born_at: Millis,
-    /// Time of one sync.
+    /// When the disk was installed, empty; 0 for the disks of the first start.
+    pub created_at: Millis,
+    /// Duration of one sync.
     pub sync_ms: Millis,
-    /// No sync ends before that time.
+    /// Time before which no sync ends.
     pub stalled_until: Millis,
-    /// Writes are refused until that time.
+    /// Time before which syncs fail for lack of space.
     pub full_until: Millis,
 }
 
 impl Disk {
-    pub fn new(name: String, found: RecoveredState, sync_ms: Millis) -> Disk {
-        Disk { name, snapshot: found.clone(), synced: found, sync_ms, ..Default::default() }
+    pub fn new(name: String, initial_state: RecoveredState, sync_ms: Millis) -> Disk {
+        Disk { name, snapshot: initial_state.clone(), synced: initial_state, sync_ms, ..Default::default() }
     }
-    /// What a process that starts finds.
+    /// Returns the state from which a process starts.
     pub fn recover(&self) -> RecoveredState {
         self.synced.clone()
     }
-    /// An older state than what was synced: only a deliberate bug starts from it.
+    /// Returns an older state than what was synced, from which only an injected bug starts.
     pub fn recover_stale(&self) -> RecoveredState {
         RecoveredState {
             acceptor: self.synced.acceptor.clone(),
@@ -43,7 +44,7 @@
     pub fn write(&mut self, records: Vec<Record>) {
         self.pending = records;
     }
-    /// Ends the write that is under way.
+    /// Ends the sync in progress; a full disk fails it and drops the records.
     pub fn sync(&mut self, now: Millis) -> Result<(), Error> {
         if self.full_until > now {
             self.pending.clear();
@@ -52,20 +53,20 @@
         self.sync_pending();
         Ok(())
     }
-    /// What was written becomes durable.
+    /// Makes the written records durable.
     pub fn sync_pending(&mut self) {
         for record in std::mem::take(&mut self.pending) {
             self.apply(record);
         }
     }
-    /// Opens the folder anew, if it takes writes.
+    /// Reopens the disk, which fails while it is full.
     pub fn probe(&self, now: Millis) -> Result<RecoveredState, Error> {
         match self.full_until > now {
             true => Err(ErrorCode::DiskFailed.with_detail("no space left")),
             false => Ok(self.recover()),
         }
     }
-    /// The process ended in the midst of a sync.
+    /// Drops the written records, as when the process ends during a sync.
     pub fn lose_pending(&mut self) {
         self.pending.clear();
     }
@@ -92,9 +93,9 @@
     }
 
     fn count_entry(&mut self) {
-        self.since_snapshot += 1;
-        if self.since_snapshot >= SNAPSHOT_INTERVAL_ENTRIES {
-            self.since_snapshot = 0;
+        self.entries_since_snapshot += 1;
+        if self.entries_since_snapshot >= SNAPSHOT_INTERVAL_ENTRIES {
+            self.entries_since_snapshot = 0;
             self.snapshot = self.synced.clone();
         }
     }
--- a/crates/simulator/src/control/fault_effects.rs
+++ b/crates/simulator/src/control/fault_effects.rs
@@ -1,35 +1,38 @@
-//! What each fault does to machines, links and disks, and how it ends.
+//! The effects of faults on machines, links and disks, and the end of these effects.
 use super::cluster::{Cluster, Machine};
 use super::machine;
 use crate::fleet::simulation::ProcessId;
 use quincehatch_core::{Millis, Name};
 use std::sync::Arc;
 
-/// Does something at a later time.
-pub fn schedule_at(cluster: &Arc<Cluster>, at: Millis, act: impl FnOnce(&Arc<Cluster>) + Send + 'static) {
+/// Schedules an action on the cluster.
+pub fn schedule_at(cluster: &Arc<Cluster>, at: Millis, action: impl FnOnce(&Arc<Cluster>) + Send + 'static) {
     let shared = cluster.clone();
-    cluster.core.schedule_action(at, move |_| act(&shared));
+    cluster.simulation.schedule_action(at, move |_| action(&shared));
 }
 
+/// Records a disturbance at the present time.
 pub fn record_disturbance(cluster: &Cluster) {
-    let now = cluster.core.now();
+    let now = cluster.simulation.now();
     cluster.budget.lock().unwrap().record_disturbance(now, now);
 }
 
-/// The machine's trouble is over: it counts as lost for the time it needs to catch up.
+/// Records that the machine's fault is over; the machine counts as lost until it had the time to catch up.
 pub fn mark_recovered(cluster: &Cluster, machine: usize) {
     record_disturbance(cluster);
-    let until = cluster.core.now() + cluster.parameters.catch_up_time;
+    let until = cluster.simulation.now() + cluster.parameters.catch_up_time;
     cluster.budget.lock().unwrap().mark_lost_until(cluster.slot(machine), until);
 }
 
-pub fn kill_machine(cluster: &Arc<Cluster>, machine: usize, power: bool) {
+/// Kills the machine's process. Records that are not synced yet are lost if the power is lost, otherwise in half of
+/// the kills.
+pub fn kill_machine(cluster: &Arc<Cluster>, machine: usize, power_loss: bool) {
     record_disturbance(cluster);
-    cluster.core.crash(cluster.pid(machine), power);
-    let keeps = !power && cluster.chance(500);
+    cluster.simulation.crash(cluster.pid(machine), power_loss);
+    let completes_sync = !power_loss && cluster.chance(500);
     let disk = cluster.disk(machine);
     let mut disk = disk.lock().unwrap();
-    if keeps {
+    if completes_sync {
         disk.sync_pending();
     } else {
         disk.lose_pending();
@@ -37,7 +40,7 @@
 }
 
 pub fn restart_machine(cluster: &Arc<Cluster>, machine: usize) {
-    cluster.core.restart(cluster.pid(machine));
+    cluster.simulation.restart(cluster.pid(machine));
     mark_recovered(cluster, machine);
 }
 
@@ -48,18 +51,18 @@
     *present = false;
     let address = address.clone();
     drop(state);
-    cluster.core.lock().network.addresses.remove(address.as_str());
+    cluster.simulation.lock().network.addresses.remove(address.as_str());
 }
 
 pub fn add_successor(cluster: &Arc<Cluster>, slot: usize) {
     record_disturbance(cluster);
     let address = cluster.fresh_address();
     cluster.add_machine(slot, address);
-    let at = cluster.core.now() + cluster.parameters.seed_lag;
+    let at = cluster.simulation.now() + cluster.parameters.seed_lag;
     schedule_at(cluster, at, |cluster| replace_absent_seeds(cluster));
 }
 
-/// Seeds that are no machine's address any more give way to machines that are there.
+/// Replaces seeds that are no machine's address any more by the newest machines.
 fn replace_absent_seeds(cluster: &Cluster) {
     let present = cluster.addresses();
     let mut state = cluster.state.lock().unwrap();
@@ -77,15 +80,15 @@
         others.extend(cluster.non_machine_processes());
     }
     others.retain(|other| *other != pid);
-    others.iter().for_each(|other| cluster.core.partition(pid, *other, !one_way));
+    others.iter().for_each(|other| cluster.simulation.partition(pid, *other, !one_way));
     schedule_at(cluster, until, move |cluster| {
-        others.iter().for_each(|other| cluster.core.heal_partition(pid, *other));
+        others.iter().for_each(|other| cluster.simulation.heal_partition(pid, *other));
         mark_recovered(cluster, machine);
     });
 }
 
 pub fn split_core(cluster: &Arc<Cluster>, time: Millis) {
-    let now = cluster.core.now();
+    let now = cluster.simulation.now();
     let (left, right): (Vec<usize>, Vec<usize>) =
         cluster.present().into_iter().partition(|_| cluster.chance(500));
     {
@@ -95,9 +98,9 @@
     }
     let pairs = left.iter().flat_map(|a| right.iter().map(|b| (cluster.pid(*a), cluster.pid(*b))));
     let pairs: Vec<(ProcessId, ProcessId)> = pairs.collect();
-    pairs.iter().for_each(|(a, b)| cluster.core.partition(*a, *b, true));
+    pairs.iter().for_each(|(a, b)| cluster.simulation.partition(*a, *b, true));
     schedule_at(cluster, now + time, move |cluster| {
-        pairs.iter().for_each(|(a, b)| cluster.core.heal_partition(*a, *b));
+        pairs.iter().for_each(|(a, b)| cluster.simulation.heal_partition(*a, *b));
         left.iter().chain(&right).for_each(|machine| mark_recovered(cluster, *machine));
     });
 }
@@ -108,24 +111,24 @@
         let mut state = cluster.state.lock().unwrap();
         std::mem::replace(&mut state.machines[machine].address, fresh)
     };
-    cluster.core.lock().network.addresses.remove(old.as_str());
-    let at = cluster.core.now() + cluster.parameters.seed_lag;
+    cluster.simulation.lock().network.addresses.remove(old.as_str());
+    let at = cluster.simulation.now() + cluster.parameters.seed_lag;
     schedule_at(cluster, at, |cluster| replace_absent_seeds(cluster));
 }
 
 pub fn slow_disk(cluster: &Arc<Cluster>, machine: usize, sync: Millis, until: Millis) {
     let disk = cluster.disk(machine);
-    let usual = std::mem::replace(&mut disk.lock().unwrap().sync_ms, sync);
+    let usual_sync_ms = std::mem::replace(&mut disk.lock().unwrap().sync_ms, sync);
     schedule_at(cluster, until, move |cluster| {
-        disk.lock().unwrap().sync_ms = usual;
+        disk.lock().unwrap().sync_ms = usual_sync_ms;
         mark_recovered(cluster, machine);
     });
 }
 
-/// Other machines become the seeds, and every process is told.
+/// Draws new seeds, and sends the list to every running process.
 pub fn change_seeds(cluster: &Arc<Cluster>) {
     let mut seeds = cluster.addresses();
-    cluster.core.lock().rng.shuffle(&mut seeds);
+    cluster.simulation.lock().rng.shuffle(&mut seeds);
     let processes = {
         let mut state = cluster.state.lock().unwrap();
         seeds.truncate(state.seeds.len());
@@ -134,21 +137,21 @@
         present.filter_map(|machine| Some((machine.pid, machine.process.clone()?))).collect::<Vec<_>>()
     };
     for (pid, process) in processes {
-        let is_up = cluster.core.lock().processes[pid].is_up;
+        let is_up = cluster.simulation.lock().processes[pid].is_up;
         if is_up {
-            cluster.core.run_in(pid, || machine::update_seeds(&process, seeds.clone()));
+            cluster.simulation.run_in(pid, || machine::update_seeds(&process, seeds.clone()));
         }
     }
 }
 
-pub fn kill_all_machines(cluster: &Arc<Cluster>, power: bool, down: Millis) {
-    let now = cluster.core.now();
-    // A core that was down as a whole has twice the time to be in touch again.
-    let contact = cluster.parameters.settle_time;
-    cluster.budget.lock().unwrap().record_disturbance(now, now + down + contact);
+pub fn kill_all_machines(cluster: &Arc<Cluster>, power_loss: bool, downtime: Millis) {
+    let now = cluster.simulation.now();
+    // A core that was down as a whole has twice the time to settle.
+    let extra_settle_time = cluster.parameters.settle_time;
+    cluster.budget.lock().unwrap().record_disturbance(now, now + downtime + extra_settle_time);
     for machine in cluster.present() {
         cluster.budget.lock().unwrap().mark_lost(cluster.slot(machine));
-        kill_machine(cluster, machine, power);
-        schedule_at(cluster, now + down, move |cluster| restart_machine(cluster, machine));
+        kill_machine(cluster, machine, power_loss);
+        schedule_at(cluster, now + downtime, move |cluster| restart_machine(cluster, machine));
     }
 }
--- a/crates/simulator/src/control/history.rs
+++ b/crates/simulator/src/control/history.rs
@@ -1,95 +1,95 @@
-//! What operators, readers and nodes saw during a run.
+//! The history of a run: what operators, readers and nodes observed.
 use quincehatch_core::{Millis, Name};
 use std::collections::BTreeSet;
 
 /// A configuration document: its number, and which of the texts sent under that number it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Document {
-    /// Its number.
+    /// The number under which the document is submitted.
     pub number: u64,
-    /// Which text it is.
+    /// Distinguishes the texts that are submitted under one number.
     pub variant: u64,
 }
 
 impl Document {
-    /// The text that is sent.
+    /// Returns the text that is submitted.
     pub fn text(&self) -> String {
         format!("{}/{}", self.number, self.variant)
     }
-    /// The document of a text.
+    /// Parses a text written by [`Document::text`].
     pub fn parse(text: &str) -> Option<Document> {
         let (number, variant) = text.split_once('/')?;
         Some(Document { number: number.parse().ok()?, variant: variant.parse().ok()? })
     }
 }
 
-/// One document on its way to an acknowledgement.
+/// An operator's attempts to have one document acknowledged.
 #[derive(Clone, Debug)]
 pub struct Submission {
     /// The document.
     pub document: Document,
-    /// When it was first sent.
+    /// When the document was first sent.
     pub sent_at: Millis,
-    /// Another document was sent under the same number.
+    /// Whether another document was submitted under the same number.
     pub contested: bool,
-    /// A higher number was sent at that time.
+    /// When a document with a higher number was first submitted.
     pub superseded_at: Option<Millis>,
-    /// When its operator had an answer, or gave up.
+    /// When the operator received an answer, or abandoned the submission.
     pub ended_at: Option<Millis>,
 }
 
-/// A read that returned, with what it returned.
+/// A read that was answered.
 #[derive(Clone, Debug)]
 pub struct Read {
-    /// When it was sent.
+    /// When the read was sent.
     pub began_at: Millis,
-    /// When it was answered.
+    /// When the read was answered.
     pub ended_at: Millis,
-    /// What was in force.
+    /// The document that the read returned.
     pub document: Option<Document>,
 }
 
-/// What a node holding its lease had applied at a time.
+/// The document that a node with a valid lease had applied at a time.
 #[derive(Clone, Debug)]
 pub struct Applied {
     /// The node.
     pub node: Name,
-    /// When it was looked at.
+    /// When the node was observed.
     pub observed_at: Millis,
-    /// What it had in force.
+    /// The document that the node had in force.
     pub document: Option<Document>,
 }
 
-/// Everything that operators, readers and nodes saw.
+/// All observations of operators, readers and nodes.
 #[derive(Debug, Default)]
 pub struct History {
-    /// Documents that were sent.
+    /// Submissions, in the order of their first sending.
     pub submissions: Vec<Submission>,
-    /// When which document was acknowledged.
+    /// Acknowledged documents, with the time of the acknowledgement.
     pub acknowledged: Vec<(Millis, Document)>,
-    /// When which document was rejected.
+    /// Rejected documents, with the time of the rejection.
     pub rejected: Vec<(Millis, Document)>,
     /// Reads that were answered.
     pub reads: Vec<Read>,
-    /// What nodes with a lease had in force.
+    /// Documents that nodes with a valid lease had in force.
     pub applied: Vec<Applied>,
-    /// A read was answered after everything had healed.
+    /// Whether a read was answered after all faults were healed.
     pub read_back: bool,
     /// Spans in which the core was settled.
     pub settled: Vec<(Millis, Millis)>,
-    /// What the keepers themselves were seen to do wrong.
+    /// Violations of the invariants between the keepers.
     pub violations: Vec<String>,
 }
 
 impl History {
-    /// Notes a document's first sending; the place of its order.
+    /// Records the first sending of a document; returns the index of its submission.
     pub fn record_submission(&mut self, at: Millis, document: Document) -> usize {
-        for order in &mut self.submissions {
-            if order.document.number < document.number {
-                order.superseded_at.get_or_insert(at);
+        for submission in &mut self.submissions {
+            if submission.document.number < document.number {
+                submission.superseded_at.get_or_insert(at);
             }
         }
-        let highest = self.submissions.iter().map(|order| order.document.number).max().unwrap_or(0);
+        let highest = self.submissions.iter().map(|submission| submission.document.number).max().unwrap_or(0);
         let superseded = (highest > document.number).then_some(at);
         let contested = false;
         self.submissions.push(Submission {
@@ -104,14 +104,15 @@
     }
 
     fn mark_contested(&mut self, number: u64) {
-        let variants: BTreeSet<u64> = self.of_number(number).map(|sent| sent.document.variant).collect();
+        let variants: BTreeSet<u64> =
+            self.with_number(number).map(|earlier| earlier.document.variant).collect();
         if variants.len() > 1 {
-            let same = self.submissions.iter_mut().filter(|order| order.document.number == number);
-            same.for_each(|order| order.contested = true);
+            let same = self.submissions.iter_mut().filter(|submission| submission.document.number == number);
+            same.for_each(|submission| submission.contested = true);
         }
     }
 
-    fn of_number(&self, number: u64) -> impl Iterator<Item = &Submission> {
-        self.submissions.iter().filter(move |order| order.document.number == number)
+    fn with_number(&self, number: u64) -> impl Iterator<Item = &Submission> {
+        self.submissions.iter().filter(move |submission| submission.document.number == number)
     }
 }
--- a/crates/simulator/src/control/keeper_requests.rs
+++ b/crates/simulator/src/control/keeper_requests.rs
@@ -1,4 +1,4 @@
-//! What reaches a machine's keeper over the network: messages of its peers, and clients' requests.
+//! Hands frames that arrive at a machine's address to its keeper: messages of its peers and requests of clients.
 use super::call_kind::CallKind;
 use super::cluster::Cluster;
 use super::machine::{PendingCall, Process, enqueue};
@@ -16,24 +16,25 @@
     let process = process.clone();
     let on_frame = move |bytes: Vec<u8>| {
         let received = quincehatch_wire::receive::<KeeperRequest>(&identity, &bytes);
-        let (call, waiting) = match received {
+        let (call, pending_reply) = match received {
             Ok(Received::Request { call, request }) => (call, submit(&process, request)),
             Ok(Received::Rejected(frame)) => return Box::pin(async { Some(frame) }) as BoxFuture<'static, _>,
             Err(_) => return Box::pin(async { None }) as BoxFuture<'static, _>,
         };
         let identity = identity.clone();
         Box::pin(async move {
-            let answer = match waiting {
+            let response = match pending_reply {
                 None => KeeperResponse::Delivered,
                 Some(reply) => KeeperResponse::Reply { reply: reply.await.ok()? },
             };
-            quincehatch_wire::encode_answer_frame::<KeeperRequest>(&identity, call, &answer).ok()
+            quincehatch_wire::encode_answer_frame::<KeeperRequest>(&identity, call, &response).ok()
         }) as BoxFuture<'static, Option<Vec<u8>>>
     };
-    cluster.core.listen_frames(address, pid, Arc::new(on_frame));
+    cluster.simulation.listen_frames(address, pid, Arc::new(on_frame));
 }
 
-/// Hands a request to the keeper; a client's has a reply to wait for.
+/// Enqueues a frame's content for the keeper; returns the pending reply to a client's request. A stalled keeper drops
+/// messages of peers.
 fn submit(process: &Process, request: KeeperRequest) -> Option<oneshot::Receiver<Reply>> {
     match request {
         KeeperRequest::Peer { from, message } => {
@@ -46,20 +47,21 @@
     }
 }
 
-fn submit_request(process: &Process, ask: Request) -> oneshot::Receiver<Reply> {
-    let (answer, waiting) = oneshot::channel();
-    let kind = CallKind::from_request(&ask);
+/// Enqueues a client's request; a stalled keeper rejects it at once.
+fn submit_request(process: &Process, client_request: Request) -> oneshot::Receiver<Reply> {
+    let (reply_sender, pending_reply) = oneshot::channel();
+    let kind = CallKind::from_request(&client_request);
     let token = {
         let mut process = process.lock().unwrap();
         if process.stalled {
-            drop(answer.send(process.host.unavailable_reply(&ask)));
-            return waiting;
+            drop(reply_sender.send(process.host.unavailable_reply(&client_request)));
+            return pending_reply;
         }
         process.next_token += 1;
         let token = process.next_token;
-        process.calls.insert(token, PendingCall { kind, reply_to: answer });
+        process.pending_calls.insert(token, PendingCall { kind, reply_to: reply_sender });
         token
     };
-    enqueue(process, Input::Request { token, request: ask });
-    waiting
+    enqueue(process, Input::Request { token, request: client_request });
+    pending_reply
 }
--- a/crates/simulator/src/control/machine.rs
+++ b/crates/simulator/src/control/machine.rs
@@ -1,5 +1,5 @@
-//! The process of one machine: a real keeper run as the daemon runs it, and the control API before it. What a step
-//! persists is synced before anything of the same step leaves; inputs wait meanwhile.
+//! The process of one machine: a real keeper, run as the daemon runs it, and its control API. The records of a step are
+//! synced before any message or reply of the same step is sent; inputs are queued until the sync ends.
 use super::call_kind::CallKind;
 use super::cluster::Cluster;
 use super::configuration_api;
@@ -22,16 +22,16 @@
 pub type Process = Arc<Mutex<KeeperProcess>>;
 
 const TICK: Duration = Duration::from_millis(20);
-/// Inputs that share one sync.
+/// Largest number of inputs whose records share one sync.
 const MAX_BATCH: usize = 65;
-/// Inputs that wait at most; more are dropped, as with the daemon's full channel.
+/// Largest number of queued inputs; further ones are dropped, as by the daemon's full channel.
 const INBOX_CAPACITY: usize = 1_024;
-/// A write that lasts longer is a stall, as for the daemon's driver: requests are rejected until it ends.
-const STALL: Millis = 500;
-/// A peer that does not take a message in this time is given up.
+/// A sync that takes longer counts as a stall, as for the daemon's driver: requests are rejected until it ends.
+const STALL_THRESHOLD: Millis = 500;
+/// Deadline for a peer to accept a message.
 const SEND_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A client's request that waits for its reply.
+/// A client's request whose reply is pending.
 pub struct PendingCall {
     pub kind: CallKind,
     pub reply_to: oneshot::Sender<Reply>,
@@ -45,14 +45,15 @@
     caller: Arc<Caller>,
     disk: Arc<Mutex<Disk>>,
     inbox: VecDeque<Input>,
-    /// A sync is under way; `stalled` once it lasts too long.
-    busy: bool,
+    /// Whether a sync is in progress.
+    is_syncing: bool,
+    /// Whether the sync in progress has taken longer than [`STALL_THRESHOLD`].
     pub(super) stalled: bool,
-    pub(super) calls: BTreeMap<u64, PendingCall>,
+    pub(super) pending_calls: BTreeMap<u64, PendingCall>,
     pub(super) next_token: u64,
 }
 
-/// Starts the machine's process from its disk.
+/// Starts the machine's process from the state on its disk.
 pub fn start(cluster: &Arc<Cluster>, index: usize, pid: ProcessId) {
     let (address, disk, seeds) = {
         let mut state = cluster.state.lock().unwrap();
@@ -69,9 +70,9 @@
         caller: Caller::new(identity.clone()),
         disk,
         inbox: VecDeque::new(),
-        busy: false,
+        is_syncing: false,
         stalled: false,
-        calls: BTreeMap::new(),
+        pending_calls: BTreeMap::new(),
         next_token: 0,
     }));
     cluster.state.lock().unwrap().machines[index].process = Some(process.clone());
@@ -85,18 +86,18 @@
     });
 }
 
-/// The process is told other seeds.
+/// Replaces the process's list of seeds.
 pub fn update_seeds(process: &Process, seeds: Vec<Name>) {
     enqueue(process, Input::Seeds(seeds));
 }
 
-/// The process is told to leave the chain and end.
+/// Requests the process to leave the chain and then end.
 pub fn request_leave(process: &Process, within: Millis) {
     enqueue(process, Input::Leave { within });
 }
 
 fn tick(process: &Process) {
-    if !process.lock().unwrap().busy {
+    if !process.lock().unwrap().is_syncing {
         enqueue(process, Input::Tick);
     }
 }
@@ -111,37 +112,37 @@
     process_inbox(process);
 }
 
-/// Steps whatever has come, unless a sync is under way.
+/// Processes the queued inputs in batches until a batch has to be synced.
 fn process_inbox(shared: &Process) {
     let mut process = shared.lock().unwrap();
-    while !process.busy && !process.inbox.is_empty() {
+    while !process.is_syncing && !process.inbox.is_empty() {
         let batch = process.step_batch();
         process.persist(shared, batch);
     }
 }
 
-/// The sync is done, or was refused: what the steps sent leaves now. A suspended keeper tries its disk.
+/// Ends a sync, successful or failed, sends the outputs of its batch, and processes the inputs queued meanwhile.
 fn complete_sync(shared: &Process, batch: Batch) {
     {
         let mut process = shared.lock().unwrap();
-        process.busy = false;
+        process.is_syncing = false;
         process.stalled = false;
         process.complete_batch(batch);
     }
     process_inbox(shared);
 }
 
-/// Waits as long as the disk takes; requests are rejected once that is too long.
+/// Waits for the disk, then completes the batch; pending requests are rejected once the sync counts as stalled.
 async fn sync_to_disk(shared: Process, batch: Batch, cost: Millis) {
-    let (disk, core) = {
+    let (disk, simulation) = {
         let process = shared.lock().unwrap();
-        (process.disk.clone(), process.cluster.core.clone())
+        (process.disk.clone(), process.cluster.simulation.clone())
     };
-    let began = core.now();
+    let started_at = simulation.now();
     let sync = disk.lock().unwrap().sync_ms;
     seam::sleep(Duration::from_millis(sync + cost)).await;
-    while disk.lock().unwrap().stalled_until > core.now() {
-        if core.now() >= began + STALL {
+    while disk.lock().unwrap().stalled_until > simulation.now() {
+        if simulation.now() >= started_at + STALL_THRESHOLD {
             reject_while_stalled(&shared);
         }
         seam::sleep(TICK).await;
@@ -149,7 +150,7 @@
     complete_sync(&shared, batch);
 }
 
-/// Whoever waits for a write that lasts too long is told to ask again.
+/// Rejects the pending requests once for each stalled sync, so that their clients retry.
 fn reject_while_stalled(shared: &Process) {
     let mut process = shared.lock().unwrap();
     if !process.stalled {
@@ -167,29 +168,30 @@
             self.host.step(now(), input, &mut batch);
         }
         if let Some(keeper) = self.host.keeper() {
-            self.cluster.invariants.lock().unwrap().observe(self.cluster.core.now(), keeper);
+            self.cluster.invariants.lock().unwrap().observe(self.cluster.simulation.now(), keeper);
         }
         batch
     }
 
-    /// Makes the batch durable, then sends what came of it.
+    /// Makes the batch durable, then sends its outputs.
     fn persist(&mut self, shared: &Process, batch: Batch) {
         let cost = self.step_delay();
         if batch.records.is_empty() && cost == 0 {
             return self.complete_batch(batch);
         }
-        self.busy = true;
+        self.is_syncing = true;
         self.disk.lock().unwrap().write(batch.records.clone());
         seam::spawn(sync_to_disk(shared.clone(), batch, cost));
     }
 
+    /// Sends the outputs of a batch whose sync has ended. A keeper suspended by a failed disk probes it when due.
     fn complete_batch(&mut self, batch: Batch) {
-        let at = self.cluster.core.now();
-        let saved = if batch.records.is_empty() { Ok(()) } else { self.disk.lock().unwrap().sync(at) };
+        let true_time = self.cluster.simulation.now();
+        let saved = if batch.records.is_empty() { Ok(()) } else { self.disk.lock().unwrap().sync(true_time) };
         let outputs = self.host.complete_save(now(), saved, batch);
         self.send_outputs(outputs);
         if self.host.is_probe_due(now()) {
-            let recovered = self.disk.lock().unwrap().probe(at);
+            let recovered = self.disk.lock().unwrap().probe(true_time);
             let resumed = self.host.complete_probe(now(), recovered);
             let outputs = self.host.complete_save(now(), Ok(()), resumed);
             self.send_outputs(outputs);
@@ -209,7 +211,7 @@
                 Output::Persist(_) => {}
                 Output::Send(to, message) => self.send(to, message),
                 Output::Reply(token, reply) => self.reply(token, reply),
-                Output::Log(line) => self.cluster.core.log(&format!("{}: {line}", self.host.name())),
+                Output::Log(line) => self.cluster.simulation.log(&format!("{}: {line}", self.host.name())),
             }
         }
     }
@@ -218,27 +220,28 @@
         let Some(address) = self.host.keeper().and_then(|keeper| keeper.addr(&to)) else { return };
         let (caller, from) = (self.caller.clone(), self.host.name().clone());
         seam::spawn(async move {
-            // Seeds are known by their address alone; everything else is for the keeper of that very name.
+            // The names of seeds are unknown before discovery; any other message must reach the keeper of that name.
             let destination = match message {
                 PeerMessage::Discover { .. } => Destination::address(&address),
                 _ => Destination::process(&to, &address),
             };
             let request = KeeperRequest::Peer { from, message };
-            // The protocol sends again what is not taken.
+            // Messages that fail are dropped: the keeper protocol sends them again.
             drop(caller.call(destination, &request, SEND_TIMEOUT).await);
         });
     }
 
     fn reply(&mut self, token: u64, reply: Reply) {
-        let at = self.cluster.core.now();
-        let Some(call) = self.calls.remove(&token) else {
+        let true_time = self.cluster.simulation.now();
+        let Some(call) = self.pending_calls.remove(&token) else {
             let mut invariants = self.cluster.invariants.lock().unwrap();
             return invariants
-                .record_violation(format!("C5 {} answers a call twice at {at}", self.host.name()));
+                .record_violation(format!("C5 {} answers a call twice at {true_time}", self.host.name()));
         };
         if !call.kind.accepts(&reply) {
             let mut invariants = self.cluster.invariants.lock().unwrap();
-            let text = format!("C5 {} answers {:?} with another kind at {at}", self.host.name(), call.kind);
+            let text =
+                format!("C5 {} answers {:?} with another kind at {true_time}", self.host.name(), call.kind);
             invariants.record_violation(text);
         }
         drop(call.reply_to.send(reply));
--- a/crates/simulator/src/control/mod.rs
+++ b/crates/simulator/src/control/mod.rs
@@ -1,5 +1,8 @@
-//! A seeded simulation of the control plane alone: real keepers, real chain clients, simulated machines, disks, network,
-//! operators and nodes (§9.8). A seed replays exactly.
+//! A seeded simulation of the control plane alone (§9.8). The keepers and their clients are the real code; machines,
+//! disks, network, operators, readers and nodes are simulated. A seed replays exactly.
+//!
+//! The core is the set of machines that run a keeper. Operators submit numbered documents to the control API of these
+//! machines, readers read the document in force, and nodes follow the chain's feed.
 mod budget;
 mod call_kind;
 pub mod checks;
--- a/crates/simulator/src/control/node.rs
+++ b/crates/simulator/src/control/node.rs
@@ -1,4 +1,4 @@
-//! Nodes that follow the tail's feed and hold a lease along it, as the daemon's feed task does.
+//! Simulated nodes that poll the tail's feed and hold the lease it grants, as the daemon's feed task does.
 use super::cluster::Cluster;
 use super::history::{Applied, Document};
 use quincehatch_core::{ChangeNumber, Millis, Name};
@@ -9,42 +9,45 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const POLL_WITHIN: Duration = Duration::from_millis(600);
-const ENROLL_WITHIN: Duration = Duration::from_secs(2);
+const POLL_TIMEOUT: Duration = Duration::from_millis(600);
+const ENROLL_TIMEOUT: Duration = Duration::from_secs(2);
 const POLL_INTERVAL: Duration = Duration::from_millis(40);
 
+/// A node's copy of the configuration, and its lease on it.
 struct Node {
     cluster: Arc<Cluster>,
     name: Name,
     store_client: StoreClient,
+    /// The change that enrolled the node; 0 while it is not enrolled.
     enrolled: ChangeNumber,
-    tries: u64,
+    enroll_attempts: u64,
     feed_state: FeedState,
+    /// End of the lease, in the node's local time.
     lease_until: Millis,
 }
 
 pub fn start(cluster: &Arc<Cluster>) {
     for number in 0..cluster.parameters.nodes {
         let name = Name::from(format!("node-{number}"));
-        let (shared, host) = (cluster.clone(), name.clone());
-        let begin = move |_: &Arc<_>, _| {
-            let node = Node::new(shared.clone(), host.clone());
+        let (node_cluster, node_name) = (cluster.clone(), name.clone());
+        let start_node = move |_: &Arc<_>, _| {
+            let node = Node::new(node_cluster.clone(), node_name.clone());
             seam::spawn(node.follow_feed());
         };
-        cluster.core.add_process(&name, Arc::new(begin), false);
+        cluster.simulation.add_process(&name, Arc::new(start_node), false);
     }
 }
 
 impl Node {
     fn new(cluster: Arc<Cluster>, name: Name) -> Node {
         let seeds: Vec<String> = cluster.addresses().iter().map(Name::to_string).collect();
-        let chain = StoreClient::new(&name, &seeds);
+        let client = StoreClient::new(&name, &seeds);
         Node {
             cluster,
             name,
-            store_client: chain,
+            store_client: client,
             enrolled: 0,
-            tries: 0,
+            enroll_attempts: 0,
             feed_state: FeedState::default(),
             lease_until: 0,
         }
@@ -66,12 +69,12 @@
     }
 
     async fn enroll(&mut self) {
-        self.tries += 1;
-        let (node, life) = (self.name.clone(), seam::incarnation());
-        let key = format!("enroll/{node}/{life:x}/{}", self.tries);
+        self.enroll_attempts += 1;
+        let (node, node_incarnation) = (self.name.clone(), seam::incarnation());
+        let key = format!("enroll/{node}/{node_incarnation:x}/{}", self.enroll_attempts);
         match self
             .store_client
-            .write(&key, Command::EnrollNode { node, incarnation: life }, ENROLL_WITHIN)
+            .write(&key, Command::EnrollNode { node, incarnation: node_incarnation }, ENROLL_TIMEOUT)
             .await
         {
             Ok(Answer::Enrolled(entry)) => self.enrolled = entry,
@@ -79,27 +82,27 @@
         }
     }
 
-    /// One poll; where the next one goes.
+    /// Polls the feed at `to` once, and returns the address for the next poll.
     async fn poll(&mut self, to: String) -> String {
-        let asked = now();
-        let (node, have) = (self.name.clone(), self.feed_state.last_change);
+        let sent_at = now();
+        let (node, known_change) = (self.name.clone(), self.feed_state.last_change);
         let (addr, applied, enrolled) = (node.clone(), self.feed_state.configuration_version, self.enrolled);
-        let ask = Request::Feed { node, addr, last_change: have, applied, enrolled };
-        match self.store_client.call(&to, ask, POLL_WITHIN).await {
+        let request = Request::Feed { node, addr, last_change: known_change, applied, enrolled };
+        match self.store_client.call(&to, request, POLL_TIMEOUT).await {
             Ok(Reply::Changes { changes, lease_ms }) => {
                 if changes.iter().all(|change| self.feed_state.apply(change)) {
-                    self.lease_until = asked + minus_clock_drift(lease_ms);
+                    self.lease_until = sent_at + minus_clock_drift(lease_ms);
                 }
             }
             Ok(Reply::PackedSnapshot { snapshot, lease_ms }) => {
-                let newer = snapshot
+                let newer_state = snapshot
                     .unpack()
                     .filter(|snapshot| snapshot.last_change >= self.feed_state.last_change)
                     .and_then(FeedState::from_snapshot);
-                if let Some(known) = newer {
-                    self.feed_state = known;
+                if let Some(state) = newer_state {
+                    self.feed_state = state;
                     if lease_ms > 0 {
-                        self.lease_until = asked + minus_clock_drift(lease_ms);
+                        self.lease_until = sent_at + minus_clock_drift(lease_ms);
                     }
                 }
             }
@@ -116,10 +119,10 @@
         to
     }
 
-    /// What the node has in force while its lease holds.
+    /// Records the document that the node has in force, if its lease is valid.
     fn record_applied(&self) {
         if now() < self.lease_until {
-            let (node, at) = (self.name.clone(), self.cluster.core.now());
+            let (node, at) = (self.name.clone(), self.cluster.simulation.now());
             let document = Document::parse(&self.feed_state.configuration_json);
             self.cluster.history.lock().unwrap().applied.push(Applied { node, observed_at: at, document });
         }
--- a/crates/simulator/src/control/operator.rs
+++ b/crates/simulator/src/control/operator.rs
@@ -1,21 +1,23 @@
-//! Operators who send documents until they have an answer, and readers of the document in force.
+//! Simulated operators, who submit documents until each is answered, and readers of the document in force.
 use super::cluster::Cluster;
-use super::configuration_api::{DoorAnswer, DoorCall, api_address};
+use super::configuration_api::{ApiRequest, ApiResponse, api_address};
 use super::history::{Document, Read};
 use quincehatch_core::{Millis, Name};
 use quincehatch_runtime::seam;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Callers move on after a second of silence.
+/// A call without an answer within this time has failed; the next one goes to any machine.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// An order that was superseded is given up after so long.
-const SUPERSEDED_PATIENCE: Millis = 5_000;
+/// Time after which an operator abandons a superseded submission.
+const SUPERSEDED_TIMEOUT: Millis = 5_000;
+/// Longest pause before a retry.
 const MAX_RETRY_PAUSE: u64 = 150;
-/// Parts in a thousand of the orders that are not new.
+/// Share of submissions under a number that another operator may use.
 const CONTESTED_PER_MILLE: u64 = 80;
+/// Share of submissions that repeat an acknowledged document.
 const RESENT_PER_MILLE: u64 = 80;
-/// Parts in a thousand of the answers that are lost while answers are lost at all.
+/// Share of replies that are lost during the fault that loses replies.
 const LOST_REPLIES_PER_MILLE: u64 = 700;
 
 /// Starts the processes of operators and readers.
@@ -23,18 +25,18 @@
     for number in 0..cluster.parameters.operators {
         let cluster = cluster.clone();
         let shared = cluster.clone();
-        let begin = move |_: &Arc<_>, _| {
+        let start_tasks = move |_: &Arc<_>, _| {
             for _ in 0..cluster.parameters.submissions_in_flight {
                 seam::spawn(submit_documents(cluster.clone()));
             }
         };
-        shared.core.add_process(&format!("operator {number}"), Arc::new(begin), true);
+        shared.simulation.add_process(&format!("operator {number}"), Arc::new(start_tasks), true);
     }
     for number in 0..cluster.parameters.readers {
         let cluster = cluster.clone();
         let shared = cluster.clone();
-        let begin = move |_: &Arc<_>, _| drop(seam::spawn(read_repeatedly(cluster.clone())));
-        shared.core.add_process(&format!("reader {number}"), Arc::new(begin), true);
+        let start_tasks = move |_: &Arc<_>, _| drop(seam::spawn(read_repeatedly(cluster.clone())));
+        shared.simulation.add_process(&format!("reader {number}"), Arc::new(start_tasks), true);
     }
 }
 
@@ -51,7 +53,7 @@
     }
 }
 
-/// Most orders bring a new number; some are sent again, some come under a number that another operator uses.
+/// Most documents have a new number; some repeat an acknowledged one, some use the number of another submission.
 fn choose_document(cluster: &Cluster) -> Document {
     let kind = cluster.below(1_000);
     let newest = cluster.state.lock().unwrap().next_number;
@@ -62,59 +64,59 @@
     if kind >= 1_000 - RESENT_PER_MILLE {
         let acknowledged = cluster.history.lock().unwrap().acknowledged.clone();
         let recent = &acknowledged[acknowledged.len().saturating_sub(40)..];
-        if let Some((_, document)) = cluster.core.lock().rng.pick(recent) {
+        if let Some((_, document)) = cluster.simulation.lock().rng.pick(recent) {
             return *document;
         }
     }
     cluster.next_document()
 }
 
-/// Sends the document, to any machine, until it is answered.
+/// Submits the document, each time to any machine, until it is answered.
 async fn submit_until_answered(cluster: &Cluster, document: Document) {
-    let place = cluster.history.lock().unwrap().record_submission(cluster.core.now(), document);
+    let index = cluster.history.lock().unwrap().record_submission(cluster.simulation.now(), document);
     while !cluster.stopped() {
-        let call = DoorCall::Replace { text: document.text() };
-        let answer = call_any_machine(cluster, &call).await;
-        if record_reply(cluster, place, document, answer) {
+        let call = ApiRequest::Replace { text: document.text() };
+        let response = call_any_machine(cluster, &call).await;
+        if record_reply(cluster, index, document, response) {
             return;
         }
         random_pause(cluster, MAX_RETRY_PAUSE).await;
     }
 }
 
-/// Notes what the operator learned; true if that ends the order.
-fn record_reply(cluster: &Cluster, place: usize, document: Document, answer: Option<DoorAnswer>) -> bool {
-    let at = cluster.core.now();
-    let lossy = cluster.state.lock().unwrap().replies_lost_until > at;
-    let lost = lossy && cluster.chance(LOST_REPLIES_PER_MILLE);
+/// Records the operator's answer, unless the reply is lost; returns whether the submission is done.
+fn record_reply(cluster: &Cluster, index: usize, document: Document, response: Option<ApiResponse>) -> bool {
+    let at = cluster.simulation.now();
+    let loses_replies = cluster.state.lock().unwrap().replies_lost_until > at;
+    let is_lost = loses_replies && cluster.chance(LOST_REPLIES_PER_MILLE);
     let mut history = cluster.history.lock().unwrap();
-    let ends = match answer.filter(|_| !lost) {
-        Some(DoorAnswer::Acknowledged) => {
+    let is_done = match response.filter(|_| !is_lost) {
+        Some(ApiResponse::Acknowledged) => {
             history.acknowledged.push((at, document));
             true
         }
-        Some(DoorAnswer::Refused) => {
+        Some(ApiResponse::Refused) => {
             history.rejected.push((at, document));
             true
         }
-        _ => history.submissions[place].superseded_at.is_some_and(|since| at >= since + SUPERSEDED_PATIENCE),
+        _ => history.submissions[index].superseded_at.is_some_and(|since| at >= since + SUPERSEDED_TIMEOUT),
     };
-    if ends {
-        history.submissions[place].ended_at = Some(at);
+    if is_done {
+        history.submissions[index].ended_at = Some(at);
     }
-    ends
+    is_done
 }
 
-async fn call_any_machine(cluster: &Cluster, call: &DoorCall) -> Option<DoorAnswer> {
+async fn call_any_machine(cluster: &Cluster, call: &ApiRequest) -> Option<ApiResponse> {
     let addresses = cluster.addresses();
-    let address = cluster.core.lock().rng.pick(&addresses).cloned()?;
+    let address = cluster.simulation.lock().rng.pick(&addresses).cloned()?;
     call_machine(&address, call).await
 }
 
-async fn call_machine(address: &Name, call: &DoorCall) -> Option<DoorAnswer> {
+async fn call_machine(address: &Name, call: &ApiRequest) -> Option<ApiResponse> {
     let frame = borsh::to_vec(call).ok()?;
-    let answer = seam::current_world()?.exchange_frame(&api_address(address), frame);
-    let bytes = seam::timeout(CALL_TIMEOUT, answer).await.ok()?.ok()?;
+    let response = seam::current_world()?.exchange_frame(&api_address(address), frame);
+    let bytes = seam::timeout(CALL_TIMEOUT, response).await.ok()?.ok()?;
     borsh::from_slice(&bytes).ok()
 }
 
@@ -125,19 +127,19 @@
     }
 }
 
-/// One read of the document in force, noted if it was answered.
+/// Reads the document in force, and records the read if it was answered.
 async fn read_document(cluster: &Cluster) -> Option<()> {
-    let began = cluster.core.now();
-    let DoorAnswer::Document { text } = call_any_machine(cluster, &DoorCall::Retrieve).await? else {
+    let sent_at = cluster.simulation.now();
+    let ApiResponse::Document { text } = call_any_machine(cluster, &ApiRequest::Retrieve).await? else {
         return None;
     };
     let document = text.and_then(|text| Document::parse(&text));
-    let read = Read { began_at: began, ended_at: cluster.core.now(), document };
+    let read = Read { began_at: sent_at, ended_at: cluster.simulation.now(), document };
     cluster.history.lock().unwrap().reads.push(read);
     Some(())
 }
 
-/// Reads the document in force back until some machine answers.
+/// Retries a read of the document in force until a machine answers it.
 pub async fn read_back(cluster: Arc<Cluster>) {
     loop {
         if read_document(&cluster).await.is_some() {
--- a/crates/simulator/src/control/parameters.rs
+++ b/crates/simulator/src/control/parameters.rs
@@ -1,40 +1,40 @@
-//! Every figure of the simulated control plane in one place: shapes, terms, and which faults are drawn.
+//! The parameters of a simulated control plane: its shape, its time limits, and which faults are drawn.
 use quincehatch_core::Millis;
 
-/// How many machines with a disk there are, how many of them vote, and how many may be lost at once.
+/// The size of the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shape {
-    /// Machines that vote.
+    /// Number of machines that vote.
     pub voters: usize,
-    /// Machines with a disk.
+    /// Number of machines with a disk, voters included.
     pub machines: usize,
-    /// Machines that may be lost at once.
+    /// Number of machines that may be lost at once.
     pub tolerated: usize,
 }
 
-/// Shapes that seeds choose among in turn.
+/// The shapes, which successive seeds use in turn.
 pub const SHAPES: [Shape; 3] = [
     Shape { voters: 3, machines: 3, tolerated: 1 },
     Shape { voters: 3, machines: 4, tolerated: 1 },
     Shape { voters: 5, machines: 8, tolerated: 2 },
 ];
 
-/// What the present code is known not to withstand; none of it is drawn unless it is allowed here.
+/// Faults that the product is known not to tolerate; each is drawn only if it is allowed here.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Allowed {
-    /// A machine may come back with its disk at another address.
+    /// A machine may restart with its disk at another address.
     pub moved_machines: bool,
 }
 
 impl Allowed {
-    /// Everything is allowed.
+    /// Allows all of them.
     pub const ALL: Allowed = Allowed { moved_machines: true };
 
-    /// Reads a list such as `moved-machines`; `all` stands for every one.
+    /// Parses a comma-separated list such as `moved-machines`; `all` stands for all of them.
     pub fn parse(list: &str) -> Result<Allowed, String> {
         let mut allowed = Allowed::default();
-        for word in list.split(',').filter(|word| !word.is_empty()) {
-            match word {
+        for item in list.split(',').filter(|item| !item.is_empty()) {
+            match item {
                 "all" => allowed = Allowed::ALL,
                 "moved-machines" => allowed.moved_machines = true,
                 other => return Err(format!("--allow: {other:?} is unknown")),
@@ -44,36 +44,36 @@
     }
 }
 
-/// The figures of a run.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Parameters {
-    /// How many machines there are.
+    /// The size of the core.
     pub shape: Shape,
-    /// A machine that is stopped in order has so long to leave the chain, as the platform's has.
+    /// Deadline for a machine that is shut down gracefully to leave the chain; the platform's is the same.
     pub leave_timeout: Millis,
-    /// A machine counts as lost for so long after its return, or after its successor's start.
+    /// Time for which a machine still counts as lost after its recovery, or after its successor's start.
     pub catch_up_time: Millis,
-    /// The core is settled once nothing has troubled it for so long.
+    /// The core is settled once it had no disturbance for this time.
     pub settle_time: Millis,
-    /// A settled core acknowledges a proper order within this time.
+    /// Time within which a settled core must acknowledge an uncontested submission.
     pub acknowledge_within: Millis,
-    /// A node that holds a lease has an acknowledged document in force after so long.
+    /// Time within which a node with a valid lease must have an acknowledged document in force.
     pub apply_within: Millis,
-    /// The operators' list of seeds lags behind the machines by so much.
+    /// Delay with which the operators' list of seeds follows a change of machines.
     pub seed_lag: Millis,
-    /// A removed machine's successor starts so long after it.
+    /// Time from the removal of a machine to the start of its successor.
     pub successor_delay: Millis,
-    /// Faults that are drawn though the product is known not to withstand them.
+    /// Additional faults, which the product is known not to tolerate.
     pub allowed: Allowed,
-    /// Faults may overlap beyond what is tolerated, as long as no more disks are lost.
+    /// Whether faults may overlap beyond what is tolerated; no more disks are lost at once than tolerated even then.
     pub draws_overlaps: bool,
-    /// Faults begin at this time.
+    /// Time of the first fault at the earliest.
     pub faults_from: Millis,
-    /// No new fault comes after that.
+    /// Time after which no new fault begins.
     pub faults_until: Millis,
-    /// Mean time between two faults.
+    /// Mean gap between two faults, for those gaps that are not drawn to be short.
     pub mean_fault_gap: Millis,
-    /// Time for healing before the last read.
+    /// Time between the end of the faults and the last read.
     pub healing_time: Millis,
     /// Number of operators.
     pub operators: usize,
@@ -81,24 +81,24 @@
     pub readers: usize,
     /// Number of nodes.
     pub nodes: usize,
-    /// Orders one operator may have under way at once.
+    /// Number of submissions that one operator has in flight.
     pub submissions_in_flight: usize,
-    /// Longest pause between two orders of one operator.
+    /// Longest pause between two submissions of one operator task.
     pub max_submission_pause: Millis,
 }
 
 const LEAVE_TIMEOUT: Millis = 4_500;
-/// Every so many seeds of a shape, one is a storm of changes; the others have few.
-const STORM_EVERY: u64 = 8;
-/// Every so many seeds of a shape, one draws faults that overlap beyond what is tolerated.
+/// One in this many seeds of a shape has a high rate of submissions; the others have a low one.
+const HIGH_LOAD_EVERY: u64 = 8;
+/// One in this many seeds of a shape draws faults that overlap beyond what is tolerated.
 const OVERLAPS_EVERY: u64 = 2;
 
 impl Parameters {
-    /// The parameters of a seed.
+    /// Returns the parameters of a seed.
     pub fn for_seed(seed: u64, allowed: Allowed) -> Parameters {
         let shape = SHAPES[(seed % SHAPES.len() as u64) as usize];
         let catch_up = if shape.tolerated > 1 { 6_000 } else { 4_000 };
-        let storm = (seed / SHAPES.len() as u64).is_multiple_of(STORM_EVERY);
+        let high_load = (seed / SHAPES.len() as u64).is_multiple_of(HIGH_LOAD_EVERY);
         Parameters {
             shape,
             allowed,
@@ -117,8 +117,8 @@
             operators: 2 + (seed % 2) as usize,
             readers: 2,
             nodes: 2,
-            submissions_in_flight: if storm { 6 } else { 2 },
-            max_submission_pause: if storm { 400 } else { 1_800 },
+            submissions_in_flight: if high_load { 6 } else { 2 },
+            max_submission_pause: if high_load { 400 } else { 1_800 },
         }
     }
 }
--- a/crates/simulator/src/control/run.rs
+++ b/crates/simulator/src/control/run.rs
@@ -14,15 +14,15 @@
 pub struct ControlSimOptions {
     /// Seed of the run.
     pub seed: u64,
-    /// Faults that are drawn though the product is known not to withstand them.
+    /// Additional faults, which the product is known not to tolerate.
     pub allowed: Allowed,
-    /// A deliberate bug of the product or of the simulated process.
+    /// Name of an injected bug of the product or of the simulated process.
     pub bug: Option<String>,
-    /// Prints what happens.
+    /// Whether the run's events are printed.
     pub verbose: bool,
 }
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Debug, Default)]
 pub struct ControlReport {
     /// Seed of the run.
@@ -35,95 +35,95 @@
     pub acknowledged: usize,
     /// Reads that were answered.
     pub reads: usize,
-    /// Polls of nodes under a lease.
+    /// Polls after which the node held a valid lease.
     pub applied: usize,
     /// Entries that the chain committed.
     pub committed: u64,
-    /// The highest version of a view.
+    /// The highest version of any view.
     pub views: u64,
-    /// Time in which the core was settled.
+    /// Total time in which the core was settled.
     pub settled_ms: Millis,
-    /// Hash of all that happened: two runs of one seed have the same.
+    /// Hash of all steps; it is the same in every run of a seed.
     pub trace: u64,
 }
 
-/// Orders begin once the first view is in service.
+/// Submissions begin at this time, when the first view is in service.
 const SUBMISSIONS_FROM: Millis = 3_000;
-/// The time for reading back after everything has healed.
+/// Deadline for a read after all faults are healed.
 const READ_BACK_TIMEOUT: Millis = 10_000;
-/// How often the reading back is looked at.
+/// Interval at which the run checks whether that read was answered.
 const READ_BACK_STEP: Millis = 100;
-/// Network delay one way, in milliseconds.
+/// Network delay one way, least and most.
 const NETWORK_DELAY: (Millis, Millis) = (1, 4);
 
 /// Runs one seed.
-pub fn run_seed(sim: &ControlSimOptions) -> ControlReport {
-    let parameters = Parameters::for_seed(sim.seed, sim.allowed);
-    let core = Simulation::new(sim.seed, sim.bug.as_deref(), sim.verbose);
-    core.lock().delay_range = NETWORK_DELAY;
-    let cluster = Cluster::new(core.clone(), parameters);
+pub fn run_seed(options: &ControlSimOptions) -> ControlReport {
+    let parameters = Parameters::for_seed(options.seed, options.allowed);
+    let simulation = Simulation::new(options.seed, options.bug.as_deref(), options.verbose);
+    simulation.lock().delay_range = NETWORK_DELAY;
+    let cluster = Cluster::new(simulation.clone(), parameters);
     cluster.start_all();
-    core.run_until(SUBMISSIONS_FROM);
+    simulation.run_until(SUBMISSIONS_FROM);
     node::start(&cluster);
     operator::start(&cluster);
-    core.run_until(cluster.parameters.faults_from);
+    simulation.run_until(cluster.parameters.faults_from);
     inject::schedule_next(cluster.clone());
-    core.run_until(cluster.parameters.faults_until);
+    simulation.run_until(cluster.parameters.faults_until);
     inject_closing_fault(&cluster);
     settle_and_read_back(&cluster);
-    let report = report(sim.seed, &cluster);
-    core.shut_down();
+    let report = report(options.seed, &cluster);
+    simulation.shut_down();
     report
 }
 
-/// Every other seed ends with a closing fault, right after an acknowledgement.
+/// Heals all faults; about every other run then has a closing fault right after an acknowledgement.
 fn inject_closing_fault(cluster: &Arc<Cluster>) {
-    let core = &cluster.core;
+    let simulation = &cluster.simulation;
     inject::heal_all(cluster);
-    let quiet = cluster.parameters.catch_up_time + cluster.parameters.settle_time;
-    core.run_until(core.now() + quiet);
+    let recovery_time = cluster.parameters.catch_up_time + cluster.parameters.settle_time;
+    simulation.run_until(simulation.now() + recovery_time);
     if cluster.chance(500) {
         return;
     }
     let acknowledged = |cluster: &Cluster| cluster.history.lock().unwrap().acknowledged.len();
-    let (had, limit) = (acknowledged(cluster), core.now() + quiet);
-    while acknowledged(cluster) == had && core.now() < limit {
-        core.run_until(core.now() + 1);
+    let (count_before, limit) = (acknowledged(cluster), simulation.now() + recovery_time);
+    while acknowledged(cluster) == count_before && simulation.now() < limit {
+        simulation.run_until(simulation.now() + 1);
     }
-    let down = 200 + cluster.below(2_000);
+    let downtime = 200 + cluster.below(2_000);
     match cluster.below(3) {
-        0 => inject::inject(cluster, Fault::KillAll { power: false, down }, 0),
-        1 => inject::inject(cluster, Fault::KillAll { power: true, down }, 0),
-        _ => wipe_tolerated(cluster, down),
+        0 => inject::inject(cluster, Fault::KillAll { power_loss: false, downtime }, 0),
+        1 => inject::inject(cluster, Fault::KillAll { power_loss: true, downtime }, 0),
+        _ => wipe_tolerated(cluster, downtime),
     }
 }
 
-/// As many machines as may be lost lose their disks.
-fn wipe_tolerated(cluster: &Arc<Cluster>, down: Millis) {
+/// Wipes the disks of as many machines as may be lost at once.
+fn wipe_tolerated(cluster: &Arc<Cluster>, downtime: Millis) {
     let mut machines = cluster.present();
-    cluster.core.lock().rng.shuffle(&mut machines);
+    cluster.simulation.lock().rng.shuffle(&mut machines);
     for machine in machines.into_iter().take(cluster.parameters.shape.tolerated) {
-        inject::inject(cluster, Fault::WipeDisk { down }, machine);
+        inject::inject(cluster, Fault::WipeDisk { downtime }, machine);
     }
 }
 
-/// Lets the core settle, ends the orders, and reads back what is in force.
+/// Lets the core settle, stops the submissions, and reads back the document in force.
 fn settle_and_read_back(cluster: &Arc<Cluster>) {
-    let core = &cluster.core;
-    core.run_until(core.now() + cluster.parameters.healing_time);
+    let simulation = &cluster.simulation;
+    simulation.run_until(simulation.now() + cluster.parameters.healing_time);
     let (end, settled) = {
         let budget = cluster.budget.lock().unwrap();
-        (core.now(), budget.settled_spans(cluster.parameters.settle_time, core.now()))
+        (simulation.now(), budget.settled_spans(cluster.parameters.settle_time, simulation.now()))
     };
     cluster.history.lock().unwrap().settled = settled;
     cluster.state.lock().unwrap().stopped = true;
-    core.run_until(end + 1_000);
+    simulation.run_until(end + 1_000);
     let reader = cluster.non_machine_processes().last().copied().unwrap_or_default();
     let shared = cluster.clone();
-    core.run_in(reader, || quincehatch_runtime::seam::spawn(operator::read_back(shared)));
-    let limit = core.now() + READ_BACK_TIMEOUT;
-    while !cluster.history.lock().unwrap().read_back && core.now() < limit {
-        core.run_until(core.now() + READ_BACK_STEP);
+    simulation.run_in(reader, || quincehatch_runtime::seam::spawn(operator::read_back(shared)));
+    let limit = simulation.now() + READ_BACK_TIMEOUT;
+    while !cluster.history.lock().unwrap().read_back && simulation.now() < limit {
+        simulation.run_until(simulation.now() + READ_BACK_STEP);
     }
 }
 
@@ -131,14 +131,14 @@
     let mut history = cluster.history.lock().unwrap();
     let invariants = cluster.invariants.lock().unwrap();
     history.violations.clone_from(&invariants.violations);
-    let mut breaches = check_history(&history, &cluster.parameters);
-    if proves_nothing(&history) {
-        breaches.push("the run proves nothing: no acknowledgement, read or poll came through".into());
+    let mut violation_lines = check_history(&history, &cluster.parameters);
+    if lacks_evidence(&history) {
+        violation_lines.push("the run proves nothing: no acknowledgement, read or poll came through".into());
     }
     let settled_ms = history.settled.iter().map(|(from, to)| to - from).sum();
     ControlReport {
         seed,
-        violations: breaches,
+        violations: violation_lines,
         submissions: history.submissions.len(),
         acknowledged: history.acknowledged.len(),
         reads: history.reads.len(),
@@ -146,13 +146,14 @@
         committed: invariants.committed(),
         views: invariants.highest_view(),
         settled_ms,
-        trace: cluster.core.lock().trace,
+        trace: cluster.simulation.lock().trace,
     }
 }
 
-fn proves_nothing(history: &History) -> bool {
+/// Whether the history lacks an acknowledgement, a read or a poll, so that the checks had nothing to check.
+fn lacks_evidence(history: &History) -> bool {
     let read = |document: Option<Document>| document.is_some();
     history.acknowledged.is_empty()
-        || !history.reads.iter().any(|seen| read(seen.document))
-        || !history.applied.iter().any(|seen| read(seen.document))
+        || !history.reads.iter().any(|event| read(event.document))
+        || !history.applied.iter().any(|event| read(event.document))
 }
