--- a/crates/simulator/src/fleet/delivery.rs
+++ b/crates/simulator/src/fleet/delivery.rs
@@ -10,25 +10,25 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// What becomes of a message that reaches its destination's machine.
+/// The outcome of a message's arrival at the destination's machine.
 enum Arrival {
-    /// Nothing of the machine answers.
+    /// The machine is partitioned from the sender or without power.
     Unreachable,
-    /// The process is suspended until that time.
+    /// The process is suspended until this time, and the message waits.
     Suspended(Millis),
-    /// The process, or the kernel of its machine, takes the message.
-    Taken,
+    /// The process, or the kernel of its machine, receives the message.
+    Received,
 }
 
 impl Simulation {
     /// Handles a message at the time of its arrival.
     pub(super) fn deliver(self: &Arc<Self>, envelope: Envelope) {
         match self.arrival(envelope.from, envelope.to) {
-            Arrival::Unreachable => self.retransmit_or_give_up(envelope),
+            Arrival::Unreachable => self.retransmit_or_time_out(envelope),
             Arrival::Suspended(until) => {
                 self.lock().schedule(until, Event::Message(envelope));
             }
-            Arrival::Taken => self.dispatch(envelope),
+            Arrival::Received => self.dispatch(envelope),
         }
     }
 
@@ -41,14 +41,14 @@
         } else if receiver.is_up && receiver.paused_until > state.now {
             Arrival::Suspended(receiver.paused_until)
         } else {
-            Arrival::Taken
+            Arrival::Received
         }
     }
 
-    fn retransmit_or_give_up(self: &Arc<Self>, envelope: Envelope) {
+    fn retransmit_or_time_out(self: &Arc<Self>, envelope: Envelope) {
         let now = self.now();
         let timeout = match envelope.message {
-            // A datagram is not sent again.
+            // Datagrams are not retransmitted.
             Message::Peer(_) => return,
             Message::Frame { .. } | Message::FrameReply { .. } => FRAME_TIMEOUT,
             _ => TCP_USER_TIMEOUT,
@@ -135,7 +135,7 @@
         });
     }
 
-    /// Sends a reply on a connection that is still open; a request without one resets the connection.
+    /// Sends the reply if the connection is still open; without a reply the connection is reset.
     fn finish_request(&self, client: ProcessId, server: ProcessId, id: u64, reply: Option<HttpReply>) {
         let mut state = self.lock();
         let Some(reply) = reply else { return state.reset_connection(id) };
@@ -146,9 +146,9 @@
 
     fn deliver_reply(&self, id: u64, reply: HttpReply) {
         let mut state = self.lock();
-        let waiting = state.network.connections.get_mut(&id).and_then(|found| found.http_reply.take());
+        let reply_sender = state.network.connections.get_mut(&id).and_then(|found| found.http_reply.take());
         drop(state);
-        drop(waiting.map(|waiting| waiting.send(Ok(reply))));
+        drop(reply_sender.map(|reply_sender| reply_sender.send(Ok(reply))));
     }
 
     fn close_at_server(self: &Arc<Self>, server: ProcessId, id: u64) {
@@ -186,12 +186,12 @@
     }
 
     fn deliver_frame_reply(&self, request_id: u64, reply: Option<Vec<u8>>) {
-        let waiting = self.lock().network.pending_frames.remove(&request_id);
+        let reply_sender = self.lock().network.pending_frames.remove(&request_id);
         let result = reply.ok_or_else(|| ErrorKind::ConnectionRefused.into());
-        drop(waiting.map(|waiting| waiting.send(result)));
+        drop(reply_sender.map(|reply_sender| reply_sender.send(result)));
     }
 
-    /// The client's end of a connection breaks.
+    /// Ends a connection with an error at the client, and closes it at the server.
     fn break_connection(self: &Arc<Self>, id: u64, kind: ErrorKind) {
         let mut state = self.lock();
         let Some(connection) = state.network.connections.remove(&id) else { return };
--- a/crates/simulator/src/fleet/executor.rs
+++ b/crates/simulator/src/fleet/executor.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Weak};
 use std::task::{Context, Wake, Waker};
 
-/// A task taken out for a poll.
+/// A task whose future is removed from the task table for a poll.
 struct PolledTask {
     id: u64,
     process: ProcessId,
@@ -13,7 +13,7 @@
 }
 
 impl Simulation {
-    /// Adds a task to an incarnation of a process; one that is over drops it.
+    /// Adds a task to an incarnation of a process, unless that incarnation has ended.
     pub fn spawn(self: &Arc<Self>, pid: ProcessId, incarnation: u64, future: BoxFuture<'static, ()>) {
         let mut state = self.lock();
         if !state.processes[pid].is_up || state.processes[pid].incarnation != incarnation {
@@ -26,7 +26,7 @@
         state.ready_tasks.push_back(id);
     }
 
-    /// Sets a timer at a local time of the process; its id.
+    /// Sets a timer for a local time of the process; returns its id.
     pub fn wake_at(&self, pid: ProcessId, at: Millis, waker: Waker) -> u64 {
         let mut state = self.lock();
         let process = &state.processes[pid];
@@ -37,7 +37,7 @@
         timer
     }
 
-    /// Cancels a timer; none if it has run out.
+    /// Cancels a timer, unless it has expired.
     pub fn cancel_timer(&self, timer: u64) {
         let mut state = self.lock();
         let cancelled = state.timers.remove(&timer).and_then(|at| state.events.remove(&(at, timer)));
@@ -46,7 +46,7 @@
         drop(cancelled);
     }
 
-    /// Runs until that time, and leaves no task that could go on before it.
+    /// Runs all events and ready tasks up to and including `end`.
     pub fn run_until(self: &Arc<Self>, end: Millis) {
         loop {
             while self.poll_next_task() {}
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The next event, at whose time it now is; none before or at `end`, at which it is then.
+    /// Takes the next event and advances the time to it; if there is none up to `end`, advances the time to `end`.
     fn take_event_until(&self, end: Millis) -> Option<Event> {
         let mut state = self.lock();
         let next = state.events.first_key_value().map(|(key, _)| *key).filter(|(at, _)| *at <= end);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Polls the first task that is ready; false if there is none.
+    /// Polls the first ready task; returns false if there is none.
     fn poll_next_task(self: &Arc<Self>) -> bool {
         self.drop_dead_tasks();
         if self.lock().ready_tasks.is_empty() {
@@ -98,7 +98,8 @@
         true
     }
 
-    /// Drops what could not be dropped under the lock; futures within their process, as their drop may act.
+    /// Drops values that could not be dropped under the lock. Futures are dropped in the context of their process, as
+    /// their drop may run its code.
     fn drop_dead_tasks(self: &Arc<Self>) {
         let deferred = std::mem::take(&mut self.lock().deferred_drops);
         drop(deferred);
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Ends the run: releases whatever refers to the simulation.
+    /// Ends the run and releases all references to the simulation.
     pub fn shut_down(self: &Arc<Self>) {
         let released = {
             let mut state = self.lock();
@@ -126,7 +127,7 @@
 }
 
 impl SimulationState {
-    /// The first ready task, unless it is gone or its process is suspended.
+    /// Takes the first ready task, unless it has ended or its process is suspended.
     fn take_ready_task(&mut self) -> Option<PolledTask> {
         let id = self.ready_tasks.pop_front()?;
         let process = self.tasks.get(&id)?.process;
@@ -141,7 +142,7 @@
         Some(PolledTask { id, process, future })
     }
 
-    /// Lets a process go on if its suspension is over.
+    /// Queues the tasks of a process whose suspension is over.
     fn resume(&mut self, pid: ProcessId) {
         if self.processes[pid].paused_until <= self.now {
             let suspended = std::mem::take(&mut self.processes[pid].suspended_tasks);
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Removes all tasks of a process, wherever they are.
+    /// Removes all tasks of the present incarnation of a process.
     pub(super) fn kill_tasks(&mut self, pid: ProcessId) {
         let incarnation = self.processes[pid].incarnation;
         let of_process = |task: &Task| task.process == pid && task.incarnation == incarnation;
@@ -163,7 +164,7 @@
     }
 }
 
-/// Wakes a task by its id.
+/// The waker of a task, by the task's id.
 struct TaskWaker {
     id: u64,
     simulation: Weak<Simulation>,
--- a/crates/simulator/src/fleet/fault_injection.rs
+++ b/crates/simulator/src/fleet/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Begins drawn faults, schedules their ends, and heals a fleet.
+//! Begins drawn faults, schedules their ends, and ends all faults of a fleet.
 use super::faults::Fault;
 use super::setup::SimulatedFleet;
 use super::simulation::ProcessId;
@@ -8,17 +8,17 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// A draining server goes on for so long, as the server contract has it.
+/// Time for which a draining server continues to run, as the server contract requires.
 const DRAIN_TIME: Millis = 8_000;
 
 fn schedule_after(
     fleet: &Arc<SimulatedFleet>,
     time: Millis,
-    act: impl FnOnce(&Arc<SimulatedFleet>) + Send + 'static,
+    action: impl FnOnce(&Arc<SimulatedFleet>) + Send + 'static,
 ) {
     let shared = fleet.clone();
     let at = fleet.simulation.now() + time;
-    fleet.simulation.schedule_action(at, move |_| act(&shared));
+    fleet.simulation.schedule_action(at, move |_| action(&shared));
 }
 
 /// Begins a fault and schedules its end.
@@ -58,7 +58,7 @@
 }
 
 impl SimulatedFleet {
-    /// Keepers, nodes and servers, without spares.
+    /// Returns the processes that faults may strike: keepers, nodes and servers, without spares.
     pub(super) fn faultable_processes(&self) -> Vec<ProcessId> {
         let servers = self.servers.iter().map(|server| server.pid);
         self.keepers.iter().chain(&self.nodes).copied().chain(servers).collect()
@@ -80,14 +80,14 @@
         });
     }
 
-    /// A server drains and stops; its group's spare takes its place under a name of its own. The old one is back
-    /// later all the same.
+    /// Drains and stops a server, while its group's spare replaces it under a name of its own. The old server restarts
+    /// after `time`, too.
     fn drain_and_replace(self: &Arc<Self>, server: usize, time: Millis) {
         self.set_draining(server, true);
         let pid = self.servers[server].pid;
         self.simulation.restart(self.spares[server / self.shape.replicas].pid);
         schedule_after(self, DRAIN_TIME, move |fleet| {
-            // Healing has taken the announcement back: a server that stops all the same would be a new fault.
+            // Healing has withdrawn the announcement, so that stopping the server would be a new fault.
             if !fleet.healed.load(Ordering::SeqCst) {
                 fleet.simulation.crash(pid, false);
             }
@@ -98,7 +98,7 @@
         });
     }
 
-    /// Changes what goes wrong inside a server, if it is up.
+    /// Applies fault settings to a server, if it is up.
     pub fn set_server_fault(&self, server: usize, settings: &FaultSettings) {
         let server = &self.servers[server];
         if settings.reset == Some(true) {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Lets a server announce that it drains, or that it does not.
+    /// Makes a server announce that it is draining, or that it is up.
     pub fn set_draining(&self, server: usize, draining: bool) {
         let server = &self.servers[server];
         let Some(stand_in) = server.running() else { return };
@@ -119,7 +119,7 @@
         self.simulation.run_in(server.pid, || *stand_in.state.lock().unwrap() = (announced, now()));
     }
 
-    /// Ends all faults; from here the bound on recovery counts.
+    /// Ends all faults; the time limit for recovery begins here.
     pub fn heal_all(&self) {
         self.simulation.log("all is healed");
         self.healed.store(true, Ordering::SeqCst);
--- a/crates/simulator/src/fleet/faults.rs
+++ b/crates/simulator/src/fleet/faults.rs
@@ -6,106 +6,110 @@
 use quincehatch_testbed::stand_in::faults::FaultSettings;
 use std::sync::Arc;
 
-/// Shortest fault, and how much longer one may be.
+/// Shortest duration of a fault.
 pub(super) const MIN_FAULT_TIME: Millis = 200;
+/// Range of the random time that is added to [`MIN_FAULT_TIME`].
 pub(super) const FAULT_TIME_SPREAD: Millis = 6_500;
-/// A split lasts this much longer than other faults.
+/// Time by which a split lasts longer than other faults.
 const EXTRA_SPLIT_TIME: Millis = 2_500;
-/// Least time between two faults, and how much more it may be.
+/// Shortest time between two faults.
 const MIN_FAULT_GAP: Millis = 300;
+/// Range of the random time that is added to [`MIN_FAULT_GAP`].
 const FAULT_GAP_SPREAD: Millis = 3_500;
-/// Least share of packets that a lossy network loses, and how much more it may be.
+/// Smallest share of packets that a lossy network loses.
 const MIN_LOSS_PER_MILLE: u64 = 20;
+/// Range of the random share that is added to [`MIN_LOSS_PER_MILLE`].
 const LOSS_SPREAD: u64 = 150;
-/// What a slowed server's statements take longer, and what a lagging replica's log arrives later.
+/// Additional time of each statement at a slowed server.
 const SLOW_MS: u64 = 300;
+/// Additional replication delay of a lagging replica.
 const LAG_MS: u64 = 900;
-/// Replies that a server loses in one fault.
+/// Number of replies that a server loses in one fault.
 const LOST_REPLIES: u64 = 5;
 
-/// A fault and how long it lasts.
+/// A fault and its duration.
 #[derive(Clone, Debug)]
 pub enum Fault {
     /// A process crashes.
     Crash(ProcessId, Millis),
-    /// The machine of a process loses power: its connections are not closed.
+    /// The machine of a process loses power, so that its connections are not closed.
     PowerOff(ProcessId, Millis),
     /// A process is suspended.
     Pause(ProcessId, Millis),
-    /// One process does not reach another.
+    /// Messages from one process to another are lost.
     Partition {
-        /// Sender that is cut off.
+        /// The sender.
         from: ProcessId,
-        /// Receiver that it does not reach.
+        /// The receiver.
         to: ProcessId,
-        /// Neither reaches the other.
+        /// Whether messages in the other direction are lost too.
         both_ways: bool,
-        /// How long.
+        /// The duration.
         time: Millis,
     },
-    /// A process is cut off from all others; `one_way`: only what it sends is lost.
+    /// A process is partitioned from all others.
     Isolate {
         /// The process.
         pid: ProcessId,
-        /// It still receives.
+        /// Whether the process still receives, and only what it sends is lost.
         one_way: bool,
-        /// How long.
+        /// The duration.
         time: Millis,
     },
-    /// Some are cut off from the rest, though callers reach all; `one_way`: only what they send is lost.
+    /// Some processes are partitioned from the rest; callers and the platform reach both sides.
     Split {
-        /// The smaller part.
+        /// The processes of one side.
         part: Vec<ProcessId>,
-        /// The part still receives.
+        /// Whether this side still receives, and only what it sends is lost.
         one_way: bool,
-        /// How long.
+        /// The duration.
         time: Millis,
     },
-    /// The whole network loses this share of packets.
+    /// The whole network loses a share of all packets.
     PacketLoss {
         /// Lost packets in a thousand.
         per_mille: u64,
-        /// How long.
+        /// The duration.
         time: Millis,
     },
-    /// Something inside a server.
+    /// A fault inside a server.
     Server {
         /// Index of the server.
         server: usize,
-        /// What begins the fault.
+        /// The settings that begin the fault.
         begin: FaultSettings,
-        /// What ends it.
+        /// The settings that end the fault.
         end: FaultSettings,
-        /// How long.
+        /// The duration.
         time: Millis,
     },
-    /// A server announces that it drains, stops, and is back after this time.
+    /// A server announces that it is draining, stops, and restarts later.
     Drain {
         /// Index of the server.
         server: usize,
-        /// How long it is down.
+        /// The downtime.
         time: Millis,
     },
-    /// The next process that reaches a trace point is stopped there.
+    /// The next process that reaches a trace point is suspended or crashes there.
     Trap(Trap),
 }
 
-/// Settings with some fields set.
+/// Returns fault settings with only the fields that `set` assigns.
 pub fn fault_settings(set: impl FnOnce(&mut FaultSettings)) -> FaultSettings {
     let mut settings = FaultSettings::default();
     set(&mut settings);
     settings
 }
 
-/// A fault inside a server that is switched on and off.
-fn switched(server: usize, time: Millis, set: fn(&mut FaultSettings, bool)) -> Fault {
+/// Returns a server fault whose setting is a flag.
+fn flag_fault(server: usize, time: Millis, set: fn(&mut FaultSettings, bool)) -> Fault {
     let begin = fault_settings(|settings| set(settings, true));
     let end = fault_settings(|settings| set(settings, false));
     Fault::Server { server, begin, end, time }
 }
 
-/// A fault inside a server that has a size, which 0 ends.
-fn sized(server: usize, time: Millis, size: u64, set: fn(&mut FaultSettings, u64)) -> Fault {
+/// Returns a server fault whose setting is a number, which 0 ends.
+fn numeric_fault(server: usize, time: Millis, size: u64, set: fn(&mut FaultSettings, u64)) -> Fault {
     let begin = fault_settings(|settings| set(settings, size));
     let end = fault_settings(|settings| set(settings, 0));
     Fault::Server { server, begin, end, time }
@@ -131,11 +135,13 @@
         }
         56..62 => Fault::Isolate { pid, one_way: rng.chance(400), time },
         62..68 => Fault::PacketLoss { per_mille: MIN_LOSS_PER_MILLE + rng.below(LOSS_SPREAD), time },
-        68..78 => switched(server, time, |settings, enabled| settings.stall = Some(enabled)),
-        78..82 => switched(server, time, |settings, enabled| settings.deaf = Some(enabled)),
-        82..85 => sized(server, time, SLOW_MS, |settings, size| settings.slow_ms = Some(size)),
-        85..88 => sized(server, time, LAG_MS, |settings, size| settings.lag_ms = Some(size)),
-        88..92 => sized(server, time, LOST_REPLIES, |settings, size| settings.lose_answers = Some(size)),
+        68..78 => flag_fault(server, time, |settings, enabled| settings.stall = Some(enabled)),
+        78..82 => flag_fault(server, time, |settings, enabled| settings.deaf = Some(enabled)),
+        82..85 => numeric_fault(server, time, SLOW_MS, |settings, size| settings.slow_ms = Some(size)),
+        85..88 => numeric_fault(server, time, LAG_MS, |settings, size| settings.lag_ms = Some(size)),
+        88..92 => {
+            numeric_fault(server, time, LOST_REPLIES, |settings, size| settings.lose_answers = Some(size))
+        }
         92..96 => {
             let begin = fault_settings(|settings| settings.reset = Some(true));
             Fault::Server { server, begin, end: FaultSettings::default(), time }
@@ -144,7 +150,7 @@
     }
 }
 
-/// Draws faults for a stretch of time; some overlap.
+/// Schedules random faults for the fault period; some of them overlap.
 pub fn schedule_faults(
     fleet: &Arc<SimulatedFleet>,
     from: Millis,
--- a/crates/simulator/src/fleet/final_faults.rs
+++ b/crates/simulator/src/fleet/final_faults.rs
@@ -1,31 +1,31 @@
-//! Final faults: one thing, or two that belong together, fail for good, and nothing is healed after.
+//! Final faults: one or two processes, a machine or a zone fail for good, and no fault is healed.
 use super::setup::SimulatedFleet;
 use super::simulation::{ProcessId, Trap};
 use quincehatch_core::{Millis, Name};
 use std::sync::Arc;
 
-/// Trace points of a promotion at which every other run stops the promoting node.
+/// Trace points of a promotion, at one of which the promoting node is stopped in every other run.
 const PROMOTION_PHASES: [&str; 5] = ["is closing", "is fencing", "chose", "is promoting", "is naming"];
-/// How long a trapped node is suspended.
+/// Time for which a trapped node is suspended.
 const TRAP_TIME: Millis = 3_000;
-/// A replica that is replaced drains for so long before it stops.
+/// Time for which a replaced replica drains before it stops.
 const REPLACEMENT_DRAIN: Millis = 7_500;
-/// The primary crashes so long after the replaced replica has stopped.
+/// Time from the stop of the replaced replica to the crash of the primary.
 const PRIMARY_CRASH_DELAY: Millis = 3_000;
 
 /// Processes that fail together.
 struct FinalFault {
-    what: &'static str,
+    label: &'static str,
     processes: Vec<ProcessId>,
 }
 
 impl FinalFault {
-    fn of(what: &'static str, processes: &[ProcessId]) -> FinalFault {
-        FinalFault { what, processes: processes.to_vec() }
+    fn of(label: &'static str, processes: &[ProcessId]) -> FinalFault {
+        FinalFault { label, processes: processes.to_vec() }
     }
 }
 
-/// The processes that faults are aimed at.
+/// The processes that a final fault may strike.
 struct Targets {
     primary: ProcessId,
     head: ProcessId,
@@ -33,7 +33,7 @@
     node: ProcessId,
 }
 
-/// Injects what the seed chooses; its description.
+/// Injects the final fault that the seed determines; returns its description.
 pub fn inject_final_fault(fleet: &Arc<SimulatedFleet>, seed: u64) -> String {
     let power_loss = fleet.simulation.lock().rng.chance(500);
     let targets = fleet.draw_targets();
@@ -47,7 +47,7 @@
         fleet.simulation.crash(*pid, power_loss);
     }
     let how = if power_loss { "power loss" } else { "connections reset" };
-    let description = format!("{}, {how}", fault.what);
+    let description = format!("{}, {how}", fault.label);
     fleet.simulation.log(&format!("final: {description}"));
     description
 }
@@ -57,7 +57,7 @@
         self.simulation.lock().rng.below(limit as u64) as usize
     }
 
-    /// The primary, head and tail that the first live node knows of, and a drawn node.
+    /// Returns the primary, head and tail that the first live node knows, and a drawn node.
     fn draw_targets(&self) -> Targets {
         let observer = self.live_nodes.iter().find_map(|node| node.lock().unwrap().clone());
         let assigned = observer.as_ref().and_then(|node| node.proxy.registry.primary("g1"));
@@ -76,7 +76,7 @@
         name.and_then(|name| known.get(name).copied()).unwrap_or(self.keepers[0])
     }
 
-    /// The node that promotes next crashes, or is suspended, in one phase of the promotion.
+    /// Sets a trap, by which the next promoting node crashes or is suspended in one phase of the promotion.
     fn trap_promotion(&self, seed: u64) {
         let phase = seed as usize / 2 % PROMOTION_PHASES.len();
         let mut state = self.simulation.lock();
@@ -84,7 +84,8 @@
         state.trap = Some(Trap { trace_point: PROMOTION_PHASES[phase].to_owned(), pause });
     }
 
-    /// None: a replica is replaced, then the primary crashes.
+    /// Returns the processes that fail together. `None` stands for the replacement of a replica before a crash of the
+    /// primary.
     fn choose_final_fault(&self, seed: u64, targets: &Targets) -> Option<FinalFault> {
         let Targets { primary, head, tail, node } = *targets;
         Some(match seed % 10 {
@@ -100,18 +101,18 @@
             6 => FinalFault::of("the primary and a node", &[primary, node]),
             7 => {
                 let mut replicas = self.servers.iter().map(|server| server.pid).filter(|pid| *pid != primary);
-                FinalFault { what: "a replica", processes: replicas.next().into_iter().collect() }
+                FinalFault { label: "a replica", processes: replicas.next().into_iter().collect() }
             }
             9 => return None,
             _ => {
                 let zones = self.expendable_zones();
                 let zone = zones[self.draw_index(zones.len())];
-                FinalFault { what: "a zone", processes: self.processes_of_zone(zone) }
+                FinalFault { label: "a zone", processes: self.processes_of_zone(zone) }
             }
         })
     }
 
-    /// A replica drains and another comes under a new name and address; then the primary crashes.
+    /// Drains and stops a replica, while a spare starts under a new name and address; then crashes the primary.
     fn replace_replica_then_crash_primary(self: &Arc<Self>, primary: ProcessId, power_loss: bool) -> String {
         let replica = (0..self.shape.replicas).find(|index| self.servers[*index].pid != primary).unwrap_or(0);
         self.set_draining(replica, true);
@@ -127,14 +128,14 @@
         "a replica replaced under another name, then the primary".into()
     }
 
-    /// Zones with less than half of the keepers: without the others no majority could repair the chain.
+    /// Returns the zones with less than half of the keepers. Without any other zone no majority could repair the chain.
     fn expendable_zones(&self) -> Vec<usize> {
         let zones = self.shape.zones;
         let keepers = |zone: usize| (0..self.keepers.len()).filter(|index| index % zones == zone).count();
         (0..zones).filter(|zone| keepers(*zone) * 2 < self.keepers.len()).collect()
     }
 
-    /// All machines of a zone: its nodes, a server of each group, and its keepers.
+    /// Returns all processes of a zone: its keepers, its nodes, and a server of each group.
     fn processes_of_zone(&self, zone: usize) -> Vec<ProcessId> {
         let (zones, replicas) = (self.shape.zones, self.shape.replicas);
         let mut processes = Vec::new();
--- a/crates/simulator/src/fleet/keeper.rs
+++ b/crates/simulator/src/fleet/keeper.rs
@@ -1,4 +1,4 @@
-//! A keeper in the simulator: the real [`Keeper`] over a disk that holds exactly what was synced.
+//! A keeper in the simulator: the real [`Keeper`] over a simulated disk, which holds exactly what was synced.
 pub use super::keeper_disk::Disk;
 use super::keeper_disk::persist;
 use super::keeper_registry::Progress;
@@ -19,31 +19,31 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Time between two ticks of a keeper.
+/// Interval between two ticks of a keeper.
 const TICK: Duration = Duration::from_millis(20);
-/// Steps out of [`CRASH_SCALE`] in which a keeper crashes while crashes are enabled: in the first half of them before
-/// its records are synced, in the second after it and before anything is sent.
+/// Number of steps out of [`CRASH_SCALE`] in which a keeper crashes while crashes are enabled. In half of them it
+/// crashes before its records are synced, in the others after the sync and before its messages are sent.
 const CRASHES: u64 = 4;
 const CRASH_SCALE: u64 = 100_000;
-/// Local time between two status lines of a verbose run.
+/// Interval, in local time, between two status lines of a verbose run.
 const STATUS_INTERVAL: Millis = 1_000;
-/// Lease that the deliberate bug of a stale tail hands out.
+/// Lease that a tail grants under the injected bug `stale-tail`.
 const STALE_TAIL_LEASE: Millis = 4_000;
 
-/// What a keeper of a simulated group is started with.
+/// The setup of a keeper of a simulated group.
 #[derive(Clone)]
 pub struct KeeperSetup {
-    /// Its name in the chain.
+    /// The keeper's name in the chain.
     pub name: Name,
-    /// Where it listens.
+    /// The address at which the keeper listens.
     pub addr: String,
-    /// Its disk.
+    /// The keeper's disk.
     pub disk: Disk,
-    /// The group it belongs to.
+    /// The registry of the group that the keeper belongs to.
     pub registry: Arc<KeeperRegistry>,
 }
 
-/// A keeper that runs, with what its process holds.
+/// A running keeper, and the volatile state of its process.
 struct RunningKeeper {
     keeper: Keeper,
     pending_replies: BTreeMap<u64, oneshot::Sender<Reply>>,
@@ -51,7 +51,7 @@
     last_logged: Millis,
 }
 
-/// A keeper's process, shared by its listeners and its ticks.
+/// The process of a keeper; clones share the running keeper.
 #[derive(Clone)]
 struct KeeperProcess {
     simulation: Arc<Simulation>,
@@ -61,11 +61,11 @@
     running: Arc<Mutex<RunningKeeper>>,
 }
 
-/// Starts a keeper from what its disk holds.
+/// Starts a keeper from the state on its disk.
 pub fn start_keeper(simulation: &Arc<Simulation>, pid: ProcessId, setup: &KeeperSetup) {
-    let found = setup.disk.lock().unwrap().clone();
+    let recovered_state = setup.disk.lock().unwrap().clone();
     let running = RunningKeeper {
-        keeper: Keeper::new(setup.name.clone(), now(), found),
+        keeper: Keeper::new(setup.name.clone(), now(), recovered_state),
         pending_replies: BTreeMap::new(),
         next_token: 0,
         last_logged: 0,
@@ -115,11 +115,11 @@
         })
     }
 
-    /// Hands a client's request to the keeper.
+    /// Submits a client's request to the keeper; returns the pending reply.
     fn submit(&self, request: Request) -> oneshot::Receiver<Reply> {
         let (tx, rx) = oneshot::channel();
         let mut running = self.running.lock().unwrap();
-        // The deliberate bug: a tail hands its store out without asking whether it may.
+        // The injected bug: a tail grants a lease on its store without checking that its own lease is valid.
         let stale_tail = matches!(request, Request::Feed { .. })
             && self.simulation.has_bug("stale-tail")
             && running.keeper.is_tail();
@@ -138,7 +138,7 @@
         rx
     }
 
-    /// One step: what it persists is synced before anything of it is sent.
+    /// Runs one step; its records are synced before any of its messages or replies is sent.
     fn step(&self, input: Input) {
         let mut running = self.running.lock().unwrap();
         let outputs = running.keeper.step(now(), input);
@@ -149,7 +149,7 @@
         let crashes = crashes_enabled && draw < CRASHES;
         let crashes_before_sync = crashes && draw < CRASHES / 2;
         if !crashes_before_sync {
-            self.sync(&outputs);
+            self.persist_records(&outputs);
         }
         if crashes {
             drop(running);
@@ -165,7 +165,7 @@
         }
     }
 
-    fn sync(&self, outputs: &[Output]) {
+    fn persist_records(&self, outputs: &[Output]) {
         let loses_entries = self.simulation.has_bug("unsynced");
         for output in outputs {
             if let Output::Persist(record) = output {
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Sends messages to peers; replies are returned, to be sent once nothing is locked.
+    /// Sends messages to peers. Replies are returned, to be sent once the keeper is unlocked.
     fn send_outputs(
         &self,
         running: &mut RunningKeeper,
--- a/crates/simulator/src/fleet/keeper_disk.rs
+++ b/crates/simulator/src/fleet/keeper_disk.rs
@@ -2,10 +2,10 @@
 use quincehatch_store::record::{Record, RecoveredState};
 use std::sync::{Arc, Mutex};
 
-/// What a keeper's disk holds; it outlives the keeper's process.
+/// The content of a keeper's disk, which outlives the keeper's process.
 pub type Disk = Arc<Mutex<RecoveredState>>;
 
-/// Makes a record durable; a deliberate bug loses the entries.
+/// Makes a record durable. With `loses_entries`, an injected bug, log entries are lost.
 pub(super) fn persist(disk: &Disk, record: &Record, loses_entries: bool) {
     let mut disk = disk.lock().unwrap();
     match record {
--- a/crates/simulator/src/fleet/keeper_group.rs
+++ b/crates/simulator/src/fleet/keeper_group.rs
@@ -1,4 +1,4 @@
-//! All keepers of a run, started in their first view.
+//! The keepers of a run, started in their first view.
 use super::keeper::{KeeperSetup, start_keeper};
 use super::keeper_registry::KeeperRegistry;
 use super::simulation::{ProcessId, Simulation, StartProcess};
@@ -10,7 +10,7 @@
 pub struct KeeperGroup {
     /// Processes of the keepers.
     pub processes: Vec<ProcessId>,
-    /// What they share.
+    /// The state that the keepers share.
     pub registry: Arc<KeeperRegistry>,
 }
 
@@ -22,11 +22,11 @@
         let registry = Arc::<KeeperRegistry>::default();
         let mut processes = Vec::new();
         for voter in voters {
-            let found = RecoveredState { view: view.clone(), ..Default::default() };
+            let initial_state = RecoveredState { view: view.clone(), ..Default::default() };
             let setup = KeeperSetup {
                 name: voter.name.clone(),
                 addr: voter.addr.to_string(),
-                disk: Arc::new(Mutex::new(found)),
+                disk: Arc::new(Mutex::new(initial_state)),
                 registry: registry.clone(),
             };
             let start: StartProcess = Arc::new(move |simulation, pid| start_keeper(simulation, pid, &setup));
--- a/crates/simulator/src/fleet/keeper_registry.rs
+++ b/crates/simulator/src/fleet/keeper_registry.rs
@@ -1,30 +1,30 @@
-//! What all keepers of a run share: where they are, and what they committed.
+//! The state that all keepers of a run share: their processes, and the highest committed change.
 use super::simulation::ProcessId;
 use quincehatch_core::{ChangeNumber, Millis, Name, Version};
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
-/// Violations that are kept at most.
+/// Largest number of violations that are reported.
 const MAX_REPORTED: usize = 20;
 
-/// All keepers of a run: where they are, and what they committed.
+/// The keepers of a run: their processes, and what they committed.
 #[derive(Default)]
 pub struct KeeperRegistry {
     /// The process of each keeper.
     pub process_by_name: Mutex<BTreeMap<Name, ProcessId>>,
-    /// Watches over what they serve.
+    /// Checks that a keeper that serves has all committed changes.
     pub commit_watch: Mutex<CommitWatch>,
 }
 
-/// What any keeper of a run committed, so that one that serves with less is seen (check N10).
+/// The highest change that any keeper has committed; a keeper that serves without it violates check N10.
 #[derive(Default)]
 pub struct CommitWatch {
     committed: ChangeNumber,
-    /// What keepers were seen to do wrong.
+    /// Violations of check N10.
     pub violations: Vec<String>,
 }
 
-/// How far a keeper is.
+/// The state of a keeper after a step, as far as the check needs it.
 pub(super) struct Progress {
     pub(super) serving: bool,
     pub(super) last_change: ChangeNumber,
--- a/crates/simulator/src/fleet/load.rs
+++ b/crates/simulator/src/fleet/load.rs
@@ -10,22 +10,25 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Callers of each group, and the mean pause between two calls of one.
+/// Number of callers for each group.
 const CALLERS: usize = 8;
+/// Mean pause between two calls of a caller.
 const CALLER_PAUSE_MS: u64 = 200;
 const LOOKUP_DEADLINE_MS: u64 = 3_000;
 const ORDERS_PER_MILLE: u64 = 650;
 const MOVES_PER_MILLE: u64 = 30;
-/// Deadline of the first push, and the pause before it is sent again.
+/// Deadline of the first push of the configuration.
 const PUSH_DEADLINE_MS: u64 = 5_000;
-const PUSH_RETRY: Duration = Duration::from_millis(200);
-/// Callers start this long after the first configuration is acknowledged.
+/// Pause before the first push is retried.
+const PUSH_RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Time from the acknowledgement of the first configuration to the start of the callers.
 const CALLERS_DELAY: Duration = Duration::from_secs(2);
-/// Marks of pushes: numbers of a seed begin at a multiple of the first, those of a round lie apart by the second.
+/// Distance between the first marks of two seeds. Marks distinguish pushes of a configuration.
 const MARKS_PER_SEED: u64 = 1_000;
+/// Distance between the marks of two rounds of pushes.
 const MARKS_PER_ROUND: u64 = 10;
 
-/// What the callers of a fleet share.
+/// Returns the environment that all callers of a fleet share.
 pub(super) fn load_environment(fleet: &SimulatedFleet) -> Arc<LoadEnvironment> {
     Arc::new(LoadEnvironment {
         keeps_connections: false,
@@ -45,7 +48,7 @@
     })
 }
 
-/// Pushes the first configuration, then starts the callers, and operators who push now and then.
+/// Pushes the first configuration, starts the callers, and then pushes further configurations at random intervals.
 pub(super) async fn run_load(
     operators: Vec<String>,
     configuration: String,
@@ -54,7 +57,7 @@
 ) {
     let body = json!({"text": configuration, "key": "first", "base": 0, "by": "sim"});
     while !matches!(operator_call(&operators[0], "push", &body, PUSH_DEADLINE_MS).await, Some((200, _))) {
-        seam::sleep(PUSH_RETRY).await;
+        seam::sleep(PUSH_RETRY_PAUSE).await;
     }
     seam::sleep(CALLERS_DELAY).await;
     for id in 0..CALLERS * env.groups {
@@ -62,8 +65,8 @@
     }
     let mut mark = seed * MARKS_PER_SEED;
     while !env.stop.load(Ordering::SeqCst) {
-        let gap = fastrand::u64(1_000..5_000);
-        seam::sleep(Duration::from_millis(gap)).await;
+        let push_pause = fastrand::u64(1_000..5_000);
+        seam::sleep(Duration::from_millis(push_pause)).await;
         mark += MARKS_PER_ROUND;
         push_round(&operators, &configuration, &env, mark).await;
     }
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Simulated fleets: the very code that the daemons, the stand-in servers and the callers run, in virtual time.
+//! Simulated fleets over pooled servers: the code of the daemons, the stand-in servers and the callers in virtual time.
 mod delivery;
 mod executor;
 mod fault_injection;
--- a/crates/simulator/src/fleet/network.rs
+++ b/crates/simulator/src/fleet/network.rs
@@ -1,7 +1,7 @@
 //! Connections and frames between simulated processes.
 //!
-//! A connection is a stream: what is lost on it is sent again, a partition delays it, and after
-//! [`TCP_USER_TIMEOUT`] without an acknowledgement the kernel gives it up.
+//! A connection is a stream: lost segments are retransmitted, a partition delays them, and after
+//! [`TCP_USER_TIMEOUT`] without an acknowledgement the kernel aborts the connection.
 use super::simulation::{Event, ProcessId, Simulation, SimulationState};
 use quincehatch_core::Millis;
 use quincehatch_runtime::seam::{BoxFuture, OnDisconnect};
@@ -13,13 +13,13 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use tokio::sync::oneshot;
 
-/// The kernel gives a stream up that was not acknowledged for so long.
+/// Time without an acknowledgement after which the kernel aborts a connection.
 pub const TCP_USER_TIMEOUT: Millis = 4_000;
-/// A lost or undeliverable segment is sent again after so long.
+/// Time after which a lost or undeliverable segment is retransmitted.
 pub const RETRANSMIT_AFTER: Millis = 250;
-/// The sender of a frame has given up by then.
+/// Time after which a frame is no longer retransmitted, since its sender has timed out.
 pub(super) const FRAME_TIMEOUT: Millis = 1_000;
-/// The second copy of a duplicated message arrives this much later.
+/// Time by which the second copy of a duplicated message arrives later.
 const DUPLICATE_DELAY: Millis = 3;
 
 /// A request on an HTTP connection.
@@ -36,16 +36,16 @@
 
 /// Status and body of an HTTP reply.
 pub type HttpReply = (u16, Value);
-/// Answers a request; no reply resets the connection.
+/// Answers a request; without a reply the connection is reset.
 pub type HttpHandler = Arc<dyn Fn(HttpRequest) -> BoxFuture<'static, Option<HttpReply>> + Send + Sync>;
-/// Learns that the client closed a connection.
+/// Called when a connection that the process serves has ended.
 pub type CloseHandler = Arc<dyn Fn(u64) + Send + Sync>;
-/// Answers a frame; no reply refuses it.
+/// Answers a frame; without a reply the frame is refused.
 pub type FrameHandler = Arc<dyn Fn(Vec<u8>) -> BoxFuture<'static, Option<Vec<u8>>> + Send + Sync>;
-/// Takes a message of another keeper.
+/// Receives a message of another keeper.
 pub type PeerHandler = Arc<dyn Fn(ProcessId, PeerMessage) + Send + Sync>;
 
-/// What one process sends another.
+/// A message from one process to another.
 pub enum Message {
     /// Opens a connection.
     Syn(u64),
@@ -59,33 +59,33 @@
     Reset(u64),
     /// The client's end of a connection is closed.
     Closed(u64),
-    /// A frame that wants a reply.
+    /// A frame that expects a reply.
     Frame {
-        /// Pairs the frame with its reply.
+        /// Matches the reply with the frame.
         request_id: u64,
-        /// Listener that it goes to.
+        /// Address of the listener.
         addr: String,
         /// Content.
         bytes: Vec<u8>,
     },
     /// The reply to a frame; none if it was refused.
     FrameReply {
-        /// The frame it belongs to.
+        /// Id of the frame.
         request_id: u64,
         /// Content.
         reply: Option<Vec<u8>>,
     },
-    /// A datagram between keepers, which may be lost or come twice.
+    /// A datagram between keepers, which may be lost or duplicated.
     Peer(PeerMessage),
 }
 
-/// A message on its way.
+/// A message in flight.
 pub struct Envelope {
     /// Sender.
     pub from: ProcessId,
     /// Receiver.
     pub to: ProcessId,
-    /// When it was first sent.
+    /// When the message was first sent.
     pub sent_at: Millis,
     /// Content.
     pub message: Message,
@@ -98,36 +98,36 @@
     pub(super) addr: String,
     pub(super) client_open: bool,
     pub(super) server_open: bool,
-    /// Shared with the client's handle.
+    /// Whether the connection has ended; shared with the client's handle.
     pub(super) closed: Arc<AtomicBool>,
     pub(super) on_break: Option<OnDisconnect>,
     pub(super) connect_reply: Option<oneshot::Sender<Result<()>>>,
     pub(super) http_reply: Option<oneshot::Sender<Result<HttpReply>>>,
 }
 
-/// What answers requests at an address.
+/// The handlers of an HTTP listener.
 #[derive(Clone)]
 pub(super) struct HttpListener {
     pub(super) on_request: HttpHandler,
     pub(super) on_close: CloseHandler,
 }
 
-/// Listeners, connections, and frames that wait for their reply.
+/// Listeners, connections, and frames whose reply is pending.
 #[derive(Default)]
 pub struct Network {
     pub(super) next_id: u64,
     pub(super) connections: BTreeMap<u64, Connection>,
     pub(super) pending_frames: BTreeMap<u64, oneshot::Sender<Result<Vec<u8>>>>,
-    /// Which process listens at an address.
+    /// The process that listens at each address.
     pub addresses: BTreeMap<String, ProcessId>,
     pub(super) http_listeners: BTreeMap<String, HttpListener>,
     pub(super) frame_listeners: BTreeMap<String, FrameHandler>,
-    /// What takes keepers' messages, by process.
+    /// The receivers of keepers' messages, by process.
     pub peer_handlers: BTreeMap<ProcessId, PeerHandler>,
 }
 
 impl Network {
-    /// Empties the network; what it held.
+    /// Empties the network and returns its former content.
     pub fn take(&mut self) -> Network {
         std::mem::take(self)
     }
@@ -139,7 +139,7 @@
 }
 
 impl SimulationState {
-    /// Sends a message: it arrives after a random delay, later with each loss. Lost datagrams are not sent again.
+    /// Sends a message, which arrives after a random delay. Each loss delays it further; a lost datagram never arrives.
     pub fn send(&mut self, from: ProcessId, to: ProcessId, message: Message) {
         self.messages_sent += 1;
         let is_datagram = matches!(message, Message::Peer(_));
@@ -161,7 +161,7 @@
         self.schedule(sent_at + delay, Event::Message(Envelope { from, to, sent_at, message }));
     }
 
-    /// Ends all connections of a process that crashed; their other ends learn it unless the machine lost power.
+    /// Ends all connections of a process that crashed; their other ends are notified unless the machine lost power.
     pub fn drop_connections(&mut self, pid: ProcessId, powered_off: bool) {
         let ids =
             self.network.connections_where(|connection| connection.client == pid || connection.server == pid);
@@ -195,7 +195,7 @@
         }
     }
 
-    /// A server resets all connections that it serves.
+    /// Resets all connections that a process serves.
     pub fn reset_connections(&mut self, pid: ProcessId) {
         let ids =
             self.network.connections_where(|connection| connection.server == pid && connection.server_open);
@@ -211,21 +211,21 @@
 }
 
 impl Simulation {
-    /// Lets a process answer HTTP requests at an address.
+    /// Registers the HTTP listener of a process at an address.
     pub fn listen_http(&self, addr: &str, pid: ProcessId, on_request: HttpHandler, on_close: CloseHandler) {
         let mut state = self.lock();
         state.network.addresses.insert(addr.to_owned(), pid);
         state.network.http_listeners.insert(addr.to_owned(), HttpListener { on_request, on_close });
     }
 
-    /// Lets a process answer frames at an address.
+    /// Registers the frame listener of a process at an address.
     pub fn listen_frames(&self, addr: &str, pid: ProcessId, on_frame: FrameHandler) {
         let mut state = self.lock();
         state.network.addresses.insert(addr.to_owned(), pid);
         state.network.frame_listeners.insert(addr.to_owned(), on_frame);
     }
 
-    /// Puts a handler between an address and what answers frames there.
+    /// Wraps the frame handler at an address in another one.
     pub fn wrap_frame_handler(&self, addr: &str, wrap: impl FnOnce(FrameHandler) -> FrameHandler) {
         let mut state = self.lock();
         if let Some(inner) = state.network.frame_listeners.remove(addr) {
--- a/crates/simulator/src/fleet/process_world.rs
+++ b/crates/simulator/src/fleet/process_world.rs
@@ -1,4 +1,4 @@
-//! What a simulated process has in place of the async runtime and the kernel: clock, tasks, connections.
+//! The simulated counterpart of the async runtime and the kernel for one process: clock, tasks, connections.
 use super::network::{Connection, HttpReply, HttpRequest, Message};
 use super::simulation::{ProcessId, Simulation};
 use quincehatch_core::{Millis, hash64};
@@ -13,13 +13,13 @@
 /// Wall-clock time at the start of a simulation.
 const WALL_CLOCK_START: u64 = 1_000_000;
 
-/// The world of one incarnation of a process.
+/// The runtime environment of one incarnation of a process.
 pub struct ProcessWorld {
-    /// The simulation it belongs to.
+    /// The simulation that the process belongs to.
     pub simulation: Arc<Simulation>,
     /// The process.
     pub pid: ProcessId,
-    /// Its incarnation.
+    /// The incarnation of the process.
     pub incarnation: u64,
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// Closes a connection whose opening was given up.
+/// Closes a connection whose opening was cancelled or failed.
 struct CloseUnlessOpened(Option<Arc<ClientConnection>>);
 
 impl Drop for CloseUnlessOpened {
@@ -78,7 +78,7 @@
 }
 
 impl ProcessWorld {
-    /// Registers a connection and sends its first message; none if nobody ever listened at the address.
+    /// Registers a connection and sends its first message; returns `None` if no process ever listened at the address.
     fn start_connecting(
         &self,
         addr: &str,
--- a/crates/simulator/src/fleet/promotion_faults.rs
+++ b/crates/simulator/src/fleet/promotion_faults.rs
@@ -1,5 +1,5 @@
-//! Faults close to promotions: spares that arrive and fall, promoting nodes that are stopped midway, and primaries that
-//! are lost one after the other.
+//! Faults close to promotions: spares that start and crash, nodes that are stopped in the middle of a promotion, and
+//! primaries that fail one after the other.
 use super::faults::{self, FAULT_TIME_SPREAD, Fault, MIN_FAULT_TIME};
 use super::setup::SimulatedFleet;
 use super::simulation::{ProcessId, Trap};
@@ -8,10 +8,10 @@
 /// Trace points of a promotion at which the promoting node is stopped.
 const PROMOTION_PHASES: [&str; 6] =
     ["is closing", "is fencing", "chose", "is listing", "is promoting", "is naming"];
-/// A trapped node is suspended this much longer than other faults last.
+/// Time by which a trapped node is suspended longer than other faults last.
 const EXTRA_TRAP_TIME: Millis = 2_000;
 
-/// Draws one fault; every fourth is one of any kind. The order of draws is part of what a seed means.
+/// Draws one fault; a quarter of them are of any kind. The order of draws is part of what a seed means.
 pub fn draw_promotion_fault(fleet: &SimulatedFleet) -> Fault {
     let below = |limit: usize| fleet.simulation.lock().rng.below(limit as u64) as usize;
     let kind = below(100);
@@ -39,7 +39,7 @@
 }
 
 impl SimulatedFleet {
-    /// The newest primary of the group that any node knows of; the group's first server where none does.
+    /// Returns the newest primary of the group that any node knows; the group's first server if none is known.
     fn assigned_primary(&self, group: usize) -> ProcessId {
         let group_name = format!("g{}", group + 1);
         let nodes = self.live_nodes.iter().filter_map(|node| node.lock().unwrap().clone());
--- a/crates/simulator/src/fleet/run.rs
+++ b/crates/simulator/src/fleet/run.rs
@@ -1,4 +1,4 @@
-//! One seed of a simulated fleet from start to end: a quiet start, a time of faults, healing, and the checks.
+//! One seed of a simulated fleet from start to end: a start without faults, a fault period, healing, and the checks.
 use super::final_faults::inject_final_fault;
 use super::load::{load_environment, run_load};
 use super::setup::{SimulatedFleet, build_fleet};
@@ -12,14 +12,14 @@
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Debug, Default)]
 pub struct Report {
     /// Seed of the run.
     pub seed: u64,
     /// Every violation, as a line that names its check.
     pub violations: Vec<String>,
-    /// Orders that were acknowledged.
+    /// Orders that were committed.
     pub committed: usize,
     /// Orders that were sent.
     pub attempts: usize,
@@ -27,13 +27,13 @@
     pub reads: usize,
     /// Configurations that were acknowledged.
     pub pushes: usize,
-    /// Promotions that a primary's log shows.
+    /// Promotions recorded in the servers' logs.
     pub promotions: usize,
     /// Messages handed to the network.
     pub messages_sent: u64,
-    /// Hash of all that happened: two runs of one seed have the same.
+    /// Hash of all steps; it is the same in every run of a seed.
     pub trace: u64,
-    /// The longest time without an acknowledged order after the last fault was over.
+    /// The longest time without a committed order after the last fault.
     pub longest_outage_ms: Millis,
 }
 
@@ -48,42 +48,44 @@
     pub nodes: usize,
     /// Number of groups of servers.
     pub groups: usize,
-    /// One thing fails for good, and nothing is healed.
+    /// Whether the only fault is a final one, which is not healed.
     pub final_fault: bool,
-    /// Faults lie close to promotions.
+    /// Whether faults are drawn that strike close to promotions.
     pub promotion_faults: bool,
-    /// A deliberate bug that is switched on.
+    /// Name of an injected bug.
     pub bug: Option<String>,
-    /// Prints what happens.
+    /// Whether events are printed.
     pub verbose: bool,
 }
 
-/// Zones and replicas of a group in every run.
+/// Number of zones in every run.
 const ZONES: usize = 3;
+/// Number of servers of each group in every run, without its spare.
 const REPLICAS: usize = 3;
-/// Faults begin at this time, and no new one does once the period is over.
+/// Time at which the fault period begins.
 const FAULTS_FROM: Millis = 9_000;
+/// Length of the fault period, after which no new fault begins.
 const FAULT_PERIOD: Millis = 30_000;
-/// A final fault comes this much later than other faults begin.
+/// Time from [`FAULTS_FROM`] to a final fault.
 const FINAL_FAULT_DELAY: Millis = 2_000;
-/// Load goes on for so long after the last fault.
+/// Time for which the load continues after the last fault.
 const RECOVERY_PERIOD: Millis = 17_000;
-/// Callers end what they are doing within this time.
+/// Time for callers to end their calls once the load has stopped.
 const LOAD_END: Millis = 6_000;
-/// The final state is collected within so many steps of [`COLLECTION_STEP`].
+/// Largest number of steps of [`COLLECTION_STEP`] for the collection of the final state.
 const COLLECTION_STEPS: usize = 60;
 const COLLECTION_STEP: Millis = 1_000;
-/// The fault after which service must be back within its bound.
+/// The last fault, after which service must recover within its bound.
 struct LastFault {
     at: Millis,
     description: String,
 }
 
-/// What is known once the load is over.
+/// The outcome of the load.
 struct FinalState {
     facts: Facts,
     fault: LastFault,
-    /// When the load was told to stop.
+    /// When the load was stopped.
     end: Millis,
 }
 
@@ -105,7 +107,7 @@
     fleet.simulation.run_in(fleet.callers, || seam::spawn(load));
     let fault = run_faults(&fleet, options);
     fleet.simulation.run_until(fault.at + RECOVERY_PERIOD);
-    // What was stopped at a trace point meanwhile is a fault of its own.
+    // A process that a trap has stopped meanwhile counts as a later fault.
     let fault = LastFault { at: fault.at.max(fleet.simulation.lock().trap_sprung_at), ..fault };
     fleet.simulation.run_until(fault.at + RECOVERY_PERIOD);
     env.stop.store(true, Ordering::SeqCst);
@@ -134,7 +136,7 @@
     LastFault { at: simulation.now(), description: "all is healed".to_owned() }
 }
 
-/// Resolves the attempts that are still open, and asks the servers what they hold.
+/// Resolves the attempts that are still open, and collects the state of the servers.
 fn collect_final_state(
     fleet: &SimulatedFleet,
     env: &Arc<LoadEnvironment>,
@@ -204,7 +206,7 @@
     history.attempts.values().filter(|attempt| is_committed(&attempt.ends)).count()
 }
 
-/// Each new primary begins its log with a record that says so.
+/// Counts the records with which each new primary begins its log.
 fn count_promotions(facts: &Facts) -> usize {
     let primaries = facts.logs.values().filter_map(|logs| logs.first());
     primaries.map(|(_, log)| log.iter().filter(|record| record.ends_with(" start")).count()).sum()
--- a/crates/simulator/src/fleet/servers.rs
+++ b/crates/simulator/src/fleet/servers.rs
@@ -1,4 +1,4 @@
-//! Stand-in servers in a simulated fleet.
+//! The stand-in servers of a simulated fleet.
 use super::network::{HttpHandler, HttpReply, HttpRequest};
 use super::simulation::{ProcessId, Simulation, StartProcess};
 use crate::addresses;
@@ -16,29 +16,29 @@
 /// A server's process, and the stand-in that runs in it.
 #[derive(Clone)]
 pub struct Server {
-    /// Its process.
+    /// The server's process.
     pub pid: ProcessId,
-    /// Its name, group and address.
+    /// The server's name, group and address.
     pub address: ServerAddress,
-    /// The stand-in of its newest incarnation.
+    /// The stand-in of the newest incarnation; `None` before the first start.
     pub stand_in: Arc<Mutex<Option<Arc<StandIn>>>>,
-    /// Its disk.
+    /// The server's disk.
     pub disk: Arc<MemoryDisk>,
 }
 
 impl Server {
-    /// The stand-in of the newest incarnation.
+    /// Returns the stand-in of the newest incarnation.
     pub fn running(&self) -> Option<Arc<StandIn>> {
         self.stand_in.lock().unwrap().clone()
     }
 }
 
-/// The zone of the machine at a place.
+/// Returns the zone of the machine with this index.
 pub(super) fn zone_name(index: usize, zones: usize) -> String {
     format!("d{}", index % zones + 1)
 }
 
-/// Open connections of a server; the end of one drops its state, and with it its open transaction.
+/// The open connections of a server. Closing a connection drops its state, and with it an open transaction.
 #[derive(Default)]
 struct ServerConnections(Mutex<BTreeMap<u64, Arc<tokio::sync::Mutex<ConnectionState>>>>);
 
@@ -111,7 +111,7 @@
     Server { pid, address, stand_in, disk }
 }
 
-/// The servers of a group; the last is its spare, which is not running at first.
+/// Adds the servers of a group; the last one is its spare, which is not running at first.
 pub(super) fn add_group(simulation: &Arc<Simulation>, group: usize, shape: &Shape) -> Vec<Server> {
     let first_index = group * (shape.replicas + 1);
     let addrs: Vec<String> =
--- a/crates/simulator/src/fleet/setup.rs
+++ b/crates/simulator/src/fleet/setup.rs
@@ -1,6 +1,6 @@
 //! Builds a simulated fleet: keepers, nodes, stand-in servers, the platform and the callers' process.
 //!
-//! All of them are the very code that runs on a real fleet; this module only gives them addresses.
+//! All of them run the same code as in a real fleet; this module only assigns addresses.
 use super::keeper::KeeperRegistry;
 use super::keeper_group::KeeperGroup;
 use super::network::{HttpHandler, HttpRequest};
@@ -19,40 +19,40 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex};
 
-/// Nodes that every node knows from its settings.
+/// Number of nodes that every node's settings list as seeds.
 const SEED_NODES: usize = 3;
-/// A node of the newest incarnation of its process.
+/// The node of the newest incarnation of a process.
 pub type LiveNode = Arc<Mutex<Option<Arc<Node>>>>;
 
 /// A fleet in a simulation.
 pub struct SimulatedFleet {
-    /// The simulation it runs in.
+    /// The simulation that the fleet runs in.
     pub simulation: Arc<Simulation>,
-    /// Its size.
+    /// The size of the fleet.
     pub shape: Shape,
     /// Processes of the keepers.
     pub keepers: Vec<ProcessId>,
-    /// What the keepers share.
+    /// The state that the keepers share.
     pub keeper_registry: Arc<KeeperRegistry>,
     /// Processes of the nodes.
     pub nodes: Vec<ProcessId>,
-    /// What runs in them.
+    /// The nodes that run in these processes.
     pub live_nodes: Vec<LiveNode>,
-    /// Servers, group by group.
+    /// Servers, ordered by group.
     pub servers: Vec<Server>,
-    /// One a group, under a name of its own; not running at first.
+    /// One spare server for each group, under a name of its own; not running at first.
     pub spares: Vec<Server>,
-    /// Where the nodes take calls of operators.
+    /// The addresses of the nodes' operator listeners.
     pub operator_addresses: Vec<String>,
-    /// Where the platform listens.
+    /// The platform's address.
     pub platform: String,
-    /// The platform's process; processes with a lower id are the fleet and its servers.
+    /// The platform's process; processes with a lower id are keepers, nodes and servers.
     pub platform_process: ProcessId,
     /// The process of all callers.
     pub callers: ProcessId,
     /// The first configuration.
     pub configuration: String,
-    /// All faults are over: what a fault was still to do does not come any more.
+    /// Whether all faults were healed, after which scheduled steps of earlier faults are skipped.
     pub healed: AtomicBool,
 }
 
@@ -72,7 +72,7 @@
     }
 }
 
-/// The request as a node's listener reads it off the wire.
+/// Converts a request to the form in which a node's listener parses it.
 fn listener_request(request: HttpRequest) -> listener::HttpRequest {
     let method = if request.path == "/ready" { "GET" } else { "POST" }.to_owned();
     let body = if request.body.is_null() { Bytes::new() } else { Bytes::from(request.body.to_string()) };
@@ -136,7 +136,7 @@
     simulation.add_process("platform", start, true)
 }
 
-/// Builds a fleet and starts its processes, in an order that is part of what a seed means.
+/// Builds a fleet and starts its processes. The order of the starts is part of what a seed means.
 pub fn build_fleet(seed: u64, shape: Shape, bug: Option<&str>, verbose: bool) -> SimulatedFleet {
     fastrand::seed(seed);
     let simulation = Simulation::new(seed, bug, verbose);
@@ -174,13 +174,13 @@
 }
 
 impl SimulatedFleet {
-    /// The process of a server or spare.
+    /// Returns the process of a server or spare.
     pub fn server_process(&self, name: &str) -> Option<ProcessId> {
         let mut all = self.servers.iter().chain(&self.spares);
         all.find(|server| server.address.name == name).map(|server| server.pid)
     }
 
-    /// Releases what the processes hold, so that nothing of the run stays behind.
+    /// Ends the simulation and releases all nodes and stand-ins, so that the memory of the run is freed.
     pub fn shut_down(&self) {
         self.simulation.shut_down();
         for node in &self.live_nodes {
--- a/crates/simulator/src/fleet/simulation.rs
+++ b/crates/simulator/src/fleet/simulation.rs
@@ -1,4 +1,4 @@
-//! State of a simulation: virtual time, processes, their tasks, and one queue of events.
+//! The state of a simulation: virtual time, processes with their tasks, and one queue of events.
 //!
 //! Everything runs on one thread, in the order of the queue; all randomness comes from one generator. A seed therefore
 //! replays exactly.
@@ -15,30 +15,30 @@
 /// Index of a process in the order of its addition.
 pub type ProcessId = usize;
 
-/// Something that is done to the simulation at a time.
+/// Code that is run on the simulation at a scheduled time.
 pub type Action = Box<dyn FnOnce(&Arc<Simulation>) + Send>;
 
-/// How a process is started; kept, so that it can be restarted.
+/// Starts a process, at first and after each crash.
 pub type StartProcess = Arc<dyn Fn(&Arc<Simulation>, ProcessId) + Send + Sync>;
 
-/// Local milliseconds that a steady clock counts in [`CLOCK_RATE_UNIT`] true ones.
+/// Rate of a clock without drift: its local milliseconds in [`CLOCK_RATE_UNIT`] true ones.
 pub const STEADY_CLOCK_RATE: u64 = CLOCK_RATE_UNIT;
 /// Unit of clock rates.
 pub const CLOCK_RATE_UNIT: u64 = 100_000;
-/// A drifting clock runs at most this much slower or faster than true time, in parts of [`CLOCK_RATE_UNIT`].
+/// Largest difference between the rate of a drifting clock and [`STEADY_CLOCK_RATE`].
 const MAX_CLOCK_DRIFT: u64 = 900;
-/// A drifting clock shows less than this when its process first starts.
+/// Upper limit of the initial reading of a drifting clock.
 pub(super) const MAX_CLOCK_OFFSET: Millis = 1_000_000;
 /// Delay of a message one way while the network is healthy, least and most.
 pub const HEALTHY_DELAY: (Millis, Millis) = (1, 12);
-/// Share of peer messages that arrive twice.
+/// Share of peer messages that are duplicated.
 const DUPLICATES_PER_MILLE: u64 = 5;
 
-/// What happens at a time.
+/// A scheduled event.
 pub enum Event {
-    /// A timer of a task runs out.
+    /// The timer of a task expires.
     Wake(Waker),
-    /// The suspension of a process may be over.
+    /// A suspension of a process ends, unless a later one is in effect.
     Resume(ProcessId),
     /// A message arrives at its destination.
     Message(Envelope),
@@ -48,21 +48,21 @@
 
 /// A simulated process.
 pub struct Process {
-    /// Its name in the log.
+    /// The process's name in the log.
     pub name: String,
-    /// False while it is crashed.
+    /// False while the process is crashed.
     pub is_up: bool,
-    /// The whole machine is off, so that not even a refusal comes back.
+    /// Whether the machine is without power, so that it does not even reset or refuse connections.
     pub powered_off: bool,
-    /// Rises with each start.
+    /// Incremented at each start.
     pub incarnation: u64,
-    /// It runs no task before that time.
+    /// Time before which the process runs no task, because it is suspended.
     pub paused_until: Millis,
     /// Local milliseconds in [`CLOCK_RATE_UNIT`] true ones.
     pub clock_rate: u64,
-    /// What the local clock showed at true time 0.
+    /// The reading of the local clock at true time 0.
     pub clock_offset: Millis,
-    /// How it is started again.
+    /// Starts the process again.
     pub start: StartProcess,
     pub(super) suspended_tasks: Vec<u64>,
 }
@@ -71,23 +71,23 @@
 pub(super) struct Task {
     pub(super) process: ProcessId,
     pub(super) incarnation: u64,
-    /// Absent while the task is polled.
+    /// `None` while the task is polled.
     pub(super) future: Option<BoxFuture<'static, ()>>,
     pub(super) queued: bool,
 }
 
-/// All that changes during a simulation.
+/// The mutable state of a simulation.
 pub struct SimulationState {
     /// True time since the start.
     pub now: Millis,
     pub(super) next_sequence: u64,
     /// Events by time and, within a time, in the order of their scheduling.
     pub(super) events: BTreeMap<(Millis, u64), Event>,
-    /// When each timer runs out, by the sequence number of its event.
+    /// The expiry of each timer, by the sequence number of its event.
     pub(super) timers: BTreeMap<u64, Millis>,
     pub(super) tasks: BTreeMap<u64, Task>,
     pub(super) ready_tasks: VecDeque<u64>,
-    /// Futures to be dropped within their process.
+    /// Futures that are to be dropped in the context of their process.
     pub(super) dead_tasks: Vec<(ProcessId, BoxFuture<'static, ()>)>,
     /// Values whose drop may call back into the simulation, and so must not happen under its lock.
     pub deferred_drops: Vec<Box<dyn std::any::Any + Send>>,
@@ -95,7 +95,7 @@
     pub processes: Vec<Process>,
     /// The only source of randomness.
     pub rng: Rng,
-    /// Pairs of sender and receiver between which nothing arrives.
+    /// Pairs of sender and receiver whose messages do not arrive.
     pub partitions: BTreeSet<(ProcessId, ProcessId)>,
     /// Share of transmissions that are lost.
     pub loss_per_mille: u64,
@@ -106,22 +106,22 @@
     pub network: Network,
     /// Messages handed to the network so far.
     pub messages_sent: u64,
-    /// Hash of all that happened: two runs of one seed have the same.
+    /// Hash of all steps; it is the same in every run of a seed.
     pub trace: u64,
-    /// Keepers may crash in the middle of a step.
+    /// Whether keepers may crash in the middle of a step.
     pub crashes_enabled: bool,
-    /// Set for the next process that reaches a trace point.
+    /// The trap for the next process that reaches its trace point.
     pub trap: Option<Trap>,
-    /// When the last trap was sprung.
+    /// When the last trap stopped a process, or when a planned later fault takes place.
     pub trap_sprung_at: Millis,
 }
 
 /// A simulation, shared by all its parts.
 pub struct Simulation {
     state: Mutex<SimulationState>,
-    /// Name of the deliberate bug that is switched on.
+    /// Name of the injected bug.
     bug: Option<String>,
-    /// Prints what happens.
+    /// Whether events are printed.
     pub verbose: bool,
 }
 
@@ -151,20 +151,20 @@
         }
     }
 
-    /// Schedules an event, not before now; its sequence number.
+    /// Schedules an event, at the present time at the earliest; returns its sequence number.
     pub fn schedule(&mut self, when: Millis, event: Event) -> u64 {
         self.next_sequence += 1;
         self.events.insert((when.max(self.now), self.next_sequence), event);
         self.next_sequence
     }
 
-    /// What the clock of a process shows.
+    /// Returns the reading of a process's clock.
     pub fn local_time(&self, pid: ProcessId) -> Millis {
         let process = &self.processes[pid];
         process.clock_offset + self.now * process.clock_rate / CLOCK_RATE_UNIT
     }
 
-    /// True while the process is up and not suspended.
+    /// Whether the process is up and not suspended.
     pub fn is_running(&self, pid: ProcessId) -> bool {
         self.processes[pid].is_up && self.processes[pid].paused_until <= self.now
     }
@@ -177,18 +177,18 @@
 }
 
 impl Simulation {
-    /// A simulation without processes.
+    /// Returns a simulation without processes.
     pub fn new(seed: u64, bug: Option<&str>, verbose: bool) -> Arc<Simulation> {
         let state = Mutex::new(SimulationState::new(seed));
         Arc::new(Simulation { state, bug: bug.map(str::to_owned), verbose })
     }
 
-    /// The state; must not be held while code of a process runs.
+    /// Locks the state. The lock must not be held while code of a process runs.
     pub fn lock(&self) -> MutexGuard<'_, SimulationState> {
         self.state.lock().unwrap()
     }
 
-    /// True time.
+    /// Returns the true time.
     pub fn now(&self) -> Millis {
         self.lock().now
     }
@@ -200,17 +200,17 @@
         }
     }
 
-    /// True if this deliberate bug is switched on.
+    /// Whether this bug is injected.
     pub fn has_bug(&self, bug: &str) -> bool {
         self.bug.as_deref() == Some(bug)
     }
 
-    /// Does something at a time.
+    /// Schedules an action.
     pub fn schedule_action(&self, when: Millis, action: impl FnOnce(&Arc<Simulation>) + Send + 'static) {
         self.lock().schedule(when, Event::Run(Box::new(action)));
     }
 
-    /// Adds a process and starts it at once; its clock drifts unless it is steady.
+    /// Adds a process and starts it immediately; its clock drifts unless `steady` is set.
     pub fn add_process(self: &Arc<Self>, name: &str, start: StartProcess, steady: bool) -> ProcessId {
         let pid = {
             let mut state = self.lock();
@@ -237,13 +237,13 @@
         pid
     }
 
-    /// The world as the present incarnation of a process sees it.
+    /// Returns the runtime environment of the present incarnation of a process.
     pub fn world(self: &Arc<Self>, pid: ProcessId) -> Arc<dyn World> {
         let incarnation = self.lock().processes[pid].incarnation;
         Arc::new(ProcessWorld { simulation: self.clone(), pid, incarnation })
     }
 
-    /// Runs code as if the process did.
+    /// Runs code in the context of a process.
     pub fn run_in<T>(self: &Arc<Self>, pid: ProcessId, code: impl FnOnce() -> T) -> T {
         seam::with_world(self.world(pid), code)
     }
