--- a/crates/simulator/src/control/budget.rs
+++ b/crates/simulator/src/control/budget.rs
@@ -16,20 +16,20 @@
     lost: BTreeMap<usize, Loss>,
     /// Spans in which the core was disturbed; a single event is an empty span.
     disturbances: Vec<(Millis, Millis)>,
-    /// Spans in which the core is cut into halves or catches up after that. A machine that was lost before cannot be
-    /// replaced meanwhile, so it counts as lost until the span ends.
+    /// Spans in which the core is partitioned into halves or catches up after that. A machine that was lost before
+    /// cannot be replaced meanwhile, so it counts as lost until the span ends.
     bisections: Vec<(Millis, Millis)>,
 }
 
 impl FaultBudget {
     /// Whether the machine in `slot` may be lost in addition without exceeding what is tolerated.
     pub fn allows(&self, slot: usize, now: Millis, tolerated: usize) -> bool {
-        let others = self
+        let other_losses = self
             .lost
             .iter()
             .filter(|(other, lost)| **other != slot && self.counts_as_lost(**lost, now))
             .count();
-        others < tolerated
+        other_losses < tolerated
     }
     /// Whether no machine counts as lost.
     pub fn none_lost(&self, now: Millis) -> bool {
--- a/crates/simulator/src/control/checks.rs
+++ b/crates/simulator/src/control/checks.rs
@@ -102,8 +102,8 @@
 
 /// C4: no read returns an older document than a read that ended before this read began.
 fn check_reads_are_monotonic(history: &History) -> Vec<String> {
-    let seen = history.reads.iter().filter_map(|read| Some((read.ended_at, read.document?)));
-    let floor = Floor::of(seen);
+    let returned_documents = history.reads.iter().filter_map(|read| Some((read.ended_at, read.document?)));
+    let floor = Floor::of(returned_documents);
     let mut violation_lines = Vec::new();
     for read in &history.reads {
         let Some(minimum) = floor.before(read.began_at) else { continue };
--- a/crates/simulator/src/control/cluster.rs
+++ b/crates/simulator/src/control/cluster.rs
@@ -25,7 +25,7 @@
     pub step_delay: Millis,
     /// False once the machine was removed for good.
     pub present: bool,
-    /// Its place in the deployment; a successor takes over its predecessor's slot.
+    /// The machine's place in the deployment; a successor takes over its predecessor's slot.
     pub slot: usize,
 }
 
--- a/crates/simulator/src/control/fault_effects.rs
+++ b/crates/simulator/src/control/fault_effects.rs
@@ -75,14 +75,14 @@
 pub fn isolate(cluster: &Arc<Cluster>, machine: usize, all: bool, one_way: bool, until: Millis) {
     record_disturbance(cluster);
     let pid = cluster.pid(machine);
-    let mut others: Vec<ProcessId> = cluster.present().into_iter().map(|index| cluster.pid(index)).collect();
+    let mut peers: Vec<ProcessId> = cluster.present().into_iter().map(|index| cluster.pid(index)).collect();
     if all {
-        others.extend(cluster.non_machine_processes());
+        peers.extend(cluster.non_machine_processes());
     }
-    others.retain(|other| *other != pid);
-    others.iter().for_each(|other| cluster.simulation.partition(pid, *other, !one_way));
+    peers.retain(|peer| *peer != pid);
+    peers.iter().for_each(|peer| cluster.simulation.partition(pid, *peer, !one_way));
     schedule_at(cluster, until, move |cluster| {
-        others.iter().for_each(|other| cluster.simulation.heal_partition(pid, *other));
+        peers.iter().for_each(|peer| cluster.simulation.heal_partition(pid, *peer));
         mark_recovered(cluster, machine);
     });
 }
--- a/crates/simulator/src/control/invariants.rs
+++ b/crates/simulator/src/control/invariants.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Updates the highest committed change when a keeper's outputs are sent, and others learn of it.
+    /// Updates the highest committed change when a keeper's outputs are sent, so that its peers may learn of it.
     pub fn record_outputs(&mut self, keeper: &Keeper) {
         self.committed = self.committed.max(keeper.committed);
     }
--- a/crates/simulator/src/control/overlaps.rs
+++ b/crates/simulator/src/control/overlaps.rs
@@ -6,7 +6,7 @@
 use quincehatch_core::Millis;
 use std::sync::Arc;
 
-/// Time after which a machine with a wiped disk restarts, if the others are not back earlier.
+/// Downtime of a machine with a wiped disk, unless the downtime of the fault is shorter.
 const WIPED_RESTART_DELAY: Millis = 300;
 
 /// The two parts of the core that an overlapping fault treats differently.
@@ -16,7 +16,7 @@
     rest: Vec<usize>,
 }
 
-/// Draws the machines that may be lost at once; the others are the rest.
+/// Draws as many machines as may be lost at once, and returns them and the rest.
 fn draw_core_parts(cluster: &Cluster) -> CoreParts {
     let mut present = cluster.present();
     cluster.simulation.lock().rng.shuffle(&mut present);
@@ -25,7 +25,7 @@
 }
 
 /// Partitions each machine of one side from each of the other; processes outside the core reach both sides. Returns the
-/// pairs that are cut.
+/// partitioned pairs.
 fn partition_sides(cluster: &Cluster, left: &[usize], right: &[usize]) -> Vec<(ProcessId, ProcessId)> {
     let pairs = left.iter().flat_map(|a| right.iter().map(|b| (cluster.pid(*a), cluster.pid(*b))));
     let pairs: Vec<(ProcessId, ProcessId)> = pairs.collect();
--- a/crates/simulator/src/fleet/keeper.rs
+++ b/crates/simulator/src/fleet/keeper.rs
@@ -125,7 +125,9 @@
             && running.keeper.is_tail();
         if stale_tail {
             let store = &running.keeper.store;
-            let text = PackedText::pack(store.configuration().map_or("", |kept| &kept.text));
+            let text = PackedText::pack(
+                store.configuration().map_or("", |configuration_document| &configuration_document.text),
+            );
             let snapshot = PackedSnapshot::pack(&FeedSnapshot::from_store(store, text));
             let _ = tx.send(Reply::PackedSnapshot { snapshot, lease_ms: STALE_TAIL_LEASE });
             return rx;
