--- a/crates/testbed/src/caller.rs
+++ b/crates/testbed/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: sessions that send orders, resolve open ones, look up, and record what they were told.
+//! Callers: clients that send orders, resolve orders in doubt, send lookups, and record the replies.
 use crate::caller_records::SentCall;
 use crate::history::CallEnd;
 use crate::load_environment::LoadEnvironment;
@@ -14,15 +14,15 @@
 
 /// Deadline of an order.
 pub(crate) const ORDER_MS: Millis = 1_000;
-/// The platform, and a connection to the node it names, have so long.
+/// Time limit of the call to the platform, and of the connection to the node it names.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A caller waits this much longer than its call's deadline.
+/// Time that a caller waits for a reply beyond its call's deadline.
 const EXTRA_WAIT: Millis = 500;
-/// A caller's number is put into its random seed from this bit on.
+/// Lowest bit of a caller's number in its random seed.
 const CALLER_SEED_SHIFT: u32 = 20;
 const HTTP_OK: u16 = 200;
 
-/// A session that the nodes keep for a caller.
+/// A caller's session on the nodes.
 #[derive(Clone, Debug)]
 pub(crate) struct Session {
     pub(crate) id: String,
@@ -32,11 +32,11 @@
 
 /// One caller.
 pub struct Caller {
-    /// What it shares with the others.
+    /// The environment that all callers share.
     pub env: Arc<LoadEnvironment>,
     /// Its number.
     pub id: usize,
-    /// Its randomness.
+    /// Random number generator of the caller.
     pub rng: Rng,
     zone: String,
     connection: Option<HttpConnection>,
@@ -46,9 +46,9 @@
 }
 
 impl Caller {
-    /// A caller that has not called yet.
+    /// Creates a caller without a connection or session.
     pub fn new(env: Arc<LoadEnvironment>, id: usize, seed: u64) -> Caller {
-        // With zone affinity only a group's own zone sees what that group's servers do.
+        // With zone affinity all callers of a group are in one zone, so only its nodes observe that group's servers.
         let place = if env.zone_affinity { id } else { id / env.groups };
         let zone = format!("d{}", place % env.zones + 1);
         Caller {
@@ -63,22 +63,22 @@
         }
     }
 
-    /// The caller's name, by which its statements are known.
+    /// Returns the caller's name, which marks its statements.
     pub fn caller_mark(&self) -> String {
         format!("c{}", self.id)
     }
 
-    /// The group that it calls.
+    /// Returns the group that the caller uses.
     pub fn group(&self) -> String {
         format!("g{}", self.id % self.env.groups + 1)
     }
 
-    /// The list that its orders go to.
+    /// Returns the list that the caller's orders are appended to.
     pub fn list(&self) -> String {
         format!("orders/{}", self.caller_mark())
     }
 
-    /// Calls until the run stops, or until `until`.
+    /// Sends calls until the run stops, or until the time `until`.
     pub async fn run_until(mut self, until: Millis, pause_ms: Millis) {
         while !self.env.stop.load(Ordering::Relaxed) && now() < until {
             let pause = pause_ms / 2 + self.rng.below(pause_ms.max(1));
@@ -94,14 +94,14 @@
         }
     }
 
-    /// Moves to another zone, and takes the session along.
+    /// Moves to a drawn zone and keeps the session.
     fn move_to_drawn_zone(&mut self) {
         let zone = self.rng.below(self.env.zones as u64) + 1;
         self.zone = format!("d{zone}");
         self.connection = None;
     }
 
-    /// A connection to the node that the platform names.
+    /// Opens a connection to the node that the platform names.
     async fn connect(&self) -> Option<HttpConnection> {
         let place = json!({"district": self.zone});
         let placed = post_once(&self.env.platform, "/v1/place", &place, CONNECT_TIMEOUT).await;
@@ -110,7 +110,7 @@
         seam::timeout(CONNECT_TIMEOUT, HttpConnection::open(node, None)).await.ok()?.ok()
     }
 
-    /// One call to this caller's node; none if no answer came.
+    /// Sends one call to this caller's node; none if no reply arrived.
     pub async fn call(&mut self, path: &str, body: Value, deadline: Millis) -> Option<Reply> {
         if self.connection.is_none() {
             self.connection = Some(self.connect().await?);
@@ -127,7 +127,7 @@
         };
         let reply = Reply { status, body: answer };
         self.record_answer(&SentCall { path, body: &body, asked, deadline }, &reply);
-        // A node that stops or is not ready: the platform knows another.
+        // The node is stopping or not ready: the next call asks the platform for another one.
         let elsewhere = [ErrorCode::Stopping, ErrorCode::NoLease, ErrorCode::NotReady];
         if reply.has_code(&elsewhere) && !self.env.keeps_connections {
             self.connection = None;
@@ -135,13 +135,13 @@
         Some(reply)
     }
 
-    /// A mark that no other statement of this caller bears.
+    /// Returns a mark that is unique among the statements of this caller.
     pub(crate) fn next_mark(&mut self) -> String {
         self.mark_count += 1;
         format!("{}#{}", self.caller_mark(), self.mark_count)
     }
 
-    /// The session, opened with a setting and a prepared statement if there is none.
+    /// Returns the session; opens one with a setting and a prepared statement if there is none.
     pub(crate) async fn session(&mut self) -> Option<Session> {
         if self.session.is_none() {
             self.session = Some(self.open_session().await?);
@@ -162,14 +162,14 @@
         Some(Session { id, version })
     }
 
-    /// Changes the session's state; its new version.
+    /// Changes the session's state and returns its new version.
     async fn change_session(&mut self, path: &str, body: Value) -> Option<u64> {
         let reply = self.call(path, body, ORDER_MS).await?;
         let is_accepted = call_end(Some(&reply)) == CallEnd::Accepted;
         reply.body["version"].as_u64().filter(|_| is_accepted)
     }
 
-    /// Labels of its requests.
+    /// Returns the labels of the caller's requests.
     pub(crate) fn labels(&self) -> Value {
         json!({"db": self.group()})
     }
--- a/crates/testbed/src/caller_operations.rs
+++ b/crates/testbed/src/caller_operations.rs
@@ -1,4 +1,4 @@
-//! What a caller does: orders in one step or several, the resolution of open ones, and lookups of its orders.
+//! Operations of a caller: orders in one step or several, outcome queries for orders in doubt, and lookups.
 use crate::caller::{Caller, ORDER_MS, Session};
 use crate::history::{CallEnd, ReadRecord};
 use crate::reply::{Reply, call_end};
@@ -9,30 +9,30 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Drawn numbers below this make an order of several steps, out of [`ORDER_KINDS`].
+/// Drawn numbers below this, out of [`ORDER_KINDS`], select an order of several steps.
 const STEPPED_ORDERS: u64 = 3;
 const ORDER_KINDS: u64 = 10;
-/// Shares of attempts that are sent again: of those not applied, and of one-step orders that are committed.
+/// Shares of orders that are sent again: of those not applied, and of committed one-step orders.
 const RESENT_NOT_APPLIED_PER_MILLE: u64 = 500;
 const RESENT_COMMITTED_PER_MILLE: u64 = 30;
-/// An order in doubt is asked after so often, with this pause.
+/// Number of outcome queries for an order in doubt, and the pause before each.
 const RESOLUTIONS: usize = 60;
 const RESOLUTION_PAUSE: Duration = Duration::from_millis(200);
-/// Pauses between the steps of an order are below this, in milliseconds.
+/// Upper bound of the pause between the steps of an order, in milliseconds.
 const STEP_PAUSE_SPREAD: u64 = 40;
 /// Shares of lookups that go to the primary, and that are sent on a session.
 const PRIMARY_READS_PER_MILLE: u64 = 250;
 const SESSION_READS_PER_MILLE: u64 = 300;
 
-/// A statement, and the rows that the session's state promises.
+/// A statement, and the rows that it must return if it reads the session's state.
 struct SessionStatement {
     text: String,
     params: Value,
-    promised_rows: Option<Value>,
+    expected_rows: Option<Value>,
 }
 
 impl Caller {
-    /// One order, in one step or several; in doubt it is asked after until its outcome is known.
+    /// Sends one order in one step or several; if it is in doubt, its outcome is queried until it is known.
     pub async fn place_order(&mut self) {
         self.order_count += 1;
         let key = format!("{}-{}", self.caller_mark(), self.order_count);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Sends an order. An attempt that is repeated brings the same content.
+    /// Sends an order; a repeated order has the same content.
     async fn send_order(&mut self, key: &str, kind: u64) -> CallEnd {
         if kind < STEPPED_ORDERS {
             self.order_in_steps(key, 1 + kind).await
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Asks what became of an attempt, and seals it if it is not committed.
+    /// Queries the outcome of an order and seals its key if it is not committed.
     pub async fn resolve_outcome(&mut self, key: &str) -> CallEnd {
         let body = json!({"try": key, "labels": self.labels(), "seal": true, "deadline_ms": ORDER_MS});
         let asked = now();
@@ -95,11 +95,11 @@
         }
         for step in 0..=steps {
             let Some(statement) = self.draw_step(key, step, steps) else { break };
-            let SessionStatement { text, params, promised_rows } = statement;
+            let SessionStatement { text, params, expected_rows } = statement;
             let run = json!({"session": id, "version": version, "text": text, "params": params,
                 "deadline_ms": ORDER_MS});
             let reply = self.call("/v1/run", run, ORDER_MS).await;
-            self.check_session_state(&text, promised_rows.as_ref(), reply.as_ref());
+            self.check_session_state(&text, expected_rows.as_ref(), reply.as_ref());
             if call_end(reply.as_ref()) != CallEnd::Committed {
                 self.drop_lost_session(reply.as_ref());
                 return self.record_never_sent(key);
@@ -114,16 +114,16 @@
         self.record_reply(key, asked, reply.as_ref())
     }
 
-    /// A step of an order; the last one may use the session's state, which holds within a transaction too.
+    /// Draws a step of an order; the last one may use the session's state, which applies within a transaction too.
     fn draw_step(&mut self, key: &str, step: u64, steps: u64) -> Option<SessionStatement> {
         let mark = self.next_mark();
         if step == 0 {
             let text = format!("append {} $1", self.list());
-            return Some(SessionStatement { text, params: json!([key, mark]), promised_rows: None });
+            return Some(SessionStatement { text, params: json!([key, mark]), expected_rows: None });
         }
         if step < steps {
             let text = "add total 1".into();
-            return Some(SessionStatement { text, params: json!([mark]), promised_rows: None });
+            return Some(SessionStatement { text, params: json!([mark]), expected_rows: None });
         }
         match self.rng.below(3) {
             0 => Some(self.show_tag(mark)),
@@ -133,22 +133,22 @@
     }
 
     fn show_tag(&self, mark: String) -> SessionStatement {
-        let promised_rows = Some(json!([[self.caller_mark()]]));
-        SessionStatement { text: "show tag".into(), params: json!([mark]), promised_rows }
+        let expected_rows = Some(json!([[self.caller_mark()]]));
+        SessionStatement { text: "show tag".into(), params: json!([mark]), expected_rows }
     }
 
     fn execute_prepared(&self, argument: Value, mark: String) -> SessionStatement {
-        let promised_rows = Some(json!([[self.caller_mark(), argument]]));
-        SessionStatement { text: "exec mine".into(), params: json!([argument, mark]), promised_rows }
+        let expected_rows = Some(json!([[self.caller_mark(), argument]]));
+        SessionStatement { text: "exec mine".into(), params: json!([argument, mark]), expected_rows }
     }
 
-    /// Records an attempt whose commit was never sent.
+    /// Records an order whose commit was never sent, which is therefore not applied.
     fn record_never_sent(&self, key: &str) -> CallEnd {
         let reply = Reply { status: 0, body: json!({"end": "nothing"}) };
         self.record_reply(key, now(), Some(&reply))
     }
 
-    /// A session that is gone, or whose state is not known after a lost answer, is opened anew.
+    /// Drops a session that is lost, or whose state is unknown after a lost reply, so that a new one is opened.
     fn drop_lost_session(&mut self, reply: Option<&Reply>) {
         let lost = [ErrorCode::SessionUnknown, ErrorCode::SessionLost, ErrorCode::InTransaction];
         if reply.is_none_or(|reply| reply.has_code(&lost)) {
@@ -156,12 +156,12 @@
         }
     }
 
-    /// A session finds its state wherever it runs: other rows, or a server that does not know the prepared statement,
-    /// are a violation.
-    fn check_session_state(&self, text: &str, promised_rows: Option<&Value>, reply: Option<&Reply>) {
-        let (Some(promised), Some(reply)) = (promised_rows, reply) else { return };
+    /// Checks that the session's state was present on the server: other rows, or a server without the prepared
+    /// statement, are a violation.
+    fn check_session_state(&self, text: &str, expected_rows: Option<&Value>, reply: Option<&Reply>) {
+        let (Some(expected), Some(reply)) = (expected_rows, reply) else { return };
         let answer = &reply.body;
-        let has_other_rows = answer["end"] == "kept" && answer["rows"] != *promised;
+        let has_other_rows = answer["end"] == "kept" && answer["rows"] != *expected;
         if has_other_rows || reply.has_code(&[ErrorCode::ServerRejected]) {
             let (node, server) = (&answer["where"]["node"], &answer["where"]["server"]);
             let (caller, rows) = (self.caller_mark(), &answer["rows"]);
@@ -171,7 +171,7 @@
         }
     }
 
-    /// A lookup of this caller's orders, by a replica or at the primary.
+    /// Sends a lookup of this caller's orders, to any server or to the primary only.
     pub async fn look_up(&mut self) {
         let order_side = self.rng.chance(PRIMARY_READS_PER_MILLE);
         let session = if self.rng.chance(SESSION_READS_PER_MILLE) { self.session().await } else { None };
@@ -186,21 +186,22 @@
         let asked = now();
         let reply = self.call("/v1/lookup", body, deadline).await;
         let succeeded = call_end(reply.as_ref()) == CallEnd::Committed;
-        self.check_session_state(&statement.text, statement.promised_rows.as_ref(), reply.as_ref());
+        self.check_session_state(&statement.text, statement.expected_rows.as_ref(), reply.as_ref());
         self.drop_lost_session(reply.as_ref());
-        // A session whose every owner died is lost, and said to be so: that tells nothing of the service.
+        // A session is lost if all nodes that store it have failed. Such a reply says nothing about the availability of
+        // service.
         let session_lost = [ErrorCode::SessionUnknown, ErrorCode::SessionLost];
-        let tells_of_service = !reply.as_ref().is_some_and(|reply| reply.has_code(&session_lost));
-        if !order_side && tells_of_service {
+        let counts_as_service = !reply.as_ref().is_some_and(|reply| reply.has_code(&session_lost));
+        if !order_side && counts_as_service {
             let code = reply.as_ref().and_then(Reply::code).unwrap_or(0);
             self.record_served("lookup", asked, succeeded, code);
         }
-        if let Some(reply) = reply.filter(|_| succeeded && statement.promised_rows.is_none()) {
+        if let Some(reply) = reply.filter(|_| succeeded && statement.expected_rows.is_none()) {
             self.record_read(order_side, asked, &reply.body);
         }
     }
 
-    /// A read of the caller's list; on a session often one of the session's state instead.
+    /// Draws a read of the caller's list; on a session often a read of the session's state instead.
     fn draw_lookup(&mut self, on_session: bool) -> SessionStatement {
         let mark = self.next_mark();
         let kind = if on_session { self.rng.below(10) } else { u64::MAX };
@@ -210,7 +211,7 @@
             _ => SessionStatement {
                 text: format!("get {}", self.list()),
                 params: json!([mark]),
-                promised_rows: None,
+                expected_rows: None,
             },
         }
     }
--- a/crates/testbed/src/caller_records.rs
+++ b/crates/testbed/src/caller_records.rs
@@ -1,4 +1,4 @@
-//! What a caller records of its calls.
+//! Recording of a caller's calls in the history.
 use crate::caller::Caller;
 use crate::history::{AnswerRecord, AttemptRecord, CallEnd, SentStatement, ServedCall, VersionRecord};
 use crate::reply::{Reply, call_end};
@@ -7,7 +7,7 @@
 use quincehatch_runtime::now;
 use serde_json::Value;
 
-/// An answer that comes this much later than its call's deadline is late.
+/// A reply that arrives more than this after its call's deadline counts as late.
 const LATE_AFTER: Millis = 200;
 
 /// A call that was sent.
@@ -19,7 +19,8 @@
 }
 
 impl Caller {
-    /// Records what an answer tells of the node, and of the server it comes from.
+    /// Records the lateness of a reply, the configuration version of its node, and the server's answer if it is a
+    /// success.
     pub(crate) fn record_answer(&self, call: &SentCall<'_>, reply: &Reply) {
         let SentCall { path, body, asked, deadline } = *call;
         let answer = &reply.body;
@@ -27,7 +28,7 @@
         if now() > asked + deadline + LATE_AFTER {
             history.late_replies += 1;
         }
-        // A request that no route was found for ran under no version: its node may hold no lease and no configuration.
+        // A request without a route ran under no version: its node may have no lease and no configuration.
         let was_routed = answer["where"]["placement"].as_str().is_some_and(|placement| !placement.is_empty());
         let (version, node) = (answer["where"]["version"].as_u64(), answer["where"]["node"].as_str());
         if let (true, Some(version), Some(node)) = (was_routed, version, node) {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Records what is sent, so that a server's journal can be compared with it.
+    /// Records a statement or session state that is sent, so that the servers' journals can be compared with it.
     pub(crate) fn record_sent(&self, path: &str, body: &Value) {
         let Some(text) = body["text"].as_str() else { return };
         let mut sent = self.env.sent_statements.lock().unwrap();
@@ -65,14 +66,14 @@
         }
     }
 
-    /// Records an order or lookup that is over.
+    /// Records an order or lookup that has ended.
     pub(crate) fn record_served(&self, kind: &'static str, asked: Millis, succeeded: bool, code: u64) {
         let call = ServedCall { asked, ended: now(), succeeded, code };
         let mut history = self.env.history.lock().unwrap();
         history.served.entry((self.group(), kind)).or_default().push(call);
     }
 
-    /// Records what was told of an order's attempt.
+    /// Records how a call about an order ended, and returns that end.
     pub(crate) fn record_reply(&self, key: &str, asked: Millis, reply: Option<&Reply>) -> CallEnd {
         let end = call_end(reply);
         let is_sealed = reply.is_some_and(|reply| reply.has_code(&[ErrorCode::Sealed]));
--- a/crates/testbed/src/configuration_pushes.rs
+++ b/crates/testbed/src/configuration_pushes.rs
@@ -1,4 +1,4 @@
-//! Operators of a run: they push two configurations at once, an invalid one, one twice, and one alone.
+//! Configuration pushes of a run's operators: two concurrent ones, an invalid one, one sent twice, and one alone.
 use crate::first_configuration::{GUARDED_DATABASE, guest_key, with_guest_key};
 use crate::fleet::FleetPlan;
 use crate::fleet_calls::{fleet_status, operator_call};
@@ -12,12 +12,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Deadline of one push, and the pause before it is sent again.
+/// Deadline of one push call, and the pause before the push is sent again.
 const PUSH_DEADLINE: Millis = 6_000;
 const PUSH_RETRY: Duration = Duration::from_millis(200);
-/// A push alone is built again so often on what came before it.
+/// Number of times that the push alone is rebuilt on a newer base version.
 const LONE_PUSHES: usize = 4;
-/// Limits of one request under a revoked key.
+/// Deadline and timeout of one request with a revoked key.
 const PROBE_DEADLINE: Millis = 500;
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// True if the push need not be sent again.
+/// Returns whether the push need not be sent again.
 fn is_final(end: PushEnd) -> bool {
     let final_codes =
         [ErrorCode::ConfigurationInvalid, ErrorCode::ConfigurationStale, ErrorCode::PushConflict];
@@ -50,7 +50,7 @@
 }
 
 impl ConfigurationPush<'_> {
-    /// Sends the push until its answer is final, over another node each time, and records every answer.
+    /// Sends the push until its reply is final, through another node each time, and records every reply.
     async fn send(&self, first_node: usize, race: Option<u64>, valid: bool) -> Option<PushEnd> {
         let began = now();
         let mut attempt = PushAttempt {
@@ -87,12 +87,14 @@
     }
 }
 
-/// Two valid pushes at once on one version and an invalid one beside them; the first once more if it won; then one alone.
+/// Sends two valid pushes on the same base version and an invalid one concurrently, repeats the first if it won, and
+/// then sends one alone.
 pub async fn push_round(operators: &[String], text: &str, env: &Arc<LoadEnvironment>, mark: u64) {
     push_marked(operators, &|mark| with_mark(text, mark), env, mark).await;
 }
 
-/// The same, where each configuration has a key of its own; in the end those of the first two are tried at each node.
+/// Runs [`push_round`] with a separate key in each configuration, and then checks that no node serves the revoked keys
+/// of the first two.
 pub async fn push_round_with_keys(fleet: &FleetPlan, text: &str, env: &Arc<LoadEnvironment>, mark: u64) {
     let marked = |mark| with_mark(&with_guest_key(text, mark), mark);
     if push_marked(&fleet.operator_addresses(), &marked, env, mark).await {
@@ -100,14 +102,14 @@
     }
 }
 
-/// True if the push alone was taken, so that no configuration before it is in force.
+/// Runs a round of pushes; returns whether the push alone was accepted, so that no earlier configuration is in force.
 async fn push_marked(
     operators: &[String],
     marked: &(dyn Fn(u64) -> String + Sync),
     env: &Arc<LoadEnvironment>,
     mark: u64,
 ) -> bool {
-    // A node that has just started knows of no version yet.
+    // A node that has just started has no configuration version yet.
     let known = fleet_status(operators).await["version"].as_u64();
     let Some(base) = known.filter(|version| *version > 0) else { return false };
     let push = |base, text, key| ConfigurationPush { operators, env, base, text, key };
@@ -123,7 +125,7 @@
     for node in 0..LONE_PUSHES {
         let base = fleet_status(operators).await["version"].as_u64().unwrap_or(base);
         let alone = push(base, marked(mark + 2), format!("c{mark}/{node}"));
-        // If another push came first, it is built anew on that one.
+        // If another push was accepted first, the push is rebuilt on that version.
         let stale = PushEnd::Rejected(ErrorCode::ConfigurationStale.number().into());
         match alone.send(node, None, true).await {
             Some(PushEnd::Version(_)) => return true,
@@ -134,8 +136,8 @@
     false
 }
 
-/// A later configuration is in force, so no node serves the keys of these marks any more, also one that was down or is
-/// slow to hear of it.
+/// Checks that no node serves the keys of these marks, which a later configuration has revoked. This includes nodes
+/// that were down or received the configuration late.
 async fn check_revoked_keys(fleet: &FleetPlan, env: &Arc<LoadEnvironment>, marks: [u64; 2]) {
     seam::sleep(Duration::from_millis(MAX_APPLY_DELAY)).await;
     let body = json!({"text": "get keys", "labels": {"db": GUARDED_DATABASE}, "deadline_ms": PROBE_DEADLINE});
--- a/crates/testbed/src/database.rs
+++ b/crates/testbed/src/database.rs
@@ -1,31 +1,32 @@
-//! The data of a stand-in: a log under fences, committed on two of three servers, with idempotency keys and seals in it.
+//! The data of a stand-in: a fenced log whose records commit once they are on two servers, with idempotency keys and
+//! seals.
 //!
-//! It does no I/O: what must be durable is handed out as records.
+//! The database does no I/O: it collects the records that the caller must make durable.
 pub use crate::log_record::{DiskRecord, LogRecord, RecordKind, Write};
 use quincehatch_core::{FencingToken, Name, Position, Role};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// What an idempotency key came to on this server.
+/// The outcome of an idempotency key on this server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyOutcome {
-    /// It is committed.
+    /// The key is committed.
     Committed {
         /// Digest of its content.
         sum: Name,
         /// Rows of its answer.
         rows: Value,
     },
-    /// It is sealed and never will be committed.
+    /// The key is sealed and can never be committed.
     Sealed,
-    /// It is in the log, in this record, and not yet on a second server.
+    /// The key is in the log, in the record with this number, which is not yet known to be on a second server.
     Pending(u64),
-    /// It is not in the log.
+    /// The key is not in the log.
     NotCommitted,
 }
 
-/// A server's log and what its committed part comes to.
+/// A server's log and the state that results from its committed records.
 #[derive(Clone, Debug, Default)]
 pub struct Database {
     /// The server's name.
@@ -36,22 +37,23 @@
     pub fence: FencingToken,
     /// All records, committed or not.
     pub log: Vec<LogRecord>,
-    /// Number of records that are on two servers, and so visible.
+    /// Number of committed records: they are on two servers and visible to reads.
     pub commit: u64,
-    /// Values of the committed part.
+    /// Values that result from the committed records.
     pub values: BTreeMap<String, Value>,
     outcomes: BTreeMap<Name, KeyOutcome>,
-    /// How many records of a primary's log each replica holds.
+    /// Number of records of this primary's log that each replica holds.
     pub(crate) replicated_to: BTreeMap<Name, u64>,
-    /// Servers that count towards commits; none named: all do.
+    /// Servers that count towards commits; if empty, all do.
     pub(crate) voters: Vec<Name>,
     /// Records that are not durable yet.
     pub unwritten: Vec<DiskRecord>,
-    /// A primary answers reads once so many records are visible: those it had when it was promoted or came back.
+    /// Number of records that must be visible before a primary answers reads: all that it had when it was promoted or
+    /// restarted.
     readable_at: u64,
 }
 
-/// What a replica asks its primary for.
+/// A replica's request for the records after the end of its log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PullRequest {
     /// The replica.
@@ -62,28 +64,28 @@
     pub have: Position,
 }
 
-/// What a primary gives.
+/// A primary's response to a [`PullRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PullResponse {
     /// The primary's fence.
     pub fence: FencingToken,
-    /// The end that was asked with: the records go on from there.
+    /// The log end given in the request: the records continue from there.
     pub have: Position,
     /// Number of records that are committed.
     pub commit: u64,
     /// Records after the replica's end.
     pub recs: Vec<LogRecord>,
-    /// Given if the replica's log differs: the last record under each fence of the primary's log.
+    /// Set if the replica's log differs from the primary's: the last position under each fence of the primary's log.
     pub fences: Option<Vec<Position>>,
 }
 
 impl Database {
-    /// An empty replica.
+    /// Returns an empty replica.
     pub fn new(name: &str) -> Database {
         Database { name: name.into(), ..Database::default() }
     }
 
-    /// What is left after a crash: everything that was durable.
+    /// Restores the database after a crash from its durable records.
     pub fn replay(name: &str, records: impl Iterator<Item = DiskRecord>) -> Database {
         let mut db = Database::new(name);
         for record in records {
@@ -98,12 +100,12 @@
         db
     }
 
-    /// The end of the log.
+    /// Returns the position of the last record of the log.
     pub fn log_end(&self) -> Position {
         self.log.last().map_or(Position::default(), |record| record.position)
     }
 
-    /// The last visible position.
+    /// Returns the position of the last committed record.
     pub fn commit_position(&self) -> Position {
         let last = self.commit.checked_sub(1).and_then(|last| self.log.get(last as usize));
         last.map_or(Position::default(), |record| record.position)
@@ -117,7 +119,8 @@
         number
     }
 
-    /// Rejects lower fences from now on, and leads no more under one; false if the fence is itself too low.
+    /// Accepts a fence: the server rejects lower fences from now on, and is no longer primary under one. Returns false
+    /// if the fence is lower than the accepted one.
     pub fn set_fence(&mut self, fence: FencingToken) -> bool {
         if fence > self.fence {
             self.fence = fence;
@@ -128,7 +131,8 @@
         fence >= self.fence
     }
 
-    /// Becomes primary; only these other servers count towards its commits, or any if none are named.
+    /// Becomes primary under the fence; only the voters count towards its commits, or every server if there are none.
+    /// Returns false if the fence is too low.
     pub fn promote(&mut self, fence: FencingToken, voters: Vec<Name>) -> bool {
         if fence < self.fence {
             return false;
@@ -146,23 +150,24 @@
         true
     }
 
-    /// True if reads miss nothing: a new primary could miss what its predecessor acknowledged.
+    /// Returns whether reads see everything committed: a new primary may not yet show records that its predecessor
+    /// acknowledged.
     pub fn is_readable(&self) -> bool {
         self.role == Role::Replica || self.commit >= self.readable_at
     }
 
-    /// Makes a primary look as if part of its log were not visible: a test's way to one that is starting.
+    /// Makes a primary behave as if it were starting, with part of its log not yet visible.
     #[doc(hidden)]
     pub fn set_unreadable_for_test(&mut self, unreadable: bool) {
         self.readable_at = if unreadable { u64::MAX } else { 0 };
     }
 
-    /// True while it is primary under this very fence.
+    /// Returns whether the server is primary under exactly this fence.
     pub fn is_primary_under(&self, fence: FencingToken) -> bool {
         self.role == Role::Primary && self.fence == fence
     }
 
-    /// What became of an idempotency key.
+    /// Returns the outcome of an idempotency key.
     pub fn outcome(&self, key: &str) -> KeyOutcome {
         if let Some(outcome) = self.outcomes.get(key) {
             return outcome.clone();
@@ -172,7 +177,7 @@
         pending.map_or(KeyOutcome::NotCommitted, |record| KeyOutcome::Pending(record.position.number))
     }
 
-    /// Appends a commit unless its key is known; what became of the key.
+    /// Appends a commit unless its key is already in the log, and returns the outcome of the key.
     pub fn commit_once(&mut self, key: &str, sum: &str, writes: Vec<Write>, rows: Value) -> KeyOutcome {
         match self.outcome(key) {
             KeyOutcome::NotCommitted => KeyOutcome::Pending(self.add_commit(key, sum, writes, rows)),
@@ -180,22 +185,22 @@
         }
     }
 
-    /// Appends a commit; whoever calls waits until `commit` has reached its number.
+    /// Appends a commit and returns its record's number. The caller waits until `commit` has reached that number.
     pub fn add_commit(&mut self, key: &str, sum: &str, writes: Vec<Write>, rows: Value) -> u64 {
         self.append(RecordKind::Commit { key: key.into(), sum: sum.into(), writes, rows })
     }
 
-    /// Appends a seal; whoever calls waits until `commit` has reached its number.
+    /// Appends a seal and returns its record's number. The caller waits until `commit` has reached that number.
     pub fn add_seal(&mut self, key: &str) -> u64 {
         self.append(RecordKind::Seal { key: key.into() })
     }
 
-    /// True while the record of that number is the one this primary wrote under the fence.
+    /// Returns whether the record with that number was written under the fence.
     pub fn wrote_under(&self, number: u64, fence: FencingToken) -> bool {
         self.log.get(number as usize - 1).is_some_and(|record| record.position.fence == fence)
     }
 
-    /// Commits all records up to that number.
+    /// Commits and applies all records up to that number.
     pub(crate) fn commit_up_to(&mut self, number: u64) {
         while self.commit < number {
             let kind = self.log[self.commit as usize].kind.clone();
@@ -220,7 +225,7 @@
     }
 }
 
-/// Does one write to a table of values.
+/// Applies one write to a table of values.
 pub fn apply_write(values: &mut BTreeMap<String, Value>, write: Write) {
     match write {
         Write::Put(key, value) => {
--- a/crates/testbed/src/first_configuration.rs
+++ b/crates/testbed/src/first_configuration.rs
@@ -5,7 +5,7 @@
 /// The database whose route needs a key.
 pub const GUARDED_DATABASE: &str = "guarded";
 
-/// One placement for each group; orders and lookups choose by the request's `db` label.
+/// Returns a configuration with one placement for each group; the `db` label of a request selects the route.
 pub fn configuration_for(shape: &Shape) -> String {
     let lookup_ms = shape.lookup_ms();
     let mut text = String::new();
@@ -23,13 +23,13 @@
     text
 }
 
-/// The key that is in force under the configuration with that mark alone.
+/// Returns the key that is valid only under the configuration with that mark.
 pub fn guest_key(mark: u64) -> String {
     format!("guest-{mark}")
 }
 
-/// The configuration with one more route, which needs a guest's key; all others need none. The key belongs to this mark,
-/// so that whichever configuration comes next revokes it.
+/// Adds a route that requires a guest's key to a configuration whose other routes require none. The key is specific to
+/// the mark, so that the next configuration revokes it.
 pub fn with_guest_key(text: &str, mark: u64) -> String {
     let digest =
         KeyDigest::of(guest_key(mark).as_bytes()).map(|digest| digest.to_string()).unwrap_or_default();
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -7,16 +7,16 @@
 
 /// The operator token of every fleet.
 pub const TOKEN: &str = "lab-token";
-/// Nodes that every node knows from its settings.
+/// Number of gossip seeds in the settings of every node.
 const SEED_NODES: usize = 3;
 /// One process of the fleet.
 #[derive(Clone, Debug)]
 pub struct ProcessSpec {
     /// Its name.
     pub name: String,
-    /// Its program.
+    /// Name of its executable.
     pub executable: String,
-    /// Arguments of its first start.
+    /// Arguments of the first start.
     pub args: Vec<String>,
     /// Arguments of every later start.
     pub restart_args: Vec<String>,
@@ -30,20 +30,20 @@
     }
 }
 
-/// Where a node is called.
+/// The addresses of a node.
 #[derive(Clone, Debug)]
 pub struct NodeAddress {
     /// Its name.
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// Where clients call.
+    /// Address of the listener for clients.
     pub client_listener: String,
-    /// Where operators call.
+    /// Address of the listener for operators.
     pub operator_listener: String,
 }
 
-/// Where a server is called.
+/// The address of a server.
 #[derive(Clone, Debug)]
 pub struct ServerAddress {
     /// Its name.
@@ -54,12 +54,12 @@
     pub addr: String,
 }
 
-/// Every process of a fleet with its arguments, and where to call.
+/// Every process of a fleet with its arguments and addresses.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
     /// Folder of settings, logs and data.
     pub dir: PathBuf,
-    /// Its size.
+    /// Shape of the fleet.
     pub shape: Shape,
     /// The processes, in the order of their start.
     pub processes: Vec<ProcessSpec>,
@@ -69,20 +69,20 @@
     pub keepers: Vec<(String, String)>,
     /// The servers.
     pub servers: Vec<ServerAddress>,
-    /// Where the platform is called.
+    /// Address of the platform.
     pub platform: String,
     /// File of the first configuration.
     pub configuration: PathBuf,
 }
 
 impl FleetPlan {
-    /// Where operators call.
+    /// Returns the addresses of the nodes' operator listeners.
     pub fn operator_addresses(&self) -> Vec<String> {
         self.nodes.iter().map(|node| node.operator_listener.clone()).collect()
     }
 }
 
-/// Gives out loopback addresses.
+/// Allocates loopback addresses with ascending ports; the value is the last port allocated.
 struct Ports(u16);
 
 impl Ports {
@@ -96,7 +96,7 @@
     format!("d{}", index + 1)
 }
 
-/// A TOML list of texts.
+/// Formats texts as the items of a TOML array.
 fn quoted_list<Text: AsRef<str>>(texts: impl IntoIterator<Item = Text>) -> String {
     let quoted: Vec<String> = texts.into_iter().map(|text| format!("\"{}\"", text.as_ref())).collect();
     quoted.join(", ")
@@ -149,7 +149,7 @@
     Ok(processes)
 }
 
-/// Arguments of a stand-in server, without its relay.
+/// Returns the arguments of a stand-in server without those for its peers, nodes and relay.
 fn server_args(dir: &Path, server: &ServerAddress, zone: &str, shape: &Shape) -> Vec<String> {
     let mut args = vec!["stand".to_owned()];
     let mut add = |flag: &str, value: String| args.extend([flag.to_owned(), value]);
@@ -162,7 +162,7 @@
     args
 }
 
-/// Adds the servers of a group, each behind a relay.
+/// Adds the servers of a group to the plan, each behind a relay.
 fn plan_group(plan: &mut FleetPlan, group: usize, ports: &mut Ports) {
     let group_name = format!("g{}", group + 1);
     let addrs: Vec<String> = (0..plan.shape.replicas).map(|_| ports.next()).collect();
@@ -191,7 +191,7 @@
     ProcessSpec::new("platform", "quincehatch-lab", args)
 }
 
-/// Writes settings files and the first configuration into `dir`; what to start, and where to call.
+/// Writes settings files and the first configuration into `dir` and returns the plan of the fleet.
 pub fn write_plan(dir: &Path, shape: &Shape) -> io::Result<FleetPlan> {
     std::fs::create_dir_all(dir)?;
     let mut ports = Ports(shape.port);
@@ -229,7 +229,7 @@
     Ok(plan)
 }
 
-/// Labels from `name=value` pairs; others are left out.
+/// Parses labels from `name=value` pairs and skips texts of any other form.
 pub fn parse_labels(pairs: &[String]) -> Labels {
     let pairs = pairs.iter().filter_map(|pair| pair.split_once('='));
     pairs.map(|(name, value)| (name.into(), value.into())).collect()
--- a/crates/testbed/src/history/answers.rs
+++ b/crates/testbed/src/history/answers.rs
@@ -1,23 +1,24 @@
-//! What servers ran and answered, against what callers sent and got (N4, N7, N8, N9).
+//! Checks of what servers executed and answered against what callers sent and received (N4, N7, N8, N9).
 use super::{Facts, History, SentStatements};
 use crate::stand_in::journal::JournalEntry;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A success is some server's own answer to that very call, stamp and rows to the byte (N4).
+/// Checks that every success a caller received is the answer of a server to that same call, with identical stamp and
+/// rows (N4).
 pub(super) fn check_answers(history: &History, facts: &Facts, violations: &mut Vec<String>) {
     let fingerprint = |id: &str, stamp: &Value, rows: &Value| format!("{id} {stamp} {rows}");
-    let mut given: BTreeSet<String> = BTreeSet::new();
+    let mut sent_by_servers: BTreeSet<String> = BTreeSet::new();
     for entry in facts.journals.values().flatten() {
         if let JournalEntry::Said { id, stamp, rows } = entry {
-            given.insert(fingerprint(id, stamp, rows));
+            sent_by_servers.insert(fingerprint(id, stamp, rows));
         }
     }
     for answer in &history.answers {
         let (path, id) = (&answer.path, &answer.id);
         if answer.stamp.is_null() || answer.rows.is_null() {
             violations.push(format!("N4 {path} of {id:?} was answered as a success without stamp or rows"));
-        } else if !given.contains(&fingerprint(id, &answer.stamp, &answer.rows)) {
+        } else if !sent_by_servers.contains(&fingerprint(id, &answer.stamp, &answer.rows)) {
             let server = &answer.stamp["server"];
             violations
                 .push(format!("N4 {path} of {id:?} was answered with a success that {server} never gave"));
@@ -25,12 +26,13 @@
     }
 }
 
-/// The mark of who sent a statement: the last of its parameters.
+/// The mark that identifies the sender of a statement: the last of its parameters.
 fn caller_mark(params: &Value) -> &str {
     params.as_array().and_then(|params| params.last()).and_then(Value::as_str).unwrap_or_default()
 }
 
-/// Transactions hold one caller's statements (N7), and servers run what callers sent, as often as they sent it (N8).
+/// Checks that a transaction contains statements of one caller only (N7), and that servers run only statements that
+/// callers sent, and those that must not be retried no more often than they were sent (N8).
 pub(super) fn check_statements(facts: &Facts, sent: &SentStatements, violations: &mut Vec<String>) {
     let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
     for (server, entries) in &facts.journals {
@@ -73,7 +75,7 @@
     }
 }
 
-/// No new work reaches a server that has drained for long (N9).
+/// Checks that no new work reaches a server after the time limit for draining (N9).
 pub(super) fn check_drain(facts: &Facts, violations: &mut Vec<String>) {
     for (server, entries) in &facts.journals {
         let late = entries.iter().filter(|entry| **entry == JournalEntry::Late).count();
--- a/crates/testbed/src/history/mod.rs
+++ b/crates/testbed/src/history/mod.rs
@@ -1,4 +1,5 @@
-//! What callers saw, and the checks of it against what must never happen (N1 to N12 of docs/design.md).
+//! The history of a run as callers observed it, and the checks of its safety and recovery rules (N1 to N12 of
+//! docs/design.md).
 mod answers;
 mod orders;
 mod pushes;
@@ -15,55 +16,55 @@
 /// How a call ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum CallEnd {
-    /// A server committed it, or answered it.
+    /// A server committed the order or answered the request.
     Committed,
-    /// The nodes took it on; no server was asked.
+    /// The nodes accepted the call; no server was involved.
     Accepted,
-    /// It is not applied.
+    /// The call was not applied.
     NotApplied,
-    /// Whether it is applied is not known.
+    /// Whether the call was applied is unknown.
     Unknown,
-    /// No answer came: the node, or the way to it, broke.
+    /// No reply arrived: the node or the connection to it failed.
     NoReply,
 }
 
-/// One attempt of an order, every time it was sent or asked after.
+/// An order under its idempotency key, with every time it was sent or its outcome was queried.
 #[derive(Clone, Debug, Serialize)]
 pub struct AttemptRecord {
-    /// Group that it was sent to.
+    /// Group that the order was sent to.
     pub group: String,
-    /// List that it appends to.
+    /// List that the order appends to.
     pub list: String,
-    /// Its idempotency key.
+    /// Idempotency key of the order.
     pub key: String,
-    /// Every end that was told, with the time of asking and of the answer.
+    /// How each call about the order ended, with the times of its request and of its reply.
     pub ends: Vec<(CallEnd, Millis, Millis)>,
-    /// It was told to be sealed: it can never be committed.
+    /// A reply said that the key is sealed: the order can never be committed.
     pub sealed: bool,
 }
 
-/// A lookup of a list.
+/// An answered lookup of a list.
 #[derive(Clone, Debug, Serialize)]
 pub struct ReadRecord {
     /// Group of the list.
     pub group: String,
     /// The list.
     pub list: String,
-    /// It was to be read at the primary, where nothing may be missed.
+    /// The lookup had to be read at the primary, where it must see every acknowledged order.
     pub order_side: bool,
-    /// When it was sent.
+    /// When the lookup was sent.
     pub asked: Millis,
-    /// When the answer came: the node passed it on a moment before.
+    /// When the reply arrived, shortly after the node forwarded it.
     pub answered: Millis,
     /// Orders in the list.
     pub seen: BTreeSet<String>,
     /// Server that answered.
     pub server: String,
-    /// Node that passed the answer on.
+    /// Node that forwarded the answer.
     pub node: String,
 }
 
-/// A success as its caller got it.
+/// A successful reply as its caller received it.
 #[derive(Clone, Debug, Serialize)]
 pub struct AnswerRecord {
     /// Path of the call.
@@ -76,7 +77,7 @@
     pub rows: Value,
 }
 
-/// What a caller sent under one mark, and how often.
+/// The statement that a caller sent under one mark, and how often.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct SentStatement {
     /// Text of the statement.
@@ -85,79 +86,79 @@
     pub params: Value,
     /// How often it was sent.
     pub times: usize,
-    /// A lookup may be retried on several servers.
+    /// Nodes may retry the statement on several servers, because it is a lookup.
     pub retryable: bool,
 }
 
-/// One order or lookup as a caller had it.
+/// The outcome of one order or lookup as its caller observed it.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ServedCall {
-    /// When it was sent.
+    /// When the call was sent.
     pub asked: Millis,
-    /// When it was over.
+    /// When the call ended.
     pub ended: Millis,
-    /// It succeeded.
+    /// Whether the call succeeded.
     pub succeeded: bool,
-    /// The result it ended with; 0 if it succeeded or had no answer.
+    /// Result code of the reply; 0 if the call succeeded or had no reply.
     pub code: u64,
 }
 
 /// A push that was acknowledged.
 #[derive(Clone, Debug, Serialize)]
 pub struct AcknowledgedPush {
-    /// The version that it became.
+    /// The configuration version that the push created.
     pub version: u64,
-    /// When its operator learned it.
+    /// When the operator received the acknowledgement.
     pub acked: Millis,
 }
 
 /// How a push ended for its operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum PushEnd {
-    /// It became this version.
+    /// The push created this configuration version.
     Version(u64),
-    /// It was rejected with this result.
+    /// The push was rejected with this result code.
     Rejected(u64),
-    /// No answer came, or none in time.
+    /// No reply arrived before the deadline.
     NoReply,
 }
 
-/// A push under its key, every time it was sent.
+/// A push under its idempotency key, with every time it was sent.
 #[derive(Clone, Debug, Serialize)]
 pub struct PushAttempt {
-    /// Its key.
+    /// Idempotency key of the push.
     pub key: String,
-    /// The version it builds on.
+    /// The configuration version that the push is based on.
     pub base: u64,
-    /// Pushes of one race build on one version at one time.
+    /// Race that the push belongs to: concurrent pushes based on the same version.
     pub race: Option<u64>,
-    /// The configuration is valid.
+    /// Whether the configuration is valid.
     pub valid: bool,
-    /// A majority of the voters was up and could be reached all along.
+    /// Whether a majority of the voters was up and reachable the whole time.
     pub majority_up: bool,
-    /// When it was first sent.
+    /// When the push was first sent.
     pub asked: Millis,
-    /// Every end, with its time.
+    /// How each sending ended, with its time.
     pub ends: Vec<(PushEnd, Millis)>,
 }
 
-/// The version that a request ran under.
+/// The configuration version that a request ran under.
 #[derive(Clone, Debug, Serialize)]
 pub struct VersionRecord {
     /// The node.
     pub node: String,
     /// When the request was sent.
     pub asked: Millis,
-    /// When the answer came.
+    /// When the reply arrived.
     pub answered: Millis,
     /// The version.
     pub version: u64,
 }
 
-/// Everything that callers and operators of a run saw.
+/// Everything that the callers and operators of a run observed.
 #[derive(Debug, Default, Serialize)]
 pub struct History {
-    /// Attempts of orders by key.
+    /// Orders by idempotency key.
     pub attempts: BTreeMap<String, AttemptRecord>,
     /// Lookups that were answered.
     pub reads: Vec<ReadRecord>,
@@ -169,43 +170,43 @@
     pub versions: Vec<VersionRecord>,
     /// Successes.
     pub answers: Vec<AnswerRecord>,
-    /// Violations seen as they happened: lost session state, a process that did not stop.
+    /// Violations detected during the run: lost session state, a process that did not stop.
     pub violations: Vec<String>,
-    /// Orders and lookups, by group and kind.
+    /// Ended orders and lookups by group and kind (`order` or `lookup`).
     pub served: BTreeMap<(String, &'static str), Vec<ServedCall>>,
-    /// Answers that came later than their deadline allows.
+    /// Number of replies that arrived later than their deadline allows.
     pub late_replies: u64,
-    /// An acknowledged configuration is held to be in force at once, as in the simulator.
+    /// Whether the checks expect an acknowledged configuration to be in force immediately, as in the simulator.
     pub immediate_effect: bool,
 }
 
-/// What the servers hold and did, once all is quiet again.
+/// The data and journals of the servers after the run.
 #[derive(Clone, Debug, Default)]
 pub struct Facts {
     /// Lists by group and name, in the order committed, as the primary holds them.
     pub lists: BTreeMap<(String, String), Vec<String>>,
-    /// Visible logs by group: the primary's first, then the other servers' by name.
+    /// Committed logs by group, each with the name of its server: the primary's first, then the other servers'.
     pub logs: BTreeMap<String, Vec<(String, Vec<String>)>>,
-    /// What each server did.
+    /// The journal of each server.
     pub journals: BTreeMap<String, Vec<JournalEntry>>,
 }
 
 /// A history that callers share.
 pub type SharedHistory = Mutex<History>;
 
-/// A lookup may miss what was acknowledged no longer ago than that (N6).
+/// A lookup may miss orders that were acknowledged within this time before its reply (N6).
 pub const MAX_STALENESS: Millis = 1_500;
-/// An acknowledged configuration is in force everywhere after so long (N10).
+/// An acknowledged configuration is in force on every node after this time (N10).
 pub const MAX_APPLY_DELAY: Millis = 3_000;
-/// Service is back so long after a final fault (N12).
+/// Service must have recovered within this time after a final fault (N12).
 pub const MAX_RECOVERY: Millis = 12_000;
 /// A valid push has its final answer within this time while a majority of the voters is up (N11): a node's lease has to
 /// run out, the chain has to be repaired, and one call may be lost.
 pub const MAX_PUSH_TIME: Millis = 12_000;
-/// What may pass between a node's passing an answer on and its caller's recording it.
+/// Allowance for the time from a node's forwarding of an answer to the caller's recording of it.
 pub const OBSERVATION_SLACK: Millis = 250;
 
-/// All that callers sent.
+/// The statements and session state that callers sent.
 #[derive(Clone, Debug, Default)]
 pub struct SentStatements {
     /// Statements by mark.
@@ -214,7 +215,7 @@
     pub session_state: BTreeSet<String>,
 }
 
-/// Every violation, as a line that begins with the number of its check.
+/// Returns every violation as a line that begins with the number of its check.
 pub fn check_history(
     history: &History,
     facts: &Facts,
@@ -235,7 +236,7 @@
     violations
 }
 
-/// The longest time without an acknowledged order after `at`, by group.
+/// Returns the longest time without an acknowledged order after `at`, by group.
 pub fn longest_gaps_after(history: &History, at: Millis) -> BTreeMap<String, Millis> {
     let orders = history.served.iter().filter(|((_, kind), _)| *kind == "order");
     let gap = |calls: &[ServedCall]| recovery::longest_gap(calls, at);
--- a/crates/testbed/src/history/orders.rs
+++ b/crates/testbed/src/history/orders.rs
@@ -1,11 +1,13 @@
-//! Orders, reads and configurations against what callers were told (N1, N2, N3, N5, N6, N10).
+//! Checks of orders, server logs, reads and configuration versions against the replies that callers received (N1, N2,
+//! N3, N5, N6, N10).
 use super::{
     CallEnd, Facts, History, MAX_APPLY_DELAY, MAX_STALENESS, OBSERVATION_SLACK, ReadRecord, VersionRecord,
 };
 use quincehatch_core::Millis;
 use std::collections::BTreeMap;
 
-/// An order takes effect once (N1); if it was acknowledged (N2); and not against what was told (N3).
+/// Checks that an order takes effect at most once (N1), that every acknowledged order takes effect (N2), and that no
+/// order takes effect whose replies all said that it was not applied or that its key is sealed (N3).
 pub(super) fn check_orders(history: &History, facts: &Facts, violations: &mut Vec<String>) {
     let mut effects: BTreeMap<&str, usize> = BTreeMap::new();
     for key in facts.lists.values().flatten() {
@@ -32,7 +34,7 @@
     }
 }
 
-/// Every server's visible log is the primary's, as far as it goes (N2).
+/// Checks that every server's committed log is a prefix of the primary's (N2).
 pub(super) fn check_logs(facts: &Facts, violations: &mut Vec<String>) {
     for (group, logs) in &facts.logs {
         let Some(((primary, log), others)) = logs.split_first() else { continue };
@@ -48,7 +50,7 @@
     }
 }
 
-/// An order of a list, and when it was first acknowledged.
+/// An order of a list and the time of its first acknowledgement.
 struct AcknowledgedOrder<'history> {
     at: Millis,
     key: &'history str,
@@ -68,7 +70,8 @@
     orders
 }
 
-/// A read at the primary misses nothing that was acknowledged before it (N5), a lookup nothing older than its bound (N6).
+/// Checks that a read at the primary sees every order acknowledged before it was sent (N5), and that a lookup misses
+/// only orders acknowledged within its staleness bound (N6).
 pub(super) fn check_reads(history: &History, violations: &mut Vec<String>) {
     let orders = acknowledged_orders(history);
     for read in &history.reads {
@@ -86,12 +89,13 @@
     }
 }
 
-/// A lookup may be stale by its bound when the node passes it on, however long it took before.
+/// Returns the time before which acknowledged orders must be seen. The staleness bound of a lookup counts back from
+/// when the node forwards the answer, regardless of how long the request took.
 fn needed_before(read: &ReadRecord) -> Millis {
     if read.order_side { read.asked } else { read.answered.saturating_sub(MAX_STALENESS + OBSERVATION_SLACK) }
 }
 
-/// Nodes run requests under acknowledged versions in time, and never under an older version than before (N10).
+/// Checks that nodes apply acknowledged configuration versions in time and never go back to an older version (N10).
 pub(super) fn check_versions(history: &History, violations: &mut Vec<String>) {
     let apply_delay = if history.immediate_effect { 0 } else { MAX_APPLY_DELAY };
     for push in &history.pushes {
@@ -117,7 +121,7 @@
 fn check_versions_rise(node: &str, runs: &[&VersionRecord], violations: &mut Vec<String>) {
     let (mut highest, mut highest_answered) = (0, 0);
     for run in runs {
-        // Only a request that began after another's answer can show a step back.
+        // Requests that overlap may use different versions: only one sent after another's reply can show a step back.
         if run.asked > highest_answered && run.version < highest {
             violations.push(format!("N10 node {node} went from version {highest} back to {}", run.version));
         }
--- a/crates/testbed/src/history/pushes.rs
+++ b/crates/testbed/src/history/pushes.rs
@@ -1,9 +1,9 @@
-//! Pushes against what their operators were told (N11).
+//! Checks of configuration pushes against the replies that operators received (N11).
 use super::{History, MAX_PUSH_TIME, PushAttempt, PushEnd};
 use quincehatch_core::{ErrorCode, Millis};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Versions that pushes became, by key.
+/// Versions that pushes created, by idempotency key of the push.
 type VersionsByKey<'history> = BTreeMap<&'history str, BTreeSet<u64>>;
 
 fn rejected_with(code: ErrorCode) -> PushEnd {
@@ -25,7 +25,8 @@
     }
 }
 
-/// Valid pushes are answered in time, invalid ones rejected, a push taken once, and a race won by one at most.
+/// Checks that valid pushes are answered in time, that invalid ones are rejected, that a push creates one version
+/// however often it is sent, and that at most one push of a race wins.
 pub(super) fn check_pushes(history: &History, violations: &mut Vec<String>) {
     let mut versions = VersionsByKey::new();
     for push in &history.push_attempts {
@@ -65,7 +66,7 @@
     }
 }
 
-/// One push of a race wins, or none if another push's version came before all of them.
+/// Checks that one push of a race wins, or none if a push outside the race took the next version first.
 fn check_race(history: &History, race: u64, versions: &VersionsByKey<'_>, violations: &mut Vec<String>) {
     let runners: Vec<&PushAttempt> =
         history.push_attempts.iter().filter(|push| push.race == Some(race)).collect();
@@ -73,20 +74,20 @@
     let winners = keys.iter().filter(|key| versions.contains_key(**key)).count();
     let majority_up = runners.iter().all(|push| push.majority_up);
     let base = runners.first().map_or(0, |push| push.base);
-    let other_took_it = history.pushes.iter().any(|push| push.version == base + 1)
+    let lost_to_other_push = history.pushes.iter().any(|push| push.version == base + 1)
         || lost_to_unanswered_push(history, base, race);
-    if winners > 1 || (winners == 0 && majority_up && !other_took_it) {
+    if winners > 1 || (winners == 0 && majority_up && !lost_to_other_push) {
         let count = keys.len();
         violations.push(format!("N11 of {count} pushes at once on version {base}, {winners} won"));
     }
 }
 
-/// A push outside the race that was never answered took the version after `base`: a later push builds on that, and its
-/// operator never learned it.
+/// Returns whether a push outside the race whose operator never received a reply took the version after `base`: a later
+/// push is then based on that version.
 fn lost_to_unanswered_push(history: &History, base: u64, race: u64) -> bool {
     let is_rival = |push: &PushAttempt| {
         push.race != Some(race) && push.base == base && push.valid && push.is_unanswered()
     };
-    let built_upon = history.push_attempts.iter().any(|push| push.base == base + 1);
-    built_upon && history.push_attempts.iter().any(is_rival)
+    let has_successor = history.push_attempts.iter().any(|push| push.base == base + 1);
+    has_successor && history.push_attempts.iter().any(is_rival)
 }
--- a/crates/testbed/src/history/recovery.rs
+++ b/crates/testbed/src/history/recovery.rs
@@ -1,35 +1,35 @@
-//! Service after a final fault (N12): it is back for all, and stays back.
+//! Checks that service recovers for every group after a final fault, and stays available (N12).
 use super::{History, MAX_RECOVERY, ServedCall};
 use quincehatch_core::Millis;
 use std::collections::BTreeSet;
 
-/// Of all calls in the window at least so many of a hundred succeed.
+/// Least share of successful calls in the window, in percent.
 pub const MIN_SUCCESS_PERCENT: u64 = 95;
-/// Callers wait no longer than this in the window until one of them succeeds.
+/// Longest time in the window during which a caller waits and no call succeeds.
 pub const MAX_GAP: Millis = 1_500;
-/// A window in which nobody called for longer than this proves nothing.
+/// A longer time without any call makes the window inconclusive, which counts as a violation.
 const MAX_QUIET: Millis = 4_000;
-/// A shorter window proves nothing.
+/// A shorter window is inconclusive, which counts as a violation.
 const MIN_WINDOW: Millis = 2_000;
 
-/// From the bound after a fault to the end of the run.
+/// The checked time: from [`MAX_RECOVERY`] after a final fault to the end of the run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Window {
-    /// First time.
+    /// Start of the window.
     pub from: Millis,
-    /// Last time.
+    /// End of the window.
     pub to: Millis,
 }
 
-/// The time from one success to the next.
+/// The interval from one success to the next.
 struct Pause {
     previous: Millis,
-    /// When the first caller after the success began to wait.
+    /// When the first caller after the previous success began to wait.
     waiting_since: Millis,
     next: Millis,
 }
 
-/// The longest time without a success, from `at` to the last one.
+/// Returns the longest time without a success between `at` and the last success.
 pub fn longest_gap(calls: &[ServedCall], at: Millis) -> Millis {
     let is_counted = |call: &&ServedCall| call.succeeded && call.ended >= at;
     let mut times: Vec<Millis> = calls.iter().filter(is_counted).map(|call| call.ended).collect();
@@ -38,8 +38,8 @@
     times.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap_or(0)
 }
 
-/// In every group, orders and lookups alike: from the bound after a final fault to the end of the run the share of
-/// successes and the longest gap stay within their bounds.
+/// Checks the orders and the lookups of every group: from [`MAX_RECOVERY`] after a final fault to the end of the run,
+/// the share of successes and the longest unserved wait stay within their bounds.
 pub(super) fn check_recovery(
     history: &History,
     faults: &[(Millis, String)],
@@ -61,13 +61,13 @@
 }
 
 impl Window {
-    /// The longest time in which somebody waited and nobody succeeded. It counts from the success before, or from the
-    /// first call after that one: while nobody calls, nobody goes unserved.
+    /// Returns the longest time during which a caller waited and no call succeeded. It counts from the previous
+    /// success, or from the first call after that success: time without any call is not unserved.
     fn longest_unserved(&self, calls: &[ServedCall]) -> Millis {
         self.pauses(calls).map(|pause| pause.next.saturating_sub(pause.waiting_since)).max().unwrap_or(0)
     }
 
-    /// The longest time in which nobody waited.
+    /// Returns the longest time during which no caller waited.
     fn longest_quiet(&self, calls: &[ServedCall]) -> Millis {
         self.pauses(calls)
             .map(|pause| pause.waiting_since.min(pause.next) - pause.previous)
@@ -75,7 +75,7 @@
             .unwrap_or(0)
     }
 
-    /// The times between one success and the next; the window's ends count as successes.
+    /// Returns the intervals between consecutive successes; the window's start and end count as successes.
     fn pauses<'a>(&'a self, calls: &'a [ServedCall]) -> impl Iterator<Item = Pause> + 'a {
         let is_success = |call: &&ServedCall| call.succeeded && (self.from..=self.to).contains(&call.ended);
         let mut successes: Vec<Millis> = calls.iter().filter(is_success).map(|call| call.ended).collect();
@@ -89,7 +89,7 @@
         })
     }
 
-    /// How calls of one kind fall short of their bounds within the window.
+    /// Describes how the calls of one kind miss their bounds within the window; none if they meet them.
     fn shortfall(&self, calls: &[ServedCall]) -> Option<String> {
         let is_inside = |call: &&ServedCall| call.asked >= self.from && call.ended <= self.to;
         let inside: Vec<ServedCall> = calls.iter().filter(is_inside).copied().collect();
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,4 +1,4 @@
-//! The test bench: stand-in servers, a fault relay, a fleet runner, callers, scripts of faults, and the history checker.
+//! The test bench: stand-in servers, a fault relay, a fleet runner, callers, fault scripts, and the history checker.
 #![warn(missing_docs, clippy::too_many_lines, clippy::too_many_arguments)]
 #![warn(clippy::many_single_char_names, clippy::min_ident_chars)]
 pub mod caller;
--- a/crates/testbed/src/load_environment.rs
+++ b/crates/testbed/src/load_environment.rs
@@ -1,37 +1,37 @@
-//! What all callers of a run share.
+//! The settings and the recorded history that all callers of a run share.
 use crate::history::{SentStatements, SharedHistory};
 use quincehatch_core::Millis;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU64};
 
-/// The environment of a load: whom it calls, how, and what was seen.
+/// The environment of a load: the addresses it calls, the settings of its callers, and the recorded history.
 pub struct LoadEnvironment {
-    /// What callers were told.
+    /// What callers observed.
     pub history: SharedHistory,
-    /// Where the platform listens.
+    /// Address of the platform.
     pub platform: String,
     /// Number of groups.
     pub groups: usize,
     /// Number of zones.
     pub zones: usize,
-    /// Callers of a group all begin in one zone.
+    /// Whether all callers of a group start in the same zone.
     pub zone_affinity: bool,
     /// Mean time between two calls of one caller.
     pub pause_ms: Millis,
     /// Deadline of a lookup.
     pub lookup_ms: Millis,
-    /// Orders in a thousand calls; the others are lookups.
+    /// Share of orders among calls, per mille; all other calls are lookups.
     pub orders_per_mille: u64,
-    /// Moves to another zone in a thousand calls.
+    /// Chance that a caller moves to another zone before a call, per mille.
     pub moves_per_mille: u64,
-    /// Callers use a connection until it breaks, also when the node says that it stops.
+    /// Whether callers use a connection until it breaks, even if the node replies that it is stopping.
     pub keeps_connections: bool,
-    /// Callers end once it is set.
+    /// Set to end all callers.
     pub stop: AtomicBool,
-    /// What callers sent.
+    /// Statements and session state that callers sent.
     pub sent_statements: Mutex<SentStatements>,
-    /// Calls so far.
+    /// Number of calls so far.
     pub calls: AtomicU64,
-    /// Callers that came beside the first ones.
+    /// Number of callers started in addition to the first ones.
     pub extra_callers: AtomicU64,
 }
--- a/crates/testbed/src/log_record.rs
+++ b/crates/testbed/src/log_record.rs
@@ -1,4 +1,4 @@
-//! Records of a stand-in's log, and of its disk.
+//! Records of a stand-in's log and of its durable storage.
 use quincehatch_core::{FencingToken, Name, Position, Role};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -14,7 +14,7 @@
     Add(String, i64),
 }
 
-/// What a record of the log is.
+/// The kind and content of a log record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RecordKind {
     /// A primary's first record under its fence.
@@ -30,7 +30,7 @@
         /// Rows of its answer.
         rows: Value,
     },
-    /// An idempotency key that is not to be committed any more.
+    /// An idempotency key that must never be committed.
     Seal {
         /// The key.
         key: Name,
@@ -40,23 +40,23 @@
 /// A record of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// Where in the log it is, and under which fence it was written.
+    /// Its number in the log, and the fence under which it was written.
     #[serde(rename = "pos")]
     pub position: Position,
-    /// What it is.
+    /// Its kind and content.
     pub kind: RecordKind,
 }
 
-/// What must be durable before a call is answered. The names are those of the log files.
+/// A change that must be durable before a call is answered. The names are those of the log files.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DiskRecord {
     /// A record was appended.
     #[serde(rename = "Rec")]
     Append(LogRecord),
-    /// The log was truncated to so many records.
+    /// The log was truncated to this number of records.
     #[serde(rename = "Cut")]
     Truncate(u64),
-    /// The fence and the role under it.
+    /// A fence was accepted; the role is that under the fence.
     Fence(FencingToken, Role),
     /// Servers that count towards commits.
     #[serde(rename = "Counts")]
@@ -64,7 +64,7 @@
 }
 
 impl LogRecord {
-    /// The record in a few words, without its content.
+    /// Returns a short text of position, kind and key, without the content.
     pub fn summary(&self) -> String {
         let what = match &self.kind {
             RecordKind::Start => "start".into(),
@@ -74,7 +74,7 @@
         format!("{}.{} {what}", self.position.fence, self.position.number)
     }
 
-    /// The idempotency key that it commits or seals.
+    /// Returns the idempotency key that the record commits or seals.
     pub(crate) fn key(&self) -> Option<&Name> {
         match &self.kind {
             RecordKind::Commit { key, .. } | RecordKind::Seal { key } => Some(key),
--- a/crates/testbed/src/platform.rs
+++ b/crates/testbed/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's stand-in: it hands clients to ready nodes of their zone, and takes promotions of one node at a time
-//! under a rising fence.
+//! The platform's stand-in: it assigns clients to ready nodes of their zone, and accepts promotions only under a rising
+//! fence, with one promotion per fence.
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -16,24 +16,24 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// How often nodes are asked whether they are ready, and how long they have to answer.
+/// Interval and timeout of the nodes' readiness probes.
 const READINESS_INTERVAL: Duration = Duration::from_millis(250);
 const READINESS_TIMEOUT: Duration = Duration::from_millis(400);
-/// A server has so long to take a promotion.
+/// Timeout of the promotion call to a server.
 const PROMOTE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Largest body of a request, in bytes.
 const MAX_BODY: usize = 1 << 20;
 
-/// A node as the platform knows it.
+/// A node and its last observed readiness.
 struct PlatformNode {
     zone: String,
     client_listener: String,
     is_ready: bool,
 }
 
-/// A promotion that the platform took.
+/// A promotion that the platform accepted.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct TakenPromotion {
+struct AcceptedPromotion {
     fence: FencingToken,
     node: String,
     server: String,
@@ -43,15 +43,15 @@
 struct PlatformState {
     nodes: Vec<PlatformNode>,
     /// The newest promotion of each group.
-    promotions: BTreeMap<String, TakenPromotion>,
+    promotions: BTreeMap<String, AcceptedPromotion>,
 }
 
-/// The platform's state, and what it does when it is called.
+/// The platform's stand-in with its state.
 #[derive(Default)]
 pub struct Platform(Mutex<PlatformState>);
 
 impl Platform {
-    /// A platform over nodes, given by zone and client listener.
+    /// Creates a platform for nodes that are given by zone and client listener.
     pub fn new(nodes: Vec<(String, String)>) -> Arc<Platform> {
         let node = |(zone, client_listener)| PlatformNode { zone, client_listener, is_ready: false };
         let nodes = nodes.into_iter().map(node).collect();
@@ -67,7 +67,7 @@
         }
     }
 
-    /// A ready node of the zone; another zone's if it has none.
+    /// Answers a drawn ready node of the zone, or of any zone if the zone has none.
     fn place_client(&self, zone: &str) -> (u16, Value) {
         let state = self.0.lock().unwrap();
         let ready: Vec<&PlatformNode> = state.nodes.iter().filter(|node| node.is_ready).collect();
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Notes a promotion; false if a higher fence, or another promotion under this one, was taken before.
-    fn take_promotion(&self, group: String, promotion: TakenPromotion) -> bool {
+    /// Records a promotion; false if a higher fence, or another promotion under the same fence, was accepted before.
+    fn accept_promotion(&self, group: String, promotion: AcceptedPromotion) -> bool {
         let mut state = self.0.lock().unwrap();
         let newest = state.promotions.get(&group).cloned().unwrap_or_default();
         let is_new = promotion.fence > newest.fence || promotion == newest;
@@ -94,8 +94,8 @@
     async fn promote(&self, body: &Value) -> (u16, Value) {
         let text = |key: &str| body[key].as_str().unwrap_or_default().to_owned();
         let fence = body["fence"].as_u64().unwrap_or(0);
-        let promotion = TakenPromotion { fence, node: text("node"), server: text("server") };
-        if !self.take_promotion(text("group"), promotion) {
+        let promotion = AcceptedPromotion { fence, node: text("node"), server: text("server") };
+        if !self.accept_promotion(text("group"), promotion) {
             return (409, json!({"error": "a higher fence, or another server under this one, was promoted"}));
         }
         let order = json!({"fence": fence, "counts": body["counts"]});
@@ -114,7 +114,7 @@
     }
 }
 
-/// Serves until the process ends; nodes are given by zone and client listener.
+/// Serves the platform until the process ends; nodes are given by zone and client listener.
 pub async fn serve(addr: &str, nodes: Vec<(String, String)>) -> std::io::Result<()> {
     let listener = TcpListener::bind(addr).await?;
     let platform = Platform::new(nodes);
@@ -130,7 +130,7 @@
     }
 }
 
-/// Asks every node whether it is ready, again and again.
+/// Probes the readiness of every node periodically.
 pub async fn poll_readiness(platform: Arc<Platform>) {
     loop {
         let listeners: Vec<String> = {
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,6 +1,6 @@
-//! A relay before a server: it delays, loses, resets and swallows what passes between nodes and the server.
+//! A relay in front of a server that delays, loses, resets or holds back the traffic between nodes and the server.
 //!
-//! A stream does not see loss itself, only the wait until the lost packet is sent again.
+//! A TCP stream does not see a lost packet itself, only the delay until the packet is retransmitted.
 use crate::stand_in::faults::Faults;
 use quincehatch_runtime::rng::Rng;
 use std::sync::Arc;
@@ -10,11 +10,11 @@
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What a lost packet costs a stream: the sender's wait before it sends again.
+/// Delay of a stream by a lost packet: the sender's wait before it retransmits.
 const RETRANSMIT_DELAY: Duration = Duration::from_millis(250);
-/// How often a connection looks for a reset without being notified.
+/// Interval at which a connection checks for a reset without a notification.
 const RESET_POLL: Duration = Duration::from_millis(200);
-/// Bytes that are relayed at a time.
+/// Largest number of bytes that are relayed at a time.
 const CHUNK: usize = 16 << 10;
 
 /// Relays from `listen` to `to` until the process ends.
@@ -32,7 +32,7 @@
 }
 
 async fn relay_connection(mut client: TcpStream, to: String, faults: Arc<Faults>, number: u64) {
-    // Nothing gets through a hole, not even the handshake.
+    // The `hole` fault holds back all traffic, including the connection setup.
     faults.wait_while(&faults.hole).await;
     let Ok(mut server) = TcpStream::connect(&to).await else { return };
     for stream in [&client, &server] {
@@ -40,13 +40,14 @@
         let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
     }
     let resets_before = faults.cut_count.load(Ordering::SeqCst);
-    // Borrowed halves: an owned one would close in order when it is dropped, and there would be no reset.
+    // The halves are borrowed because an owned half closes the connection gracefully when it is dropped, without a
+    // reset.
     let (client_reader, client_writer) = client.split();
     let (server_reader, server_writer) = server.split();
     let to_server = copy_with_faults(client_reader, server_writer, faults.clone(), Rng::new(number));
     let to_client = copy_with_faults(server_reader, client_writer, faults.clone(), Rng::new(!number));
     let reset = wait_for_reset(&faults, resets_before);
-    // Whichever ends first drops both sides, which resets them.
+    // The first future that ends drops both streams, which resets them.
     tokio::select! { () = to_server => {}, () = to_client => {}, () = reset => {} }
 }
 
@@ -70,7 +71,7 @@
     loop {
         faults.wait_while(&faults.hole).await;
         let Ok(length @ 1..) = reader.read(&mut chunk).await else { return };
-        // What was read when the hole opened stays in it until it closes.
+        // Data read before the fault became active is held back until the fault ends.
         faults.wait_while(&faults.hole).await;
         let delay = faults.delay_ms.load(Ordering::SeqCst);
         if delay > 0 {
--- a/crates/testbed/src/replication.rs
+++ b/crates/testbed/src/replication.rs
@@ -1,9 +1,10 @@
-//! Replication of a stand-in's log: what a primary gives, and what a replica does with it.
+//! Replication of a stand-in's log: the primary's response to a pull, and the replica's application of it.
 use crate::database::{Database, DiskRecord, LogRecord, PullRequest, PullResponse};
 use quincehatch_core::{Position, Role};
 
 impl Database {
-    /// A replica asks for more; what it holds counts towards commits. None if this server is not its primary.
+    /// Answers a replica's pull and counts the records that the replica already holds towards commits. None if this
+    /// server is not primary, or the replica has accepted a higher fence.
     pub fn serve_pull(&mut self, request: &PullRequest, most: usize) -> Option<PullResponse> {
         if self.role != Role::Primary || request.fence > self.fence {
             return None;
@@ -21,7 +22,7 @@
         Some(PullResponse { commit: self.commit, recs, ..response })
     }
 
-    /// The last position under each fence of the log.
+    /// Returns the last position under each fence of the log.
     fn last_of_each_fence(&self) -> Vec<Position> {
         let mut fences: Vec<Position> = Vec::new();
         for record in &self.log {
@@ -33,7 +34,7 @@
         fences
     }
 
-    /// Counts what a replica holds, if it rejects lower fences already and counts at all.
+    /// Records how much of the log a replica holds, if it has accepted this primary's fence and is a voter.
     fn note_replicated(&mut self, request: &PullRequest) {
         let is_voter = self.voters.is_empty() || self.voters.contains(&request.server);
         if request.fence != self.fence || !is_voter {
@@ -47,13 +48,13 @@
     fn advance_commit(&mut self) {
         let on_two_servers = self.replicated_to.values().copied().max().unwrap_or(0);
         let Some(last) = on_two_servers.checked_sub(1) else { return };
-        // A record of an older fence is only safe under one of this fence.
+        // Records of an older fence commit only together with a later record of this fence.
         if self.log.get(last as usize).is_some_and(|record| record.position.fence == self.fence) {
             self.commit_up_to(on_two_servers);
         }
     }
 
-    /// A replica takes what its primary gave; false if that does not go on from its log.
+    /// Applies the response of a primary to this replica's log; false if the response does not continue the log.
     pub fn apply_pull(&mut self, response: PullResponse) -> bool {
         if response.fence < self.fence || self.is_primary_under(response.fence) {
             return false;
@@ -77,14 +78,14 @@
         true
     }
 
-    /// Drops what the primary's log does not begin with.
+    /// Truncates the log to the prefix that it shares with the primary's log.
     fn truncate_to(&mut self, fences: &[Position]) {
         let agrees = |record: &&LogRecord| {
             let own = record.position;
             fences.iter().any(|last| last.fence == own.fence && own.number <= last.number)
         };
         let common = self.log.iter().take_while(agrees).count();
-        // Never below what is visible: that is on two servers and so in the primary's log too.
+        // Committed records are never dropped: they are on two servers and so in the primary's log too.
         let length = common.max(self.commit as usize);
         self.log.truncate(length);
         self.unwritten.push(DiskRecord::Truncate(length as u64));
--- a/crates/testbed/src/reply.rs
+++ b/crates/testbed/src/reply.rs
@@ -1,4 +1,4 @@
-//! Replies of nodes, as callers read them.
+//! Replies of nodes and their interpretation by callers.
 use crate::history::CallEnd;
 use quincehatch_core::ErrorCode;
 use serde_json::Value;
@@ -13,19 +13,19 @@
 }
 
 impl Reply {
-    /// The number of the result; none for a success.
+    /// Returns the result code; none for a success.
     pub fn code(&self) -> Option<u64> {
         self.body["error"]["code"].as_u64()
     }
 
-    /// True if it tells one of these results.
+    /// Returns whether the reply has one of these result codes.
     pub fn has_code(&self, codes: &[ErrorCode]) -> bool {
         let code = self.code();
         codes.iter().any(|wanted| code == Some(wanted.number().into()))
     }
 }
 
-/// How a call ended, by its reply.
+/// Returns how a call ended according to its reply.
 pub fn call_end(reply: Option<&Reply>) -> CallEnd {
     match reply.map(|reply| reply.body["end"].as_str().unwrap_or_default()) {
         Some("kept") => CallEnd::Committed,
--- a/crates/testbed/src/run_facts.rs
+++ b/crates/testbed/src/run_facts.rs
@@ -1,4 +1,4 @@
-//! After a run: open attempts are resolved, and the servers tell what they hold.
+//! Resolves open orders after a run and collects the data of the servers.
 use crate::caller::Caller;
 use crate::fleet::{FleetPlan, ServerAddress};
 use crate::fleet_calls::{fleet_status, lab_call, primary_of};
@@ -11,11 +11,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An open attempt is asked after so often, with this pause.
+/// Number of outcome queries for an open order, and the pause between them.
 const RESOLUTIONS: usize = 40;
 const RESOLUTION_PAUSE: Duration = Duration::from_millis(200);
 
-/// The number of the caller whose attempt has this key (`c<number>-<order>`).
+/// Returns the number of the caller whose order has this key (`c<number>-<order>`).
 fn caller_of(key: &str) -> usize {
     key[1..].split('-').next().and_then(|number| number.parse().ok()).unwrap_or(0)
 }
@@ -25,7 +25,7 @@
     !attempt.sealed && last.is_some_and(|(end, _, _)| *end != CallEnd::Committed)
 }
 
-/// Asks after every open attempt until its outcome is known, so that the check can be strict.
+/// Queries the outcome of every open order until it is committed or sealed, so that the check can be strict.
 pub async fn resolve_open_attempts(env: &Arc<LoadEnvironment>, seed: u64) {
     let open: Vec<String> = {
         let history = env.history.lock().unwrap();
@@ -49,7 +49,7 @@
     list.as_array().into_iter().flatten().filter_map(Value::as_str).map(str::to_owned).collect()
 }
 
-/// What the servers hold: the primary's lists, and the logs of all that answer.
+/// Collects the lists of each group's primary, and the logs of all servers that answer.
 pub async fn collect_facts(operators: &[String], servers: &[ServerAddress]) -> Result<Facts, String> {
     let mut facts = Facts::default();
     let status = fleet_status(operators).await;
@@ -72,15 +72,15 @@
     let others = members.map(|server| server.name.as_str()).filter(|name| *name != primary);
     for name in std::iter::once(primary).chain(others) {
         let answer = lab_call(servers, name, "/lab/facts", &json!({})).await;
-        let Some(held) = answer.filter(|held| held["kv"].is_object()) else {
-            // A server that is down tells nothing; the primary must.
+        let Some(data) = answer.filter(|data| data["kv"].is_object()) else {
+            // Other servers may be down; the primary must answer.
             if name == primary {
                 return Err(format!("the primary {primary} of {group} cannot be read at the end"));
             }
             continue;
         };
-        facts.logs.entry(group.to_owned()).or_default().push((name.to_owned(), texts(&held["log"])));
-        let values = held["kv"].as_object().filter(|_| name == primary);
+        facts.logs.entry(group.to_owned()).or_default().push((name.to_owned(), texts(&data["log"])));
+        let values = data["kv"].as_object().filter(|_| name == primary);
         for (key, value) in values.into_iter().flatten().filter(|(key, _)| key.starts_with("orders/")) {
             facts.lists.insert((group.to_owned(), key.clone()), texts(value));
         }
@@ -88,7 +88,7 @@
     Ok(())
 }
 
-/// What each stand-in of a fleet did, from the files beside its data.
+/// Reads the journal of each stand-in of a fleet from the files next to its data.
 pub fn read_journals(plan: &FleetPlan) -> BTreeMap<String, Vec<JournalEntry>> {
     let folder = plan.dir.join("servers");
     let journal = |server: &ServerAddress| {
--- a/crates/testbed/src/running.rs
+++ b/crates/testbed/src/running.rs
@@ -1,4 +1,4 @@
-//! The running processes of a fleet: started, signalled and ended by process id.
+//! The running processes of a fleet, which are started, signalled and ended by process id.
 use crate::fleet::FleetPlan;
 use std::collections::BTreeMap;
 use std::fs::OpenOptions;
@@ -8,12 +8,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a stopping process is looked at.
+/// Interval at which a stopping process is checked.
 const STOP_POLL: Duration = Duration::from_millis(20);
 
-/// Running processes; they are killed when it is dropped.
+/// The running processes of a fleet. Dropping it kills them.
 pub struct RunningFleet {
-    /// What was planned.
+    /// The plan of the fleet.
     pub plan: FleetPlan,
     /// Processes by name.
     pub children: BTreeMap<String, Child>,
@@ -21,7 +21,7 @@
 }
 
 impl RunningFleet {
-    /// Starts all processes of a plan; the programs lie beside this one.
+    /// Starts all processes of a plan; their executables are in the folder of the running one.
     pub fn start(plan: FleetPlan) -> io::Result<RunningFleet> {
         let own_path = std::env::current_exe()?;
         let binaries = own_path.parent().map(Path::to_path_buf).unwrap_or_default();
@@ -32,7 +32,7 @@
         Ok(fleet)
     }
 
-    /// Starts one process; `restart`: it ran before.
+    /// Starts one process; `restart` says that it has run before.
     pub fn spawn(&mut self, name: &str, restart: bool) -> io::Result<()> {
         let process = self.plan.processes.iter().find(|process| process.name == name);
         let process = process.ok_or_else(|| io::Error::other(format!("no process is called {name}")))?;
@@ -48,12 +48,12 @@
         Ok(())
     }
 
-    /// The id of a running process.
+    /// Returns the id of a running process.
     pub fn pid(&self, name: &str) -> Option<u32> {
         self.children.get(name).map(Child::id)
     }
 
-    /// Sends a signal, given by its name, to a process that this runner started.
+    /// Sends the named signal to a process that this runner started.
     pub fn signal(&self, name: &str, signal: &str) {
         if let Some(pid) = self.pid(name) {
             let _ = Command::new("kill").args([&format!("-{signal}"), &pid.to_string()]).status();
@@ -68,13 +68,13 @@
         }
     }
 
-    /// Asks a process to stop and waits a bounded time for it; true if it ended in order.
+    /// Terminates a process and waits for its end; returns whether it exited successfully within the time limit.
     pub fn stop(&mut self, name: &str, within: Duration) -> bool {
         self.signal(name, "TERM");
         self.children.remove(name).is_some_and(|child| wait_for_end(child, within))
     }
 
-    /// Removes the processes that have ended, with how they did.
+    /// Removes the processes that have ended and returns their exit statuses.
     pub fn take_ended(&mut self) -> Vec<(String, ExitStatus)> {
         let mut ended = Vec::new();
         for (name, child) in &mut self.children {
@@ -89,7 +89,7 @@
     }
 }
 
-/// Waits a bounded time for a process to end, and kills it then; true if it ended in order.
+/// Waits for a process to end and kills it at the time limit; returns whether it exited successfully within the limit.
 pub fn wait_for_end(mut child: Child, within: Duration) -> bool {
     let deadline = Instant::now() + within;
     while Instant::now() < deadline {
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Runs callers and a script of faults against a real fleet, then checks what callers saw and servers hold.
+//! Runs callers and a fault script against a real fleet, then checks the callers' history against the servers' data.
 use crate::caller::Caller;
 use crate::configuration_pushes::push_round_with_keys;
 use crate::fleet::FleetPlan;
@@ -20,9 +20,9 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// A process that is stopped in order has so long.
+/// Time limit for a terminated process to end.
 const STOP_TIMEOUT: Duration = Duration::from_secs(12);
-/// A caller ends its last call within this time.
+/// Time limit for a caller to end its last call.
 const CALLER_END: Duration = Duration::from_secs(10);
 /// Extra callers: how many, the number of the first, how long they call, and their mean pause.
 const EXTRA_CALLERS: usize = 150;
@@ -32,15 +32,15 @@
 const ORDERS_PER_MILLE: u64 = 690;
 const MOVES_PER_MILLE: u64 = 20;
 
-/// A run under way.
+/// The state of a run in progress.
 struct ScenarioRun<'fleet> {
     fleet: &'fleet mut RunningFleet,
     env: Arc<LoadEnvironment>,
-    /// Names of those that earlier steps hit, by label.
-    hit: BTreeMap<&'static str, String>,
-    /// Processes that were told to stop.
+    /// Names of the processes that earlier steps applied to, by label.
+    targets: BTreeMap<&'static str, String>,
+    /// Terminated processes that may not have ended yet.
     stopping: BTreeMap<String, JoinHandle<bool>>,
-    /// When which fault was done; a final one begins with `final`.
+    /// Times and texts of the performed steps; the text of a final one begins with `final`.
     faults: Vec<(Millis, String)>,
 }
 
@@ -53,7 +53,7 @@
         let status = || async { fleet_status(&self.plan().operator_addresses()).await };
         match target {
             Target::Name(name) => Some(name.clone()),
-            Target::SameAs(label) => self.hit.get(label).cloned(),
+            Target::SameAs(label) => self.targets.get(label).cloned(),
             Target::Primary(group) => primary_of(&status().await, group),
             Target::Replica(group) => {
                 let primary = primary_of(&status().await, group);
@@ -72,10 +72,10 @@
         }
     }
 
-    /// Does a step; whom it hit, none if nobody.
+    /// Performs a step and returns the name of its target; none if there is no target.
     async fn perform(&mut self, step: &Step) -> Option<String> {
         let name = self.resolve_target(&step.who).await?;
-        self.hit.insert(step.label, name.clone());
+        self.targets.insert(step.label, name.clone());
         match &step.act {
             Action::Kill => self.fleet.kill(&name),
             Action::Start => {
@@ -123,17 +123,18 @@
         }
     }
 
-    /// Waits until a process that was told to stop has ended.
+    /// Waits until a terminated process has ended.
     async fn await_end(&mut self, name: &str) {
         if let Some(ended) = self.stopping.remove(name) {
             self.check_stopped(name, ended.await.unwrap_or(false));
         }
     }
 
-    /// No process ends by itself; those that were killed or stopped are not among the children any more.
+    /// Records a violation for each process that ended unexpectedly; killed and stopped ones are no longer among the
+    /// children.
     fn check_running(&mut self) {
-        let ended_by_themselves = self.fleet.take_ended();
-        for (name, status) in ended_by_themselves {
+        let ended_unexpectedly = self.fleet.take_ended();
+        for (name, status) in ended_unexpectedly {
             self.record_violation(format!("{name} ended by itself: {status}"));
         }
     }
@@ -152,7 +153,7 @@
         tokio::spawn(async move { push_round_with_keys(&plan, &text, &env, now()).await });
     }
 
-    /// Does all steps, each at its time.
+    /// Performs all steps, each at its time.
     async fn perform_all(&mut self, script: &[Step], began: Millis) {
         for step in script {
             sleep_until(began + step.at).await;
@@ -188,7 +189,7 @@
     })
 }
 
-/// Runs the script; the fleet is up and ready when it begins.
+/// Runs the script against a fleet that is up and ready, and returns the report.
 pub async fn run_scenario(
     fleet: &mut RunningFleet,
     script: Vec<Step>,
@@ -203,7 +204,7 @@
     let mut run = ScenarioRun {
         fleet,
         env: env.clone(),
-        hit: BTreeMap::new(),
+        targets: BTreeMap::new(),
         stopping: BTreeMap::new(),
         faults: Vec::new(),
     };
--- a/crates/testbed/src/scenario_report.rs
+++ b/crates/testbed/src/scenario_report.rs
@@ -1,15 +1,15 @@
-//! What a scenario is run with, and what its run came to.
+//! The options of a scenario run and the report of its result.
 use crate::history::{CallEnd, Facts, History, check_history, longest_gaps_after};
 use crate::load_environment::LoadEnvironment;
 use quincehatch_core::Millis;
 use std::collections::BTreeMap;
 
-/// How a run is to be done.
+/// Options of a scenario run.
 #[derive(Clone, Debug)]
 pub struct ScenarioOptions {
     /// Name of the scenario.
     pub scenario: String,
-    /// How long callers call.
+    /// Duration of the load in seconds.
     pub seconds: u64,
     /// Number of callers.
     pub callers: usize,
@@ -17,13 +17,13 @@
     pub pause_ms: Millis,
     /// Seed of the callers.
     pub seed: u64,
-    /// Callers use a connection until it breaks, also when the node says that it stops.
+    /// Whether callers use a connection until it breaks, even if the node replies that it is stopping.
     pub keeps_connections: bool,
-    /// Leave out the bounds that only a quiet machine can be held to (N12).
+    /// Whether to skip the recovery bounds (N12), which can only be met on a machine without other load.
     pub untimed: bool,
 }
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Debug, Default)]
 pub struct ScenarioReport {
     /// Every violation, as a line that names its check.
@@ -32,15 +32,15 @@
     pub summary: String,
     /// The longest time without an acknowledged order after the first fault, by group.
     pub gaps: BTreeMap<String, Millis>,
-    /// Orders that were acknowledged.
+    /// Number of acknowledged orders.
     pub committed: usize,
-    /// Orders that were sent.
+    /// Number of orders that were sent.
     pub attempts: usize,
-    /// Lookups that succeeded, and that failed.
+    /// Numbers of lookups that succeeded and that failed.
     pub lookups: (u64, u64),
 }
 
-/// When a run began, when its faults came, and when its load ended.
+/// The start of a run, the times of its faults, and the end of its load.
 pub(crate) struct RunTimes {
     pub(crate) began: Millis,
     pub(crate) faults: Vec<(Millis, String)>,
@@ -58,7 +58,7 @@
     calls.filter(|call| call.succeeded == succeeded).count() as u64
 }
 
-/// Checks a run, and sums it up.
+/// Checks the history of a run and builds its report.
 pub(crate) fn report(
     options: &ScenarioOptions,
     env: &LoadEnvironment,
--- a/crates/testbed/src/scenario_steps.rs
+++ b/crates/testbed/src/scenario_steps.rs
@@ -1,4 +1,4 @@
-//! Targets and actions that the scenarios are made of.
+//! Targets, actions and steps from which the scenarios are built.
 use crate::script::{Action, Step, Target, fault, name, step};
 use quincehatch_core::Millis;
 
--- a/crates/testbed/src/scenarios.rs
+++ b/crates/testbed/src/scenarios.rs
@@ -40,7 +40,7 @@
     "replicas-deaf",
 ];
 
-/// The script of a scenario; times are from the start of the load.
+/// Returns the script of a scenario; times are from the start of the load.
 pub fn named(scenario: &str) -> Option<Vec<Step>> {
     primary_scenario(scenario)
         .or_else(|| replica_scenario(scenario))
@@ -111,7 +111,7 @@
             step(14_000, same("r"), lag(0), "r"),
             step(16_000, same("lead"), Action::Start, "lead"),
         ],
-        // One replica stops receiving; the primary dies: what was acknowledged stands on the other.
+        // One replica stops replicating and the primary is killed: the other replica has every acknowledged order.
         "replicas-deaf" => vec![
             step(2_000, replica(), deaf(true), "r"),
             final_step(step(6_000, primary(), Action::Kill, "lead")),
@@ -128,7 +128,7 @@
     })
 }
 
-/// Faults of the network before servers.
+/// Faults of the network in front of servers.
 fn network_scenario(scenario: &str) -> Option<Vec<Step>> {
     let lossy = || fault(|faults| (faults.drop_pm, faults.delay_ms) = (Some(40), Some(5)));
     let cut = || fault(|faults| faults.cut = Some(true));
@@ -209,7 +209,7 @@
     })
 }
 
-/// No fault, a sudden load, and faults of every kind in one run.
+/// Scenarios without faults, with sudden load, and with faults of several kinds.
 fn combined_scenario(scenario: &str) -> Option<Vec<Step>> {
     let crowd = |at| step(at, name("n1"), Action::ExtraCallers, "c");
     Some(match scenario {
--- a/crates/testbed/src/script.rs
+++ b/crates/testbed/src/script.rs
@@ -1,14 +1,14 @@
-//! Scripts of faults for a real fleet: what is done to whom, and when.
+//! Fault scripts for a real fleet: timed actions on its processes.
 use crate::stand_in::faults::FaultSettings;
 use quincehatch_core::Millis;
 use serde_json::json;
 
 pub use crate::scenarios::{SCENARIO_NAMES, named};
 
-/// Whom an action is meant for; primaries and places in the chain are looked up when it is done.
+/// The process that an action applies to. Primaries and chain members are looked up when the action is performed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Target {
-    /// The process of that name.
+    /// The process with that name.
     Name(String),
     /// The group's primary.
     Primary(String),
@@ -18,51 +18,51 @@
     Head,
     /// The keeper at its tail.
     Tail,
-    /// Whoever an earlier action with this label hit.
+    /// The process that an earlier action with this label applied to.
     SameAs(&'static str),
 }
 
-/// What is done.
+/// An action on a process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// The process is killed.
     Kill,
     /// The process is started again.
     Start,
-    /// The process is stopped in order, and waited for.
+    /// The process is terminated, and the script waits for its end.
     Stop,
-    /// The process is told to stop; its next start waits until it has ended.
+    /// The process is terminated without a wait; its next start waits until it has ended.
     Terminate,
-    /// The process is told that its settings file may have changed.
+    /// The process is notified that its settings file may have changed.
     Hangup,
     /// The process is suspended.
     Pause,
-    /// The suspension ends.
+    /// The process is resumed.
     Continue,
-    /// Something goes wrong inside a server, or is over.
+    /// Faults of a server are set or cleared.
     Fault(FaultSettings),
     /// A server announces that it drains.
     Drain,
-    /// It announces that it does not.
+    /// A server announces that it no longer drains.
     StopDraining,
-    /// Two pushes at once, one stale, one invalid, then one that is sent twice.
+    /// A round of configuration pushes: two concurrent ones, an invalid one, one that is sent twice, and one alone.
     PushConfigurations,
-    /// Many more callers for a few seconds, with hardly a pause.
+    /// Many additional callers with short pauses for a few seconds.
     ExtraCallers,
 }
 
 /// One step of a script.
 #[derive(Clone, Debug)]
 pub struct Step {
-    /// When, from the start of the load.
+    /// Time of the step, from the start of the load.
     pub at: Millis,
-    /// To whom.
+    /// Process that the action applies to.
     pub who: Target,
-    /// What.
+    /// The action.
     pub act: Action,
-    /// How later steps name whoever it hit.
+    /// Label by which later steps refer to the same process.
     pub label: &'static str,
-    /// Service must be back within its bound after this.
+    /// Whether service must recover within its bound after this step.
     pub is_final: bool,
 }
 
@@ -84,16 +84,16 @@
     Target::Name(name.into())
 }
 
-/// Weights of late replies that marks choose among: the least, and how many there are.
+/// Weights of late replies that marks select from: the lowest, and their number.
 const MIN_LATE_WEIGHT: u64 = 10;
 const LATE_WEIGHTS: u64 = 30;
 
-/// A configuration that differs from others by its mark.
+/// Returns the configuration with a health setting that depends on the mark, so that texts with different marks differ.
 pub fn with_mark(text: &str, mark: u64) -> String {
     format!("{text}\n[health]\nlate_weight = {}\n", MIN_LATE_WEIGHT + mark % LATE_WEIGHTS)
 }
 
-/// A configuration that must be rejected.
+/// Returns a configuration that must be rejected.
 pub fn invalid_configuration() -> String {
     let placement = json!({"name": "p", "select": {"host": ["10.0.0.1"]}});
     let route = json!({"name": "r", "class": "order", "placement": "nowhere"});
--- a/crates/testbed/src/shape.rs
+++ b/crates/testbed/src/shape.rs
@@ -1,13 +1,13 @@
-//! Sizes of fleets.
-/// Servers of a group.
+//! Named shapes of fleets.
+/// Number of servers of a group.
 pub const REPLICAS: usize = 3;
-/// Largest number of nodes that can be asked for.
+/// Largest number of nodes of a shape `nodes:N`.
 const MAX_NODES: usize = 64;
-/// Deadline of lookups in milliseconds, and the longer one of the shape `lensbridge`.
+/// Deadline of lookups, and the longer one of the shape `lensbridge`.
 const LOOKUP_MS: u64 = 3_000;
 const LONG_LOOKUP_MS: u64 = 5_000;
 
-/// How large a fleet is.
+/// The size and layout of a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shape {
     /// Its name.
@@ -20,14 +20,14 @@
     pub keepers: usize,
     /// Number of groups of servers.
     pub groups: usize,
-    /// Servers of each group.
+    /// Number of servers of each group.
     pub replicas: usize,
-    /// Addresses are given out from the port after this one.
+    /// Addresses are allocated from the port after this one.
     pub port: u16,
 }
 
 impl Shape {
-    /// The shape of that name; `nodes:N` has N nodes.
+    /// Returns the shape with that name; `nodes:N` has N nodes.
     pub fn named(name: &str, port: u16) -> Option<Shape> {
         let (zones, nodes, keepers, groups) = match name {
             "thin" => (1, 1, 1, 1),
@@ -43,7 +43,7 @@
         Some(Shape { name: name.into(), zones, nodes, keepers, groups, replicas: REPLICAS, port })
     }
 
-    /// Deadline of a lookup.
+    /// Returns the deadline of a lookup in milliseconds.
     pub fn lookup_ms(&self) -> u64 {
         if self.name == "lensbridge" { LONG_LOOKUP_MS } else { LOOKUP_MS }
     }
--- a/crates/testbed/src/soak/draw.rs
+++ b/crates/testbed/src/soak/draw.rs
@@ -1,4 +1,4 @@
-//! The script of a soak run.
+//! Draws the fault script of a soak run.
 use super::{FAULTS_FROM, HEALED_BEFORE_END};
 use crate::scenario_steps::{lag, lose_answers, reset, stall};
 use crate::script::{Action, Step, Target, step};
@@ -7,20 +7,20 @@
 use quincehatch_runtime::rng::Rng;
 use std::collections::BTreeMap;
 
-/// Mean time between the beginnings of two series.
+/// Mean time between the starts of two series of faults.
 const SERIES_GAP: Millis = 1_300;
 /// Steps of one series follow each other within this time.
 const SERIES_STEP: Millis = 1_500;
-/// A process is down, suspended or ill for that long, at least and beyond that.
+/// Shortest duration of a fault, and the range of the drawn time that is added to it.
 const MIN_DOWN: Millis = 200;
 const DOWN_RANGE: Millis = 4_000;
-/// Signals of one series to one process.
+/// Largest number of hangup signals in one series.
 const MAX_HANGUPS: u64 = 4;
 
-/// When a process is free for another fault.
+/// End of the current fault by process; a process has one fault at a time.
 type BusyUntil = BTreeMap<String, Millis>;
 
-struct Drawing<'shape> {
+struct ScriptDraw<'shape> {
     rng: Rng,
     shape: &'shape Shape,
     healed_at: Millis,
@@ -28,23 +28,23 @@
     steps: Vec<Step>,
 }
 
-/// Draws the script of a run of `seconds`, in order of time. Of keepers, and of each group's servers, less than half are
-/// down at any time; all is healed eight seconds before the end.
+/// Draws the script of a run of `seconds`, in order of time. At any time, less than half of the keepers and at most one
+/// server of each group have a fault. All faults end `HEALED_BEFORE_END` before the end of the run.
 pub fn draw_script(seed: u64, shape: &Shape, seconds: u64) -> Vec<Step> {
     let healed_at = (seconds * 1_000).saturating_sub(HEALED_BEFORE_END);
     let rng = Rng::new(seed ^ u64::from(u32::MAX));
-    let mut drawing = Drawing { rng, shape, healed_at, busy: BTreeMap::new(), steps: Vec::new() };
+    let mut draw = ScriptDraw { rng, shape, healed_at, busy: BTreeMap::new(), steps: Vec::new() };
     let mut at = FAULTS_FROM;
     while at < healed_at {
-        drawing.draw_series(at);
-        at += SERIES_GAP / 2 + drawing.rng.below(SERIES_GAP);
+        draw.draw_series(at);
+        at += SERIES_GAP / 2 + draw.rng.below(SERIES_GAP);
     }
-    let mut steps = drawing.steps;
+    let mut steps = draw.steps;
     steps.sort_by_key(|step| step.at);
     steps
 }
 
-impl Drawing<'_> {
+impl ScriptDraw<'_> {
     fn draw_series(&mut self, at: Millis) {
         match self.rng.below(8) {
             0 | 1 => self.rolling_restart(at),
@@ -60,12 +60,14 @@
         self.steps.push(step(at, who, act, "soak"));
     }
 
-    /// How long a fault lasts that begins then; all is over when the fleet is healed.
+    /// Draws the end of a fault that begins at `at`: it is no later than `healed_at`, unless the fault would then be
+    /// shorter than [`MIN_DOWN`].
     fn draw_end(&mut self, at: Millis) -> Millis {
         (at + MIN_DOWN + self.rng.below(DOWN_RANGE)).min(self.healed_at.max(at + MIN_DOWN))
     }
 
-    /// Reserves a process for a fault, unless one is under way or would come too late.
+    /// Reserves a process for a fault and returns the fault's end; none if the process has a fault or too little time
+    /// is left.
     fn reserve(&mut self, name: &str, at: Millis) -> Option<Millis> {
         let is_busy = self.busy.get(name).is_some_and(|until| at <= *until);
         if is_busy || at + MIN_DOWN >= self.healed_at {
@@ -76,7 +78,7 @@
         Some(end)
     }
 
-    /// How many processes whose names begin so have a fault at that time.
+    /// Returns the number of processes with that name prefix that have a fault at that time.
     fn failing(&self, prefix: &str, at: Millis) -> usize {
         self.busy.iter().filter(|(name, until)| name.starts_with(prefix) && at <= **until).count()
     }
@@ -85,7 +87,7 @@
         format!("n{}", 1 + self.rng.below(self.shape.nodes as u64))
     }
 
-    /// Nodes are stopped in order and started again one after the other, each perhaps before the last one is back.
+    /// Terminates drawn nodes and starts them again one after the other; the restarts may overlap.
     fn rolling_restart(&mut self, at: Millis) {
         let mut at = at;
         for _ in 0..1 + self.rng.below(self.shape.nodes.min(6) as u64) {
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Some nodes at one moment, but not all.
+    /// Kills or suspends some nodes at the same time, but not all.
     fn fail_nodes(&mut self, at: Millis) {
         let is_kill = self.rng.chance(500);
         for _ in 0..1 + self.rng.below((self.shape.nodes as u64 / 2).max(1)) {
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Kills the process, or suspends it, until a drawn time.
+    /// Kills or suspends the process until a drawn time.
     fn fail_process(&mut self, name: String, at: Millis, is_kill: bool) {
         let Some(end) = self.reserve(&name, at) else { return };
         let (begin, finish) =
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Signals that the settings file has changed, to nodes and keepers, several in a row.
+    /// Sends a series of hangup signals, which announce a changed settings file, to nodes and keepers.
     fn hang_up(&mut self, at: Millis) {
         for _ in 0..1 + self.rng.below(MAX_HANGUPS) {
             let name = if self.rng.chance(300) {
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -1,7 +1,8 @@
-//! Soak runs: a fleet of real processes of a drawn size, and a drawn script of signals, restarts and changes that come in
-//! series and overlap. Clients keep using the connections that they have until the process at the other end is gone.
+//! Soak runs: a fleet of real processes of a drawn size, under a drawn script of signals, restarts and configuration
+//! changes that come in series and overlap. Clients keep using their connections until the process at the other end has
+//! ended.
 //!
-//! A run is repeated by its seed as far as processes and their timing allow: the script is the same, what it meets is not.
+//! A seed reproduces the script of a run, but not the timing of its processes.
 mod draw;
 mod size;
 
@@ -10,7 +11,7 @@
 
 use quincehatch_core::Millis;
 
-/// Faults begin this long after the load.
+/// Time from the start of the load to the first fault.
 pub(crate) const FAULTS_FROM: Millis = 2_000;
-/// All is healed this long before the end, so that service is seen to be back.
+/// All faults end this long before the end of the run, so that the recovery of service is observed.
 pub(crate) const HEALED_BEFORE_END: Millis = 8_000;
--- a/crates/testbed/src/soak/size.rs
+++ b/crates/testbed/src/soak/size.rs
@@ -1,34 +1,34 @@
-//! How large the fleet of a soak run is.
+//! Draws the size of a soak run's fleet.
 use crate::shape::{REPLICAS, Shape};
 use quincehatch_runtime::rng::Rng;
 
-/// One run in so many has as many processes as the machine bears.
+/// One run in this many is large.
 const LARGE_EVERY: u64 = 10;
 const MAX_ZONES: u64 = 4;
-/// Nodes for each group of servers in a large run.
+/// Number of nodes per group of servers in a large run.
 const NODES_PER_GROUP: usize = 12;
-/// Callers, and those of a large run.
+/// Number of callers, and that of a large run.
 const CALLERS: usize = 40;
 const LARGE_CALLERS: usize = 200;
 
-/// A drawn fleet.
+/// The drawn size of a soak run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SoakSize {
-    /// Its shape.
+    /// Shape of the fleet.
     pub shape: Shape,
-    /// Callers that load it.
+    /// Number of callers.
     pub callers: usize,
 }
 
 impl SoakSize {
-    /// Processes of the fleet, with the platform's stand-in.
+    /// Returns the number of the fleet's processes, including the platform's stand-in.
     pub fn processes(&self) -> usize {
         let Shape { nodes, keepers, groups, replicas, .. } = self.shape;
         nodes + keepers + groups * replicas + 1
     }
 }
 
-/// Draws the size for a seed. `large_nodes`: nodes of the large runs; 0: none is large.
+/// Draws the size for a seed. `large_nodes` is the number of nodes of a large run; with 0 no run is large.
 pub fn draw_size(seed: u64, large_nodes: usize, port: u16) -> SoakSize {
     let mut rng = Rng::new(seed);
     let is_large = large_nodes > 0 && seed.is_multiple_of(LARGE_EVERY);
--- a/crates/testbed/src/stand_in/calls.rs
+++ b/crates/testbed/src/stand_in/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of the server contract (docs/server.md), as a stand-in answers them.
+//! A stand-in's implementation of the server contract's calls (docs/server.md).
 use super::commits::{commit_order, query_outcome};
 use super::http_server::ConnectionReset;
 use super::journal::{JournalEntry, request_id};
@@ -12,23 +12,23 @@
 use std::time::Duration;
 use tokio::sync::{Mutex, Notify};
 
-/// Number of the next transaction of this process; the boot number is put before it.
+/// Number of the next transaction of this process; the boot number forms the upper bits of a transaction id.
 static NEXT_TRANSACTION: AtomicU64 = AtomicU64::new(1);
 const BOOT_NUMBER_SHIFT: u32 = 20;
-/// How late a muted rollback is answered.
+/// Delay of the reply to a rollback under the `mute` fault.
 const MUTED_ROLLBACK_DELAY: Duration = Duration::from_secs(2);
 
-/// A number of a request; 0 where there is none.
+/// Returns a numeric field of a request; 0 if it is missing.
 pub(super) fn u64_field(body: &Value, key: &str) -> u64 {
     body.get(key).and_then(Value::as_u64).unwrap_or(0)
 }
 
-/// A text of a request; empty where there is none.
+/// Returns a text field of a request; empty if it is missing.
 pub(super) fn str_field<'body>(body: &'body Value, key: &str) -> &'body str {
     body.get(key).and_then(Value::as_str).unwrap_or_default()
 }
 
-/// Answers a call; each success of a connection's own call goes into the journal, with what it was for.
+/// Answers a call and journals each success of a statement, transaction or outcome call with the id of its request.
 pub async fn answer_call(
     server: &StandIn,
     connection: &Mutex<ConnectionState>,
@@ -74,7 +74,7 @@
     json!({"stamp": server.stamp(), "rows": [], "beat": heartbeat})
 }
 
-/// Cancels the long statement of a connection.
+/// Cancels the running `sleep` statement of a connection.
 fn cancel(server: &StandIn, body: &Value) -> Value {
     let running = server.running_statements.lock().unwrap().get(str_field(body, "link")).cloned();
     if let Some(running) = running {
@@ -90,7 +90,7 @@
     if accepted { server.success(json!([])) } else { server.failure("fence-low", "") }
 }
 
-/// The reply to whoever calls under a fence that this server is not primary under.
+/// Returns an error reply if this server is not primary under the request's fence.
 pub(super) fn check_primary(server: &StandIn, fence: FencingToken) -> Result<(), Value> {
     let (is_primary, own) = server.with_db(|db| (db.is_primary_under(fence), db.fence));
     if is_primary {
@@ -168,7 +168,8 @@
     Ok(server.success(json!([["rolled back", id]])))
 }
 
-/// Runs a statement: an order of one step where it brings an idempotency key, else a read or a transaction's step.
+/// Runs a statement: a one-step order if the request has an idempotency key, otherwise a read or a step of a
+/// transaction.
 async fn run_call(
     server: &StandIn,
     connection: &mut ConnectionState,
@@ -205,7 +206,7 @@
     Ok(server.success(ran.rows))
 }
 
-/// Executes a statement against the visible data; a long one until it is over or cancelled.
+/// Executes a statement against the committed data and waits for its duration unless it is cancelled.
 async fn execute(
     server: &StandIn,
     connection: &ConnectionState,
--- a/crates/testbed/src/stand_in/commits.rs
+++ b/crates/testbed/src/stand_in/commits.rs
@@ -1,4 +1,4 @@
-//! Commits, idempotency keys and seals of a stand-in (docs/server.md).
+//! Commits, outcome queries and seals of idempotency keys on a stand-in (docs/server.md).
 use super::StandIn;
 use super::calls::{check_primary, str_field, u64_field};
 use super::http_server::ConnectionReset;
@@ -8,12 +8,12 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Longest a commit waits for a second server before the caller is told that it is in doubt.
+/// Longest wait of a commit for a second server before it is answered as in doubt.
 const COMMIT_TIMEOUT: Millis = 8_000;
-/// How often a waiting commit looks at the log without being notified.
+/// Interval at which a waiting commit checks the log without a notification.
 const COMMIT_POLL: Duration = Duration::from_millis(100);
 
-/// Commits an order under its idempotency key, once, and answers when two servers hold it.
+/// Commits an order at most once under its idempotency key and answers when it is stored on two servers.
 pub(super) async fn commit_order(
     server: &StandIn,
     body: &Value,
@@ -29,7 +29,7 @@
         KeyOutcome::Pending(number) => number,
         outcome => return Ok(outcome_reply(server, sum, outcome)),
     };
-    // The deliberate bug: a server acknowledges what it alone holds.
+    // Injected bug: the server acknowledges an order that is stored on this server only.
     if seam::injected_bug("early-ack") {
         server.with_db(|db| db.commit = db.commit.max(number));
         return Ok(server.success(json!([["ok"]])));
@@ -55,15 +55,16 @@
     }
 }
 
-/// Waits until the record of that number, written under the fence, is on a second server.
+/// Waits until a second server has stored the record with that number, written under the fence. Returns false if the
+/// wait timed out or this server is no longer primary under the fence.
 async fn wait_until_replicated(server: &StandIn, number: u64, fence: FencingToken) -> bool {
     let deadline = now() + COMMIT_TIMEOUT;
     loop {
         let changed = server.log_changed.notified();
-        let (is_committed, is_own) = server
+        let (is_committed, is_current) = server
             .with_db(|db| (db.commit >= number, db.is_primary_under(fence) && db.wrote_under(number, fence)));
-        if !is_own || now() >= deadline {
-            return is_own && is_committed;
+        if !is_current || now() >= deadline {
+            return is_current && is_committed;
         }
         if is_committed {
             return true;
@@ -72,7 +73,8 @@
     }
 }
 
-/// What became of an idempotency key; with `seal`, one that is not committed never will be.
+/// Answers the outcome of an idempotency key. With `seal`, a key that is not in the log is sealed, so that it can never
+/// be committed.
 pub(super) async fn query_outcome(server: &StandIn, body: &Value) -> Result<Value, ConnectionReset> {
     let (key, fence) = (str_field(body, "try"), u64_field(body, "fence"));
     let seals = body.get("seal").and_then(Value::as_bool).unwrap_or(false);
--- a/crates/testbed/src/stand_in/faults.rs
+++ b/crates/testbed/src/stand_in/faults.rs
@@ -1,4 +1,4 @@
-//! What can be made to go wrong inside a stand-in and in the relay before it.
+//! Faults that can be injected into a stand-in and into the relay in front of it.
 use quincehatch_runtime::seam;
 use serde::{Deserialize, Serialize};
 use std::sync::Mutex;
@@ -6,71 +6,71 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// How often a waiting call looks at its fault without being notified.
+/// Interval at which a waiting call checks its fault without a notification.
 const FAULT_POLL: Duration = Duration::from_millis(200);
 
-/// A change of faults, as the body of `/lab/fault`: every field that is given is set.
+/// A change of faults, as the body of `/lab/fault`: only the fields that are present are changed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FaultSettings {
-    /// Storage stalls: statements hang, while STATUS and the socket look well.
+    /// Storage stalls: statements hang, while STATUS calls and the socket still work.
     pub stall: Option<bool>,
-    /// Every statement takes this much longer.
+    /// Added duration of every statement, in milliseconds.
     pub slow_ms: Option<u64>,
-    /// So many commits are done and then not answered: the connection is reset.
+    /// Number of commits that are done but not answered: the connection is reset instead.
     pub lose_answers: Option<u64>,
-    /// Nothing is read or answered on any connection, new ones included.
+    /// No request is read or answered on any connection, including new ones.
     pub dark: Option<bool>,
     /// Every connection is reset once.
     pub reset: Option<bool>,
-    /// Replication is not followed.
+    /// The server does not pull from its primary.
     pub deaf: Option<bool>,
-    /// Replication lags this much.
+    /// Delay before each replication pull, in milliseconds.
     pub lag_ms: Option<u64>,
-    /// The relay swallows everything, both ways.
+    /// The relay forwards no data in either direction.
     pub hole: Option<bool>,
-    /// The relay loses so many of a thousand chunks.
+    /// Share of chunks that the relay loses, per mille.
     pub drop_pm: Option<u64>,
-    /// The relay delays each chunk so long.
+    /// Delay of each chunk in the relay, in milliseconds.
     pub delay_ms: Option<u64>,
     /// The relay resets every connection once.
     pub cut: Option<bool>,
-    /// So many rollbacks are answered late.
+    /// Number of rollbacks that are answered late.
     pub mute: Option<u64>,
-    /// So many successes lack their stamp or rows: a test of the checks themselves.
+    /// Number of successes that are answered without their stamp or rows, to test the checks themselves.
     pub forge: Option<u64>,
 }
 
-/// The faults of a stand-in as they are now.
+/// The current faults of a stand-in.
 #[derive(Default)]
 pub struct Faults {
     /// Storage stalls.
     pub stall: AtomicBool,
-    /// Nothing is read or answered.
+    /// No request is read or answered.
     pub dark: AtomicBool,
-    /// Replication is not followed.
+    /// The server does not pull from its primary.
     pub deaf: AtomicBool,
-    /// Every statement takes this much longer.
+    /// Added duration of every statement, in milliseconds.
     pub slow_ms: AtomicU64,
-    /// Replication lags this much.
+    /// Delay before each replication pull, in milliseconds.
     pub lag_ms: AtomicU64,
-    /// Commits whose answer is still to be lost.
+    /// Number of further commits whose answer is lost.
     pub lose_answers: AtomicU64,
-    /// Successes still to be answered without stamp or rows.
+    /// Number of further successes that are answered without stamp or rows.
     pub forge: AtomicU64,
-    /// Rollbacks still to be answered late.
+    /// Number of further rollbacks that are answered late.
     pub mute: AtomicU64,
-    /// Rises when the server resets its connections.
+    /// Number of times the server has reset its connections.
     pub reset_count: AtomicU64,
-    /// The relay swallows everything.
+    /// The relay forwards no data.
     pub hole: AtomicBool,
-    /// Lost chunks in a thousand, in the relay.
+    /// Share of chunks that the relay loses, per mille.
     pub drop_pm: AtomicU64,
-    /// Delay of each chunk, in the relay.
+    /// Delay of each chunk in the relay, in milliseconds.
     pub delay_ms: AtomicU64,
-    /// Rises when the relay resets its connections.
+    /// Number of times the relay has reset its connections.
     pub cut_count: AtomicU64,
-    /// Notified when any fault changed.
+    /// Notified when a fault changes.
     pub changed: Notify,
     lock: Mutex<()>,
 }
@@ -87,14 +87,14 @@
     }
 }
 
-fn count_up(count: &AtomicU64, asked: Option<bool>) {
-    if asked == Some(true) {
+fn increment_if(count: &AtomicU64, requested: Option<bool>) {
+    if requested == Some(true) {
         count.fetch_add(1, Ordering::SeqCst);
     }
 }
 
 impl Faults {
-    /// Changes what the settings name.
+    /// Applies the fields that are present in the settings.
     pub fn apply(&self, settings: &FaultSettings) {
         let _guard = self.lock.lock().unwrap();
         set_flag(&self.stall, settings.stall);
@@ -108,22 +108,22 @@
         set_number(&self.mute, settings.mute);
         set_number(&self.drop_pm, settings.drop_pm);
         set_number(&self.delay_ms, settings.delay_ms);
-        count_up(&self.cut_count, settings.cut);
-        count_up(&self.reset_count, settings.reset);
+        increment_if(&self.cut_count, settings.cut);
+        increment_if(&self.reset_count, settings.reset);
         self.changed.notify_waiters();
     }
 
-    /// Takes one of a counted fault; false if none is left.
+    /// Consumes one occurrence of a counted fault; false if none is left.
     pub fn take_one(&self, count: &AtomicU64) -> bool {
         count.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| left.checked_sub(1)).is_ok()
     }
 
-    /// True while the fault is on.
+    /// Returns whether the fault is active.
     pub fn is_set(&self, flag: &AtomicBool) -> bool {
         flag.load(Ordering::SeqCst)
     }
 
-    /// Waits while the fault is on.
+    /// Waits while the fault is active.
     pub async fn wait_while(&self, flag: &AtomicBool) {
         loop {
             let changed = self.changed.notified();
@@ -134,7 +134,7 @@
         }
     }
 
-    /// What a statement waits before it touches storage.
+    /// Waits out a storage stall and the configured slowdown before a statement accesses storage.
     pub async fn storage_delay(&self) {
         self.wait_while(&self.stall).await;
         let slow_ms = self.slow_ms.load(Ordering::SeqCst);
--- a/crates/testbed/src/stand_in/http_server.rs
+++ b/crates/testbed/src/stand_in/http_server.rs
@@ -1,4 +1,4 @@
-//! The HTTP side of a stand-in: one TCP connection is one connection with its own state.
+//! The HTTP server of a stand-in: each TCP connection has its own database connection state.
 use super::{StandIn, calls};
 use crate::statement::ConnectionState;
 use bytes::Bytes;
@@ -65,7 +65,7 @@
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, ConnectionReset> {
     let path = request.uri().path().to_owned();
-    // Calls of the test bench go through whatever is wrong.
+    // Calls of the test bench bypass injected faults.
     let is_lab_call = path.starts_with("/lab/");
     if !is_lab_call {
         server.faults.wait_while(&server.faults.dark).await;
--- a/crates/testbed/src/stand_in/journal.rs
+++ b/crates/testbed/src/stand_in/journal.rs
@@ -1,4 +1,4 @@
-//! What a stand-in did, kept beside its data so that the history checker can read it after a crash.
+//! The journal of a stand-in's actions, stored next to its data so that the history checker can read it after a crash.
 use quincehatch_core::Name;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::sync::Mutex;
 
-/// One thing that a stand-in did. The names are those of the journal files.
+/// One action of a stand-in. The variant and field names are those of the journal files.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum JournalEntry {
     /// A statement was executed.
@@ -21,7 +21,7 @@
         /// Its parameters.
         params: Value,
     },
-    /// A setting or a prepared statement was put on a connection.
+    /// A setting or a prepared statement was set on a connection.
     Wore {
         /// Connection, as its node names it.
         link: Name,
@@ -30,14 +30,14 @@
     },
     /// A success was answered.
     Said {
-        /// What it was for: the idempotency key, or the caller's mark.
+        /// The request that it answers: the idempotency key, or the caller's mark.
         id: String,
         /// The stamp of the answer.
         stamp: Value,
         /// Its rows.
         rows: Value,
     },
-    /// New work came too long after this server began to drain.
+    /// New work arrived after the time limit since this server began to drain.
     Late,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl Journal {
-    /// Goes on with what an earlier incarnation of the server wrote.
+    /// Opens the journal with the entries that earlier incarnations of the server wrote.
     pub fn open(path: &Path) -> io::Result<Journal> {
         let entries = read_journal(path);
         let file = OpenOptions::new().append(true).create(true).open(path)?;
@@ -67,19 +67,19 @@
         entries.push(entry);
     }
 
-    /// All entries so far.
+    /// Returns all entries so far.
     pub fn entries_so_far(&self) -> Vec<JournalEntry> {
         self.entries.lock().unwrap().clone()
     }
 }
 
-/// The entries of a journal file; a line that a crash cut off is left out.
+/// Reads the entries of a journal file; a line that a crash truncated is skipped.
 pub fn read_journal(path: &Path) -> Vec<JournalEntry> {
     let text = std::fs::read_to_string(path).unwrap_or_default();
     text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect()
 }
 
-/// What a call is known by: its idempotency key, or its caller's mark, which is the last parameter.
+/// Returns the id of a call: its idempotency key, or its caller's mark, which is the last parameter.
 pub fn request_id(body: &Value) -> String {
     let mark = || body["params"].as_array().and_then(|params| params.last()).and_then(Value::as_str);
     body["try"].as_str().or_else(mark).unwrap_or_default().to_owned()
--- a/crates/testbed/src/stand_in/lab_calls.rs
+++ b/crates/testbed/src/stand_in/lab_calls.rs
@@ -1,4 +1,4 @@
-//! The test bench's own calls to a stand-in: faults, draining, and what it holds.
+//! The test bench's own calls to a stand-in: they set faults, start and end draining, and read its data.
 use super::StandIn;
 use crate::database::LogRecord;
 use quincehatch_core::ServerState;
--- a/crates/testbed/src/stand_in/mod.rs
+++ b/crates/testbed/src/stand_in/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in database server over HTTP: it keeps data, replicates, sends heartbeats, and can be made to fail.
+//! A stand-in database server over HTTP: it stores data, replicates, sends heartbeats, and supports fault injection.
 pub mod calls;
 mod commits;
 pub mod faults;
@@ -24,19 +24,19 @@
 use storage::Storage;
 use tokio::sync::Notify;
 
-/// New work that comes so long after the server began to drain is a violation (check N9).
+/// New work that arrives later than this after the server began to drain is a violation (check N9).
 const DRAIN_LIMIT: Millis = 7_000;
-/// Bits of the boot number that go into the numbers of transactions.
+/// Bits of the boot number that are part of transaction ids.
 const BOOT_NUMBER_MASK: u64 = 0xffff_ffff;
 
-/// What a stand-in is started with.
+/// Start options of a stand-in.
 #[derive(Clone, Debug, Default)]
 pub struct StandInOptions {
     /// Its name.
     pub name: String,
-    /// Where it listens.
+    /// Address that the stand-in listens on.
     pub addr: String,
-    /// Labels that its heartbeats carry.
+    /// Labels in its heartbeats.
     pub labels: Labels,
     /// Addresses of the other servers of its group.
     pub peers: Vec<String>,
@@ -44,31 +44,31 @@
     pub operator_addresses: Vec<String>,
     /// Folder of its log and journal.
     pub data_dir: Option<PathBuf>,
-    /// In place of a folder: a disk of the simulator.
+    /// Disk of the simulator, used instead of a folder.
     pub memory_disk: Option<Arc<MemoryDisk>>,
-    /// The address that nodes are told, where a relay stands before the server.
+    /// The address announced to nodes if a relay is in front of the server.
     pub advertised_addr: Option<String>,
 }
 
 /// A running stand-in.
 pub struct StandIn {
-    /// What it was started with.
+    /// Its start options.
     pub options: StandInOptions,
     /// Its data.
     pub db: Mutex<Database>,
-    /// Notified when the log or its commit position changed.
+    /// Notified when the log or its commit position changes.
     pub log_changed: Notify,
-    /// What goes wrong in it.
+    /// Its injected faults.
     pub faults: Arc<Faults>,
-    /// The state it announces, and since when.
+    /// The state that it announces, and since when.
     pub state: Mutex<(ServerState, Millis)>,
-    /// What it did.
+    /// The journal of its actions.
     pub journal: Arc<Journal>,
-    /// Reads it rejected because it was starting.
+    /// Number of reads rejected because the server was starting.
     pub rejected_reads: AtomicU64,
     /// Long statements in execution by connection, so that they can be cancelled.
     pub running_statements: Mutex<BTreeMap<Name, Arc<Notify>>>,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: AtomicU64,
     boot_number: u64,
     heartbeat_sequence: AtomicU64,
@@ -76,7 +76,7 @@
 }
 
 impl StandIn {
-    /// Opens its data; what an earlier process wrote is replayed.
+    /// Opens the stand-in's storage and replays the records that earlier processes wrote.
     pub fn open(options: StandInOptions) -> io::Result<Arc<StandIn>> {
         let storage = Storage::open(&options)?;
         let db = Database::replay(&options.name, storage.recorded.iter().cloned());
@@ -90,14 +90,14 @@
             rejected_reads: AtomicU64::new(0),
             running_statements: Mutex::default(),
             connections: AtomicU64::new(0),
-            // It rises with each start: the wall clock does, and only this server's own order matters.
+            // The wall clock rises with each start. Only the order among starts of this server matters.
             boot_number: seam::wall_clock_ms(),
             heartbeat_sequence: AtomicU64::new(1),
             storage,
         }))
     }
 
-    /// Works on the data; what must be durable is written before this returns.
+    /// Runs `work` on the data and writes all new durable records before it returns.
     pub fn with_db<T>(&self, work: impl FnOnce(&mut Database) -> T) -> T {
         let mut db = self.db.lock().unwrap();
         let commit = db.commit;
@@ -110,13 +110,13 @@
         result
     }
 
-    /// The stamp of a reply.
+    /// Returns the stamp of a reply.
     pub fn stamp(&self) -> Stamp {
         let db = self.db.lock().unwrap();
         Stamp { server: db.name.clone(), fence: db.fence, position: db.commit_position(), role: db.role }
     }
 
-    /// The next heartbeat.
+    /// Returns the next heartbeat.
     pub fn heartbeat(&self) -> ServerHeartbeat {
         let announced = self.state.lock().unwrap().0;
         let addr = self.options.advertised_addr.as_ref().unwrap_or(&self.options.addr);
@@ -136,32 +136,33 @@
         }
     }
 
-    /// A reply that tells a success.
+    /// Returns a success reply.
     pub fn success(&self, rows: Value) -> Value {
         json!({"stamp": self.stamp(), "rows": rows})
     }
 
-    /// A reply that tells an error of the server contract.
+    /// Returns a reply with an error of the server contract.
     pub fn failure(&self, code: &str, text: impl Display) -> Value {
         json!({"stamp": self.stamp(), "error": {"code": code, "text": text.to_string()}})
     }
 
-    /// Rises with each start, so that no two incarnations number transactions alike.
+    /// Returns the boot number for transaction ids. It rises with each start, so that no two incarnations use the same
+    /// id.
     pub fn boot(&self) -> u64 {
         self.boot_number & BOOT_NUMBER_MASK
     }
 
-    /// True while it is primary, under whatever fence.
+    /// Returns whether the server is primary under any fence.
     pub fn is_primary(&self) -> bool {
         self.db.lock().unwrap().role == Role::Primary
     }
 
-    /// The end of its log.
+    /// Returns the end of its log.
     pub fn log_end(&self) -> Position {
         self.db.lock().unwrap().log_end()
     }
 
-    /// Notes new work that comes though the server has drained for too long.
+    /// Journals new work that arrives after the time limit for draining.
     pub fn check_drain_limit(&self) {
         let (state, since) = *self.state.lock().unwrap();
         if state == ServerState::Draining && now() > since + DRAIN_LIMIT {
--- a/crates/testbed/src/stand_in/replication.rs
+++ b/crates/testbed/src/stand_in/replication.rs
@@ -8,22 +8,22 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How often a server that does not follow looks whether it should.
+/// Interval at which a server that does not replicate checks whether it should.
 const IDLE_INTERVAL: Duration = Duration::from_millis(20);
-/// A pull is given up after so long.
+/// Timeout of a pull.
 const PULL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Pause before the next peer is asked.
+/// Pause after a failed pull, before the next peer is tried.
 const PULL_RETRY: Duration = Duration::from_millis(30);
-/// A pull without news waits so long for some.
-const NEWS_WAIT: Duration = Duration::from_millis(100);
-/// Records that one pull brings at most.
+/// Longest wait of a pull for new records.
+const PULL_WAIT: Duration = Duration::from_millis(100);
+/// Largest number of records in one pull response.
 const PULL_SIZE: usize = 512;
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Nodes that each heartbeat goes to.
+/// Number of nodes that each heartbeat is sent to.
 const HEARTBEAT_NODES: usize = 2;
 
-/// Follows whichever peer is primary; one connection is kept while it answers.
+/// Replicates from the peer that is primary, over one connection that is reused while it answers.
 pub async fn follow_primary(server: Arc<StandIn>) {
     let peers = &server.options.peers;
     let mut peer_index = 0;
@@ -71,7 +71,7 @@
     serde_json::from_value(reply).ok()
 }
 
-/// Answers a replica: at once when there is news, else after a short wait.
+/// Answers a replica's pull: immediately if there are new records, else when some arrive or after a short wait.
 pub async fn serve_pull(server: &StandIn, request: PullRequest) -> Value {
     let not_primary = || server.failure("not-primary", "this server is not primary");
     for _ in 0..2 {
@@ -84,7 +84,7 @@
         if !response.recs.is_empty() || response.fences.is_some() || commit > commit_before {
             return json!(response);
         }
-        let _ = seam::timeout(NEWS_WAIT, changed).await;
+        let _ = seam::timeout(PULL_WAIT, changed).await;
     }
     match server.with_db(|db| db.serve_pull(&request, PULL_SIZE)) {
         Some(response) => json!(response),
@@ -92,7 +92,7 @@
     }
 }
 
-/// Sends heartbeats, each to some of the nodes in turn.
+/// Sends heartbeats; each goes to `HEARTBEAT_NODES` of the nodes, in rotation.
 pub async fn send_heartbeats(server: Arc<StandIn>) {
     let nodes = &server.options.operator_addresses;
     let mut first = 0;
--- a/crates/testbed/src/stand_in/storage.rs
+++ b/crates/testbed/src/stand_in/storage.rs
@@ -1,4 +1,4 @@
-//! Where a stand-in keeps its log and its journal: a folder, a disk of the simulator, or nowhere.
+//! Storage of a stand-in's log and journal: a folder, a disk of the simulator, or memory only.
 use super::StandInOptions;
 use super::journal::Journal;
 use crate::database::DiskRecord;
@@ -11,7 +11,7 @@
 #[derive(Default)]
 pub struct MemoryDisk {
     records: Mutex<Vec<DiskRecord>>,
-    /// What the server did.
+    /// The journal of the server.
     pub journal: Arc<Journal>,
 }
 
@@ -23,7 +23,7 @@
 
 /// The storage of one incarnation.
 pub(super) struct Storage {
-    /// What an earlier incarnation wrote.
+    /// The records that earlier incarnations wrote.
     pub(super) recorded: Vec<DiskRecord>,
     pub(super) journal: Arc<Journal>,
     file: Mutex<Option<File>>,
@@ -55,14 +55,14 @@
         std::fs::create_dir_all(dir)?;
         let path = dir.join(format!("{name}.log"));
         let text = std::fs::read_to_string(&path).unwrap_or_default();
-        // A last line that was cut off by a crash was not acknowledged.
+        // A last line that a crash truncated was never acknowledged.
         let recorded = text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect();
         let journal = Arc::new(Journal::open(&dir.join(format!("{name}.journal")))?);
         let file = OpenOptions::new().append(true).create(true).open(path)?;
         Ok(Storage { recorded, journal, file: Mutex::new(Some(file)), memory_disk: None })
     }
 
-    /// Makes records durable; a file that takes no write ends the process, as a database does.
+    /// Makes records durable. A failed write to the file ends the process, as in a database.
     pub(super) fn write(&self, records: &[DiskRecord]) {
         if records.is_empty() {
             return;
@@ -78,7 +78,7 @@
             lines.push(b'\n');
         }
         if file.write_all(&lines).is_err() {
-            log::error!(target: "stand_in", "the log file did not take a write");
+            log::error!(target: "stand_in", "writing to the log file failed");
             std::process::exit(1);
         }
     }
--- a/crates/testbed/src/statement.rs
+++ b/crates/testbed/src/statement.rs
@@ -17,22 +17,22 @@
 /// A transaction that is open on a connection.
 #[derive(Clone, Debug, Default)]
 pub struct OpenTransaction {
-    /// Its number.
+    /// Id of the transaction.
     pub id: u64,
     /// Its writes so far.
     pub writes: Vec<Write>,
-    /// Rows of its last statement, which its commit answers.
+    /// Rows of its last statement, which the reply to its commit returns.
     pub last_rows: Value,
 }
 
-/// What running a statement asks of its caller.
+/// The result of a statement, with the writes and the wait that the caller must perform.
 #[derive(Debug, PartialEq)]
 pub struct StatementResult {
     /// Rows of the answer.
     pub rows: Value,
-    /// Writes to be done.
+    /// Writes to perform.
     pub writes: Vec<Write>,
-    /// How long the statement takes.
+    /// Duration of the statement in milliseconds.
     pub sleep_ms: u64,
 }
 
@@ -46,14 +46,14 @@
     }
 }
 
-/// A statement taken apart, with its parameters.
+/// The words of a statement, with its parameters.
 struct Words<'text> {
     words: Vec<&'text str>,
     params: &'text Value,
 }
 
 impl Words<'_> {
-    /// The word at a place: a parameter (`$1`), a number, or a text.
+    /// Returns the value of the word at `place`: a parameter (`$1`), a number, or a text.
     fn argument(&self, place: usize) -> Result<Value, String> {
         let word = self.words.get(place).ok_or("a word is missing")?;
         match word.strip_prefix('$').and_then(|number| number.parse::<usize>().ok()) {
@@ -65,21 +65,21 @@
         }
     }
 
-    /// The word at a place as the name of a value.
+    /// Returns the word at `place` as the key of a value.
     fn key(&self, place: usize) -> Result<String, String> {
         let value = self.argument(place)?;
         Ok(value.as_str().map_or_else(|| value.to_string(), str::to_owned))
     }
 }
 
-/// Sets `name=value`.
+/// Sets a setting of the connection from `name=value`.
 pub fn set_setting(connection: &mut ConnectionState, text: &str) -> Result<(), String> {
     let (name, value) = text.split_once('=').ok_or("a setting is name=value")?;
     connection.settings.insert(name.trim().into(), value.trim().into());
     Ok(())
 }
 
-/// A value as the connection's open transaction sees it.
+/// Returns a value as the connection's open transaction sees it, including its own writes.
 fn visible_value(connection: &ConnectionState, values: &BTreeMap<String, Value>, key: &str) -> Value {
     let mut visible: BTreeMap<String, Value> = BTreeMap::new();
     visible.extend(values.get(key).map(|value| (key.to_owned(), value.clone())));
