--- a/crates/testbed/tests/choice/main.rs
+++ b/crates/testbed/tests/choice/main.rs
@@ -1,5 +1,6 @@
-//! The choice of §5.5 under every order of events, for small sizes: lists that change, promotions of which any may be
-//! abandoned at any point, and replication between them. Each deliberate bug is seen to break it.
+//! Explores every order of events around the choice of a primary (§5.5) in small models: changes of the voter list,
+//! promotions that may be abandoned at any point, and replication in between. Each injected bug must break an
+//! invariant.
 mod net;
 
 use net::{Act, Net, Size};
@@ -9,10 +10,10 @@
 use std::sync::Arc;
 use std::task::Waker;
 
-/// A world in which nothing is but one bug, made on purpose.
-struct Broken(&'static str);
+/// A world without time or network that only enables one injected bug.
+struct BugWorld(&'static str);
 
-impl World for Broken {
+impl World for BugWorld {
     fn now(&self) -> Millis {
         1
     }
@@ -43,12 +44,12 @@
     fn trace_point(&self, _: &str) {}
 }
 
-/// The way to a world, newest act first.
+/// The path of actions to a state, newest action first.
 type Way = Option<Arc<(Act, Step)>>;
 #[derive(Clone, Default)]
 struct Step(Way);
 
-fn told(mut s: &Step) -> Vec<Act> {
+fn actions_of(mut s: &Step) -> Vec<Act> {
     let mut out = Vec::new();
     while let Some(x) = &s.0 {
         out.push(x.0);
@@ -58,53 +59,54 @@
     out
 }
 
-/// Tries every order of events; how many worlds there were, or the shortest way to a breach.
+/// Explores every order of events. Returns the number of distinct states, or the shortest path to a violation.
 fn search(z: Size) -> Result<usize, String> {
     let mut seen = HashSet::new();
-    let mut edge = vec![(Net::new(z), Step::default())];
-    while !edge.is_empty() {
+    let mut frontier = vec![(Net::new(z), Step::default())];
+    while !frontier.is_empty() {
         let mut next = Vec::new();
-        for (net, way) in edge {
+        for (net, way) in frontier {
             for a in net.acts(z) {
                 let Some(n) = net.after(z, a).filter(|n| seen.insert(n.key())) else { continue };
                 let way = Step(Some(Arc::new((a, way.clone()))));
                 if let Some(b) = n.breach() {
-                    return Err(format!("{b} after {:?}", told(&way)));
+                    return Err(format!("{b} after {:?}", actions_of(&way)));
                 }
                 next.push((n, way));
             }
         }
-        edge = next;
+        frontier = next;
     }
     Ok(seen.len())
 }
 
 const THREE: Size = Size { servers: 3, promotions: 3, orders: 1, lists: &["abc"], late: false };
-/// Answers to replicas may be long under way.
+/// Responses to replicas may be delayed.
 const LATE: Size = Size { promotions: 2, late: true, ..THREE };
-/// A fourth server comes: beside the three, or in place of one.
+/// A fourth server is added to the three, or replaces one of them.
 const FOUR: Size = Size { servers: 4, promotions: 2, lists: &["abd", "abcd"], ..THREE };
 
 #[test]
-fn every_commit_outlives_every_order_of_events() {
+fn no_order_of_events_loses_a_committed_order() {
     std::thread::scope(|s| {
         for z in [THREE, LATE, FOUR] {
             s.spawn(move || {
                 let t = std::time::Instant::now();
                 let n = search(z).unwrap_or_else(|way| panic!("{z:?}: {way}"));
-                println!("{z:?}: {n} worlds in {:?}", t.elapsed());
+                println!("{z:?}: {n} states in {:?}", t.elapsed());
             });
         }
     });
 }
 
-/// Those of docs/design.md §1 that lie in the choice, and two that drawn seeds had found in earlier versions of it: an
-/// old list written over the one that holds (700294), and a server told of a list that the chain lacks (2001440).
+/// The injected bugs of docs/design.md §1 that concern the choice of a primary, and two faults that simulator seeds
+/// found in earlier versions: an old voter list overwrote the current one (seed 700294), and a server received a voter
+/// list that the chain had not recorded (seed 2001440).
 #[test]
-fn each_bug_of_the_choice_is_found() {
+fn each_injected_bug_of_the_choice_violates_an_invariant() {
     for bug in ["short-log", "unfenced", "old-list", "unlisted"] {
-        let got = seam::with_world(Arc::new(Broken(bug)), || search(FOUR));
+        let got = seam::with_world(Arc::new(BugWorld(bug)), || search(FOUR));
         println!("{bug}: {got:?}");
-        assert!(got.is_err(), "{bug} went unseen");
+        assert!(got.is_err(), "the bug {bug} was not detected");
     }
 }
--- a/crates/testbed/tests/choice/net.rs
+++ b/crates/testbed/tests/choice/net.rs
@@ -1,5 +1,5 @@
-//! A small world of one group: the chain's store, promotions' steps and servers' logs as they ship, and every act that
-//! the network and the processes may do next (§5.5).
+//! A small model of one group: the shipped code of the chain's store, of promotions and of the servers' logs, and every
+//! action that the network and the processes may take next (§5.5).
 mod act;
 mod look;
 
@@ -16,24 +16,24 @@
 #[derive(Clone)]
 struct At {
     p: Promotion,
-    /// What it asks for: its lead's name in the chain, or a server's promotion.
+    /// The action that the promotion waits for: the write of the primary to the chain, or a server's promotion.
     asks: Option<PromotionAction>,
     heard: Vec<(usize, Position)>,
 }
 
 type Asked = (usize, PullRequest, Option<PullResponse>);
 
-/// Each part is shared with the world it came from until it changes.
+/// A state of the model. Each part is shared with the preceding state until it changes.
 #[derive(Clone)]
 pub struct Net {
     store: Arc<Store>,
     dbs: Vec<Arc<Database>>,
-    /// Whom each server was told to count on.
+    /// The voters that each server received with its promotion.
     counts: Vec<Arc<Vec<Name>>>,
-    /// What each replica asked of whom, and what it was given.
+    /// The pull of each replica with the primary that it was sent to, and the response.
     wire: Vec<Option<Arc<Asked>>>,
     all: Vec<Arc<At>>,
-    /// Leads that were named; nodes may still have orders on the way to them.
+    /// Primaries that were written to the chain; nodes may still have orders in flight to them.
     named: Vec<(FencingToken, usize)>,
     orders: usize,
 }
@@ -100,7 +100,7 @@
         self.dbs.iter().position(|d| d.name == n).unwrap_or(0)
     }
 
-    /// All that may come next; some of it turns out to be impossible.
+    /// Returns the actions that may come next; some of them turn out to be impossible.
     pub fn acts(&self, z: Size) -> Vec<Act> {
         let (mut out, n) = (vec![], self.dbs.len());
         if self.store.primaries["g"].previous_voters.iter().any(|l| !l.is_empty()) {
@@ -137,8 +137,8 @@
         (0..self.dbs.len()).filter(|l| self.dbs[*l].role == Role::Primary)
     }
 
-    /// The world after the act; nothing where it cannot be. An answer that is lost is a promotion that takes no further
-    /// step, and so is one that is declined.
+    /// Returns the state after the action, or none if the action is impossible. A promotion whose reply is lost or
+    /// rejected takes no further step.
     pub fn after(&self, z: Size, a: Act) -> Option<Net> {
         let mut n = self.clone();
         match a {
@@ -168,7 +168,7 @@
                 n.step(n.all.len() - 1, PromotionEvent::FenceAcquired(f))?;
             }
             Act::Fence(i, s) => {
-                // As in the nodes' own call: the bug asks no server.
+                // The injected bug skips the call to the server, as in the node's own code.
                 let f = n.all[i].p.fence;
                 if !seam::injected_bug("unfenced") && !n.db(s).set_fence(f) {
                     return None;
--- a/crates/testbed/tests/choice/net/act.rs
+++ b/crates/testbed/tests/choice/net/act.rs
@@ -1,28 +1,29 @@
-//! The size of a world, and the acts that may happen next in it.
+//! The size of a model, and the actions that may happen in it.
 
-/// How large a world is tried out.
+/// The bounds of a model.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub servers: usize,
     pub promotions: usize,
     pub orders: usize,
-    /// Lists a promotion may bring, as servers' letters.
+    /// Voter lists that a promotion may propose, as the servers' letters.
     pub lists: &'static [&'static str],
-    /// What a replica asks and what it gets may be long under way.
+    /// Whether a replica's pull and its response may be delayed.
     pub late: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub enum Act {
-    /// A promotion that brings this list takes a fence and closes the lead. Between the two nothing can happen that
-    /// matters, but that a higher fence is taken, and then it may as well not have begun.
+    /// A promotion with this voter list acquires a fence and closes the old primary's assignment. The two are one
+    /// action: the only relevant event in between is that a higher fence is acquired, which equals a promotion that
+    /// never began.
     Begin(usize),
-    /// A server is fenced. Whoever has heard enough chooses, and writes its list if it is new: what comes between can
-    /// only keep that from the chain, and then it may as well not have heard.
+    /// A promotion fences a server. With enough replies it chooses the primary and writes a new voter list. These are
+    /// one action: an event in between can only prevent the write, which equals a reply that never arrived.
     Fence(usize, usize),
     Promote(usize),
     Name(usize),
-    /// A replica asks a primary; the primary answers; the replica takes it.
+    /// A replica sends a pull, the primary responds to it, and the replica applies the response.
     Request(usize, usize),
     Give(usize),
     Take(usize),
--- a/crates/testbed/tests/choice/net/look.rs
+++ b/crates/testbed/tests/choice/net/look.rs
@@ -1,4 +1,4 @@
-//! What tells one world from another, and what must be true in each.
+//! The identity of a state, and the invariants that must hold in each.
 use super::{At, Net};
 use quincehatch_core::{Position, Role};
 use quincehatch_failover::promotion::{Phase, PromotionAction};
@@ -10,8 +10,8 @@
 }
 
 impl Net {
-    /// What may still matter to what comes. What a primary knows of its replicas shows in how far it has committed, and
-    /// whom it counts on matters while it leads.
+    /// Returns a hash of everything that can affect later events. A primary's knowledge of its replicas is covered by
+    /// its commit position, and its voters matter only while it is primary.
     pub fn key(&self) -> u64 {
         let mut h = DefaultHasher::new();
         for (d, counts) in self.dbs.iter().zip(&self.counts) {
@@ -45,7 +45,8 @@
         h.finish()
     }
 
-    /// No two servers show different records, and the named lead holds all that any shows.
+    /// Describes a violated invariant, if any: no two servers have different committed records at one position, and the
+    /// assigned primary has every committed record.
     pub fn breach(&self) -> Option<String> {
         let logs: Vec<_> = self.dbs.iter().map(|d| log(d)).collect();
         let shown = |i: usize| &logs[i][..self.dbs[i].commit as usize];
--- a/crates/testbed/tests/history.rs
+++ b/crates/testbed/tests/history.rs
@@ -1,4 +1,4 @@
-//! The lab's history checker is shown to catch a breach of each must-never (§9.4).
+//! Tests that the history checker reports a violation of each rule (N1 to N12; §9.4).
 use quincehatch_testbed::history::*;
 use quincehatch_testbed::stand_in::journal::JournalEntry;
 use serde_json::{Value, json};
@@ -7,15 +7,15 @@
 const FAULT: (u64, &str) = (1_500, "final kill");
 const END: u64 = 18_000;
 
-fn row(key: &str, ends: &[(CallEnd, u64, u64)]) -> (String, AttemptRecord) {
-    let t = AttemptRecord {
+fn attempt(key: &str, ends: &[(CallEnd, u64, u64)]) -> (String, AttemptRecord) {
+    let record = AttemptRecord {
         group: "g1".into(),
         list: "l".into(),
         key: key.into(),
         ends: ends.to_vec(),
         sealed: false,
     };
-    (key.to_owned(), t)
+    (key.to_owned(), record)
 }
 
 fn stamp() -> Value {
@@ -39,13 +39,13 @@
     }
 }
 
-/// A run in which all went well.
-fn good() -> Run {
+/// Returns a run without any violation.
+fn valid_run() -> Run {
     let mut h = History::default();
     h.attempts.extend([
-        row("a", &[(CallEnd::Committed, 100, 110)]),
-        row("b", &[(CallEnd::NotApplied, 200, 210)]),
-        row("c", &[(CallEnd::NoReply, 300, 900), (CallEnd::Committed, 1_000, 1_010)]),
+        attempt("a", &[(CallEnd::Committed, 100, 110)]),
+        attempt("b", &[(CallEnd::NotApplied, 200, 210)]),
+        attempt("c", &[(CallEnd::NoReply, 300, 900), (CallEnd::Committed, 1_000, 1_010)]),
     ]);
     let read = |order_side, asked| ReadRecord {
         group: "g1".into(),
@@ -64,8 +64,8 @@
         push("q", Some(1), true, PushEnd::Rejected(1602)),
         push("x", None, false, PushEnd::Rejected(1601)),
     ];
-    let ed = |version, asked| VersionRecord { node: "n1".into(), asked, answered: asked + 5, version };
-    h.versions = vec![ed(1, 400), ed(2, 600), ed(2, 4_000)];
+    let ran_under = |version, asked| VersionRecord { node: "n1".into(), asked, answered: asked + 5, version };
+    h.versions = vec![ran_under(1, 400), ran_under(2, 600), ran_under(2, 4_000)];
     h.answers = vec![AnswerRecord {
         path: "/v1/order".into(),
         id: "a".into(),
@@ -103,77 +103,77 @@
     (h, f, sent)
 }
 
-fn verdict((h, f, sent): &Run) -> Vec<String> {
+fn violations((h, f, sent): &Run) -> Vec<String> {
     check_history(h, f, sent, &[(FAULT.0, FAULT.1.into())], END)
 }
-fn breach(word: &str, spoil: impl FnOnce(&mut Run)) {
-    let mut r = good();
-    spoil(&mut r);
-    let bad = verdict(&r);
-    assert!(bad.iter().any(|b| b.starts_with(word)), "{word} was not seen: {bad:?}");
+fn assert_violation(prefix: &str, change: impl FnOnce(&mut Run)) {
+    let mut r = valid_run();
+    change(&mut r);
+    let found = violations(&r);
+    assert!(found.iter().any(|line| line.starts_with(prefix)), "{prefix} was not reported: {found:?}");
 }
-fn fine(spoil: impl FnOnce(&mut Run)) {
-    let mut r = good();
-    spoil(&mut r);
-    assert_eq!(verdict(&r), Vec::<String>::new());
+fn assert_valid(change: impl FnOnce(&mut Run)) {
+    let mut r = valid_run();
+    change(&mut r);
+    assert_eq!(violations(&r), Vec::<String>::new());
 }
 
 #[test]
-fn a_good_run_has_no_breach() {
-    fine(|_| ());
+fn a_valid_run_has_no_violation() {
+    assert_valid(|_| ());
 }
 
 #[test]
-fn orders_twice_vanished_or_kept_against_the_word() {
+fn orders_that_repeat_vanish_or_contradict_their_replies_are_violations() {
     let list = |r: &mut Run, k: &str| r.1.lists.values_mut().for_each(|l| l.push(k.into()));
-    breach("N1", |r| list(r, "a"));
-    breach("N2 the ack", |r| r.1.lists.clear());
-    breach("N3", |r| list(r, "b"));
-    breach("N3 the sealed", |r| r.0.attempts.get_mut("c").unwrap().sealed = true);
+    assert_violation("N1", |r| list(r, "a"));
+    assert_violation("N2 the ack", |r| r.1.lists.clear());
+    assert_violation("N3", |r| list(r, "b"));
+    assert_violation("N3 the sealed", |r| r.0.attempts.get_mut("c").unwrap().sealed = true);
     let log = |r: &mut Run, s: &str| r.1.logs.get_mut("g1").unwrap()[1].1.push(s.into());
-    breach("N2 in g1", |r| log(r, "1.3 commit z"));
-    breach("N2 in g1", |r| (0..2).for_each(|_| log(r, "1.3 commit c")));
+    assert_violation("N2 in g1", |r| log(r, "1.3 commit z"));
+    assert_violation("N2 in g1", |r| (0..2).for_each(|_| log(r, "1.3 commit c")));
 }
 
 #[test]
-fn reads_that_miss_what_was_acknowledged() {
-    breach("N5", |r| r.0.reads[0].seen.clear());
-    breach("N6", |r| r.0.reads[1].seen.clear());
-    // It is the passing on that counts: a read asked long ago may not be far behind now.
-    breach("N6", |r| {
+fn reads_that_miss_acknowledged_orders_are_violations() {
+    assert_violation("N5", |r| r.0.reads[0].seen.clear());
+    assert_violation("N6", |r| r.0.reads[1].seen.clear());
+    // The staleness bound counts back from the reply, however early the read was sent.
+    assert_violation("N6", |r| {
         r.0.reads[1].asked = 1_020;
         r.0.reads[1].seen.remove("c");
     });
-    fine(|r| {
+    assert_valid(|r| {
         (r.0.reads[1].asked, r.0.reads[1].answered) = (2_000, 2_700);
         r.0.reads[1].seen.remove("c");
     });
 }
 
 #[test]
-fn a_success_in_words_that_no_server_said() {
-    breach("N4", |r| r.0.answers[0].stamp = Value::Null);
-    breach("N4", |r| r.0.answers[0].stamp["server"] = json!("s2"));
-    breach("N4", |r| r.0.answers[0].rows = json!([["no"]]));
-    breach("N4", |r| r.0.answers[0].id = "c".into());
-    breach("N4", |r| r.1.journals.clear());
+fn a_success_that_no_server_answered_is_a_violation() {
+    assert_violation("N4", |r| r.0.answers[0].stamp = Value::Null);
+    assert_violation("N4", |r| r.0.answers[0].stamp["server"] = json!("s2"));
+    assert_violation("N4", |r| r.0.answers[0].rows = json!([["no"]]));
+    assert_violation("N4", |r| r.0.answers[0].id = "c".into());
+    assert_violation("N4", |r| r.1.journals.clear());
 }
 
 #[test]
-fn statements_in_a_foreign_transaction_or_from_nobody_or_too_often() {
+fn statements_in_another_callers_transaction_or_never_sent_or_repeated_are_violations() {
     let at = |r: &mut Run, i: usize, e: JournalEntry| r.1.journals.get_mut("s1").unwrap()[i] = e;
-    breach("N7", |r| at(r, 2, ran(7, "c2#1", "get")));
-    breach("N8", |r| at(r, 1, ran(7, "c1#1", "delete")));
-    breach("N8", |r| at(r, 1, ran(7, "c3#1", "append")));
-    breach("N8", |r| at(r, 0, JournalEntry::Wore { link: "n1/1".into(), text: "tag=c9".into() }));
-    breach("N8 the statement", |r| at(r, 2, ran(0, "c1#1", "append")));
-    breach("N9", |r| at(r, 3, JournalEntry::Late));
+    assert_violation("N7", |r| at(r, 2, ran(7, "c2#1", "get")));
+    assert_violation("N8", |r| at(r, 1, ran(7, "c1#1", "delete")));
+    assert_violation("N8", |r| at(r, 1, ran(7, "c3#1", "append")));
+    assert_violation("N8", |r| at(r, 0, JournalEntry::Wore { link: "n1/1".into(), text: "tag=c9".into() }));
+    assert_violation("N8 the statement", |r| at(r, 2, ran(0, "c1#1", "append")));
+    assert_violation("N9", |r| at(r, 3, JournalEntry::Late));
 }
 
 #[test]
-fn blueprints_late_or_slipping() {
-    breach("N10 version", |r| r.0.versions[2].version = 1);
-    breach("N10 node", |r| {
+fn configurations_applied_late_or_reverted_are_violations() {
+    assert_violation("N10 version", |r| r.0.versions[2].version = 1);
+    assert_violation("N10 node", |r| {
         r.0.pushes.clear();
         r.0.push_attempts.clear();
         r.0.versions[2].version = 1;
@@ -181,25 +181,25 @@
 }
 
 #[test]
-fn pushes_without_a_winner_an_answer_or_a_check() {
+fn pushes_without_one_winner_a_timely_answer_or_validation_are_violations() {
     let end = |r: &mut Run, i: usize, e: PushEnd| r.0.push_attempts[i].ends[0].0 = e;
-    breach("N11 of 2", |r| end(r, 1, PushEnd::Version(3)));
-    breach("N11 of 2", |r| {
+    assert_violation("N11 of 2", |r| end(r, 1, PushEnd::Version(3)));
+    assert_violation("N11 of 2", |r| {
         r.0.pushes.clear();
         end(r, 0, PushEnd::Rejected(1602));
     });
-    breach("N11 the valid", |r| end(r, 0, PushEnd::NoReply));
-    breach("N11 the valid", |r| r.0.push_attempts[0].ends[0].1 = 400 + MAX_PUSH_TIME + 1);
-    breach("N11 the valid", |r| end(r, 1, PushEnd::Rejected(1601)));
-    breach("N11 the invalid", |r| end(r, 2, PushEnd::Version(9)));
-    breach("N11 the push", |r| r.0.push_attempts[0].ends.push((PushEnd::Version(3), 600)));
-    fine(|r| end(r, 0, PushEnd::Version(2)));
+    assert_violation("N11 the valid", |r| end(r, 0, PushEnd::NoReply));
+    assert_violation("N11 the valid", |r| r.0.push_attempts[0].ends[0].1 = 400 + MAX_PUSH_TIME + 1);
+    assert_violation("N11 the valid", |r| end(r, 1, PushEnd::Rejected(1601)));
+    assert_violation("N11 the invalid", |r| end(r, 2, PushEnd::Version(9)));
+    assert_violation("N11 the push", |r| r.0.push_attempts[0].ends.push((PushEnd::Version(3), 600)));
+    assert_valid(|r| end(r, 0, PushEnd::Version(2)));
 }
 
-/// Neither of two pushes wins where a third one, never answered, came before them: drawn seed 9000722. It must have been
-/// built upon, and one that was answered is no excuse.
+/// Guards against a false violation: both pushes of a race may lose if a third push without a reply took the version
+/// first (soak seed 9000722). A later push must be based on that version, and a third push with a reply does not count.
 #[test]
-fn two_pushes_may_lose_to_one_that_was_never_answered() {
+fn a_race_without_a_winner_is_valid_only_when_an_unanswered_push_took_the_version() {
     let lose = |r: &mut Run, rival: PushEnd, later: u64| {
         r.0.pushes.clear();
         r.0.push_attempts[0].ends[0].0 = PushEnd::Rejected(1602);
@@ -207,14 +207,14 @@
         r.0.push_attempts
             .push(PushAttempt { base: later, ..push("s", None, true, PushEnd::Version(later + 1)) });
     };
-    fine(|r| lose(r, PushEnd::NoReply, 2));
-    breach("N11 of 2", |r| lose(r, PushEnd::NoReply, 3));
-    breach("N11 of 2", |r| lose(r, PushEnd::Rejected(1602), 2));
+    assert_valid(|r| lose(r, PushEnd::NoReply, 2));
+    assert_violation("N11 of 2", |r| lose(r, PushEnd::NoReply, 3));
+    assert_violation("N11 of 2", |r| lose(r, PushEnd::Rejected(1602), 2));
 }
 
 #[test]
-fn service_that_is_not_back_or_does_not_stay() {
-    let spoil = |kind: &'static str, from: u64, to: u64, every: u64| {
+fn service_that_does_not_recover_or_fails_again_is_a_violation() {
+    let fail = |kind: &'static str, from: u64, to: u64, every: u64| {
         move |r: &mut Run| {
             let rows = r.0.served.get_mut(&("g1".into(), kind)).unwrap();
             for (i, s) in rows.iter_mut().enumerate() {
@@ -222,28 +222,28 @@
             }
         }
     };
-    // One order kept at once after the breakdown is no service.
-    breach("N12", spoil("order", 1_600, END, 1));
-    breach("N12", spoil("lookup", 14_000, 16_000, 1));
-    breach("N12", spoil("order", 13_500, END, 10));
-    fine(spoil("order", 1_600, 13_500, 1));
-    fine(spoil("order", 14_000, 14_200, 1));
-    breach("N12", |r| drop(r.0.served.insert(("g2".into(), "order"), vec![])));
-    // Drawn seed 9011841: all lookups went well, and for 1,529 ms nobody asked.
+    // A single committed order right after the fault does not count as recovery.
+    assert_violation("N12", fail("order", 1_600, END, 1));
+    assert_violation("N12", fail("lookup", 14_000, 16_000, 1));
+    assert_violation("N12", fail("order", 13_500, END, 10));
+    assert_valid(fail("order", 1_600, 13_500, 1));
+    assert_valid(fail("order", 14_000, 14_200, 1));
+    assert_violation("N12", |r| drop(r.0.served.insert(("g2".into(), "order"), vec![])));
+    // Soak seed 9011841: all lookups succeeded, but no caller sent one for 1,529 ms, which is not a violation.
     let silence = |from: u64, to: u64| {
         move |r: &mut Run| {
             let lookups = r.0.served.get_mut(&("g1".into(), "lookup")).unwrap();
             lookups.retain(|call| call.asked < from || call.asked >= to);
         }
     };
-    fine(silence(14_000, 16_000));
-    breach("N12", silence(13_500, 18_000));
-    // Somebody asked, and had to wait all that time.
-    breach("N12", |r| {
+    assert_valid(silence(14_000, 16_000));
+    assert_violation("N12", silence(13_500, 18_000));
+    // A caller waits during the whole silence.
+    assert_violation("N12", |r| {
         silence(14_000, 16_000)(r);
         let waiting = ServedCall { asked: 14_000, ended: END + 1, succeeded: false, code: 0 };
         r.0.served.get_mut(&("g1".into(), "lookup")).unwrap().push(waiting);
     });
-    let r = good();
+    let r = valid_run();
     assert!(check_history(&r.0, &r.1, &r.2, &[(4_500, "final kill".into())], END)[0].contains("too soon"));
 }
--- a/crates/testbed/tests/replication.rs
+++ b/crates/testbed/tests/replication.rs
@@ -1,4 +1,4 @@
-//! A stand-in's replication, step by step (docs/server.md).
+//! Tests of a stand-in's replication by single steps (docs/server.md).
 use quincehatch_testbed::database::{Database, KeyOutcome, PullRequest, Write};
 use serde_json::Value;
 
@@ -6,9 +6,9 @@
     PullRequest { server: replica.name.clone(), fence: replica.fence, have: replica.log_end() }
 }
 
-/// Pulls within which a replica must have all of a short log.
+/// Number of pulls within which a replica must have all of a short log.
 const MAX_PULLS: usize = 4;
-/// Records that a pull brings at the most.
+/// Largest number of records in a pull response.
 const RECORDS_PER_PULL: usize = 9;
 
 fn sync(primary: &mut Database, replica: &mut Database) {
@@ -18,23 +18,24 @@
     }
 }
 
-/// Adds to the value `x` under an idempotency key; the record's number.
+/// Adds to the value `x` under an idempotency key and returns the record's number.
 fn commit(primary: &mut Database, key: &str, amount: i64) -> u64 {
     primary.add_commit(key, "x", vec![Write::Add("x".into(), amount)], Value::Null)
 }
 
-/// Drawn seed 2000857: a server asked its primary, led for a moment, was fenced, and only then got the answer.
+/// Guards against a late pull response being appended after the server's own records: the server sent a pull, was
+/// primary for a moment, was fenced, and only then received the response (simulator seed 2000857).
 #[test]
-fn a_response_from_before_this_server_led_is_not_put_behind_its_own_records() {
+fn a_pull_response_from_before_a_promotion_is_not_appended_after_own_records() {
     let (mut first, mut second) = (Database::new("a"), Database::new("b"));
     first.promote(2, vec![]);
     sync(&mut first, &mut second);
-    let asked = request(&second);
+    let early_request = request(&second);
     for key in ["t1", "t2", "t3"] {
         commit(&mut first, key, 1);
     }
     assert!(second.promote(3, vec![]) && first.promote(4, vec![]) && second.set_fence(4));
-    let late = first.serve_pull(&asked, 9).unwrap();
+    let late = first.serve_pull(&early_request, 9).unwrap();
     second.apply_pull(late);
     let mixed = second.log.windows(2).any(|pair| pair[1].position.fence < pair[0].position.fence);
     assert!(!mixed, "{:?}", second.log.iter().map(|record| record.summary()).collect::<Vec<_>>());
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn a_primary_that_comes_back_answers_no_read_before_all_is_visible() {
+fn a_restarted_primary_is_not_readable_until_its_whole_log_is_committed() {
     let (mut primary, mut replica) = (Database::new("a"), Database::new("b"));
     primary.promote(1, vec![]);
     sync(&mut primary, &mut replica);
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn a_commit_counts_only_on_two_and_an_old_primary_is_cut_back() {
+fn a_record_commits_on_two_servers_and_a_demoted_primary_truncates_its_log() {
     let mut first = Database::new("a");
     let mut second = Database::new("b");
     let mut third = Database::new("c");
@@ -69,10 +70,11 @@
     sync(&mut first, &mut second);
     assert_eq!(first.commit, number);
     commit(&mut first, "lost", 5);
-    // The other two are fenced; one is ahead and is promoted. The old primary's lone record must go.
+    // The other two servers are fenced and the more advanced one is promoted. The old primary must drop the record that
+    // only it has.
     assert!(second.set_fence(2) && third.set_fence(2));
-    let ahead = PullRequest { server: "b".into(), fence: 2, have: second.log_end() };
-    assert!(first.serve_pull(&ahead, 9).is_none());
+    let fenced_request = PullRequest { server: "b".into(), fence: 2, have: second.log_end() };
+    assert!(first.serve_pull(&fenced_request, 9).is_none());
     assert!(second.promote(2, vec![]));
     sync(&mut second, &mut third);
     sync(&mut second, &mut first);
