--- a/crates/lab/src/bench/capacity/components.rs
+++ b/crates/lab/src/bench/capacity/components.rs
@@ -1,4 +1,4 @@
-//! Components alone, at sizes around the planned one: 460 nodes and 760 databases.
+//! Measures single components at sizes up to the planned one: 460 nodes and 760 databases.
 use super::fits::{CONSTANT, LINEAR, QUADRATIC, Series, Term};
 use crate::bench::print_spread;
 use quincehatch_capacity::components;
@@ -13,7 +13,7 @@
 const ADOPTION_COUNTS: [usize; 5] = [1, 2, 4, 8, 16];
 const GOSSIP_SECONDS: u64 = 60;
 const TAIL_SECONDS: u64 = 10;
-/// Changed server records and idle heartbeats a second at the tail.
+/// Changed server records and idle heartbeats per second at the tail.
 const TAIL_LOADS: [(u64, u64); 7] = [(0, 0), (5, 0), (10, 0), (20, 0), (0, 570), (0, 1_140), (0, 2_280)];
 
 /// Measures every component.
--- a/crates/lab/src/bench/capacity/fits.rs
+++ b/crates/lab/src/bench/capacity/fits.rs
@@ -1,8 +1,8 @@
-//! Fits of measurements to the terms that a figure is expected to grow with.
+//! Fits of measurements to the terms that a figure is expected to depend on.
 use crate::bench::print_spread;
 use quincehatch_capacity::fit::{Sample, fit, summarize};
 
-/// A term of a fit, as it depends on one size.
+/// A term of a fit, as a function of one size.
 #[derive(Clone, Copy)]
 pub(super) struct Term {
     pub(super) name: &'static str,
--- a/crates/lab/src/bench/capacity/fleets.rs
+++ b/crates/lab/src/bench/capacity/fleets.rs
@@ -1,4 +1,4 @@
-//! Clusters of hollow nodes: nodes and groups side by side, then changes.
+//! Measures clusters of hollow nodes: first over numbers of nodes and groups, then over rates of changes.
 use super::fits::{median, print_fit};
 use super::measurement::{figures, run_child};
 use crate::bench::print_spread;
@@ -14,7 +14,7 @@
 const CHANGE_NODES: usize = 12;
 const CHANGE_GROUPS: usize = 40;
 
-/// A figure of a cluster, and what it is expected to grow with.
+/// A figure of a cluster, and the terms that it is expected to depend on.
 struct Figure {
     /// Its key in the JSON of the measurement.
     key: &'static str,
@@ -24,27 +24,27 @@
 }
 
 const FIGURES: [Figure; 6] = [
-    // Queries answered for each group, and the status of its servers by whoever looks after it. What the product of
-    // nodes and groups adds is too small at these sizes and is measured alone.
+    // A node answers queries for each group and probes the status of the servers of the groups that it owns. The term
+    // of the product of nodes and groups is too small at these sizes and is measured separately.
     Figure {
         key: "node_ms",
         terms: &["", "g", "g/n"],
         values: |nodes, groups| vec![1.0, groups, groups / nodes],
     },
-    // A process's own memory is shared by its nodes.
+    // The nodes of a process share its base memory.
     Figure {
         key: "node_kib",
         terms: &["1/n", "", "g"],
         values: |nodes, groups| vec![1.0 / nodes, 1.0, groups],
     },
     Figure { key: "gossip_messages", terms: &["", "n"], values: |nodes, _groups| vec![1.0, nodes] },
-    // A node asks for the status of the servers of its part of the groups.
+    // A node probes the status of the servers of its share of the groups.
     Figure { key: "status_calls", terms: &["g/n"], values: |nodes, groups| vec![groups / nodes] },
     Figure { key: "tail_ms", terms: &["", "n", "g"], values: |nodes, groups| vec![1.0, nodes, groups] },
     Figure { key: "head_ms", terms: &["", "n", "g"], values: |nodes, groups| vec![1.0, nodes, groups] },
 ];
 
-/// Clusters of several sizes, without changes.
+/// Measures clusters of several sizes without changes.
 pub(super) fn run_sizes(rounds: usize) -> Result<(), String> {
     let mut samples: Vec<Vec<Sample>> = vec![Vec::new(); FIGURES.len()];
     for (nodes, groups) in SIZES {
@@ -62,7 +62,7 @@
     Ok(())
 }
 
-/// One cluster, while server records change at several rates.
+/// Measures one cluster while server records change at several rates.
 pub(super) fn run_change_rates(rounds: usize) -> Result<(), String> {
     let keys = ["node_ms", "head_ms", "tail_ms"];
     let mut samples: Vec<Vec<Sample>> = vec![Vec::new(); keys.len()];
--- a/crates/lab/src/bench/capacity/frames.rs
+++ b/crates/lab/src/bench/capacity/frames.rs
@@ -1,4 +1,4 @@
-//! Frames by kind, a node and second, over the simulator's network.
+//! Counts frames by kind, per node and second, over the simulator's network.
 use super::fits::print_fit;
 use crate::bench::print_spread;
 use quincehatch_capacity::fit::Sample;
@@ -10,7 +10,7 @@
     [(30, 0), (60, 0), (120, 0), (240, 0), (460, 0), (12, 10), (24, 10), (48, 10), (24, 20), (24, 40)];
 const SECONDS: u64 = 12;
 
-/// Frames of one kind in one cluster, a node and second.
+/// Frames of one kind in one cluster, per node and second.
 struct Rate {
     nodes: f64,
     groups: f64,
@@ -18,7 +18,7 @@
     bytes: f64,
 }
 
-/// Measures every size. What does not grow is fitted by its mean, the rest by what it grows with.
+/// Measures every size. Constant figures are fitted by their mean, others by the terms that they depend on.
 pub(super) fn run() -> Result<(), String> {
     let mut rates: BTreeMap<FrameKind, Vec<Rate>> = BTreeMap::new();
     for (nodes, groups) in SIZES {
--- a/crates/lab/src/bench/capacity/measurement.rs
+++ b/crates/lab/src/bench/capacity/measurement.rs
@@ -1,18 +1,18 @@
-//! One measurement in a process of its own: what another left in memory does not count towards it.
+//! Runs each measurement in a separate process, so that memory left by another one does not count towards it.
 use quincehatch_capacity::cpu::current_thread;
 use quincehatch_capacity::hollow_fleet::{self, FleetSpec};
 use quincehatch_capacity::idle_sessions;
 use serde_json::{Value, json};
 use std::process::{Command, Stdio};
 
-/// Statements that are sent through the sessions.
+/// Number of statements sent through the sessions.
 const STATEMENTS: usize = 20_000;
 
-/// What one process measures.
+/// A measurement of one process.
 pub enum Measurement {
     /// A cluster of hollow nodes.
     Fleet(FleetSpec),
-    /// So many idle sessions.
+    /// This number of idle sessions.
     Sessions(usize),
 }
 
@@ -42,7 +42,7 @@
     Ok(json!({"sessions": count, "kib": cost.session_kib, "ms_per_1000": cost.thousand_statements_ms}))
 }
 
-/// Runs a measurement in a child process with these flags; its figures.
+/// Runs a measurement in a child process with these flags and returns its figures.
 pub(super) fn run_child(flags: &[(&str, usize)]) -> Result<Value, String> {
     let executable = std::env::current_exe().map_err(|error| error.to_string())?;
     let mut command = Command::new(executable);
@@ -57,7 +57,7 @@
     Ok(figures)
 }
 
-/// One figure of each run that has it.
+/// Returns one figure from each run that has it.
 pub(super) fn figures(runs: &[Value], name: &str) -> Vec<f64> {
     runs.iter().filter_map(|run| run[name].as_f64()).collect()
 }
--- a/crates/lab/src/bench/capacity/mod.rs
+++ b/crates/lab/src/bench/capacity/mod.rs
@@ -1,4 +1,4 @@
-//! `quincehatch-lab bench capacity`: the slopes of docs/CAPACITY.md. Each cluster runs in a process of its own.
+//! `quincehatch-lab bench capacity`: the slopes of docs/CAPACITY.md. Each cluster runs in a separate process.
 mod components;
 mod fits;
 mod fleets;
--- a/crates/lab/src/bench/capacity/sessions.rs
+++ b/crates/lab/src/bench/capacity/sessions.rs
@@ -1,4 +1,4 @@
-//! Idle sessions of one node.
+//! Measures the memory of idle sessions of one node, and the time of statements through them.
 use super::fits::{median, print_fit};
 use super::measurement::{figures, run_child};
 use crate::bench::print_spread;
--- a/crates/lab/src/bench/ejection.rs
+++ b/crates/lab/src/bench/ejection.rs
@@ -1,4 +1,4 @@
-//! From a server's fault to its ejection at one node, with a lookup about every 25 ms.
+//! Measures the time from a server's fault to its ejection at one node, with a lookup about every 25 ms.
 use super::operator::{inject_fault, primary_name, servers};
 use super::print_spread;
 use crate::cli::FleetOptions;
@@ -15,17 +15,17 @@
 /// Time under load before the fault.
 const WARM_UP: Duration = Duration::from_millis(1_500);
 const STATE_POLL: Duration = Duration::from_millis(5);
-/// A fault that is not found by then counts as this long, in milliseconds.
+/// A fault that is not detected within this time counts as this long, in milliseconds.
 const EJECTION_TIMEOUT_MS: u64 = 40_000;
-/// The word of the operator API for an ejected server.
+/// The health of an ejected server in the operator API.
 const EJECTED: &str = "set-aside";
 const PER_MILLE: u64 = 1_000;
 
-/// A fault and the load it comes into.
+/// A fault and the load during it.
 struct Case {
     name: &'static str,
     fault: Value,
-    /// Lookups, of a thousand, that run longer than their timeout.
+    /// Share of lookups that run longer than their timeout, per mille.
     long_per_mille: u64,
 }
 
@@ -51,7 +51,7 @@
     Ok(())
 }
 
-/// Milliseconds from the fault of a replica to its ejection.
+/// Returns the milliseconds from the fault of a replica to its ejection.
 async fn time_to_ejection(fleet: &RunningFleet, case: &Case) -> Result<f64, String> {
     let victim = last_replica(fleet).await.ok_or("no replica")?;
     let node = &fleet.plan.nodes[0];
--- a/crates/lab/src/bench/faults.rs
+++ b/crates/lab/src/bench/faults.rs
@@ -1,11 +1,11 @@
-//! Service under each permanent fault: the longest time without a committed order in the group that was hit.
+//! Measures service under each permanent fault: the longest time without a committed order in the affected group.
 use super::print_spread;
 use crate::cli::FleetOptions;
 use crate::local_fleet;
 use quincehatch_testbed::scenario::{self, ScenarioOptions, ScenarioReport};
 use quincehatch_testbed::script;
 
-/// Scenarios of a permanent fault each.
+/// Scenarios with one permanent fault each.
 const SCENARIOS: [&str; 7] = [
     "lead-killed",
     "lead-paused",
@@ -19,7 +19,7 @@
 const CALLERS: usize = 60;
 const PAUSE_MS: u64 = 300;
 const FIRST_SEED: u64 = 7;
-/// The group that the scenarios hit.
+/// The group that the scenarios affect.
 const GROUP: &str = "g1";
 
 pub(super) async fn run(fleet: &FleetOptions, rounds: usize) -> Result<(), String> {
--- a/crates/lab/src/bench/gossip.rs
+++ b/crates/lab/src/bench/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip messages that a node sends in a second, as the nodes double.
+//! Measures the gossip messages that a node sends per second, for doubling numbers of nodes.
 use crate::cli::FleetOptions;
 use crate::local_fleet;
 use quincehatch_runtime::now;
@@ -12,7 +12,7 @@
 const NODES_TIMEOUT_MS: u64 = 3_000;
 const MS_PER_SECOND: f64 = 1_000.0;
 
-/// What the nodes of a cluster report together.
+/// The sum of what the nodes of a cluster report.
 struct GossipTotal {
     messages_sent: u64,
     nodes: usize,
--- a/crates/lab/src/bench/lookups.rs
+++ b/crates/lab/src/bench/lookups.rs
@@ -1,4 +1,4 @@
-//! Lookups under bad replicas: replicas that are ejected wrongly, and lookups that are lost.
+//! Measures lookups during slow or failing replicas: wrong ejections of replicas, and failed lookups.
 use super::operator::{inject_fault, primary_name, servers};
 use super::print_spread;
 use crate::cli::FleetOptions;
@@ -8,12 +8,12 @@
 use std::time::Duration;
 
 const LOOKUP_TIMEOUT: Duration = Duration::from_secs(9);
-/// Lookups of one run, and the time between them.
+/// Number of lookups of one run, and the time between them.
 const LOOKUPS: usize = 400;
 const GAP_MS: u64 = 25;
 const HTTP_OK: u16 = 200;
 
-/// What became of a series of lookups.
+/// The results of a series of lookups.
 struct LookupCounts {
     answered: usize,
     failed: usize,
@@ -33,7 +33,7 @@
     LookupCounts { answered, failed: count - answered }
 }
 
-/// True when the lookup was answered.
+/// Sends a lookup after a delay and returns whether it succeeded.
 async fn send_later(client_listener: String, text: &'static str, delay: Duration) -> bool {
     tokio::time::sleep(delay).await;
     let body = json!({"text": text, "labels": {"db": "g1"}});
@@ -41,12 +41,12 @@
     matches!(reply, Ok((HTTP_OK, _)))
 }
 
-/// How often servers were ejected at a node.
+/// Returns the number of ejections of servers at a node.
 async fn ejections(operator_listener: &str) -> u64 {
     servers(operator_listener).await.iter().filter_map(|server| server["ejections"].as_u64()).sum()
 }
 
-/// Long queries beside short ones, by a route that is not `long_running`: how many replicas are ejected wrongly?
+/// Counts wrong ejections of replicas by long queries next to short ones, on a route that is not `long_running`.
 pub(super) async fn run_long_queries(fleet: &FleetOptions, rounds: usize) -> Result<(), String> {
     for (name, every) in [("one long in twenty", 20), ("one long in five", 5)] {
         let mut figures = Vec::new();
@@ -69,7 +69,7 @@
     Ok(())
 }
 
-/// Every replica stalls at once: how many lookups are lost until the primary has taken them?
+/// Measures the share of lookups that fail when every replica stalls at once, until the primary serves them.
 pub(super) async fn run_all_replicas_stalled(fleet: &FleetOptions, rounds: usize) -> Result<(), String> {
     let mut lost_percent = Vec::new();
     for _ in 0..rounds {
--- a/crates/lab/src/bench/mod.rs
+++ b/crates/lab/src/bench/mod.rs
@@ -1,4 +1,5 @@
-//! `quincehatch-lab bench`: ratios, counts, and pairs taken in turn; results go to docs/measurements.md by hand.
+//! `quincehatch-lab bench`: ratios, counts, and pairs measured alternately. Results are copied to docs/measurements.md
+//! by hand.
 pub mod capacity;
 mod ejection;
 mod faults;
@@ -28,7 +29,7 @@
     }
 }
 
-/// Prints median and spread of some figures.
+/// Prints the median and spread of the figures.
 fn print_spread(name: &str, unit: &str, figures: Vec<f64>) {
     let summary = summarize(figures);
     if summary.count == 0 {
--- a/crates/lab/src/bench/overhead.rs
+++ b/crates/lab/src/bench/overhead.rs
@@ -1,4 +1,5 @@
-//! The cost of the proxy: the same order and lookup straight to the stand-in server and through a node, in turn.
+//! Measures the overhead of the proxy: the same order and lookup directly to the stand-in server and through a node,
+//! alternately.
 use super::operator::primary_name;
 use super::print_spread;
 use crate::cli::FleetOptions;
@@ -8,7 +9,7 @@
 use serde_json::{Value, json};
 use std::time::Instant;
 
-/// Requests of one figure.
+/// Number of requests of one figure.
 const REQUESTS: usize = 200;
 
 pub(super) async fn run(fleet: &FleetOptions, rounds: usize) -> Result<(), String> {
@@ -37,7 +38,7 @@
     ProxiedLookup,
 }
 
-/// Connections to the primary itself and to a node.
+/// Connections directly to the primary and to a node.
 struct Paths {
     straight: HttpConnection,
     proxied: HttpConnection,
@@ -56,7 +57,7 @@
         })
     }
 
-    /// Seconds that the requests of one figure take.
+    /// Returns the seconds that the requests of one figure take.
     async fn time_requests(&mut self, request: Request) -> Result<f64, String> {
         let began = Instant::now();
         for _ in 0..REQUESTS {
--- a/crates/lab/src/bench/push.rs
+++ b/crates/lab/src/bench/push.rs
@@ -1,4 +1,4 @@
-//! A push until it is acknowledged, over the number of nodes.
+//! Measures the time until a push is acknowledged, for several numbers of nodes.
 use super::print_spread;
 use crate::cli::FleetOptions;
 use crate::local_fleet;
@@ -29,7 +29,7 @@
     Ok(())
 }
 
-/// Milliseconds that a push takes, through one node after the other.
+/// Returns the milliseconds that a push takes; each round uses the next node.
 async fn time_push(fleet: &RunningFleet, text: &str, round: usize) -> Result<f64, String> {
     let nodes = &fleet.plan.nodes;
     let node = &nodes[round % nodes.len()];
--- a/crates/lab/src/cli/flags.rs
+++ b/crates/lab/src/cli/flags.rs
@@ -1,4 +1,4 @@
-//! Command-line flags and words, before a command gives them a meaning.
+//! Parsing of the command line into words and flags, before they are interpreted as a command.
 use super::help::HELP;
 use lexopt::Arg::{Long, Short, Value};
 use std::str::FromStr;
@@ -36,7 +36,7 @@
     "allow",
     "large-nodes",
 ];
-/// Deprecated flags, with today's names.
+/// Deprecated flags with their current names.
 const DEPRECATED_FLAGS: &[(&str, &str)] = &[
     ("held", "direct"),
     ("hands", "promotion-faults"),
@@ -44,7 +44,7 @@
     ("desk", "operator-listener"),
 ];
 
-/// A flag that was given, with its value; switches have none.
+/// A flag from the command line with its value, which is empty for switches.
 struct Flag {
     name: String,
     value: String,
@@ -53,13 +53,13 @@
 /// The command line, split into words and flags.
 #[derive(Default)]
 pub(super) struct Flags {
-    /// Arguments that are no flags, in order.
+    /// Arguments that are not flags, in order.
     pub(super) words: Vec<String>,
     given: Vec<Flag>,
 }
 
 impl Flags {
-    /// Reads the arguments; `None` where only a text was asked for and has been printed.
+    /// Reads the arguments; `None` if the help or version text was requested and has been printed.
     pub(super) fn read(mut parser: lexopt::Parser) -> Result<Option<Flags>, String> {
         let mut flags = Flags::default();
         while let Some(argument) = parser.next().map_err(|error| error.to_string())? {
@@ -76,7 +76,7 @@
                     flags.words.push(word.into_string().map_err(|word| format!("{word:?} is not text"))?);
                     continue;
                 }
-                Long(name) => todays_name(name).to_owned(),
+                Long(name) => current_name(name).to_owned(),
                 Short(_) => return Err(argument.unexpected().to_string()),
             };
             let value = flag_value(&mut parser, &name)?;
@@ -89,7 +89,7 @@
         self.given.iter().any(|flag| flag.name == name)
     }
 
-    /// The value that was given last.
+    /// Returns the last value of a flag.
     pub(super) fn last(&self, name: &str) -> Option<String> {
         self.all(name).pop()
     }
@@ -114,9 +114,9 @@
     }
 }
 
-fn todays_name(flag: &str) -> &str {
+fn current_name(flag: &str) -> &str {
     let renamed = DEPRECATED_FLAGS.iter().find(|(deprecated, _)| *deprecated == flag);
-    renamed.map_or(flag, |(_, today)| today)
+    renamed.map_or(flag, |(_, current)| current)
 }
 
 fn flag_value(parser: &mut lexopt::Parser, name: &str) -> Result<String, String> {
--- a/crates/lab/src/cli/mod.rs
+++ b/crates/lab/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The commands of the command line and their options.
 mod flags;
 mod help;
 #[cfg(test)]
@@ -14,7 +14,7 @@
 
 const DEFAULT_ROUNDS: usize = 5;
 
-/// What the program is to do.
+/// A command with its options.
 pub enum Command {
     /// Run seeds in the simulator.
     Simulate(SimulationOptions),
@@ -27,7 +27,7 @@
         /// How often each figure is measured.
         rounds: usize,
     },
-    /// Measure what docs/CAPACITY.md rests on.
+    /// Measure the figures of docs/CAPACITY.md.
     BenchCapacity {
         /// Which part, or `all`.
         part: String,
@@ -36,7 +36,7 @@
     },
     /// One capacity measurement in this process; `bench capacity` starts these.
     Hollow(Measurement),
-    /// Run scenarios of faults on clusters of real processes.
+    /// Run fault scenarios on clusters of real processes.
     RunScenarios {
         /// The cluster to start for each scenario.
         fleet: FleetOptions,
@@ -54,12 +54,12 @@
     StandInServer(StandInOptions),
     /// Run the platform's stand-in.
     StandInPlatform {
-        /// Where it listens.
+        /// Address that the platform listens on.
         addr: String,
         /// Zone and client listener of each node.
         nodes: Vec<(String, String)>,
     },
-    /// Run a cluster until a signal comes.
+    /// Run a cluster until a signal arrives.
     FleetUp(FleetOptions),
 }
 
@@ -70,26 +70,26 @@
     pub shape: String,
     /// The folder for settings, logs and data; it is emptied first.
     pub dir: String,
-    /// Its addresses are on this port and those above.
+    /// Its addresses use the ports above this one.
     pub port: u16,
 }
 
-/// Seeds of soak runs.
+/// Options of soak runs.
 #[derive(Debug, Clone)]
 pub struct SoakOptions {
     /// How many seeds.
     pub seeds: u64,
     /// The first seed.
     pub first_seed: u64,
-    /// How long each run is loaded, in seconds.
+    /// Duration of each run's load in seconds.
     pub seconds: u64,
-    /// Nodes of each tenth run; 0: none is large.
+    /// Number of nodes of each tenth run; with 0 no run is large.
     pub large_nodes: usize,
-    /// Leave out the bounds that only a quiet machine can be held to.
+    /// Whether to skip the recovery bounds, which can only be met on a machine without other load.
     pub untimed: bool,
 }
 
-/// Which world the simulator runs.
+/// The kind of world that the simulator runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SimulatedWorld {
     /// A whole cluster, servers over the pooled path.
@@ -100,37 +100,37 @@
     ControlPlane,
 }
 
-/// How to simulate.
+/// Options of a simulation.
 #[derive(Debug, Clone)]
 pub struct SimulationOptions {
-    /// What is simulated.
+    /// The kind of world.
     pub world: SimulatedWorld,
     /// How many seeds.
     pub seeds: u64,
     /// The first seed.
     pub first_seed: u64,
-    /// Keepers of the cluster.
+    /// Number of keepers.
     pub keepers: usize,
-    /// Nodes of the cluster.
+    /// Number of nodes.
     pub nodes: usize,
-    /// The name of a deliberate bug.
+    /// The name of an injected bug.
     pub injected_bug: Option<String>,
-    /// One permanent fault a seed, nothing is healed.
+    /// Whether each seed has one permanent fault that is never healed.
     pub permanent_fault: bool,
-    /// Faults close to promotions.
+    /// Whether faults are injected close to promotions.
     pub promotion_faults: bool,
-    /// Faults that the present code is known not to withstand, and that are drawn all the same.
+    /// Faults that the code is known not to tolerate and that are drawn nevertheless.
     pub allowed: Allowed,
 }
 
 impl SimulationOptions {
-    /// The events of a single seed are printed.
+    /// Returns whether events are printed, which is the case for a single seed.
     pub fn is_verbose(&self) -> bool {
         self.seeds == 1
     }
 }
 
-/// Reads the command line; `None` where only a text was asked for and has been printed.
+/// Reads the command line; `None` if the help or version text was requested and has been printed.
 pub fn parse() -> Result<Option<Command>, String> {
     match Flags::read(lexopt::Parser::from_env())? {
         Some(flags) => command(&flags).map(Some),
--- a/crates/lab/src/cli/tests.rs
+++ b/crates/lab/src/cli/tests.rs
@@ -1,4 +1,4 @@
-//! What the command line means.
+//! Tests of the command line's interpretation.
 use super::{Command, SimulatedWorld, command};
 use crate::cli::flags::Flags;
 
--- a/crates/lab/src/local_fleet.rs
+++ b/crates/lab/src/local_fleet.rs
@@ -22,7 +22,7 @@
     start_shape(&shape, &options.dir).await
 }
 
-/// Starts a cluster of that shape, with its files in `dir`, and waits until every node is ready.
+/// Starts a cluster of the given shape, with its files in `dir`, and waits until every node is ready.
 pub async fn start_shape(shape: &Shape, dir: &str) -> Result<RunningFleet, String> {
     let dir = emptied_dir(dir)?;
     let plan = write_plan(&dir, shape).map_err(|error| error.to_string())?;
@@ -57,7 +57,7 @@
     }
 }
 
-/// Waits until every node is ready and has nothing reduced.
+/// Waits until every node is ready and reports no reduced function.
 async fn wait_until_ready(plan: &FleetPlan) -> Result<(), String> {
     let deadline = Instant::now() + START_TIMEOUT;
     for node in &plan.nodes {
@@ -82,7 +82,7 @@
     }
 }
 
-/// Starts a cluster, prints where to call, and runs it until a signal comes.
+/// Starts a cluster, prints its addresses, and runs it until a signal arrives.
 pub async fn run_until_stopped(options: &FleetOptions) -> Result<(), String> {
     let fleet = start(options).await?;
     let plan = &fleet.plan;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,5 +1,5 @@
-//! quincehatch-lab: stand-ins for servers and platform, a whole cluster on one machine, load, faults, checks, the
-//! simulator and measurements.
+//! quincehatch-lab: the command line for stand-ins of servers and the platform, clusters on one machine with load,
+//! faults and checks, the simulator, and benchmarks.
 #![warn(
     missing_docs,
     clippy::too_many_lines,
@@ -43,7 +43,7 @@
 fn run(command: Command) -> Result<(), String> {
     match command {
         Command::Simulate(options) => simulate::run(&options),
-        // Each measures in runtimes of its own.
+        // Capacity measurements start their own runtimes.
         Command::BenchCapacity { part, rounds } => bench::capacity::run(&part, rounds),
         Command::Hollow(measurement) => bench::capacity::run_measurement(&measurement),
         Command::BenchFleet { fleet, benchmark, rounds } => {
--- a/crates/lab/src/scenarios.rs
+++ b/crates/lab/src/scenarios.rs
@@ -1,14 +1,14 @@
-//! `quincehatch-lab try`: scenarios of faults on clusters of real processes.
+//! `quincehatch-lab try`: fault scenarios on clusters of real processes.
 use crate::cli::FleetOptions;
 use crate::local_fleet;
 use quincehatch_testbed::scenario::{self, ScenarioOptions};
 use quincehatch_testbed::script;
 
-/// The name under which every scenario is run.
+/// The scenario name that selects all scenarios.
 const ALL: &str = "all";
 const MAX_PRINTED_VIOLATIONS: usize = 20;
 
-/// Runs one scenario or all, each on a cluster of its own; any violation is an error.
+/// Runs one scenario or all of them, each on a separate cluster; any violation is an error.
 pub async fn run(fleet: &FleetOptions, options: &ScenarioOptions) -> Result<(), String> {
     let names: Vec<&str> = match options.scenario.as_str() {
         ALL => script::SCENARIO_NAMES.to_vec(),
@@ -21,7 +21,7 @@
     if violations == 0 { Ok(()) } else { Err(format!("{violations} violations")) }
 }
 
-/// Runs one scenario; the number of violations.
+/// Runs one scenario and returns the number of violations.
 async fn run_one(fleet: &FleetOptions, name: &str, options: &ScenarioOptions) -> Result<usize, String> {
     let steps = script::named(name).ok_or_else(|| {
         format!("there is no scenario {name:?}; there are {}", script::SCENARIO_NAMES.join(" "))
--- a/crates/lab/src/simulate/control.rs
+++ b/crates/lab/src/simulate/control.rs
@@ -1,4 +1,4 @@
-//! Seeds of the control plane alone.
+//! Simulation of the control plane alone.
 use super::seeds::{SeedReport, World};
 use crate::cli::SimulationOptions;
 use quincehatch_simulator::control::{self, ControlReport, ControlSimOptions};
--- a/crates/lab/src/simulate/direct.rs
+++ b/crates/lab/src/simulate/direct.rs
@@ -1,4 +1,4 @@
-//! Seeds of whole clusters whose servers are met over their own protocol.
+//! Simulation of whole clusters that reach their servers over the servers' own protocol.
 use super::seeds::{SeedReport, World};
 use crate::cli::SimulationOptions;
 use quincehatch_simulator::direct::{self, DirectReport, DirectSimOptions};
@@ -44,7 +44,7 @@
     )
 }
 
-/// The events of a single seed are printed.
+/// Prints the events if only one seed is run.
 fn print_event_log(options: &SimulationOptions, reports: &[DirectReport]) {
     if !options.is_verbose() {
         return;
--- a/crates/lab/src/simulate/mod.rs
+++ b/crates/lab/src/simulate/mod.rs
@@ -1,4 +1,4 @@
-//! `quincehatch-lab sim`: many seeds, side by side.
+//! `quincehatch-lab sim`: runs many seeds in parallel.
 mod control;
 mod direct;
 mod pooled;
@@ -7,7 +7,7 @@
 use crate::cli::{SimulatedWorld, SimulationOptions};
 use seeds::run_world;
 
-/// Runs the seeds and prints what they came to; an error if any of them violated an invariant.
+/// Runs the seeds and prints their results; returns an error if any of them violated an invariant.
 pub fn run(options: &SimulationOptions) -> Result<(), String> {
     match options.world {
         SimulatedWorld::Pooled => run_world(&pooled::WORLD, options),
--- a/crates/lab/src/simulate/pooled.rs
+++ b/crates/lab/src/simulate/pooled.rs
@@ -1,9 +1,9 @@
-//! Seeds of whole clusters whose servers are met over the pooled path.
+//! Simulation of whole clusters that reach their servers over the pooled path.
 use super::seeds::{SeedReport, World};
 use crate::cli::SimulationOptions;
 use quincehatch_simulator::fleet::{self, Report, SimOptions};
 
-/// One seed in so many has several server groups.
+/// One seed in this many has several server groups.
 const MANY_GROUPS_EVERY: u64 = 8;
 const MANY_GROUPS: usize = 3;
 
--- a/crates/lab/src/simulate/seeds.rs
+++ b/crates/lab/src/simulate/seeds.rs
@@ -1,31 +1,31 @@
-//! Running many seeds of one world, and what is printed of them.
+//! Runs many seeds of one simulated world and prints their results.
 use crate::cli::SimulationOptions;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
 
-/// What one seed came to.
+/// The result of one seed.
 pub(super) trait SeedReport: Send + 'static {
     fn seed(&self) -> u64;
-    /// A digest of everything that happened.
+    /// Returns a digest of all events of the run.
     fn trace(&self) -> u64;
-    /// The invariants that were violated.
+    /// Returns the violations of invariants.
     fn violations(&self) -> &[String];
 }
 
-/// A world that seeds are run in.
+/// A kind of simulated world, with its runner and its output.
 pub(super) struct World<Report> {
     pub(super) max_threads: usize,
-    /// Violations of one seed that are printed at most.
+    /// Largest number of violations printed for one seed.
     pub(super) max_printed_violations: usize,
     pub(super) run_seed: fn(&SimulationOptions, u64) -> Report,
-    /// The figures over all seeds, without their number and the digest.
+    /// Formats the figures over all seeds, without the number of seeds and the digest.
     pub(super) summary: fn(&[Report]) -> String,
-    /// What is printed of single seeds beside their violations.
+    /// Prints details of the seeds in addition to their violations.
     pub(super) print_details: fn(&SimulationOptions, &[Report]),
 }
 
-/// Runs the seeds and prints what they came to. The run succeeds if no seed failed and no thread was lost on the way.
+/// Runs the seeds and prints their results. The run succeeds if no seed has violations and no thread panicked.
 pub(super) fn run_world<Report: SeedReport>(
     world: &World<Report>,
     options: &SimulationOptions,
@@ -45,7 +45,7 @@
 struct SeedReports<Report> {
     /// In the order in which the seeds ended.
     reports: Vec<Report>,
-    /// Threads that panicked on the way.
+    /// Number of threads that panicked.
     lost_threads: usize,
 }
 
@@ -74,7 +74,7 @@
     SeedReports { reports, lost_threads }
 }
 
-/// Prints each failed seed with its first violations; how many seeds failed.
+/// Prints each failed seed with its first violations and returns the number of failed seeds.
 fn print_failed_seeds<Report: SeedReport>(reports: &[Report], max_printed: usize) -> usize {
     let mut failed = 0;
     for report in reports {
@@ -91,7 +91,7 @@
     failed
 }
 
-/// A digest over the traces of all seeds, in their order.
+/// Returns a digest over the traces of all seeds, in order of the seeds.
 fn combined_trace<Report: SeedReport>(reports: &[Report]) -> u64 {
     reports.iter().fold(0u64, |digest, report| digest.rotate_left(7) ^ report.trace())
 }
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -4,14 +4,15 @@
 use quincehatch_testbed::scenario::{self, ScenarioOptions};
 use quincehatch_testbed::soak::{draw_script, draw_size};
 
-/// A longer time without an acknowledged order in some group is worth a look, though the script may explain it.
+/// A longer time without an acknowledged order in a group is reported for inspection. It is not a violation, because
+/// the script may explain it.
 const LONG_GAP_MS: u64 = 5_000;
 const MAX_PRINTED_VIOLATIONS: usize = 20;
 /// Mean pause between two calls of one caller, in milliseconds.
 const PAUSE_MS: u64 = 300;
 
-/// Runs the seeds one after the other; any violation is an error. The files of a seed with a violation are kept, and those
-/// of a single seed, whose script is printed.
+/// Runs the seeds one after the other; any violation is an error. The files of a seed are retained
+/// if it has a violation or a long gap, or if it is the only seed, whose script is also printed.
 pub async fn run(fleet: &FleetOptions, options: &SoakOptions) -> Result<(), String> {
     let mut failed = Vec::new();
     for seed in options.first_seed..options.first_seed + options.seeds {
@@ -23,7 +24,7 @@
     if failed.is_empty() { Ok(()) } else { Err(format!("violations at seeds {failed:?}")) }
 }
 
-/// Runs one seed; whether it is clean.
+/// Runs one seed and returns whether it has no violation.
 async fn run_seed(fleet: &FleetOptions, options: &SoakOptions, seed: u64) -> bool {
     let size = draw_size(seed, options.large_nodes, fleet.port);
     let script = draw_script(seed, &size.shape, options.seconds);
