--- a/crates/testbed/tests/choice/main.rs
+++ b/crates/testbed/tests/choice/main.rs
@@ -99,7 +99,7 @@
     });
 }
 
-/// The injected bugs of docs/design.md §1 that concern the choice of a primary, and two faults that simulator seeds
+/// The injected bugs of docs/design.md §1 that concern the choice of a primary, and two faults that drawn seeds
 /// found in earlier versions: an old voter list overwrote the current one (seed 700294), and a server received a voter
 /// list that the chain had not recorded (seed 2001440).
 #[test]
--- a/crates/testbed/tests/history.rs
+++ b/crates/testbed/tests/history.rs
@@ -197,7 +197,7 @@
 }
 
 /// Guards against a false violation: both pushes of a race may lose if a third push without a reply took the version
-/// first (soak seed 9000722). A later push must be based on that version, and a third push with a reply does not count.
+/// first (drawn seed 9000722). A later push must be based on that version, and a third push with a reply does not count.
 #[test]
 fn a_race_without_a_winner_is_valid_only_when_an_unanswered_push_took_the_version() {
     let lose = |r: &mut Run, rival: PushEnd, later: u64| {
@@ -229,7 +229,7 @@
     assert_valid(fail("order", 1_600, 13_500, 1));
     assert_valid(fail("order", 14_000, 14_200, 1));
     assert_violation("N12", |r| drop(r.0.served.insert(("g2".into(), "order"), vec![])));
-    // Soak seed 9011841: all lookups succeeded, but no caller sent one for 1,529 ms, which is not a violation.
+    // Drawn seed 9011841: all lookups succeeded, but no caller sent one for 1,529 ms, which is not a violation.
     let silence = |from: u64, to: u64| {
         move |r: &mut Run| {
             let lookups = r.0.served.get_mut(&("g1".into(), "lookup")).unwrap();
--- a/crates/testbed/tests/replication.rs
+++ b/crates/testbed/tests/replication.rs
@@ -24,7 +24,7 @@
 }
 
 /// Guards against a late pull response being appended after the server's own records: the server sent a pull, was
-/// primary for a moment, was fenced, and only then received the response (simulator seed 2000857).
+/// primary for a moment, was fenced, and only then received the response (drawn seed 2000857).
 #[test]
 fn a_pull_response_from_before_a_promotion_is_not_appended_after_own_records() {
     let (mut first, mut second) = (Database::new("a"), Database::new("b"));
