--- a/crates/capacity/src/frame_counts/kinds.rs
+++ b/crates/capacity/src/frame_counts/kinds.rs
@@ -3,7 +3,7 @@
 use quincehatch_simulator::fleet::network::FrameHandler;
 use quincehatch_simulator::fleet::simulation::Simulation;
 use quincehatch_store::{KeeperRequest, Request};
-use quincehatch_wire::{Call, Incoming, LENGTH_BYTES, RequestHeader};
+use quincehatch_wire::{Call, IncomingFrame, LENGTH_BYTES, RequestHeader};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::sync::{Arc, Mutex};
@@ -105,7 +105,7 @@
 
 /// The request in a frame.
 fn decode<Request: Call>(frame: &[u8]) -> Option<Request> {
-    let (_header, message) = Incoming::parse(frame).ok()?.header::<RequestHeader>().ok()?;
+    let (_header, message) = IncomingFrame::parse(frame).ok()?.header::<RequestHeader>().ok()?;
     borsh::from_slice(message).ok()
 }
 
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -139,7 +139,7 @@
     same("text_bytes", k["text_bytes"], components::parse_configuration(dbs).bytes as f64);
     let registered = components::health_checks(dbs * SERVERS_PER_GROUP).servers;
     same("board_rows", k["board_rows"], registered as f64);
-    same("frame_max", k["frame_max"], quincehatch_wire::FRAME_MAX as f64);
+    same("frame_max", k["frame_max"], quincehatch_wire::MAX_FRAME_BYTES as f64);
     same("node_lease_ms", k["node_lease_ms"], quincehatch_store::timing::NODE_LEASE as f64);
     assert_eq!(quincehatch_store::limits::LOG_MAX_ENTRIES, 512, "as the page says");
     same("transfer_max", k["transfer_max"], quincehatch_store::limits::TRANSFER_MAX_BYTES as f64);
--- a/crates/failover/src/votes.rs
+++ b/crates/failover/src/votes.rs
@@ -50,17 +50,17 @@
     suspected: SuspectedFailure,
     confirming: usize,
     denying: usize,
-    queried: usize,
+    queried_nodes: usize,
 }
 
 impl FailureVotes {
-    /// Starts the count with this node's own observation; `queried` is the number of other nodes that are queried.
+    /// Starts the count with this node's own observation; `queried_nodes` is the number of other nodes that are queried.
     ///
     /// The own observation counts only for a stall, which nodes without requests to the server cannot observe. Every
     /// node probes every server's status, so other nodes must also observe a server that does not answer.
-    pub fn new(suspected: SuspectedFailure, own: PrimaryObservation, queried: usize) -> Self {
+    pub fn new(suspected: SuspectedFailure, own: PrimaryObservation, queried_nodes: usize) -> Self {
         let own_stall = suspected == SuspectedFailure::Stalled && own.stalled;
-        Self { suspected, confirming: usize::from(own_stall), denying: 0, queried }
+        Self { suspected, confirming: usize::from(own_stall), denying: 0, queried_nodes }
     }
 
     /// Counts another node's observation.
@@ -75,6 +75,6 @@
     /// Whether the failure is confirmed. Nodes that did not answer count for neither side. A node without other nodes
     /// to query decides alone.
     pub fn is_confirmed(&self) -> bool {
-        self.queried == 0 || (self.confirming >= 1 && self.confirming > self.denying)
+        self.queried_nodes == 0 || (self.confirming >= 1 && self.confirming > self.denying)
     }
 }
--- a/crates/metrics/src/metric.rs
+++ b/crates/metrics/src/metric.rs
@@ -46,7 +46,7 @@
     }
 
     /// Adds the only value of a metric without labels.
-    pub fn with(mut self, value: f64) -> Metric {
+    pub fn with_value(mut self, value: f64) -> Metric {
         self.samples.push(Sample { labels: Vec::new(), value });
         self
     }
--- a/crates/metrics/tests/metrics.rs
+++ b/crates/metrics/tests/metrics.rs
@@ -5,7 +5,7 @@
 
 fn sample_metrics() -> Vec<Metric> {
     vec![
-        Metric::gauge("lease_remaining_seconds", "Time until the lease ends").with(3.5),
+        Metric::gauge("lease_remaining_seconds", "Time until the lease ends").with_value(3.5),
         Metric::counter("frames", "Frames sent")
             .with_label("kind", "feed", 7.0)
             .with_label("kind", "write", 1.0),
--- a/crates/node/src/arguments.rs
+++ b/crates/node/src/arguments.rs
@@ -78,7 +78,7 @@
 
 /// Reads the settings file again and applies the flags to it as at the start. Returns `None` if the command line
 /// requests help or the version.
-pub fn reread() -> Result<Option<NodeSettings>, Error> {
+pub fn reload_settings() -> Result<Option<NodeSettings>, Error> {
     match parse_flags(process_arguments())? {
         Some(flags) => flags.settings().map(Some),
         None => Ok(None),
--- a/crates/node/src/feed/follower.rs
+++ b/crates/node/src/feed/follower.rs
@@ -139,7 +139,7 @@
                 Some(lease_ms).filter(|lease_ms| is_applied && *lease_ms > 0)
             }
             Ok(Reply::Redirect { view }) => {
-                self.node.store_client.learn_view(view);
+                self.node.store_client.adopt_view_if_newer(view);
                 self.tail = self.node.store_client.tail_after_failure(&self.tail).await;
                 None
             }
--- a/crates/node/src/gossip.rs
+++ b/crates/node/src/gossip.rs
@@ -127,7 +127,7 @@
     }
 
     /// Notifies the other nodes once more that this one leaves, and waits while the messages are sent.
-    pub async fn announce_leave(self: &Arc<Self>) {
+    pub async fn announce_leave_and_wait(self: &Arc<Self>) {
         self.send_leave();
         seam::sleep(LEAVE_PAUSE).await;
     }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -125,14 +125,14 @@
 /// [`STOP_TIMEOUT_MS`], then the node leaves the cluster.
 async fn shut_down(node: &Arc<Node>) {
     log::info!(target: "node", "stopping: new requests are rejected");
-    node.begin_stop();
+    node.begin_shutdown();
     tokio::time::sleep(READINESS_PROPAGATION_DELAY).await;
     let deadline = now() + STOP_TIMEOUT_MS;
     while now() < deadline && has_work(node) {
         tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
     feed::leave_cluster(node).await;
-    node.gossip.announce_leave().await;
+    node.gossip.announce_leave_and_wait().await;
 }
 
 fn has_work(node: &Node) -> bool {
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -6,7 +6,7 @@
 use crate::Node;
 use quincehatch_metrics::Metric;
 use quincehatch_proxy::direct::{DirectProxy, StatementOutcome};
-use quincehatch_wire::traffic::{CallCounts, call_counts};
+use quincehatch_wire::call_counters::{CallCounts, call_counts};
 use std::sync::atomic::Ordering;
 
 const MS_PER_SECOND: f64 = 1_000.0;
@@ -29,15 +29,16 @@
     let lease = registry.lease_remaining() as f64 / MS_PER_SECOND;
     let view = node.store_client.view();
     vec![
-        Metric::gauge("ready", "1 if the node takes new clients").with(f64::from(u8::from(is_ready))),
-        Metric::gauge("lease_remaining_seconds", "Time until the node's lease ends").with(lease),
+        Metric::gauge("ready", "1 if the node takes new clients").with_value(f64::from(u8::from(is_ready))),
+        Metric::gauge("lease_remaining_seconds", "Time until the node's lease ends").with_value(lease),
         Metric::gauge("change_applied", "Last change of the feed that is in force here")
-            .with(state.number as f64),
+            .with_value(state.number as f64),
         Metric::gauge("configuration_version", "Version of the configuration in force")
-            .with(state.version as f64),
-        Metric::gauge("view_version", "Newest view of the keepers that is known").with(view.version as f64),
+            .with_value(state.version as f64),
+        Metric::gauge("view_version", "Newest view of the keepers that is known")
+            .with_value(view.version as f64),
         Metric::gauge("nodes_live", "Nodes that gossip considers alive, with this one")
-            .with(node.gossip.live_nodes().len() as f64),
+            .with_value(node.gossip.live_nodes().len() as f64),
     ]
 }
 
@@ -54,11 +55,11 @@
     let opens = direct.open_counts.totals();
     let open = direct.open_sessions.load(Ordering::Relaxed) as f64;
     vec![
-        Metric::gauge("sessions_open", "Open direct sessions").with(open),
+        Metric::gauge("sessions_open", "Open direct sessions").with_value(open),
         Metric::gauge("requests_in_flight", "Requests over the client API under way")
-            .with(node.proxy.requests_in_flight.load(Ordering::Relaxed) as f64),
+            .with_value(node.proxy.requests_in_flight.load(Ordering::Relaxed) as f64),
         Metric::gauge("retries_left", "Retries that are left in the budget")
-            .with(node.proxy.retry_budget.left() as f64),
+            .with_value(node.proxy.retry_budget.remaining_retries() as f64),
         statements,
         Metric::counter("server_connections", "Attempts to open connections to servers by how they ended")
             .with_label("result", "opened", opens.opened as f64)
--- a/crates/node/src/metrics/servers.rs
+++ b/crates/node/src/metrics/servers.rs
@@ -26,15 +26,17 @@
             .with_label("state", "healthy", totals.healthy as f64)
             .with_label("state", "ejected", totals.ejected as f64)
             .with_label("state", "probation", totals.probation as f64),
-        Metric::gauge("servers_draining", "Servers that drain").with(totals.draining as f64),
-        Metric::gauge("servers_failing", "Servers whose status probes fail").with(totals.failing as f64),
-        Metric::counter("ejections", "Ejections of servers").with(totals.ejections as f64),
+        Metric::gauge("servers_draining", "Servers that drain").with_value(totals.draining as f64),
+        Metric::gauge("servers_failing", "Servers whose status probes fail")
+            .with_value(totals.failing as f64),
+        Metric::counter("ejections", "Ejections of servers").with_value(totals.ejections as f64),
         Metric::gauge("replies_pending", "Replies that are pending at servers")
-            .with(totals.pending_replies as f64),
+            .with_value(totals.pending_replies as f64),
         Metric::gauge("connections", "Connections to servers")
             .with_label("state", "idle", totals.idle as f64)
             .with_label("state", "checked_out", totals.checked_out as f64),
-        Metric::gauge("connections_queued", "Requests that wait for a connection").with(totals.queued as f64),
+        Metric::gauge("connections_queued", "Requests that wait for a connection")
+            .with_value(totals.queued as f64),
     ]
 }
 
--- a/crates/node/src/metrics/tenants.rs
+++ b/crates/node/src/metrics/tenants.rs
@@ -7,7 +7,7 @@
     let totals = node.proxy.quota.totals();
     vec![
         Metric::gauge("keys_in_force", "Keys of tenants that are in force here")
-            .with(state.tenants.key_count() as f64),
+            .with_value(state.tenants.key_count() as f64),
         Metric::counter(
             "tenant_operations",
             "Operations of tenants that have a limit, by what became of them",
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -57,7 +57,7 @@
     ///
     /// The peers take over its singleton duties at once, because the node no longer performs them while it waits, for
     /// seconds at most, for requests in flight.
-    pub fn begin_stop(&self) {
+    pub fn begin_shutdown(&self) {
         self.proxy.registry.stopping.store(true, Ordering::SeqCst);
         self.gossip.send_leave();
     }
--- a/crates/node/src/peer_service.rs
+++ b/crates/node/src/peer_service.rs
@@ -8,7 +8,7 @@
 use quincehatch_core::ServerHeartbeat;
 use quincehatch_gossip::{GossipAction, NodeQuery, NodeRequest, NodeResponse};
 use quincehatch_runtime::{now, seam};
-use quincehatch_wire::Received;
+use quincehatch_wire::ReceivedRequest;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -89,14 +89,14 @@
 }
 
 /// Handles a frame like [`respond_to_frame`], but synchronously: it probes no server.
-pub fn respond_without_probing(node: &Arc<Node>, frame: &[u8]) -> Option<Vec<u8>> {
+pub fn respond_to_frame_without_probing(node: &Arc<Node>, frame: &[u8]) -> Option<Vec<u8>> {
     let identity = &node.gossip.identity;
-    match quincehatch_wire::receive::<NodeRequest>(identity, frame).ok()? {
-        Received::Request { call, request } => {
+    match quincehatch_wire::decode_request::<NodeRequest>(identity, frame).ok()? {
+        ReceivedRequest::Request { call, request } => {
             let response = handle_request(node, request);
             quincehatch_wire::encode_answer_frame::<NodeRequest>(identity, call, &response).ok()
         }
-        Received::Rejected(frame) => Some(frame),
+        ReceivedRequest::Rejected(frame) => Some(frame),
     }
 }
 
--- a/crates/node/src/promotion/direct/polling.rs
+++ b/crates/node/src/promotion/direct/polling.rs
@@ -74,7 +74,7 @@
         if poll.sent_at == 0 {
             return true;
         }
-        let denied_since = self.status.denied_primary_at.is_some_and(|denied_at| denied_at > poll.sent_at);
+        let denied_since = self.status.not_primary_at.is_some_and(|denied_at| denied_at > poll.sent_at);
         let denies_now = self.is_primary && denied_since;
         let role_in_doubt = denies_now || (self.is_primary && reported_not_primary);
         if self.answered_recently() && !role_in_doubt && now() < poll.sent_at + REPLICA_POLL_INTERVAL {
@@ -124,5 +124,5 @@
 }
 
 fn received(sample: StatusSample) -> ReceivedSample {
-    ReceivedSample { queried_at: sample.asked_at, received: sample.status.received }
+    ReceivedSample { queried_at: sample.requested_at, received: sample.status.received }
 }
--- a/crates/node/src/promotion/direct/probation.rs
+++ b/crates/node/src/promotion/direct/probation.rs
@@ -21,11 +21,11 @@
     node.promotion_state.server_statuses.prune(divisor, exists);
     for server in node.proxy.registry.servers() {
         let interval = PRIMARY_POLL_INTERVAL * divisor;
-        let queried_recently = now() < server.status.lock().unwrap().asked_at + interval;
+        let queried_recently = now() < server.status.lock().unwrap().queried_at + interval;
         if queried_recently || !is_due_for_probation(node, &server) {
             continue;
         }
-        server.status.lock().unwrap().asked_at = now();
+        server.status.lock().unwrap().queried_at = now();
         seam::spawn(probe_for_probation(node.clone(), server));
     }
 }
@@ -48,7 +48,7 @@
     let required = node
         .proxy
         .registry
-        .with_primary_positions(&server.group(), |positions| positions.needed(now(), MAX_STALENESS));
+        .with_primary_positions(&server.group(), |positions| positions.required_at(now(), MAX_STALENESS));
     if required.is_some_and(|required| status.received >= required) {
         let group_health = node.proxy.registry.group_health(&server.group());
         server.health.lock().unwrap().status_succeeded(now(), group_health);
--- a/crates/node/src/promotion/direct/server_calls.rs
+++ b/crates/node/src/promotion/direct/server_calls.rs
@@ -21,19 +21,19 @@
 /// rejected the call.
 pub(super) async fn call(node: &Node, server: &Name, call: ServerCall) -> Option<ServerStatus> {
     let entry = node.proxy.registry.server(server)?;
-    let asked_at = now();
+    let requested_at = now();
     let exchange = exchange(node, &entry, &call);
     let result = seam::timeout(CALL_TIMEOUT, exchange).await;
     match result.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())) {
         Ok(reply) => {
-            entry.note_answer(asked_at);
+            entry.record_answer(requested_at);
             let status = reply.status?;
-            record_status(node, &entry, StatusSample { asked_at, status });
+            record_status(node, &entry, StatusSample { requested_at, status });
             Some(status)
         }
         Err(error) => {
             let refused = matches!(error.kind(), io::ErrorKind::ConnectionRefused);
-            entry.note_failure(asked_at, refused);
+            entry.record_failure(requested_at, refused);
             None
         }
     }
@@ -43,7 +43,7 @@
     let registry = &node.proxy.registry;
     let group = entry.group();
     if sample.status.role == Role::Primary && registry.is_primary(&group, &entry.name) {
-        registry.record_primary_position(&group, sample.asked_at, sample.status.received);
+        registry.record_primary_position(&group, sample.requested_at, sample.status.received);
     }
     node.promotion_state.server_statuses.record(&entry.name, sample);
 }
--- a/crates/node/src/promotion/direct/server_statuses.rs
+++ b/crates/node/src/promotion/direct/server_statuses.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StatusSample {
     /// When the query was sent.
-    pub asked_at: Millis,
+    pub requested_at: Millis,
     /// The status that the server reported.
     pub status: ServerStatus,
 }
@@ -42,7 +42,7 @@
 
     /// Returns the server's latest status if it was queried at `since` or later.
     pub(super) fn latest_since(&self, server: &str, since: Millis) -> Option<StatusSample> {
-        self.latest(server).filter(|sample| sample.asked_at >= since)
+        self.latest(server).filter(|sample| sample.requested_at >= since)
     }
 
     /// Returns the highest term that any of these servers has reported; 0 if none has reported one.
@@ -59,7 +59,7 @@
     /// Records a status unless a later one is already recorded.
     pub(super) fn record(&self, server: &Name, sample: StatusSample) {
         let mut samples = self.samples.lock().unwrap();
-        if samples.get(server).is_none_or(|latest| latest.asked_at <= sample.asked_at) {
+        if samples.get(server).is_none_or(|latest| latest.requested_at <= sample.requested_at) {
             samples.insert(server.clone(), sample);
         }
     }
--- a/crates/node/src/promotion/evidence.rs
+++ b/crates/node/src/promotion/evidence.rs
@@ -26,7 +26,7 @@
     PrimaryObservation {
         server_known: true,
         failing,
-        stalled: health.stalled_for(now()).is_some(),
+        stalled: health.stall_duration(now()).is_some(),
         answering: health.overdue.answered_within(now(), RECENT_REPLY_WINDOW),
     }
 }
@@ -60,8 +60,8 @@
     observation.failing_for = status.failing_since.map(|since| now().saturating_sub(since));
     observation.connection_refused = status.refused;
     observation.draining = primary.is_draining();
-    let reported = node.promotion_state.suspected_for(group, &primary.name);
-    let measured = primary.health.lock().unwrap().stalled_for(now());
+    let reported = node.promotion_state.reported_stall_duration(group, &primary.name);
+    let measured = primary.health.lock().unwrap().stall_duration(now());
     observation.stalled_for = reported.max(measured);
     status
 }
--- a/crates/node/src/promotion/state.rs
+++ b/crates/node/src/promotion/state.rs
@@ -58,7 +58,7 @@
     }
 
     /// For how long other nodes have reported that the server stalls; `None` if there is no recent report.
-    pub fn suspected_for(&self, group: &Name, server: &Name) -> Option<Millis> {
+    pub fn reported_stall_duration(&self, group: &Name, server: &Name) -> Option<Millis> {
         self.suspicions.age(group, server)
     }
 
--- a/crates/node/src/settings_watch.rs
+++ b/crates/node/src/settings_watch.rs
@@ -1,5 +1,5 @@
 //! Waits for the stop signal; meanwhile reloads the settings file when it changes.
-use crate::arguments::{reread, settings_path};
+use crate::arguments::{reload_settings, settings_path};
 use quincehatch_config::settings::NodeSettings;
 use quincehatch_runtime::logging::LogHandle;
 use quincehatch_runtime::signals::{ProcessSignal, ProcessSignals};
@@ -35,7 +35,7 @@
 }
 
 fn reload(in_force: &mut NodeSettings, log: &LogHandle) {
-    let changed = match reread() {
+    let changed = match reload_settings() {
         Ok(Some(settings)) => settings,
         Ok(None) => return,
         Err(error) => {
--- a/crates/node/src/settlement.rs
+++ b/crates/node/src/settlement.rs
@@ -57,7 +57,7 @@
     match node.store_client.call(&tail, request, Duration::from_millis(SETTLE_TIMEOUT_MS)).await {
         Ok(Reply::QuotaGranted { settlement }) => Some(settlement),
         Ok(Reply::Redirect { view }) => {
-            node.store_client.learn_view(view);
+            node.store_client.adopt_view_if_newer(view);
             None
         }
         _ => None,
--- a/crates/node/src/store_client/read.rs
+++ b/crates/node/src/store_client/read.rs
@@ -41,7 +41,7 @@
             let attempt_timeout_ms = deadline.saturating_sub(sent_at).clamp(1, MAX_ATTEMPT_MS);
             let tail = self.tail_address();
             match self.call(&tail, request.clone(), Duration::from_millis(attempt_timeout_ms)).await {
-                Ok(Reply::Redirect { view }) => self.learn_view(view),
+                Ok(Reply::Redirect { view }) => self.adopt_view_if_newer(view),
                 Ok(Reply::Rejected { .. }) | Err(_) => {}
                 // After a suspension of this process the answer and the expired timeout are seen together; the answer
                 // may be stale, so it is discarded.
--- a/crates/node/src/store_client/view.rs
+++ b/crates/node/src/store_client/view.rs
@@ -17,7 +17,7 @@
     }
 
     /// Replaces the known view if the given one is newer.
-    pub fn learn_view(&self, view: View) {
+    pub fn adopt_view_if_newer(&self, view: View) {
         let mut known = self.view.lock().unwrap();
         if view.version > known.version {
             *known = view;
@@ -55,7 +55,7 @@
     /// Requests the view of one keeper, and adopts it if it is newer.
     pub async fn refresh_view_from(&self, addr: &str) {
         if let Ok(Reply::Redirect { view }) = self.call(addr, Request::CurrentView, VIEW_TIMEOUT).await {
-            self.learn_view(view);
+            self.adopt_view_if_newer(view);
         }
     }
 
--- a/crates/node/src/store_client/write.rs
+++ b/crates/node/src/store_client/write.rs
@@ -55,7 +55,7 @@
             Ok(Reply::Answer { answer: Answer::Rejected(error), .. }) => Attempt::Answered(Err(error)),
             Ok(Reply::Answer { answer, .. }) => Attempt::Answered(Ok(answer)),
             Ok(Reply::Redirect { view }) => {
-                self.learn_view(view);
+                self.adopt_view_if_newer(view);
                 if self.head_address() == head {
                     self.refresh_view().await;
                 }
--- a/crates/node/tests/stopping.rs
+++ b/crates/node/tests/stopping.rs
@@ -45,6 +45,6 @@
 async fn peers_no_longer_consider_a_node_live_once_it_begins_to_stop() {
     let node = Node::new(&settings());
     assert_eq!(live_at_peer(&node), ["n1", "n2"].map(Name::from));
-    node.begin_stop();
+    node.begin_shutdown();
     assert_eq!(live_at_peer(&node), [Name::from("n2")]);
 }
--- a/crates/node/tests/store_client_calls.rs
+++ b/crates/node/tests/store_client_calls.rs
@@ -2,7 +2,9 @@
 use quincehatch_core::{Error, ErrorCode, Name, Outcome};
 use quincehatch_node::store_client::StoreClient;
 use quincehatch_store::{KeeperRequest, KeeperResponse, KeeperStatus, Reply, Request, View, Voter};
-use quincehatch_wire::{Identity, Incoming, RequestHeader, encode_answer_frame, read_frame, write_frame};
+use quincehatch_wire::{
+    Identity, IncomingFrame, RequestHeader, encode_answer_frame, read_frame, write_frame,
+};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -35,7 +37,7 @@
 async fn answer_status_only(mut stream: TcpStream, name: &str, addr: String, received: ReceivedRequests) {
     let identity = Identity::with_incarnation(name, 1);
     while let Ok(frame) = read_frame(&mut stream).await {
-        let (header, message) = Incoming::parse(&frame).unwrap().header::<RequestHeader>().unwrap();
+        let (header, message) = IncomingFrame::parse(&frame).unwrap().header::<RequestHeader>().unwrap();
         let kind = match parse_request(message) {
             Request::Status => "status",
             Request::ChangeVoters { .. } => "voters",
@@ -91,7 +93,7 @@
 async fn an_answer_is_rejected_when_it_comes_from_another_keeper() {
     let (addr, _) = start_keeper("k2").await;
     let client = StoreClient::new("n1", std::slice::from_ref(&addr));
-    client.learn_view(view_with_keeper_at(&addr));
+    client.adopt_view_if_newer(view_with_keeper_at(&addr));
     // A status request accepts the answer of any keeper.
     assert!(call(&client, &addr, Request::Status).await.is_ok());
     assert!(call(&client, &addr, Request::ReadStore).await.is_err());
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -122,7 +122,7 @@
             drop(attempt);
             let _ = sender.send(AttemptOutcome::ConnectionFailed(error));
         }
-        None => server.health.lock().unwrap().overdue.forget(attempt.id),
+        None => server.health.lock().unwrap().overdue.discard(attempt.id),
     }
 }
 
@@ -141,7 +141,7 @@
     if let Ok(result) = seam::select_first(&mut reply_future, sender.closed()).await {
         return ExchangeEnd { result: Some(result), was_abandoned: false };
     }
-    closed_by_us.mark();
+    closed_by_us.mark_local_close();
     services.spawner.spawn(cancel(id, addr));
     let time_left = Duration::from_millis(attempt.pending.query_timeout + ABANDONED_EXTRA);
     let result = seam::timeout(time_left, &mut reply_future).await.ok();
@@ -172,7 +172,7 @@
         health.overdue.record_answer(now(), attempt.id);
     } else {
         // Ending a cancelled query requires no storage access, so it proves nothing.
-        health.overdue.forget(attempt.id);
+        health.overdue.discard(attempt.id);
     }
 }
 
--- a/crates/proxy/src/direct/begin.rs
+++ b/crates/proxy/src/direct/begin.rs
@@ -150,7 +150,7 @@
         }
         let reason = reject_reason(&reply).unwrap_or(RejectReason::Other);
         if reason == RejectReason::NotPrimary && target.is_primary() {
-            server.note_not_primary(now());
+            server.record_not_primary(now());
         }
         BeginAttempt::Retry(rejection_error(reason))
     }
--- a/crates/proxy/src/direct/check_out.rs
+++ b/crates/proxy/src/direct/check_out.rs
@@ -139,7 +139,7 @@
     });
     match seam::timeout(Duration::from_millis(OPEN_TIMEOUT), opening).await {
         Ok(Ok(Ok(opened))) => {
-            server.note_answer(started_at);
+            server.record_answer(started_at);
             direct.open_counts.record_opened();
             server.direct_pool.record_connection_opened();
             Ok(Connection::new(opened.connection, tenant.cloned()))
@@ -151,7 +151,7 @@
         }
         Err(_) => {
             direct.open_counts.record_failed();
-            server.note_failure(started_at, false);
+            server.record_failure(started_at, false);
             add_evidence(direct, server, HealthSignal::Unresponsive);
             Err(CheckoutError::Broke)
         }
@@ -177,7 +177,7 @@
         }
         _ => {
             // Another server has taken over the address.
-            server.note_failure(started_at, true);
+            server.record_failure(started_at, true);
             add_evidence(direct, server, HealthSignal::Reset);
             CheckoutError::Broke
         }
@@ -186,7 +186,7 @@
 
 fn record_open_error(direct: &DirectProxy, server: &ServerEntry, started_at: Millis, error: &io::Error) {
     direct.open_counts.record_failed();
-    server.note_failure(started_at, error.kind() == io::ErrorKind::ConnectionRefused);
+    server.record_failure(started_at, error.kind() == io::ErrorKind::ConnectionRefused);
     let health_settings = direct.proxy.health_settings();
     let end = classify_end(error, server.connection_usage(true));
     server.health.lock().unwrap().connection_ended(now(), &health_settings, end);
--- a/crates/proxy/src/direct/monitored_call.rs
+++ b/crates/proxy/src/direct/monitored_call.rs
@@ -78,7 +78,7 @@
         }
         let settings = self.direct.proxy.health_settings();
         self.server.health.lock().unwrap().request_succeeded(now(), &settings, call_id);
-        self.server.note_answer(sent_at);
+        self.server.record_answer(sent_at);
     }
 
     fn record_error(&self, sent_at: Millis, call_id: u64, error: &io::Error) {
@@ -89,11 +89,11 @@
         };
         let settings = self.direct.proxy.health_settings();
         let mut health = self.server.health.lock().unwrap();
-        health.overdue.forget(call_id);
+        health.overdue.discard(call_id);
         health.connection_ended(now(), &settings, end);
         drop(health);
         if end != ConnectionEnd::Graceful {
-            self.server.note_failure(sent_at, false);
+            self.server.record_failure(sent_at, false);
         }
     }
 
@@ -102,7 +102,7 @@
     fn record_timeout(&self, sent_at: Millis, call_id: u64) {
         let settings = self.direct.proxy.health_settings();
         self.server.health.lock().unwrap().probation_failed(now(), &settings, call_id);
-        self.server.note_failure(sent_at, false);
+        self.server.record_failure(sent_at, false);
     }
 }
 
@@ -122,7 +122,7 @@
 impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
         if self.armed {
-            self.server.health.lock().unwrap().overdue.forget(self.call_id);
+            self.server.health.lock().unwrap().overdue.discard(self.call_id);
         }
     }
 }
--- a/crates/proxy/src/direct/primary_statement.rs
+++ b/crates/proxy/src/direct/primary_statement.rs
@@ -112,7 +112,7 @@
 ) -> Attempt {
     if let Some(reason) = reject_reason(&reply).filter(|reason| was_not_run(*reason)) {
         if reason == RejectReason::NotPrimary {
-            server.note_not_primary(now());
+            server.record_not_primary(now());
         }
         return Attempt::Rejected(rejection_error(reason));
     }
--- a/crates/proxy/src/direct/server_choice.rs
+++ b/crates/proxy/src/direct/server_choice.rs
@@ -30,7 +30,7 @@
     if !may_use_primary(registry) {
         return None;
     }
-    registry.server(&primary).filter(|server| !server.past_drain_grace())
+    registry.server(&primary).filter(|server| !server.is_past_drain_grace())
 }
 
 /// Returns the fence under which this server is the primary now; `None` if it is not, or if this node has no lease.
@@ -51,7 +51,7 @@
     group: &str,
     server: &ServerEntry,
 ) -> Option<FencingToken> {
-    fence_if_primary(direct, group, server).filter(|_| !server.past_drain_grace())
+    fence_if_primary(direct, group, server).filter(|_| !server.is_past_drain_grace())
 }
 
 /// Returns the group's primary. While a new primary is being promoted the caller is queued, at most until `deadline`.
@@ -120,7 +120,7 @@
     allow_probation: bool,
 ) -> Option<ReadTarget> {
     let registry = &direct.proxy.registry;
-    let floor = registry.needed_position(&route.group, route.max_staleness);
+    let floor = registry.required_position(&route.group, route.max_staleness);
     if floor.is_some() {
         let replicas = replicas_of(registry, route, tried);
         if let Some(server) = choose_replica(direct, &replicas, allow_probation) {
--- a/crates/proxy/src/direct/single_statement.rs
+++ b/crates/proxy/src/direct/single_statement.rs
@@ -9,7 +9,7 @@
 
 /// Runs one statement on the servers that its route allows. Reads are hedged.
 pub(super) async fn run_single(run: SingleStatement<'_>) -> StatementResponse {
-    run.direct.proxy.retry_budget.earn();
+    run.direct.proxy.retry_budget.add_request_credit();
     if run.statement.write {
         return run_on_primary(run).await;
     }
--- a/crates/proxy/src/health/overdue_replies.rs
+++ b/crates/proxy/src/health/overdue_replies.rs
@@ -93,8 +93,8 @@
         Some(now.saturating_sub(answered_request.sent_at))
     }
 
-    /// Forgets request `id`, whose connection has ended. This is no evidence of the server's health.
-    pub fn forget(&mut self, id: u64) {
+    /// Discards the pending request `id`, whose connection has ended. This is no evidence of the server's health.
+    pub fn discard(&mut self, id: u64) {
         self.pending.remove(&id);
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Whether a reply is past its query timeout and no request was answered since it was sent.
-    pub fn silent_past_query_timeout(&self, now: Millis) -> bool {
+    pub fn has_unanswered_overdue_reply(&self, now: Millis) -> bool {
         self.pending.values().any(|pending| now >= pending.overdue_at && self.last_answer <= pending.sent_at)
     }
 
--- a/crates/proxy/src/health/probe.rs
+++ b/crates/proxy/src/health/probe.rs
@@ -109,7 +109,9 @@
             connection.take().filter(|previous| previous.addr == addr && !previous.http.is_closed());
         let mut http = match reusable {
             Some(previous) => previous.http,
-            None => HttpConnection::open_watched(&addr, None, server.on_disconnect()).await?,
+            None => {
+                HttpConnection::open_with_disconnect_callback(&addr, None, server.on_disconnect()).await?
+            }
         };
         let (_, body) = http.call(&call).await?;
         *connection = Some(ProbeConnection { http, addr });
@@ -125,7 +127,7 @@
     }
     {
         let mut record = server.status.lock().unwrap();
-        record.asked_at = sent_at;
+        record.queried_at = sent_at;
         record.answered_at = now();
         record.failing_since = None;
         record.refused = false;
@@ -150,8 +152,8 @@
 }
 
 fn begin_probation_if_fresh(registry: &Registry, server: &ServerEntry, status: &Status) {
-    let needed = registry.needed_position(&server.group(), PROBATION_MAX_STALENESS);
-    let is_fresh = needed.is_some_and(|position| status.stamp.position >= position);
+    let required = registry.required_position(&server.group(), PROBATION_MAX_STALENESS);
+    let is_fresh = required.is_some_and(|position| status.stamp.position >= position);
     if !is_fresh || server.health.lock().unwrap().state != HealthState::Ejected {
         return;
     }
@@ -168,7 +170,7 @@
 fn record_failure(registry: &Registry, server: &ServerEntry, error: &io::Error, sent_at: Millis) {
     {
         let mut record = server.status.lock().unwrap();
-        record.asked_at = sent_at;
+        record.queried_at = sent_at;
         record.failing_since = record.failing_since.or(Some(sent_at));
         record.refused = error.kind() == io::ErrorKind::ConnectionRefused;
     }
--- a/crates/proxy/src/health/state.rs
+++ b/crates/proxy/src/health/state.rs
@@ -162,7 +162,7 @@
     }
 
     /// Returns for how long the server has stalled. Any answer ends a stall.
-    pub fn stalled_for(&self, now: Millis) -> Option<Millis> {
+    pub fn stall_duration(&self, now: Millis) -> Option<Millis> {
         let stall = self.stall?;
         let is_recent = now < stall.last_detected + STALL_RETENTION;
         if !is_recent || self.overdue.answered_since(stall.first_detected) {
@@ -175,7 +175,7 @@
     pub fn tick(&mut self, now: Millis, settings: &HealthSettings) {
         // A reply that was lost on the network becomes overdue long after the server answered other requests; that is
         // not a stall.
-        let is_silent = self.overdue.silent_past_query_timeout(now);
+        let is_silent = self.overdue.has_unanswered_overdue_reply(now);
         for finding in self.overdue.tick(now) {
             let is_stall = match finding {
                 OverdueFinding::Stall => true,
@@ -183,7 +183,7 @@
                 OverdueFinding::Late => false,
             };
             if is_stall {
-                let first_detected = self.stalled_for(now).map_or(now, |duration| now - duration);
+                let first_detected = self.stall_duration(now).map_or(now, |duration| now - duration);
                 self.stall = Some(Stall { first_detected, last_detected: now });
             }
             let signal = match finding {
@@ -228,7 +228,7 @@
 
     /// Records that attempt `id` was abandoned for a reason that says nothing about the server's health.
     pub fn request_inconclusive(&mut self, id: u64) {
-        self.overdue.forget(id);
+        self.overdue.discard(id);
         if self.probation_request == Some(id) {
             self.probation_request = None;
         }
--- a/crates/proxy/src/pool/connection.rs
+++ b/crates/proxy/src/pool/connection.rs
@@ -50,7 +50,9 @@
 impl Connection {
     /// Opens a connection. `on_disconnect` is called if the connection ends while it is idle.
     pub async fn open(target: ConnectTarget<'_>, on_disconnect: OnDisconnect) -> std::io::Result<Connection> {
-        let http = HttpConnection::open_watched(target.addr, Some(target.keepalive), on_disconnect).await?;
+        let http =
+            HttpConnection::open_with_disconnect_callback(target.addr, Some(target.keepalive), on_disconnect)
+                .await?;
         let number = NEXT_CONNECTION.fetch_add(1, Ordering::Relaxed);
         let id = format!("{}/{}/{number}", target.node, std::process::id()).into();
         Ok(Connection {
--- a/crates/proxy/src/read/attempts.rs
+++ b/crates/proxy/src/read/attempts.rs
@@ -96,8 +96,8 @@
             return Err(self.last_error.clone().with_retry_after(RETRY_AFTER));
         }
         // No server is tried again before an answer can be proved fresh.
-        let needed = services.registry.needed_position(&request.group, self.route.max_staleness_ms);
-        if needed.is_some() {
+        let required = services.registry.required_position(&request.group, self.route.max_staleness_ms);
+        if required.is_some() {
             self.tried.clear();
         }
         seam::sleep(ROUND_PAUSE).await;
--- a/crates/proxy/src/read/freshness.rs
+++ b/crates/proxy/src/read/freshness.rs
@@ -37,6 +37,6 @@
         let is_late = now() > queried.sent_at + max_staleness.saturating_sub(staleness::MARGIN);
         return !is_late && stamp.role == Role::Primary && is_assigned_primary;
     }
-    let needed = registry.needed_position(&group, max_staleness);
-    needed.is_some_and(|position| stamp.position >= position)
+    let required = registry.required_position(&group, max_staleness);
+    required.is_some_and(|position| stamp.position >= position)
 }
--- a/crates/proxy/src/read/mod.rs
+++ b/crates/proxy/src/read/mod.rs
@@ -13,7 +13,7 @@
 /// Runs a read on any server that is fresh enough.
 pub async fn read(services: &Arc<Services>, request: &mut ClientRequest) -> RequestResult {
     let mut attempts = ReadAttempts::new(request)?;
-    services.retry_budget.earn();
+    services.retry_budget.add_request_credit();
     while request.time_left() > 0 {
         let attempt_id = services.next_request_id();
         let Some(choice) = attempts.choose(services, request, attempt_id) else {
--- a/crates/proxy/src/retry_budget.rs
+++ b/crates/proxy/src/retry_budget.rs
@@ -23,7 +23,7 @@
 
 impl RetryBudget {
     /// Adds the credit for one request.
-    pub fn earn(&self) {
+    pub fn add_request_credit(&self) {
         let add_one = |credit: u64| Some((credit + 1).min(MAX_CREDIT));
         let _ = self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, add_one);
     }
@@ -35,7 +35,7 @@
     }
 
     /// Returns the number of retries that are left.
-    pub fn left(&self) -> u64 {
+    pub fn remaining_retries(&self) -> u64 {
         self.0.load(Ordering::Relaxed) / REQUESTS_PER_RETRY
     }
 }
--- a/crates/proxy/src/routing/registry.rs
+++ b/crates/proxy/src/routing/registry.rs
@@ -194,20 +194,20 @@
 
 /// The observed positions of primaries, and the acknowledged positions.
 impl Registry {
-    /// Records that the group's primary was observed at `position` by a request that was sent at `asked_at`.
+    /// Records that the group's primary was observed at `position` by a request that was sent at `queried_at`.
     ///
     /// The observation stays valid when another server has become primary: no other server acknowledges a commit while
     /// this node holds its lease and has not applied the change. Without a lease another one may, so the observation is
     /// ignored.
-    pub fn record_primary_position(&self, group: &str, asked_at: Millis, position: Position) {
+    pub fn record_primary_position(&self, group: &str, queried_at: Millis, position: Position) {
         if self.has_lease() {
-            self.with_primary_positions(group, |positions| positions.record(asked_at, position));
+            self.with_primary_positions(group, |positions| positions.record(queried_at, position));
         }
     }
 
     /// Returns the lowest position that proves a read of the group to be at most `max_staleness` behind.
-    pub fn needed_position(&self, group: &str, max_staleness: Millis) -> Option<Position> {
-        self.with_primary_positions(group, |positions| positions.needed(now(), max_staleness))
+    pub fn required_position(&self, group: &str, max_staleness: Millis) -> Option<Position> {
+        self.with_primary_positions(group, |positions| positions.required_at(now(), max_staleness))
     }
 
     /// Calls `access` with the observed positions of the group's primary.
--- a/crates/proxy/src/routing/server_entry.rs
+++ b/crates/proxy/src/routing/server_entry.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct StatusRecord {
     /// When the last request was sent.
-    pub asked_at: Millis,
+    pub queried_at: Millis,
     /// When the last answer was received.
     pub answered_at: Millis,
     /// The time since which STATUS has failed.
@@ -53,7 +53,7 @@
     /// The time since which the server has been draining.
     pub draining_since: Option<Millis>,
     /// When the server last reported that it is not the primary.
-    pub denied_primary_at: Option<Millis>,
+    pub not_primary_at: Option<Millis>,
     /// The boot and the fence under which the server last reported that it is primary and shows its complete log.
     pub complete_log_incarnation: Option<(u64, FencingToken)>,
 }
@@ -147,33 +147,33 @@
     }
 
     /// Whether this node has known for so long that the server drains that the server gets no new work even as primary.
-    pub fn past_drain_grace(&self) -> bool {
+    pub fn is_past_drain_grace(&self) -> bool {
         let draining_since = self.status.lock().unwrap().draining_since;
         draining_since.is_some_and(|since| now() >= since + DRAIN_GRACE)
     }
 
     /// Records that the server rejected a request because it is not the primary. The node that manages the group reads
     /// this.
-    pub fn note_not_primary(&self, at: Millis) {
-        self.status.lock().unwrap().denied_primary_at = Some(at);
+    pub fn record_not_primary(&self, at: Millis) {
+        self.status.lock().unwrap().not_primary_at = Some(at);
     }
 
-    /// Records that the server answered a request that was sent at `asked_at`.
-    pub fn note_answer(&self, asked_at: Millis) {
+    /// Records that the server answered a request that was sent at `queried_at`.
+    pub fn record_answer(&self, queried_at: Millis) {
         let mut status = self.status.lock().unwrap();
-        status.asked_at = status.asked_at.max(asked_at);
+        status.queried_at = status.queried_at.max(queried_at);
         status.answered_at = now();
         status.failing_since = None;
         status.refused = false;
     }
 
-    /// Records that the server did not answer a request that was sent at `asked_at`, or that the connection was
+    /// Records that the server did not answer a request that was sent at `queried_at`, or that the connection was
     /// refused. A later answer takes precedence.
-    pub fn note_failure(&self, asked_at: Millis, refused: bool) {
+    pub fn record_failure(&self, queried_at: Millis, refused: bool) {
         let mut status = self.status.lock().unwrap();
-        if asked_at >= status.answered_at {
-            status.asked_at = status.asked_at.max(asked_at);
-            status.failing_since = status.failing_since.or(Some(asked_at));
+        if queried_at >= status.answered_at {
+            status.queried_at = status.queried_at.max(queried_at);
+            status.failing_since = status.failing_since.or(Some(queried_at));
             status.refused = refused;
         }
     }
--- a/crates/proxy/src/staleness/primary_positions.rs
+++ b/crates/proxy/src/staleness/primary_positions.rs
@@ -51,7 +51,7 @@
 
     /// Returns the lowest position that proves a read at `now` to be at most `max_staleness` behind, or `None` if the
     /// primary was not observed recently enough.
-    pub fn needed(&mut self, now: Millis, max_staleness: Millis) -> Option<Position> {
+    pub fn required_at(&mut self, now: Millis, max_staleness: Millis) -> Option<Position> {
         let oldest = now.saturating_sub(max_staleness.saturating_sub(MARGIN));
         while self.observations.front().is_some_and(|first| first.sent_at + MAX_AGE < now) {
             self.observations.pop_front();
--- a/crates/proxy/tests/direct_connections.rs
+++ b/crates/proxy/tests/direct_connections.rs
@@ -55,7 +55,7 @@
     fixture.direct.proxy.registry.record_primary_position("g1", now(), Default::default());
     let mut session = fixture.session("lookups").await;
     for server in ["s2", "s3"] {
-        (0..4).for_each(|_| fixture.direct.proxy.retry_budget.earn());
+        (0..4).for_each(|_| fixture.direct.proxy.retry_budget.add_request_credit());
         fixture.inject(server, Fault::NoReply);
         let response = execute(&mut session, read("x")).await;
         assert!(response.result.is_ok(), "{response:?}");
--- a/crates/proxy/tests/stall.rs
+++ b/crates/proxy/tests/stall.rs
@@ -22,7 +22,7 @@
     health.request_succeeded(210, &settings, 2);
     health.tick(30_100, &settings);
     assert_eq!(health.state, HealthState::Ejected);
-    assert_eq!(health.stalled_for(32_000), None);
+    assert_eq!(health.stall_duration(32_000), None);
 }
 
 #[test]
@@ -31,5 +31,5 @@
     let mut health = Health::default();
     health.overdue.record_sent(100, 1, pending_reply(true));
     health.tick(30_100, &settings);
-    assert_eq!(health.stalled_for(32_000), Some(1_900));
+    assert_eq!(health.stall_duration(32_000), Some(1_900));
 }
--- a/crates/simulator/src/control/keeper_requests.rs
+++ b/crates/simulator/src/control/keeper_requests.rs
@@ -7,7 +7,7 @@
 use quincehatch_runtime::seam::BoxFuture;
 use quincehatch_store::keeper::Input;
 use quincehatch_store::{KeeperRequest, KeeperResponse, Reply, Request};
-use quincehatch_wire::{Identity, Received};
+use quincehatch_wire::{Identity, ReceivedRequest};
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
@@ -15,10 +15,12 @@
 pub fn listen(cluster: &Arc<Cluster>, process: &Process, address: &Name, pid: ProcessId, identity: Identity) {
     let process = process.clone();
     let on_frame = move |bytes: Vec<u8>| {
-        let received = quincehatch_wire::receive::<KeeperRequest>(&identity, &bytes);
+        let received = quincehatch_wire::decode_request::<KeeperRequest>(&identity, &bytes);
         let (call, waiting) = match received {
-            Ok(Received::Request { call, request }) => (call, submit(&process, request)),
-            Ok(Received::Rejected(frame)) => return Box::pin(async { Some(frame) }) as BoxFuture<'static, _>,
+            Ok(ReceivedRequest::Request { call, request }) => (call, submit(&process, request)),
+            Ok(ReceivedRequest::Rejected(frame)) => {
+                return Box::pin(async { Some(frame) }) as BoxFuture<'static, _>;
+            }
             Err(_) => return Box::pin(async { None }) as BoxFuture<'static, _>,
         };
         let identity = identity.clone();
--- a/crates/simulator/src/control/node.rs
+++ b/crates/simulator/src/control/node.rs
@@ -104,7 +104,7 @@
                 }
             }
             Ok(Reply::Redirect { view }) => {
-                self.store_client.learn_view(view);
+                self.store_client.adopt_view_if_newer(view);
                 return self.store_client.tail_after_failure(&to).await;
             }
             Ok(Reply::NotEnrolled) => self.enrolled = 0,
--- a/crates/simulator/src/fleet/keeper.rs
+++ b/crates/simulator/src/fleet/keeper.rs
@@ -13,7 +13,7 @@
 use quincehatch_store::{
     FeedSnapshot, Keeper, KeeperRequest, KeeperResponse, PackedSnapshot, PeerMessage, Reply, Request,
 };
-use quincehatch_wire::{Identity, Received};
+use quincehatch_wire::{Identity, ReceivedRequest};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -102,9 +102,11 @@
     }
 
     fn answer_frame(&self, bytes: &[u8]) -> BoxFuture<'static, Option<Vec<u8>>> {
-        let (call, request) = match quincehatch_wire::receive::<KeeperRequest>(&self.identity, bytes) {
-            Ok(Received::Request { call, request: KeeperRequest::Node { request } }) => (call, request),
-            Ok(Received::Rejected(frame)) => return Box::pin(async { Some(frame) }),
+        let (call, request) = match quincehatch_wire::decode_request::<KeeperRequest>(&self.identity, bytes) {
+            Ok(ReceivedRequest::Request { call, request: KeeperRequest::Node { request } }) => {
+                (call, request)
+            }
+            Ok(ReceivedRequest::Rejected(frame)) => return Box::pin(async { Some(frame) }),
             _ => return Box::pin(async { None }),
         };
         let waiting = self.submit(request);
--- a/crates/simulator/src/fleet/setup.rs
+++ b/crates/simulator/src/fleet/setup.rs
@@ -95,7 +95,7 @@
     simulation.listen_http(&settings.operator_listener, pid, on_operator_request, Arc::new(|_| ()));
     let shared = node.clone();
     let on_gossip = move |bytes: Vec<u8>| {
-        let reply = peer_service::respond_without_probing(&shared, &bytes);
+        let reply = peer_service::respond_to_frame_without_probing(&shared, &bytes);
         Box::pin(async move { reply }) as BoxFuture<'_, _>
     };
     simulation.listen_frames(&settings.gossip_listener, pid, Arc::new(on_gossip));
--- a/crates/store/src/limits.rs
+++ b/crates/store/src/limits.rs
@@ -1,5 +1,5 @@
 //! Limits on the data that a keeper retains in memory, writes between snapshots and sends in one message.
-use quincehatch_wire::FRAME_MAX;
+use quincehatch_wire::MAX_FRAME_BYTES;
 
 /// Number of entries that are retained in memory for lagging members and for the feeds of nodes. Members and nodes that
 /// lag further behind receive a snapshot.
@@ -15,4 +15,4 @@
 pub const TRANSFER_MAX_BYTES: usize = 256 << 10;
 
 // A message with that many bytes, including its other fields, must be far below the maximum frame length.
-const _: () = assert!(TRANSFER_MAX_BYTES < FRAME_MAX / 8);
+const _: () = assert!(TRANSFER_MAX_BYTES < MAX_FRAME_BYTES / 8);
--- a/crates/testbed/tests/kit/mod.rs
+++ b/crates/testbed/tests/kit/mod.rs
@@ -92,7 +92,7 @@
         tokio::spawn(probe::run_status_probes(node.registry.clone(), node.spawner().clone()));
         let k = Kit { node, stands };
         k.until("all to be up and fresh", || {
-            let seen = k.node.registry.with_primary_positions("g1", |s| s.needed(now(), 1_500));
+            let seen = k.node.registry.with_primary_positions("g1", |s| s.required_at(now(), 1_500));
             let end = k.stands[0].log_end();
             let up = k.node.registry.servers().iter().all(|r| r.status.lock().unwrap().answered_at > 0);
             up && seen == Some(end) && k.stands.iter().all(|s| s.stamp().position == end)
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -1,9 +1,9 @@
 //! The client side of calls: one request at a time on a connection.
 use crate::connection::{Connection, Connector, IdleConnections, Tcp};
 use crate::frame::{
-    AnswerHeader, FrameKind, Incoming, RequestHeader, encode, invalid_data, read_frame, write_frame,
+    AnswerHeader, FrameKind, IncomingFrame, RequestHeader, encode, invalid_data, read_frame, write_frame,
 };
-use crate::{Call, CallError, Destination, Identity, ProcessId, RetrySafety, traffic};
+use crate::{Call, CallError, Destination, Identity, ProcessId, RetrySafety, call_counters};
 use compact_str::format_compact;
 use quincehatch_runtime::seam::{self, World};
 use std::io;
@@ -76,13 +76,13 @@
     /// Creates a caller that identifies itself as `identity`. It calls over TCP, or within the simulator over the
     /// simulated network.
     pub fn new(identity: Identity) -> Arc<Caller> {
-        Caller::over(identity, Tcp)
+        Caller::with_connector(identity, Tcp)
     }
 }
 
 impl<C: Connector> Caller<C> {
     /// Creates a caller whose connections are opened by `connector`.
-    pub fn over(identity: Identity, connector: C) -> Arc<Caller<C>> {
+    pub fn with_connector(identity: Identity, connector: C) -> Arc<Caller<C>> {
         let next_call = AtomicU16::new(0);
         Arc::new(Caller { identity, connector, next_call, idle: IdleConnections::default() })
     }
@@ -125,7 +125,7 @@
         let addr = outgoing.to.addr;
         let connect_error = |error: io::Error| CallError::NotSent(format_compact!("{addr}: {error}"));
         let stream = self.connector.connect(addr).await.map_err(connect_error)?;
-        traffic::count(outgoing.request.kind(), |counts| counts.connections += 1);
+        call_counters::count(outgoing.request.kind(), |counts| counts.connections += 1);
         self.attempt(Connection { stream, peer: None }, outgoing).await
     }
 
@@ -147,12 +147,12 @@
             outgoing.progress.set_written(false);
             return Err(outgoing.error(error));
         }
-        traffic::count(kind, |counts| {
+        call_counters::count(kind, |counts| {
             counts.requests += 1;
             counts.request_bytes += frame.bytes.len() as u64;
         });
         let bytes = read_frame(&mut connection.stream).await.map_err(call_error)?;
-        traffic::count(kind, |counts| {
+        call_counters::count(kind, |counts| {
             counts.answers += 1;
             counts.answer_bytes += bytes.len() as u64;
         });
@@ -197,7 +197,7 @@
 
 /// Decodes a frame that must be the answer to `call`, or the rejection of it.
 fn decode_answer<Q: Call>(frame: &[u8], call: u16) -> io::Result<ReceivedAnswer<Q::Answer>> {
-    let incoming = Incoming::parse(frame)?;
+    let incoming = IncomingFrame::parse(frame)?;
     let kind = incoming.kind;
     let (header, message) = incoming.header::<AnswerHeader>()?;
     if header.call != call {
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -5,7 +5,7 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
 /// The longest frame accepted, in bytes; a longer one ends the connection.
-pub const FRAME_MAX: usize = 4 << 20;
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
 /// Bytes of the length before each frame.
 pub const LENGTH_BYTES: usize = 3;
 /// Bytes of a request before its message: version and kind, then the header.
@@ -77,20 +77,20 @@
 
 /// A received frame whose header and message are not decoded yet.
 #[derive(Debug)]
-pub struct Incoming<'a> {
+pub struct IncomingFrame<'a> {
     /// The kind of the frame.
     pub kind: FrameKind,
     rest: &'a [u8],
 }
 
-impl<'a> Incoming<'a> {
+impl<'a> IncomingFrame<'a> {
     /// Reads the first byte of a frame.
     ///
     /// # Errors
     /// `InvalidData` for an empty frame, another protocol version or an unknown kind.
-    pub fn parse(frame: &'a [u8]) -> io::Result<Incoming<'a>> {
+    pub fn parse(frame: &'a [u8]) -> io::Result<IncomingFrame<'a>> {
         let (first, rest) = frame.split_first().ok_or_else(|| invalid_data("an empty frame"))?;
-        Ok(Incoming { kind: FrameKind::from_byte(*first)?, rest })
+        Ok(IncomingFrame { kind: FrameKind::from_byte(*first)?, rest })
     }
 
     /// Decodes the header; returns it with the bytes of the message.
@@ -106,7 +106,7 @@
 /// Encodes a frame, without the length that precedes it on a stream.
 ///
 /// # Errors
-/// `InvalidData` when the frame would be longer than [`FRAME_MAX`].
+/// `InvalidData` when the frame would be longer than [`MAX_FRAME_BYTES`].
 pub fn encode<H: BorshSerialize, T: BorshSerialize>(
     kind: FrameKind,
     header: &H,
@@ -115,7 +115,7 @@
     let mut frame = vec![kind.to_byte()];
     header.serialize(&mut frame)?;
     message.serialize(&mut frame)?;
-    if frame.len() > FRAME_MAX {
+    if frame.len() > MAX_FRAME_BYTES {
         return Err(invalid_data("the frame is too long"));
     }
     Ok(frame)
@@ -136,7 +136,7 @@
     let mut length = [0; 4];
     stream.read_exact(&mut length[..LENGTH_BYTES]).await?;
     let length = u32::from_le_bytes(length) as usize;
-    if length > FRAME_MAX {
+    if length > MAX_FRAME_BYTES {
         return Err(invalid_data("the frame is too long"));
     }
     let mut frame = vec![0; length];
--- a/crates/wire/src/http/connection.rs
+++ b/crates/wire/src/http/connection.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 
 /// The longest reply body accepted from a server, in bytes.
-pub const REPLY_MAX: usize = 4 << 20;
+pub const MAX_REPLY_BYTES: usize = 4 << 20;
 
 /// A request to send over an [`HttpConnection`].
 pub struct JsonRequest<'a> {
@@ -61,7 +61,7 @@
 
 impl LocalCloseMarker {
     /// Marks the connection: from now on its end is no evidence about the peer.
-    pub fn mark(&self) {
+    pub fn mark_local_close(&self) {
         self.0.closed_locally.store(true, Ordering::SeqCst);
     }
 }
@@ -81,7 +81,7 @@
     /// # Errors
     /// The error of the kernel or of the HTTP handshake.
     pub async fn open(addr: &str, keepalive: Option<KeepaliveSettings>) -> io::Result<Self> {
-        Self::open_watched(addr, keepalive, Box::new(|_| ())).await
+        Self::open_with_disconnect_callback(addr, keepalive, Box::new(|_| ())).await
     }
 
     /// Opens a connection whose unexpected end is reported.
@@ -91,7 +91,7 @@
     ///
     /// # Errors
     /// The error of the kernel or of the HTTP handshake.
-    pub async fn open_watched(
+    pub async fn open_with_disconnect_callback(
         addr: &str,
         keepalive: Option<KeepaliveSettings>,
         on_disconnect: OnDisconnect,
@@ -122,7 +122,7 @@
     /// used again.
     ///
     /// # Errors
-    /// The kernel's error, or an error for a reply that is not HTTP, not JSON or longer than [`REPLY_MAX`].
+    /// The kernel's error, or an error for a reply that is not HTTP, not JSON or longer than [`MAX_REPLY_BYTES`].
     pub async fn call(&mut self, request: &JsonRequest<'_>) -> io::Result<(u16, Value)> {
         self.close_state.in_flight.store(true, Ordering::SeqCst);
         let reply = self.exchange(request).await;
@@ -163,7 +163,8 @@
         let request = encode_request(host, request, headers)?;
         let reply = sender.send_request(request).await.map_err(io_error)?;
         let status = reply.status().as_u16();
-        let body = Limited::new(reply.into_body(), REPLY_MAX).collect().await.map_err(other)?.to_bytes();
+        let body =
+            Limited::new(reply.into_body(), MAX_REPLY_BYTES).collect().await.map_err(other)?.to_bytes();
         Ok(RawReply { status, body })
     }
 }
--- a/crates/wire/src/http/mod.rs
+++ b/crates/wire/src/http/mod.rs
@@ -4,7 +4,7 @@
 mod keepalive;
 mod one_shot;
 
-pub use connection::{HttpConnection, JsonRequest, LocalCloseMarker, REPLY_MAX};
+pub use connection::{HttpConnection, JsonRequest, LocalCloseMarker, MAX_REPLY_BYTES};
 pub use keepalive::{KeepaliveExt, KeepaliveSettings};
 pub use one_shot::{call_for_status, call_once, post_once};
 pub use quincehatch_runtime::seam::OnDisconnect;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -12,6 +12,7 @@
     clippy::min_ident_chars
 )]
 mod call;
+pub mod call_counters;
 mod caller;
 mod connection;
 mod destination;
@@ -20,7 +21,6 @@
 pub mod http;
 mod identity;
 mod server;
-pub mod traffic;
 
 pub use call::{Call, IdempotencyKey, RetrySafety};
 pub use caller::Caller;
@@ -28,8 +28,8 @@
 pub use destination::Destination;
 pub use error::CallError;
 pub use frame::{
-    ANSWER_HEADER_BYTES, AnswerHeader, FRAME_MAX, FrameKind, Incoming, LENGTH_BYTES, PROTOCOL_VERSION,
-    REQUEST_HEADER_BYTES, RequestHeader, encode, read_frame, write_frame,
+    ANSWER_HEADER_BYTES, AnswerHeader, FrameKind, IncomingFrame, LENGTH_BYTES, MAX_FRAME_BYTES,
+    PROTOCOL_VERSION, REQUEST_HEADER_BYTES, RequestHeader, encode, read_frame, write_frame,
 };
 pub use identity::{Identity, ProcessId};
-pub use server::{Received, encode_answer_frame, receive, respond, serve};
+pub use server::{ReceivedRequest, decode_request, encode_answer_frame, respond, serve};
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -1,6 +1,6 @@
 //! The server side of calls.
 use crate::frame::{
-    AnswerHeader, FrameKind, Incoming, RequestHeader, encode, invalid_data, read_frame, write_frame,
+    AnswerHeader, FrameKind, IncomingFrame, RequestHeader, encode, invalid_data, read_frame, write_frame,
 };
 use crate::{Call, Identity};
 use std::future::Future;
@@ -45,7 +45,7 @@
     let mut sender = None;
     loop {
         let request = read_frame(&mut stream).await?;
-        let (header, _) = Incoming::parse(&request)?.header::<RequestHeader>()?;
+        let (header, _) = IncomingFrame::parse(&request)?.header::<RequestHeader>()?;
         if *sender.get_or_insert(header.sender) != header.sender {
             return Err(invalid_data("another sender on the same connection"));
         }
@@ -56,7 +56,7 @@
 
 /// A decoded request frame.
 #[derive(Debug)]
-pub enum Received<Q> {
+pub enum ReceivedRequest<Q> {
     /// A request for this process, to be answered under the number of the call.
     Request {
         /// The caller's number for the call.
@@ -72,17 +72,17 @@
 ///
 /// # Errors
 /// `InvalidData` when the frame is not a request of type `Q`.
-pub fn receive<Q: Call>(identity: &Identity, frame: &[u8]) -> io::Result<Received<Q>> {
-    let incoming = Incoming::parse(frame)?;
+pub fn decode_request<Q: Call>(identity: &Identity, frame: &[u8]) -> io::Result<ReceivedRequest<Q>> {
+    let incoming = IncomingFrame::parse(frame)?;
     if incoming.kind != FrameKind::Request {
         return Err(invalid_data("not a request"));
     }
     let (header, message) = incoming.header::<RequestHeader>()?;
     if !identity.is_receiver(header.receiver) {
         let rejection = AnswerHeader { call: header.call, responder: identity.id() };
-        return Ok(Received::Rejected(encode(FrameKind::Rejected, &rejection, &())?));
+        return Ok(ReceivedRequest::Rejected(encode(FrameKind::Rejected, &rejection, &())?));
     }
-    Ok(Received::Request { call: header.call, request: borsh::from_slice(message)? })
+    Ok(ReceivedRequest::Request { call: header.call, request: borsh::from_slice(message)? })
 }
 
 /// Encodes the frame that answers a call.
@@ -108,10 +108,10 @@
     F: Fn(Q) -> Fut,
     Fut: Future<Output = Q::Answer>,
 {
-    match receive::<Q>(identity, frame)? {
-        Received::Request { call, request } => {
+    match decode_request::<Q>(identity, frame)? {
+        ReceivedRequest::Request { call, request } => {
             encode_answer_frame::<Q>(identity, call, &answer(request).await)
         }
-        Received::Rejected(frame) => Ok(frame),
+        ReceivedRequest::Rejected(frame) => Ok(frame),
     }
 }
--- a/crates/wire/tests/wire/model.rs
+++ b/crates/wire/tests/wire/model.rs
@@ -74,7 +74,7 @@
 /// Makes the run that `choices` selects.
 fn run(choices: &mut Choices, requests: [[TestRequest; 2]; 2]) -> Run {
     let (network, results) = (Network::new(), Results::default());
-    let caller = Caller::over(Identity::with_incarnation("caller", 1), network.clone());
+    let caller = Caller::with_connector(Identity::with_incarnation("caller", 1), network.clone());
     let mut clients = requests.map(|requests| Some(client(&caller, requests, &results)));
     let mut events = Vec::new();
     loop {
--- a/crates/wire/tests/wire/network.rs
+++ b/crates/wire/tests/wire/network.rs
@@ -1,7 +1,7 @@
 //! The network of the model check: its requests are answered only as the explorer chooses.
 use crate::TestRequest;
 use quincehatch_wire::{
-    AnswerHeader, Connector, FrameKind, Identity, Incoming, LENGTH_BYTES, RequestHeader, encode, respond,
+    AnswerHeader, Connector, FrameKind, Identity, IncomingFrame, LENGTH_BYTES, RequestHeader, encode, respond,
 };
 use std::collections::VecDeque;
 use std::io;
@@ -121,7 +121,7 @@
             std::future::ready(request.number())
         };
         let reply = poll_ready(respond(identity, frame, as_shared_fn(execute))).unwrap();
-        let (header, _) = Incoming::parse(frame).unwrap().header::<RequestHeader>().unwrap();
+        let (header, _) = IncomingFrame::parse(frame).unwrap().header::<RequestHeader>().unwrap();
         let forged_answer =
             |call, responder| encode(FrameKind::Answer, &AnswerHeader { call, responder }, &999u32).unwrap();
         let answers = match event {
--- a/crates/wire/tests/wire/sockets.rs
+++ b/crates/wire/tests/wire/sockets.rs
@@ -2,7 +2,7 @@
 //! a clock.
 use crate::TestRequest;
 use quincehatch_wire::{
-    AnswerHeader, CallError, Caller, Destination, FrameKind, Identity, Incoming, RequestHeader, encode,
+    AnswerHeader, CallError, Caller, Destination, FrameKind, Identity, IncomingFrame, RequestHeader, encode,
     read_frame, respond, serve, write_frame,
 };
 use std::collections::VecDeque;
@@ -62,7 +62,7 @@
 ) {
     let identity = Identity::with_incarnation("a", 1);
     while let Ok(frame) = read_frame(&mut stream).await {
-        let (header, message) = Incoming::parse(&frame).unwrap().header::<RequestHeader>().unwrap();
+        let (header, message) = IncomingFrame::parse(&frame).unwrap().header::<RequestHeader>().unwrap();
         let request: TestRequest = borsh::from_slice(message).unwrap();
         arrived.lock().unwrap().push(request);
         let action = actions.lock().unwrap().pop_front().unwrap_or(Action::Answer);
@@ -223,7 +223,7 @@
         let header = RequestHeader { call: 9, sender: 1, receiver };
         let frame = encode(FrameKind::Request, &header, &TestRequest::Once(1)).unwrap();
         let reply = respond(&identity, &frame, execute).await.unwrap();
-        let incoming = Incoming::parse(&reply).unwrap();
+        let incoming = IncomingFrame::parse(&reply).unwrap();
         assert_eq!(incoming.kind, FrameKind::Rejected);
         assert_eq!(
             incoming.header::<AnswerHeader>().unwrap().0,
@@ -234,7 +234,7 @@
     let header = RequestHeader { call: 9, sender: 1, receiver: other_incarnation };
     let frame = encode(FrameKind::Request, &header, &TestRequest::Once(1)).unwrap();
     assert_eq!(
-        Incoming::parse(&respond(&identity, &frame, execute).await.unwrap()).unwrap().kind,
+        IncomingFrame::parse(&respond(&identity, &frame, execute).await.unwrap()).unwrap().kind,
         FrameKind::Rejected
     );
     let mut frame =
