--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -142,7 +142,7 @@
     assert_same("text_bytes", k["text_bytes"], components::parse_configuration(dbs).bytes as f64);
     let registered = components::health_checks(dbs * SERVERS_PER_GROUP).servers;
     assert_same("board_rows", k["board_rows"], registered as f64);
-    assert_same("frame_max", k["frame_max"], quincehatch_wire::FRAME_MAX as f64);
+    assert_same("frame_max", k["frame_max"], quincehatch_wire::MAX_FRAME_BYTES as f64);
     assert_same("node_lease_ms", k["node_lease_ms"], quincehatch_store::timing::NODE_LEASE as f64);
     assert_eq!(quincehatch_store::limits::LOG_MAX_ENTRIES, 512, "as the page says");
     assert_same("transfer_max", k["transfer_max"], quincehatch_store::limits::TRANSFER_MAX_BYTES as f64);
--- a/crates/simulator/src/control/machine.rs
+++ b/crates/simulator/src/control/machine.rs
@@ -47,7 +47,7 @@
     inbox: VecDeque<Input>,
     /// Whether a sync is in progress.
     is_syncing: bool,
-    /// Whether the sync in progress has taken longer than [`STALL_THRESHOLD`].
+    /// Whether the sync in progress has taken longer than [`STALL_TIMEOUT`].
     pub(super) stalled: bool,
     pub(super) pending_calls: BTreeMap<u64, PendingCall>,
     pub(super) next_token: u64,
--- a/crates/testbed/tests/kit/mod.rs
+++ b/crates/testbed/tests/kit/mod.rs
@@ -93,8 +93,10 @@
         tokio::spawn(probe::run_status_probes(node.registry.clone(), node.spawner().clone()));
         let kit = Kit { node, servers };
         kit.wait_until("all servers to be up and replicated", || {
-            let needed =
-                kit.node.registry.with_primary_positions("g1", |positions| positions.needed(now(), 1_500));
+            let needed = kit
+                .node
+                .registry
+                .with_primary_positions("g1", |positions| positions.required_at(now(), 1_500));
             let log_end = kit.servers[0].log_end();
             let up = kit
                 .node
