--- a/crates/simulator/src/control/checks.rs
+++ b/crates/simulator/src/control/checks.rs
@@ -7,7 +7,7 @@
 /// Largest number of violations that are reported for each check.
 const MAX_REPORTED: usize = 5;
 
-/// Returns a line for each violation, up to [`MAX_REPORTED`] for each check.
+/// Returns a line for each violation, up to `MAX_REPORTED` for each check.
 pub fn check_history(history: &History, parameters: &Parameters) -> Vec<String> {
     let found = [
         check_acknowledged_is_durable(history),
