--- a/crates/operator-api/src/explain.rs
+++ b/crates/operator-api/src/explain.rs
@@ -1,10 +1,10 @@
-//! `explain`: the recorded reasons for health changes, routing decisions and promotions, collected from every node.
+//! `explain`: recorded reasons for health changes, routing decisions and promotions, collected from every node.
 use crate::fan_out::NodeAnswer;
 use crate::{CallName, OperatorCall};
 use quincehatch_core::{Name, Version};
 use serde::{Deserialize, Serialize};
 
-/// Asks every node about one subject. Exactly one field is expected to be set; if several are set, the first one is used.
+/// Asks every node about one subject. Exactly one field is expected to be set; if several are, the first one is used.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ExplainRequest {
--- a/tools/own_days.py
+++ b/tools/own_days.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Draws days of trouble for the five points of issue 20 and plays them with the bench.
+"""Draws days with faults for the points of issue 20 from a seed and plays them with the bench.
 
 Run it at the root of the repository, which is where the bench builds and writes its journal:
 
@@ -7,10 +7,11 @@
 
 BENCH is the path of the bench's program, SITE that of a site file. Points: 1 a core machine is cut
 off for about twenty seconds, 2 two operators, 3 a second loss right after a first, 4 hundreds of
-changes, 5 resets and silences, 6 the newest kinds, 0 two of the first five at once. The same seed, point and index always draw the
-same day; days 0 and 1 of point 3 are those of issue 20. A day that breaks a rule, falls short
-of the gate, holds a process that ended by itself or is not played is kept as a TOML file under
---keep and can be played again by `BENCH run SITE FILE`, or here by `--first INDEX --days 1`.
+changes, 5 resets and lost answers, 6 the newest fault kinds, 0 two of the first five at once.
+The same seed, point and index always draw the same day; days 0 and 1 of point 3 are those of issue
+20. A day that breaks a rule, falls short of the gate, has a process that exited unexpectedly or is
+not played is kept as a TOML file under --keep and can be played again by `BENCH run SITE FILE`, or
+here by `--first INDEX --days 1`.
 Arguments after `--` go to `BENCH run` (for instance `-- --small` or `-- --log all`).
 """
 
@@ -34,12 +35,12 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """What the bench found on one day."""
+    """Result of one day, as reported by the bench."""
 
     broken: dict = field(default_factory=dict)
     short_of_gate: tuple = ()
-    own_exits: int = 0
-    worth: float = 0.0
+    unexpected_exits: int = 0
+    score: float = 0.0
     not_played: str = ""
 
     @staticmethod
@@ -50,7 +51,7 @@
         return Verdict(report["breaks"], tuple(short), report["exits_n"], report["G"])
 
     def failed(self):
-        return bool(self.broken or self.short_of_gate or self.own_exits or self.not_played)
+        return bool(self.broken or self.short_of_gate or self.unexpected_exits or self.not_played)
 
     def describe(self):
         if self.not_played:
@@ -59,8 +60,8 @@
         parts = [
             f"BROKEN {rules}" if rules else "no rule broken",
             f"gate FAILED ({'; '.join(self.short_of_gate)})" if self.short_of_gate else "gate passed",
-            f"ended by themselves {self.own_exits}",
-            f"worth {self.worth:.3f}",
+            f"unexpected exits {self.unexpected_exits}",
+            f"score {self.score:.3f}",
         ]
         return " | ".join(parts)
 
@@ -76,7 +77,7 @@
     run_arguments: tuple
 
     def play(self, day):
-        """Plays one day and keeps its file when it failed."""
+        """Plays one day and saves its file under `keep` if it failed."""
         with tempfile.TemporaryDirectory() as directory:
             day_file = Path(directory) / f"{day.name}.toml"
             day_file.write_text(day.to_toml())
@@ -99,7 +100,7 @@
 
 
 def list_kinds(bench, site_path):
-    """The kinds of trouble that the bench lists for this site."""
+    """Returns the fault kinds that the bench lists for this site."""
     listed = subprocess.run([bench, "kinds", site_path], capture_output=True, text=True, check=True)
     return KIND_LINE.findall(listed.stdout)
 
@@ -111,8 +112,8 @@
     print(f"total: {len(verdicts)} days, {sum(not verdict.failed() for verdict in verdicts)} clean, "
           f"{sum(bool(verdict.broken) for verdict in verdicts)} with a broken rule {dict(broken)}, "
           f"{sum(bool(verdict.short_of_gate) for verdict in verdicts)} short of the gate, "
-          f"{sum(bool(verdict.own_exits) for verdict in verdicts)} with processes that ended by themselves "
-          f"({sum(verdict.own_exits for verdict in verdicts)}), "
+          f"{sum(bool(verdict.unexpected_exits) for verdict in verdicts)} with unexpected process exits "
+          f"({sum(verdict.unexpected_exits for verdict in verdicts)}), "
           f"{sum(bool(verdict.not_played) for verdict in verdicts)} not played")
 
 
--- a/tools/point_days.py
+++ b/tools/point_days.py
@@ -1,16 +1,16 @@
-"""Draws days of trouble for the bench, repeatably, from a seed, a point number and an index.
+"""Draws days with faults for the bench, deterministically from a seed, a point number and an index.
 
 The points are the failures of the control plane that issue 20 lists: 1 a core machine is cut off
 for about twenty seconds, 2 two operators change the configuration at once, 3 a second loss follows
-a first, 4 hundreds of changes before a restart or a loss, 5 resets and silences. Point 6 has the
-newest kinds. Point 0 mixes two of the first five.
+a first, 4 hundreds of changes before a restart or a loss, 5 resets and lost answers. Point 6 has
+the newest fault kinds. Point 0 mixes two of the first five.
 """
 
 from newest_days import point_newest
 from trouble_day import Day, Draw
 
 POINTS = (1, 2, 3, 4, 5, 6)
-# Those that a mixed day takes two of.
+# Points of which a mixed day combines two.
 MIXED_POINTS = (1, 2, 3, 4, 5)
 MIX = 0
 CLOSINGS = (
@@ -31,47 +31,47 @@
 
 
 def draw_day(site, point, seed, index):
-    """The day of this seed, point and index: the same arguments always give the same day."""
+    """Returns the day of this seed, point and index. The same arguments always give the same day."""
     draw = Draw(seed, point, index)
     kind, how = CLOSINGS[(index + seed) % len(CLOSINGS)]
-    closing = {"kind": kind, "down_s": draw.between(0.5, 2.0)}
+    closing = {"kind": kind, "down_s": draw.uniform(0.5, 2.0)}
     if how:
         closing["how"] = how
-    day = Day(f"own-point{point}-seed{seed}-day{index}", site, draw.whole(1, 2**30), closing)
+    day = Day(f"own-point{point}-seed{seed}-day{index}", site, draw.integer(1, 2**30), closing)
     if point == 3 and index < len(ISSUE_DAYS):
         ISSUE_DAYS[index](day, draw)
         return day
-    for chosen in draw.two(MIXED_POINTS) if point == MIX else (point,):
+    for chosen in draw.pick_two(MIXED_POINTS) if point == MIX else (point,):
         DRAW_POINT[chosen](day, draw)
-    add_config_changes(day, draw, draw.whole(2, 6))
+    add_config_changes(day, draw, draw.integer(2, 6))
     if draw.chance(0.4):
         add_other_trouble(day, draw)
     return day
 
 
 def add_config_changes(day, draw, count):
-    """Adds single changes of the configuration at any time of the day."""
+    """Adds single configuration changes at random times of the day."""
     for _ in range(count):
-        day.add("config_change", draw.between(1.5, 31.0), how=draw.pick(CONFIG_FIELDS))
+        day.add("config_change", draw.uniform(1.5, 31.0), how=draw.pick(CONFIG_FIELDS))
 
 
 def add_other_trouble(day, draw):
-    """Adds one trouble of a kind that no point draws, with the bench's defaults."""
+    """Adds one fault of a kind that no point draws, with the bench's defaults."""
     others = sorted(day.site.kinds - POINT_KINDS)
     if others:
-        day.add(draw.pick(others), draw.between(2.0, 28.0))
+        day.add(draw.pick(others), draw.uniform(2.0, 28.0))
 
 
 def issue_two_replaced(day, draw):
-    """Two of the core replaced, unplanned, the second just after the first has had its time to catch up."""
-    first, second = draw.two(day.site.core_zones)
+    """Replaces two core machines unplanned, the second just after the first has had its time to catch up."""
+    first, second = draw.pick_two(day.site.core_zones)
     day.add("replace_core", 5.0, x=0.5, zone=first)
-    day.add("replace_core", draw.between(11.0, 13.0), x=0.5, zone=second)
+    day.add("replace_core", draw.uniform(11.0, 13.0), x=0.5, zone=second)
     add_config_changes(day, draw, 3)
 
 
 def issue_leader_replaced_then_wiped(day, draw):
-    """The acting machine replaced twice, then a disk lost after the last acknowledgement."""
+    """Replaces the leader's machine twice, then wipes a disk after the last acknowledgement."""
     day.closing = {"kind": "wipe_after_ack", "down_s": 1.0}
     day.add("replace_core", 5.1, x=0.5, how="leader")
     day.add("replace_core", 13.0, x=0.5, how="leader")
@@ -83,45 +83,45 @@
 
 def point_long_cut(day, draw):
     """Point 1: a core machine is cut off or frozen for about twenty seconds while the configuration changes."""
-    at, for_s = draw.between(2.0, 8.0), draw.between(16.0, 24.0)
+    at, for_s = draw.uniform(2.0, 8.0), draw.uniform(16.0, 24.0)
     follow_up = draw.pick(FOLLOW_UPS)
     kind = draw.pick(("core_cut", "core_cut", "core_cut", "node_cut", "node_freeze"))
     if kind == "core_cut":
         how = draw.words(TARGETS, ("", "one_way", "seeds", "both"), ("", "", "reset", "refuse"), (follow_up,))
-        day.add(kind, at, count=draw.whole(1, day.site.tolerated), for_s=for_s, how=how)
+        day.add(kind, at, count=draw.integer(1, day.site.tolerated), for_s=for_s, how=how)
     elif kind == "node_cut":
-        day.add(kind, at, share=draw.between(0.08, 0.3), for_s=for_s, how=draw.words(("", "servers"), (follow_up,)))
+        day.add(kind, at, share=draw.uniform(0.08, 0.3), for_s=for_s, how=draw.words(("", "servers"), (follow_up,)))
     else:
         day.add(kind, at, on="core", share=0.25, for_s=for_s, how=draw.words(TARGETS, (follow_up,)))
-    add_config_changes(day, draw, draw.whole(4, 8))
+    add_config_changes(day, draw, draw.integer(4, 8))
     if draw.chance(0.5):
-        day.add("config_race", at + draw.between(1.0, 10.0), count=draw.whole(1, 4), gap_s=draw.between(0.5, 2.0))
+        day.add("config_race", at + draw.uniform(1.0, 10.0), count=draw.integer(1, 4), gap_s=draw.uniform(0.5, 2.0))
     if draw.chance(0.4):
-        day.add("seed_turnover", at + for_s + draw.between(0.2, 4.0))
+        day.add("seed_turnover", at + for_s + draw.uniform(0.2, 4.0))
     if draw.chance(0.4):
-        add_loss(day, draw, at + for_s + draw.between(0.3, 9.0))
+        add_loss(day, draw, at + for_s + draw.uniform(0.3, 9.0))
 
 
 def point_two_operators(day, draw):
     """Point 2: races, repeated and old versions, lost acknowledgements, and losses right after one."""
-    for _ in range(draw.whole(2, 4)):
-        day.add("config_race", draw.between(1.5, 28.0), count=draw.whole(2, 8), gap_s=draw.between(0.2, 1.5))
+    for _ in range(draw.integer(2, 4)):
+        day.add("config_race", draw.uniform(1.5, 28.0), count=draw.integer(2, 8), gap_s=draw.uniform(0.2, 1.5))
     for how in ("same_version", "old_version"):
-        day.add("bad_config", draw.between(3.0, 29.0), how=how, count=draw.whole(2, 6), gap_s=draw.between(0.2, 0.8))
-    for _ in range(draw.whole(1, 2)):
-        day.add("ack_lost", draw.between(1.5, 24.0), x=draw.between(0.5, 1.0), for_s=draw.between(4.0, 16.0))
+        day.add("bad_config", draw.uniform(3.0, 29.0), how=how, count=draw.integer(2, 6), gap_s=draw.uniform(0.2, 0.8))
+    for _ in range(draw.integer(1, 2)):
+        day.add("ack_lost", draw.uniform(1.5, 24.0), x=draw.uniform(0.5, 1.0), for_s=draw.uniform(4.0, 16.0))
     if draw.chance(0.7):
         how = draw.words(("", "kill", "timed", "taken"))
-        day.add("after_ack_kill", draw.between(4.0, 28.0), for_s=draw.between(0.5, 4.0), how=how)
+        day.add("after_ack_kill", draw.uniform(4.0, 28.0), for_s=draw.uniform(0.5, 4.0), how=how)
     if draw.chance(0.5):
         how = draw.words(TARGETS, ("race", "race hard", "meet", "race drain"))
         kind = draw.pick(("core_cut", "node_freeze"))
-        day.add(kind, draw.between(4.0, 24.0), on="core", for_s=draw.between(2.0, 8.0), how=how)
+        day.add(kind, draw.uniform(4.0, 24.0), on="core", for_s=draw.uniform(2.0, 8.0), how=how)
 
 
 def add_loss(day, draw, at):
-    """Adds the loss of a core machine and returns the moment from which it is back."""
-    for_s = draw.between(0.5, 4.0)
+    """Adds the loss of a core machine and returns the time at which it is back."""
+    for_s = draw.uniform(0.5, 4.0)
     follow_up = draw.pick(FOLLOW_UPS)
     kind = draw.pick(LOSSES)
     if kind == "replace_core":
@@ -132,9 +132,9 @@
         day.add(kind, at, on="core", count=1, for_s=for_s, how=how)
     elif kind == "roll_term":
         # The bench never lets core machines leave in this way; `planned` replacements do that.
-        day.add(kind, at, share=draw.between(0.2, 0.6), x=1.0, gap_s=draw.between(0.5, 4.0), how="remove")
+        day.add(kind, at, share=draw.uniform(0.2, 0.6), x=1.0, gap_s=draw.uniform(0.5, 4.0), how="remove")
     elif kind == "herd_kill":
-        day.add(kind, at, on="core", for_s=draw.between(0.4, 1.0), how=draw.pick(("", "power", "power taken")))
+        day.add(kind, at, on="core", for_s=draw.uniform(0.4, 1.0), how=draw.pick(("", "power", "power taken")))
     else:
         day.add(kind, at, for_s=for_s, how=draw.pick(("", "timed", "taken")))
     return at + for_s
@@ -145,20 +145,20 @@
     if draw.chance(0.6):
         back = add_two_replacements(day, draw)
     else:
-        back = add_loss(day, draw, draw.between(3.0, 8.0))
+        back = add_loss(day, draw, draw.uniform(3.0, 8.0))
         back = add_loss(day, draw, back + gap_after_loss(day.site, draw))
     if draw.chance(0.3):
-        day.add("seed_turnover", back + draw.between(0.1, 4.0))
+        day.add("seed_turnover", back + draw.uniform(0.1, 4.0))
     if draw.chance(0.6):
         add_loss(day, draw, back + gap_after_loss(day.site, draw))
 
 
 def add_two_replacements(day, draw):
-    """Replaces two different core machines for good, and returns the moment from which the second successor runs."""
-    at = draw.between(3.0, 8.0)
-    for zone in draw.two(day.site.core_zones):
+    """Replaces two different core machines for good, and returns the time at which the second successor runs."""
+    at = draw.uniform(3.0, 8.0)
+    for zone in draw.pick_two(day.site.core_zones):
         # The sooner a successor runs, the sooner the bench allows the next loss.
-        for_s = draw.between(0.5, 1.0) if draw.chance(0.7) else draw.between(1.0, 3.0)
+        for_s = draw.uniform(0.5, 1.0) if draw.chance(0.7) else draw.uniform(1.0, 3.0)
         how = draw.words(("", "", "planned"), FOLLOW_UPS)
         day.add("replace_core", at, x=for_s, zone=zone, how=how)
         back = at + for_s
@@ -168,44 +168,44 @@
 
 def gap_after_loss(site, draw):
     """The pause from a machine's return to the next loss: just over what the site grants for catching up, or longer."""
-    return site.catch_up_s + draw.between(0.2, 5.0)
+    return site.catch_up_s + draw.uniform(0.2, 5.0)
 
 
 def point_many_changes(day, draw):
-    """Point 4: hundreds of changes with restarts and disks in trouble, then a loss."""
-    start = draw.between(1.0, 3.0)
-    if not day.add("config_storm", start, count=draw.whole(100, 300), gap_s=draw.between(0.08, 0.2)):
-        day.add("config_race", start, count=draw.whole(60, 130), gap_s=draw.between(0.15, 0.25))
-    day.add("big_config", draw.between(1.5, 6.0), count=draw.whole(200, 1400))
-    for _ in range(draw.whole(1, 3)):
+    """Point 4: hundreds of changes with restarts and disk faults, then the loss of a machine."""
+    start = draw.uniform(1.0, 3.0)
+    if not day.add("config_storm", start, count=draw.integer(100, 300), gap_s=draw.uniform(0.08, 0.2)):
+        day.add("config_race", start, count=draw.integer(60, 130), gap_s=draw.uniform(0.15, 0.25))
+    day.add("big_config", draw.uniform(1.5, 6.0), count=draw.integer(200, 1400))
+    for _ in range(draw.integer(1, 3)):
         kind = draw.pick(("disk_full", "disk_full", "disk_slow", "disk_stall", "node_kill", "roll_term"))
-        at, for_s = draw.between(5.0, 24.0), draw.between(3.0, 12.0)
+        at, for_s = draw.uniform(5.0, 24.0), draw.uniform(3.0, 12.0)
         if kind == "roll_term":
-            day.add(kind, at, share=1.0, x=1.0, gap_s=draw.between(0.8, 2.0), how=draw.pick(("", "busy")))
+            day.add(kind, at, share=1.0, x=1.0, gap_s=draw.uniform(0.8, 2.0), how=draw.pick(("", "busy")))
         elif kind == "node_kill":
             day.add(kind, at, on="core", count=1, for_s=for_s, how=draw.words(("", "power"), TARGETS))
         else:
-            day.add(kind, at, count=draw.whole(1, day.site.tolerated), for_s=for_s, how=draw.words(TARGETS))
-    add_loss(day, draw, draw.between(24.0, 31.0))
+            day.add(kind, at, count=draw.integer(1, day.site.tolerated), for_s=for_s, how=draw.words(TARGETS))
+    add_loss(day, draw, draw.uniform(24.0, 31.0))
 
 
-def point_resets_and_silences(day, draw):
+def point_resets_and_lost_answers(day, draw):
     """Point 5: connections reset, answers lost, primaries cut off, processes killed or frozen."""
-    for _ in range(draw.whole(2, 4)):
-        day.add("reset_conns", draw.between(2.0, 31.0), share=draw.between(0.3, 1.0), x=draw.between(0.3, 1.0))
-    for _ in range(draw.whole(1, 3)):
-        day.add("answer_lost", draw.between(2.0, 26.0), share=draw.between(0.3, 0.7), x=draw.between(0.02, 0.3),
-                for_s=draw.between(2.0, 7.0), how=draw.words(("", "reset"), ("", "primary")))
-    day.add("ack_lost", draw.between(2.0, 24.0), x=draw.between(0.4, 0.9), for_s=draw.between(3.0, 10.0))
+    for _ in range(draw.integer(2, 4)):
+        day.add("reset_conns", draw.uniform(2.0, 31.0), share=draw.uniform(0.3, 1.0), x=draw.uniform(0.3, 1.0))
+    for _ in range(draw.integer(1, 3)):
+        day.add("answer_lost", draw.uniform(2.0, 26.0), share=draw.uniform(0.3, 0.7), x=draw.uniform(0.02, 0.3),
+                for_s=draw.uniform(2.0, 7.0), how=draw.words(("", "reset"), ("", "primary")))
+    day.add("ack_lost", draw.uniform(2.0, 24.0), x=draw.uniform(0.4, 0.9), for_s=draw.uniform(3.0, 10.0))
     if draw.chance(0.6):
-        day.add("primary_cut", draw.between(4.0, 24.0), share=draw.between(0.3, 0.7), for_s=draw.between(3.0, 8.0),
+        day.add("primary_cut", draw.uniform(4.0, 24.0), share=draw.uniform(0.3, 0.7), for_s=draw.uniform(3.0, 8.0),
                 how=draw.pick(("", "replicas", "core", "split")))
     if draw.chance(0.4):
-        day.add("herd_kill", draw.between(8.0, 28.0), share=draw.between(0.3, 0.7), for_s=draw.between(0.5, 2.0),
+        day.add("herd_kill", draw.uniform(8.0, 28.0), share=draw.uniform(0.3, 0.7), for_s=draw.uniform(0.5, 2.0),
                 how=draw.pick(("", "power")))
     if draw.chance(0.6):
-        day.add("node_freeze", draw.between(4.0, 26.0), share=draw.between(0.08, 0.3), for_s=draw.between(1.0, 6.0))
+        day.add("node_freeze", draw.uniform(4.0, 26.0), share=draw.uniform(0.08, 0.3), for_s=draw.uniform(1.0, 6.0))
 
 
 DRAW_POINT = {1: point_long_cut, 2: point_two_operators, 3: point_second_loss, 4: point_many_changes,
-              5: point_resets_and_silences, 6: point_newest}
+              5: point_resets_and_lost_answers, 6: point_newest}
